--- a/pkg/kumquatlug/ledger/ask.go
+++ b/pkg/kumquatlug/ledger/ask.go
@@ -11,7 +11,7 @@
 // [kumquatlug.Failure]: not-run says that this dispatch did not run and never
 // will; it says nothing of earlier sendings of the same key.
 func (l *Ledger) Begin(ctx context.Context, call Call) (Ruling, error) {
-	return l.ask(ctx, call, false)
+	return l.submit(ctx, call, false)
 }
 
 // Block is for an entry that lost sight of a dispatch of call. VerdictBlocked
@@ -20,75 +20,75 @@
 // one. Any other verdict is what the standing row says. After an error nothing
 // is known: the caller must be told unknown, or Block be asked again.
 func (l *Ledger) Block(ctx context.Context, call Call) (Ruling, error) {
-	return l.ask(ctx, call, true)
+	return l.submit(ctx, call, true)
 }
 
-func (l *Ledger) ask(ctx context.Context, call Call, block bool) (Ruling, error) {
-	ch := make(chan delivery, 1)
-	var waiter int64
+func (l *Ledger) submit(ctx context.Context, call Call, block bool) (Ruling, error) {
+	ch := make(chan response, 1)
+	var waiterID int64
 	l.update(func() {
 		if l.stopped {
-			ch <- delivery{failure: l.failure("stopped", kumquatlug.RanNot, block, nil)}
+			ch <- response{failure: l.newFailure("stopped", kumquatlug.RanNot, block, nil)}
 			return
 		}
-		waiter = l.book.begin(call, block, l.c.Clock.Now())
-		l.waiting[waiter] = ch
+		waiterID = l.machine.begin(call, block, l.config.Clock.Now())
+		l.responseChans[waiterID] = ch
 	})
 	select {
-	case d := <-ch:
-		return l.ruling(ctx, d)
+	case resp := <-ch:
+		return l.completeRuling(ctx, resp)
 	case <-ctx.Done():
-		return l.leave(ctx, waiter, ch, block)
+		return l.abandonWait(ctx, waiterID, ch, block)
 	}
 }
 
-// leave ends a question whose asker has gone. If the right to run came at that
+// abandonWait ends a question whose asker has gone. If the right to run came at that
 // very moment, it is given back: nobody would use it.
-func (l *Ledger) leave(ctx context.Context, waiter int64, ch chan delivery, block bool) (Ruling, error) {
+func (l *Ledger) abandonWait(ctx context.Context, waiterID int64, ch chan response, block bool) (Ruling, error) {
 	var ran kumquatlug.Ran
-	var open bool
+	var wasWaiting bool
 	l.update(func() {
-		ran, open = l.book.forget(waiter)
-		delete(l.waiting, waiter)
+		ran, wasWaiting = l.machine.cancelWaiter(waiterID)
+		delete(l.responseChans, waiterID)
 	})
-	if open {
-		return Ruling{}, l.failure("gave_up", ran, block, ctx.Err())
+	if wasWaiting {
+		return Ruling{}, l.newFailure("gave_up", ran, block, ctx.Err())
 	}
-	d := <-ch
-	if d.ruling.verdict != VerdictRun {
-		return l.ruling(ctx, d)
+	resp := <-ch
+	if resp.ruling.verdict != VerdictRun {
+		return l.completeRuling(ctx, resp)
 	}
-	if err := l.Abandon(d.ruling.ticket, kumquatlug.RanNot); err != nil {
+	if err := l.Abandon(resp.ruling.ticket, kumquatlug.RanNot); err != nil {
 		return Ruling{}, err
 	}
-	return Ruling{}, l.failure("gave_up", kumquatlug.RanNot, block, ctx.Err())
+	return Ruling{}, l.newFailure("gave_up", kumquatlug.RanNot, block, ctx.Err())
 }
 
-func (l *Ledger) failure(reason string, ran kumquatlug.Ran, block bool, cause error) *kumquatlug.Failure {
+func (l *Ledger) newFailure(reason string, ran kumquatlug.Ran, block bool, cause error) *kumquatlug.Failure {
 	step := "claim"
 	if block {
 		step = "block"
 		ran = kumquatlug.RanUnknown
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Peer: "table", Reason: reason, Ran: ran, RetryAfter: l.c.RetryAfter, Cause: cause,
+		Step: step, Peer: "table", Reason: reason, Ran: ran, RetryAfter: l.config.RetryAfter, Cause: cause,
 	})
 }
 
-func (l *Ledger) ruling(ctx context.Context, d delivery) (Ruling, error) {
-	if d.failure != nil {
-		return Ruling{}, d.failure
+func (l *Ledger) completeRuling(ctx context.Context, resp response) (Ruling, error) {
+	if resp.failure != nil {
+		return Ruling{}, resp.failure
 	}
-	if d.ruling.outcome.object == "" {
-		return d.ruling, nil
+	if resp.ruling.outcome.object == "" {
+		return resp.ruling, nil
 	}
-	body, err := l.c.Objects.Fetch(ctx, d.ruling.outcome.object)
+	body, err := l.config.Objects.Fetch(ctx, resp.ruling.outcome.object)
 	if err != nil {
 		return Ruling{}, kumquatlug.NewFailure(kumquatlug.FailureConfig{
 			Step: "fetch answer", Peer: "objects", Reason: ReasonObjects,
-			Ran: kumquatlug.RanDone, RetryAfter: l.c.RetryAfter, Cause: err,
+			Ran: kumquatlug.RanDone, RetryAfter: l.config.RetryAfter, Cause: err,
 		})
 	}
-	d.ruling.outcome.body = body
-	return d.ruling, nil
+	resp.ruling.outcome.body = body
+	return resp.ruling, nil
 }
--- a/pkg/kumquatlug/ledger/book.go
+++ b/pkg/kumquatlug/ledger/book.go
@@ -8,11 +8,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// delivery is the end of one question that was put to the book.
-type delivery struct {
-	waiter  int64
-	ruling  Ruling
-	failure *kumquatlug.Failure
+// response is the end of one question that was put to the book.
+type response struct {
+	waiterID int64
+	ruling   Ruling
+	failure  *kumquatlug.Failure
 }
 
 // goal is what an item's next write is for.
@@ -38,18 +38,18 @@
 	phaseWrite   phase = "write"
 	phaseRunning phase = "running"
 	phaseUpload  phase = "upload"
-	phaseKept    phase = "kept"
+	phaseCached  phase = "kept"
 )
 
-// question is a Begin or a Block that has no ruling yet.
-type question struct {
-	waiter int64
-	call   Call
-	block  bool
+// waiter is a Begin or a Block that has no ruling yet.
+type waiter struct {
+	id    int64
+	call  Call
+	block bool
 }
 
-// item is all that the book holds of one call.
-type item struct {
+// trackedCall is all that the book holds of one call.
+type trackedCall struct {
 	id       string
 	goal     goal
 	phase    phase
@@ -58,200 +58,200 @@
 	claim    string
 	// era is that of the bucket that present is in.
 	era int64
-	// doubt says that an earlier write may still take effect.
-	doubt bool
-	// known says that present and former were read and not assumed absent.
-	known bool
-	// alone says that this item's own write put the row into the bucket of era
+	// writeUncertain says that an earlier write may still take effect.
+	writeUncertain bool
+	// rowsRead says that present and former were read and not assumed absent.
+	rowsRead bool
+	// soleRow says that this item's own write put the row into the bucket of era
 	// and left none in the bucket before.
-	alone   bool
-	present kumquatlug.Row
-	former  kumquatlug.Row
-	final   row
-	waiting []question
+	soleRow     bool
+	currentRow  kumquatlug.Row
+	previousRow kumquatlug.Row
+	finalRow    row
+	waiters     []waiter
 }
 
-// standing returns the row of the call that was last read, if there is one,
+// storedRow returns the row of the call that was last read, if there is one,
 // and the era in whose bucket it stands.
-func (it *item) standing() (row, int64, bool) {
-	if it.known && it.present.Exists() {
-		return decodeRow(it.present.Value()), it.era, true
+func (tc *trackedCall) storedRow() (row, int64, bool) {
+	if tc.rowsRead && tc.currentRow.Exists() {
+		return decodeRow(tc.currentRow.Value()), tc.era, true
 	}
-	if it.known && it.former.Exists() {
-		return decodeRow(it.former.Value()), it.era - 1, true
+	if tc.rowsRead && tc.previousRow.Exists() {
+		return decodeRow(tc.previousRow.Value()), tc.era - 1, true
 	}
-	return row{State: stateFree}, it.era, false
+	return row{State: stateFree}, tc.era, false
 }
 
-// book decides over the calls of one process. It asks for one effect at a
+// stateMachine decides over the calls of one process. It asks for one effect at a
 // time; everything that waits meanwhile shares the next transaction.
-type book struct {
-	c          Config
-	holder     Holder
-	items      map[string]*item
-	order      []*item
-	kept       []*item
-	deliveries []delivery
-	inFlight   *effect
-	era        int64
-	eraVersion int64
-	eraKnown   bool
-	outUntil   kumquatlug.Millis
-	failing    bool
-	nextWrite  kumquatlug.Millis
-	lastRead   bool
-	waiters    int64
-	writes     int64
+type stateMachine struct {
+	config       Config
+	holder       Holder
+	calls        map[string]*trackedCall
+	order        []*trackedCall
+	cached       []*trackedCall
+	responses    []response
+	inFlight     *tableOp
+	era          int64
+	eraVersion   int64
+	eraKnown     bool
+	backoffUntil kumquatlug.Millis
+	tableFailing bool
+	nextWriteAt  kumquatlug.Millis
+	lastWasRead  bool
+	lastWaiterID int64
+	lastWriteID  int64
 }
 
-func newBook(c Config) *book {
-	return &book{
-		c: c, holder: Holder{target: c.Target, incarnation: c.Incarnation},
-		items: map[string]*item{},
+func newStateMachine(c Config) *stateMachine {
+	return &stateMachine{
+		config: c, holder: Holder{target: c.Target, incarnation: c.Incarnation},
+		calls: map[string]*trackedCall{},
 	}
 }
 
 // begin puts a question and returns the number under which it is answered.
-func (b *book) begin(call Call, block bool, now kumquatlug.Millis) int64 {
-	b.waiters++
-	b.ask(question{waiter: b.waiters, call: call, block: block}, now)
-	return b.waiters
+func (m *stateMachine) begin(call Call, block bool, now kumquatlug.Millis) int64 {
+	m.lastWaiterID++
+	m.submit(waiter{id: m.lastWaiterID, call: call, block: block}, now)
+	return m.lastWaiterID
 }
 
-func (b *book) ask(q question, now kumquatlug.Millis) {
-	it := b.items[q.call.id]
-	if it != nil && it.phase == phaseKept && b.expired(it) {
-		b.drop(it)
-		it = nil
+func (m *stateMachine) submit(w waiter, now kumquatlug.Millis) {
+	tc := m.calls[w.call.id]
+	if tc != nil && tc.phase == phaseCached && m.expired(tc) {
+		m.drop(tc)
+		tc = nil
 	}
-	if it != nil && b.askKnown(it, q) {
+	if tc != nil && m.answerFromMemory(tc, w) {
 		return
 	}
-	if now < b.outUntil || (b.failing && b.inFlight != nil) {
-		b.refuse(q, ReasonTable, now)
+	if now < m.backoffUntil || (m.tableFailing && m.inFlight != nil) {
+		m.refuse(w, ReasonTable, now)
 		return
 	}
-	if it != nil {
-		it.waiting = append(it.waiting, q)
+	if tc != nil {
+		tc.waiters = append(tc.waiters, w)
 		return
 	}
-	b.open(q)
+	m.track(w)
 }
 
-// askKnown answers q from memory if that can be done.
-func (b *book) askKnown(it *item, q question) bool {
-	switch it.phase {
-	case phaseKept:
-		b.deliver(q, b.rule(it.final, q.call))
+// answerFromMemory answers q from memory if that can be done.
+func (m *stateMachine) answerFromMemory(tc *trackedCall, w waiter) bool {
+	switch tc.phase {
+	case phaseCached:
+		m.respond(w, m.rulingFor(tc.finalRow, w.call))
 		return true
 	case phaseRunning:
-		return b.askRunning(it, q)
+		return m.submitToRunning(tc, w)
 	}
-	if it.goal == goalStore {
-		b.deliver(q, b.rule(it.final, q.call))
+	if tc.goal == goalStore {
+		m.respond(w, m.rulingFor(tc.finalRow, w.call))
 		return true
 	}
 	return false
 }
 
-func (b *book) askRunning(it *item, q question) bool {
+func (m *stateMachine) submitToRunning(tc *trackedCall, w waiter) bool {
 	switch {
-	case q.block:
-		b.deliver(q, Ruling{verdict: VerdictElsewhere, holder: b.holder})
-	case q.call.body != it.body:
-		b.deliver(q, Ruling{verdict: VerdictConflict})
+	case w.block:
+		m.respond(w, Ruling{verdict: VerdictElsewhere, holder: m.holder})
+	case w.call.body != tc.body:
+		m.respond(w, Ruling{verdict: VerdictConflict})
 	default:
-		it.waiting = append(it.waiting, q)
+		tc.waiters = append(tc.waiters, w)
 	}
 	return true
 }
 
-// open starts an item for q. The rows are taken to be absent, which is nearly
+// track starts an item for q. The rows are taken to be absent, which is nearly
 // always so; where it is not, the transaction conflicts and they are read.
-func (b *book) open(q question) {
-	b.writes++
-	it := &item{
-		id: q.call.id, goal: goalClaim, phase: phaseWrite, body: q.call.body,
-		dispatch: q.call.dispatch, waiting: []question{q},
-		claim: fmt.Sprintf("%s-%d", b.c.Incarnation, b.writes),
+func (m *stateMachine) track(w waiter) {
+	m.lastWriteID++
+	tc := &trackedCall{
+		id: w.call.id, goal: goalClaim, phase: phaseWrite, body: w.call.body,
+		dispatch: w.call.dispatch, waiters: []waiter{w},
+		claim: fmt.Sprintf("%s-%d", m.config.Incarnation, m.lastWriteID),
 	}
-	if q.block {
-		it.goal = goalBlock
+	if w.block {
+		tc.goal = goalBlock
 	}
-	b.items[it.id] = it
-	b.order = append(b.order, it)
+	m.calls[tc.id] = tc
+	m.order = append(m.order, tc)
 }
 
 // finish takes the outcome of a run. With upload, the row is written only
 // after uploaded has told where the body is.
-func (b *book) finish(t Ticket, o Outcome, upload bool) error {
-	it, err := b.running(t)
+func (m *stateMachine) finish(t Ticket, o Outcome, upload bool) error {
+	tc, err := m.runningCall(t)
 	if err != nil {
 		return err
 	}
-	b.settle(it, row{State: stateDone, Status: o.status, Header: o.header, Answer: o.body})
+	m.recordOutcome(tc, row{State: stateDone, Status: o.status, Header: o.header, Answer: o.body})
 	if upload {
-		it.phase = phaseUpload
+		tc.phase = phaseUpload
 	}
 	return nil
 }
 
 // uploaded goes on after the body of an outcome was put in the object store.
-func (b *book) uploaded(t Ticket, object string) {
-	it := b.items[t.id]
-	if it == nil || it.phase != phaseUpload || it.claim != t.claim {
+func (m *stateMachine) uploaded(t Ticket, object string) {
+	tc := m.calls[t.id]
+	if tc == nil || tc.phase != phaseUpload || tc.claim != t.claim {
 		return
 	}
-	it.final.Answer = nil
-	it.final.Object = object
-	it.phase = phaseRead
+	tc.finalRow.Answer = nil
+	tc.finalRow.Object = object
+	tc.phase = phaseRead
 }
 
 // abandon takes back a ticket without an outcome.
-func (b *book) abandon(t Ticket, ran kumquatlug.Ran) error {
-	it, err := b.running(t)
+func (m *stateMachine) abandon(t Ticket, ran kumquatlug.Ran) error {
+	tc, err := m.runningCall(t)
 	if err != nil {
 		return err
 	}
 	if ran == kumquatlug.RanNot {
-		b.release(it)
+		m.startRelease(tc)
 		return nil
 	}
-	b.settle(it, row{State: stateUnknown})
+	m.recordOutcome(tc, row{State: stateUnknown})
 	return nil
 }
 
-func (b *book) running(t Ticket) (*item, error) {
-	it := b.items[t.id]
-	if it == nil || it.phase != phaseRunning || it.claim != t.claim {
+func (m *stateMachine) runningCall(t Ticket) (*trackedCall, error) {
+	tc := m.calls[t.id]
+	if tc == nil || tc.phase != phaseRunning || tc.claim != t.claim {
 		return nil, errors.AssertionFailedf("ticket %q is not in hand", t.claim)
 	}
-	return it, nil
+	return tc, nil
 }
 
-// settle fixes what became of a run and tells those who wait for it.
-func (b *book) settle(it *item, final row) {
-	final.Epoch = it.dispatch.epoch
-	final.Claim = it.claim
-	final.Body = it.body
-	final.Target = b.c.Target
-	final.Incarnation = b.c.Incarnation
-	it.final = final
-	it.goal = goalStore
-	it.phase = phaseRead
-	b.answerWaiting(it, it.final)
+// recordOutcome fixes what became of a run and tells those who wait for it.
+func (m *stateMachine) recordOutcome(tc *trackedCall, final row) {
+	final.Epoch = tc.dispatch.epoch
+	final.Claim = tc.claim
+	final.Body = tc.body
+	final.Target = m.config.Target
+	final.Incarnation = m.config.Incarnation
+	tc.finalRow = final
+	tc.goal = goalStore
+	tc.phase = phaseRead
+	m.answerWaiters(tc, tc.finalRow)
 }
 
-// forget ends a question whose asker has gone, and returns what may be said
+// cancelWaiter ends a question whose asker has gone, and returns what may be said
 // of its call. It reports false if the question was answered before.
-func (b *book) forget(waiter int64) (kumquatlug.Ran, bool) {
-	for _, it := range b.order {
-		for i, q := range it.waiting {
-			if q.waiter != waiter {
+func (m *stateMachine) cancelWaiter(waiterID int64) (kumquatlug.Ran, bool) {
+	for _, tc := range m.order {
+		for i, w := range tc.waiters {
+			if w.id != waiterID {
 				continue
 			}
-			it.waiting = append(it.waiting[:i:i], it.waiting[i+1:]...)
-			if q.block || it.phase == phaseRunning {
+			tc.waiters = append(tc.waiters[:i:i], tc.waiters[i+1:]...)
+			if w.block || tc.phase == phaseRunning {
 				return kumquatlug.RanUnknown, true
 			}
 			return kumquatlug.RanNot, true
@@ -260,82 +260,82 @@
 	return kumquatlug.RanUnknown, false
 }
 
-// take returns the answers since the last time.
-func (b *book) take() []delivery {
-	d := b.deliveries
-	b.deliveries = nil
-	return d
+// takeResponses returns the answers since the last time.
+func (m *stateMachine) takeResponses() []response {
+	responses := m.responses
+	m.responses = nil
+	return responses
 }
 
 // pending returns how many items still need the table.
-func (b *book) pending() int {
+func (m *stateMachine) pending() int {
 	n := 0
-	for _, it := range b.order {
-		if it.phase == phaseRead || it.phase == phaseWrite || it.phase == phaseUpload {
+	for _, tc := range m.order {
+		if tc.phase == phaseRead || tc.phase == phaseWrite || tc.phase == phaseUpload {
 			n++
 		}
 	}
 	return n
 }
 
-// keep remembers a settled item, and forgets the oldest beyond the bound.
-func (b *book) keep(it *item) {
-	it.phase = phaseKept
-	it.doubt = false
-	it.present, it.former = kumquatlug.Row{}, kumquatlug.Row{}
-	b.kept = append(b.kept, it)
-	if len(b.kept) > b.c.Kept {
-		b.forgetKept(b.kept[0])
+// cacheCall remembers a settled item, and forgets the oldest beyond the bound.
+func (m *stateMachine) cacheCall(tc *trackedCall) {
+	tc.phase = phaseCached
+	tc.writeUncertain = false
+	tc.currentRow, tc.previousRow = kumquatlug.Row{}, kumquatlug.Row{}
+	m.cached = append(m.cached, tc)
+	if len(m.cached) > m.config.Kept {
+		m.evictCached(m.cached[0])
 	}
 }
 
-func (b *book) forgetKept(it *item) {
-	b.kept = b.kept[1:]
-	if b.items[it.id] == it {
-		delete(b.items, it.id)
+func (m *stateMachine) evictCached(tc *trackedCall) {
+	m.cached = m.cached[1:]
+	if m.calls[tc.id] == tc {
+		delete(m.calls, tc.id)
 	}
 }
 
-func (b *book) expired(it *item) bool { return b.era-it.era > 1 }
+func (m *stateMachine) expired(tc *trackedCall) bool { return m.era-tc.era > 1 }
 
-func (b *book) drop(it *item) {
-	if b.items[it.id] == it {
-		delete(b.items, it.id)
+func (m *stateMachine) drop(tc *trackedCall) {
+	if m.calls[tc.id] == tc {
+		delete(m.calls, tc.id)
 	}
-	it.phase = phaseKept
+	tc.phase = phaseCached
 }
 
-// reopen drops the item and puts the questions that wait on it anew.
-func (b *book) reopen(it *item, now kumquatlug.Millis) {
-	waiting := it.waiting
-	it.waiting = nil
-	b.drop(it)
-	for _, q := range waiting {
-		b.ask(q, now)
+// resubmitWaiters drops the item and puts the questions that wait on it anew.
+func (m *stateMachine) resubmitWaiters(tc *trackedCall, now kumquatlug.Millis) {
+	waiters := tc.waiters
+	tc.waiters = nil
+	m.drop(tc)
+	for _, w := range waiters {
+		m.submit(w, now)
 	}
 }
 
 // compact forgets items that need nothing more of the table.
-func (b *book) compact() {
-	order := b.order[:0]
-	for _, it := range b.order {
-		if it.phase != phaseKept {
-			order = append(order, it)
+func (m *stateMachine) compact() {
+	order := m.order[:0]
+	for _, tc := range m.order {
+		if tc.phase != phaseCached {
+			order = append(order, tc)
 		}
 	}
-	clear(b.order[len(order):])
-	b.order = order
+	clear(m.order[len(order):])
+	m.order = order
 }
 
-// rule says what a settled or foreign row means for a call.
-func (b *book) rule(r row, c Call) Ruling {
+// rulingFor says what a settled or foreign row means for a call.
+func (m *stateMachine) rulingFor(r row, c Call) Ruling {
 	holder := Holder{target: r.Target, incarnation: r.Incarnation}
 	switch {
 	case r.Body != "" && r.Body != c.body:
 		return Ruling{verdict: VerdictConflict}
 	case r.State == stateDone:
 		return Ruling{verdict: VerdictAnswer, outcome: r.outcome()}
-	case r.State == stateClaimed && r.Target != b.c.Target:
+	case r.State == stateClaimed && r.Target != m.config.Target:
 		return Ruling{verdict: VerdictElsewhere, holder: holder}
 	default:
 		// Also a claim of this target from before its process started anew:
@@ -344,13 +344,13 @@
 	}
 }
 
-func (b *book) answerWaiting(it *item, r row) {
-	for _, q := range it.waiting {
-		b.deliver(q, b.rule(r, q.call))
+func (m *stateMachine) answerWaiters(tc *trackedCall, r row) {
+	for _, w := range tc.waiters {
+		m.respond(w, m.rulingFor(r, w.call))
 	}
-	it.waiting = nil
+	tc.waiters = nil
 }
 
-func (b *book) deliver(q question, r Ruling) {
-	b.deliveries = append(b.deliveries, delivery{waiter: q.waiter, ruling: r})
+func (m *stateMachine) respond(w waiter, r Ruling) {
+	m.responses = append(m.responses, response{waiterID: w.id, ruling: r})
 }
--- a/pkg/kumquatlug/ledger/concurrent_test.go
+++ b/pkg/kumquatlug/ledger/concurrent_test.go
@@ -13,26 +13,26 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// tally counts the runs of each key.
-type tally struct {
+// runCounter counts the runs of each key.
+type runCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (y *tally) run(key string) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.runs[key]++
+func (c *runCounter) add(key string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.runs[key]++
 }
 
-func TestManyCallersAtOnce(t *testing.T) {
+func TestConcurrentCallersRunEachCallAtMostOnce(t *testing.T) {
 	// Many callers send the same few postings through two agents at once, some
 	// hang up in the middle, and the table loses answers and fails now and
 	// then. A posting that two goroutines run shows up as a count of two, one
 	// that a caller who hung up was given as a claim that stays.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	faults := rand.New(rand.NewSource(5))
-	table.fail = func() error {
+	table.commitFault = func() error {
 		switch faults.Intn(10) {
 		case 0:
 			return errors.Mark(errors.New("down"), kumquatlug.ErrUnavailable)
@@ -43,16 +43,16 @@
 		}
 	}
 	agents := []*Ledger{
-		start(t, table, objects, "gazette-1", "a"),
-		start(t, table, objects, "gazette-2", "b"),
+		startLedger(t, table, objects, "gazette-1", "a"),
+		startLedger(t, table, objects, "gazette-2", "b"),
 	}
-	y := &tally{runs: map[string]int{}}
+	counter := &runCounter{runs: map[string]int{}}
 	var g errgroup.Group
 	for caller := range 16 {
 		g.Go(func() error {
 			r := rand.New(rand.NewSource(int64(caller)))
 			for i := range 50 {
-				if err := y.send(t.Context(), agents[r.Intn(2)], fmt.Sprint(i), r); err != nil {
+				if err := counter.sendPosting(t.Context(), agents[r.Intn(2)], fmt.Sprint(i), r); err != nil {
 					return err
 				}
 			}
@@ -62,7 +62,7 @@
 	if err := g.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	for key, n := range y.runs {
+	for key, n := range counter.runs {
 		if n > 1 {
 			t.Errorf("posting %s ran %d times", key, n)
 		}
@@ -77,54 +77,54 @@
 			t.Errorf("%s is claimed, but all callers have gone", key)
 		}
 	}
-	if len(y.runs) == 0 {
+	if len(counter.runs) == 0 {
 		t.Error("nothing ran")
 	}
-	t.Logf("%d of 50 postings ran", len(y.runs))
+	t.Logf("%d of 50 postings ran", len(counter.runs))
 }
 
-// send asks for one call; one in four callers hangs up at once or soon.
-func (y *tally) send(ctx context.Context, l *Ledger, key string, r *rand.Rand) error {
+// sendPosting asks for one call; one in four callers hangs up at once or soon.
+func (c *runCounter) sendPosting(ctx context.Context, l *Ledger, key string, r *rand.Rand) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.Intn(4) == 0 {
 		go cancel()
 	}
-	ruling, err := l.Begin(ctx, call(key, "body", Dispatch{}))
+	ruling, err := l.Begin(ctx, newTestCall(key, "body", Dispatch{}))
 	if err != nil || ruling.Verdict() != VerdictRun {
 		return nil
 	}
 	if r.Intn(5) == 0 {
 		return l.Abandon(ruling.Ticket(), kumquatlug.RanNot)
 	}
-	y.run(key)
+	c.add(key)
 	if r.Intn(5) == 0 {
 		return l.Abandon(ruling.Ticket(), kumquatlug.RanUnknown)
 	}
 	return l.Finish(ruling.Ticket(), NewOutcome(200, nil, make([]byte, r.Intn(2*DefaultInline))))
 }
 
-func TestRunIsGivenBackByACallerWhoHungUp(t *testing.T) {
+func TestClaimIsReleasedWhenCallerDisconnects(t *testing.T) {
 	// The right to run arrives at the very moment at which the caller hangs up.
 	// If nobody gave it back, the posting would stay claimed for ever, though
 	// its caller was told not-run.
 	table := newMemoryTable()
-	l := start(t, table, newMemoryObjects(), "gazette-1", "a")
-	ch := make(chan delivery, 1)
-	var waiter int64
+	l := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
+	ch := make(chan response, 1)
+	var waiterID int64
 	l.update(func() {
-		waiter = l.book.begin(call("k", "body", Dispatch{}), false, l.c.Clock.Now())
-		l.waiting[waiter] = ch
+		waiterID = l.machine.begin(newTestCall("k", "body", Dispatch{}), false, l.config.Clock.Now())
+		l.responseChans[waiterID] = ch
 	})
 	ch <- <-ch
-	_, err := l.leave(t.Context(), waiter, ch, false)
+	_, err := l.abandonWait(t.Context(), waiterID, ch, false)
 	if ran := kumquatlug.RanOf(err); ran != kumquatlug.RanNot {
 		t.Errorf("told %q", ran)
 	}
 	if err := l.Flush(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	stored := table.rows[rowKey(0, call("k", "", Dispatch{}).ID())]
+	stored := table.rows[rowKey(0, newTestCall("k", "", Dispatch{}).ID())]
 	if s := decodeRow(stored.Value()).State; s != stateFree {
 		t.Errorf("the row says %q", s)
 	}
--- a/pkg/kumquatlug/ledger/effect.go
+++ b/pkg/kumquatlug/ledger/effect.go
@@ -6,195 +6,195 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// effect is one thing that the book asks of the table: rows to read or a
+// tableOp is one thing that the book asks of the table: rows to read or a
 // transaction to commit.
-type effect struct {
+type tableOp struct {
 	reads []string
 	tx    kumquatlug.Tx
-	items []*item
+	calls []*trackedCall
 }
 
-// writes reports whether the effect is a transaction.
-func (e *effect) writes() bool { return len(e.reads) == 0 }
+// isWrite reports whether the effect is a transaction.
+func (op *tableOp) isWrite() bool { return len(op.reads) == 0 }
 
-// next returns what to ask of the table now, nil for nothing.
-func (b *book) next(now kumquatlug.Millis) *effect {
-	if b.inFlight != nil || now < b.outUntil {
+// nextOp returns what to ask of the table now, nil for nothing.
+func (m *stateMachine) nextOp(now kumquatlug.Millis) *tableOp {
+	if m.inFlight != nil || now < m.backoffUntil {
 		return nil
 	}
-	b.refresh()
-	read := b.nextRead()
-	write := b.nextTx(now)
-	e := read
-	if e == nil || (write != nil && b.lastRead) {
-		e = write
+	m.markOutdatedForRead()
+	read := m.nextRead()
+	write := m.nextTx(now)
+	op := read
+	if op == nil || (write != nil && m.lastWasRead) {
+		op = write
 	}
-	if e == nil {
+	if op == nil {
 		return nil
 	}
-	b.lastRead = !e.writes()
-	if e.writes() {
-		b.nextWrite = now + b.c.Flush
+	m.lastWasRead = !op.isWrite()
+	if op.isWrite() {
+		m.nextWriteAt = now + m.config.Flush
 	}
-	b.inFlight = e
-	return e
+	m.inFlight = op
+	return op
 }
 
-// wait returns when next may have something that it has not now; zero means
+// nextOpAt returns when next may have something that it has not now; zero means
 // only after another event.
-func (b *book) wait() kumquatlug.Millis {
-	if b.inFlight != nil || b.pending() == 0 {
+func (m *stateMachine) nextOpAt() kumquatlug.Millis {
+	if m.inFlight != nil || m.pending() == 0 {
 		return 0
 	}
-	return max(b.outUntil, b.nextWrite)
+	return max(m.backoffUntil, m.nextWriteAt)
 }
 
-// refresh sends items back to reading whose rows were read in an era that has
+// markOutdatedForRead sends items back to reading whose rows were read in an era that has
 // passed, and those whose dispatch names an era that this process has not seen.
-func (b *book) refresh() {
-	for _, it := range b.order {
-		if it.phase != phaseWrite {
+func (m *stateMachine) markOutdatedForRead() {
+	for _, tc := range m.order {
+		if tc.phase != phaseWrite {
 			continue
 		}
-		if it.known && it.era != b.era {
-			it.phase = phaseRead
+		if tc.rowsRead && tc.era != m.era {
+			tc.phase = phaseRead
 		}
-		if !it.known && len(it.waiting) > 0 && it.waiting[0].call.dispatch.era > b.era {
-			it.phase = phaseRead
+		if !tc.rowsRead && len(tc.waiters) > 0 && tc.waiters[0].call.dispatch.era > m.era {
+			tc.phase = phaseRead
 		}
 	}
 }
 
-func (b *book) nextRead() *effect {
-	if !b.eraKnown && b.pending() > 0 {
-		return &effect{reads: []string{eraKey}}
+func (m *stateMachine) nextRead() *tableOp {
+	if !m.eraKnown && m.pending() > 0 {
+		return &tableOp{reads: []string{eraKey}}
 	}
-	e := &effect{reads: []string{eraKey}}
-	for _, it := range b.order {
-		if it.phase != phaseRead || len(e.items) == b.c.Batch {
+	op := &tableOp{reads: []string{eraKey}}
+	for _, tc := range m.order {
+		if tc.phase != phaseRead || len(op.calls) == m.config.Batch {
 			continue
 		}
-		e.items = append(e.items, it)
-		e.reads = append(e.reads, b.keys(it)...)
+		op.calls = append(op.calls, tc)
+		op.reads = append(op.reads, m.rowKeys(tc)...)
 	}
-	if len(e.items) == 0 {
+	if len(op.calls) == 0 {
 		return nil
 	}
-	return e
+	return op
 }
 
-// keys returns the rows to read for an item: the present bucket's, and the one
+// rowKeys returns the rows to read for an item: the present bucket's, and the one
 // before unless it is known to hold none. Most reads are those before a run's
 // outcome is stored; one row in place of two halves what they ask of the table.
-func (b *book) keys(it *item) []string {
-	if it.alone && it.era == b.era {
-		return []string{rowKey(b.era, it.id)}
+func (m *stateMachine) rowKeys(tc *trackedCall) []string {
+	if tc.soleRow && tc.era == m.era {
+		return []string{rowKey(m.era, tc.id)}
 	}
-	return []string{rowKey(b.era, it.id), rowKey(b.era-1, it.id)}
+	return []string{rowKey(m.era, tc.id), rowKey(m.era-1, tc.id)}
 }
 
-func (b *book) nextTx(now kumquatlug.Millis) *effect {
-	if !b.eraKnown || now < b.nextWrite {
+func (m *stateMachine) nextTx(now kumquatlug.Millis) *tableOp {
+	if !m.eraKnown || now < m.nextWriteAt {
 		return nil
 	}
-	b.writes++
-	e := &effect{tx: kumquatlug.NewTx(fmt.Sprintf("%s-%d", b.c.Incarnation, b.writes)).If(eraKey, b.eraVersion)}
-	for _, it := range b.order {
-		if it.phase != phaseWrite || len(e.items) == b.c.Batch {
+	m.lastWriteID++
+	op := &tableOp{tx: kumquatlug.NewTx(fmt.Sprintf("%s-%d", m.config.Incarnation, m.lastWriteID)).If(eraKey, m.eraVersion)}
+	for _, tc := range m.order {
+		if tc.phase != phaseWrite || len(op.calls) == m.config.Batch {
 			continue
 		}
-		if !b.wanted(it, now) {
+		if !m.stillNeeded(tc, now) {
 			continue
 		}
-		e.items = append(e.items, it)
-		e.tx = b.write(e.tx, it)
+		op.calls = append(op.calls, tc)
+		op.tx = m.addWrite(op.tx, tc)
 	}
-	b.compact()
-	if len(e.items) == 0 {
+	m.compact()
+	if len(op.calls) == 0 {
 		return nil
 	}
-	return e
+	return op
 }
 
-// wanted reports whether the item's write is still of use as it stands. While
+// stillNeeded reports whether the item's write is still of use as it stands. While
 // an earlier write is in doubt it is: that must be settled first.
-func (b *book) wanted(it *item, now kumquatlug.Millis) bool {
-	if it.goal == goalBlock && b.era-it.dispatch.era > 1 {
-		b.tooLate(it, now)
+func (m *stateMachine) stillNeeded(tc *trackedCall, now kumquatlug.Millis) bool {
+	if tc.goal == goalBlock && m.era-tc.dispatch.era > 1 {
+		m.endExpiredBlock(tc, now)
 		return false
 	}
-	if it.goal == goalStore || it.goal == goalRelease || it.doubt {
+	if tc.goal == goalStore || tc.goal == goalRelease || tc.writeUncertain {
 		return true
 	}
-	if len(it.waiting) == 0 {
-		b.drop(it)
+	if len(tc.waiters) == 0 {
+		m.drop(tc)
 		return false
 	}
-	first := it.waiting[0]
-	if b.tooOld(first) {
-		b.refuse(first, "dispatch_too_old", now)
-		it.waiting = it.waiting[1:]
-		b.reopen(it, now)
+	next := tc.waiters[0]
+	if m.dispatchTooOld(next) {
+		m.refuse(next, "dispatch_too_old", now)
+		tc.waiters = tc.waiters[1:]
+		m.resubmitWaiters(tc, now)
 		return false
 	}
-	if first.call.dispatch != it.dispatch || first.call.body != it.body {
-		b.reopen(it, now)
+	if next.call.dispatch != tc.dispatch || next.call.body != tc.body {
+		m.resubmitWaiters(tc, now)
 		return false
 	}
 	return true
 }
 
-// tooLate ends a block of a dispatch that is two eras old. The row of its run
+// endExpiredBlock ends a block of a dispatch that is two eras old. The row of its run
 // may have been swept by now; that no row stands then doesn't mean that nothing
 // ran, and "not run" could be a lie.
-func (b *book) tooLate(it *item, now kumquatlug.Millis) {
-	waiting := it.waiting
-	it.waiting = nil
-	b.drop(it)
-	for _, q := range waiting {
-		if q.block && b.era-q.call.dispatch.era > 1 {
-			b.deliver(q, Ruling{verdict: VerdictUnknown})
+func (m *stateMachine) endExpiredBlock(tc *trackedCall, now kumquatlug.Millis) {
+	waiters := tc.waiters
+	tc.waiters = nil
+	m.drop(tc)
+	for _, w := range waiters {
+		if w.block && m.era-w.call.dispatch.era > 1 {
+			m.respond(w, Ruling{verdict: VerdictUnknown})
 			continue
 		}
-		b.ask(q, now)
+		m.submit(w, now)
 	}
 }
 
-// tooOld reports whether a claim's dispatch is two eras old. The row that
+// dispatchTooOld reports whether a claim's dispatch is two eras old. The row that
 // blocked it may have been swept by now, so that nothing in the table would
 // keep it from running. An era that the table has not reached is refused too.
-func (b *book) tooOld(q question) bool {
-	d := q.call.dispatch
-	return !q.block && (b.era-d.era > 1 || d.era > b.era)
+func (m *stateMachine) dispatchTooOld(w waiter) bool {
+	d := w.call.dispatch
+	return !w.block && (m.era-d.era > 1 || d.era > m.era)
 }
 
-// write adds the item's row to tx. The row moves to the bucket of the present
+// addWrite adds the item's row to tx. The row moves to the bucket of the present
 // era; both buckets are conditions, so that a key never has two rows.
-func (b *book) write(tx kumquatlug.Tx, it *item) kumquatlug.Tx {
-	it.era = b.era
-	key, old := rowKey(b.era, it.id), rowKey(b.era-1, it.id)
-	tx = tx.If(key, it.present.Version()).If(old, it.former.Version())
-	tx = tx.Put(key, b.row(it).encode())
-	if it.former.Exists() {
-		tx = tx.Delete(old)
+func (m *stateMachine) addWrite(tx kumquatlug.Tx, tc *trackedCall) kumquatlug.Tx {
+	tc.era = m.era
+	key, previousKey := rowKey(m.era, tc.id), rowKey(m.era-1, tc.id)
+	tx = tx.If(key, tc.currentRow.Version()).If(previousKey, tc.previousRow.Version())
+	tx = tx.Put(key, m.desiredRow(tc).encode())
+	if tc.previousRow.Exists() {
+		tx = tx.Delete(previousKey)
 	}
 	return tx
 }
 
-func (b *book) row(it *item) row {
-	switch it.goal {
+func (m *stateMachine) desiredRow(tc *trackedCall) row {
+	switch tc.goal {
 	case goalStore:
-		return it.final
+		return tc.finalRow
 	case goalClaim:
 		return row{
-			State: stateClaimed, Epoch: it.dispatch.epoch, Claim: it.claim, Body: it.body,
-			Target: b.c.Target, Incarnation: b.c.Incarnation,
+			State: stateClaimed, Epoch: tc.dispatch.epoch, Claim: tc.claim, Body: tc.body,
+			Target: m.config.Target, Incarnation: m.config.Incarnation,
 		}
 	case goalBlock:
-		standing, _, _ := it.standing()
-		return row{State: stateFree, Epoch: max(standing.Epoch, it.dispatch.epoch+1), Claim: it.claim}
+		stored, _, _ := tc.storedRow()
+		return row{State: stateFree, Epoch: max(stored.Epoch, tc.dispatch.epoch+1), Claim: tc.claim}
 	default:
-		standing, _, _ := it.standing()
-		return row{State: stateFree, Epoch: max(standing.Epoch, it.dispatch.epoch), Claim: it.claim}
+		stored, _, _ := tc.storedRow()
+		return row{State: stateFree, Epoch: max(stored.Epoch, tc.dispatch.epoch), Claim: tc.claim}
 	}
 }
--- a/pkg/kumquatlug/ledger/era.go
+++ b/pkg/kumquatlug/ledger/era.go
@@ -19,43 +19,43 @@
 	DefaultPages = 40
 )
 
-// watch adds up the age of the present era. It counts only time during which
+// eraTimer adds up the age of the present era. It counts only time during which
 // it saw one version of the clock row stand, on its own monotonic clock, so
 // that many watchers together never count a millisecond twice and an era is
 // never shorter than the window, however the clocks of the VMs differ.
-type watch struct {
-	window  kumquatlug.Millis
-	tick    kumquatlug.Millis
-	version int64
-	since   kumquatlug.Millis
-	seen    bool
+type eraTimer struct {
+	window       kumquatlug.Millis
+	tick         kumquatlug.Millis
+	clockVersion int64
+	seenAt       kumquatlug.Millis
+	seen         bool
 }
 
-// age is what a watch asks to be written.
-type age struct {
-	era     int64
-	elapsed kumquatlug.Millis
-	advance bool
-	due     bool
+// eraUpdate is what a watch asks to be written.
+type eraUpdate struct {
+	era      int64
+	elapsed  kumquatlug.Millis
+	advance  bool
+	writeDue bool
 }
 
-// saw takes the era, the age it has by the clock row, and the version of that
+// observe takes the era, the age it has by the clock row, and the version of that
 // row, read at now; now was taken before the read for a row that is new to the
 // watch's eyes and counts from then on.
-func (w *watch) saw(era int64, elapsed kumquatlug.Millis, version int64, now kumquatlug.Millis) age {
-	if !w.seen || version != w.version {
-		w.seen, w.version, w.since = true, version, now
-		return age{era: era, elapsed: elapsed}
+func (t *eraTimer) observe(era int64, elapsed kumquatlug.Millis, version int64, now kumquatlug.Millis) eraUpdate {
+	if !t.seen || version != t.clockVersion {
+		t.seen, t.clockVersion, t.seenAt = true, version, now
+		return eraUpdate{era: era, elapsed: elapsed}
 	}
-	stood := now - w.since
-	if stood < w.tick {
-		return age{era: era, elapsed: elapsed}
+	unchangedFor := now - t.seenAt
+	if unchangedFor < t.tick {
+		return eraUpdate{era: era, elapsed: elapsed}
 	}
-	elapsed += stood
-	if elapsed < w.window {
-		return age{era: era, elapsed: elapsed, due: true}
+	elapsed += unchangedFor
+	if elapsed < t.window {
+		return eraUpdate{era: era, elapsed: elapsed, writeDue: true}
 	}
-	return age{era: era + 1, advance: true, due: true}
+	return eraUpdate{era: era + 1, advance: true, writeDue: true}
 }
 
 // KeeperConfig is what a [Keeper] is made of.
@@ -86,13 +86,13 @@
 // Keeper advances the era and removes rows that are due. Every entry runs one;
 // which of them comes first in a tick does the work.
 type Keeper struct {
-	c     KeeperConfig
-	watch watch
-	count int64
+	config  KeeperConfig
+	timer   eraTimer
+	txCount int64
 
-	mu    sync.Mutex
-	era   int64
-	known bool
+	mu       sync.Mutex
+	era      int64
+	eraKnown bool
 }
 
 // NewKeeper checks c and returns a keeper that has not read the era yet.
@@ -107,7 +107,7 @@
 	if c.Tick > c.Window {
 		return nil, errors.New("a keeper's tick can't be longer than its window")
 	}
-	return &Keeper{c: c, watch: watch{window: c.Window, tick: c.Tick}}, nil
+	return &Keeper{config: c, timer: eraTimer{window: c.Window, tick: c.Tick}}, nil
 }
 
 // Dispatch returns the mark for a first sending. It reports false while the
@@ -115,15 +115,15 @@
 func (k *Keeper) Dispatch() (Dispatch, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return Dispatch{era: k.era}, k.known
+	return Dispatch{era: k.era}, k.eraKnown
 }
 
 // Run ticks until ctx ends. A tick that fails is made up for by the next; while
 // the era is not known yet, that comes after a second.
 func (k *Keeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait := k.c.Tick
-		if err := k.Tick(ctx); err != nil && !k.isKnown() {
+		wait := k.config.Tick
+		if err := k.Tick(ctx); err != nil && !k.hasEra() {
 			wait = min(wait, kumquatlug.Second)
 		}
 		select {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (k *Keeper) isKnown() bool {
+func (k *Keeper) hasEra() bool {
 	_, ok := k.Dispatch()
 	return ok
 }
@@ -142,11 +142,11 @@
 // Tick reads the era, counts its age on, and sweeps if that write was this
 // keeper's. One goroutine calls it.
 func (k *Keeper) Tick(ctx context.Context) error {
-	eraRow, err := k.c.Table.Get(ctx, eraKey)
+	eraRow, err := k.config.Table.Get(ctx, eraKey)
 	if err != nil {
 		return errors.Wrap(err, "read the era")
 	}
-	clockRow, err := k.c.Table.Get(ctx, clockKey)
+	clockRow, err := k.config.Table.Get(ctx, clockKey)
 	if err != nil {
 		return errors.Wrap(err, "read the era's age")
 	}
@@ -154,16 +154,16 @@
 	if err != nil {
 		return err
 	}
-	k.learn(era)
-	a := k.watch.saw(era, elapsed, clockRow.Version(), k.c.Clock.Now())
-	if !a.due {
+	k.adoptEra(era)
+	u := k.timer.observe(era, elapsed, clockRow.Version(), k.config.Clock.Now())
+	if !u.writeDue {
 		return nil
 	}
-	if err := k.write(ctx, a, eraRow, clockRow); err != nil {
+	if err := k.commitUpdate(ctx, u, eraRow, clockRow); err != nil {
 		return errors.Wrap(err, "write the era's age")
 	}
-	k.learn(a.era)
-	return k.sweep(ctx, a.era)
+	k.adoptEra(u.era)
+	return k.sweep(ctx, u.era)
 }
 
 func parseAge(eraRow, clockRow kumquatlug.Row) (int64, kumquatlug.Millis, error) {
@@ -175,36 +175,36 @@
 	return era, kumquatlug.Millis(elapsed), err
 }
 
-// learn adopts a higher era only: two reads may come back out of order.
-func (k *Keeper) learn(era int64) {
+// adoptEra adopts a higher era only: two reads may come back out of order.
+func (k *Keeper) adoptEra(era int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.era = max(k.era, era)
-	k.known = true
+	k.eraKnown = true
 }
 
-func (k *Keeper) write(ctx context.Context, a age, eraRow, clockRow kumquatlug.Row) error {
-	k.count++
-	tx := kumquatlug.NewTx(fmt.Sprintf("%s-era-%d", k.c.Incarnation, k.count))
+func (k *Keeper) commitUpdate(ctx context.Context, u eraUpdate, eraRow, clockRow kumquatlug.Row) error {
+	k.txCount++
+	tx := kumquatlug.NewTx(fmt.Sprintf("%s-era-%d", k.config.Incarnation, k.txCount))
 	tx = tx.If(clockKey, clockRow.Version()).If(eraKey, eraRow.Version())
-	tx = tx.Put(clockKey, formatNumber(int64(a.elapsed)))
-	if a.advance {
-		tx = tx.Put(eraKey, formatNumber(a.era))
+	tx = tx.Put(clockKey, formatNumber(int64(u.elapsed)))
+	if u.advance {
+		tx = tx.Put(eraKey, formatNumber(u.era))
 	}
-	return k.c.Table.Commit(ctx, tx)
+	return k.config.Table.Commit(ctx, tx)
 }
 
 // sweep removes rows of eras before the last one. Nothing writes there any
 // more, since every transaction on such rows demands the era they were in or
 // the one after it.
 func (k *Keeper) sweep(ctx context.Context, era int64) error {
-	for range k.c.Pages {
-		rows, err := k.c.Table.Scan(ctx, rowPrefix, "", k.c.Page)
+	for range k.config.Pages {
+		rows, err := k.config.Table.Scan(ctx, rowPrefix, "", k.config.Page)
 		if err != nil {
 			return errors.Wrap(err, "read old claims")
 		}
-		k.count++
-		tx := kumquatlug.NewTx(fmt.Sprintf("%s-sweep-%d", k.c.Incarnation, k.count))
+		k.txCount++
+		tx := kumquatlug.NewTx(fmt.Sprintf("%s-sweep-%d", k.config.Incarnation, k.txCount))
 		for _, r := range rows {
 			if r.Key() < eraPrefix(era-1) {
 				tx = tx.Delete(r.Key())
@@ -213,7 +213,7 @@
 		if len(tx.Writes()) == 0 {
 			return nil
 		}
-		if err := k.c.Table.Commit(ctx, tx); err != nil {
+		if err := k.config.Table.Commit(ctx, tx); err != nil {
 			return errors.Wrap(err, "remove old claims")
 		}
 	}
--- a/pkg/kumquatlug/ledger/era_test.go
+++ b/pkg/kumquatlug/ledger/era_test.go
@@ -26,36 +26,36 @@
 	// new dispatch may still arrive, which would then run after its caller was
 	// told not-run.
 	table, objects := newMemoryTable(), newMemoryObjects()
-	entry := start(t, table, objects, "entry-1", "e")
-	agent := start(t, table, objects, "gazette-1", "a")
+	entry := startLedger(t, table, objects, "entry-1", "e")
+	agent := startLedger(t, table, objects, "gazette-1", "a")
 	ctx := t.Context()
-	r, err := entry.Block(ctx, call("k", "body", NewDispatch(0, 0)))
-	want(t, r, err, VerdictBlocked)
+	r, err := entry.Block(ctx, newTestCall("k", "body", NewDispatch(0, 0)))
+	wantVerdict(t, r, err, VerdictBlocked)
 	setEra(t, table, 1)
-	r, err = entry.Block(ctx, call("k", "body", NewDispatch(1, 0)))
-	want(t, r, err, VerdictBlocked)
+	r, err = entry.Block(ctx, newTestCall("k", "body", NewDispatch(1, 0)))
+	wantVerdict(t, r, err, VerdictBlocked)
 	setEra(t, table, 2)
-	r, err = agent.Begin(ctx, call("k", "body", NewDispatch(1, 0)))
-	want(t, r, err, VerdictStale)
+	r, err = agent.Begin(ctx, newTestCall("k", "body", NewDispatch(1, 0)))
+	wantVerdict(t, r, err, VerdictStale)
 }
 
-func TestBlockOfAForgottenRunIsUnknown(t *testing.T) {
+func TestBlockOfSweptRunIsUnknown(t *testing.T) {
 	// A posting ran, its answer was lost, and its entry was paused until the
 	// row was swept. Another block of the key stands meanwhile, and the posting
 	// was sent to a second target, which refused it. Neither the absence of the
 	// row nor the other block says that the posting did not run.
 	table, objects := newMemoryTable(), newMemoryObjects()
-	entry := start(t, table, objects, "entry-1", "e")
-	slow := start(t, table, objects, "entry-2", "s")
-	agent := start(t, table, objects, "gazette-1", "a")
-	second := start(t, table, objects, "gazette-2", "b")
+	entry := startLedger(t, table, objects, "entry-1", "e")
+	slow := startLedger(t, table, objects, "entry-2", "s")
+	agent := startLedger(t, table, objects, "gazette-1", "a")
+	second := startLedger(t, table, objects, "gazette-2", "b")
 	ctx := t.Context()
 	for _, l := range []*Ledger{slow, second} {
-		r, err := l.Block(ctx, call("another", "body", Dispatch{}))
-		want(t, r, err, VerdictBlocked)
+		r, err := l.Block(ctx, newTestCall("another", "body", Dispatch{}))
+		wantVerdict(t, r, err, VerdictBlocked)
 	}
-	r, err := agent.Begin(ctx, call("k", "body", NewDispatch(0, 0)))
-	ticket := want(t, r, err, VerdictRun).Ticket()
+	r, err := agent.Begin(ctx, newTestCall("k", "body", NewDispatch(0, 0)))
+	ticket := wantVerdict(t, r, err, VerdictRun).Ticket()
 	if err := agent.Finish(ticket, NewOutcome(200, nil, nil)); err != nil {
 		t.Fatal(err)
 	}
@@ -63,56 +63,56 @@
 		t.Fatal(err)
 	}
 	setEra(t, table, 2)
-	r, err = entry.Block(ctx, call("k", "body", NewDispatch(2, 0)))
-	want(t, r, err, VerdictBlocked)
-	r, err = slow.Block(ctx, call("k", "body", NewDispatch(0, 0)))
-	want(t, r, err, VerdictUnknown)
-	r, err = second.Begin(ctx, call("k", "body", NewDispatch(0, 0)))
-	again := want(t, r, err, VerdictStale).Dispatch()
-	r, err = entry.Block(ctx, call("k", "body", again))
-	want(t, r, err, VerdictUnknown)
+	r, err = entry.Block(ctx, newTestCall("k", "body", NewDispatch(2, 0)))
+	wantVerdict(t, r, err, VerdictBlocked)
+	r, err = slow.Block(ctx, newTestCall("k", "body", NewDispatch(0, 0)))
+	wantVerdict(t, r, err, VerdictUnknown)
+	r, err = second.Begin(ctx, newTestCall("k", "body", NewDispatch(0, 0)))
+	again := wantVerdict(t, r, err, VerdictStale).Dispatch()
+	r, err = entry.Block(ctx, newTestCall("k", "body", again))
+	wantVerdict(t, r, err, VerdictUnknown)
 }
 
 func TestDispatchTwoErasOldIsRefused(t *testing.T) {
 	// A dispatch arrives after two windows in a paused process's buffer. The
 	// row that blocked it is gone, and its caller was told not-run long ago.
 	table := newMemoryTable()
-	agent := start(t, table, newMemoryObjects(), "gazette-1", "a")
+	agent := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
 	setEra(t, table, 2)
-	_, err := agent.Begin(t.Context(), call("k", "body", NewDispatch(0, 0)))
+	_, err := agent.Begin(t.Context(), newTestCall("k", "body", NewDispatch(0, 0)))
 	if f := kumquatlug.FailureOf(err); f.Ran() != kumquatlug.RanNot || f.Reason() != "dispatch_too_old" {
 		t.Errorf("failure = %v", err)
 	}
 }
 
-func TestClaimIsNotInheritedByABlockedDispatch(t *testing.T) {
+func TestClaimIsNotPassedToBlockedDispatch(t *testing.T) {
 	// A resend is being claimed when the dispatch that it replaces arrives late
 	// and waits for it. Then the resend's entry closes its connection. The
 	// claim must be given back and not go to the late dispatch, whose caller
 	// was told not-run.
 	table := newMemoryTable()
-	b := newBook(Config{Target: "gazette-1", Incarnation: "a", Flush: 1}.withDefaults())
-	resend := b.begin(call("k", "body", NewDispatch(0, 1)), false, 0)
-	end(b, table, b.next(0), 0)
-	claim := b.next(0)
-	late := b.begin(call("k", "body", NewDispatch(0, 0)), false, 0)
-	if ran, open := b.forget(resend); ran != kumquatlug.RanNot || !open {
+	m := newStateMachine(Config{Target: "gazette-1", Incarnation: "a", Flush: 1}.withDefaults())
+	resend := m.begin(newTestCall("k", "body", NewDispatch(0, 1)), false, 0)
+	performOp(m, table, m.nextOp(0), 0)
+	claim := m.nextOp(0)
+	late := m.begin(newTestCall("k", "body", NewDispatch(0, 0)), false, 0)
+	if ran, open := m.cancelWaiter(resend); ran != kumquatlug.RanNot || !open {
 		t.Errorf("forgot the resend: %q, %v", ran, open)
 	}
-	end(b, table, claim, 0)
-	for now := kumquatlug.Millis(1); b.pending() > 0; now++ {
-		if e := b.next(now); e != nil {
-			end(b, table, e, now)
+	performOp(m, table, claim, 0)
+	for now := kumquatlug.Millis(1); m.pending() > 0; now++ {
+		if op := m.nextOp(now); op != nil {
+			performOp(m, table, op, now)
 		}
 	}
-	got := b.take()
-	if len(got) != 1 || got[0].waiter != late || got[0].ruling.verdict != VerdictStale {
+	got := m.takeResponses()
+	if len(got) != 1 || got[0].waiterID != late || got[0].ruling.verdict != VerdictStale {
 		t.Errorf("deliveries = %+v", got)
 	}
 }
 
-// tick runs one tick, which may meet another keeper's write.
-func tick(t *testing.T, k *Keeper) {
+// tickKeeper runs one tick, which may meet another keeper's write.
+func tickKeeper(t *testing.T, k *Keeper) {
 	t.Helper()
 	err := k.Tick(t.Context())
 	if err != nil && !errors.Is(err, kumquatlug.ErrConflict) {
@@ -126,9 +126,9 @@
 	// swept before the window ended and a late resend would post twice.
 	table := newMemoryTable()
 	clocks := []*clock.Manual{clock.NewManual(7), clock.NewManual(500_000), clock.NewManual(0)}
-	keeper := func(i, life int) *Keeper {
+	keeper := func(i, incarnation int) *Keeper {
 		k, err := NewKeeper(KeeperConfig{
-			Table: table, Clock: clocks[i], Incarnation: fmt.Sprint(i, life),
+			Table: table, Clock: clocks[i], Incarnation: fmt.Sprint(i, incarnation),
 			Window: kumquatlug.Hour, Tick: kumquatlug.Minute,
 		})
 		if err != nil {
@@ -147,8 +147,8 @@
 		if step%7 == 0 {
 			keepers[2] = keeper(2, step)
 		}
-		tick(t, keepers[step%3])
-		tick(t, keepers[(step+1)%3])
+		tickKeeper(t, keepers[step%3])
+		tickKeeper(t, keepers[(step+1)%3])
 		d, _ := keepers[step%3].Dispatch()
 		if d.Era() == era {
 			continue
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestSweepRemovesWhatIsDueAndNoMore(t *testing.T) {
+func TestSweepRemovesOnlyExpiredRows(t *testing.T) {
 	// Rows of three eras lie in the table. What is too young must stay, or a
 	// resend within the window runs again.
 	table := newMemoryTable()
@@ -181,9 +181,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tick(t, k)
+	tickKeeper(t, k)
 	c.Advance(kumquatlug.Minute)
-	tick(t, k)
+	tickKeeper(t, k)
 	rows, err := table.Scan(t.Context(), rowPrefix, "", 100)
 	if err != nil || len(rows) != 10 || rows[0].Key() < eraPrefix(1) {
 		t.Errorf("%d rows stay, error %v", len(rows), err)
--- a/pkg/kumquatlug/ledger/fake_test.go
+++ b/pkg/kumquatlug/ledger/fake_test.go
@@ -17,8 +17,8 @@
 	rows    map[string]kumquatlug.Row
 	version int64
 	commits int
-	// fail returns what goes wrong with a commit; lost ones take effect.
-	fail func() error
+	// commitFault returns what goes wrong with a commit; lost ones take effect.
+	commitFault func() error
 }
 
 func newMemoryTable() *memoryTable {
@@ -48,8 +48,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var err error
-	if m.fail != nil {
-		err = m.fail()
+	if m.commitFault != nil {
+		err = m.commitFault()
 	}
 	if errors.Is(err, kumquatlug.ErrUnavailable) {
 		return err
--- a/pkg/kumquatlug/ledger/ledger.go
+++ b/pkg/kumquatlug/ledger/ledger.go
@@ -108,10 +108,10 @@
 	ReasonObjects = "objects_unavailable"
 )
 
-// readsAtOnce bounds the reads under way together after a conflict. A batch of
+// maxConcurrentReads bounds the reads under way together after a conflict. A batch of
 // 33 is then read in some eight round trips, at 2,000 reads a second or less
 // while a round trip takes 8 ms.
-const readsAtOnce = 16
+const maxConcurrentReads = 16
 
 // Config is what a [Ledger] is made of.
 type Config struct {
@@ -173,16 +173,16 @@
 // Ledger is the claims of one process. It is safe for concurrent use; nothing
 // is claimed before Run runs.
 type Ledger struct {
-	c       Config
-	wake    chan struct{}
-	ended   chan struct{}
-	uploads sync.WaitGroup
+	config   Config
+	wake     chan struct{}
+	runEnded chan struct{}
+	uploads  sync.WaitGroup
 
-	mu      sync.Mutex
-	book    *book
-	waiting map[int64]chan delivery
-	flushed []chan struct{}
-	stopped bool
+	mu            sync.Mutex
+	machine       *stateMachine
+	responseChans map[int64]chan response
+	flushWaiters  []chan struct{}
+	stopped       bool
 }
 
 // New checks c and returns a ledger that is empty.
@@ -195,7 +195,7 @@
 	}
 	c = c.withDefaults()
 	return &Ledger{
-		c: c, wake: make(chan struct{}, 1), ended: make(chan struct{}), book: newBook(c), waiting: map[int64]chan delivery{},
+		config: c, wake: make(chan struct{}, 1), runEnded: make(chan struct{}), machine: newStateMachine(c), responseChans: map[int64]chan response{},
 	}, nil
 }
 
@@ -205,27 +205,27 @@
 	defer l.uploads.Wait()
 	defer l.stop()
 	for ctx.Err() == nil {
-		e, wait := l.next()
-		if e == nil {
+		op, wait := l.nextOp()
+		if op == nil {
 			l.idle(ctx, wait)
 			continue
 		}
-		r := l.perform(ctx, e)
-		l.update(func() { l.book.done(r, l.c.Clock.Now()) })
+		r := l.perform(ctx, op)
+		l.update(func() { l.machine.completeOp(r, l.config.Clock.Now()) })
 	}
 	return nil
 }
 
-func (l *Ledger) next() (*effect, kumquatlug.Millis) {
+func (l *Ledger) nextOp() (*tableOp, kumquatlug.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.c.Clock.Now()
-	e := l.book.next(now)
-	l.deliver()
-	if at := l.book.wait(); at > now {
-		return e, at - now
+	now := l.config.Clock.Now()
+	op := l.machine.nextOp(now)
+	l.sendResponses()
+	if at := l.machine.nextOpAt(); at > now {
+		return op, at - now
 	}
-	return e, 0
+	return op, 0
 }
 
 // idle waits for a question, or for the time at which the table may be asked.
@@ -241,32 +241,32 @@
 	}
 }
 
-func (l *Ledger) perform(ctx context.Context, e *effect) result {
-	ctx, cancel := context.WithTimeout(ctx, l.c.Timeout.Duration())
+func (l *Ledger) perform(ctx context.Context, op *tableOp) tableResult {
+	ctx, cancel := context.WithTimeout(ctx, l.config.Timeout.Duration())
 	defer cancel()
-	if e.writes() {
-		return result{err: l.c.Table.Commit(ctx, e.tx)}
+	if op.isWrite() {
+		return tableResult{err: l.config.Table.Commit(ctx, op.tx)}
 	}
-	rows := make([]kumquatlug.Row, len(e.reads))
+	rows := make([]kumquatlug.Row, len(op.reads))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(readsAtOnce)
-	for i, key := range e.reads {
+	g.SetLimit(maxConcurrentReads)
+	for i, key := range op.reads {
 		g.Go(func() error {
-			r, err := l.c.Table.Get(ctx, key)
+			r, err := l.config.Table.Get(ctx, key)
 			rows[i] = r
 			return err
 		})
 	}
 	err := g.Wait()
-	return result{rows: rows, err: err}
+	return tableResult{rows: rows, err: err}
 }
 
 func (l *Ledger) stop() {
-	close(l.ended)
+	close(l.runEnded)
 	l.update(func() {
 		l.stopped = true
-		l.book.outUntil = l.c.Clock.Now()
-		l.book.refuseAll(l.c.Clock.Now())
+		l.machine.backoffUntil = l.config.Clock.Now()
+		l.machine.refuseAll(l.config.Clock.Now())
 	})
 }
 
@@ -274,7 +274,7 @@
 func (l *Ledger) update(change func()) {
 	l.mu.Lock()
 	change()
-	l.deliver()
+	l.sendResponses()
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -282,21 +282,21 @@
 	}
 }
 
-// deliver hands out what the book has decided; l.mu is held.
-func (l *Ledger) deliver() {
-	for _, d := range l.book.take() {
-		if ch, ok := l.waiting[d.waiter]; ok {
-			delete(l.waiting, d.waiter)
-			ch <- d
+// sendResponses hands out what the book has decided; l.mu is held.
+func (l *Ledger) sendResponses() {
+	for _, resp := range l.machine.takeResponses() {
+		if ch, ok := l.responseChans[resp.waiterID]; ok {
+			delete(l.responseChans, resp.waiterID)
+			ch <- resp
 		}
 	}
-	if l.book.pending() > 0 {
+	if l.machine.pending() > 0 {
 		return
 	}
-	for _, ch := range l.flushed {
+	for _, ch := range l.flushWaiters {
 		close(ch)
 	}
-	l.flushed = nil
+	l.flushWaiters = nil
 }
 
 // Finish gives the outcome of a run, for those who wait and for resends. It
@@ -304,10 +304,10 @@
 // in an outage. What a kill before the write costs is the answer to a resend,
 // which is then told unknown; it is never run again.
 func (l *Ledger) Finish(t Ticket, o Outcome) error {
-	upload := len(o.body) > l.c.Inline
+	upload := len(o.body) > l.config.Inline
 	var err error
 	l.update(func() {
-		err = l.book.finish(t, o, upload)
+		err = l.machine.finish(t, o, upload)
 		if err == nil && upload {
 			l.uploads.Add(1)
 		}
@@ -323,17 +323,17 @@
 	defer l.uploads.Done()
 	name := fmt.Sprintf("outcomes/%s/%s", t.id, t.claim)
 	for {
-		ctx, cancel := context.WithTimeout(context.Background(), l.c.Timeout.Duration())
-		err := l.c.Objects.Put(ctx, name, body)
+		ctx, cancel := context.WithTimeout(context.Background(), l.config.Timeout.Duration())
+		err := l.config.Objects.Put(ctx, name, body)
 		cancel()
 		if err == nil {
-			l.update(func() { l.book.uploaded(t, name) })
+			l.update(func() { l.machine.uploaded(t, name) })
 			return
 		}
 		select {
-		case <-l.ended:
+		case <-l.runEnded:
 			return
-		case <-time.After(l.c.Pause.Duration()):
+		case <-time.After(l.config.Pause.Duration()):
 		}
 	}
 }
@@ -342,7 +342,7 @@
 // for a resend; otherwise it says unknown for ever.
 func (l *Ledger) Abandon(t Ticket, ran kumquatlug.Ran) error {
 	var err error
-	l.update(func() { err = l.book.abandon(t, ran) })
+	l.update(func() { err = l.machine.abandon(t, ran) })
 	return err
 }
 
@@ -350,7 +350,7 @@
 // stop calls it between the last answer and the end of Run.
 func (l *Ledger) Flush(ctx context.Context) error {
 	ch := make(chan struct{})
-	l.update(func() { l.flushed = append(l.flushed, ch) })
+	l.update(func() { l.flushWaiters = append(l.flushWaiters, ch) })
 	select {
 	case <-ch:
 		return nil
@@ -363,5 +363,5 @@
 func (l *Ledger) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.pending()
+	return l.machine.pending()
 }
--- a/pkg/kumquatlug/ledger/ledger_test.go
+++ b/pkg/kumquatlug/ledger/ledger_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start runs a ledger beside target over table until the test ends.
-func start(t *testing.T, table *memoryTable, objects *memoryObjects, target, incarnation string) *Ledger {
+// startLedger runs a ledger beside target over table until the test ends.
+func startLedger(t *testing.T, table *memoryTable, objects *memoryObjects, target, incarnation string) *Ledger {
 	t.Helper()
 	l, err := New(Config{
 		Table: table, Objects: objects, Clock: clock.NewMonotonic(),
@@ -39,11 +39,11 @@
 	return l
 }
 
-func call(key, body string, d Dispatch) Call {
+func newTestCall(key, body string, d Dispatch) Call {
 	return NewCall(CallConfig{Caller: "registry", Key: key, Body: body, Dispatch: d})
 }
 
-func want(t *testing.T, r Ruling, err error, verdict Verdict) Ruling {
+func wantVerdict(t *testing.T, r Ruling, err error, verdict Verdict) Ruling {
 	t.Helper()
 	if err != nil || r.Verdict() != verdict {
 		t.Fatalf("verdict = %q, error %v, want %q", r.Verdict(), err, verdict)
@@ -51,20 +51,20 @@
 	return r
 }
 
-func TestResendGetsTheAnswerThroughAnotherTarget(t *testing.T) {
+func TestResendThroughAnotherTargetGetsStoredAnswer(t *testing.T) {
 	// The caller's connection breaks after the posting ran, and it sends the
 	// posting again. The resend is routed to another target, since labels have
 	// changed meanwhile. Without the row it would be posted twice.
 	for _, size := range []int{10, DefaultInline + 1} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			table, objects := newMemoryTable(), newMemoryObjects()
-			first := start(t, table, objects, "gazette-1", "a")
-			second := start(t, table, objects, "gazette-2", "b")
+			first := startLedger(t, table, objects, "gazette-1", "a")
+			second := startLedger(t, table, objects, "gazette-2", "b")
 			ctx := t.Context()
-			r, err := first.Begin(ctx, call("k", "body", Dispatch{}))
-			ticket := want(t, r, err, VerdictRun).Ticket()
-			r, err = second.Begin(ctx, call("k", "body", Dispatch{}))
-			if holder := want(t, r, err, VerdictElsewhere).Holder(); holder.Target() != "gazette-1" {
+			r, err := first.Begin(ctx, newTestCall("k", "body", Dispatch{}))
+			ticket := wantVerdict(t, r, err, VerdictRun).Ticket()
+			r, err = second.Begin(ctx, newTestCall("k", "body", Dispatch{}))
+			if holder := wantVerdict(t, r, err, VerdictElsewhere).Holder(); holder.Target() != "gazette-1" {
 				t.Errorf("holder = %q", holder.Target())
 			}
 			body := bytes.Repeat([]byte("x"), size)
@@ -75,13 +75,13 @@
 				t.Fatal(err)
 			}
 			for _, l := range []*Ledger{first, second} {
-				r, err = l.Begin(ctx, call("k", "body", Dispatch{}))
-				o := want(t, r, err, VerdictAnswer).Outcome()
+				r, err = l.Begin(ctx, newTestCall("k", "body", Dispatch{}))
+				o := wantVerdict(t, r, err, VerdictAnswer).Outcome()
 				if o.Status() != 201 || !bytes.Equal(o.Body(), body) {
 					t.Errorf("answer = %d with %d bytes", o.Status(), len(o.Body()))
 				}
-				r, err = l.Begin(ctx, call("k", "other", Dispatch{}))
-				want(t, r, err, VerdictConflict)
+				r, err = l.Begin(ctx, newTestCall("k", "other", Dispatch{}))
+				wantVerdict(t, r, err, VerdictConflict)
 			}
 		})
 	}
@@ -92,55 +92,55 @@
 	// not-run, and the caller sends the posting again; then the first dispatch
 	// arrives after all.
 	table, objects := newMemoryTable(), newMemoryObjects()
-	entry := start(t, table, objects, "entry-1", "e")
-	agent := start(t, table, objects, "gazette-1", "a")
+	entry := startLedger(t, table, objects, "entry-1", "e")
+	agent := startLedger(t, table, objects, "gazette-1", "a")
 	ctx := t.Context()
-	r, err := entry.Block(ctx, call("k", "body", Dispatch{}))
-	next := want(t, r, err, VerdictBlocked).Dispatch()
-	r, err = agent.Begin(ctx, call("k", "body", Dispatch{}))
-	if got := want(t, r, err, VerdictStale).Dispatch(); got != next {
+	r, err := entry.Block(ctx, newTestCall("k", "body", Dispatch{}))
+	next := wantVerdict(t, r, err, VerdictBlocked).Dispatch()
+	r, err = agent.Begin(ctx, newTestCall("k", "body", Dispatch{}))
+	if got := wantVerdict(t, r, err, VerdictStale).Dispatch(); got != next {
 		t.Errorf("resend under %v, want %v", got, next)
 	}
-	r, err = agent.Begin(ctx, call("k", "body", next))
-	want(t, r, err, VerdictRun)
-	r, err = entry.Block(ctx, call("k", "body", next))
-	want(t, r, err, VerdictElsewhere)
+	r, err = agent.Begin(ctx, newTestCall("k", "body", next))
+	wantVerdict(t, r, err, VerdictRun)
+	r, err = entry.Block(ctx, newTestCall("k", "body", next))
+	wantVerdict(t, r, err, VerdictElsewhere)
 }
 
-func TestRestartedAgentTellsUnknown(t *testing.T) {
+func TestRestartedAgentReportsUnknown(t *testing.T) {
 	// The agent is killed between the claim and the end of the run. Whether
 	// the posting went out can't be known, so that a resend must not run it.
 	table, objects := newMemoryTable(), newMemoryObjects()
-	before := start(t, table, objects, "gazette-1", "a")
-	after := start(t, table, objects, "gazette-1", "b")
+	before := startLedger(t, table, objects, "gazette-1", "a")
+	after := startLedger(t, table, objects, "gazette-1", "b")
 	ctx := t.Context()
-	r, err := before.Begin(ctx, call("k", "body", Dispatch{}))
-	want(t, r, err, VerdictRun)
-	r, err = after.Begin(ctx, call("k", "body", Dispatch{}))
-	want(t, r, err, VerdictUnknown)
+	r, err := before.Begin(ctx, newTestCall("k", "body", Dispatch{}))
+	wantVerdict(t, r, err, VerdictRun)
+	r, err = after.Begin(ctx, newTestCall("k", "body", Dispatch{}))
+	wantVerdict(t, r, err, VerdictUnknown)
 }
 
-func TestOutageRefusesAsNotRun(t *testing.T) {
+func TestTableOutageRefusesAsNotRun(t *testing.T) {
 	// The table is down. The caller hears at once that nothing ran and when to
 	// come back, and does not hang until its deadline.
 	table := newMemoryTable()
-	table.fail = func() error { return errors.Mark(errors.New("down"), kumquatlug.ErrUnavailable) }
-	l := start(t, table, newMemoryObjects(), "gazette-1", "a")
-	_, err := l.Begin(t.Context(), call("k", "body", Dispatch{}))
+	table.commitFault = func() error { return errors.Mark(errors.New("down"), kumquatlug.ErrUnavailable) }
+	l := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
+	_, err := l.Begin(t.Context(), newTestCall("k", "body", Dispatch{}))
 	f := kumquatlug.FailureOf(err)
 	if f.Ran() != kumquatlug.RanNot || f.RetryAfter() < DefaultRetryAfter {
 		t.Errorf("failure = %v, come back after %d ms", f, f.RetryAfter())
 	}
 }
 
-func TestLostAnswersAreReadBack(t *testing.T) {
+func TestLostCommitResponsesAreReadBack(t *testing.T) {
 	// Every answer of the table to a write is lost after the write took
 	// effect. Whoever takes that for a failure refuses what it has claimed.
 	table := newMemoryTable()
-	table.fail = func() error { return errors.Mark(errors.New("timeout"), kumquatlug.ErrLost) }
-	l := start(t, table, newMemoryObjects(), "gazette-1", "a")
-	r, err := l.Begin(t.Context(), call("k", "body", Dispatch{}))
-	ticket := want(t, r, err, VerdictRun).Ticket()
+	table.commitFault = func() error { return errors.Mark(errors.New("timeout"), kumquatlug.ErrLost) }
+	l := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
+	r, err := l.Begin(t.Context(), newTestCall("k", "body", Dispatch{}))
+	ticket := wantVerdict(t, r, err, VerdictRun).Ticket()
 	if err := l.Finish(ticket, NewOutcome(200, nil, nil)); err != nil {
 		t.Fatal(err)
 	}
@@ -149,23 +149,23 @@
 	}
 }
 
-func TestConflictFailsNoNeighbour(t *testing.T) {
+func TestConflictDoesNotFailOtherCallsInBatch(t *testing.T) {
 	// Half of a burst of postings are resends of calls that another target
 	// has claimed. They share transactions with new ones, which must run.
 	table, objects := newMemoryTable(), newMemoryObjects()
-	other := start(t, table, objects, "gazette-2", "b")
-	l := start(t, table, objects, "gazette-1", "a")
+	other := startLedger(t, table, objects, "gazette-2", "b")
+	l := startLedger(t, table, objects, "gazette-1", "a")
 	const calls = 200
 	for i := 0; i < calls; i += 2 {
-		r, err := other.Begin(t.Context(), call(fmt.Sprint(i), "body", Dispatch{}))
-		want(t, r, err, VerdictRun)
+		r, err := other.Begin(t.Context(), newTestCall(fmt.Sprint(i), "body", Dispatch{}))
+		wantVerdict(t, r, err, VerdictRun)
 	}
 	before := table.commits
 	var g errgroup.Group
 	verdicts := make([]Verdict, calls)
 	for i := range calls {
 		g.Go(func() error {
-			r, err := l.Begin(t.Context(), call(fmt.Sprint(i), "body", Dispatch{}))
+			r, err := l.Begin(t.Context(), newTestCall(fmt.Sprint(i), "body", Dispatch{}))
 			verdicts[i] = r.Verdict()
 			return err
 		})
@@ -236,7 +236,7 @@
 			for i := range b.N {
 				<-arrivals.C
 				g.Go(func() error {
-					r, err := l.Begin(ctx, call(fmt.Sprint(i), "body", Dispatch{}))
+					r, err := l.Begin(ctx, newTestCall(fmt.Sprint(i), "body", Dispatch{}))
 					if err != nil {
 						return err
 					}
--- a/pkg/kumquatlug/ledger/proof_test.go
+++ b/pkg/kumquatlug/ledger/proof_test.go
@@ -10,7 +10,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-var kinds = []string{
+var eventKinds = []string{
 	"request", "request", "request", "request", "arrive", "arrive", "arrive", "arrive", "arrive",
 	"step", "step", "step", "step", "step", "step", "step", "step", "step", "step", "step", "step",
 	"work", "work", "work", "work", "work", "upload", "give-up", "give-up", "give-up", "leave",
@@ -18,52 +18,52 @@
 	"request", "request", "arrive", "arrive", "arrive", "step", "step", "step", "step", "step", "step", "step", "step",
 }
 
-func play(sut commands.SystemUnderTest, e proof.Event) commands.Result {
-	w := sut.(*world)
+func applyEvent(sut commands.SystemUnderTest, e proof.Event) commands.Result {
+	s := sut.(*simulation)
 	r := rand.New(rand.NewSource(e.Seed))
 	switch e.Kind {
 	case "request":
-		w.request(r)
+		s.sendRequest(r)
 	case "arrive":
 		for range 1 + r.Intn(2) {
-			w.arrive(r)
+			s.deliverMessage(r)
 		}
 	case "step":
 		for range 1 + r.Intn(5) {
-			w.step(w.busy(r), r)
+			s.stepTableOp(s.busyProcess(r), r)
 		}
 	case "work":
-		w.work(w.running(r), r)
+		s.stepJob(s.runningProcess(r), r)
 	case "upload":
-		w.uploaded(pick(w.processes(), r, func(p *process) bool { return len(p.upload) > 0 }))
+		s.completeUpload(pickProcess(s.processes(), r, func(p *process) bool { return len(p.uploads) > 0 }))
 	case "give-up":
-		w.giveUp(r)
+		s.giveUp(r)
 	case "leave":
-		w.leave(pick(w.agents, r, func(p *process) bool { return len(p.asked) > 0 }), r)
+		s.disconnectWaiter(pickProcess(s.agents, r, func(p *process) bool { return len(p.waiting) > 0 }), r)
 	default:
-		w.disturb(e.Kind, r)
+		s.applyFault(e.Kind, r)
 	}
-	return w.wrong
+	return s.violation
 }
 
-func (w *world) disturb(kind string, r *rand.Rand) {
+func (s *simulation) applyFault(kind string, r *rand.Rand) {
 	switch kind {
 	case "land":
-		w.land(r)
+		s.applyDelayedTx(r)
 	case "pass":
-		w.now += kumquatlug.Millis(r.Intn(3000))
+		s.now += kumquatlug.Millis(r.Intn(3000))
 	case "kill", "replace":
-		w.replace(r, kind == "kill")
+		s.restartProcess(r, kind == "kill")
 	case "outage", "heal":
-		w.outage = kind == "outage"
+		s.tableDown = kind == "outage"
 	case "era":
-		w.advance()
+		s.advanceEra()
 	case "poll":
-		e := w.entries[r.Intn(len(w.entries))]
-		e.era = w.era()
+		e := s.entries[r.Intn(len(s.entries))]
+		e.era = s.era()
 	case "settle":
 		if r.Intn(3) == 0 {
-			w.settle(r)
+			s.quiesce(r)
 		}
 	}
 }
@@ -78,8 +78,8 @@
 	proof.Run(t, proof.Config{
 		Claim: "at most one run, and not-run is true",
 		Seed:  5, Runs: 600, Steps: 200,
-		Command: proof.Events(kinds, play),
-		World:   func() commands.SystemUnderTest { return newWorld(counts) },
+		Command: proof.Events(eventKinds, applyEvent),
+		World:   func() commands.SystemUnderTest { return newSimulation(counts) },
 	})
 	t.Logf("%v", counts)
 	for _, end := range []string{"run", "answer", "not-run", "unknown", "conflict"} {
--- a/pkg/kumquatlug/ledger/refuse.go
+++ b/pkg/kumquatlug/ledger/refuse.go
@@ -6,47 +6,47 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// out starts a pause in which the table is left alone.
-func (b *book) out(now kumquatlug.Millis) {
-	b.failing = true
-	b.outUntil = now + b.c.Pause
+// startBackoff starts a pause in which the table is left alone.
+func (m *stateMachine) startBackoff(now kumquatlug.Millis) {
+	m.tableFailing = true
+	m.backoffUntil = now + m.config.Pause
 }
 
-func (b *book) refuseAll(now kumquatlug.Millis) {
-	for _, it := range append([]*item(nil), b.order...) {
-		if it.phase == phaseWrite || it.phase == phaseRead {
-			b.refuseWaiting(it, now)
+func (m *stateMachine) refuseAll(now kumquatlug.Millis) {
+	for _, tc := range append([]*trackedCall(nil), m.order...) {
+		if tc.phase == phaseWrite || tc.phase == phaseRead {
+			m.refuseWaiters(tc, now)
 		}
 	}
 }
 
-// refuseWaiting refuses all questions of an item that the table did not
+// refuseWaiters refuses all questions of an item that the table did not
 // answer. A claim whose write may still take effect stays, to be released.
-func (b *book) refuseWaiting(it *item, now kumquatlug.Millis) {
-	for _, q := range it.waiting {
-		b.refuse(q, ReasonTable, now)
+func (m *stateMachine) refuseWaiters(tc *trackedCall, now kumquatlug.Millis) {
+	for _, w := range tc.waiters {
+		m.refuse(w, ReasonTable, now)
 	}
-	it.waiting = nil
+	tc.waiters = nil
 	switch {
-	case it.goal == goalStore || it.goal == goalRelease:
-	case it.goal == goalClaim && it.doubt:
-		b.release(it)
+	case tc.goal == goalStore || tc.goal == goalRelease:
+	case tc.goal == goalClaim && tc.writeUncertain:
+		m.startRelease(tc)
 	default:
-		b.drop(it)
+		m.drop(tc)
 	}
 }
 
 // refuse ends q without a ruling. A claim that was not handed out runs
 // nothing, so a Begin is told not-run; a Block learned nothing.
-func (b *book) refuse(q question, reason string, now kumquatlug.Millis) {
+func (m *stateMachine) refuse(w waiter, reason string, now kumquatlug.Millis) {
 	ran := kumquatlug.RanNot
 	step := "claim"
-	if q.block {
+	if w.block {
 		ran = kumquatlug.RanUnknown
 		step = "block"
 	}
-	b.deliveries = append(b.deliveries, delivery{waiter: q.waiter, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
+	m.responses = append(m.responses, response{waiterID: w.id, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: step, Peer: "table", Reason: reason, Ran: ran, Status: http.StatusServiceUnavailable,
-		RetryAfter: max(b.c.RetryAfter, b.outUntil-now), Cause: kumquatlug.ErrUnavailable,
+		RetryAfter: max(m.config.RetryAfter, m.backoffUntil-now), Cause: kumquatlug.ErrUnavailable,
 	})})
 }
--- a/pkg/kumquatlug/ledger/resolve.go
+++ b/pkg/kumquatlug/ledger/resolve.go
@@ -6,236 +6,236 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// result says how an effect ended.
-type result struct {
+// tableResult says how an effect ended.
+type tableResult struct {
 	rows []kumquatlug.Row
 	err  error
 }
 
-// done takes the end of the effect in flight.
-func (b *book) done(r result, now kumquatlug.Millis) {
-	e := b.inFlight
-	b.inFlight = nil
-	if e.writes() {
-		b.wrote(e, r.err, now)
+// completeOp takes the end of the effect in flight.
+func (m *stateMachine) completeOp(r tableResult, now kumquatlug.Millis) {
+	op := m.inFlight
+	m.inFlight = nil
+	if op.isWrite() {
+		m.completeWrite(op, r.err, now)
 	} else {
-		b.read(e, r, now)
+		m.completeRead(op, r, now)
 	}
-	b.compact()
+	m.compact()
 }
 
-func (b *book) wrote(e *effect, err error, now kumquatlug.Millis) {
+func (m *stateMachine) completeWrite(op *tableOp, err error, now kumquatlug.Millis) {
 	switch {
 	case err == nil:
-		b.failing = false
-		for _, it := range e.items {
-			b.tookEffect(it, now)
+		m.tableFailing = false
+		for _, tc := range op.calls {
+			m.writeApplied(tc, now)
 		}
 	case errors.Is(err, kumquatlug.ErrConflict):
-		for _, it := range e.items {
-			it.phase = phaseRead
-			it.alone = false
+		for _, tc := range op.calls {
+			tc.phase = phaseRead
+			tc.soleRow = false
 		}
 	case errors.Is(err, kumquatlug.ErrUnavailable):
-		b.out(now)
-		for _, it := range e.items {
-			b.refuseWaiting(it, now)
+		m.startBackoff(now)
+		for _, tc := range op.calls {
+			m.refuseWaiters(tc, now)
 		}
 	default:
 		// The answer is lost and the write may take effect even later. Taking
 		// it for a failure would let a second process run the call; the row
 		// itself tells, by the claim that it carries.
-		for _, it := range e.items {
-			it.doubt = true
-			it.phase = phaseRead
-			it.alone = false
+		for _, tc := range op.calls {
+			tc.writeUncertain = true
+			tc.phase = phaseRead
+			tc.soleRow = false
 		}
 	}
 }
 
-func (b *book) tookEffect(it *item, now kumquatlug.Millis) {
-	it.doubt = false
-	it.alone = true
-	switch it.goal {
+func (m *stateMachine) writeApplied(tc *trackedCall, now kumquatlug.Millis) {
+	tc.writeUncertain = false
+	tc.soleRow = true
+	switch tc.goal {
 	case goalClaim:
-		b.claimed(it)
+		m.grantRun(tc)
 	case goalStore:
-		b.keep(it)
+		m.cacheCall(tc)
 	case goalBlock:
-		b.blocked(it, b.row(it).Epoch, it.era, now)
+		m.answerBlocks(tc, m.desiredRow(tc).Epoch, tc.era, now)
 	case goalRelease:
-		b.reopen(it, now)
+		m.resubmitWaiters(tc, now)
 	}
 }
 
-// claimed hands the run to the first question that may have it. When all have
+// grantRun hands the run to the first question that may have it. When all have
 // gone, the claim is given back.
-func (b *book) claimed(it *item) {
-	it.doubt = false
-	for i, q := range it.waiting {
-		if !b.mayRun(it, q) {
+func (m *stateMachine) grantRun(tc *trackedCall) {
+	tc.writeUncertain = false
+	for i, w := range tc.waiters {
+		if !m.mayRun(tc, w) {
 			continue
 		}
-		it.phase = phaseRunning
-		it.waiting = append(it.waiting[:i:i], it.waiting[i+1:]...)
-		b.deliver(q, Ruling{verdict: VerdictRun, ticket: Ticket{id: it.id, claim: it.claim}})
+		tc.phase = phaseRunning
+		tc.waiters = append(tc.waiters[:i:i], tc.waiters[i+1:]...)
+		m.respond(w, Ruling{verdict: VerdictRun, ticket: Ticket{id: tc.id, claim: tc.claim}})
 		return
 	}
-	b.release(it)
+	m.startRelease(tc)
 }
 
 // mayRun reports whether the item's claim covers q. A dispatch below the
 // claim's epoch may have been blocked before the claim was made.
-func (b *book) mayRun(it *item, q question) bool {
-	d := q.call.dispatch
-	return !q.block && q.call.body == it.body && d.epoch >= it.dispatch.epoch && it.era-d.era <= 1
+func (m *stateMachine) mayRun(tc *trackedCall, w waiter) bool {
+	d := w.call.dispatch
+	return !w.block && w.call.body == tc.body && d.epoch >= tc.dispatch.epoch && tc.era-d.era <= 1
 }
 
-func (b *book) release(it *item) {
-	it.goal = goalRelease
-	it.phase = phaseRead
+func (m *stateMachine) startRelease(tc *trackedCall) {
+	tc.goal = goalRelease
+	tc.phase = phaseRead
 }
 
-// blocked tells the questions that a free row of this epoch and era answers;
+// answerBlocks tells the questions that a free row of this epoch and era answers;
 // the others are put anew.
-func (b *book) blocked(it *item, epoch, era int64, now kumquatlug.Millis) {
-	waiting := it.waiting
-	it.waiting = nil
-	b.drop(it)
-	for _, q := range waiting {
-		d := q.call.dispatch
-		if q.block && d.epoch < epoch && d.era <= era && era-d.era <= 1 {
-			b.deliver(q, Ruling{verdict: VerdictBlocked, dispatch: NewDispatch(b.era, epoch)})
+func (m *stateMachine) answerBlocks(tc *trackedCall, epoch, era int64, now kumquatlug.Millis) {
+	waiters := tc.waiters
+	tc.waiters = nil
+	m.drop(tc)
+	for _, w := range waiters {
+		d := w.call.dispatch
+		if w.block && d.epoch < epoch && d.era <= era && era-d.era <= 1 {
+			m.respond(w, Ruling{verdict: VerdictBlocked, dispatch: NewDispatch(m.era, epoch)})
 			continue
 		}
-		b.ask(q, now)
+		m.submit(w, now)
 	}
 }
 
-// read takes the rows of e's items, after the era row.
-func (b *book) read(e *effect, r result, now kumquatlug.Millis) {
+// completeRead takes the rows of e's items, after the era row.
+func (m *stateMachine) completeRead(op *tableOp, r tableResult, now kumquatlug.Millis) {
 	if r.err != nil {
-		b.out(now)
-		for _, it := range e.items {
-			b.refuseWaiting(it, now)
+		m.startBackoff(now)
+		for _, tc := range op.calls {
+			m.refuseWaiters(tc, now)
 		}
-		if !b.eraKnown {
-			b.refuseAll(now)
+		if !m.eraKnown {
+			m.refuseAll(now)
 		}
 		return
 	}
-	b.failing = false
-	era := b.era
-	if !b.readEra(r.rows[0], now) {
+	m.tableFailing = false
+	era := m.era
+	if !m.updateEra(r.rows[0], now) {
 		return
 	}
 	rows := r.rows[1:]
-	for _, it := range e.items {
-		it.known = true
-		it.alone = it.alone && it.era == era
-		it.era = era
-		it.former = kumquatlug.Row{}
-		it.present, rows = rows[0], rows[1:]
-		if !it.alone {
-			it.former, rows = rows[0], rows[1:]
+	for _, tc := range op.calls {
+		tc.rowsRead = true
+		tc.soleRow = tc.soleRow && tc.era == era
+		tc.era = era
+		tc.previousRow = kumquatlug.Row{}
+		tc.currentRow, rows = rows[0], rows[1:]
+		if !tc.soleRow {
+			tc.previousRow, rows = rows[0], rows[1:]
 		}
-		if era == b.era {
-			b.resolve(it, now)
+		if era == m.era {
+			m.resolve(tc, now)
 		}
 	}
 }
 
-func (b *book) readEra(r kumquatlug.Row, now kumquatlug.Millis) bool {
+func (m *stateMachine) updateEra(r kumquatlug.Row, now kumquatlug.Millis) bool {
 	era, err := parseNumber(r)
 	if err != nil {
-		b.out(now)
-		b.refuseAll(now)
+		m.startBackoff(now)
+		m.refuseAll(now)
 		return false
 	}
-	b.era, b.eraVersion, b.eraKnown = era, r.Version(), true
+	m.era, m.eraVersion, m.eraKnown = era, r.Version(), true
 	return true
 }
 
 // resolve decides what an item does next by the rows that stand.
-func (b *book) resolve(it *item, now kumquatlug.Millis) {
-	standing, era, exists := it.standing()
-	if exists && standing.State == stateClaimed && standing.Claim == it.claim {
-		b.resolveOwn(it)
+func (m *stateMachine) resolve(tc *trackedCall, now kumquatlug.Millis) {
+	stored, era, exists := tc.storedRow()
+	if exists && stored.State == stateClaimed && stored.Claim == tc.claim {
+		m.resolveOwnClaim(tc)
 		return
 	}
-	if standing.State != stateFree {
-		b.resolveOther(it, standing)
+	if stored.State != stateFree {
+		m.resolveForeignRow(tc, stored)
 		return
 	}
-	b.resolveFree(it, standing, era, now)
+	m.resolveFreeRow(tc, stored, era, now)
 }
 
-// resolveOwn goes on after the item's claim was found in the table.
-func (b *book) resolveOwn(it *item) {
-	if it.goal == goalClaim {
-		b.claimed(it)
+// resolveOwnClaim goes on after the item's claim was found in the table.
+func (m *stateMachine) resolveOwnClaim(tc *trackedCall) {
+	if tc.goal == goalClaim {
+		m.grantRun(tc)
 		return
 	}
-	it.phase = phaseWrite
+	tc.phase = phaseWrite
 }
 
-func (b *book) resolveOther(it *item, standing row) {
-	if it.goal == goalStore {
-		b.keep(it)
+func (m *stateMachine) resolveForeignRow(tc *trackedCall, stored row) {
+	if tc.goal == goalStore {
+		m.cacheCall(tc)
 		return
 	}
-	b.answerWaiting(it, standing)
-	b.drop(it)
+	m.answerWaiters(tc, stored)
+	m.drop(tc)
 }
 
-func (b *book) resolveFree(it *item, standing row, era int64, now kumquatlug.Millis) {
-	if it.goal == goalRelease && standing.Claim == it.claim {
-		b.reopen(it, now)
+func (m *stateMachine) resolveFreeRow(tc *trackedCall, stored row, era int64, now kumquatlug.Millis) {
+	if tc.goal == goalRelease && stored.Claim == tc.claim {
+		m.resubmitWaiters(tc, now)
 		return
 	}
-	if it.goal == goalClaim && b.claimRefused(it, standing, now) {
+	if tc.goal == goalClaim && m.rejectClaim(tc, stored, now) {
 		return
 	}
-	if it.goal == goalBlock && b.blockStands(it, standing, era, now) {
+	if tc.goal == goalBlock && m.answerSatisfiedBlock(tc, stored, era, now) {
 		return
 	}
-	it.phase = phaseWrite
+	tc.phase = phaseWrite
 }
 
-// claimRefused handles a claim that a free row does not admit, or that has
+// rejectClaim handles a claim that a free row does not admit, or that has
 // nobody left to run it.
-func (b *book) claimRefused(it *item, standing row, now kumquatlug.Millis) bool {
-	if len(it.waiting) == 0 {
-		b.release(it)
-		it.phase = phaseWrite
+func (m *stateMachine) rejectClaim(tc *trackedCall, stored row, now kumquatlug.Millis) bool {
+	if len(tc.waiters) == 0 {
+		m.startRelease(tc)
+		tc.phase = phaseWrite
 		return true
 	}
-	if standing.Epoch <= it.dispatch.epoch {
+	if stored.Epoch <= tc.dispatch.epoch {
 		return false
 	}
 	// No earlier write of this claim can take effect any more: it demanded
 	// versions that have passed.
-	waiting := it.waiting
-	it.waiting = nil
-	b.drop(it)
-	for _, q := range waiting {
-		if !q.block && q.call.dispatch.epoch < standing.Epoch {
-			b.deliver(q, Ruling{verdict: VerdictStale, dispatch: NewDispatch(q.call.dispatch.era, standing.Epoch)})
+	waiters := tc.waiters
+	tc.waiters = nil
+	m.drop(tc)
+	for _, w := range waiters {
+		if !w.block && w.call.dispatch.epoch < stored.Epoch {
+			m.respond(w, Ruling{verdict: VerdictStale, dispatch: NewDispatch(w.call.dispatch.era, stored.Epoch)})
 			continue
 		}
-		b.ask(q, now)
+		m.submit(w, now)
 	}
 	return true
 }
 
-// blockStands answers a block that the row already grants. A row in an older
+// answerSatisfiedBlock answers a block that the row already grants. A row in an older
 // bucket than the dispatch's era does not: it is swept while the dispatch
 // would still be let in. Nor does one two eras younger: when it was written, a
 // run of the dispatch might have been swept before.
-func (b *book) blockStands(it *item, standing row, era int64, now kumquatlug.Millis) bool {
-	if standing.Epoch <= it.dispatch.epoch || era < it.dispatch.era || era-it.dispatch.era > 1 {
+func (m *stateMachine) answerSatisfiedBlock(tc *trackedCall, stored row, era int64, now kumquatlug.Millis) bool {
+	if stored.Epoch <= tc.dispatch.epoch || era < tc.dispatch.era || era-tc.dispatch.era > 1 {
 		return false
 	}
-	b.blocked(it, standing.Epoch, era, now)
+	m.answerBlocks(tc, stored.Epoch, era, now)
 	return true
 }
--- a/pkg/kumquatlug/ledger/row.go
+++ b/pkg/kumquatlug/ledger/row.go
@@ -34,21 +34,21 @@
 	if !ok {
 		return Dispatch{}, errors.Newf("dispatch %q is not era.epoch", text)
 	}
-	era, err := parsePart(left)
+	era, err := parseDispatchNumber(left)
 	if err != nil {
 		return Dispatch{}, errors.Wrapf(err, "dispatch %q", text)
 	}
-	epoch, err := parsePart(right)
+	epoch, err := parseDispatchNumber(right)
 	if err != nil {
 		return Dispatch{}, errors.Wrapf(err, "dispatch %q", text)
 	}
 	return Dispatch{era: era, epoch: epoch}, nil
 }
 
-// parsePart reads an era or an epoch. The bound is far above any that comes
+// parseDispatchNumber reads an era or an epoch. The bound is far above any that comes
 // about, and keeps a block of a garbled dispatch from overflowing to an epoch
 // below zero, which would block nothing.
-func parsePart(text string) (int64, error) {
+func parseDispatchNumber(text string) (int64, error) {
 	n, err := strconv.ParseUint(text, 10, 32)
 	return int64(n), err
 }
--- a/pkg/kumquatlug/ledger/row_test.go
+++ b/pkg/kumquatlug/ledger/row_test.go
@@ -33,35 +33,35 @@
 		// A row that can't be read, or says what no row says, may stand for a
 		// run. Only one that says free admits another.
 		table := newMemoryTable()
-		c := call("k", "body", Dispatch{})
+		c := newTestCall("k", "body", Dispatch{})
 		if err := table.apply(kumquatlug.NewTx("garbled").Put(rowKey(0, c.ID()), value)); err != nil {
 			t.Fatal(err)
 		}
-		b := newBook(Config{Target: "gazette-1", Incarnation: "b"}.withDefaults())
-		b.begin(c, false, 0)
-		for now := kumquatlug.Millis(0); b.pending() > 0; now += DefaultFlush {
-			if e := b.next(now); e != nil {
-				end(b, table, e, now)
+		m := newStateMachine(Config{Target: "gazette-1", Incarnation: "b"}.withDefaults())
+		m.begin(c, false, 0)
+		for now := kumquatlug.Millis(0); m.pending() > 0; now += DefaultFlush {
+			if op := m.nextOp(now); op != nil {
+				performOp(m, table, op, now)
 			}
 		}
 		r := decodeRow(value)
 		free := r.State == stateFree && r.Epoch <= 0
-		for _, d := range b.take() {
-			if d.failure == nil && d.ruling.verdict == VerdictRun && !free {
+		for _, resp := range m.takeResponses() {
+			if resp.failure == nil && resp.ruling.verdict == VerdictRun && !free {
 				t.Errorf("%q admitted a run", value)
 			}
 		}
 	})
 }
 
-// end lets an effect that the book asked for happen.
-func end(b *book, table *memoryTable, e *effect, now kumquatlug.Millis) {
-	r := result{}
-	if e.writes() {
-		r.err = table.apply(e.tx)
+// performOp lets an effect that the book asked for happen.
+func performOp(m *stateMachine, table *memoryTable, op *tableOp, now kumquatlug.Millis) {
+	r := tableResult{}
+	if op.isWrite() {
+		r.err = table.apply(op.tx)
 	}
-	for _, key := range e.reads {
+	for _, key := range op.reads {
 		r.rows = append(r.rows, table.rows[key])
 	}
-	b.done(r, now)
+	m.completeOp(r, now)
 }
--- a/pkg/kumquatlug/ledger/world_test.go
+++ b/pkg/kumquatlug/ledger/world_test.go
@@ -11,44 +11,44 @@
 // attempt is one sending of a call by a caller through an entry, and what the
 // caller was told.
 type attempt struct {
-	number int
-	key    string
-	body   string
-	mark   Dispatch
-	entry  *process
-	target int
-	lost   bool
-	blocks bool
-	told   string
-	ran    int
+	number      int
+	key         string
+	body        string
+	dispatch    Dispatch
+	entry       *process
+	target      int
+	unaccounted bool
+	blocking    bool
+	outcome     string
+	runs        int
 }
 
 // message is a dispatch under way to an agent.
 type message struct {
-	from   *attempt
-	mark   Dispatch
-	target int
+	attempt  *attempt
+	dispatch Dispatch
+	target   int
 }
 
 // job is a run that an agent was given the right to.
 type job struct {
-	ticket Ticket
-	from   *attempt
-	ran    bool
-	answer string
+	ticket  Ticket
+	attempt *attempt
+	ran     bool
+	answer  string
 }
 
 // process is an entry or an agent: a real book, and what it has under way.
 type process struct {
-	name   string
-	target int
-	book   *book
-	effect *effect
-	early  []kumquatlug.Row
-	asked  map[int64]*attempt
-	jobs   []*job
-	upload []Ticket
-	era    int64
+	name      string
+	target    int
+	machine   *stateMachine
+	op        *tableOp
+	earlyRows []kumquatlug.Row
+	waiting   map[int64]*attempt
+	jobs      []*job
+	uploads   []Ticket
+	era       int64
 }
 
 // run is one run that the oracle saw.
@@ -58,83 +58,85 @@
 	answer string
 }
 
-// world is the table, two targets with their agents, two entries, all that is
+// simulation is the table, two targets with their agents, two entries, all that is
 // under way between them, and the oracle's books.
-type world struct {
-	now       kumquatlug.Millis
-	table     *memoryTable
-	outage    bool
-	healthy   bool
-	dead      map[string]bool
-	agents    []*process
-	old       []*process
-	entries   []*process
-	attempts  []*attempt
-	messages  []message
-	late      []kumquatlug.Tx
-	objects   map[string]string
-	runs      map[string][]run
-	claimEras map[string]int64
-	marks     map[string]Dispatch
-	starts    int
-	counts    map[string]int
-	wrong     string
+type simulation struct {
+	now              kumquatlug.Millis
+	table            *memoryTable
+	tableDown        bool
+	faultFree        bool
+	deadIncarnations map[string]bool
+	agents           []*process
+	replaced         []*process
+	entries          []*process
+	attempts         []*attempt
+	messages         []message
+	delayedTxs       []kumquatlug.Tx
+	objects          map[string]string
+	runs             map[string][]run
+	claimEras        map[string]int64
+	resendDispatches map[string]Dispatch
+	starts           int
+	outcomeCounts    map[string]int
+	violation        string
 }
 
-const targets = 2
+const targetCount = 2
 
-var worldKeys = []string{"k0", "k1"}
+var simulatedKeys = []string{"k0", "k1"}
 
-func newWorld(counts map[string]int) *world {
-	w := &world{
+func newSimulation(counts map[string]int) *simulation {
+	s := &simulation{
 		table: newMemoryTable(), objects: map[string]string{}, runs: map[string][]run{},
-		claimEras: map[string]int64{}, dead: map[string]bool{}, marks: map[string]Dispatch{}, counts: counts,
+		claimEras: map[string]int64{}, deadIncarnations: map[string]bool{}, resendDispatches: map[string]Dispatch{}, outcomeCounts: counts,
 	}
-	for i := range targets {
-		w.agents = append(w.agents, w.start(fmt.Sprintf("target-%d", i), i))
-		w.entries = append(w.entries, w.start(fmt.Sprintf("entry-%d", i), -1))
+	for i := range targetCount {
+		s.agents = append(s.agents, s.start(fmt.Sprintf("target-%d", i), i))
+		s.entries = append(s.entries, s.start(fmt.Sprintf("entry-%d", i), -1))
 	}
-	return w
+	return s
 }
 
-func (w *world) start(name string, target int) *process {
-	w.starts++
-	c := Config{Target: name, Incarnation: fmt.Sprintf("%s.%d", name, w.starts), Kept: 2, Batch: 2}
+func (s *simulation) start(name string, target int) *process {
+	s.starts++
+	c := Config{Target: name, Incarnation: fmt.Sprintf("%s.%d", name, s.starts), Kept: 2, Batch: 2}
 	return &process{
-		name: name, target: target, book: newBook(c.withDefaults()), asked: map[int64]*attempt{}, era: w.era(),
+		name: name, target: target, machine: newStateMachine(c.withDefaults()), waiting: map[int64]*attempt{}, era: s.era(),
 	}
 }
 
-func (w *world) era() int64 {
-	era, err := parseNumber(w.table.rows[eraKey])
+func (s *simulation) era() int64 {
+	era, err := parseNumber(s.table.rows[eraKey])
 	if err != nil {
 		panic(err)
 	}
 	return era
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(format, args...)
+func (s *simulation) recordViolation(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
 // processes returns everything that can act, replaced agents included.
-func (w *world) processes() []*process {
-	return append(append(append([]*process(nil), w.agents...), w.entries...), w.old...)
+func (s *simulation) processes() []*process {
+	return append(append(append([]*process(nil), s.agents...), s.entries...), s.replaced...)
 }
 
-// busy returns a process that has something to ask of the table, or under way.
-func (w *world) busy(r *rand.Rand) *process {
-	return pick(w.processes(), r, func(p *process) bool { return p.effect != nil || (p.book.pending() > 0 && w.now >= p.book.wait()) })
+// busyProcess returns a process that has something to ask of the table, or under way.
+func (s *simulation) busyProcess(r *rand.Rand) *process {
+	return pickProcess(s.processes(), r, func(p *process) bool {
+		return p.op != nil || (p.machine.pending() > 0 && s.now >= p.machine.nextOpAt())
+	})
 }
 
-// running returns a process that has a call to run.
-func (w *world) running(r *rand.Rand) *process {
-	return pick(w.processes(), r, func(p *process) bool { return len(p.jobs) > 0 })
+// runningProcess returns a process that has a call to run.
+func (s *simulation) runningProcess(r *rand.Rand) *process {
+	return pickProcess(s.processes(), r, func(p *process) bool { return len(p.jobs) > 0 })
 }
 
-func pick(all []*process, r *rand.Rand, fits func(*process) bool) *process {
+func pickProcess(all []*process, r *rand.Rand, fits func(*process) bool) *process {
 	var some []*process
 	for _, p := range all {
 		if fits(p) {
@@ -148,8 +150,8 @@
 }
 
 // apply carries out a transaction and notes in which era claims were made.
-func (w *world) apply(tx kumquatlug.Tx) error {
-	err := w.table.apply(tx)
+func (s *simulation) apply(tx kumquatlug.Tx) error {
+	err := s.table.apply(tx)
 	if err != nil {
 		return err
 	}
@@ -160,181 +162,181 @@
 			if _, err := fmt.Sscanf(write.Key(), rowPrefix+"%x/", &era); err != nil {
 				panic(err)
 			}
-			w.claimEras[r.Claim] = era
+			s.claimEras[r.Claim] = era
 		}
 	}
 	return nil
 }
 
-// request is a caller's sending; a resend may carry another body, and go out
+// sendRequest is a caller's sending; a resend may carry another body, and go out
 // under the mark that an earlier block gave.
-func (w *world) request(r *rand.Rand) {
-	e := w.entries[r.Intn(len(w.entries))]
+func (s *simulation) sendRequest(r *rand.Rand) {
+	e := s.entries[r.Intn(len(s.entries))]
 	a := &attempt{
-		number: len(w.attempts), key: worldKeys[r.Intn(len(worldKeys))], body: "body", entry: e,
-		mark: NewDispatch(e.era, 0), target: r.Intn(targets),
+		number: len(s.attempts), key: simulatedKeys[r.Intn(len(simulatedKeys))], body: "body", entry: e,
+		dispatch: NewDispatch(e.era, 0), target: r.Intn(targetCount),
 	}
 	if r.Intn(6) == 0 {
 		a.body = "other"
 	}
-	if mark, ok := w.marks[a.key]; ok && r.Intn(2) == 0 {
-		a.mark = mark
+	if d, ok := s.resendDispatches[a.key]; ok && r.Intn(2) == 0 {
+		a.dispatch = d
 	}
-	w.attempts = append(w.attempts, a)
-	w.send(a)
+	s.attempts = append(s.attempts, a)
+	s.sendDispatch(a)
 }
 
-func (w *world) send(a *attempt) {
-	w.messages = append(w.messages, message{from: a, mark: a.mark, target: a.target})
+func (s *simulation) sendDispatch(a *attempt) {
+	s.messages = append(s.messages, message{attempt: a, dispatch: a.dispatch, target: a.target})
 }
 
-// arrive hands one message, in any order, to the agent that is there now or to
+// deliverMessage hands one message, in any order, to the agent that is there now or to
 // one that was replaced and still has the connection.
-func (w *world) arrive(r *rand.Rand) {
-	if len(w.messages) == 0 {
+func (s *simulation) deliverMessage(r *rand.Rand) {
+	if len(s.messages) == 0 {
 		return
 	}
-	i := r.Intn(len(w.messages))
-	m := w.messages[i]
-	w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
-	p := w.agents[m.target]
-	for _, old := range w.old {
+	i := r.Intn(len(s.messages))
+	m := s.messages[i]
+	s.messages = append(s.messages[:i:i], s.messages[i+1:]...)
+	p := s.agents[m.target]
+	for _, old := range s.replaced {
 		if old.target == m.target && r.Intn(3) == 0 {
 			p = old
 		}
 	}
-	p.ask(m.from, m.mark, false, w.now)
-	w.take(p, r)
+	p.submit(m.attempt, m.dispatch, false, s.now)
+	s.handleResponses(p, r)
 }
 
-func (p *process) ask(a *attempt, mark Dispatch, block bool, now kumquatlug.Millis) {
-	c := NewCall(CallConfig{Caller: "registry", Key: a.key, Body: a.body, Dispatch: mark})
-	p.asked[p.book.begin(c, block, now)] = a
+func (p *process) submit(a *attempt, d Dispatch, block bool, now kumquatlug.Millis) {
+	c := NewCall(CallConfig{Caller: "registry", Key: a.key, Body: a.body, Dispatch: d})
+	p.waiting[p.machine.begin(c, block, now)] = a
 }
 
-// take handles what a book has decided.
-func (w *world) take(p *process, r *rand.Rand) {
-	for _, d := range p.book.take() {
-		a, ok := p.asked[d.waiter]
-		delete(p.asked, d.waiter)
+// handleResponses handles what a book has decided.
+func (s *simulation) handleResponses(p *process, r *rand.Rand) {
+	for _, resp := range p.machine.takeResponses() {
+		a, ok := p.waiting[resp.waiterID]
+		delete(p.waiting, resp.waiterID)
 		switch {
 		case !ok:
-			w.fail("%s answered a question twice", p.name)
+			s.recordViolation("%s answered a question twice", p.name)
 		case p.target < 0:
-			w.blocked(a, d)
-		case d.failure == nil && d.ruling.verdict == VerdictRun && r.Intn(8) == 0:
+			s.handleBlockResponse(a, resp)
+		case resp.failure == nil && resp.ruling.verdict == VerdictRun && r.Intn(8) == 0:
 			// The asker has gone at that moment.
-			w.must(p.book.abandon(d.ruling.ticket, kumquatlug.RanNot))
-			w.reply(a, delivery{failure: p.book.failureFor(kumquatlug.RanNot)}, r)
-		case d.failure == nil && d.ruling.verdict == VerdictRun:
-			p.jobs = append(p.jobs, &job{ticket: d.ruling.ticket, from: a})
+			s.requireNoError(p.machine.abandon(resp.ruling.ticket, kumquatlug.RanNot))
+			s.deliverReply(a, response{failure: p.machine.testFailure(kumquatlug.RanNot)}, r)
+		case resp.failure == nil && resp.ruling.verdict == VerdictRun:
+			p.jobs = append(p.jobs, &job{ticket: resp.ruling.ticket, attempt: a})
 		default:
-			w.reply(a, d, r)
+			s.deliverReply(a, resp, r)
 		}
 	}
 }
 
-func (b *book) failureFor(ran kumquatlug.Ran) *kumquatlug.Failure {
+func (m *stateMachine) testFailure(ran kumquatlug.Ran) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "claim", Reason: "gave_up", Ran: ran})
 }
 
-func (w *world) must(err error) {
+func (s *simulation) requireNoError(err error) {
 	if err != nil {
-		w.fail("%v", err)
+		s.recordViolation("%v", err)
 	}
 }
 
-// reply brings an agent's answer to the entry, which does as the package says;
+// deliverReply brings an agent's answer to the entry, which does as the package says;
 // it may be lost, or come after the entry gave up.
-func (w *world) reply(a *attempt, d delivery, r *rand.Rand) {
-	if a.told != "" || a.blocks || r.Intn(6) == 0 {
+func (s *simulation) deliverReply(a *attempt, resp response, r *rand.Rand) {
+	if a.outcome != "" || a.blocking || r.Intn(6) == 0 {
 		return
 	}
-	if d.failure != nil {
-		w.refused(a, d.failure.Ran())
+	if resp.failure != nil {
+		s.handleRefusal(a, resp.failure.Ran())
 		return
 	}
-	switch d.ruling.verdict {
+	switch resp.ruling.verdict {
 	case VerdictStale:
-		a.mark = d.ruling.dispatch
-		a.target = r.Intn(targets)
-		w.send(a)
+		a.dispatch = resp.ruling.dispatch
+		a.target = r.Intn(targetCount)
+		s.sendDispatch(a)
 	case VerdictElsewhere:
 		if r.Intn(2) == 0 {
-			w.tell(a, "unknown")
+			s.recordOutcome(a, "unknown")
 			return
 		}
-		w.resend(a, r)
+		s.resend(a, r)
 	default:
-		w.ruled(a, d.ruling)
+		s.handleRuling(a, resp.ruling)
 	}
 }
 
-// refused tells not-run only if no dispatch of the attempt is unaccounted for.
-func (w *world) refused(a *attempt, ran kumquatlug.Ran) {
+// handleRefusal tells not-run only if no dispatch of the attempt is unaccounted for.
+func (s *simulation) handleRefusal(a *attempt, ran kumquatlug.Ran) {
 	switch {
 	case ran != kumquatlug.RanNot:
-		w.tell(a, "unknown")
-	case a.lost:
-		w.block(a)
+		s.recordOutcome(a, "unknown")
+	case a.unaccounted:
+		s.startBlock(a)
 	default:
-		w.tell(a, "not-run")
+		s.recordOutcome(a, "not-run")
 	}
 }
 
-func (w *world) ruled(a *attempt, r Ruling) {
+func (s *simulation) handleRuling(a *attempt, r Ruling) {
 	switch r.verdict {
 	case VerdictAnswer:
 		answer := string(r.outcome.body)
 		if r.outcome.object != "" {
-			answer = w.objects[r.outcome.object]
+			answer = s.objects[r.outcome.object]
 		}
-		w.answer(a, answer)
+		s.recordAnswer(a, answer)
 	case VerdictBlocked:
-		w.marks[a.key] = r.dispatch
-		w.tell(a, "not-run")
+		s.resendDispatches[a.key] = r.dispatch
+		s.recordOutcome(a, "not-run")
 	case VerdictConflict:
-		w.tell(a, "conflict")
+		s.recordOutcome(a, "conflict")
 	default:
-		w.tell(a, "unknown")
+		s.recordOutcome(a, "unknown")
 	}
 }
 
-// blocked takes the end of an entry's block.
-func (w *world) blocked(a *attempt, d delivery) {
-	if d.failure != nil {
-		w.tell(a, "unknown")
+// handleBlockResponse takes the end of an entry's block.
+func (s *simulation) handleBlockResponse(a *attempt, resp response) {
+	if resp.failure != nil {
+		s.recordOutcome(a, "unknown")
 		return
 	}
-	w.ruled(a, d.ruling)
+	s.handleRuling(a, resp.ruling)
 }
 
-func (w *world) block(a *attempt) {
-	a.blocks = true
-	a.entry.ask(a, a.mark, true, w.now)
+func (s *simulation) startBlock(a *attempt) {
+	a.blocking = true
+	a.entry.submit(a, a.dispatch, true, s.now)
 }
 
 // resend goes to the other target while the first dispatch may still arrive.
-func (w *world) resend(a *attempt, r *rand.Rand) {
-	a.lost = true
-	a.target = r.Intn(targets)
-	w.send(a)
+func (s *simulation) resend(a *attempt, r *rand.Rand) {
+	a.unaccounted = true
+	a.target = r.Intn(targetCount)
+	s.sendDispatch(a)
 }
 
-func (w *world) tell(a *attempt, what string) {
-	a.told = what
-	w.counts[what]++
-	if what == "not-run" && a.ran > 0 {
-		w.fail("attempt %d of %s was told not-run and had run", a.number, a.key)
+func (s *simulation) recordOutcome(a *attempt, outcome string) {
+	a.outcome = outcome
+	s.outcomeCounts[outcome]++
+	if outcome == "not-run" && a.runs > 0 {
+		s.recordViolation("attempt %d of %s was told not-run and had run", a.number, a.key)
 	}
 }
 
-func (w *world) answer(a *attempt, answer string) {
-	w.tell(a, "answer")
-	for _, r := range w.runs[a.key] {
+func (s *simulation) recordAnswer(a *attempt, answer string) {
+	s.recordOutcome(a, "answer")
+	for _, r := range s.runs[a.key] {
 		if r.answer == answer && r.body == a.body {
 			return
 		}
 	}
-	w.fail("attempt %d of %s with %q got %q", a.number, a.key, a.body, answer)
+	s.recordViolation("attempt %d of %s with %q got %q", a.number, a.key, a.body, answer)
 }
--- a/pkg/kumquatlug/ledger/worldend_test.go
+++ b/pkg/kumquatlug/ledger/worldend_test.go
@@ -9,113 +9,113 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func (w *world) rows(keys []string) []kumquatlug.Row {
+func (s *simulation) readRows(keys []string) []kumquatlug.Row {
 	rows := make([]kumquatlug.Row, len(keys))
 	for i, key := range keys {
-		rows[i] = w.table.rows[key]
+		rows[i] = s.table.rows[key]
 	}
 	return rows
 }
 
-func (w *world) read(p *process, e *effect, r *rand.Rand) result {
-	if w.outage || (!w.healthy && r.Intn(24) == 0) {
-		return result{err: errors.Mark(errors.New("down"), kumquatlug.ErrUnavailable)}
+func (s *simulation) completeRead(p *process, op *tableOp, r *rand.Rand) tableResult {
+	if s.tableDown || (!s.faultFree && r.Intn(24) == 0) {
+		return tableResult{err: errors.Mark(errors.New("down"), kumquatlug.ErrUnavailable)}
 	}
-	rows := w.rows(e.reads)
+	rows := s.readRows(op.reads)
 	for i := range rows {
 		if r.Intn(3) == 0 {
-			rows[i] = p.early[i]
+			rows[i] = p.earlyRows[i]
 		}
 	}
-	return result{rows: rows}
+	return tableResult{rows: rows}
 }
 
-// commit ends a transaction in one of the ways in which the platform may.
-func (w *world) commit(tx kumquatlug.Tx, r *rand.Rand) error {
+// commitWithFaults ends a transaction in one of the ways in which the platform may.
+func (s *simulation) commitWithFaults(tx kumquatlug.Tx, r *rand.Rand) error {
 	lost := errors.Mark(errors.New("timeout"), kumquatlug.ErrLost)
 	fault := r.Intn(16)
-	if w.outage && fault > 3 {
+	if s.tableDown && fault > 3 {
 		fault = 0
 	}
-	if w.healthy {
+	if s.faultFree {
 		fault = 15
 	}
 	switch fault {
 	case 0:
 		return errors.Mark(errors.New("down"), kumquatlug.ErrUnavailable)
 	case 1:
-		_ = w.apply(tx)
+		_ = s.apply(tx)
 		return lost
 	case 2:
 		return lost
 	case 3:
-		w.late = append(w.late, tx)
+		s.delayedTxs = append(s.delayedTxs, tx)
 		return lost
 	default:
-		return w.apply(tx)
+		return s.apply(tx)
 	}
 }
 
-// land lets a write take effect long after its writer gave it up.
-func (w *world) land(r *rand.Rand) {
-	if len(w.late) == 0 {
+// applyDelayedTx lets a write take effect long after its writer gave it up.
+func (s *simulation) applyDelayedTx(r *rand.Rand) {
+	if len(s.delayedTxs) == 0 {
 		return
 	}
-	i := r.Intn(len(w.late))
-	_ = w.apply(w.late[i])
-	w.late = append(w.late[:i:i], w.late[i+1:]...)
+	i := r.Intn(len(s.delayedTxs))
+	_ = s.apply(s.delayedTxs[i])
+	s.delayedTxs = append(s.delayedTxs[:i:i], s.delayedTxs[i+1:]...)
 }
 
-// replace starts an agent or an entry anew. What it had under way may still
+// restartProcess starts an agent or an entry anew. What it had under way may still
 // take effect; a replaced agent may be dead, or paused and wake.
-func (w *world) replace(r *rand.Rand, dead bool) {
-	i := r.Intn(targets)
+func (s *simulation) restartProcess(r *rand.Rand, killed bool) {
+	i := r.Intn(targetCount)
 	if r.Intn(4) == 0 {
-		w.linger(w.entries[i], r)
-		w.abandonEntry(w.entries[i])
-		w.entries[i] = w.start(w.entries[i].name, -1)
+		s.keepInFlightTx(s.entries[i], r)
+		s.abandonEntry(s.entries[i])
+		s.entries[i] = s.start(s.entries[i].name, -1)
 		return
 	}
-	if dead {
-		w.linger(w.agents[i], r)
-		w.dead[w.agents[i].book.c.Incarnation] = true
+	if killed {
+		s.keepInFlightTx(s.agents[i], r)
+		s.deadIncarnations[s.agents[i].machine.config.Incarnation] = true
 	} else {
-		w.old = append(w.old, w.agents[i])
+		s.replaced = append(s.replaced, s.agents[i])
 	}
-	w.agents[i] = w.start(w.agents[i].name, i)
+	s.agents[i] = s.start(s.agents[i].name, i)
 }
 
-func (w *world) linger(p *process, r *rand.Rand) {
-	if p.effect != nil && p.effect.writes() && r.Intn(2) == 0 {
-		w.late = append(w.late, p.effect.tx)
+func (s *simulation) keepInFlightTx(p *process, r *rand.Rand) {
+	if p.op != nil && p.op.isWrite() && r.Intn(2) == 0 {
+		s.delayedTxs = append(s.delayedTxs, p.op.tx)
 	}
 }
 
-func (w *world) abandonEntry(p *process) {
-	for _, a := range w.attempts {
-		if a.entry == p && a.told == "" {
-			a.told = "nothing"
+func (s *simulation) abandonEntry(p *process) {
+	for _, a := range s.attempts {
+		if a.entry == p && a.outcome == "" {
+			a.outcome = "nothing"
 		}
 	}
 }
 
-// advance moves the era on and sweeps what is due.
-func (w *world) advance() {
-	era := w.era() + 1
+// advanceEra moves the era on and sweeps what is due.
+func (s *simulation) advanceEra() {
+	era := s.era() + 1
 	tx := kumquatlug.NewTx("era").Put(eraKey, formatNumber(era))
-	for key := range w.table.rows {
+	for key := range s.table.rows {
 		if strings.HasPrefix(key, rowPrefix) && key < eraPrefix(era-1) {
 			tx = tx.Delete(key)
 		}
 	}
-	w.must(w.table.apply(tx))
+	s.requireNoError(s.table.apply(tx))
 }
 
 // giveUp ends an entry's patience with an attempt: it sends again, or blocks.
-func (w *world) giveUp(r *rand.Rand) {
+func (s *simulation) giveUp(r *rand.Rand) {
 	var open []*attempt
-	for _, a := range w.attempts {
-		if a.told == "" && !a.blocks {
+	for _, a := range s.attempts {
+		if a.outcome == "" && !a.blocking {
 			open = append(open, a)
 		}
 	}
@@ -124,76 +124,76 @@
 	}
 	a := open[r.Intn(len(open))]
 	if r.Intn(3) == 0 {
-		w.resend(a, r)
+		s.resend(a, r)
 		return
 	}
-	w.block(a)
-	w.take(a.entry, r)
+	s.startBlock(a)
+	s.handleResponses(a.entry, r)
 }
 
-// leave closes the connection of a question that waits at an agent.
-func (w *world) leave(p *process, r *rand.Rand) {
-	for waiter := int64(1); waiter <= p.book.waiters; waiter++ {
-		a, ok := p.asked[waiter]
+// disconnectWaiter closes the connection of a question that waits at an agent.
+func (s *simulation) disconnectWaiter(p *process, r *rand.Rand) {
+	for waiterID := int64(1); waiterID <= p.machine.lastWaiterID; waiterID++ {
+		a, ok := p.waiting[waiterID]
 		if !ok || p.target < 0 {
 			continue
 		}
-		ran, open := p.book.forget(waiter)
+		ran, open := p.machine.cancelWaiter(waiterID)
 		if !open {
-			w.fail("%s lost a question", p.name)
+			s.recordViolation("%s lost a question", p.name)
 		}
-		delete(p.asked, waiter)
-		w.reply(a, delivery{failure: p.book.failureFor(ran)}, r)
+		delete(p.waiting, waiterID)
+		s.deliverReply(a, response{failure: p.machine.testFailure(ran)}, r)
 		return
 	}
 }
 
-// settle heals everything, lets all processes come to rest, and checks that
+// quiesce heals everything, lets all processes come to rest, and checks that
 // nothing hangs and that no claim is left without anybody to run it.
-func (w *world) settle(r *rand.Rand) {
-	w.outage, w.healthy = false, true
-	for len(w.late) > 0 {
-		w.land(r)
+func (s *simulation) quiesce(r *rand.Rand) {
+	s.tableDown, s.faultFree = false, true
+	for len(s.delayedTxs) > 0 {
+		s.applyDelayedTx(r)
 	}
 	for range 1000 {
-		w.now += DefaultPause
-		for _, p := range w.processes() {
-			w.work(p, r)
-			w.uploaded(p)
-			w.step(p, r)
+		s.now += DefaultPause
+		for _, p := range s.processes() {
+			s.stepJob(p, r)
+			s.completeUpload(p)
+			s.stepTableOp(p, r)
 		}
-		if w.idle() {
+		if s.idle() {
 			break
 		}
 	}
-	w.healthy = false
-	for _, p := range w.processes() {
-		if n := p.book.pending(); n > 0 || len(p.asked) > 0 {
-			w.fail("%s has %d calls pending and %d questions open", p.name, n, len(p.asked))
+	s.faultFree = false
+	for _, p := range s.processes() {
+		if n := p.machine.pending(); n > 0 || len(p.waiting) > 0 {
+			s.recordViolation("%s has %d calls pending and %d questions open", p.name, n, len(p.waiting))
 		}
 	}
-	w.checkClaims()
+	s.checkClaims()
 }
 
-func (w *world) idle() bool {
-	for _, p := range w.processes() {
-		if p.effect != nil || len(p.jobs) > 0 || p.book.pending() > 0 {
+func (s *simulation) idle() bool {
+	for _, p := range s.processes() {
+		if p.op != nil || len(p.jobs) > 0 || p.machine.pending() > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) checkClaims() {
-	for _, key := range worldKeys {
+func (s *simulation) checkClaims() {
+	for _, key := range simulatedKeys {
 		id := NewCall(CallConfig{Caller: "registry", Key: key}).id
-		for _, era := range []int64{w.era(), w.era() - 1} {
-			stored := w.table.rows[rowKey(era, id)]
+		for _, era := range []int64{s.era(), s.era() - 1} {
+			stored := s.table.rows[rowKey(era, id)]
 			if !stored.Exists() {
 				continue
 			}
-			if r := decodeRow(stored.Value()); r.State == stateClaimed && !w.dead[r.Incarnation] {
-				w.fail("%s is claimed by %s, which neither runs it nor is dead", key, r.Incarnation)
+			if r := decodeRow(stored.Value()); r.State == stateClaimed && !s.deadIncarnations[r.Incarnation] {
+				s.recordViolation("%s is claimed by %s, which neither runs it nor is dead", key, r.Incarnation)
 			}
 		}
 	}
--- a/pkg/kumquatlug/quarantine/fleet_test.go
+++ b/pkg/kumquatlug/quarantine/fleet_test.go
@@ -10,51 +10,51 @@
 // step is the time between two moves of the fleet.
 const step kumquatlug.Millis = 100
 
-// nature is what a request does to its target.
-type nature string
+// behavior is what a request does to its target.
+type behavior string
 
 const (
-	innocent     nature = "innocent"
-	crashesEarly nature = "crashes-early"
-	crashesLate  nature = "crashes-late"
+	harmless     behavior = "innocent"
+	crashesEarly behavior = "crashes-early"
+	crashesLate  behavior = "crashes-late"
 )
 
-// request is one request of a caller, which is sent again after each refusal
+// testRequest is one request of a caller, which is sent again after each refusal
 // if it crashes targets.
-type request struct {
-	id      string
-	print   Fingerprint
-	nature  nature
-	entry   int
-	fixed   bool
-	target  int
-	age     int
-	length  int
-	ready   kumquatlug.Millis
-	giveUp  kumquatlug.Millis
-	state   string
-	crashes map[Crash]bool
+type testRequest struct {
+	id          string
+	fingerprint Fingerprint
+	behavior    behavior
+	entry       int
+	entryFixed  bool
+	target      int
+	steps       int
+	runSteps    int
+	readyAt     kumquatlug.Millis
+	giveUpAt    kumquatlug.Millis
+	state       string
+	crashes     map[Crash]bool
 }
 
 // fleet is entries, agents and a table, joined by heartbeats once a second.
 type fleet struct {
-	now      kumquatlug.Millis
-	random   *rand.Rand
-	entries  []*Register
-	agents   []*Register
-	gates    []*Gate
-	lives    []int
-	down     []kumquatlug.Millis
-	claims   map[Fingerprint]string
-	cursors  map[string]int64
-	requests []*request
+	now          kumquatlug.Millis
+	random       *rand.Rand
+	entries      []*Register
+	agents       []*Register
+	gates        []*Gate
+	incarnations []int
+	downUntil    []kumquatlug.Millis
+	claims       map[Fingerprint]string
+	cursors      map[string]int64
+	requests     []*testRequest
 }
 
 func newFleet(seed uint64, entries, targets int) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 7)),
 		claims: map[Fingerprint]string{}, cursors: map[string]int64{},
-		lives: make([]int, targets), down: make([]kumquatlug.Millis, targets),
+		incarnations: make([]int, targets), downUntil: make([]kumquatlug.Millis, targets),
 	}
 	for range entries {
 		f.entries = append(f.entries, New(Config{}))
@@ -67,22 +67,22 @@
 	return f
 }
 
-func (f *fleet) add(n nature) *request {
-	r := &request{
-		id: fmt.Sprintf("r%03d", len(f.requests)), nature: n, state: "idle", target: -1,
-		length: 5 + f.random.IntN(40), ready: f.now + kumquatlug.Millis(f.random.IntN(10000)),
+func (f *fleet) add(b behavior) *testRequest {
+	r := &testRequest{
+		id: fmt.Sprintf("r%03d", len(f.requests)), behavior: b, state: "idle", target: -1,
+		runSteps: 5 + f.random.IntN(40), readyAt: f.now + kumquatlug.Millis(f.random.IntN(10000)),
 		crashes: map[Crash]bool{},
 	}
-	r.print = Fingerprint("f-" + r.id)
+	r.fingerprint = Fingerprint("f-" + r.id)
 	f.requests = append(f.requests, r)
 	return r
 }
 
-// copyOf adds another request with the print of r, sent after a delay.
-func (f *fleet) copyOf(r *request, entry int, delay kumquatlug.Millis) {
-	twin := f.add(r.nature)
-	twin.print, twin.crashes = r.print, r.crashes
-	twin.ready, twin.entry, twin.fixed = r.ready+delay, entry, true
+// addCopy adds another request with the print of r, sent after a delay.
+func (f *fleet) addCopy(r *testRequest, entry int, delay kumquatlug.Millis) {
+	duplicate := f.add(r.behavior)
+	duplicate.fingerprint, duplicate.crashes = r.fingerprint, r.crashes
+	duplicate.readyAt, duplicate.entry, duplicate.entryFixed = r.readyAt+delay, entry, true
 }
 
 // run moves the fleet until the time until.
@@ -92,7 +92,7 @@
 			f.gossip()
 		}
 		for _, r := range f.requests {
-			f.move(r)
+			f.advance(r)
 		}
 	}
 }
@@ -100,30 +100,30 @@
 func (f *fleet) gossip() {
 	for i, e := range f.entries {
 		for j, a := range f.agents {
-			f.tell(fmt.Sprint("a", j, i), a, e)
-			f.tell(fmt.Sprint("e", i, j), e, a)
+			f.sendNotices(fmt.Sprint("a", j, i), a, e)
+			f.sendNotices(fmt.Sprint("e", i, j), e, a)
 		}
 	}
 }
 
-func (f *fleet) tell(link string, from, to *Register) {
+func (f *fleet) sendNotices(link string, from, to *Register) {
 	notices, version := from.Known(f.now, f.cursors[link])
 	f.cursors[link] = version
 	to.Merge(f.now, notices)
 }
 
-func (f *fleet) move(r *request) {
-	if r.ready > f.now {
+func (f *fleet) advance(r *testRequest) {
+	if r.readyAt > f.now {
 		return
 	}
 	switch r.state {
 	case "idle":
-		if !r.fixed {
+		if !r.entryFixed {
 			r.entry = f.random.IntN(len(f.entries))
 		}
 		r.state = "accepted"
-		r.giveUp = 0
-		if f.entries[r.entry].Ask(f.now, r.print).Refused() {
+		r.giveUpAt = 0
+		if f.entries[r.entry].Ask(f.now, r.fingerprint).Refused() {
 			f.refuse(r)
 		}
 	case "accepted":
@@ -134,16 +134,16 @@
 }
 
 // refuse gives the final answer; who crashes targets is sent again.
-func (f *fleet) refuse(r *request) {
+func (f *fleet) refuse(r *testRequest) {
 	r.state = "refused"
-	if r.nature != innocent {
+	if r.behavior != harmless {
 		r.state = "idle"
-		r.ready = f.now + kumquatlug.Second
+		r.readyAt = f.now + kumquatlug.Second
 	}
 }
 
-func (f *fleet) dispatch(r *request) {
-	o := f.entries[r.entry].Ask(f.now, r.print)
+func (f *fleet) dispatch(r *testRequest) {
+	o := f.entries[r.entry].Ask(f.now, r.fingerprint)
 	switch {
 	case o.Standing() == StandingQuarantined, o.Standing() == StandingHeld && o.Wait() == 0:
 		f.refuse(r)
@@ -151,26 +151,26 @@
 	case o.Standing() == StandingHeld, o.Wait() > 0:
 		return
 	}
-	if r.target < 0 || f.down[r.target] > f.now {
+	if r.target < 0 || f.downUntil[r.target] > f.now {
 		r.target = f.random.IntN(len(f.gates))
-		if f.down[r.target] > f.now {
+		if f.downUntil[r.target] > f.now {
 			r.target = -1
 			return
 		}
 	}
-	if n, ok := f.entries[r.entry].Notice(f.now, r.print); ok {
+	if n, ok := f.entries[r.entry].Notice(f.now, r.fingerprint); ok {
 		f.agents[r.target].Merge(f.now, []Notice{n})
 	}
-	f.begin(r)
+	f.start(r)
 }
 
-func (f *fleet) begin(r *request) {
-	a := Arrival{ID: r.id, Fingerprint: r.print}
+func (f *fleet) start(r *testRequest) {
+	a := Arrival{ID: r.id, Fingerprint: r.fingerprint}
 	v := f.gates[r.target].Begin(f.now, a)
 	if v == VerdictClaim {
-		holder := f.claims[r.print]
+		holder := f.claims[r.fingerprint]
 		if holder == "" {
-			f.claims[r.print] = r.id
+			f.claims[r.fingerprint] = r.id
 			holder = r.id
 		}
 		a.Claimed = holder == r.id
@@ -182,41 +182,41 @@
 	switch v {
 	case VerdictRun:
 		r.state = "running"
-		r.age = 0
+		r.steps = 0
 	case VerdictElsewhere, VerdictRefuse:
 		r.target = -1
 	}
 }
 
-func (f *fleet) progress(r *request) {
-	r.age++
+func (f *fleet) progress(r *testRequest) {
+	r.steps++
 	g := f.gates[r.target]
 	switch {
-	case r.nature == crashesEarly && r.age == 2, r.nature == crashesLate && r.age == 12:
+	case r.behavior == crashesEarly && r.steps == 2, r.behavior == crashesLate && r.steps == 12:
 		f.crash(r)
-	case r.age == 3:
+	case r.steps == 3:
 		g.Started(r.id)
-	case r.age >= r.length && r.nature == innocent:
+	case r.steps >= r.runSteps && r.behavior == harmless:
 		g.Ended(f.now, r.id, true)
-		f.entries[r.entry].Finished(f.now, r.print)
-		delete(f.claims, r.print)
+		f.entries[r.entry].Finished(f.now, r.fingerprint)
+		delete(f.claims, r.fingerprint)
 		r.state = "whole"
 	}
 }
 
-func (f *fleet) crash(guilty *request) {
-	t := guilty.target
-	c := NewCrash(fmt.Sprint("t", t), fmt.Sprint(f.lives[t]))
-	guilty.crashes[c] = true
+func (f *fleet) crash(crasher *testRequest) {
+	t := crasher.target
+	c := NewCrash(fmt.Sprint("t", t), fmt.Sprint(f.incarnations[t]))
+	crasher.crashes[c] = true
 	f.gates[t].Crashed(f.now, c)
-	f.lives[t]++
-	f.down[t] = f.now + 3*kumquatlug.Second
+	f.incarnations[t]++
+	f.downUntil[t] = f.now + 3*kumquatlug.Second
 	for _, r := range f.requests {
 		if r.target != t || (r.state != "running" && r.state != "accepted") {
 			continue
 		}
 		if r.state == "running" {
-			f.entries[r.entry].Crashed(f.now, c, []Held{{Fingerprint: r.print, Starting: r.age < 3}})
+			f.entries[r.entry].Crashed(f.now, c, []Held{{Fingerprint: r.fingerprint, Starting: r.steps < 3}})
 		}
 		r.state = "accepted"
 		r.target = -1
--- a/pkg/kumquatlug/quarantine/gate.go
+++ b/pkg/kumquatlug/quarantine/gate.go
@@ -52,25 +52,25 @@
 // Gate watches the calls in hand at one target; its agent has one.
 type Gate struct {
 	register *Register
-	calls    map[string]*inHand
-	// pending is a suspect that waits for the calls that are starting; none
+	calls    map[string]*inFlightCall
+	// pendingSuspect is a suspect that waits for the calls that are starting; none
 	// may overtake it, or it would wait for ever on a busy target.
-	pending string
+	pendingSuspect string
 }
 
-// inHand is one call at the target.
-type inHand struct {
+// inFlightCall is one call at the target.
+type inFlightCall struct {
 	fingerprint Fingerprint
 	starting    bool
-	// watched says that the call began as a suspect, with nothing else
+	// isolatedStart says that the call began as a suspect, with nothing else
 	// starting beside it.
-	watched bool
+	isolatedStart bool
 }
 
 // NewGate returns a gate for a target with nothing in hand, which tells and
 // asks r.
 func NewGate(r *Register) *Gate {
-	return &Gate{register: r, calls: map[string]*inHand{}}
+	return &Gate{register: r, calls: map[string]*inFlightCall{}}
 }
 
 // Begin decides whether a call may begin now.
@@ -83,13 +83,13 @@
 	if o.Standing() == StandingSuspect {
 		return g.beginSuspect(now, a)
 	}
-	if g.pending == a.ID {
-		g.pending = ""
+	if g.pendingSuspect == a.ID {
+		g.pendingSuspect = ""
 	}
-	if g.pending != "" || g.watchedStart() {
+	if g.pendingSuspect != "" || g.isolatedStarting() {
 		return VerdictWait
 	}
-	g.calls[a.ID] = &inHand{fingerprint: a.Fingerprint, starting: true}
+	g.calls[a.ID] = &inFlightCall{fingerprint: a.Fingerprint, starting: true}
 	return VerdictRun
 }
 
@@ -97,26 +97,26 @@
 // else is starting: of two that start together neither could be proven to have
 // caused a crash, and one of them is innocent.
 func (g *Gate) beginSuspect(now kumquatlug.Millis, a Arrival) Verdict {
-	alone := a.Urgent || !g.suspectInHand(now)
-	if !alone || (g.pending != "" && g.pending != a.ID) {
+	allowed := a.Urgent || !g.suspectInFlight(now)
+	if !allowed || (g.pendingSuspect != "" && g.pendingSuspect != a.ID) {
 		return VerdictElsewhere
 	}
 	if !a.Claimed {
 		return VerdictClaim
 	}
 	if g.anyStarting() {
-		g.pending = a.ID
+		g.pendingSuspect = a.ID
 		return VerdictWait
 	}
-	g.pending = ""
-	g.calls[a.ID] = &inHand{fingerprint: a.Fingerprint, starting: true, watched: true}
+	g.pendingSuspect = ""
+	g.calls[a.ID] = &inFlightCall{fingerprint: a.Fingerprint, starting: true, isolatedStart: true}
 	return VerdictRun
 }
 
 // Abandon tells that a call which was to wait no longer asks.
 func (g *Gate) Abandon(id string) {
-	if g.pending == id {
-		g.pending = ""
+	if g.pendingSuspect == id {
+		g.pendingSuspect = ""
 	}
 }
 
@@ -145,20 +145,20 @@
 // hand, and returns those calls in the order of their ids.
 func (g *Gate) Crashed(now kumquatlug.Millis, c Crash) []Held {
 	held := make([]Held, 0, len(g.calls))
-	for _, id := range g.ids() {
+	for _, id := range g.sortedIDs() {
 		call := g.calls[id]
 		held = append(held, Held{
 			Fingerprint: call.fingerprint, Starting: call.starting,
-			Proven: call.watched && (call.starting || len(g.calls) == 1),
+			Proven: call.isolatedStart && (call.starting || len(g.calls) == 1),
 		})
 	}
-	g.calls = map[string]*inHand{}
-	g.pending = ""
+	g.calls = map[string]*inFlightCall{}
+	g.pendingSuspect = ""
 	g.register.Crashed(now, c, held)
 	return held
 }
 
-func (g *Gate) ids() []string {
+func (g *Gate) sortedIDs() []string {
 	ids := make([]string, 0, len(g.calls))
 	for id := range g.calls {
 		ids = append(ids, id)
@@ -176,20 +176,20 @@
 	return false
 }
 
-func (g *Gate) watchedStart() bool {
+func (g *Gate) isolatedStarting() bool {
 	for _, c := range g.calls {
-		if c.watched && c.starting {
+		if c.isolatedStart && c.starting {
 			return true
 		}
 	}
 	return false
 }
 
-// suspectInHand looks at what is known now: a call may have become a suspect
+// suspectInFlight looks at what is known now: a call may have become a suspect
 // through a copy of it that crashed elsewhere.
-func (g *Gate) suspectInHand(now kumquatlug.Millis) bool {
+func (g *Gate) suspectInFlight(now kumquatlug.Millis) bool {
 	for _, c := range g.calls {
-		if g.register.standing(now, c.fingerprint) != StandingFree {
+		if g.register.peekStanding(now, c.fingerprint) != StandingFree {
 			return true
 		}
 	}
--- a/pkg/kumquatlug/quarantine/notice.go
+++ b/pkg/kumquatlug/quarantine/notice.go
@@ -11,7 +11,7 @@
 // Notice is what one register tells another of a fingerprint.
 type Notice struct {
 	fingerprint Fingerprint
-	marks       []mark
+	marks       []crashMark
 	proven      bool
 	remaining   kumquatlug.Millis
 }
@@ -25,16 +25,16 @@
 // Remaining returns how long it was to be remembered when it was told.
 func (n Notice) Remaining() kumquatlug.Millis { return n.remaining }
 
-// noticeForm and markForm are the JSON form of a notice. Ages and remaining
+// noticeJSON and crashMarkJSON are the JSON form of a notice. Ages and remaining
 // spans go over the wire, since points in time mean nothing elsewhere.
-type noticeForm struct {
+type noticeJSON struct {
 	Fingerprint Fingerprint       `json:"f"`
-	Marks       []markForm        `json:"m"`
+	Marks       []crashMarkJSON   `json:"m"`
 	Proven      bool              `json:"p,omitempty"`
 	Remaining   kumquatlug.Millis `json:"r"`
 }
 
-type markForm struct {
+type crashMarkJSON struct {
 	Target      string            `json:"t"`
 	Incarnation string            `json:"i"`
 	Starting    bool              `json:"s,omitempty"`
@@ -44,29 +44,29 @@
 
 // MarshalText returns the notice as JSON.
 func (n Notice) MarshalText() ([]byte, error) {
-	form := noticeForm{Fingerprint: n.fingerprint, Proven: n.proven, Remaining: n.remaining}
+	j := noticeJSON{Fingerprint: n.fingerprint, Proven: n.proven, Remaining: n.remaining}
 	for _, m := range n.marks {
-		form.Marks = append(form.Marks, markForm{
+		j.Marks = append(j.Marks, crashMarkJSON{
 			Target: m.crash.target, Incarnation: m.crash.incarnation,
 			Starting: m.starting, Cleared: m.cleared, Age: m.at,
 		})
 	}
-	text, err := json.Marshal(form)
+	text, err := json.Marshal(j)
 	return text, errors.Wrap(err, "write a quarantine notice")
 }
 
 // UnmarshalText reads what MarshalText wrote.
 func (n *Notice) UnmarshalText(text []byte) error {
-	var form noticeForm
-	if err := json.Unmarshal(text, &form); err != nil {
+	var j noticeJSON
+	if err := json.Unmarshal(text, &j); err != nil {
 		return errors.Wrap(err, "read a quarantine notice")
 	}
-	if form.Fingerprint == "" {
+	if j.Fingerprint == "" {
 		return errors.New("read a quarantine notice: it names no fingerprint")
 	}
-	*n = Notice{fingerprint: form.Fingerprint, proven: form.Proven, remaining: form.Remaining}
-	for _, m := range form.Marks {
-		n.marks = append(n.marks, mark{
+	*n = Notice{fingerprint: j.Fingerprint, proven: j.Proven, remaining: j.Remaining}
+	for _, m := range j.Marks {
+		n.marks = append(n.marks, crashMark{
 			crash: NewCrash(m.Target, m.Incarnation), starting: m.Starting, cleared: m.Cleared, at: m.Age,
 		})
 	}
@@ -78,12 +78,12 @@
 // until something changes, so that gossip costs nothing while nothing crashes.
 func (r *Register) Known(now kumquatlug.Millis, after int64) ([]Notice, int64) {
 	var notices []Notice
-	for _, f := range r.sorted() {
+	for _, f := range r.sortedFingerprints() {
 		rec := r.records[f]
-		if rec.changed <= after || rec.expires <= now {
+		if rec.changedVersion <= after || rec.expiresAt <= now {
 			continue
 		}
-		notices = append(notices, r.notice(now, f, rec))
+		notices = append(notices, r.newNotice(now, f, rec))
 	}
 	return notices, r.version
 }
@@ -93,15 +93,15 @@
 // if no heartbeat has brought the news yet.
 func (r *Register) Notice(now kumquatlug.Millis, f Fingerprint) (Notice, bool) {
 	rec, ok := r.records[f]
-	if !ok || rec.expires <= now {
+	if !ok || rec.expiresAt <= now {
 		return Notice{}, false
 	}
-	return r.notice(now, f, rec), true
+	return r.newNotice(now, f, rec), true
 }
 
-// notice turns the points in time of the marks into ages.
-func (r *Register) notice(now kumquatlug.Millis, f Fingerprint, rec *record) Notice {
-	n := Notice{fingerprint: f, proven: rec.proven, remaining: rec.expires - now}
+// newNotice turns the points in time of the marks into ages.
+func (r *Register) newNotice(now kumquatlug.Millis, f Fingerprint, rec *record) Notice {
+	n := Notice{fingerprint: f, proven: rec.proven, remaining: rec.expiresAt - now}
 	for _, m := range rec.marks {
 		m.at = now - m.at
 		n.marks = append(n.marks, m)
@@ -116,23 +116,23 @@
 		if n.remaining <= 0 {
 			continue
 		}
-		r.mergeOne(now, n)
+		r.mergeNotice(now, n)
 	}
 	for _, n := range notices {
-		r.apply(now, n.fingerprint)
+		r.applyProof(now, n.fingerprint)
 	}
-	r.shrink(now)
+	r.evictRecords(now)
 }
 
-func (r *Register) mergeOne(now kumquatlug.Millis, n Notice) {
+func (r *Register) mergeNotice(now kumquatlug.Millis, n Notice) {
 	rec := r.record(now, n.fingerprint)
 	for _, m := range n.marks {
 		m.at = now - m.at
-		r.mark(now, rec, m)
+		r.addMark(now, rec, m)
 	}
 	if n.proven && !rec.proven {
 		rec.proven = true
-		r.touch(now, rec)
+		r.markChanged(now, rec)
 	}
-	r.prolong(now, rec, now+min(n.remaining, r.config.Period))
+	r.extend(now, rec, now+min(n.remaining, r.config.Period))
 }
--- a/pkg/kumquatlug/quarantine/quarantine_test.go
+++ b/pkg/kumquatlug/quarantine/quarantine_test.go
@@ -13,7 +13,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func TestTwoTargetsAtMost(t *testing.T) {
+func TestRequestCrashesAtMostTwoTargets(t *testing.T) {
 	// Some requests crash each target that runs them, at once or late in their
 	// output, and their callers send them again through any entry. Without a
 	// quarantine the whole group goes down one by one and everybody's answers
@@ -29,17 +29,17 @@
 				f.add(crashesLate)
 			}
 			for range others {
-				f.add(innocent)
+				f.add(harmless)
 			}
 			f.run(3 * kumquatlug.Minute)
-			return f.verdict(early+late > 1)
+			return f.firstViolation(early+late > 1)
 		},
 		gen.UInt64(), gen.IntRange(0, 3), gen.IntRange(0, 1), gen.IntRange(10, 80),
 	))
 	properties.TestingRun(t)
 }
 
-func TestCopiesThroughSeveralEntries(t *testing.T) {
+func TestCopiesThroughSeveralEntriesCrashOneTargetEach(t *testing.T) {
 	// A caller's program sends a request that crashes targets through several
 	// entries, at the same moment or shortly after one another. Entries that
 	// have not heard of the first crash each lose a target to it; together they
@@ -50,10 +50,10 @@
 			f := newFleet(seed, 3, 8)
 			first := f.add(crashesEarly)
 			for i, d := range delays {
-				f.copyOf(first, i%3, kumquatlug.Millis(d)*step)
+				f.addCopy(first, i%3, kumquatlug.Millis(d)*step)
 			}
 			for range others {
-				f.add(innocent)
+				f.add(harmless)
 			}
 			f.run(2 * kumquatlug.Minute)
 			if n := len(first.crashes); n > max(2, 1+len(delays)) {
@@ -68,7 +68,7 @@
 	properties.TestingRun(t)
 }
 
-func TestCopiesAfterTheNews(t *testing.T) {
+func TestCopiesAfterNoticesCrashAtMostTwoTargets(t *testing.T) {
 	// After a crash the entry sends the cut call again while the caller, tired
 	// of waiting, sends it through two other entries. All of them know it for a
 	// suspect; if each gave it its one watched run, four targets would crash.
@@ -78,7 +78,7 @@
 			f := newFleet(seed, 3, 8)
 			first := f.add(crashesEarly)
 			for i, d := range delays {
-				f.copyOf(first, i, 22*step+kumquatlug.Millis(d)*step)
+				f.addCopy(first, i, 22*step+kumquatlug.Millis(d)*step)
 			}
 			f.run(2 * kumquatlug.Minute)
 			if len(first.crashes) > 2 {
@@ -97,8 +97,8 @@
 	r := New(Config{})
 	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "x"}, {Fingerprint: "y"}})
 	g := NewGate(r)
-	begin := func(id, print string, claimed, urgent bool) Verdict {
-		return g.Begin(1, Arrival{ID: id, Fingerprint: Fingerprint(print), Claimed: claimed, Urgent: urgent})
+	begin := func(id, fingerprint string, claimed, urgent bool) Verdict {
+		return g.Begin(1, Arrival{ID: id, Fingerprint: Fingerprint(fingerprint), Claimed: claimed, Urgent: urgent})
 	}
 	steps := []struct {
 		name string
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestResendingProlongs(t *testing.T) {
+func TestResendingExtendsQuarantine(t *testing.T) {
 	// A caller's program sends the guilty request every ten minutes. If its
 	// quarantine ran out meanwhile, it would take two targets down each hour.
 	r := New(Config{Period: kumquatlug.Hour})
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestNoticeText(t *testing.T) {
+func TestNoticeTextRoundTrip(t *testing.T) {
 	r := New(Config{})
 	r.Crashed(5, NewCrash("a", "1"), []Held{{Fingerprint: "x", Starting: true, Proven: true}})
 	sent, ok := r.Notice(10, "x")
@@ -232,19 +232,19 @@
 	// quarantined
 }
 
-// verdict names the first broken promise, or is empty. A request that crashes
+// firstViolation names the first broken promise, or is empty. A request that crashes
 // late may crash one target more for each other one that was proven beside it.
-func (f *fleet) verdict(company bool) string {
+func (f *fleet) firstViolation(severalCrashers bool) string {
 	for _, r := range f.requests {
 		bound := 2
-		if r.nature == crashesLate && company {
+		if r.behavior == crashesLate && severalCrashers {
 			bound = 3
 		}
 		if len(r.crashes) > bound {
-			return fmt.Sprintf("%s (%s) crashed %v", r.id, r.nature, r.crashes)
+			return fmt.Sprintf("%s (%s) crashed %v", r.id, r.behavior, r.crashes)
 		}
-		if r.nature == innocent && r.state != "whole" {
-			return fmt.Sprintf("%s is %s, record %+v", r.id, r.state, f.entries[r.entry].records[r.print])
+		if r.behavior == harmless && r.state != "whole" {
+			return fmt.Sprintf("%s is %s, record %+v", r.id, r.state, f.entries[r.entry].records[r.fingerprint])
 		}
 	}
 	return ""
@@ -259,7 +259,7 @@
 			random := rand.New(rand.NewPCG(seed, 1))
 			var notices []Notice
 			for i := range 4 {
-				notices = append(notices, chatter(random, i)...)
+				notices = append(notices, randomNotices(random, i)...)
 			}
 			a, b := New(Config{}), New(Config{})
 			a.Merge(100, notices)
@@ -268,15 +268,15 @@
 			for _, n := range shuffled {
 				b.Merge(100, []Notice{n})
 			}
-			return reflect.DeepEqual(standings(a), standings(b))
+			return reflect.DeepEqual(allStandings(a), allStandings(b))
 		},
 		gen.UInt64(),
 	))
 	properties.TestingRun(t)
 }
 
-// chatter returns what a register knows after some random events.
-func chatter(random *rand.Rand, seed int) []Notice {
+// randomNotices returns what a register knows after some random events.
+func randomNotices(random *rand.Rand, seed int) []Notice {
 	r := New(Config{})
 	for i := range 6 {
 		c := NewCrash(fmt.Sprint("t", random.IntN(3)), "1")
@@ -295,10 +295,10 @@
 	return notices
 }
 
-func standings(r *Register) map[Fingerprint]Standing {
+func allStandings(r *Register) map[Fingerprint]Standing {
 	all := map[Fingerprint]Standing{}
 	for f := range r.records {
-		all[f] = r.standing(100, f)
+		all[f] = r.peekStanding(100, f)
 	}
 	return all
 }
--- a/pkg/kumquatlug/quarantine/register.go
+++ b/pkg/kumquatlug/quarantine/register.go
@@ -8,17 +8,17 @@
 
 // record is what is known of one fingerprint.
 type record struct {
-	marks  []mark
+	marks  []crashMark
 	proven bool
-	// changed is the register's version at the last change worth telling.
-	changed int64
-	// told is when the record last asked to be told for its longer life.
-	told    kumquatlug.Millis
-	expires kumquatlug.Millis
+	// changedVersion is the register's version at the last change worth telling.
+	changedVersion int64
+	// announcedAt is when the record last asked to be told for its longer life.
+	announcedAt kumquatlug.Millis
+	expiresAt   kumquatlug.Millis
 }
 
-// mark is one crash at which a fingerprint was in hand.
-type mark struct {
+// crashMark is one crash at which a fingerprint was in hand.
+type crashMark struct {
 	crash    Crash
 	starting bool
 	// cleared says that the crash no longer speaks against the fingerprint.
@@ -27,8 +27,8 @@
 	at      kumquatlug.Millis
 }
 
-// open counts the crashes that speak against the fingerprint.
-func (r *record) open() int {
+// openCrashes counts the crashes that speak against the fingerprint.
+func (r *record) openCrashes() int {
 	n := 0
 	for _, m := range r.marks {
 		if !m.cleared {
@@ -38,7 +38,7 @@
 	return n
 }
 
-func (r *record) find(c Crash) *mark {
+func (r *record) findMark(c Crash) *crashMark {
 	for i := range r.marks {
 		if r.marks[i].crash == c {
 			return &r.marks[i]
@@ -65,16 +65,16 @@
 func (r *Register) Crashed(now kumquatlug.Millis, c Crash, held []Held) {
 	for _, h := range held {
 		rec := r.record(now, h.Fingerprint)
-		r.mark(now, rec, mark{crash: c, starting: h.Starting, at: now})
+		r.addMark(now, rec, crashMark{crash: c, starting: h.Starting, at: now})
 		if h.Proven && !rec.proven {
 			rec.proven = true
-			r.touch(now, rec)
+			r.markChanged(now, rec)
 		}
 	}
 	for _, h := range held {
-		r.apply(now, h.Fingerprint)
+		r.applyProof(now, h.Fingerprint)
 	}
-	r.shrink(now)
+	r.evictRecords(now)
 }
 
 // Finished records that a call ended with a whole answer, which clears its
@@ -85,7 +85,7 @@
 		return
 	}
 	for i := range rec.marks {
-		r.clear(now, rec, &rec.marks[i])
+		r.clearMark(now, rec, &rec.marks[i])
 	}
 }
 
@@ -93,8 +93,8 @@
 // answers, as after a network partition.
 func (r *Register) Void(now kumquatlug.Millis, c Crash) {
 	for _, rec := range r.records {
-		if m := rec.find(c); m != nil {
-			r.clear(now, rec, m)
+		if m := rec.findMark(c); m != nil {
+			r.clearMark(now, rec, m)
 		}
 	}
 }
@@ -108,45 +108,45 @@
 // that its request is still sent, which prolongs a quarantine.
 func (r *Register) Ask(now kumquatlug.Millis, f Fingerprint) Opinion {
 	rec, ok := r.records[f]
-	if !ok || rec.expires <= now {
+	if !ok || rec.expiresAt <= now {
 		return Opinion{standing: StandingFree}
 	}
 	o := r.opinion(now, rec)
 	if o.Refused() {
-		r.prolong(now, rec, now+r.config.Period)
-		o.remaining = rec.expires - now
+		r.extend(now, rec, now+r.config.Period)
+		o.remaining = rec.expiresAt - now
 	}
 	return o
 }
 
 func (r *Register) opinion(now kumquatlug.Millis, rec *record) Opinion {
-	o := Opinion{standing: StandingFree, remaining: rec.expires - now}
-	open := rec.open()
+	o := Opinion{standing: StandingFree, remaining: rec.expiresAt - now}
+	open := rec.openCrashes()
 	switch {
 	case rec.proven:
 		o.standing = StandingQuarantined
 	case open >= 2:
 		o.standing = StandingHeld
-		o.wait = r.left(now, rec, r.config.Hold)
+		o.wait = r.timeLeft(now, rec, r.config.Hold)
 	case open == 1:
 		o.standing = StandingSuspect
-		o.wait = r.settle(now, rec)
+		o.wait = r.settleWait(now, rec)
 	}
 	return o
 }
 
-// settle returns how long the suspect still waits for the news to spread.
-func (r *Register) settle(now kumquatlug.Millis, rec *record) kumquatlug.Millis {
+// settleWait returns how long the suspect still waits for the news to spread.
+func (r *Register) settleWait(now kumquatlug.Millis, rec *record) kumquatlug.Millis {
 	for _, m := range rec.marks {
 		if !m.cleared && m.starting {
-			return r.left(now, rec, r.config.Settle)
+			return r.timeLeft(now, rec, r.config.Settle)
 		}
 	}
 	return 0
 }
 
-// left returns what is left of span since the last crash that is open.
-func (r *Register) left(now kumquatlug.Millis, rec *record, span kumquatlug.Millis) kumquatlug.Millis {
+// timeLeft returns what is left of span since the last crash that is open.
+func (r *Register) timeLeft(now kumquatlug.Millis, rec *record, span kumquatlug.Millis) kumquatlug.Millis {
 	last := kumquatlug.Millis(0)
 	for _, m := range rec.marks {
 		if !m.cleared {
@@ -159,140 +159,140 @@
 // record returns the record of f, a new one if there is none that lasts.
 func (r *Register) record(now kumquatlug.Millis, f Fingerprint) *record {
 	rec, ok := r.records[f]
-	if !ok || rec.expires <= now {
-		rec = &record{expires: now + r.config.Period}
+	if !ok || rec.expiresAt <= now {
+		rec = &record{expiresAt: now + r.config.Period}
 		r.records[f] = rec
 	}
 	return rec
 }
 
-// mark adds m to the record or joins it with the mark of the same crash.
-func (r *Register) mark(now kumquatlug.Millis, rec *record, m mark) {
-	known := rec.find(m.crash)
+// addMark adds m to the record or joins it with the mark of the same crash.
+func (r *Register) addMark(now kumquatlug.Millis, rec *record, m crashMark) {
+	known := rec.findMark(m.crash)
 	if known == nil {
 		rec.marks = append(rec.marks, m)
-		r.touch(now, rec)
+		r.markChanged(now, rec)
 		return
 	}
 	if m.starting && !known.starting {
 		known.starting = true
-		r.touch(now, rec)
+		r.markChanged(now, rec)
 	}
 	if m.cleared {
-		r.clear(now, rec, known)
+		r.clearMark(now, rec, known)
 	}
 }
 
-func (r *Register) clear(now kumquatlug.Millis, rec *record, m *mark) {
+func (r *Register) clearMark(now kumquatlug.Millis, rec *record, m *crashMark) {
 	if m.cleared {
 		return
 	}
 	m.cleared = true
-	r.touch(now, rec)
+	r.markChanged(now, rec)
 }
 
-// apply draws the conclusions from guilt, in both directions: from f's, if it is
+// applyProof draws the conclusions from guilt, in both directions: from f's, if it is
 // proven, for the others; else from theirs for f.
-func (r *Register) apply(now kumquatlug.Millis, f Fingerprint) {
+func (r *Register) applyProof(now kumquatlug.Millis, f Fingerprint) {
 	rec, ok := r.records[f]
 	if !ok {
 		return
 	}
 	if rec.proven {
-		r.explain(now, f)
+		r.clearNeighbours(now, f)
 		return
 	}
 	for i := range rec.marks {
-		if !rec.marks[i].cleared && r.explained(rec.marks[i].crash) {
-			r.clear(now, rec, &rec.marks[i])
+		if !rec.marks[i].cleared && r.isExplained(rec.marks[i].crash) {
+			r.clearMark(now, rec, &rec.marks[i])
 		}
 	}
 }
 
-func (r *Register) explained(c Crash) bool {
+func (r *Register) isExplained(c Crash) bool {
 	for _, rec := range r.records {
-		if rec.proven && rec.find(c) != nil {
+		if rec.proven && rec.findMark(c) != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// explain frees all others of the crashes at which a proven fingerprint was.
+// clearNeighbours frees all others of the crashes at which a proven fingerprint was.
 // Without it the neighbours of a guilty request would go on as suspects, one
 // at a time for each target, until their deadlines.
-func (r *Register) explain(now kumquatlug.Millis, guilty Fingerprint) {
-	for _, m := range r.records[guilty].marks {
+func (r *Register) clearNeighbours(now kumquatlug.Millis, proven Fingerprint) {
+	for _, m := range r.records[proven].marks {
 		for f, rec := range r.records {
-			if f == guilty {
+			if f == proven {
 				continue
 			}
-			if other := rec.find(m.crash); other != nil && !rec.proven {
-				r.clear(now, rec, other)
+			if other := rec.findMark(m.crash); other != nil && !rec.proven {
+				r.clearMark(now, rec, other)
 			}
 		}
 	}
 }
 
-// touch makes the record worth telling and starts its period anew.
-func (r *Register) touch(now kumquatlug.Millis, rec *record) {
+// markChanged makes the record worth telling and starts its period anew.
+func (r *Register) markChanged(now kumquatlug.Millis, rec *record) {
 	r.version++
-	rec.changed = r.version
-	rec.told = now
-	rec.expires = max(rec.expires, now+r.config.Period)
+	rec.changedVersion = r.version
+	rec.announcedAt = now
+	rec.expiresAt = max(rec.expiresAt, now+r.config.Period)
 }
 
-// prolong lengthens the life of a record. It is told only when an eighth of the
+// extend lengthens the life of a record. It is told only when an eighth of the
 // period has passed since, or each resend would send a notice to every node.
-func (r *Register) prolong(now kumquatlug.Millis, rec *record, expires kumquatlug.Millis) {
-	rec.expires = max(rec.expires, expires)
-	if now-rec.told < r.config.Period/8 {
+func (r *Register) extend(now kumquatlug.Millis, rec *record, expires kumquatlug.Millis) {
+	rec.expiresAt = max(rec.expiresAt, expires)
+	if now-rec.announcedAt < r.config.Period/8 {
 		return
 	}
-	rec.told = now
+	rec.announcedAt = now
 	r.version++
-	rec.changed = r.version
+	rec.changedVersion = r.version
 }
 
-// shrink drops what has expired, and beyond the bound what would expire first;
+// evictRecords drops what has expired, and beyond the bound what would expire first;
 // those that are refused go last.
-func (r *Register) shrink(now kumquatlug.Millis) {
+func (r *Register) evictRecords(now kumquatlug.Millis) {
 	for f, rec := range r.records {
-		if rec.expires <= now {
+		if rec.expiresAt <= now {
 			delete(r.records, f)
 		}
 	}
 	for len(r.records) > r.config.Records {
-		r.dropOne(now)
+		r.evictOne(now)
 	}
 }
 
-func (r *Register) dropOne(now kumquatlug.Millis) {
+func (r *Register) evictOne(now kumquatlug.Millis) {
 	var first Fingerprint
 	var found *record
 	for f, rec := range r.records {
-		if found == nil || r.sooner(now, rec, found) || (!r.sooner(now, found, rec) && f < first) {
+		if found == nil || r.evictedBefore(now, rec, found) || (!r.evictedBefore(now, found, rec) && f < first) {
 			first, found = f, rec
 		}
 	}
 	delete(r.records, first)
 }
 
-// sooner reports whether a is dropped before b.
-func (r *Register) sooner(now kumquatlug.Millis, a, b *record) bool {
+// evictedBefore reports whether a is dropped before b.
+func (r *Register) evictedBefore(now kumquatlug.Millis, a, b *record) bool {
 	refusedA, refusedB := r.opinion(now, a).Refused(), r.opinion(now, b).Refused()
 	if refusedA != refusedB {
 		return refusedB
 	}
-	return a.expires < b.expires
+	return a.expiresAt < b.expiresAt
 }
 
 // Len returns how many fingerprints are remembered.
 func (r *Register) Len() int { return len(r.records) }
 
-// sorted returns the fingerprints in order, so that what goes out does not
+// sortedFingerprints returns the fingerprints in order, so that what goes out does not
 // depend on the order of a map.
-func (r *Register) sorted() []Fingerprint {
+func (r *Register) sortedFingerprints() []Fingerprint {
 	list := make([]Fingerprint, 0, len(r.records))
 	for f := range r.records {
 		list = append(list, f)
@@ -301,10 +301,10 @@
 	return list
 }
 
-// standing is Ask without the sign of life.
-func (r *Register) standing(now kumquatlug.Millis, f Fingerprint) Standing {
+// peekStanding is Ask without the sign of life.
+func (r *Register) peekStanding(now kumquatlug.Millis, f Fingerprint) Standing {
 	rec, ok := r.records[f]
-	if !ok || rec.expires <= now {
+	if !ok || rec.expiresAt <= now {
 		return StandingFree
 	}
 	return r.opinion(now, rec).standing
--- a/pkg/kumquatlug/quarantine/suspects.go
+++ b/pkg/kumquatlug/quarantine/suspects.go
@@ -32,14 +32,14 @@
 //
 // Suspects belong to one owner and are not safe for concurrent use.
 type Suspects struct {
-	c     SuspectsConfig
-	known map[Fingerprint][]sighting
+	config  SuspectsConfig
+	reports map[Fingerprint][]crashReport
 }
 
-// sighting is one crash, by the name under which it was told.
-type sighting struct {
-	name string
-	at   kumquatlug.Millis
+// crashReport is one crash, by the name under which it was told.
+type crashReport struct {
+	id string
+	at kumquatlug.Millis
 }
 
 // NewSuspects returns a count without crashes.
@@ -47,44 +47,44 @@
 	c.Limit = cmp.Or(c.Limit, 3)
 	c.Period = cmp.Or(c.Period, kumquatlug.Minute)
 	c.Most = cmp.Or(c.Most, 4096)
-	return &Suspects{c: c, known: map[Fingerprint][]sighting{}}
+	return &Suspects{config: c, reports: map[Fingerprint][]crashReport{}}
 }
 
 // Any reports whether there is any suspect, so that a front need not take the
 // fingerprint of each request.
-func (s *Suspects) Any() bool { return len(s.known) > 0 }
+func (s *Suspects) Any() bool { return len(s.reports) > 0 }
 
 // Crashed records a crash under a name of its own; told again, it counts once.
 func (s *Suspects) Crashed(now kumquatlug.Millis, f Fingerprint, name string) {
-	for _, seen := range s.known[f] {
-		if seen.name == name {
+	for _, seen := range s.reports[f] {
+		if seen.id == name {
 			return
 		}
 	}
-	if len(s.known) >= s.c.Most {
+	if len(s.reports) >= s.config.Most {
 		s.Forget(now)
 	}
-	if len(s.known) < s.c.Most || s.known[f] != nil {
-		s.known[f] = append(s.known[f], sighting{name: name, at: now})
+	if len(s.reports) < s.config.Most || s.reports[f] != nil {
+		s.reports[f] = append(s.reports[f], crashReport{id: name, at: now})
 	}
 }
 
 // Refused reports that a request has had its number of crashes.
 func (s *Suspects) Refused(now kumquatlug.Millis, f Fingerprint) bool {
 	n := 0
-	for _, seen := range s.known[f] {
-		if now-seen.at < s.c.Period {
+	for _, seen := range s.reports[f] {
+		if now-seen.at < s.config.Period {
 			n++
 		}
 	}
-	return n >= s.c.Limit
+	return n >= s.config.Limit
 }
 
 // Forget drops the requests whose crashes no longer count.
 func (s *Suspects) Forget(now kumquatlug.Millis) {
-	for f, all := range s.known {
-		if now-all[len(all)-1].at >= s.c.Period {
-			delete(s.known, f)
+	for f, all := range s.reports {
+		if now-all[len(all)-1].at >= s.config.Period {
+			delete(s.reports, f)
 		}
 	}
 }
--- a/pkg/kumquatlug/quarantine/suspects_test.go
+++ b/pkg/kumquatlug/quarantine/suspects_test.go
@@ -10,7 +10,7 @@
 // A request ends each worker that runs it, and comes again through three fronts
 // in turn. Each tells the others; after three crashes nobody sends it any more,
 // and the rest of the group stays up.
-func TestASuspectIsRefusedEverywhere(t *testing.T) {
+func TestCrashingRequestIsRefusedByEveryFront(t *testing.T) {
 	fronts := []*Suspects{NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{})}
 	f := Fingerprint("bad")
 	crashes := 0
@@ -31,7 +31,7 @@
 
 // The same crash is told twice, by the front that saw it and by the store. It
 // counts once, and after a while not at all.
-func TestACrashCountsOnceAndNotForEver(t *testing.T) {
+func TestCrashCountsOnceAndExpires(t *testing.T) {
 	s := NewSuspects(SuspectsConfig{Most: 2})
 	for range 5 {
 		s.Crashed(0, "f", "one")
@@ -46,8 +46,8 @@
 	}
 	s.Crashed(0, "g", "x")
 	s.Crashed(0, "h", "x")
-	if len(s.known) != 2 {
-		t.Errorf("%d requests are remembered", len(s.known))
+	if len(s.reports) != 2 {
+		t.Errorf("%d requests are remembered", len(s.reports))
 	}
 	s.Forget(2 * kumquatlug.Minute)
 	if s.Any() {
