--- a/pkg/kumquatlug/ledger/ask.go
+++ b/pkg/kumquatlug/ledger/ask.go
@@ -6,19 +6,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Begin asks for the right to run call. It waits while another run of the same
-// call is in hand, and returns as soon as ctx ends. An error is a
-// [kumquatlug.Failure]: not-run says that this dispatch did not run and never
-// will; it says nothing of earlier sendings of the same key.
+// Begin requests the claim on call. It blocks while another run of the same
+// call is in progress in this process, and returns as soon as ctx ends. An
+// error is a [kumquatlug.Failure]: not-run means that this dispatch did not run
+// and never will; it does not cover earlier dispatches of the same key.
 func (l *Ledger) Begin(ctx context.Context, call Call) (Ruling, error) {
 	return l.submit(ctx, call, false)
 }
 
-// Block is for an entry that lost sight of a dispatch of call. VerdictBlocked
-// says that the dispatch did not run and never will, so that the caller may be
-// told not-run; a resend goes out under the ruling's dispatch, or under a new
-// one. Any other verdict is what the standing row says. After an error nothing
-// is known: the caller must be told unknown, or Block be asked again.
+// Block revokes a dispatch of call whose result the entry does not know.
+// VerdictBlocked means that the dispatch did not run and never will, so the
+// caller can be answered not-run; a resend uses the dispatch in the ruling, or
+// a new one. Any other verdict reports the stored row. After an error the state
+// of the dispatch is not known: the caller must be answered unknown, or Block
+// be called again.
 func (l *Ledger) Block(ctx context.Context, call Call) (Ruling, error) {
 	return l.submit(ctx, call, true)
 }
@@ -42,8 +43,9 @@
 	}
 }
 
-// abandonWait ends a question whose asker has gone. If the right to run came at that
-// very moment, it is given back: nobody would use it.
+// abandonWait cancels a waiter whose context has ended. If the claim was
+// granted at the same time, it is released, because nobody is left to run the
+// call.
 func (l *Ledger) abandonWait(ctx context.Context, waiterID int64, ch chan response, block bool) (Ruling, error) {
 	var ran kumquatlug.Ran
 	var wasWaiting bool
--- a/pkg/kumquatlug/ledger/book.go
+++ b/pkg/kumquatlug/ledger/book.go
@@ -8,29 +8,30 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// response is the end of one question that was put to the book.
+// response is the result for one waiter.
 type response struct {
 	waiterID int64
 	ruling   Ruling
 	failure  *kumquatlug.Failure
 }
 
-// goal is what an item's next write is for.
+// goal is the purpose of the next write of a tracked call.
 type goal string
 
 const (
-	// goalClaim takes the row for a run in this process.
+	// goalClaim claims the row for a run in this process.
 	goalClaim goal = "claim"
-	// goalBlock raises the epoch above a dispatch that is not accounted for.
+	// goalBlock raises the row's epoch above a dispatch whose result is not
+	// known.
 	goalBlock goal = "block"
-	// goalRelease gives back a claim under which nothing ran, and keeps a
-	// claim whose answer was lost from taking effect later.
+	// goalRelease frees a claim under which nothing ran, and keeps a claim
+	// whose commit response was lost from taking effect later.
 	goalRelease goal = "release"
-	// goalStore writes what became of a run.
+	// goalStore writes the outcome of a run.
 	goalStore goal = "store"
 )
 
-// phase is what an item waits for.
+// phase is the event that a tracked call waits for.
 type phase string
 
 const (
@@ -41,14 +42,14 @@
 	phaseCached  phase = "kept"
 )
 
-// waiter is a Begin or a Block that has no ruling yet.
+// waiter is a Begin or Block call that has no ruling yet.
 type waiter struct {
 	id    int64
 	call  Call
 	block bool
 }
 
-// trackedCall is all that the book holds of one call.
+// trackedCall is the state that a process keeps for one call.
 type trackedCall struct {
 	id       string
 	goal     goal
@@ -56,14 +57,15 @@
 	body     string
 	dispatch Dispatch
 	claim    string
-	// era is that of the bucket that present is in.
+	// era is the era of the bucket that currentRow belongs to.
 	era int64
-	// writeUncertain says that an earlier write may still take effect.
+	// writeUncertain reports whether an earlier write may still take effect.
 	writeUncertain bool
-	// rowsRead says that present and former were read and not assumed absent.
+	// rowsRead reports whether currentRow and previousRow were read from the
+	// table. Otherwise they are assumed absent.
 	rowsRead bool
-	// soleRow says that this item's own write put the row into the bucket of era
-	// and left none in the bucket before.
+	// soleRow reports whether this call's own write put the row into the bucket
+	// of era and left none in the bucket before it.
 	soleRow     bool
 	currentRow  kumquatlug.Row
 	previousRow kumquatlug.Row
@@ -71,8 +73,8 @@
 	waiters     []waiter
 }
 
-// storedRow returns the row of the call that was last read, if there is one,
-// and the era in whose bucket it stands.
+// storedRow returns the row of the call as last read and the era of its bucket.
+// It reports false if there is no row.
 func (tc *trackedCall) storedRow() (row, int64, bool) {
 	if tc.rowsRead && tc.currentRow.Exists() {
 		return decodeRow(tc.currentRow.Value()), tc.era, true
@@ -83,8 +85,9 @@
 	return row{State: stateFree}, tc.era, false
 }
 
-// stateMachine decides over the calls of one process. It asks for one effect at a
-// time; everything that waits meanwhile shares the next transaction.
+// stateMachine decides on the claims of one process. It performs no I/O: nextOp
+// returns one table operation at a time, and completeOp takes its result. All
+// calls that wait in the meantime share the next transaction.
 type stateMachine struct {
 	config       Config
 	holder       Holder
@@ -111,7 +114,7 @@
 	}
 }
 
-// begin puts a question and returns the number under which it is answered.
+// begin adds a waiter for call and returns the waiter's id.
 func (m *stateMachine) begin(call Call, block bool, now kumquatlug.Millis) int64 {
 	m.lastWaiterID++
 	m.submit(waiter{id: m.lastWaiterID, call: call, block: block}, now)
@@ -138,7 +141,8 @@
 	m.track(w)
 }
 
-// answerFromMemory answers q from memory if that can be done.
+// answerFromMemory answers w from the state in memory. It reports false if the
+// table is needed.
 func (m *stateMachine) answerFromMemory(tc *trackedCall, w waiter) bool {
 	switch tc.phase {
 	case phaseCached:
@@ -166,8 +170,8 @@
 	return true
 }
 
-// track starts an item for q. The rows are taken to be absent, which is nearly
-// always so; where it is not, the transaction conflicts and they are read.
+// track starts a tracked call for w. Its rows are assumed absent, which they
+// nearly always are; if not, the transaction conflicts and the rows are read.
 func (m *stateMachine) track(w waiter) {
 	m.lastWriteID++
 	tc := &trackedCall{
@@ -182,8 +186,8 @@
 	m.order = append(m.order, tc)
 }
 
-// finish takes the outcome of a run. With upload, the row is written only
-// after uploaded has told where the body is.
+// finish records the outcome of a run. With upload, the row is written only
+// after uploaded has supplied the name of the object that holds the body.
 func (m *stateMachine) finish(t Ticket, o Outcome, upload bool) error {
 	tc, err := m.runningCall(t)
 	if err != nil {
@@ -196,7 +200,7 @@
 	return nil
 }
 
-// uploaded goes on after the body of an outcome was put in the object store.
+// uploaded continues a call after its body was put in the object store.
 func (m *stateMachine) uploaded(t Ticket, object string) {
 	tc := m.calls[t.id]
 	if tc == nil || tc.phase != phaseUpload || tc.claim != t.claim {
@@ -207,7 +211,7 @@
 	tc.phase = phaseRead
 }
 
-// abandon takes back a ticket without an outcome.
+// abandon ends a ticket without an outcome.
 func (m *stateMachine) abandon(t Ticket, ran kumquatlug.Ran) error {
 	tc, err := m.runningCall(t)
 	if err != nil {
@@ -224,12 +228,12 @@
 func (m *stateMachine) runningCall(t Ticket) (*trackedCall, error) {
 	tc := m.calls[t.id]
 	if tc == nil || tc.phase != phaseRunning || tc.claim != t.claim {
-		return nil, errors.AssertionFailedf("ticket %q is not in hand", t.claim)
+		return nil, errors.AssertionFailedf("ticket %q has no running call", t.claim)
 	}
 	return tc, nil
 }
 
-// recordOutcome fixes what became of a run and tells those who wait for it.
+// recordOutcome sets the outcome of a run and answers its waiters.
 func (m *stateMachine) recordOutcome(tc *trackedCall, final row) {
 	final.Epoch = tc.dispatch.epoch
 	final.Claim = tc.claim
@@ -242,8 +246,8 @@
 	m.answerWaiters(tc, tc.finalRow)
 }
 
-// cancelWaiter ends a question whose asker has gone, and returns what may be said
-// of its call. It reports false if the question was answered before.
+// cancelWaiter removes a waiter whose caller has gone, and returns whether the
+// call may have run. It reports false if the waiter was answered before.
 func (m *stateMachine) cancelWaiter(waiterID int64) (kumquatlug.Ran, bool) {
 	for _, tc := range m.order {
 		for i, w := range tc.waiters {
@@ -260,14 +264,14 @@
 	return kumquatlug.RanUnknown, false
 }
 
-// takeResponses returns the answers since the last time.
+// takeResponses returns the responses since the last call and clears them.
 func (m *stateMachine) takeResponses() []response {
 	responses := m.responses
 	m.responses = nil
 	return responses
 }
 
-// pending returns how many items still need the table.
+// pending returns how many calls still need the table.
 func (m *stateMachine) pending() int {
 	n := 0
 	for _, tc := range m.order {
@@ -278,7 +282,8 @@
 	return n
 }
 
-// cacheCall remembers a settled item, and forgets the oldest beyond the bound.
+// cacheCall keeps a settled call in memory and evicts the oldest one beyond
+// Config.Kept.
 func (m *stateMachine) cacheCall(tc *trackedCall) {
 	tc.phase = phaseCached
 	tc.writeUncertain = false
@@ -305,7 +310,7 @@
 	tc.phase = phaseCached
 }
 
-// resubmitWaiters drops the item and puts the questions that wait on it anew.
+// resubmitWaiters drops the call and submits its waiters again.
 func (m *stateMachine) resubmitWaiters(tc *trackedCall, now kumquatlug.Millis) {
 	waiters := tc.waiters
 	tc.waiters = nil
@@ -315,7 +320,7 @@
 	}
 }
 
-// compact forgets items that need nothing more of the table.
+// compact removes calls that no longer need the table from the order.
 func (m *stateMachine) compact() {
 	order := m.order[:0]
 	for _, tc := range m.order {
@@ -327,7 +332,8 @@
 	m.order = order
 }
 
-// rulingFor says what a settled or foreign row means for a call.
+// rulingFor returns the ruling for c that follows from a settled or foreign
+// row.
 func (m *stateMachine) rulingFor(r row, c Call) Ruling {
 	holder := Holder{target: r.Target, incarnation: r.Incarnation}
 	switch {
@@ -338,8 +344,8 @@
 	case r.State == stateClaimed && r.Target != m.config.Target:
 		return Ruling{verdict: VerdictElsewhere, holder: holder}
 	default:
-		// Also a claim of this target from before its process started anew:
-		// whoever held it is gone and may have run the call.
+		// This includes a claim by an earlier incarnation of this target: that
+		// process is gone and may have run the call.
 		return Ruling{verdict: VerdictUnknown, holder: holder}
 	}
 }
--- a/pkg/kumquatlug/ledger/concurrent_test.go
+++ b/pkg/kumquatlug/ledger/concurrent_test.go
@@ -26,10 +26,10 @@
 }
 
 func TestConcurrentCallersRunEachCallAtMostOnce(t *testing.T) {
-	// Many callers send the same few postings through two agents at once, some
-	// hang up in the middle, and the table loses answers and fails now and
-	// then. A posting that two goroutines run shows up as a count of two, one
-	// that a caller who hung up was given as a claim that stays.
+	// Many callers send the same calls through two agents at once, some
+	// disconnect early, and commits fail or lose their response. A call that
+	// two goroutines run is counted twice; a claim granted to a caller that has
+	// disconnected stays in the table as claimed.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	faults := rand.New(rand.NewSource(5))
 	table.commitFault = func() error {
@@ -64,7 +64,7 @@
 	}
 	for key, n := range counter.runs {
 		if n > 1 {
-			t.Errorf("posting %s ran %d times", key, n)
+			t.Errorf("call %s ran %d times", key, n)
 		}
 	}
 	for _, l := range agents {
@@ -74,16 +74,16 @@
 	}
 	for key, r := range table.rows {
 		if decodeRow(r.Value()).State == stateClaimed {
-			t.Errorf("%s is claimed, but all callers have gone", key)
+			t.Errorf("%s is still claimed after all callers ended", key)
 		}
 	}
 	if len(counter.runs) == 0 {
-		t.Error("nothing ran")
+		t.Error("no call ran")
 	}
-	t.Logf("%d of 50 postings ran", len(counter.runs))
+	t.Logf("%d of 50 calls ran", len(counter.runs))
 }
 
-// sendPosting asks for one call; one in four callers hangs up at once or soon.
+// sendPosting begins one call; one in four callers disconnects at once or soon.
 func (c *runCounter) sendPosting(ctx context.Context, l *Ledger, key string, r *rand.Rand) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -105,9 +105,9 @@
 }
 
 func TestClaimIsReleasedWhenCallerDisconnects(t *testing.T) {
-	// The right to run arrives at the very moment at which the caller hangs up.
-	// If nobody gave it back, the posting would stay claimed for ever, though
-	// its caller was told not-run.
+	// The claim is granted at the moment the caller disconnects. If it were not
+	// released, the call would stay claimed, though its caller was answered
+	// not-run.
 	table := newMemoryTable()
 	l := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
 	ch := make(chan response, 1)
@@ -119,13 +119,13 @@
 	ch <- <-ch
 	_, err := l.abandonWait(t.Context(), waiterID, ch, false)
 	if ran := kumquatlug.RanOf(err); ran != kumquatlug.RanNot {
-		t.Errorf("told %q", ran)
+		t.Errorf("ran = %q, want not-run", ran)
 	}
 	if err := l.Flush(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	stored := table.rows[rowKey(0, newTestCall("k", "", Dispatch{}).ID())]
 	if s := decodeRow(stored.Value()).State; s != stateFree {
-		t.Errorf("the row says %q", s)
+		t.Errorf("state = %q, want free", s)
 	}
 }
--- a/pkg/kumquatlug/ledger/effect.go
+++ b/pkg/kumquatlug/ledger/effect.go
@@ -6,18 +6,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// tableOp is one thing that the book asks of the table: rows to read or a
-// transaction to commit.
+// tableOp is one operation on the table: rows to read or a transaction to
+// commit.
 type tableOp struct {
 	reads []string
 	tx    kumquatlug.Tx
 	calls []*trackedCall
 }
 
-// isWrite reports whether the effect is a transaction.
+// isWrite reports whether the operation is a transaction.
 func (op *tableOp) isWrite() bool { return len(op.reads) == 0 }
 
-// nextOp returns what to ask of the table now, nil for nothing.
+// nextOp returns the next table operation, or nil if there is none now.
 func (m *stateMachine) nextOp(now kumquatlug.Millis) *tableOp {
 	if m.inFlight != nil || now < m.backoffUntil {
 		return nil
@@ -40,8 +40,8 @@
 	return op
 }
 
-// nextOpAt returns when next may have something that it has not now; zero means
-// only after another event.
+// nextOpAt returns the earliest time at which nextOp may return an operation
+// that it does not have now. Zero means only after another event.
 func (m *stateMachine) nextOpAt() kumquatlug.Millis {
 	if m.inFlight != nil || m.pending() == 0 {
 		return 0
@@ -49,8 +49,9 @@
 	return max(m.backoffUntil, m.nextWriteAt)
 }
 
-// markOutdatedForRead sends items back to reading whose rows were read in an era that has
-// passed, and those whose dispatch names an era that this process has not seen.
+// markOutdatedForRead schedules a read for calls whose rows were read in an
+// earlier era, and for calls whose dispatch names an era that this process has
+// not seen.
 func (m *stateMachine) markOutdatedForRead() {
 	for _, tc := range m.order {
 		if tc.phase != phaseWrite {
@@ -83,9 +84,10 @@
 	return op
 }
 
-// rowKeys returns the rows to read for an item: the present bucket's, and the one
-// before unless it is known to hold none. Most reads are those before a run's
-// outcome is stored; one row in place of two halves what they ask of the table.
+// rowKeys returns the keys to read for a call: its row in the current bucket
+// and, unless that is known to be absent, its row in the previous one. Most
+// reads precede storing the outcome of a run; reading one row instead of two
+// halves their load on the table.
 func (m *stateMachine) rowKeys(tc *trackedCall) []string {
 	if tc.soleRow && tc.era == m.era {
 		return []string{rowKey(m.era, tc.id)}
@@ -116,8 +118,9 @@
 	return op
 }
 
-// stillNeeded reports whether the item's write is still of use as it stands. While
-// an earlier write is in doubt it is: that must be settled first.
+// stillNeeded reports whether the pending write of a call is still useful. It
+// always is while an earlier write is uncertain, because that must be resolved
+// first.
 func (m *stateMachine) stillNeeded(tc *trackedCall, now kumquatlug.Millis) bool {
 	if tc.goal == goalBlock && m.era-tc.dispatch.era > 1 {
 		m.endExpiredBlock(tc, now)
@@ -144,9 +147,9 @@
 	return true
 }
 
-// endExpiredBlock ends a block of a dispatch that is two eras old. The row of its run
-// may have been swept by now; that no row stands then doesn't mean that nothing
-// ran, and "not run" could be a lie.
+// endExpiredBlock answers blocks of a dispatch that is two eras old with
+// unknown. The row of its run may have been swept, so a missing row doesn't
+// prove that nothing ran, and not-run could be false.
 func (m *stateMachine) endExpiredBlock(tc *trackedCall, now kumquatlug.Millis) {
 	waiters := tc.waiters
 	tc.waiters = nil
@@ -160,16 +163,17 @@
 	}
 }
 
-// dispatchTooOld reports whether a claim's dispatch is two eras old. The row that
-// blocked it may have been swept by now, so that nothing in the table would
-// keep it from running. An era that the table has not reached is refused too.
+// dispatchTooOld reports whether the dispatch of a claim is two eras old. The
+// row that blocked it may have been swept, so nothing in the table would keep
+// it from running. A dispatch of an era that the table has not reached is
+// refused too.
 func (m *stateMachine) dispatchTooOld(w waiter) bool {
 	d := w.call.dispatch
 	return !w.block && (m.era-d.era > 1 || d.era > m.era)
 }
 
-// addWrite adds the item's row to tx. The row moves to the bucket of the present
-// era; both buckets are conditions, so that a key never has two rows.
+// addWrite adds the row of tc to tx and moves it to the current era's bucket.
+// The rows in both buckets are conditions, so that a key never has two rows.
 func (m *stateMachine) addWrite(tx kumquatlug.Tx, tc *trackedCall) kumquatlug.Tx {
 	tc.era = m.era
 	key, previousKey := rowKey(m.era, tc.id), rowKey(m.era-1, tc.id)
--- a/pkg/kumquatlug/ledger/era.go
+++ b/pkg/kumquatlug/ledger/era.go
@@ -19,9 +19,9 @@
 	DefaultPages = 40
 )
 
-// eraTimer adds up the age of the present era. It counts only time during which
-// it saw one version of the clock row stand, on its own monotonic clock, so
-// that many watchers together never count a millisecond twice and an era is
+// eraTimer measures the age of the current era. It counts only time during
+// which it saw the version of the clock row unchanged, on its own monotonic
+// clock. So concurrent timers never count a millisecond twice, and an era is
 // never shorter than the window, however the clocks of the VMs differ.
 type eraTimer struct {
 	window       kumquatlug.Millis
@@ -31,7 +31,7 @@
 	seen         bool
 }
 
-// eraUpdate is what a watch asks to be written.
+// eraUpdate is the era and age that follow from an observation.
 type eraUpdate struct {
 	era      int64
 	elapsed  kumquatlug.Millis
@@ -39,9 +39,10 @@
 	writeDue bool
 }
 
-// observe takes the era, the age it has by the clock row, and the version of that
-// row, read at now; now was taken before the read for a row that is new to the
-// watch's eyes and counts from then on.
+// observe takes the era, its age by the clock row and the version of that row,
+// all read before now. For a version that the timer has not seen before,
+// counting starts at now. The counted span is committed only if the version is
+// still the same.
 func (t *eraTimer) observe(era int64, elapsed kumquatlug.Millis, version int64, now kumquatlug.Millis) eraUpdate {
 	if !t.seen || version != t.clockVersion {
 		t.seen, t.clockVersion, t.seenAt = true, version, now
@@ -58,33 +59,34 @@
 	return eraUpdate{era: era + 1, advance: true, writeDue: true}
 }
 
-// KeeperConfig is what a [Keeper] is made of.
+// KeeperConfig configures a [Keeper].
 type KeeperConfig struct {
-	// Table keeps the rows.
+	// Table stores the rows.
 	Table kumquatlug.Table
 	// Clock is the process's clock.
 	Clock kumquatlug.Clock
 	// Incarnation is unique to this start of the process.
 	Incarnation string
-	// Window is how long a key is remembered at least, in milliseconds. Default
-	// 24 hours: a posting that was told unknown in the evening is looked into,
-	// and sent again, the next working day.
+	// Window is the minimum time that a key is remembered, in milliseconds.
+	// Default 24 hours: a call that ended as unknown in the evening can be
+	// investigated, and sent again, the next working day.
 	Window kumquatlug.Millis
-	// Tick is how often the keeper reads the era, in milliseconds. Default
-	// 60000: two reads a minute from each entry and about one write a minute
-	// from all of them together; an era that is late by minutes does no harm.
+	// Tick is the interval at which the keeper reads the era, in milliseconds.
+	// Default 60000: each entry makes two reads a minute, and all of them
+	// together about one write a minute. An era that ends minutes late does no
+	// harm.
 	Tick kumquatlug.Millis
-	// Page is how many old rows one transaction removes. Default 100,
-	// as many as it may have.
+	// Page is the number of old rows that one transaction removes. Default 100,
+	// the maximum of a transaction.
 	Page int
-	// Pages bounds the transactions of one sweep. Default 40: with 500 rows
-	// each every minute, 333 calls a second can be forgotten as fast as they
-	// come.
+	// Pages is the maximum number of transactions of one sweep. Default 40:
+	// with 500 rows each every minute, 333 calls a second can be removed as
+	// fast as they arrive.
 	Pages int
 }
 
-// Keeper advances the era and removes rows that are due. Every entry runs one;
-// which of them comes first in a tick does the work.
+// Keeper advances the era and removes expired rows. Every entry runs one; the
+// first to commit in a tick does the work.
 type Keeper struct {
 	config  KeeperConfig
 	timer   eraTimer
@@ -95,7 +97,7 @@
 	eraKnown bool
 }
 
-// NewKeeper checks c and returns a keeper that has not read the era yet.
+// NewKeeper validates c and returns a keeper that has not read the era yet.
 func NewKeeper(c KeeperConfig) (*Keeper, error) {
 	if c.Table == nil || c.Clock == nil || c.Incarnation == "" {
 		return nil, errors.New("a keeper needs a table, a clock and an incarnation")
@@ -110,16 +112,17 @@
 	return &Keeper{config: c, timer: eraTimer{window: c.Window, tick: c.Tick}}, nil
 }
 
-// Dispatch returns the mark for a first sending. It reports false while the
-// era is not known: no call that may not be repeated can be sent then.
+// Dispatch returns the dispatch for the first attempt of a call. It reports
+// false while the era is not known; no non-idempotent call can be sent until
+// then.
 func (k *Keeper) Dispatch() (Dispatch, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return Dispatch{era: k.era}, k.eraKnown
 }
 
-// Run ticks until ctx ends. A tick that fails is made up for by the next; while
-// the era is not known yet, that comes after a second.
+// Run calls Tick periodically until ctx ends. The next tick makes up for a
+// failed one; while the era is not known yet, it follows after a second.
 func (k *Keeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait := k.config.Tick
@@ -139,8 +142,8 @@
 	return ok
 }
 
-// Tick reads the era, counts its age on, and sweeps if that write was this
-// keeper's. One goroutine calls it.
+// Tick reads the era, adds to its age, and sweeps if this keeper committed the
+// new age. It must not be called concurrently.
 func (k *Keeper) Tick(ctx context.Context) error {
 	eraRow, err := k.config.Table.Get(ctx, eraKey)
 	if err != nil {
@@ -175,7 +178,7 @@
 	return era, kumquatlug.Millis(elapsed), err
 }
 
-// adoptEra adopts a higher era only: two reads may come back out of order.
+// adoptEra sets the era if it is higher: reads may complete out of order.
 func (k *Keeper) adoptEra(era int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -194,8 +197,8 @@
 	return k.config.Table.Commit(ctx, tx)
 }
 
-// sweep removes rows of eras before the last one. Nothing writes there any
-// more, since every transaction on such rows demands the era they were in or
+// sweep removes rows of eras before the previous one. Nothing writes to those
+// any more, since every transaction on such rows is conditional on their era or
 // the one after it.
 func (k *Keeper) sweep(ctx context.Context, era int64) error {
 	for range k.config.Pages {
--- a/pkg/kumquatlug/ledger/era_test.go
+++ b/pkg/kumquatlug/ledger/era_test.go
@@ -10,7 +10,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/clock"
 )
 
-// setEra moves the era on by hand.
+// setEra writes the era row.
 func setEra(t *testing.T, table *memoryTable, era int64) {
 	t.Helper()
 	table.mu.Lock()
@@ -21,10 +21,10 @@
 }
 
 func TestBlockOutlivesItsDispatch(t *testing.T) {
-	// A key was blocked long ago. Now a new dispatch of it hangs and is blocked
-	// too. If the old row were taken for the block, it would be swept while the
-	// new dispatch may still arrive, which would then run after its caller was
-	// told not-run.
+	// A key was blocked in an earlier era, and a new dispatch of it is blocked
+	// too. If the old row counted as the block, it would be swept while the new
+	// dispatch may still arrive, and that would run after its caller was
+	// answered not-run.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	entry := startLedger(t, table, objects, "entry-1", "e")
 	agent := startLedger(t, table, objects, "gazette-1", "a")
@@ -40,10 +40,10 @@
 }
 
 func TestBlockOfSweptRunIsUnknown(t *testing.T) {
-	// A posting ran, its answer was lost, and its entry was paused until the
-	// row was swept. Another block of the key stands meanwhile, and the posting
-	// was sent to a second target, which refused it. Neither the absence of the
-	// row nor the other block says that the posting did not run.
+	// A call ran, its answer was lost, and its entry was paused until the row
+	// was swept. In the meantime the key was blocked by another entry, and the
+	// call was sent to a second target, which refused it. Neither the missing
+	// row nor the other block proves that the call did not run.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	entry := startLedger(t, table, objects, "entry-1", "e")
 	slow := startLedger(t, table, objects, "entry-2", "s")
@@ -74,8 +74,8 @@
 }
 
 func TestDispatchTwoErasOldIsRefused(t *testing.T) {
-	// A dispatch arrives after two windows in a paused process's buffer. The
-	// row that blocked it is gone, and its caller was told not-run long ago.
+	// A paused process delivers a dispatch after two windows. The row that
+	// blocked it has been swept, and its caller was answered not-run.
 	table := newMemoryTable()
 	agent := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
 	setEra(t, table, 2)
@@ -86,10 +86,10 @@
 }
 
 func TestClaimIsNotPassedToBlockedDispatch(t *testing.T) {
-	// A resend is being claimed when the dispatch that it replaces arrives late
-	// and waits for it. Then the resend's entry closes its connection. The
-	// claim must be given back and not go to the late dispatch, whose caller
-	// was told not-run.
+	// While the claim of a resend is being written, the dispatch that it
+	// replaces arrives late and waits for the same claim. Then the resend's
+	// entry disconnects. The claim must be released and not granted to the late
+	// dispatch, whose caller was answered not-run.
 	table := newMemoryTable()
 	m := newStateMachine(Config{Target: "gazette-1", Incarnation: "a", Flush: 1}.withDefaults())
 	resend := m.begin(newTestCall("k", "body", NewDispatch(0, 1)), false, 0)
@@ -97,7 +97,7 @@
 	claim := m.nextOp(0)
 	late := m.begin(newTestCall("k", "body", NewDispatch(0, 0)), false, 0)
 	if ran, open := m.cancelWaiter(resend); ran != kumquatlug.RanNot || !open {
-		t.Errorf("forgot the resend: %q, %v", ran, open)
+		t.Errorf("cancelWaiter of the resend = %q, %v", ran, open)
 	}
 	performOp(m, table, claim, 0)
 	for now := kumquatlug.Millis(1); m.pending() > 0; now++ {
@@ -107,11 +107,11 @@
 	}
 	got := m.takeResponses()
 	if len(got) != 1 || got[0].waiterID != late || got[0].ruling.verdict != VerdictStale {
-		t.Errorf("deliveries = %+v", got)
+		t.Errorf("responses = %+v", got)
 	}
 }
 
-// tickKeeper runs one tick, which may meet another keeper's write.
+// tickKeeper runs one tick, which may conflict with another keeper's write.
 func tickKeeper(t *testing.T, k *Keeper) {
 	t.Helper()
 	err := k.Tick(t.Context())
@@ -121,9 +121,9 @@
 }
 
 func TestEraIsNeverShorterThanItsWindow(t *testing.T) {
-	// Three entries count the same era, one started late and one is replaced
-	// again and again. If two of them counted the same minute, rows would be
-	// swept before the window ended and a late resend would post twice.
+	// Three entries measure the same era; one starts late and one is restarted
+	// repeatedly. If two of them counted the same minute, rows would be swept
+	// before the window ended and a late resend would run the call again.
 	table := newMemoryTable()
 	clocks := []*clock.Manual{clock.NewManual(7), clock.NewManual(500_000), clock.NewManual(0)}
 	keeper := func(i, incarnation int) *Keeper {
@@ -164,8 +164,8 @@
 }
 
 func TestSweepRemovesOnlyExpiredRows(t *testing.T) {
-	// Rows of three eras lie in the table. What is too young must stay, or a
-	// resend within the window runs again.
+	// The table holds rows of three eras. Removing a row that has not expired
+	// would let a resend within the window run again.
 	table := newMemoryTable()
 	tx := kumquatlug.NewTx("rows").Put(eraKey, formatNumber(2)).Put(clockKey, formatNumber(0))
 	for era := range int64(3) {
@@ -186,6 +186,6 @@
 	tickKeeper(t, k)
 	rows, err := table.Scan(t.Context(), rowPrefix, "", 100)
 	if err != nil || len(rows) != 10 || rows[0].Key() < eraPrefix(1) {
-		t.Errorf("%d rows stay, error %v", len(rows), err)
+		t.Errorf("%d rows left, error %v", len(rows), err)
 	}
 }
--- a/pkg/kumquatlug/ledger/fake_test.go
+++ b/pkg/kumquatlug/ledger/fake_test.go
@@ -11,13 +11,14 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// memoryTable is the platform's table as a map; it counts transactions.
+// memoryTable is an in-memory table that counts transactions.
 type memoryTable struct {
 	mu      sync.Mutex
 	rows    map[string]kumquatlug.Row
 	version int64
 	commits int
-	// commitFault returns what goes wrong with a commit; lost ones take effect.
+	// commitFault returns the error of a commit. A commit that returns ErrLost
+	// takes effect.
 	commitFault func() error
 }
 
@@ -60,7 +61,7 @@
 	return err
 }
 
-// apply carries tx out without any fault.
+// apply applies tx without faults.
 func (m *memoryTable) apply(tx kumquatlug.Tx) error {
 	m.commits++
 	for _, c := range tx.Conditions() {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// memoryObjects is the platform's object store as a map.
+// memoryObjects is an in-memory object store.
 type memoryObjects struct {
 	mu     sync.Mutex
 	bodies map[string][]byte
--- a/pkg/kumquatlug/ledger/ledger.go
+++ b/pkg/kumquatlug/ledger/ledger.go
@@ -1,78 +1,86 @@
-// Package ledger sees to it that a call that may not be repeated runs at most
-// once, and that a refusal which says "not run" stays true.
+// Package ledger makes a non-idempotent call run at most once, and keeps a
+// refusal that reports "not run" true.
 //
-// The process beside the target makes the claim, right before the run: it
-// inserts a row for caller and idempotency key into the platform's table, and
-// only if that insert took effect does it run the call, once. Weighed against
-// it: a claim made by the entry, which would lie in another process than the
-// run, so that every pause or loss between the two would need a second
-// agreement. Without the ledger a caller who resends after a lost answer, or
-// an entry that retries after a timeout, posts twice.
+// The process beside the target (the agent) claims the call right before it
+// runs it: it inserts a row for caller and idempotency key into the platform's
+// table, and runs the call, once, only if that insert took effect. The
+// alternative, a claim made by the entry (the process that accepts calls), was
+// rejected: claim and run would be in different processes, and every pause or
+// loss between the two would need a second agreement. Without the ledger, a
+// caller that resends after a lost answer, or an entry that retries after a
+// timeout, executes the call twice.
 //
 // # States of a row
 //
 //	absent    nothing is known; any dispatch may claim
 //	free N    nothing ran; a dispatch of epoch N or more may claim
-//	claimed   one process runs it, or died with it
-//	done      it ran; the row holds the answer, or names its object
+//	claimed   one process runs it, or crashed while running it
+//	done      it ran; the row holds the answer, or the name of its object
 //	unknown   whether it ran can't be known; it never runs again
 //
-// A resend after a truthful "not run" must be able to run, while the dispatch
-// that was given up must not, however late it arrives. Therefore each dispatch
-// carries an epoch, zero at first. An entry that can't account for a dispatch
-// of epoch N blocks it: it writes "free N+1". The late dispatch finds a row
-// above its epoch and is refused; the resend is refused once as stale, is told
-// the new epoch and sent again under it. Weighed against it: a row "blocked"
-// for ever (the caller would have to make up a new key for the same posting,
-// which is how postings get doubled), and reading the row before each dispatch
-// (a read for every call, to save a round trip in a rare case). A claim under
-// which nothing ran is given back as "free N": its dispatch has been answered,
-// and the entry may send it to the next target under the same epoch.
+// A resend after a true "not run" must be able to run, while the dispatch that
+// was given up must not, however late it arrives. Therefore each dispatch
+// carries an epoch, initially zero. An entry that does not know the result of a
+// dispatch of epoch N blocks it by writing "free N+1". The late dispatch finds
+// a row above its epoch and is refused. The resend is refused once as stale,
+// receives the new epoch and is sent again with it. Two alternatives were
+// rejected: a permanent "blocked" row, because the caller would need a new key
+// for the same operation, which leads to duplicates; and reading the row before
+// each dispatch, which costs a read for every call to save a round trip in a
+// rare case. A claim under which nothing ran is released as "free N": its
+// dispatch has been answered, and the entry may send it to the next target with
+// the same epoch.
 //
-// For a "not run" to be true the entry keeps three rules. A dispatch goes out
-// once: a client library that repeats a request by itself, as Go's does for one
-// with an Idempotency-Key header and a body it can rewind, leaves a copy that
-// nobody accounts for. Once any dispatch of a request is not accounted for, a
-// refusal of a later one is not enough; the entry must block. And only
-// VerdictBlocked, or a refusal that the agent itself gave as not-run, is told
-// as not-run. All sendings of one request carry the era of the first.
+// For a "not run" to be true, the entry follows these rules:
 //
-// # Lost answers and outages
+//   - A dispatch is sent once. A client library that repeats a request by
+//     itself, as Go's does for one with an Idempotency-Key header and a body it
+//     can rewind, creates a copy that nobody tracks.
+//   - Once the result of any dispatch of a request is not known, a refusal of a
+//     later one is not enough; the entry must block.
+//   - Only VerdictBlocked, or a refusal that the agent itself reported as
+//     not-run, is reported as not-run.
 //
-// After a lost answer the writer reads the row and looks for its own claim. If
-// it is not there the write may still be on its way, so the same claim is
-// written again under the same conditions: whichever copy comes second
-// conflicts. A claim whose caller was refused meanwhile is released.
+// All dispatches of one request carry the era of the first.
 //
-// When the table is out, a claim is refused at once as not-run. Not built: an
-// agent that decides from memory during an outage, since it has seen every
-// claim of the keys that it is first choice for. It fails when the agent dies
-// before its rows are written (its successor can't know which keys ran), when
-// a label change moves the first choice to an agent that has not seen the keys
-// (both may then run one), and when the agent alone is cut off from the table
-// while another agent, which is not, takes the resend. The second and third
-// double a posting; so postings stop while the table is out. What continues:
-// calls that were claimed before (their outcome waits in memory and is written
-// later), answers that are in memory, and all calls that may be repeated.
+// # Lost responses and outages
+//
+// After a lost response to a commit, the writer reads the row and looks for its
+// own claim. If the claim is missing, the write may still be in flight, so the
+// same claim is written again under the same conditions: whichever copy arrives
+// second conflicts. If the caller was refused in the meantime, the claim is
+// released.
+//
+// When the table is unavailable, a claim is refused at once as not-run. An
+// agent could instead decide from memory during an outage, since it has seen
+// every claim of the keys that it is the first choice for. That is not
+// implemented, because it fails in three cases: the agent crashes before its
+// rows are written (its successor can't know which keys ran); a label change
+// moves the first choice to an agent that has not seen the keys (both may then
+// run one); and the agent alone is cut off from the table while another agent,
+// which is not, gets the resend. The second and third case execute a call
+// twice, so non-idempotent calls stop while the table is unavailable. These
+// continue: calls that were claimed before (their outcome is kept in memory and
+// written later), answers that are in memory, and all idempotent calls.
 //
 // # How long a key is remembered
 //
-// Rows lie in buckets by era. An era is as long as Config.Window; a row is
-// looked for in the present era and in the one before, so a key is remembered
-// for one window at least and two at most. Each transaction demands that the
-// era row is unchanged. A dispatch is let in only in the era in which it was
-// sent and the next one, so that it can't outlive the row that blocks it. A
-// sweep reads the oldest buckets only, rows that are all due, and its cost
-// doesn't grow with what is remembered. Eras advance by the sum of spans that
-// the entries measured on their own monotonic clocks ([Keeper]); no two clocks
-// are compared.
+// Rows are stored in buckets by era. An era lasts for the keeper's window
+// ([KeeperConfig.Window]). A row is looked up in the current era and the previous
+// one, so a key is remembered for at least one window and at most two. Each
+// transaction is conditional on an unchanged era row. A dispatch is accepted
+// only in the era in which it was sent and the next one, so that it can't
+// outlive the row that blocks it. A sweep reads only the oldest buckets, where
+// all rows have expired, so its cost doesn't grow with the number of remembered
+// keys. Eras advance by the sum of time spans that the entries measure on their
+// own monotonic clocks ([Keeper]); clocks are never compared.
 //
 // # Rates
 //
-// Everything that waits while one transaction is under way goes into the next.
-// A process starts at most one transaction per Config.Flush, whatever the rate
-// of calls. A call that runs once is two row writes in such transactions and one
-// read. BenchmarkLedger gives the transactions of a call at a given rate.
+// All calls that wait while a transaction is in flight go into the next one. A
+// process starts at most one transaction per Config.Flush, whatever the rate of
+// calls. A call that runs once costs two row writes in such transactions and
+// one read. BenchmarkLedger reports the number of transactions at a given rate.
 package ledger
 
 import (
@@ -88,7 +96,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// The defaults of [Config].
+// Defaults of [Config].
 const (
 	DefaultWindow     = 24 * kumquatlug.Hour
 	DefaultFlush      = 10 * kumquatlug.Millis(1)
@@ -100,61 +108,62 @@
 	DefaultInline     = 8 << 10
 )
 
-// Reasons of refusals that hold for every target alike.
+// Reasons of refusals that apply to all targets.
 const (
-	// ReasonTable: the table is out, so that nothing can be claimed.
+	// ReasonTable: the table is unavailable, so nothing can be claimed.
 	ReasonTable = "table_unavailable"
-	// ReasonObjects: the object store that keeps a large answer is out.
+	// ReasonObjects: the object store that holds a large answer is unavailable.
 	ReasonObjects = "objects_unavailable"
 )
 
-// maxConcurrentReads bounds the reads under way together after a conflict. A batch of
-// 33 is then read in some eight round trips, at 2,000 reads a second or less
-// while a round trip takes 8 ms.
+// maxConcurrentReads is the maximum number of concurrent reads after a
+// conflict. A batch of 33 is then read in about eight round trips, at 2,000
+// reads a second or less while a round trip takes 8 ms.
 const maxConcurrentReads = 16
 
-// Config is what a [Ledger] is made of.
+// Config configures a [Ledger].
 type Config struct {
-	// Table keeps the rows.
+	// Table stores the rows.
 	Table kumquatlug.Table
-	// Objects keeps answers larger than Inline. The store needs a rule of its
-	// own that removes what is older than two windows under "outcomes/".
+	// Objects stores answers larger than Inline. The store needs a lifecycle
+	// rule that removes objects older than two windows under "outcomes/".
 	Objects kumquatlug.Objects
 	// Clock is the process's clock.
 	Clock kumquatlug.Clock
-	// Target is the name of the target that this process stands beside; an
-	// entry, which only blocks, gives its own name.
+	// Target is the name of the target that this process serves. An entry,
+	// which only blocks, uses its own name.
 	Target string
 	// Incarnation is unique to this start of the process. Claims of another
-	// incarnation at the same target are of a process that is gone.
+	// incarnation at the same target belong to a process that is gone.
 	Incarnation string
-	// Flush is the least time in milliseconds between the starts of two
-	// transactions. A call that comes alone waits for none of it. Default 10:
-	// a hundred transactions a second at most, so that three publication
-	// workers stay within several hundred writes a second. With n busy targets
-	// n/300 seconds keeps the same bound.
+	// Flush is the minimum time in milliseconds between the starts of two
+	// transactions. A single call is not delayed by it. Default 10: at most a
+	// hundred transactions a second, so that three publication workers stay
+	// within several hundred writes a second. With n busy targets, n/300
+	// seconds keeps the same bound.
 	Flush kumquatlug.Millis
-	// Timeout bounds one read or transaction, in milliseconds; its answer
-	// counts as lost after that. Default 2000: far above a healthy table's
-	// milliseconds, and a caller at a counter still hears a refusal in time.
+	// Timeout is the limit of one read or transaction, in milliseconds; after
+	// that its response counts as lost. Default 2000: far above a healthy
+	// table's milliseconds, and still short enough for an interactive caller to
+	// get a refusal in time.
 	Timeout kumquatlug.Millis
-	// Pause is how long the table is left alone after a failure, in
-	// milliseconds; calls are refused at once meanwhile. Default 1000: an
-	// outage costs the table one request a second from each process, and the
-	// end of one is noticed within a second.
+	// Pause is the time without table operations after a failure, in
+	// milliseconds; calls are refused at once in the meantime. Default 1000: an
+	// outage costs the table one request a second from each process, and its
+	// end is noticed within a second.
 	Pause kumquatlug.Millis
-	// RetryAfter is the least time told to a refused caller, in milliseconds.
-	// Default 5000: outages are long; a caller a second would be a load of its
-	// own.
+	// RetryAfter is the minimum retry delay reported to a refused caller, in
+	// milliseconds. Default 5000: outages are long, and callers that retry
+	// every second would be a load of their own.
 	RetryAfter kumquatlug.Millis
-	// Batch bounds the calls of one transaction. Default 33: with two conditions
-	// and one row each, and the condition on the era, a transaction has its full
-	// hundred entries.
+	// Batch is the maximum number of calls in one transaction. Default 33: with
+	// two conditions and one row each, and the condition on the era, a
+	// transaction reaches its limit of a hundred entries.
 	Batch int
-	// Kept is how many settled calls stay in memory, so that an early resend
-	// costs no transaction. Default 1024: 8 MB at Inline bytes each.
+	// Kept is the number of settled calls kept in memory, so that an early
+	// resend costs no transaction. Default 1024: 8 MB at Inline bytes each.
 	Kept int
-	// Inline is the size in bytes above which an answer's body goes to the
+	// Inline is the size in bytes above which the body of an answer goes to the
 	// object store. Default 8192: a receipt fits, a document does not.
 	Inline int
 }
@@ -170,8 +179,8 @@
 	return c
 }
 
-// Ledger is the claims of one process. It is safe for concurrent use; nothing
-// is claimed before Run runs.
+// Ledger holds the claims of one process. It is safe for concurrent use. Claims
+// are only made while Run is running.
 type Ledger struct {
 	config   Config
 	wake     chan struct{}
@@ -185,7 +194,7 @@
 	stopped       bool
 }
 
-// New checks c and returns a ledger that is empty.
+// New validates c and returns an empty ledger.
 func New(c Config) (*Ledger, error) {
 	if c.Table == nil || c.Objects == nil || c.Clock == nil {
 		return nil, errors.New("a ledger needs a table, an object store and a clock")
@@ -199,8 +208,9 @@
 	}, nil
 }
 
-// Run carries out what the ledger asks of the table until ctx ends. Calls that
-// still wait for a claim then are refused as not-run. It is called once.
+// Run performs the ledger's table operations until ctx ends. Calls that still
+// wait for a claim at that point are refused as not-run. It must be called
+// once.
 func (l *Ledger) Run(ctx context.Context) error {
 	defer l.uploads.Wait()
 	defer l.stop()
@@ -228,7 +238,7 @@
 	return op, 0
 }
 
-// idle waits for a question, or for the time at which the table may be asked.
+// idle waits for a new call, or for the time of the next table operation.
 func (l *Ledger) idle(ctx context.Context, wait kumquatlug.Millis) {
 	var timer <-chan time.Time
 	if wait > 0 {
@@ -270,7 +280,7 @@
 	})
 }
 
-// update changes the book, hands out what came of it and wakes Run.
+// update changes the state machine, sends its responses and wakes Run.
 func (l *Ledger) update(change func()) {
 	l.mu.Lock()
 	change()
@@ -282,7 +292,7 @@
 	}
 }
 
-// sendResponses hands out what the book has decided; l.mu is held.
+// sendResponses sends the responses of the state machine. l.mu must be held.
 func (l *Ledger) sendResponses() {
 	for _, resp := range l.machine.takeResponses() {
 		if ch, ok := l.responseChans[resp.waiterID]; ok {
@@ -299,10 +309,10 @@
 	l.flushWaiters = nil
 }
 
-// Finish gives the outcome of a run, for those who wait and for resends. It
-// does not wait for the table: the answer may go to its caller at once, also
-// in an outage. What a kill before the write costs is the answer to a resend,
-// which is then told unknown; it is never run again.
+// Finish records the outcome of a run, for waiting calls and for resends. It
+// does not wait for the table: the answer can be sent to its caller at once,
+// even during an outage. If the process is killed before the write, a resend
+// gets unknown instead of the answer; the call never runs again.
 func (l *Ledger) Finish(t Ticket, o Outcome) error {
 	upload := len(o.body) > l.config.Inline
 	var err error
@@ -318,7 +328,8 @@
 	return err
 }
 
-// upload puts a large body in the object store, for as long as that takes.
+// upload puts a large body in the object store and retries until the ledger
+// stops.
 func (l *Ledger) upload(t Ticket, body []byte) {
 	defer l.uploads.Done()
 	name := fmt.Sprintf("outcomes/%s/%s", t.id, t.claim)
@@ -338,16 +349,16 @@
 	}
 }
 
-// Abandon gives back a ticket without an outcome. With RanNot the key is freed
-// for a resend; otherwise it says unknown for ever.
+// Abandon ends a ticket without an outcome. With RanNot the key is freed for a
+// resend; otherwise its state is permanently unknown.
 func (l *Ledger) Abandon(t Ticket, ran kumquatlug.Ran) error {
 	var err error
 	l.update(func() { err = l.machine.abandon(t, ran) })
 	return err
 }
 
-// Flush waits until everything that was settled is in the table; a planned
-// stop calls it between the last answer and the end of Run.
+// Flush waits until all settled calls are in the table. A graceful shutdown
+// calls it between the last answer and the end of Run.
 func (l *Ledger) Flush(ctx context.Context) error {
 	ch := make(chan struct{})
 	l.update(func() { l.flushWaiters = append(l.flushWaiters, ch) })
@@ -359,7 +370,7 @@
 	}
 }
 
-// Pending returns how many calls still need the table.
+// Pending returns the number of calls that still need the table.
 func (l *Ledger) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/kumquatlug/ledger/ledger_test.go
+++ b/pkg/kumquatlug/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startLedger runs a ledger beside target over table until the test ends.
+// startLedger runs a ledger for target on table until the test ends.
 func startLedger(t *testing.T, table *memoryTable, objects *memoryObjects, target, incarnation string) *Ledger {
 	t.Helper()
 	l, err := New(Config{
@@ -52,9 +52,9 @@
 }
 
 func TestResendThroughAnotherTargetGetsStoredAnswer(t *testing.T) {
-	// The caller's connection breaks after the posting ran, and it sends the
-	// posting again. The resend is routed to another target, since labels have
-	// changed meanwhile. Without the row it would be posted twice.
+	// The caller's connection breaks after the call ran, and it sends the call
+	// again. A label change routes the resend to another target, which would
+	// run it a second time if there were no row.
 	for _, size := range []int{10, DefaultInline + 1} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			table, objects := newMemoryTable(), newMemoryObjects()
@@ -88,9 +88,9 @@
 }
 
 func TestBlockedDispatchStaysBlockedAndItsResendRuns(t *testing.T) {
-	// The entry's dispatch hangs in the network. The entry tells the caller
-	// not-run, and the caller sends the posting again; then the first dispatch
-	// arrives after all.
+	// A dispatch is delayed in the network. The entry blocks it and answers the
+	// caller not-run, and the caller sends the call again. Then the first
+	// dispatch arrives.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	entry := startLedger(t, table, objects, "entry-1", "e")
 	agent := startLedger(t, table, objects, "gazette-1", "a")
@@ -99,7 +99,7 @@
 	next := wantVerdict(t, r, err, VerdictBlocked).Dispatch()
 	r, err = agent.Begin(ctx, newTestCall("k", "body", Dispatch{}))
 	if got := wantVerdict(t, r, err, VerdictStale).Dispatch(); got != next {
-		t.Errorf("resend under %v, want %v", got, next)
+		t.Errorf("resend dispatch = %v, want %v", got, next)
 	}
 	r, err = agent.Begin(ctx, newTestCall("k", "body", next))
 	wantVerdict(t, r, err, VerdictRun)
@@ -108,8 +108,8 @@
 }
 
 func TestRestartedAgentReportsUnknown(t *testing.T) {
-	// The agent is killed between the claim and the end of the run. Whether
-	// the posting went out can't be known, so that a resend must not run it.
+	// The agent is killed between the claim and the end of the run. Whether the
+	// call took effect can't be known, so a resend must not run it.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	before := startLedger(t, table, objects, "gazette-1", "a")
 	after := startLedger(t, table, objects, "gazette-1", "b")
@@ -121,21 +121,21 @@
 }
 
 func TestTableOutageRefusesAsNotRun(t *testing.T) {
-	// The table is down. The caller hears at once that nothing ran and when to
-	// come back, and does not hang until its deadline.
+	// The table is unavailable. The caller must get a not-run refusal with a
+	// retry delay at once, and not wait until its deadline.
 	table := newMemoryTable()
 	table.commitFault = func() error { return errors.Mark(errors.New("down"), kumquatlug.ErrUnavailable) }
 	l := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
 	_, err := l.Begin(t.Context(), newTestCall("k", "body", Dispatch{}))
 	f := kumquatlug.FailureOf(err)
 	if f.Ran() != kumquatlug.RanNot || f.RetryAfter() < DefaultRetryAfter {
-		t.Errorf("failure = %v, come back after %d ms", f, f.RetryAfter())
+		t.Errorf("failure = %v, retry after %d ms", f, f.RetryAfter())
 	}
 }
 
 func TestLostCommitResponsesAreReadBack(t *testing.T) {
-	// Every answer of the table to a write is lost after the write took
-	// effect. Whoever takes that for a failure refuses what it has claimed.
+	// The response of every commit is lost after the write took effect.
+	// Treating that as a failure would refuse calls that were claimed.
 	table := newMemoryTable()
 	table.commitFault = func() error { return errors.Mark(errors.New("timeout"), kumquatlug.ErrLost) }
 	l := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
@@ -150,8 +150,8 @@
 }
 
 func TestConflictDoesNotFailOtherCallsInBatch(t *testing.T) {
-	// Half of a burst of postings are resends of calls that another target
-	// has claimed. They share transactions with new ones, which must run.
+	// Half of the calls of a burst are resends of calls that another target has
+	// claimed. They share transactions with new calls, which must still run.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	other := startLedger(t, table, objects, "gazette-2", "b")
 	l := startLedger(t, table, objects, "gazette-1", "a")
@@ -204,7 +204,7 @@
 	// <nil>
 }
 
-// slowTable answers after a time, as one over a network does.
+// slowTable delays each commit, like a table behind a network.
 type slowTable struct {
 	*memoryTable
 	answer *time.Ticker
--- a/pkg/kumquatlug/ledger/proof_test.go
+++ b/pkg/kumquatlug/ledger/proof_test.go
@@ -10,14 +10,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
+// eventKinds lists the kinds of events; an event is as likely as it is frequent
+// in the list.
 var eventKinds = []string{
 	"request", "request", "request", "request", "arrive", "arrive", "arrive", "arrive", "arrive",
-	"step", "step", "step", "step", "step", "step", "step", "step", "step", "step", "step", "step",
-	"work", "work", "work", "work", "work", "upload", "give-up", "give-up", "give-up", "leave",
-	"land", "land", "pass", "pass", "pass", "kill", "replace", "outage", "heal", "heal", "era", "poll", "poll", "settle",
-	"request", "request", "arrive", "arrive", "arrive", "step", "step", "step", "step", "step", "step", "step", "step",
+	"step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table",
+	"step-job", "step-job", "step-job", "step-job", "step-job", "upload", "give-up", "give-up", "give-up", "disconnect",
+	"delayed-commit", "delayed-commit", "pass-time", "pass-time", "pass-time", "kill", "replace", "outage", "recover", "recover", "era", "poll", "poll", "quiesce",
+	"request", "request", "arrive", "arrive", "arrive", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table",
 }
 
+// applyEvent applies an event to the simulation and returns its first violation,
+// if any.
 func applyEvent(sut commands.SystemUnderTest, e proof.Event) commands.Result {
 	s := sut.(*simulation)
 	r := rand.New(rand.NewSource(e.Seed))
@@ -28,17 +32,17 @@
 		for range 1 + r.Intn(2) {
 			s.deliverMessage(r)
 		}
-	case "step":
+	case "step-table":
 		for range 1 + r.Intn(5) {
 			s.stepTableOp(s.busyProcess(r), r)
 		}
-	case "work":
+	case "step-job":
 		s.stepJob(s.runningProcess(r), r)
 	case "upload":
 		s.completeUpload(pickProcess(s.processes(), r, func(p *process) bool { return len(p.uploads) > 0 }))
 	case "give-up":
 		s.giveUp(r)
-	case "leave":
+	case "disconnect":
 		s.disconnectWaiter(pickProcess(s.agents, r, func(p *process) bool { return len(p.waiting) > 0 }), r)
 	default:
 		s.applyFault(e.Kind, r)
@@ -48,20 +52,20 @@
 
 func (s *simulation) applyFault(kind string, r *rand.Rand) {
 	switch kind {
-	case "land":
+	case "delayed-commit":
 		s.applyDelayedTx(r)
-	case "pass":
+	case "pass-time":
 		s.now += kumquatlug.Millis(r.Intn(3000))
 	case "kill", "replace":
 		s.restartProcess(r, kind == "kill")
-	case "outage", "heal":
+	case "outage", "recover":
 		s.tableDown = kind == "outage"
 	case "era":
 		s.advanceEra()
 	case "poll":
 		e := s.entries[r.Intn(len(s.entries))]
 		e.era = s.era()
-	case "settle":
+	case "quiesce":
 		if r.Intn(3) == 0 {
 			s.quiesce(r)
 		}
@@ -69,11 +73,11 @@
 }
 
 func TestProofAtMostOnceAndNotRunIsTrue(t *testing.T) {
-	// Postings are sent, sent again through another entry, with another body,
-	// and routed to another target, while the table loses answers, is down or
-	// lets writes land late, agents are killed, paused and replaced between
-	// claim and run and end, and eras pass. A user would see a posting twice, a
-	// "not run" for one that went out, or another posting's answer.
+	// Calls are sent, and sent again through another entry, with another body,
+	// or to another target. Commits lose their responses, fail, or take effect
+	// late; agents are killed, paused and replaced between claim, run and end;
+	// and eras advance. A fault shows as a call that runs twice, a not-run for
+	// a call that ran, or the answer of a different call.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
 		Claim: "at most one run, and not-run is true",
@@ -84,7 +88,7 @@
 	t.Logf("%v", counts)
 	for _, end := range []string{"run", "answer", "not-run", "unknown", "conflict"} {
 		if counts[end] == 0 {
-			t.Errorf("no run reached %q", end)
+			t.Errorf("no simulation reached %q", end)
 		}
 	}
 }
--- a/pkg/kumquatlug/ledger/refuse.go
+++ b/pkg/kumquatlug/ledger/refuse.go
@@ -6,7 +6,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// startBackoff starts a pause in which the table is left alone.
+// startBackoff stops table operations for Config.Pause.
 func (m *stateMachine) startBackoff(now kumquatlug.Millis) {
 	m.tableFailing = true
 	m.backoffUntil = now + m.config.Pause
@@ -20,8 +20,8 @@
 	}
 }
 
-// refuseWaiters refuses all questions of an item that the table did not
-// answer. A claim whose write may still take effect stays, to be released.
+// refuseWaiters refuses all waiters of a call that the table did not answer. A
+// claim whose write may still take effect is kept, to be released.
 func (m *stateMachine) refuseWaiters(tc *trackedCall, now kumquatlug.Millis) {
 	for _, w := range tc.waiters {
 		m.refuse(w, ReasonTable, now)
@@ -36,8 +36,8 @@
 	}
 }
 
-// refuse ends q without a ruling. A claim that was not handed out runs
-// nothing, so a Begin is told not-run; a Block learned nothing.
+// refuse answers w with a failure. A claim that was not granted runs nothing,
+// so a Begin is refused as not-run; after a Block the state is still unknown.
 func (m *stateMachine) refuse(w waiter, reason string, now kumquatlug.Millis) {
 	ran := kumquatlug.RanNot
 	step := "claim"
--- a/pkg/kumquatlug/ledger/resolve.go
+++ b/pkg/kumquatlug/ledger/resolve.go
@@ -6,13 +6,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// tableResult says how an effect ended.
+// tableResult is the result of a tableOp.
 type tableResult struct {
 	rows []kumquatlug.Row
 	err  error
 }
 
-// completeOp takes the end of the effect in flight.
+// completeOp handles the result of the operation in flight.
 func (m *stateMachine) completeOp(r tableResult, now kumquatlug.Millis) {
 	op := m.inFlight
 	m.inFlight = nil
@@ -42,9 +42,9 @@
 			m.refuseWaiters(tc, now)
 		}
 	default:
-		// The answer is lost and the write may take effect even later. Taking
-		// it for a failure would let a second process run the call; the row
-		// itself tells, by the claim that it carries.
+		// The response is lost and the write may still take effect. Treating it
+		// as a failure would let a second process run the call; reading the row
+		// shows the result, by the claim that it carries.
 		for _, tc := range op.calls {
 			tc.writeUncertain = true
 			tc.phase = phaseRead
@@ -68,8 +68,8 @@
 	}
 }
 
-// grantRun hands the run to the first question that may have it. When all have
-// gone, the claim is given back.
+// grantRun grants the run to the first waiter that may have it. If there is
+// none, the claim is released.
 func (m *stateMachine) grantRun(tc *trackedCall) {
 	tc.writeUncertain = false
 	for i, w := range tc.waiters {
@@ -84,8 +84,8 @@
 	m.startRelease(tc)
 }
 
-// mayRun reports whether the item's claim covers q. A dispatch below the
-// claim's epoch may have been blocked before the claim was made.
+// mayRun reports whether the claim of tc covers w. A dispatch below the claim's
+// epoch may have been blocked before the claim was made.
 func (m *stateMachine) mayRun(tc *trackedCall, w waiter) bool {
 	d := w.call.dispatch
 	return !w.block && w.call.body == tc.body && d.epoch >= tc.dispatch.epoch && tc.era-d.era <= 1
@@ -96,8 +96,8 @@
 	tc.phase = phaseRead
 }
 
-// answerBlocks tells the questions that a free row of this epoch and era answers;
-// the others are put anew.
+// answerBlocks answers the blocks that a free row of this epoch and era
+// satisfies, and submits the other waiters again.
 func (m *stateMachine) answerBlocks(tc *trackedCall, epoch, era int64, now kumquatlug.Millis) {
 	waiters := tc.waiters
 	tc.waiters = nil
@@ -112,7 +112,8 @@
 	}
 }
 
-// completeRead takes the rows of e's items, after the era row.
+// completeRead handles the rows of a read: the era row, then those of its
+// calls.
 func (m *stateMachine) completeRead(op *tableOp, r tableResult, now kumquatlug.Millis) {
 	if r.err != nil {
 		m.startBackoff(now)
@@ -156,7 +157,7 @@
 	return true
 }
 
-// resolve decides what an item does next by the rows that stand.
+// resolve decides on the next step of a call by its stored rows.
 func (m *stateMachine) resolve(tc *trackedCall, now kumquatlug.Millis) {
 	stored, era, exists := tc.storedRow()
 	if exists && stored.State == stateClaimed && stored.Claim == tc.claim {
@@ -170,7 +171,7 @@
 	m.resolveFreeRow(tc, stored, era, now)
 }
 
-// resolveOwnClaim goes on after the item's claim was found in the table.
+// resolveOwnClaim continues after the call's own claim was found in the table.
 func (m *stateMachine) resolveOwnClaim(tc *trackedCall) {
 	if tc.goal == goalClaim {
 		m.grantRun(tc)
@@ -202,8 +203,8 @@
 	tc.phase = phaseWrite
 }
 
-// rejectClaim handles a claim that a free row does not admit, or that has
-// nobody left to run it.
+// rejectClaim handles a claim that a free row does not allow, or that has no
+// waiter left to run it. It reports false if the claim can be written.
 func (m *stateMachine) rejectClaim(tc *trackedCall, stored row, now kumquatlug.Millis) bool {
 	if len(tc.waiters) == 0 {
 		m.startRelease(tc)
@@ -213,8 +214,8 @@
 	if stored.Epoch <= tc.dispatch.epoch {
 		return false
 	}
-	// No earlier write of this claim can take effect any more: it demanded
-	// versions that have passed.
+	// No earlier write of this claim can take effect any more: it was
+	// conditional on row versions that have changed.
 	waiters := tc.waiters
 	tc.waiters = nil
 	m.drop(tc)
@@ -228,10 +229,10 @@
 	return true
 }
 
-// answerSatisfiedBlock answers a block that the row already grants. A row in an older
-// bucket than the dispatch's era does not: it is swept while the dispatch
-// would still be let in. Nor does one two eras younger: when it was written, a
-// run of the dispatch might have been swept before.
+// answerSatisfiedBlock answers a block that the stored row already satisfies. A
+// row in a bucket older than the dispatch's era does not: it is swept while the
+// dispatch would still be accepted. Nor does a row two eras younger: a run of
+// the dispatch might have been swept before it was written.
 func (m *stateMachine) answerSatisfiedBlock(tc *trackedCall, stored row, era int64, now kumquatlug.Millis) bool {
 	if stored.Epoch <= tc.dispatch.epoch || era < tc.dispatch.era || era-tc.dispatch.era > 1 {
 		return false
--- a/pkg/kumquatlug/ledger/row.go
+++ b/pkg/kumquatlug/ledger/row.go
@@ -14,21 +14,22 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Dispatch marks one sending of a call by an entry. The era says how old the
-// sending may be, the epoch whether it has been blocked since: a row that was
-// freed at a higher epoch refuses it. The zero value is a first sending in the
-// first era.
+// Dispatch identifies one attempt of an entry to send a call. The era limits
+// its age, and the epoch shows whether it has been blocked since: a row that
+// was freed at a higher epoch refuses it. The zero value is a first attempt in
+// the first era.
 type Dispatch struct {
 	era   int64
 	epoch int64
 }
 
-// NewDispatch returns the mark for an era and an epoch.
+// NewDispatch returns the dispatch of an era and an epoch.
 func NewDispatch(era, epoch int64) Dispatch {
 	return Dispatch{era: era, epoch: epoch}
 }
 
-// ParseDispatch reads the form that [Dispatch.String] writes.
+// ParseDispatch parses the format of [Dispatch.String]. It returns an error if
+// text is not two numbers in the range of uint32, separated by a dot.
 func ParseDispatch(text string) (Dispatch, error) {
 	left, right, ok := strings.Cut(text, ".")
 	if !ok {
@@ -45,40 +46,40 @@
 	return Dispatch{era: era, epoch: epoch}, nil
 }
 
-// parseDispatchNumber reads an era or an epoch. The bound is far above any that comes
-// about, and keeps a block of a garbled dispatch from overflowing to an epoch
-// below zero, which would block nothing.
+// parseDispatchNumber parses an era or an epoch. The limit of 32 bits is far
+// above any real value, and keeps a block of a malformed dispatch from
+// overflowing to a negative epoch, which would block nothing.
 func parseDispatchNumber(text string) (int64, error) {
 	n, err := strconv.ParseUint(text, 10, 32)
 	return int64(n), err
 }
 
-// String returns the mark as "era.epoch", for a header.
+// String returns the dispatch as "era.epoch", for a header.
 func (d Dispatch) String() string { return fmt.Sprintf("%d.%d", d.era, d.epoch) }
 
-// Era returns the era in which the entry sent the call.
+// Era returns the era in which the entry first sent the call.
 func (d Dispatch) Era() int64 { return d.era }
 
 // Epoch returns the epoch under which the call may be claimed.
 func (d Dispatch) Epoch() int64 { return d.epoch }
 
-// Call is a call that may not be repeated, as far as its ledger needs it.
+// Call identifies a non-idempotent call to the ledger.
 type Call struct {
 	id       string
 	body     string
 	dispatch Dispatch
 }
 
-// CallConfig is what a [Call] is made of.
+// CallConfig configures a [Call].
 type CallConfig struct {
 	// Caller is the account that sent the call.
 	Caller string
 	// Key is the caller's idempotency key.
 	Key string
-	// Body is a hash of all that makes the call what it is: kind, method, path
-	// and body. Another hash under the same key is a conflict.
+	// Body is a hash of everything that identifies the operation: kind, method,
+	// path and body. A different hash under the same key is a conflict.
 	Body string
-	// Dispatch is the mark that the call was sent with.
+	// Dispatch is the dispatch that the call was sent with.
 	Dispatch Dispatch
 }
 
@@ -88,17 +89,17 @@
 	return Call{id: hex.EncodeToString(sum[:16]), body: c.Body, dispatch: c.Dispatch}
 }
 
-// ID returns the name of the call's row: 128 bits of a hash over caller and
-// key, so that one account can't reach another's rows by a crafted key.
+// ID returns the id of the call's row: 128 bits of a hash of caller and key, so
+// that no account can reach another's rows with a crafted key.
 func (c Call) ID() string { return c.id }
 
-// Body returns the hash of what the call asks.
+// Body returns the hash of the operation that the call requests.
 func (c Call) Body() string { return c.body }
 
-// Dispatch returns the mark that the call was sent with.
+// Dispatch returns the dispatch that the call was sent with.
 func (c Call) Dispatch() Dispatch { return c.dispatch }
 
-// Outcome is what a run answered, kept for resends of its call.
+// Outcome is the answer of a run, stored for resends of its call.
 type Outcome struct {
 	status int
 	header http.Header
@@ -106,7 +107,8 @@
 	object string
 }
 
-// NewOutcome returns an outcome; header and body must not be changed later.
+// NewOutcome returns an outcome. The caller must not modify header or body
+// afterwards.
 func NewOutcome(status int, header http.Header, body []byte) Outcome {
 	return Outcome{status: status, header: header, body: body}
 }
@@ -126,19 +128,19 @@
 	incarnation string
 }
 
-// Target returns the name of the target that the process stands beside.
+// Target returns the name of the target that the process serves.
 func (h Holder) Target() string { return h.target }
 
-// Incarnation returns which start of the process it is.
+// Incarnation returns the identifier of this start of the process.
 func (h Holder) Incarnation() string { return h.incarnation }
 
-// state is what a row says of its call.
+// state is the state of a call in its row.
 type state string
 
 const (
 	// stateFree: nothing ran; only a dispatch of at least this epoch may claim.
 	stateFree state = "free"
-	// stateClaimed: the holder runs it, or died with it.
+	// stateClaimed: the holder runs it, or crashed while running it.
 	stateClaimed state = "claimed"
 	// stateDone: it ran and this is the answer.
 	stateDone state = "done"
@@ -146,7 +148,7 @@
 	stateUnknown state = "unknown"
 )
 
-// row is the stored form of a call.
+// row is the stored representation of a call.
 type row struct {
 	State       state       `json:"state"`
 	Epoch       int64       `json:"epoch,omitempty"`
@@ -172,8 +174,8 @@
 	return Outcome{status: r.Status, header: r.Header, body: r.Answer, object: r.Object}
 }
 
-// decodeRow reads a stored row. What can't be read may stand for a run, so it
-// counts as unknown: the call is then never run.
+// decodeRow decodes a stored row. A malformed row may stand for a run, so it
+// counts as unknown and the call never runs.
 func decodeRow(value []byte) row {
 	var r row
 	if err := json.Unmarshal(value, &r); err != nil {
--- a/pkg/kumquatlug/ledger/row_test.go
+++ b/pkg/kumquatlug/ledger/row_test.go
@@ -16,10 +16,10 @@
 			return
 		}
 		if d.Era() < 0 || d.Epoch() < 0 {
-			t.Errorf("%q gave %v", text, d)
+			t.Errorf("%q parsed as %v", text, d)
 		}
 		if again, err := ParseDispatch(d.String()); err != nil || again != d {
-			t.Errorf("%v came back as %v, %v", d, again, err)
+			t.Errorf("%v round trip = %v, %v", d, again, err)
 		}
 	})
 }
@@ -30,8 +30,8 @@
 	f.Add([]byte("{}"))
 	f.Add([]byte(`{"state":"claimed","target":"gazette-1","claim":"a-1","body":"body"}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
-		// A row that can't be read, or says what no row says, may stand for a
-		// run. Only one that says free admits another.
+		// A row that can't be decoded, or has an unknown state, may stand for a
+		// run. Only a row in state free may admit another.
 		table := newMemoryTable()
 		c := newTestCall("k", "body", Dispatch{})
 		if err := table.apply(kumquatlug.NewTx("garbled").Put(rowKey(0, c.ID()), value)); err != nil {
@@ -48,13 +48,13 @@
 		free := r.State == stateFree && r.Epoch <= 0
 		for _, resp := range m.takeResponses() {
 			if resp.failure == nil && resp.ruling.verdict == VerdictRun && !free {
-				t.Errorf("%q admitted a run", value)
+				t.Errorf("row %q admitted a run", value)
 			}
 		}
 	})
 }
 
-// performOp lets an effect that the book asked for happen.
+// performOp performs a table operation and completes it.
 func performOp(m *stateMachine, table *memoryTable, op *tableOp, now kumquatlug.Millis) {
 	r := tableResult{}
 	if op.isWrite() {
--- a/pkg/kumquatlug/ledger/verdict.go
+++ b/pkg/kumquatlug/ledger/verdict.go
@@ -1,29 +1,29 @@
 package ledger
 
-// Verdict is what the ledger says of a call.
+// Verdict is the decision of the ledger on a call.
 type Verdict string
 
-// What the ledger may say.
+// Verdicts of a ledger.
 const (
-	// VerdictRun: this process holds the claim; run the call once, then
-	// Finish or Abandon its ticket.
+	// VerdictRun: this process holds the claim; run the call once, then pass
+	// its ticket to Finish or Abandon.
 	VerdictRun Verdict = "run"
 	// VerdictAnswer: the call ran and this is its answer.
 	VerdictAnswer Verdict = "answer"
-	// VerdictConflict: another call stands under the same key.
+	// VerdictConflict: the key was used for a different call.
 	VerdictConflict Verdict = "conflict"
 	// VerdictUnknown: whether the call ran can't be known; it never runs again.
 	VerdictUnknown Verdict = "unknown"
-	// VerdictElsewhere: another process holds the claim; ask its target, and
-	// if that is gone the run is unknown.
+	// VerdictElsewhere: another process holds the claim; ask its target, and if
+	// that is gone, the result of the run is unknown.
 	VerdictElsewhere Verdict = "elsewhere"
 	// VerdictStale: the dispatch was blocked and did not run; the request may
-	// be sent again under the dispatch that the ruling carries. Its era is
-	// still that of the first sending: were it newer, a block could overlook a
-	// run of an earlier sending whose row is swept by then.
+	// be sent again with the dispatch in the ruling. That has the era of the
+	// first attempt: with a newer era, a block could miss a run of an earlier
+	// attempt whose row has been swept by then.
 	VerdictStale Verdict = "stale"
-	// VerdictBlocked: the dispatch did not run and never will; only an entry
-	// that asked for it gets this.
+	// VerdictBlocked: the dispatch did not run and never will. Only Block
+	// returns it.
 	VerdictBlocked Verdict = "blocked"
 )
 
@@ -33,7 +33,7 @@
 	claim string
 }
 
-// Ruling is the ledger's verdict and what goes with it.
+// Ruling is a verdict with the data that belongs to it.
 type Ruling struct {
 	verdict  Verdict
 	ticket   Ticket
@@ -42,18 +42,19 @@
 	dispatch Dispatch
 }
 
-// Verdict returns what to do.
+// Verdict returns the verdict.
 func (r Ruling) Verdict() Verdict { return r.verdict }
 
-// Ticket returns the right to run, with VerdictRun alone.
+// Ticket returns the right to run the call. It is set only with VerdictRun.
 func (r Ruling) Ticket() Ticket { return r.ticket }
 
-// Outcome returns the kept answer, with VerdictAnswer alone.
+// Outcome returns the stored answer. It is set only with VerdictAnswer.
 func (r Ruling) Outcome() Outcome { return r.outcome }
 
-// Holder returns who holds the claim, with VerdictElsewhere alone.
+// Holder returns the process that holds the claim. It is meaningful only with
+// VerdictElsewhere.
 func (r Ruling) Holder() Holder { return r.holder }
 
-// Dispatch returns the mark to send the call with again, with VerdictStale
-// and VerdictBlocked.
+// Dispatch returns the dispatch to send the call with again. It is set only
+// with VerdictStale and VerdictBlocked.
 func (r Ruling) Dispatch() Dispatch { return r.dispatch }
--- a/pkg/kumquatlug/ledger/world_test.go
+++ b/pkg/kumquatlug/ledger/world_test.go
@@ -8,8 +8,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// attempt is one sending of a call by a caller through an entry, and what the
-// caller was told.
+// attempt is a caller's attempt to send a call through an entry, and the
+// outcome reported to the caller.
 type attempt struct {
 	number      int
 	key         string
@@ -23,14 +23,14 @@
 	runs        int
 }
 
-// message is a dispatch under way to an agent.
+// message is a dispatch in flight to an agent.
 type message struct {
 	attempt  *attempt
 	dispatch Dispatch
 	target   int
 }
 
-// job is a run that an agent was given the right to.
+// job is a run that an agent holds the ticket of.
 type job struct {
 	ticket  Ticket
 	attempt *attempt
@@ -38,7 +38,8 @@
 	answer  string
 }
 
-// process is an entry or an agent: a real book, and what it has under way.
+// process is an entry or an agent: a real state machine and the simulated work
+// in flight.
 type process struct {
 	name      string
 	target    int
@@ -51,15 +52,15 @@
 	era       int64
 }
 
-// run is one run that the oracle saw.
+// run is one execution of a call, as recorded by the oracle.
 type run struct {
 	era    int64
 	body   string
 	answer string
 }
 
-// simulation is the table, two targets with their agents, two entries, all that is
-// under way between them, and the oracle's books.
+// simulation holds the table, two targets with their agents, two entries, all
+// messages in flight, and the state of the oracle.
 type simulation struct {
 	now              kumquatlug.Millis
 	table            *memoryTable
@@ -119,19 +120,20 @@
 	}
 }
 
-// processes returns everything that can act, replaced agents included.
+// processes returns all processes that can act, including replaced agents.
 func (s *simulation) processes() []*process {
 	return append(append(append([]*process(nil), s.agents...), s.entries...), s.replaced...)
 }
 
-// busyProcess returns a process that has something to ask of the table, or under way.
+// busyProcess returns a process that has a table operation in flight or to
+// start.
 func (s *simulation) busyProcess(r *rand.Rand) *process {
 	return pickProcess(s.processes(), r, func(p *process) bool {
 		return p.op != nil || (p.machine.pending() > 0 && s.now >= p.machine.nextOpAt())
 	})
 }
 
-// runningProcess returns a process that has a call to run.
+// runningProcess returns a process that has a job.
 func (s *simulation) runningProcess(r *rand.Rand) *process {
 	return pickProcess(s.processes(), r, func(p *process) bool { return len(p.jobs) > 0 })
 }
@@ -149,7 +151,7 @@
 	return some[r.Intn(len(some))]
 }
 
-// apply carries out a transaction and notes in which era claims were made.
+// apply applies a transaction and records the era of each claim.
 func (s *simulation) apply(tx kumquatlug.Tx) error {
 	err := s.table.apply(tx)
 	if err != nil {
@@ -168,8 +170,8 @@
 	return nil
 }
 
-// sendRequest is a caller's sending; a resend may carry another body, and go out
-// under the mark that an earlier block gave.
+// sendRequest starts an attempt. A resend may have another body, and may use
+// the dispatch that an earlier block returned.
 func (s *simulation) sendRequest(r *rand.Rand) {
 	e := s.entries[r.Intn(len(s.entries))]
 	a := &attempt{
@@ -190,8 +192,8 @@
 	s.messages = append(s.messages, message{attempt: a, dispatch: a.dispatch, target: a.target})
 }
 
-// deliverMessage hands one message, in any order, to the agent that is there now or to
-// one that was replaced and still has the connection.
+// deliverMessage delivers a random message to the current agent of its target,
+// or to a replaced one that still has the connection.
 func (s *simulation) deliverMessage(r *rand.Rand) {
 	if len(s.messages) == 0 {
 		return
@@ -214,18 +216,18 @@
 	p.waiting[p.machine.begin(c, block, now)] = a
 }
 
-// handleResponses handles what a book has decided.
+// handleResponses handles the responses of the state machine of p.
 func (s *simulation) handleResponses(p *process, r *rand.Rand) {
 	for _, resp := range p.machine.takeResponses() {
 		a, ok := p.waiting[resp.waiterID]
 		delete(p.waiting, resp.waiterID)
 		switch {
 		case !ok:
-			s.recordViolation("%s answered a question twice", p.name)
+			s.recordViolation("%s answered a waiter twice", p.name)
 		case p.target < 0:
 			s.handleBlockResponse(a, resp)
 		case resp.failure == nil && resp.ruling.verdict == VerdictRun && r.Intn(8) == 0:
-			// The asker has gone at that moment.
+			// The caller has just disconnected.
 			s.requireNoError(p.machine.abandon(resp.ruling.ticket, kumquatlug.RanNot))
 			s.deliverReply(a, response{failure: p.machine.testFailure(kumquatlug.RanNot)}, r)
 		case resp.failure == nil && resp.ruling.verdict == VerdictRun:
@@ -246,8 +248,9 @@
 	}
 }
 
-// deliverReply brings an agent's answer to the entry, which does as the package says;
-// it may be lost, or come after the entry gave up.
+// deliverReply delivers an agent's response to the entry, which follows the
+// rules in the package documentation. The response may be lost, or arrive after
+// the entry gave up.
 func (s *simulation) deliverReply(a *attempt, resp response, r *rand.Rand) {
 	if a.outcome != "" || a.blocking || r.Intn(6) == 0 {
 		return
@@ -272,7 +275,8 @@
 	}
 }
 
-// handleRefusal tells not-run only if no dispatch of the attempt is unaccounted for.
+// handleRefusal reports not-run only if no dispatch of the attempt is
+// unaccounted for.
 func (s *simulation) handleRefusal(a *attempt, ran kumquatlug.Ran) {
 	switch {
 	case ran != kumquatlug.RanNot:
@@ -302,7 +306,7 @@
 	}
 }
 
-// handleBlockResponse takes the end of an entry's block.
+// handleBlockResponse handles the response to an entry's block.
 func (s *simulation) handleBlockResponse(a *attempt, resp response) {
 	if resp.failure != nil {
 		s.recordOutcome(a, "unknown")
@@ -316,7 +320,8 @@
 	a.entry.submit(a, a.dispatch, true, s.now)
 }
 
-// resend goes to the other target while the first dispatch may still arrive.
+// resend sends the attempt to a random target while its first dispatch may
+// still arrive.
 func (s *simulation) resend(a *attempt, r *rand.Rand) {
 	a.unaccounted = true
 	a.target = r.Intn(targetCount)
@@ -327,7 +332,7 @@
 	a.outcome = outcome
 	s.outcomeCounts[outcome]++
 	if outcome == "not-run" && a.runs > 0 {
-		s.recordViolation("attempt %d of %s was told not-run and had run", a.number, a.key)
+		s.recordViolation("attempt %d of %s was answered not-run but had run", a.number, a.key)
 	}
 }
 
--- a/pkg/kumquatlug/ledger/worldend_test.go
+++ b/pkg/kumquatlug/ledger/worldend_test.go
@@ -30,7 +30,8 @@
 	return tableResult{rows: rows}
 }
 
-// commitWithFaults ends a transaction in one of the ways in which the platform may.
+// commitWithFaults commits tx with one of the results that the platform may
+// produce.
 func (s *simulation) commitWithFaults(tx kumquatlug.Tx, r *rand.Rand) error {
 	lost := errors.Mark(errors.New("timeout"), kumquatlug.ErrLost)
 	fault := r.Intn(16)
@@ -56,7 +57,7 @@
 	}
 }
 
-// applyDelayedTx lets a write take effect long after its writer gave it up.
+// applyDelayedTx applies a write long after its writer gave it up.
 func (s *simulation) applyDelayedTx(r *rand.Rand) {
 	if len(s.delayedTxs) == 0 {
 		return
@@ -66,8 +67,8 @@
 	s.delayedTxs = append(s.delayedTxs[:i:i], s.delayedTxs[i+1:]...)
 }
 
-// restartProcess starts an agent or an entry anew. What it had under way may still
-// take effect; a replaced agent may be dead, or paused and wake.
+// restartProcess restarts an agent or an entry. Its transaction in flight may
+// still take effect. A replaced agent is either dead, or paused and may resume.
 func (s *simulation) restartProcess(r *rand.Rand, killed bool) {
 	i := r.Intn(targetCount)
 	if r.Intn(4) == 0 {
@@ -99,7 +100,7 @@
 	}
 }
 
-// advanceEra moves the era on and sweeps what is due.
+// advanceEra advances the era and sweeps expired rows.
 func (s *simulation) advanceEra() {
 	era := s.era() + 1
 	tx := kumquatlug.NewTx("era").Put(eraKey, formatNumber(era))
@@ -111,7 +112,8 @@
 	s.requireNoError(s.table.apply(tx))
 }
 
-// giveUp ends an entry's patience with an attempt: it sends again, or blocks.
+// giveUp makes an entry time out on an attempt: it resends the attempt or
+// blocks it.
 func (s *simulation) giveUp(r *rand.Rand) {
 	var open []*attempt
 	for _, a := range s.attempts {
@@ -131,7 +133,7 @@
 	s.handleResponses(a.entry, r)
 }
 
-// disconnectWaiter closes the connection of a question that waits at an agent.
+// disconnectWaiter closes the connection of a waiter at an agent.
 func (s *simulation) disconnectWaiter(p *process, r *rand.Rand) {
 	for waiterID := int64(1); waiterID <= p.machine.lastWaiterID; waiterID++ {
 		a, ok := p.waiting[waiterID]
@@ -140,7 +142,7 @@
 		}
 		ran, open := p.machine.cancelWaiter(waiterID)
 		if !open {
-			s.recordViolation("%s lost a question", p.name)
+			s.recordViolation("%s lost a waiter", p.name)
 		}
 		delete(p.waiting, waiterID)
 		s.deliverReply(a, response{failure: p.machine.testFailure(ran)}, r)
@@ -148,8 +150,8 @@
 	}
 }
 
-// quiesce heals everything, lets all processes come to rest, and checks that
-// nothing hangs and that no claim is left without anybody to run it.
+// quiesce ends all faults, runs all processes until they are idle, and checks
+// that nothing is pending and that no claim lacks a process that runs it.
 func (s *simulation) quiesce(r *rand.Rand) {
 	s.tableDown, s.faultFree = false, true
 	for len(s.delayedTxs) > 0 {
@@ -169,7 +171,7 @@
 	s.faultFree = false
 	for _, p := range s.processes() {
 		if n := p.machine.pending(); n > 0 || len(p.waiting) > 0 {
-			s.recordViolation("%s has %d calls pending and %d questions open", p.name, n, len(p.waiting))
+			s.recordViolation("%s has %d pending calls and %d open waiters", p.name, n, len(p.waiting))
 		}
 	}
 	s.checkClaims()
@@ -193,7 +195,7 @@
 				continue
 			}
 			if r := decodeRow(stored.Value()); r.State == stateClaimed && !s.deadIncarnations[r.Incarnation] {
-				s.recordViolation("%s is claimed by %s, which neither runs it nor is dead", key, r.Incarnation)
+				s.recordViolation("%s is claimed by %s, which is alive but does not run it", key, r.Incarnation)
 			}
 		}
 	}
--- a/pkg/kumquatlug/ledger/worldwork_test.go
+++ b/pkg/kumquatlug/ledger/worldwork_test.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// executeJob is the run itself, at the target.
+// executeJob runs a job at the target and records the run.
 func (s *simulation) executeJob(p *process, j *job) {
 	a := j.attempt
 	j.ran = true
@@ -23,13 +23,13 @@
 		}
 	}
 	if a.outcome == "not-run" {
-		s.recordViolation("attempt %d of %s ran after it was told not-run", a.number, a.key)
+		s.recordViolation("attempt %d of %s ran after it was answered not-run", a.number, a.key)
 	}
 	s.runs[a.key] = append(s.runs[a.key], run{era: era, body: a.body, answer: j.answer})
 	s.outcomeCounts["run"]++
 }
 
-// stepJob moves one job on: it runs, ends, or is abandoned.
+// stepJob advances one job: it runs, ends, or is abandoned.
 func (s *simulation) stepJob(p *process, r *rand.Rand) {
 	if len(p.jobs) == 0 {
 		return
@@ -72,8 +72,8 @@
 	}
 }
 
-// stepTableOp begins or ends a process's effect on the table. Between the two
-// anything may happen; rows are read at one time or the other.
+// stepTableOp starts or completes a table operation. Other events may happen in
+// between; rows are read at either time.
 func (s *simulation) stepTableOp(p *process, r *rand.Rand) {
 	if p.op == nil {
 		p.op = p.machine.nextOp(s.now)
