--- a/pkg/kumquatlug/quarantine/fleet_test.go
+++ b/pkg/kumquatlug/quarantine/fleet_test.go
@@ -7,24 +7,24 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// step is the time between two moves of the fleet.
+// step is the simulated time of one step of the fleet.
 const step kumquatlug.Millis = 100
 
-// behavior is what a request does to its target.
-type behavior string
+// behaviour is the effect of a request on its target.
+type behaviour string
 
 const (
-	harmless     behavior = "innocent"
-	crashesEarly behavior = "crashes-early"
-	crashesLate  behavior = "crashes-late"
+	harmless     behaviour = "harmless"
+	crashesEarly behaviour = "crashes-early"
+	crashesLate  behaviour = "crashes-late"
 )
 
-// testRequest is one request of a caller, which is sent again after each refusal
-// if it crashes targets.
+// testRequest is one request of a caller. If it crashes targets, it is sent
+// again after each refusal.
 type testRequest struct {
 	id          string
 	fingerprint Fingerprint
-	behavior    behavior
+	behaviour   behaviour
 	entry       int
 	entryFixed  bool
 	target      int
@@ -36,7 +36,8 @@
 	crashes     map[Crash]bool
 }
 
-// fleet is entries, agents and a table, joined by heartbeats once a second.
+// fleet simulates entries, agents and a claim table, with heartbeats once a
+// second.
 type fleet struct {
 	now          kumquatlug.Millis
 	random       *rand.Rand
@@ -67,9 +68,9 @@
 	return f
 }
 
-func (f *fleet) add(b behavior) *testRequest {
+func (f *fleet) add(b behaviour) *testRequest {
 	r := &testRequest{
-		id: fmt.Sprintf("r%03d", len(f.requests)), behavior: b, state: "idle", target: -1,
+		id: fmt.Sprintf("r%03d", len(f.requests)), behaviour: b, state: "idle", target: -1,
 		runSteps: 5 + f.random.IntN(40), readyAt: f.now + kumquatlug.Millis(f.random.IntN(10000)),
 		crashes: map[Crash]bool{},
 	}
@@ -78,14 +79,14 @@
 	return r
 }
 
-// addCopy adds another request with the print of r, sent after a delay.
+// addCopy adds another request with the fingerprint of r, sent after a delay.
 func (f *fleet) addCopy(r *testRequest, entry int, delay kumquatlug.Millis) {
-	duplicate := f.add(r.behavior)
+	duplicate := f.add(r.behaviour)
 	duplicate.fingerprint, duplicate.crashes = r.fingerprint, r.crashes
 	duplicate.readyAt, duplicate.entry, duplicate.entryFixed = r.readyAt+delay, entry, true
 }
 
-// run moves the fleet until the time until.
+// run advances the fleet to the time until.
 func (f *fleet) run(until kumquatlug.Millis) {
 	for ; f.now < until; f.now += step {
 		if f.now%kumquatlug.Second == 0 {
@@ -133,10 +134,10 @@
 	}
 }
 
-// refuse gives the final answer; who crashes targets is sent again.
+// refuse refuses a request. One that crashes targets is sent again.
 func (f *fleet) refuse(r *testRequest) {
 	r.state = "refused"
-	if r.behavior != harmless {
+	if r.behaviour != harmless {
 		r.state = "idle"
 		r.readyAt = f.now + kumquatlug.Second
 	}
@@ -192,15 +193,15 @@
 	r.steps++
 	g := f.gates[r.target]
 	switch {
-	case r.behavior == crashesEarly && r.steps == 2, r.behavior == crashesLate && r.steps == 12:
+	case r.behaviour == crashesEarly && r.steps == 2, r.behaviour == crashesLate && r.steps == 12:
 		f.crash(r)
 	case r.steps == 3:
 		g.Started(r.id)
-	case r.steps >= r.runSteps && r.behavior == harmless:
+	case r.steps >= r.runSteps && r.behaviour == harmless:
 		g.Ended(f.now, r.id, true)
 		f.entries[r.entry].Finished(f.now, r.fingerprint)
 		delete(f.claims, r.fingerprint)
-		r.state = "whole"
+		r.state = "completed"
 	}
 }
 
--- a/pkg/kumquatlug/quarantine/gate.go
+++ b/pkg/kumquatlug/quarantine/gate.go
@@ -7,73 +7,77 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Verdict is what a [Gate] says to a call that wants to begin.
+// Verdict is the decision of a [Gate] on a call that is to start.
 type Verdict string
 
-// The verdicts.
+// Verdicts of a gate.
 const (
-	// VerdictRun: it may begin now; the gate counts it as in hand.
+	// VerdictRun: the call may start now; the gate counts it as in flight.
 	VerdictRun Verdict = "run"
-	// VerdictWait: ask again when another call has started or ended here.
+	// VerdictWait: call Begin again when another call has started or ended
+	// here.
 	VerdictWait Verdict = "wait"
-	// VerdictClaim: it is a suspect; win its claim in the platform's table,
-	// then ask again with Claimed set.
+	// VerdictClaim: the call is a suspect; obtain its claim in the platform's
+	// table, then call Begin again with Claimed set.
 	VerdictClaim Verdict = "claim"
-	// VerdictElsewhere: a suspect is in hand here; refuse as not run. The entry
-	// asks other targets, and again after a while, until the deadline.
+	// VerdictElsewhere: a suspect is in flight here; refuse as not-run. The
+	// entry tries other targets, and retries after a delay, until the deadline.
 	VerdictElsewhere Verdict = "elsewhere"
-	// VerdictRefuse: it is held or quarantined; refuse as not run, for good.
+	// VerdictRefuse: the call is held or quarantined; refuse as not-run,
+	// without retry.
 	VerdictRefuse Verdict = "refuse"
 )
 
-// Arrival is a call that wants to begin at a target.
+// Arrival is a call that is to start at a target.
 type Arrival struct {
-	// ID tells the call from the others at the target.
+	// ID identifies the call among those at the target.
 	ID string
-	// Fingerprint is the call's.
+	// Fingerprint is the fingerprint of the call.
 	Fingerprint Fingerprint
-	// Claimed says that the claim on the suspect was won. The claim is a row
-	// in the platform's table under the fingerprint, inserted on the condition
-	// that there is none, and removed when the call ends without a crash. After
-	// a crash it is left for Config.Period, so that no second watched run
-	// follows even if every process that knew of the first is gone.
+	// Claimed reports whether the claim on the suspect was obtained. The claim
+	// is a row in the platform's table under the fingerprint, inserted on the
+	// condition that there is none, and removed when the call ends without a
+	// crash. After a crash it remains for Config.Period, so that no second
+	// isolated run follows even if every process that knew of the first is
+	// gone.
 	//
-	// Set it as well when the table does not answer. The claim only guards
-	// against several copies at once; without it the notices still hold one
-	// copy to its bound, while waiting for the table would fail every neighbour
-	// of every crash for as long as the table is out.
+	// Set it also when the table is unavailable. The claim only prevents
+	// concurrent copies. Without it, notices still limit a single copy to its
+	// bound, while waiting for the table would fail every neighbour of every
+	// crash during the outage.
 	Claimed bool
-	// Urgent says that the call would miss its deadline by waiting to be the
-	// only suspect at a target. It may then run beside others that have
-	// started; if the target crashes late, it is held with them.
+	// Urgent reports whether the call would miss its deadline by waiting to be
+	// the only suspect at a target. It may then run next to other suspects that
+	// have started; if the target crashes late, it is held with them.
 	Urgent bool
 }
 
-// Gate watches the calls in hand at one target; its agent has one.
+// Gate tracks the calls in flight at one target. Each agent has one.
 type Gate struct {
 	register *Register
 	calls    map[string]*inFlightCall
-	// pendingSuspect is a suspect that waits for the calls that are starting; none
-	// may overtake it, or it would wait for ever on a busy target.
+	// pendingSuspect is the id of a suspect that waits for other calls to
+	// finish starting. No other call may start before it, or it would never
+	// start at a busy target.
 	pendingSuspect string
 }
 
-// inFlightCall is one call at the target.
+// inFlightCall is a call in flight at the target.
 type inFlightCall struct {
 	fingerprint Fingerprint
 	starting    bool
-	// isolatedStart says that the call began as a suspect, with nothing else
-	// starting beside it.
+	// isolatedStart reports whether the call started as a suspect, with no
+	// other call starting.
 	isolatedStart bool
 }
 
-// NewGate returns a gate for a target with nothing in hand, which tells and
-// asks r.
+// NewGate returns a gate for a target without calls in flight, which reads and
+// updates r.
 func NewGate(r *Register) *Gate {
 	return &Gate{register: r, calls: map[string]*inFlightCall{}}
 }
 
-// Begin decides whether a call may begin now.
+// Begin decides whether a call may start now.
 func (g *Gate) Begin(now kumquatlug.Millis, a Arrival) Verdict {
 	o := g.register.Ask(now, a.Fingerprint)
 	if o.Refused() {
@@ -93,9 +97,9 @@
 	return VerdictRun
 }
 
-// beginSuspect lets a suspect begin when it is the only one here and nothing
-// else is starting: of two that start together neither could be proven to have
-// caused a crash, and one of them is innocent.
+// beginSuspect lets a suspect start if it is the only one here and no other
+// call is starting: of two that start together, neither can be proven to have
+// caused a crash, and one of them is unrelated to it.
 func (g *Gate) beginSuspect(now kumquatlug.Millis, a Arrival) Verdict {
 	allowed := a.Urgent || !g.suspectInFlight(now)
 	if !allowed || (g.pendingSuspect != "" && g.pendingSuspect != a.ID) {
@@ -113,22 +117,23 @@
 	return VerdictRun
 }
 
-// Abandon tells that a call which was to wait no longer asks.
+// Abandon records that a call with VerdictWait will not call Begin again.
 func (g *Gate) Abandon(id string) {
 	if g.pendingSuspect == id {
 		g.pendingSuspect = ""
 	}
 }
 
-// Started records a call's first output. A call of a plain service, which has
-// none before its answer, is starting until it ends.
+// Started records the first output of a call. A call of a plain service, which
+// has no output before its answer, counts as starting until it ends.
 func (g *Gate) Started(id string) {
 	if c, ok := g.calls[id]; ok {
 		c.starting = false
 	}
 }
 
-// Ended records that a call ended; whole says that it brought its whole answer.
+// Ended records that a call ended. whole reports whether its answer was
+// complete.
 func (g *Gate) Ended(now kumquatlug.Millis, id string, whole bool) {
 	g.Abandon(id)
 	c, ok := g.calls[id]
@@ -141,8 +146,8 @@
 	}
 }
 
-// Crashed records that the target's incarnation ended with all that was in
-// hand, and returns those calls in the order of their ids.
+// Crashed records that the target's incarnation crashed with all calls in
+// flight, and returns those calls ordered by id.
 func (g *Gate) Crashed(now kumquatlug.Millis, c Crash) []Held {
 	held := make([]Held, 0, len(g.calls))
 	for _, id := range g.sortedIDs() {
@@ -185,8 +190,8 @@
 	return false
 }
 
-// suspectInFlight looks at what is known now: a call may have become a suspect
-// through a copy of it that crashed elsewhere.
+// suspectInFlight reports whether any call in flight is a suspect now: a call
+// may have become one through a copy of it that crashed another target.
 func (g *Gate) suspectInFlight(now kumquatlug.Millis) bool {
 	for _, c := range g.calls {
 		if g.register.peekStanding(now, c.fingerprint) != StandingFree {
--- a/pkg/kumquatlug/quarantine/notice.go
+++ b/pkg/kumquatlug/quarantine/notice.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Notice is what one register tells another of a fingerprint.
+// Notice is the state of one fingerprint as exchanged between registers.
 type Notice struct {
 	fingerprint Fingerprint
 	marks       []crashMark
@@ -16,17 +16,18 @@
 	remaining   kumquatlug.Millis
 }
 
-// Fingerprint returns whom the notice is about.
+// Fingerprint returns the fingerprint that the notice is about.
 func (n Notice) Fingerprint() Fingerprint { return n.fingerprint }
 
-// Proven reports whether its guilt is proven.
+// Proven reports whether the request is proven to have crashed a target.
 func (n Notice) Proven() bool { return n.proven }
 
-// Remaining returns how long it was to be remembered when it was told.
+// Remaining returns the remaining lifetime of the record when the notice was
+// made, in milliseconds.
 func (n Notice) Remaining() kumquatlug.Millis { return n.remaining }
 
-// noticeJSON and crashMarkJSON are the JSON form of a notice. Ages and remaining
-// spans go over the wire, since points in time mean nothing elsewhere.
+// noticeJSON and crashMarkJSON are the JSON encoding of a notice. They hold
+// ages and remaining times, because the clocks of two nodes are not comparable.
 type noticeJSON struct {
 	Fingerprint Fingerprint       `json:"f"`
 	Marks       []crashMarkJSON   `json:"m"`
@@ -52,17 +53,18 @@
 		})
 	}
 	text, err := json.Marshal(j)
-	return text, errors.Wrap(err, "write a quarantine notice")
+	return text, errors.Wrap(err, "encode quarantine notice")
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText parses the output of MarshalText. It returns an error for
+// malformed JSON and for a notice without a fingerprint.
 func (n *Notice) UnmarshalText(text []byte) error {
 	var j noticeJSON
 	if err := json.Unmarshal(text, &j); err != nil {
-		return errors.Wrap(err, "read a quarantine notice")
+		return errors.Wrap(err, "parse quarantine notice")
 	}
 	if j.Fingerprint == "" {
-		return errors.New("read a quarantine notice: it names no fingerprint")
+		return errors.New("parse quarantine notice: fingerprint is missing")
 	}
 	*n = Notice{fingerprint: j.Fingerprint, proven: j.Proven, remaining: j.Remaining}
 	for _, m := range j.Marks {
@@ -73,9 +75,10 @@
 	return nil
 }
 
-// Known returns notices of all that changed after a version, and the version to
-// ask with next; zero asks for everything. A peer that has them needs no more
-// until something changes, so that gossip costs nothing while nothing crashes.
+// Known returns notices of all records that changed after a version, and the
+// version to pass next time; zero returns all. A peer that is up to date
+// receives nothing until something changes, so that gossip is free while
+// nothing crashes.
 func (r *Register) Known(now kumquatlug.Millis, after int64) ([]Notice, int64) {
 	var notices []Notice
 	for _, f := range r.sortedFingerprints() {
@@ -88,9 +91,9 @@
 	return notices, r.version
 }
 
-// Notice returns what is known of one fingerprint, and whether anything is. An
-// entry sends it along with a suspect, so that the agent watches the call even
-// if no heartbeat has brought the news yet.
+// Notice returns the notice of one fingerprint, and reports false if there is
+// none. An entry sends it along with a suspect, so that the agent isolates the
+// call even if no heartbeat has delivered the notice yet.
 func (r *Register) Notice(now kumquatlug.Millis, f Fingerprint) (Notice, bool) {
 	rec, ok := r.records[f]
 	if !ok || rec.expiresAt <= now {
@@ -99,7 +102,7 @@
 	return r.newNotice(now, f, rec), true
 }
 
-// newNotice turns the points in time of the marks into ages.
+// newNotice converts the times of the marks to ages.
 func (r *Register) newNotice(now kumquatlug.Millis, f Fingerprint, rec *record) Notice {
 	n := Notice{fingerprint: f, proven: rec.proven, remaining: rec.expiresAt - now}
 	for _, m := range rec.marks {
@@ -109,8 +112,9 @@
 	return n
 }
 
-// Merge takes in what another register knows. Crashes are joined as sets and
-// what is cleared or proven stays so; the order of merges does not matter.
+// Merge merges notices of another register. Crashes are merged as sets, and
+// marks stay cleared and records proven once they are; the order of merges does
+// not matter.
 func (r *Register) Merge(now kumquatlug.Millis, notices []Notice) {
 	for _, n := range notices {
 		if n.remaining <= 0 {
--- a/pkg/kumquatlug/quarantine/quarantine.go
+++ b/pkg/kumquatlug/quarantine/quarantine.go
@@ -1,65 +1,66 @@
-// Package quarantine decides what becomes of calls that were in hand at a
-// target when it crashed.
+// Package quarantine decides how to treat calls that were in flight at a target
+// when it crashed.
 //
-// It answers the request that crashes each target that runs it. Retried like
-// any other cut call, and sent again by its caller, it walks through the group
-// and takes one target after the other down, with everything that runs there.
-// Refusing all that was in hand at a crash would stop it, and would also
-// refuse some fifty callers who did nothing. So every crash makes suspects of
-// the calls in hand, and a suspect is run once more under watch:
+// It contains the damage of a request that crashes each target that runs it.
+// Retried like any other interrupted call, and sent again by its caller, such a
+// request crashes one target of the group after the other, with all calls in
+// flight there. Refusing everything that was in flight at a crash would stop
+// it, but would also refuse some fifty unrelated callers. Instead, every crash
+// makes suspects of the calls in flight, and a suspect gets one isolated run:
 //
-//   - at most one suspect is in hand at a target, and while it starts (until
-//     its first output) nothing else starts there; see [Gate];
-//   - it runs only under a claim in the platform's table, so that one copy of
-//     it runs in the whole fleet, whichever entry it came through (see
-//     [Arrival] for when the table is out);
-//   - if the target crashes while the suspect alone was starting, or while it
-//     was the only call there, its guilt is proven. It is quarantined, and the
-//     calls that were its neighbours at any crash are free of that crash;
-//   - if it crashes its second target in another way, it is held: it runs again
-//     only if somebody else's guilt explains one of its crashes;
-//   - if it finishes, it is free.
+//   - At most one suspect is in flight at a target, and while it starts (until
+//     its first output) nothing else starts there; see [Gate].
+//   - It runs only under a claim in the platform's table, so that one copy of
+//     it runs in the whole fleet, whichever entry accepted it (see [Arrival]
+//     for when the table is unavailable).
+//   - If the target crashes while only the suspect was starting, or while it
+//     was the only call there, it is proven to be the cause. It is quarantined,
+//     and the calls that were in flight with it at any crash (its neighbours)
+//     are cleared of that crash.
+//   - If its second target crashes in another way, it is held: it runs again
+//     only if another request is proven to be the cause of one of its crashes.
+//   - If it finishes, it is free.
 //
-// Crashes are known by target and incarnation, so that one crash that is seen
-// by several entries counts once. What is known spreads with the heartbeats as
+// A crash is identified by target and incarnation, so that one crash seen by
+// several entries counts once. State is exchanged with the heartbeats as
 // [Notice] values, whose merge does not depend on order or repetition.
 //
-// # The bound
+// # Bound on crashes
 //
-// Let n be the number of copies of a request that began as ordinary calls
-// before the news of its first crash reached their agents; the news needs two
+// Let n be the number of copies of a request that started as ordinary calls
+// before the notice of its first crash reached their agents, which takes two
 // heartbeats ([Config.Settle]). However often and through whichever entry it is
 // sent, the request crashes at most
 //
-//   - two targets, if n is 1: the one where it came to notice, and the one
-//     where it ran under watch. The claim sees to it when several entries hold
-//     the same suspect: one claim is granted in the life of its row. While the
-//     table is out, each entry that holds a copy may run it once;
+//   - two targets, if n is 1: one where it runs as an ordinary call, and one in
+//     its isolated run. The claim ensures this when several entries hold the
+//     same suspect: one claim is granted in the lifetime of its row. While the
+//     table is unavailable, each entry that holds a copy may run it once;
 //   - n targets, if n is 2 or more and each copy crashes within Config.Settle
-//     of the first: two crashes are known before a copy is sent under watch,
-//     and none is. So two entries that send it at the same moment crash two;
-//   - n+1 targets, if copies crash later than that, after the watched one;
-//   - one more than that for each other request that is proven guilty of a
-//     crash of it which is not proven its own, because that crash is then taken
-//     for explained. This needs two such requests at one target at one moment,
-//     one of which crashes late in its output.
+//     of the first: two crashes are known before a copy is sent for an isolated
+//     run, and none is sent. So two entries that send it at the same moment
+//     crash two;
+//   - n+1 targets, if copies crash later than that, after the isolated run;
+//   - one more for each other request that is proven to be the cause of a crash
+//     which this request caused without proof, because that crash then counts
+//     as explained. This needs two such requests at one target at the same
+//     moment, one of which crashes late in its output.
 //
-// A request that is sent for as long as it likes stays quarantined: each
-// sending prolongs it. After [Config.Period] of silence it is forgotten and
-// the bound begins anew; an engine may have been mended since.
+// A request that is sent continuously stays quarantined, because each attempt
+// extends its quarantine. After [Config.Period] without one it is forgotten and
+// the bound applies anew; the engine may have been fixed since.
 //
-// # Innocent neighbours
+// # Unrelated neighbours
 //
-// Two unrelated crashes do not quarantine a neighbour: nobody is proven guilty
-// for being near, and one that was near twice is held only until the guilt of
-// the one who did it is proven, which takes one watched run. What remains: a
-// neighbour of two requests that both crash late in their output, when their
-// guilt can't be proven, is held until its entry gives up; and so is one that
-// could not wait to be the only suspect at its target ([Arrival]) and met there
-// a suspect that crashes late.
+// Two unrelated crashes do not quarantine a neighbour: being in flight at a
+// crash proves nothing, and a request that was in flight at two is held only
+// until the cause of one is proven, which takes one isolated run. Two cases
+// remain. A neighbour of two requests that both crash late in their output, so
+// that neither can be proven to be the cause, is held until its entry gives up.
+// So is a call that could not wait to be the only suspect at its target
+// ([Arrival.Urgent]) and ran there with a suspect that crashes late.
 //
-// The types of this package belong to one loop and are not safe for concurrent
-// use.
+// The types of this package are not safe for concurrent use.
 package quarantine
 
 import (
@@ -71,13 +72,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Fingerprint tells requests apart by who sends what: equal requests of one
-// caller have the same one.
+// Fingerprint identifies a request by caller and content: identical requests of
+// one caller have the same fingerprint.
 type Fingerprint string
 
 // NewFingerprint returns the fingerprint of a request. It is 128 bits of a
-// cryptographic hash: with a weaker one a caller could make a request that
-// quarantines another caller's.
+// cryptographic hash: with a weaker hash, a caller could construct a request
+// that quarantines another caller's.
 func NewFingerprint(caller string, kind kumquatlug.Kind, body []byte) Fingerprint {
 	h := sha256.New()
 	_, _ = io.WriteString(h, caller+"\x00"+kind.String()+"\x00")
@@ -85,7 +86,7 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:16]))
 }
 
-// Crash names the end of one life of a target.
+// Crash identifies the crash of one incarnation of a target.
 type Crash struct {
 	target      string
 	incarnation string
@@ -99,79 +100,81 @@
 // Target returns the target's name.
 func (c Crash) Target() string { return c.target }
 
-// Incarnation returns the life of the target that ended.
+// Incarnation returns the incarnation of the target that crashed.
 func (c Crash) Incarnation() string { return c.incarnation }
 
-// Held is a call that was in hand at a crash.
+// Held is a call that was in flight at a crash.
 type Held struct {
-	// Fingerprint is the call's.
+	// Fingerprint is the fingerprint of the call.
 	Fingerprint Fingerprint
-	// Starting says that it had brought no output yet.
+	// Starting reports whether the call had produced no output yet.
 	Starting bool
-	// Proven says that nothing else can have caused the crash.
+	// Proven reports whether nothing else can have caused the crash.
 	Proven bool
 }
 
-// Standing is what a register thinks of a fingerprint.
+// Standing is the state of a fingerprint in a register.
 type Standing string
 
-// The standings.
+// Standings of a fingerprint.
 const (
-	// StandingFree: nothing speaks against it.
+	// StandingFree: no crash counts against it.
 	StandingFree Standing = "free"
-	// StandingSuspect: it was in hand at a crash and runs under watch.
+	// StandingSuspect: it was in flight at a crash and may have one isolated
+	// run.
 	StandingSuspect Standing = "suspect"
-	// StandingHeld: it was in hand at two crashes. It does not run unless one
-	// of them is explained; who waits for it may wait for [Opinion.Wait].
+	// StandingHeld: it was in flight at two crashes. It does not run unless the
+	// cause of one of them is proven; a caller may wait for [Opinion.Wait].
 	StandingHeld Standing = "held"
-	// StandingQuarantined: it is proven to have crashed a target. It is given a
-	// final answer at once.
+	// StandingQuarantined: it is proven to have crashed a target. It is refused
+	// at once.
 	StandingQuarantined Standing = "quarantined"
 )
 
-// Opinion is the answer of a [Register] about a fingerprint.
+// Opinion is the state of a fingerprint as returned by a [Register].
 type Opinion struct {
 	standing  Standing
 	wait      kumquatlug.Millis
 	remaining kumquatlug.Millis
 }
 
-// Standing returns what is thought of the fingerprint.
+// Standing returns the standing of the fingerprint.
 func (o Opinion) Standing() Standing { return o.standing }
 
-// Wait returns for a suspect how long to wait before it is sent, and for one
-// that is held how long it is still worth waiting.
+// Wait returns, in milliseconds, for a suspect how long to wait before it is
+// sent, and for a held fingerprint how long waiting may still help.
 func (o Opinion) Wait() kumquatlug.Millis { return o.wait }
 
-// Remaining returns how long the standing lasts if nothing else happens.
+// Remaining returns how long the standing lasts without further events, in
+// milliseconds.
 func (o Opinion) Remaining() kumquatlug.Millis { return o.remaining }
 
-// Refused reports whether a new request with the fingerprint is to be given a
-// final answer at once.
+// Refused reports whether a new request with the fingerprint must be refused at
+// once.
 func (o Opinion) Refused() bool {
 	return o.standing == StandingHeld || o.standing == StandingQuarantined
 }
 
-// Config is what a [Register] is made of. The zero value of each field stands
-// for its default.
+// Config configures a [Register]. The zero value of each field selects its
+// default.
 type Config struct {
-	// Period is how long a crash is remembered after the last sign of the
-	// request. Default 1 h: a caller's program that tries again does so within
-	// minutes, and a wrong quarantine ends within the morning.
+	// Period is how long a crash is remembered after the request was last seen,
+	// in milliseconds. Default 1 h: a caller's program retries within minutes,
+	// and a wrong quarantine ends within the morning.
 	Period kumquatlug.Millis
-	// Settle is how long a suspect that had brought no output when its target
-	// crashed waits before it is sent again. Default 2.5 s: the news needs two
-	// heartbeats of a second, target to entry and entry to target, and their
-	// way. Calls that had brought output, nearly all of them innocent, do not
-	// wait.
+	// Settle is the delay in milliseconds before a suspect that had produced no
+	// output at the crash is sent again. Default 2.5 s: its notices need two
+	// heartbeats of a second each, target to entry and entry to target, and
+	// transmission time. Calls that had produced output are nearly all
+	// unrelated to the crash and are not delayed.
 	Settle kumquatlug.Millis
-	// Hold is how long a call that was near two crashes is worth waiting for.
-	// Default 10 s: the guilty one settles, queues for a watched start and
-	// crashes within that time.
+	// Hold is how long a call that was in flight at two crashes may usefully
+	// wait, in milliseconds. Default 10 s: the request that caused them waits
+	// for Settle, queues for an isolated run and crashes within that time.
 	Hold kumquatlug.Millis
-	// Records bounds the fingerprints that are remembered. Default 4,096: at
-	// 200 bytes each 0.8 MB, and fifty suspects each of eighty crashes within
-	// the period.
+	// Records is the maximum number of fingerprints remembered. Default 4,096:
+	// 0.8 MB at 200 bytes each, or fifty suspects for each of eighty crashes
+	// within the period.
 	Records int
 }
 
--- a/pkg/kumquatlug/quarantine/quarantine_test.go
+++ b/pkg/kumquatlug/quarantine/quarantine_test.go
@@ -14,12 +14,13 @@
 )
 
 func TestRequestCrashesAtMostTwoTargets(t *testing.T) {
-	// Some requests crash each target that runs them, at once or late in their
-	// output, and their callers send them again through any entry. Without a
-	// quarantine the whole group goes down one by one and everybody's answers
-	// with it; with a crude one their neighbours are refused as well.
+	// Some requests crash each target that runs them, at the start or late in
+	// their output, and their callers send them again through any entry.
+	// Without a quarantine the whole group crashes, one target after the other,
+	// and all answers are lost; with one that is too broad, their neighbours
+	// are refused too.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(21))
-	properties.Property("two crashes each, innocents whole", prop.ForAll(
+	properties.Property("at most two crashes each, harmless requests complete", prop.ForAll(
 		func(seed uint64, early, late, others int) string {
 			f := newFleet(seed, 3, 6)
 			for range early {
@@ -40,12 +41,12 @@
 }
 
 func TestCopiesThroughSeveralEntriesCrashOneTargetEach(t *testing.T) {
-	// A caller's program sends a request that crashes targets through several
-	// entries, at the same moment or shortly after one another. Entries that
-	// have not heard of the first crash each lose a target to it; together they
-	// must not lose more than one for each copy that was under way.
+	// A caller sends a request that crashes targets through several entries, at
+	// the same moment or shortly after one another. Entries that have no notice
+	// of the first crash each lose a target to it. Together they must not lose
+	// more than one for each copy in flight.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(23))
-	properties.Property("one target a copy", prop.ForAll(
+	properties.Property("at most one target per copy", prop.ForAll(
 		func(seed uint64, delays []int, others int) string {
 			f := newFleet(seed, 3, 8)
 			first := f.add(crashesEarly)
@@ -69,11 +70,11 @@
 }
 
 func TestCopiesAfterNoticesCrashAtMostTwoTargets(t *testing.T) {
-	// After a crash the entry sends the cut call again while the caller, tired
-	// of waiting, sends it through two other entries. All of them know it for a
-	// suspect; if each gave it its one watched run, four targets would crash.
+	// After a crash the entry retries the interrupted call, while the caller
+	// sends it again through the other entries. All of them know it as a
+	// suspect. If each granted it an isolated run, four targets would crash.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(24))
-	properties.Property("two targets", prop.ForAll(
+	properties.Property("at most two targets", prop.ForAll(
 		func(seed uint64, delays []int) string {
 			f := newFleet(seed, 3, 8)
 			first := f.add(crashesEarly)
@@ -92,8 +93,8 @@
 }
 
 func TestGate(t *testing.T) {
-	// Two calls were near a crash. If they started together with others at the
-	// next target, a second crash would prove nothing about any of them.
+	// Two calls were in flight at a crash. If they started together with others
+	// at the next target, a second crash would prove nothing about any of them.
 	r := New(Config{})
 	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "x"}, {Fingerprint: "y"}})
 	g := NewGate(r)
@@ -105,18 +106,18 @@
 		got  func() Verdict
 		want Verdict
 	}{
-		{"ordinary", func() Verdict { return begin("1", "p", false, false) }, VerdictRun},
+		{"ordinary call", func() Verdict { return begin("1", "p", false, false) }, VerdictRun},
 		{"suspect without claim", func() Verdict { return begin("2", "x", false, false) }, VerdictClaim},
-		{"suspect beside a start", func() Verdict { return begin("2", "x", true, false) }, VerdictWait},
-		{"ordinary behind it", func() Verdict { return begin("3", "q", false, false) }, VerdictWait},
-		{"suspect alone", func() Verdict { g.Started("1"); return begin("2", "x", true, false) }, VerdictRun},
-		{"ordinary beside its start", func() Verdict { return begin("3", "q", false, false) }, VerdictWait},
-		{"ordinary after its start", func() Verdict { g.Started("2"); return begin("3", "q", false, false) }, VerdictRun},
+		{"suspect while another call starts", func() Verdict { return begin("2", "x", true, false) }, VerdictWait},
+		{"ordinary call while a suspect is pending", func() Verdict { return begin("3", "q", false, false) }, VerdictWait},
+		{"suspect with no call starting", func() Verdict { g.Started("1"); return begin("2", "x", true, false) }, VerdictRun},
+		{"ordinary call while the suspect starts", func() Verdict { return begin("3", "q", false, false) }, VerdictWait},
+		{"ordinary call after the suspect started", func() Verdict { g.Started("2"); return begin("3", "q", false, false) }, VerdictRun},
 		{"second suspect", func() Verdict { return begin("4", "y", true, false) }, VerdictElsewhere},
-		{"urgent beside a start", func() Verdict { return begin("4", "y", true, true) }, VerdictWait},
-		{"urgent", func() Verdict { g.Started("3"); return begin("4", "y", true, true) }, VerdictRun},
-		{"after its guilt is proven", func() Verdict { g.Crashed(2, NewCrash("b", "1")); return begin("4", "y", true, true) }, VerdictRefuse},
-		{"its neighbour", func() Verdict { return begin("2", "x", true, false) }, VerdictRun},
+		{"urgent suspect while another call starts", func() Verdict { return begin("4", "y", true, true) }, VerdictWait},
+		{"urgent suspect", func() Verdict { g.Started("3"); return begin("4", "y", true, true) }, VerdictRun},
+		{"suspect proven to have crashed a target", func() Verdict { g.Crashed(2, NewCrash("b", "1")); return begin("4", "y", true, true) }, VerdictRefuse},
+		{"neighbour of the proven suspect", func() Verdict { return begin("2", "x", true, false) }, VerdictRun},
 	}
 	for _, s := range steps {
 		if got := s.got(); got != s.want {
@@ -126,44 +127,45 @@
 }
 
 func TestFinishedRequestIsFree(t *testing.T) {
-	// A caller sends the same harmless request all day, and is near an
-	// unrelated crash in the morning and another in the afternoon. If the first
-	// still counted, the second would stop that caller's work for an hour.
+	// A caller sends the same harmless request repeatedly, and it is in flight
+	// at two unrelated crashes. If the first still counted after the request
+	// finished, the second would hold it for an hour.
 	r := New(Config{})
 	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "x"}, {Fingerprint: "y"}})
 	if got := r.Ask(1, "x").Standing(); got != StandingSuspect {
-		t.Fatalf("after a crash nearby it is %s", got)
+		t.Fatalf("after one crash it is %s", got)
 	}
 	r.Finished(1000, "x")
 	r.Crashed(kumquatlug.Minute, NewCrash("b", "1"), []Held{{Fingerprint: "x"}, {Fingerprint: "z"}})
 	if got := r.Ask(kumquatlug.Minute, "x").Standing(); got != StandingSuspect {
-		t.Errorf("after the second one it is %s", got)
+		t.Errorf("after finishing and a second crash it is %s", got)
 	}
 	if got := r.Ask(kumquatlug.Minute, "y").Standing(); got != StandingSuspect {
-		t.Errorf("the one that did not finish is %s", got)
+		t.Errorf("the request that did not finish is %s", got)
 	}
 }
 
 func TestCrashSeenTwiceCountsOnce(t *testing.T) {
-	// Two entries lose calls at one crash and tell each other. Counted by
-	// reports and not by the target's life, one crash would look like two and
-	// hold everybody who was there.
+	// Two entries lose calls at one crash and notify each other. If crashes
+	// were counted by report and not by the target's incarnation, one crash
+	// would count twice and hold every call that was in flight.
 	r := New(Config{})
 	held := []Held{{Fingerprint: "x", Starting: true}}
 	r.Crashed(0, NewCrash("a", "1"), held)
 	r.Crashed(10, NewCrash("a", "1"), held)
 	if got := r.Ask(20, "x"); got.Standing() != StandingSuspect || got.Wait() != 2480 {
-		t.Errorf("it is %s, to wait %d ms", got.Standing(), got.Wait())
+		t.Errorf("it is %s with a wait of %d ms", got.Standing(), got.Wait())
 	}
 	r.Void(30, NewCrash("a", "1"))
 	if got := r.Ask(30, "x").Standing(); got != StandingFree {
-		t.Errorf("after the target was found alive it is %s", got)
+		t.Errorf("after Void it is %s", got)
 	}
 }
 
 func TestResendingExtendsQuarantine(t *testing.T) {
-	// A caller's program sends the guilty request every ten minutes. If its
-	// quarantine ran out meanwhile, it would take two targets down each hour.
+	// Every ten minutes a caller sends a request that is proven to crash
+	// targets. If its quarantine expired in between, it would crash two targets
+	// each hour.
 	r := New(Config{Period: kumquatlug.Hour})
 	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "x", Proven: true}})
 	now := kumquatlug.Millis(0)
@@ -174,20 +176,20 @@
 		}
 	}
 	if got := r.Ask(now+kumquatlug.Hour, "x").Standing(); got != StandingFree {
-		t.Errorf("after an hour of silence it is %s", got)
+		t.Errorf("after an hour without requests it is %s", got)
 	}
 }
 
 func TestRegisterIsBounded(t *testing.T) {
-	// A wave of crashes with many calls in hand must not fill the memory of a
-	// small VM, and must not push out the one that is quarantined.
+	// Many crashes with many calls in flight must not fill the memory of a
+	// small VM, and must not evict the quarantined request.
 	r := New(Config{Records: 50})
-	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "guilty", Proven: true}})
+	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "proven", Proven: true}})
 	for i := range 400 {
 		r.Crashed(kumquatlug.Millis(i), NewCrash("b", fmt.Sprint(i)), []Held{{Fingerprint: Fingerprint(fmt.Sprint(i))}})
 	}
-	if r.Len() != 50 || !r.Ask(400, "guilty").Refused() {
-		t.Errorf("%d records, guilty is %s", r.Len(), r.Ask(400, "guilty").Standing())
+	if r.Len() != 50 || !r.Ask(400, "proven").Refused() {
+		t.Errorf("%d records, proven request is %s", r.Len(), r.Ask(400, "proven").Standing())
 	}
 }
 
@@ -201,10 +203,10 @@
 	}
 	var got Notice
 	if err := got.UnmarshalText(text); err != nil || !reflect.DeepEqual(got, sent) {
-		t.Errorf("%s reads as %+v, %v", text, got, err)
+		t.Errorf("%s parsed as %+v, %v", text, got, err)
 	}
 	if err := got.UnmarshalText([]byte("{}")); err == nil {
-		t.Error("a notice without fingerprint was read")
+		t.Error("a notice without fingerprint was accepted")
 	}
 }
 
@@ -223,38 +225,40 @@
 	r := New(Config{})
 	chat := kumquatlug.NewKind(kumquatlug.ProtocolEngine, "chat")
 	f := NewFingerprint("kochi", chat, []byte("a prompt"))
-	r.Crashed(0, NewCrash("engine-3", "life-1"), []Held{{Fingerprint: f}})
+	r.Crashed(0, NewCrash("engine-3", "incarnation-1"), []Held{{Fingerprint: f}})
 	fmt.Println(r.Ask(10, f).Standing())
-	r.Crashed(20, NewCrash("engine-5", "life-9"), []Held{{Fingerprint: f, Proven: true}})
+	r.Crashed(20, NewCrash("engine-5", "incarnation-9"), []Held{{Fingerprint: f, Proven: true}})
 	fmt.Println(r.Ask(30, f).Standing())
 	// Output:
 	// suspect
 	// quarantined
 }
 
-// firstViolation names the first broken promise, or is empty. A request that crashes
-// late may crash one target more for each other one that was proven beside it.
+// firstViolation describes the first violated guarantee, or is empty. A request
+// that crashes late may crash one more target for each other request that is
+// proven to have caused a crash while it was in flight.
 func (f *fleet) firstViolation(severalCrashers bool) string {
 	for _, r := range f.requests {
 		bound := 2
-		if r.behavior == crashesLate && severalCrashers {
+		if r.behaviour == crashesLate && severalCrashers {
 			bound = 3
 		}
 		if len(r.crashes) > bound {
-			return fmt.Sprintf("%s (%s) crashed %v", r.id, r.behavior, r.crashes)
+			return fmt.Sprintf("%s (%s) crashed %v", r.id, r.behaviour, r.crashes)
 		}
-		if r.behavior == harmless && r.state != "whole" {
-			return fmt.Sprintf("%s is %s, record %+v", r.id, r.state, f.entries[r.entry].records[r.fingerprint])
+		if r.behaviour == harmless && r.state != "completed" {
+			return fmt.Sprintf("%s is %s, record = %+v", r.id, r.state, f.entries[r.entry].records[r.fingerprint])
 		}
 	}
 	return ""
 }
 
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
-	// Entries hear of the same crashes in different orders, some twice. If that
-	// mattered, one entry would refuse a caller whom another one serves.
+	// Entries receive notices of the same crashes in different orders, some
+	// twice. If that mattered, one entry would refuse a caller that another one
+	// serves.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(22))
-	properties.Property("any order and repetition ends alike", prop.ForAll(
+	properties.Property("any order and repetition gives the same standings", prop.ForAll(
 		func(seed uint64) bool {
 			random := rand.New(rand.NewPCG(seed, 1))
 			var notices []Notice
@@ -275,7 +279,7 @@
 	properties.TestingRun(t)
 }
 
-// randomNotices returns what a register knows after some random events.
+// randomNotices returns the notices of a register after some random events.
 func randomNotices(random *rand.Rand, seed int) []Notice {
 	r := New(Config{})
 	for i := range 6 {
--- a/pkg/kumquatlug/quarantine/register.go
+++ b/pkg/kumquatlug/quarantine/register.go
@@ -6,28 +6,28 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// record is what is known of one fingerprint.
+// record is the state of one fingerprint.
 type record struct {
 	marks  []crashMark
 	proven bool
-	// changedVersion is the register's version at the last change worth telling.
+	// changedVersion is the register's version at the last change to announce.
 	changedVersion int64
-	// announcedAt is when the record last asked to be told for its longer life.
+	// announcedAt is the time of the last change or extension to announce.
 	announcedAt kumquatlug.Millis
 	expiresAt   kumquatlug.Millis
 }
 
-// crashMark is one crash at which a fingerprint was in hand.
+// crashMark is one crash at which a fingerprint was in flight.
 type crashMark struct {
 	crash    Crash
 	starting bool
-	// cleared says that the crash no longer speaks against the fingerprint.
-	// It is never taken back, so that merges end alike everywhere.
+	// cleared reports whether the crash no longer counts against the
+	// fingerprint. It is never reset, so that merges converge on all nodes.
 	cleared bool
 	at      kumquatlug.Millis
 }
 
-// openCrashes counts the crashes that speak against the fingerprint.
+// openCrashes returns the number of crashes that count against the fingerprint.
 func (r *record) openCrashes() int {
 	n := 0
 	for _, m := range r.marks {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Register remembers which fingerprints were in hand at which crashes. Every
-// entry and every agent has one; notices keep them alike.
+// Register records which fingerprints were in flight at which crashes. Every
+// entry and every agent has one; notices synchronize them.
 type Register struct {
 	config  Config
 	records map[Fingerprint]*record
@@ -60,8 +60,8 @@
 	return &Register{config: c.withDefaults(), records: map[Fingerprint]*record{}}
 }
 
-// Crashed records that a target crashed with these calls in hand. An entry
-// whose calls were cut tells its own ones; the agent tells all.
+// Crashed records that a target crashed with these calls in flight. An entry
+// reports its own interrupted calls; the agent reports all.
 func (r *Register) Crashed(now kumquatlug.Millis, c Crash, held []Held) {
 	for _, h := range held {
 		rec := r.record(now, h.Fingerprint)
@@ -77,8 +77,8 @@
 	r.evictRecords(now)
 }
 
-// Finished records that a call ended with a whole answer, which clears its
-// fingerprint: what crashes each target that runs it does not finish.
+// Finished records that a call ended with a complete answer. That clears its
+// fingerprint, since a request that crashes each target never finishes.
 func (r *Register) Finished(now kumquatlug.Millis, f Fingerprint) {
 	rec, ok := r.records[f]
 	if !ok || rec.proven {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Void records that what was taken for a crash was none: the incarnation still
-// answers, as after a network partition.
+// Void clears a crash that was reported in error: the incarnation still
+// answers, for example after a network partition.
 func (r *Register) Void(now kumquatlug.Millis, c Crash) {
 	for _, rec := range r.records {
 		if m := rec.findMark(c); m != nil {
@@ -99,13 +99,14 @@
 	}
 }
 
-// Lift forgets a fingerprint here, as an operator may order.
+// Lift removes a fingerprint from this register, for example on an operator's
+// order.
 func (r *Register) Lift(f Fingerprint) {
 	delete(r.records, f)
 }
 
-// Ask returns what is thought of a fingerprint and takes the question as a sign
-// that its request is still sent, which prolongs a quarantine.
+// Ask returns the state of a fingerprint. It counts as a sign that the request
+// is still being sent, and extends a hold or a quarantine.
 func (r *Register) Ask(now kumquatlug.Millis, f Fingerprint) Opinion {
 	rec, ok := r.records[f]
 	if !ok || rec.expiresAt <= now {
@@ -135,7 +136,8 @@
 	return o
 }
 
-// settleWait returns how long the suspect still waits for the news to spread.
+// settleWait returns how long a suspect must still wait for its notices to
+// spread.
 func (r *Register) settleWait(now kumquatlug.Millis, rec *record) kumquatlug.Millis {
 	for _, m := range rec.marks {
 		if !m.cleared && m.starting {
@@ -145,7 +147,7 @@
 	return 0
 }
 
-// timeLeft returns what is left of span since the last crash that is open.
+// timeLeft returns the remainder of span since the last open crash.
 func (r *Register) timeLeft(now kumquatlug.Millis, rec *record, span kumquatlug.Millis) kumquatlug.Millis {
 	last := kumquatlug.Millis(0)
 	for _, m := range rec.marks {
@@ -156,7 +158,8 @@
 	return max(last+span-now, 0)
 }
 
-// record returns the record of f, a new one if there is none that lasts.
+// record returns the record of f, or a new one if there is none or it has
+// expired.
 func (r *Register) record(now kumquatlug.Millis, f Fingerprint) *record {
 	rec, ok := r.records[f]
 	if !ok || rec.expiresAt <= now {
@@ -166,7 +169,7 @@
 	return rec
 }
 
-// addMark adds m to the record or joins it with the mark of the same crash.
+// addMark adds m to the record or merges it with the mark of the same crash.
 func (r *Register) addMark(now kumquatlug.Millis, rec *record, m crashMark) {
 	known := rec.findMark(m.crash)
 	if known == nil {
@@ -191,8 +194,8 @@
 	r.markChanged(now, rec)
 }
 
-// applyProof draws the conclusions from guilt, in both directions: from f's, if it is
-// proven, for the others; else from theirs for f.
+// applyProof clears crashes whose cause is proven: if f is proven, for the
+// other fingerprints, else for f.
 func (r *Register) applyProof(now kumquatlug.Millis, f Fingerprint) {
 	rec, ok := r.records[f]
 	if !ok {
@@ -218,9 +221,9 @@
 	return false
 }
 
-// clearNeighbours frees all others of the crashes at which a proven fingerprint was.
-// Without it the neighbours of a guilty request would go on as suspects, one
-// at a time for each target, until their deadlines.
+// clearNeighbours clears all other fingerprints of the crashes at which a
+// proven one was in flight. Otherwise its neighbours would remain suspects, run
+// one at a time at each target, until their deadlines.
 func (r *Register) clearNeighbours(now kumquatlug.Millis, proven Fingerprint) {
 	for _, m := range r.records[proven].marks {
 		for f, rec := range r.records {
@@ -234,7 +237,7 @@
 	}
 }
 
-// markChanged makes the record worth telling and starts its period anew.
+// markChanged schedules the record for announcement and restarts its period.
 func (r *Register) markChanged(now kumquatlug.Millis, rec *record) {
 	r.version++
 	rec.changedVersion = r.version
@@ -242,8 +245,9 @@
 	rec.expiresAt = max(rec.expiresAt, now+r.config.Period)
 }
 
-// extend lengthens the life of a record. It is told only when an eighth of the
-// period has passed since, or each resend would send a notice to every node.
+// extend extends the lifetime of a record. It is announced only when an eighth
+// of the period has passed since the last announcement, since otherwise each
+// resend would send a notice to every node.
 func (r *Register) extend(now kumquatlug.Millis, rec *record, expires kumquatlug.Millis) {
 	rec.expiresAt = max(rec.expiresAt, expires)
 	if now-rec.announcedAt < r.config.Period/8 {
@@ -254,8 +258,8 @@
 	rec.changedVersion = r.version
 }
 
-// evictRecords drops what has expired, and beyond the bound what would expire first;
-// those that are refused go last.
+// evictRecords removes expired records, then, beyond the maximum, those that
+// expire first. Refused fingerprints are removed last.
 func (r *Register) evictRecords(now kumquatlug.Millis) {
 	for f, rec := range r.records {
 		if rec.expiresAt <= now {
@@ -278,7 +282,7 @@
 	delete(r.records, first)
 }
 
-// evictedBefore reports whether a is dropped before b.
+// evictedBefore reports whether a is evicted before b.
 func (r *Register) evictedBefore(now kumquatlug.Millis, a, b *record) bool {
 	refusedA, refusedB := r.opinion(now, a).Refused(), r.opinion(now, b).Refused()
 	if refusedA != refusedB {
@@ -287,11 +291,11 @@
 	return a.expiresAt < b.expiresAt
 }
 
-// Len returns how many fingerprints are remembered.
+// Len returns the number of remembered fingerprints.
 func (r *Register) Len() int { return len(r.records) }
 
-// sortedFingerprints returns the fingerprints in order, so that what goes out does not
-// depend on the order of a map.
+// sortedFingerprints returns the fingerprints in order, so that notices do not
+// depend on map order.
 func (r *Register) sortedFingerprints() []Fingerprint {
 	list := make([]Fingerprint, 0, len(r.records))
 	for f := range r.records {
@@ -301,7 +305,7 @@
 	return list
 }
 
-// peekStanding is Ask without the sign of life.
+// peekStanding returns the standing of f without extending its record.
 func (r *Register) peekStanding(now kumquatlug.Millis, f Fingerprint) Standing {
 	rec, ok := r.records[f]
 	if !ok || rec.expiresAt <= now {
--- a/pkg/kumquatlug/quarantine/suspects.go
+++ b/pkg/kumquatlug/quarantine/suspects.go
@@ -6,43 +6,44 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// SuspectsConfig is what [Suspects] are made of. The zero value of each field
-// stands for its default.
+// SuspectsConfig configures [Suspects]. The zero value of each field selects
+// its default.
 type SuspectsConfig struct {
-	// Limit is after how many crashes a request is refused. Default 3: a request
-	// whose answer was lost twice by chance still has another try, and one that
-	// ends its worker each time takes three down.
+	// Limit is the number of crashes after which a request is refused. Default
+	// 3: a request whose answer was lost twice by chance has another try, and
+	// one that crashes its worker each time crashes three.
 	Limit int
-	// Period is how long a crash counts. Default 1 min: a client's program that
-	// tries again does so within seconds, and a wrong refusal ends soon.
+	// Period is how long a crash counts, in milliseconds. Default 1 min: a
+	// client's program retries within seconds, and a wrong refusal ends soon.
 	Period kumquatlug.Millis
-	// Most bounds the requests that are remembered. Default 4,096: at 200 bytes
-	// each 0.8 MB.
+	// Most is the maximum number of requests remembered. Default 4,096: 0.8 MB
+	// at 200 bytes each.
 	Most int
 }
 
 // Suspects counts the crashes of each request for a front that calls targets
-// directly. No agent sees there which requests were in hand at a crash, so that
-// a connection that ends without an answer is all that shows; a [Register], which
-// knows neighbours, is more exact.
+// directly. There is no agent that records which requests were in flight at a
+// crash, so the only evidence is a connection that ends without an answer; a
+// [Register], which knows the neighbours, is more exact.
 //
-// It answers the request that ends each worker that runs it. Tried again by its
-// front and sent again by its client, through every front in turn, it takes a
-// whole group down. What one front sees is therefore told to the others.
+// It contains the damage of a request that crashes each worker that runs it.
+// Retried by its front and sent again by its client, through every front in
+// turn, such a request crashes a whole group. Each front therefore reports its
+// crashes to the others.
 //
-// Suspects belong to one owner and are not safe for concurrent use.
+// Suspects are not safe for concurrent use.
 type Suspects struct {
 	config  SuspectsConfig
 	reports map[Fingerprint][]crashReport
 }
 
-// crashReport is one crash, by the name under which it was told.
+// crashReport is one crash, identified by the id of its report.
 type crashReport struct {
 	id string
 	at kumquatlug.Millis
 }
 
-// NewSuspects returns a count without crashes.
+// NewSuspects returns a Suspects without crashes.
 func NewSuspects(c SuspectsConfig) *Suspects {
 	c.Limit = cmp.Or(c.Limit, 3)
 	c.Period = cmp.Or(c.Period, kumquatlug.Minute)
@@ -50,11 +51,12 @@
 	return &Suspects{config: c, reports: map[Fingerprint][]crashReport{}}
 }
 
-// Any reports whether there is any suspect, so that a front need not take the
-// fingerprint of each request.
+// Any reports whether there is any suspect. If not, a front need not compute
+// the fingerprint of each request.
 func (s *Suspects) Any() bool { return len(s.reports) > 0 }
 
-// Crashed records a crash under a name of its own; told again, it counts once.
+// Crashed records a crash of f under a unique name. A repeated report of the
+// same name counts once.
 func (s *Suspects) Crashed(now kumquatlug.Millis, f Fingerprint, name string) {
 	for _, seen := range s.reports[f] {
 		if seen.id == name {
@@ -69,7 +71,7 @@
 	}
 }
 
-// Refused reports that a request has had its number of crashes.
+// Refused reports whether a request has reached the limit of crashes.
 func (s *Suspects) Refused(now kumquatlug.Millis, f Fingerprint) bool {
 	n := 0
 	for _, seen := range s.reports[f] {
@@ -80,7 +82,7 @@
 	return n >= s.config.Limit
 }
 
-// Forget drops the requests whose crashes no longer count.
+// Forget removes the requests whose crashes no longer count.
 func (s *Suspects) Forget(now kumquatlug.Millis) {
 	for f, all := range s.reports {
 		if now-all[len(all)-1].at >= s.config.Period {
--- a/pkg/kumquatlug/quarantine/suspects_test.go
+++ b/pkg/kumquatlug/quarantine/suspects_test.go
@@ -7,9 +7,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// A request ends each worker that runs it, and comes again through three fronts
-// in turn. Each tells the others; after three crashes nobody sends it any more,
-// and the rest of the group stays up.
+// A request crashes each worker that runs it, and is sent through three fronts
+// in turn. Each reports to the others; after three crashes all fronts refuse
+// it, and the rest of the group stays up.
 func TestCrashingRequestIsRefusedByEveryFront(t *testing.T) {
 	fronts := []*Suspects{NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{})}
 	f := Fingerprint("bad")
@@ -25,32 +25,32 @@
 		}
 	}
 	if crashes != 3 {
-		t.Errorf("%d crashes", crashes)
+		t.Errorf("%d crashes, want 3", crashes)
 	}
 }
 
-// The same crash is told twice, by the front that saw it and by the store. It
-// counts once, and after a while not at all.
+// The same crash is reported twice, by the front that saw it and by the store.
+// It must count once, and not at all after Period.
 func TestCrashCountsOnceAndExpires(t *testing.T) {
 	s := NewSuspects(SuspectsConfig{Most: 2})
 	for range 5 {
 		s.Crashed(0, "f", "one")
 	}
 	if s.Refused(1, "f") {
-		t.Error("one crash counts as many")
+		t.Error("one crash reported repeatedly counts more than once")
 	}
 	s.Crashed(0, "f", "two")
 	s.Crashed(0, "f", "three")
 	if !s.Refused(1, "f") || s.Refused(2*kumquatlug.Minute, "f") {
-		t.Error("three crashes count for a minute")
+		t.Error("three crashes must refuse the request and expire after Period")
 	}
 	s.Crashed(0, "g", "x")
 	s.Crashed(0, "h", "x")
 	if len(s.reports) != 2 {
-		t.Errorf("%d requests are remembered", len(s.reports))
+		t.Errorf("%d requests remembered, want 2", len(s.reports))
 	}
 	s.Forget(2 * kumquatlug.Minute)
 	if s.Any() {
-		t.Error("old crashes are kept")
+		t.Error("expired crashes are kept")
 	}
 }
