--- a/pkg/kumquatlug/ledger/fake_test.go
+++ b/pkg/kumquatlug/ledger/fake_test.go
@@ -11,14 +11,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// memoryTable is the platform's table as a map; it counts transactions.
+// memoryTable is an in-memory table that counts transactions.
 type memoryTable struct {
 	mu      sync.Mutex
 	rows    map[string]kumquatlug.Row
 	version int64
 	commits int
-	// fail returns what goes wrong with a commit; lost ones take effect.
-	fail func() error
+	// commitFault returns the error of a commit. A commit that returns ErrLost
+	// takes effect.
+	commitFault func() error
 }
 
 func newMemoryTable() *memoryTable {
@@ -48,8 +49,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var err error
-	if m.fail != nil {
-		err = m.fail()
+	if m.commitFault != nil {
+		err = m.commitFault()
 	}
 	if errors.Is(err, kumquatlug.ErrUnavailable) {
 		return err
@@ -60,7 +61,7 @@
 	return err
 }
 
-// apply carries tx out without any fault.
+// apply applies tx without faults.
 func (m *memoryTable) apply(tx kumquatlug.Tx) error {
 	m.commits++
 	for _, c := range tx.Conditions() {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// memoryObjects is the platform's object store as a map.
+// memoryObjects is an in-memory object store.
 type memoryObjects struct {
 	mu     sync.Mutex
 	bodies map[string][]byte
--- a/pkg/kumquatlug/ledger/proof_test.go
+++ b/pkg/kumquatlug/ledger/proof_test.go
@@ -10,81 +10,85 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-var kinds = []string{
+// eventKinds lists the kinds of events; an event is as likely as it is frequent
+// in the list.
+var eventKinds = []string{
 	"request", "request", "request", "request", "arrive", "arrive", "arrive", "arrive", "arrive",
-	"step", "step", "step", "step", "step", "step", "step", "step", "step", "step", "step", "step",
-	"work", "work", "work", "work", "work", "upload", "give-up", "give-up", "give-up", "leave",
-	"land", "land", "pass", "pass", "pass", "kill", "replace", "outage", "heal", "heal", "era", "poll", "poll", "settle",
-	"request", "request", "arrive", "arrive", "arrive", "step", "step", "step", "step", "step", "step", "step", "step",
+	"step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table",
+	"step-job", "step-job", "step-job", "step-job", "step-job", "upload", "give-up", "give-up", "give-up", "disconnect",
+	"delayed-commit", "delayed-commit", "pass-time", "pass-time", "pass-time", "kill", "replace", "outage", "recover", "recover", "era", "poll", "poll", "quiesce",
+	"request", "request", "arrive", "arrive", "arrive", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table", "step-table",
 }
 
-func play(sut commands.SystemUnderTest, e proof.Event) commands.Result {
-	w := sut.(*world)
+// applyEvent applies an event to the simulation and returns its first violation,
+// if any.
+func applyEvent(sut commands.SystemUnderTest, e proof.Event) commands.Result {
+	s := sut.(*simulation)
 	r := rand.New(rand.NewSource(e.Seed))
 	switch e.Kind {
 	case "request":
-		w.request(r)
+		s.sendRequest(r)
 	case "arrive":
 		for range 1 + r.Intn(2) {
-			w.arrive(r)
+			s.deliverMessage(r)
 		}
-	case "step":
+	case "step-table":
 		for range 1 + r.Intn(5) {
-			w.step(w.busy(r), r)
+			s.stepTableOp(s.busyProcess(r), r)
 		}
-	case "work":
-		w.work(w.running(r), r)
+	case "step-job":
+		s.stepJob(s.runningProcess(r), r)
 	case "upload":
-		w.uploaded(pick(w.processes(), r, func(p *process) bool { return len(p.upload) > 0 }))
+		s.completeUpload(pickProcess(s.processes(), r, func(p *process) bool { return len(p.uploads) > 0 }))
 	case "give-up":
-		w.giveUp(r)
-	case "leave":
-		w.leave(pick(w.agents, r, func(p *process) bool { return len(p.asked) > 0 }), r)
+		s.giveUp(r)
+	case "disconnect":
+		s.disconnectWaiter(pickProcess(s.agents, r, func(p *process) bool { return len(p.waiting) > 0 }), r)
 	default:
-		w.disturb(e.Kind, r)
+		s.applyFault(e.Kind, r)
 	}
-	return w.wrong
+	return s.violation
 }
 
-func (w *world) disturb(kind string, r *rand.Rand) {
+func (s *simulation) applyFault(kind string, r *rand.Rand) {
 	switch kind {
-	case "land":
-		w.land(r)
-	case "pass":
-		w.now += kumquatlug.Millis(r.Intn(3000))
+	case "delayed-commit":
+		s.applyDelayedTx(r)
+	case "pass-time":
+		s.now += kumquatlug.Millis(r.Intn(3000))
 	case "kill", "replace":
-		w.replace(r, kind == "kill")
-	case "outage", "heal":
-		w.outage = kind == "outage"
+		s.restartProcess(r, kind == "kill")
+	case "outage", "recover":
+		s.tableDown = kind == "outage"
 	case "era":
-		w.advance()
+		s.advanceEra()
 	case "poll":
-		e := w.entries[r.Intn(len(w.entries))]
-		e.era = w.era()
-	case "settle":
+		e := s.entries[r.Intn(len(s.entries))]
+		e.era = s.era()
+	case "quiesce":
 		if r.Intn(3) == 0 {
-			w.settle(r)
+			s.quiesce(r)
 		}
 	}
 }
 
 func TestProofAtMostOnceAndNotRunIsTrue(t *testing.T) {
-	// Postings are sent, sent again through another entry, with another body,
-	// and routed to another target, while the table loses answers, is down or
-	// lets writes land late, agents are killed, paused and replaced between
-	// claim and run and end, and eras pass. A user would see a posting twice, a
-	// "not run" for one that went out, or another posting's answer.
+	// Calls are sent, and sent again through another entry, with another body,
+	// or to another target. Commits lose their responses, fail, or take effect
+	// late; agents are killed, paused and replaced between claim, run and end;
+	// and eras advance. A fault shows as a call that runs twice, a not-run for
+	// a call that ran, or the answer of a different call.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
 		Claim: "at most one run, and not-run is true",
 		Seed:  5, Runs: 600, Steps: 200,
-		Command: proof.Events(kinds, play),
-		World:   func() commands.SystemUnderTest { return newWorld(counts) },
+		Command: proof.Events(eventKinds, applyEvent),
+		World:   func() commands.SystemUnderTest { return newSimulation(counts) },
 	})
 	t.Logf("%v", counts)
 	for _, end := range []string{"run", "answer", "not-run", "unknown", "conflict"} {
 		if counts[end] == 0 {
-			t.Errorf("no run reached %q", end)
+			t.Errorf("no simulation reached %q", end)
 		}
 	}
 }
--- a/pkg/kumquatlug/ledger/row_test.go
+++ b/pkg/kumquatlug/ledger/row_test.go
@@ -16,10 +16,10 @@
 			return
 		}
 		if d.Era() < 0 || d.Epoch() < 0 {
-			t.Errorf("%q gave %v", text, d)
+			t.Errorf("%q parsed as %v", text, d)
 		}
 		if again, err := ParseDispatch(d.String()); err != nil || again != d {
-			t.Errorf("%v came back as %v, %v", d, again, err)
+			t.Errorf("%v round trip = %v, %v", d, again, err)
 		}
 	})
 }
@@ -30,38 +30,38 @@
 	f.Add([]byte("{}"))
 	f.Add([]byte(`{"state":"claimed","target":"gazette-1","claim":"a-1","body":"body"}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
-		// A row that can't be read, or says what no row says, may stand for a
-		// run. Only one that says free admits another.
+		// A row that can't be decoded, or has an unknown state, may stand for a
+		// run. Only a row in state free may admit another.
 		table := newMemoryTable()
-		c := call("k", "body", Dispatch{})
+		c := newTestCall("k", "body", Dispatch{})
 		if err := table.apply(kumquatlug.NewTx("garbled").Put(rowKey(0, c.ID()), value)); err != nil {
 			t.Fatal(err)
 		}
-		b := newBook(Config{Target: "gazette-1", Incarnation: "b"}.withDefaults())
-		b.begin(c, false, 0)
-		for now := kumquatlug.Millis(0); b.pending() > 0; now += DefaultFlush {
-			if e := b.next(now); e != nil {
-				end(b, table, e, now)
+		m := newStateMachine(Config{Target: "gazette-1", Incarnation: "b"}.withDefaults())
+		m.begin(c, false, 0)
+		for now := kumquatlug.Millis(0); m.pending() > 0; now += DefaultFlush {
+			if op := m.nextOp(now); op != nil {
+				performOp(m, table, op, now)
 			}
 		}
 		r := decodeRow(value)
 		free := r.State == stateFree && r.Epoch <= 0
-		for _, d := range b.take() {
-			if d.failure == nil && d.ruling.verdict == VerdictRun && !free {
-				t.Errorf("%q admitted a run", value)
+		for _, resp := range m.takeResponses() {
+			if resp.failure == nil && resp.ruling.verdict == VerdictRun && !free {
+				t.Errorf("row %q admitted a run", value)
 			}
 		}
 	})
 }
 
-// end lets an effect that the book asked for happen.
-func end(b *book, table *memoryTable, e *effect, now kumquatlug.Millis) {
-	r := result{}
-	if e.writes() {
-		r.err = table.apply(e.tx)
+// performOp performs a table operation and completes it.
+func performOp(m *stateMachine, table *memoryTable, op *tableOp, now kumquatlug.Millis) {
+	r := tableResult{}
+	if op.isWrite() {
+		r.err = table.apply(op.tx)
 	}
-	for _, key := range e.reads {
+	for _, key := range op.reads {
 		r.rows = append(r.rows, table.rows[key])
 	}
-	b.done(r, now)
+	m.completeOp(r, now)
 }
--- a/pkg/kumquatlug/quarantine/notice.go
+++ b/pkg/kumquatlug/quarantine/notice.go
@@ -8,33 +8,34 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Notice is what one register tells another of a fingerprint.
+// Notice is the state of one fingerprint as exchanged between registers.
 type Notice struct {
 	fingerprint Fingerprint
-	marks       []mark
+	marks       []crashMark
 	proven      bool
 	remaining   kumquatlug.Millis
 }
 
-// Fingerprint returns whom the notice is about.
+// Fingerprint returns the fingerprint that the notice is about.
 func (n Notice) Fingerprint() Fingerprint { return n.fingerprint }
 
-// Proven reports whether its guilt is proven.
+// Proven reports whether the request is proven to have crashed a target.
 func (n Notice) Proven() bool { return n.proven }
 
-// Remaining returns how long it was to be remembered when it was told.
+// Remaining returns the remaining lifetime of the record when the notice was
+// made, in milliseconds.
 func (n Notice) Remaining() kumquatlug.Millis { return n.remaining }
 
-// noticeForm and markForm are the JSON form of a notice. Ages and remaining
-// spans go over the wire, since points in time mean nothing elsewhere.
-type noticeForm struct {
+// noticeJSON and crashMarkJSON are the JSON encoding of a notice. They hold
+// ages and remaining times, because the clocks of two nodes are not comparable.
+type noticeJSON struct {
 	Fingerprint Fingerprint       `json:"f"`
-	Marks       []markForm        `json:"m"`
+	Marks       []crashMarkJSON   `json:"m"`
 	Proven      bool              `json:"p,omitempty"`
 	Remaining   kumquatlug.Millis `json:"r"`
 }
 
-type markForm struct {
+type crashMarkJSON struct {
 	Target      string            `json:"t"`
 	Incarnation string            `json:"i"`
 	Starting    bool              `json:"s,omitempty"`
@@ -44,64 +45,66 @@
 
 // MarshalText returns the notice as JSON.
 func (n Notice) MarshalText() ([]byte, error) {
-	form := noticeForm{Fingerprint: n.fingerprint, Proven: n.proven, Remaining: n.remaining}
+	j := noticeJSON{Fingerprint: n.fingerprint, Proven: n.proven, Remaining: n.remaining}
 	for _, m := range n.marks {
-		form.Marks = append(form.Marks, markForm{
+		j.Marks = append(j.Marks, crashMarkJSON{
 			Target: m.crash.target, Incarnation: m.crash.incarnation,
 			Starting: m.starting, Cleared: m.cleared, Age: m.at,
 		})
 	}
-	text, err := json.Marshal(form)
-	return text, errors.Wrap(err, "write a quarantine notice")
+	text, err := json.Marshal(j)
+	return text, errors.Wrap(err, "encode quarantine notice")
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText parses the output of MarshalText. It returns an error for
+// malformed JSON and for a notice without a fingerprint.
 func (n *Notice) UnmarshalText(text []byte) error {
-	var form noticeForm
-	if err := json.Unmarshal(text, &form); err != nil {
-		return errors.Wrap(err, "read a quarantine notice")
+	var j noticeJSON
+	if err := json.Unmarshal(text, &j); err != nil {
+		return errors.Wrap(err, "parse quarantine notice")
 	}
-	if form.Fingerprint == "" {
-		return errors.New("read a quarantine notice: it names no fingerprint")
+	if j.Fingerprint == "" {
+		return errors.New("parse quarantine notice: fingerprint is missing")
 	}
-	*n = Notice{fingerprint: form.Fingerprint, proven: form.Proven, remaining: form.Remaining}
-	for _, m := range form.Marks {
-		n.marks = append(n.marks, mark{
+	*n = Notice{fingerprint: j.Fingerprint, proven: j.Proven, remaining: j.Remaining}
+	for _, m := range j.Marks {
+		n.marks = append(n.marks, crashMark{
 			crash: NewCrash(m.Target, m.Incarnation), starting: m.Starting, cleared: m.Cleared, at: m.Age,
 		})
 	}
 	return nil
 }
 
-// Known returns notices of all that changed after a version, and the version to
-// ask with next; zero asks for everything. A peer that has them needs no more
-// until something changes, so that gossip costs nothing while nothing crashes.
+// Known returns notices of all records that changed after a version, and the
+// version to pass next time; zero returns all. A peer that is up to date
+// receives nothing until something changes, so that gossip is free while
+// nothing crashes.
 func (r *Register) Known(now kumquatlug.Millis, after int64) ([]Notice, int64) {
 	var notices []Notice
-	for _, f := range r.sorted() {
+	for _, f := range r.sortedFingerprints() {
 		rec := r.records[f]
-		if rec.changed <= after || rec.expires <= now {
+		if rec.changedVersion <= after || rec.expiresAt <= now {
 			continue
 		}
-		notices = append(notices, r.notice(now, f, rec))
+		notices = append(notices, r.newNotice(now, f, rec))
 	}
 	return notices, r.version
 }
 
-// Notice returns what is known of one fingerprint, and whether anything is. An
-// entry sends it along with a suspect, so that the agent watches the call even
-// if no heartbeat has brought the news yet.
+// Notice returns the notice of one fingerprint, and reports false if there is
+// none. An entry sends it along with a suspect, so that the agent isolates the
+// call even if no heartbeat has delivered the notice yet.
 func (r *Register) Notice(now kumquatlug.Millis, f Fingerprint) (Notice, bool) {
 	rec, ok := r.records[f]
-	if !ok || rec.expires <= now {
+	if !ok || rec.expiresAt <= now {
 		return Notice{}, false
 	}
-	return r.notice(now, f, rec), true
+	return r.newNotice(now, f, rec), true
 }
 
-// notice turns the points in time of the marks into ages.
-func (r *Register) notice(now kumquatlug.Millis, f Fingerprint, rec *record) Notice {
-	n := Notice{fingerprint: f, proven: rec.proven, remaining: rec.expires - now}
+// newNotice converts the times of the marks to ages.
+func (r *Register) newNotice(now kumquatlug.Millis, f Fingerprint, rec *record) Notice {
+	n := Notice{fingerprint: f, proven: rec.proven, remaining: rec.expiresAt - now}
 	for _, m := range rec.marks {
 		m.at = now - m.at
 		n.marks = append(n.marks, m)
@@ -109,30 +112,31 @@
 	return n
 }
 
-// Merge takes in what another register knows. Crashes are joined as sets and
-// what is cleared or proven stays so; the order of merges does not matter.
+// Merge merges notices of another register. Crashes are merged as sets, and
+// marks stay cleared and records proven once they are; the order of merges does
+// not matter.
 func (r *Register) Merge(now kumquatlug.Millis, notices []Notice) {
 	for _, n := range notices {
 		if n.remaining <= 0 {
 			continue
 		}
-		r.mergeOne(now, n)
+		r.mergeNotice(now, n)
 	}
 	for _, n := range notices {
-		r.apply(now, n.fingerprint)
+		r.applyProof(now, n.fingerprint)
 	}
-	r.shrink(now)
+	r.evictRecords(now)
 }
 
-func (r *Register) mergeOne(now kumquatlug.Millis, n Notice) {
+func (r *Register) mergeNotice(now kumquatlug.Millis, n Notice) {
 	rec := r.record(now, n.fingerprint)
 	for _, m := range n.marks {
 		m.at = now - m.at
-		r.mark(now, rec, m)
+		r.addMark(now, rec, m)
 	}
 	if n.proven && !rec.proven {
 		rec.proven = true
-		r.touch(now, rec)
+		r.markChanged(now, rec)
 	}
-	r.prolong(now, rec, now+min(n.remaining, r.config.Period))
+	r.extend(now, rec, now+min(n.remaining, r.config.Period))
 }
