--- a/pkg/kumquatlug/placement/choose.go
+++ b/pkg/kumquatlug/placement/choose.go
@@ -32,25 +32,25 @@
 
 // Choice is the answer to a [Query].
 type Choice struct {
-	worker kumquatlug.Worker
-	zone   string
-	apart  bool
-	// fresh is how many tokens are believed to be read anew, tokens the same with
+	worker      kumquatlug.Worker
+	zone        string
+	prefillOnly bool
+	// uncachedTokens is how many tokens are believed to be read anew, tokens the same with
 	// the price of their context, as if there were none.
-	fresh  float64
-	tokens float64
-	wait   float64
-	cost   float64
+	uncachedTokens  float64
+	effectiveTokens float64
+	wait            float64
+	cost            float64
 	// delay is the part of wait before the attempt is sent.
 	delay float64
-	// place is what is kept for the output; kept says that the worker's limit counts the
+	// reservation is what is kept for the output; kept says that the worker's limit counts the
 	// attempt already.
-	place Place
-	kept  bool
+	reservation Place
+	reserved    bool
 }
 
 // Place returns what is kept for the output of a prompt that is read apart.
-func (c Choice) Place() Place { return c.place }
+func (c Choice) Place() Place { return c.reservation }
 
 // Zone returns the worker's data centre.
 func (c Choice) Zone() string { return c.zone }
@@ -60,7 +60,7 @@
 
 // Apart reports that the worker only reads the prompt and another one is to be
 // chosen for the output.
-func (c Choice) Apart() bool { return c.apart }
+func (c Choice) Apart() bool { return c.prefillOnly }
 
 // Wait returns the expected span until the first output.
 func (c Choice) Wait() kumquatlug.Millis { return kumquatlug.Millis(c.wait) }
@@ -69,64 +69,64 @@
 // takes no more requests yet. Where no worker was found it is the least one of all.
 func (c Choice) Delay() kumquatlug.Millis { return kumquatlug.Millis(math.Ceil(c.delay)) }
 
-// usable reports whether a worker may be given new work of a role. An engine
+// eligible reports whether a worker may be given new work of a role. An engine
 // that names no role reads and generates.
-func (p *Placer) usable(now kumquatlug.Millis, w *worker, q Query, role kumquatlug.Role) bool {
+func (p *Placer) eligible(now kumquatlug.Millis, w *worker, q Query, role kumquatlug.Role) bool {
 	id := w.member.Worker.ID()
-	has := w.member.Role == role || role == kumquatlug.RoleDecode && w.member.Role == ""
-	return w.member.State == kumquatlug.MemberReady && has && now >= max(w.until, w.pausedUntil) && !w.leaves(now) &&
+	roleMatches := w.member.Role == role || role == kumquatlug.RoleDecode && w.member.Role == ""
+	return w.member.State == kumquatlug.MemberReady && roleMatches && now >= max(w.backoffUntil, w.pausedUntil) && !w.changingRole(now) &&
 		!slices.Contains(q.Exclude, id) && p.health.Weight(now, id) > 0
 }
 
 // Plain chooses the worker of a plain service with the least expected wait.
 func (p *Placer) Plain(now kumquatlug.Millis, q Query) (Choice, bool) {
 	var best Choice
-	least, found := math.Inf(1), false
-	held := newHeld()
-	for _, w := range p.list {
-		if !p.usable(now, w, q, w.member.Role) {
+	minCost, found := math.Inf(1), false
+	limited := newLimitedWorkers()
+	for _, w := range p.ordered {
+		if !p.eligible(now, w, q, w.member.Role) {
 			continue
 		}
-		ahead := float64(w.runs) + p.othersNow(now, w)
+		ahead := float64(w.running) + p.otherRequestsAt(now, w)
 		slots := float64(max(w.member.Slots, 1))
-		queue := max(0, ahead+1-slots) / slots * p.meanTime
-		if held.back(now, w, q, queue+p.meanTime) {
+		queue := max(0, ahead+1-slots) / slots * p.meanPlainMs
+		if limited.exclude(now, w, q, queue+p.meanPlainMs) {
 			continue
 		}
 		delay := w.limit.Delay(now)
 		wait := delay + queue
-		cost := (wait + ahead/slots + p.zonePrice(w)) / p.health.Weight(now, w.member.Worker.ID())
-		if cost < least {
-			least, found = cost, true
+		cost := (wait + ahead/slots + p.zonePenalty(w)) / p.health.Weight(now, w.member.Worker.ID())
+		if cost < minCost {
+			minCost, found = cost, true
 			best = Choice{worker: w.member.Worker, wait: wait, delay: delay}
 		}
 	}
-	return p.bestOr(now, best, found, held), found
+	return p.bestOrDelay(now, best, found, limited), found
 }
 
 // Prompt chooses where a prompt is read: apart from its output, or by the
 // engine that then generates.
 func (p *Placer) Prompt(now kumquatlug.Millis, q Query) (Choice, bool) {
-	output, can := p.Output(now, Query{Prompt: q.Prompt, Target: q.Target, Until: q.Until})
-	if !can {
+	output, outputFound := p.Output(now, Query{Prompt: q.Prompt, Target: q.Target, Until: q.Until})
+	if !outputFound {
 		return output, false
 	}
-	mixed, mixedCost, also := p.mixed(now, q)
-	apart, apartCost, found := p.reader(now, q)
-	if !found || also && mixedCost < apartCost+output.cost {
-		return mixed, also
+	mixed, mixedCost, mixedFound := p.cheapestMixed(now, q)
+	prefill, prefillCost, prefillFound := p.cheapestPrefill(now, q)
+	if !prefillFound || mixedFound && mixedCost < prefillCost+output.cost {
+		return mixed, mixedFound
 	}
-	apart.wait += output.wait
-	apart.place = p.placeAt(now, output)
-	return apart, true
+	prefill.wait += output.wait
+	prefill.reservation = p.reservationFor(now, output)
+	return prefill, true
 }
 
-// reader finds the engine to read the prompt apart.
-func (p *Placer) reader(now kumquatlug.Millis, q Query) (Choice, float64, bool) {
-	key := chainKey(q.Prompt)
+// cheapestPrefill finds the engine to read the prompt apart.
+func (p *Placer) cheapestPrefill(now kumquatlug.Millis, q Query) (Choice, float64, bool) {
+	key := prefixKey(q.Prompt)
 	owner, ownerKey := (*worker)(nil), uint64(0)
-	for _, w := range p.list {
-		if !p.readable(now, w, q) {
+	for _, w := range p.ordered {
+		if !p.canPrefill(now, w, q) {
 			continue
 		}
 		if h := rendezvous.Mix(key ^ w.hash); owner == nil || h > ownerKey {
@@ -136,91 +136,91 @@
 	if owner == nil {
 		return Choice{}, 0, false
 	}
-	least, best := math.Inf(1), Choice{}
-	for _, w := range p.list {
-		if !p.readable(now, w, q) {
+	minCost, best := math.Inf(1), Choice{}
+	for _, w := range p.ordered {
+		if !p.canPrefill(now, w, q) {
 			continue
 		}
 		weight := p.health.Weight(now, w.member.Worker.ID())
-		fresh := p.unheld(now, w, q.Prompt, w == owner)
-		tokens := p.priced(fresh, q.Prompt)
-		wait := (p.backlog(now, w) + tokens) / p.rate() * p.pace / weight
-		away := fresh - p.own(q.Prompt)
-		cost := wait + p.c.AwayPrice*away/p.rate() + p.zonePrice(w)
-		if cost < least {
-			least = cost
+		uncached := p.uncachedTokens(now, w, q.Prompt, w == owner)
+		tokens := p.effectiveTokens(uncached, q.Prompt)
+		wait := (p.backlogTokens(now, w) + tokens) / p.prefillRate() * p.slowdown / weight
+		recomputed := uncached - p.unsharedTokens(q.Prompt)
+		cost := wait + p.config.AwayPrice*recomputed/p.prefillRate() + p.zonePenalty(w)
+		if cost < minCost {
+			minCost = cost
 			best = Choice{
-				worker: w.member.Worker, zone: w.member.Zone, apart: true, fresh: fresh, tokens: tokens, wait: wait + p.handOver(),
+				worker: w.member.Worker, zone: w.member.Zone, prefillOnly: true, uncachedTokens: uncached, effectiveTokens: tokens, wait: wait + p.handoffMs(),
 			}
 		}
 	}
-	return best, least + p.c.TransferCost, true
+	return best, minCost + p.config.TransferCost, true
 }
 
-// readable reports that an engine may be given a prompt to read apart. One that takes no
+// canPrefill reports that an engine may be given a prompt to read apart. One that takes no
 // more requests yet is left out: a prompt is better read elsewhere than late.
-func (p *Placer) readable(now kumquatlug.Millis, w *worker, q Query) bool {
-	return p.usable(now, w, q, kumquatlug.RolePrefill) && w.limit.Delay(now) == 0
+func (p *Placer) canPrefill(now kumquatlug.Millis, w *worker, q Query) bool {
+	return p.eligible(now, w, q, kumquatlug.RolePrefill) && w.limit.Delay(now) == 0
 }
 
-// mixed finds the engine to read the prompt and generate.
-func (p *Placer) mixed(now kumquatlug.Millis, q Query) (Choice, float64, bool) {
-	least, best, found := math.Inf(1), Choice{}, false
-	held := newHeld()
-	for _, w := range p.list {
-		if !p.usable(now, w, q, kumquatlug.RoleDecode) {
+// cheapestMixed finds the engine to read the prompt and generate.
+func (p *Placer) cheapestMixed(now kumquatlug.Millis, q Query) (Choice, float64, bool) {
+	minCost, best, found := math.Inf(1), Choice{}, false
+	limited := newLimitedWorkers()
+	for _, w := range p.ordered {
+		if !p.eligible(now, w, q, kumquatlug.RoleDecode) {
 			continue
 		}
-		fresh, rate := p.unheld(now, w, q.Prompt, false), p.rate()
+		uncached, rate := p.uncachedTokens(now, w, q.Prompt, false), p.prefillRate()
 		if w.member.Role == kumquatlug.RoleDecode {
-			rate *= p.c.MixedPart
+			rate *= p.config.MixedPart
 		}
-		tokens := p.priced(fresh, q.Prompt)
+		tokens := p.effectiveTokens(uncached, q.Prompt)
 		read := tokens / rate
-		rest := w.tokens/rate + read + p.slotWait(now, w, q.Prompt)
-		if held.back(now, w, q, rest+afterRead) {
+		rest := w.prefillTokens/rate + read + p.slotWaitMs(now, w, q.Prompt)
+		if limited.exclude(now, w, q, rest+postPrefillMs) {
 			continue
 		}
 		delay := w.limit.Delay(now)
 		wait := delay + rest
 		weight := p.health.Weight(now, w.member.Worker.ID())
-		taken := (float64(w.runs) + p.othersNow(now, w)) / float64(max(w.member.Slots, 1))
-		disturbed := max(0, fresh-smallRead) / rate
-		cost := (wait+p.batchCost(now, w, q.Prompt))/weight + p.c.MixedPrice*taken*disturbed + p.zonePrice(w)
-		if cost < least {
-			least, found = cost, true
-			best = Choice{worker: w.member.Worker, fresh: fresh, tokens: tokens, wait: wait, delay: delay}
+		slotLoad := (float64(w.running) + p.otherRequestsAt(now, w)) / float64(max(w.member.Slots, 1))
+		blockedMs := max(0, uncached-smallPrefillTokens) / rate
+		cost := (wait+p.batchCostMs(now, w, q.Prompt))/weight + p.config.MixedPrice*slotLoad*blockedMs + p.zonePenalty(w)
+		if cost < minCost {
+			minCost, found = cost, true
+			best = Choice{worker: w.member.Worker, uncachedTokens: uncached, effectiveTokens: tokens, wait: wait, delay: delay}
 		}
 	}
-	return p.bestOr(now, best, found, held), least, found
+	return p.bestOrDelay(now, best, found, limited), minCost, found
 }
 
 // Output chooses the engine that generates from a KV cache read elsewhere.
 func (p *Placer) Output(now kumquatlug.Millis, q Query) (Choice, bool) {
-	if c, kept := p.atPlace(now, q); kept {
+	if c, reserved := p.reservedChoice(now, q); reserved {
 		return c, true
 	}
-	least, best, found := math.Inf(1), Choice{}, false
-	held := newHeld()
-	for _, w := range p.list {
-		if !p.usable(now, w, q, kumquatlug.RoleDecode) {
+	minCost, best, found := math.Inf(1), Choice{}, false
+	limited := newLimitedWorkers()
+	for _, w := range p.ordered {
+		if !p.eligible(now, w, q, kumquatlug.RoleDecode) {
 			continue
 		}
-		slot := p.slotWait(now, w, q.Prompt)
-		if held.back(now, w, q, slot+afterRead) {
+		slot := p.slotWaitMs(now, w, q.Prompt)
+		if limited.exclude(now, w, q, slot+postPrefillMs) {
 			continue
 		}
 		delay := w.limit.Delay(now)
 		wait := delay + slot
-		cost := wait + p.batchCost(now, w, q.Prompt) + w.tokens/p.rate()
-		cost = cost/p.health.Weight(now, w.member.Worker.ID()) + p.zonePrice(w)
+		cost := wait + p.batchCostMs(now, w, q.Prompt) + w.prefillTokens/p.prefillRate()
+		cost = cost/p.health.Weight(now, w.member.Worker.ID()) + p.zonePenalty(w)
 		if q.CacheZone != "" && w.member.Zone != q.CacheZone {
-			cost += cacheZoneCost
+			cost += crossZoneCacheCostMs
 		}
-		if cost < least {
-			least, found = cost, true
+		if cost < minCost {
+			minCost, found = cost, true
 			best = Choice{worker: w.member.Worker, wait: wait, cost: cost, delay: delay}
 		}
 	}
-	return p.bestOr(now, best, found, held), found
+	return p.bestOrDelay(now, best, found, limited), found
 }
--- a/pkg/kumquatlug/placement/coordinate.go
+++ b/pkg/kumquatlug/placement/coordinate.go
@@ -15,52 +15,52 @@
 // Figures of coordinating.
 const (
 	// staleAfter is how long a prompt of another front stays in a queue without
-	// being asked for again: its front does so each askRenew.
-	staleAfter = 4 * askRenew
-	// forgetFactor is how many times as long as expected a turn lasts until it is
+	// being asked for again: its front does so each requestRenewInterval.
+	staleAfter = 4 * requestRenewInterval
+	// grantTimeoutFactor is how many times as long as expected a turn lasts until it is
 	// forgotten.
-	forgetFactor = 4
-	// keptMemory is the part of an engine's memory that is read until a part that
+	grantTimeoutFactor = 4
+	// cacheRetainFraction is the part of an engine's memory that is read until a part that
 	// nobody used meanwhile is gone; outputs and copies take the rest.
-	keptMemory = 0.9
-	// mostRemote bounds the prompts of other fronts in the queue of one engine.
+	cacheRetainFraction = 0.9
+	// maxRemotePrompts bounds the prompts of other fronts in the queue of one engine.
 	// At the fastest engines it is a second of reading; beyond it prompts are refused.
-	mostRemote = 500
+	maxRemotePrompts = 500
 )
 
 // remoteKey is a prompt of another front, by that front's name and key.
 type remoteKey struct {
-	front string
-	key   uint64
+	gateway string
+	key     uint64
 }
 
-// turnOf is a turn that another front was given.
-type turnOf struct {
-	remote remoteKey
-	tokens float64
-	until  kumquatlug.Millis
-	// alone says that nothing else was in hand at the engine, wait is how long reading
+// remoteGrant is a turn that another front was given.
+type remoteGrant struct {
+	remote          remoteKey
+	effectiveTokens float64
+	expiresAt       kumquatlug.Millis
+	// engineIdle says that nothing else was in hand at the engine, wait is how long reading
 	// was expected to take.
-	alone bool
-	wait  kumquatlug.Millis
-	fresh int
+	engineIdle     bool
+	expectedWait   kumquatlug.Millis
+	uncachedTokens int
 }
 
-// count sets what is to be read of a prompt at an engine that this front coordinates: by
+// estimateTokens sets what is to be read of a prompt at an engine that this front coordinates: by
 // what all fronts had read there, and what has been driven out of its memory since.
 // An engine that is believed to hold what it does not, as all are at a start, is
 // given several times what it can read in time.
-func (p *Placer) count(w *worker, one *waiting) {
-	one.choice.fresh = p.fresh(w, one.query.Prompt)
-	one.choice.tokens = p.priced(one.choice.fresh, one.query.Prompt)
+func (p *Placer) estimateTokens(w *worker, queued *queuedPrompt) {
+	queued.choice.uncachedTokens = p.coordinatedUncached(w, queued.query.Prompt)
+	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
 }
 
-// fresh is how many tokens of a prompt an engine has to read that this front coordinates.
-func (p *Placer) fresh(w *worker, prompt kumquatlug.Prompt) float64 {
+// coordinatedUncached is how many tokens of a prompt an engine has to read that this front coordinates.
+func (p *Placer) coordinatedUncached(w *worker, prompt kumquatlug.Prompt) float64 {
 	left := prompt.Input()
 	for _, part := range prompt.Shared() {
-		last, read := w.held[part.ID()]
-		if !read || p.memory > 0 && w.read-last.read > keptMemory*p.memory {
+		last, cached := w.cachedParts[part.ID()]
+		if !cached || p.kvCapacity > 0 && w.prefilledTokens-last.prefilledTokens > cacheRetainFraction*p.kvCapacity {
 			break
 		}
 		left -= part.Tokens()
@@ -71,139 +71,139 @@
 // Requested takes what another front says to this one as a coordinator; the answers lie in
 // the [Placer.Outbox].
 func (p *Placer) Requested(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
-	r := remoteKey{front: m.Front, key: m.Turn.Key}
+	r := remoteKey{gateway: m.Front, key: m.Turn.Key}
 	w, known := p.workers[m.Turn.Engine]
 	if m.Turn.Step == kumquatlug.TurnOver {
 		if known {
-			w.turnOver(r)
+			w.releaseRemote(r)
 		}
 		return
 	}
-	if !known || !p.coordinates(now, w) || !p.usable(now, w, Query{}, kumquatlug.RolePrefill) {
-		p.answer(r, m.Turn.Engine, kumquatlug.TurnUnknown, 0)
+	if !known || !p.coordinates(now, w) || !p.eligible(now, w, Query{}, kumquatlug.RolePrefill) {
+		p.reply(r, m.Turn.Engine, kumquatlug.TurnUnknown, 0)
 		return
 	}
-	if at := slices.IndexFunc(w.turns, func(t turnOf) bool { return t.remote == r }); at >= 0 {
-		p.tellTurn(w, w.turns[at])
+	if at := slices.IndexFunc(w.grants, func(t remoteGrant) bool { return t.remote == r }); at >= 0 {
+		p.sendGrant(w, w.grants[at])
 		return
 	}
-	if one := w.waitingFor(r); one != nil {
-		one.seenAt = now
-		p.answer(r, m.Turn.Engine, kumquatlug.TurnQueued, 0)
+	if queued := w.findRemote(r); queued != nil {
+		queued.renewedAt = now
+		p.reply(r, m.Turn.Engine, kumquatlug.TurnQueued, 0)
 		return
 	}
-	p.enterRemote(now, w, r, m.Turn)
+	p.submitRemote(now, w, r, m.Turn)
 }
 
-// waitingFor returns the prompt of another front in the queue, nil for none.
-func (w *worker) waitingFor(r remoteKey) *waiting {
-	for _, one := range w.queue {
-		if one.remote == r {
-			return one
+// findRemote returns the prompt of another front in the queue, nil for none.
+func (w *worker) findRemote(r remoteKey) *queuedPrompt {
+	for _, queued := range w.queue {
+		if queued.remote == r {
+			return queued
 		}
 	}
 	return nil
 }
 
-// enterRemote takes a prompt of another front into the queue, or refuses it.
-func (p *Placer) enterRemote(now kumquatlug.Millis, w *worker, r remoteKey, t kumquatlug.Turn) {
+// submitRemote takes a prompt of another front into the queue, or refuses it.
+func (p *Placer) submitRemote(now kumquatlug.Millis, w *worker, r remoteKey, t kumquatlug.Turn) {
 	q := Query{Prompt: t.Prompt, Worth: t.Worth, Until: now + t.Patience, Begun: t.Begun}
 	if t.Timed {
 		q.Target = now + t.Target
 	}
-	one := &waiting{
-		remote: r, seenAt: now, query: q, hold: t.Patience,
-		choice: Choice{worker: w.member.Worker, apart: true},
+	queued := &queuedPrompt{
+		remote: r, renewedAt: now, query: q, maxLateHold: t.Patience,
+		choice: Choice{worker: w.member.Worker, prefillOnly: true},
 	}
-	p.count(w, one)
-	full := len(w.queue) >= mostRemote && !t.Begun
-	if full || !p.mayWait(now, w, one) {
-		p.refuseRemote(now, w, one)
+	p.estimateTokens(w, queued)
+	full := len(w.queue) >= maxRemotePrompts && !t.Begun
+	if full || !p.mayQueue(now, w, queued) {
+		p.refuseRemote(now, w, queued)
 		return
 	}
-	w.enqueue(one)
-	if !p.room(now, w) {
-		p.answer(r, t.Engine, kumquatlug.TurnQueued, 0)
+	w.enqueue(queued)
+	if !p.hasCapacity(now, w) {
+		p.reply(r, t.Engine, kumquatlug.TurnQueued, 0)
 	}
 }
 
-// answer tells another front what becomes of its prompt.
-func (p *Placer) answer(r remoteKey, engine string, step kumquatlug.TurnStep, wait kumquatlug.Millis) {
-	p.tell(r.front, kumquatlug.Turn{Step: step, Engine: engine, Key: r.key, Wait: wait})
+// reply tells another front what becomes of its prompt.
+func (p *Placer) reply(r remoteKey, engine string, step kumquatlug.TurnStep, wait kumquatlug.Millis) {
+	p.send(r.gateway, kumquatlug.Turn{Step: step, Engine: engine, Key: r.key, Wait: wait})
 }
 
 // refuseRemote tells that a prompt can't be read in time.
-func (p *Placer) refuseRemote(now kumquatlug.Millis, w *worker, one *waiting) {
-	wait := (p.inHand(now, w) + w.queuedTokens() + one.choice.tokens) / p.rate() * p.pace
-	p.answer(one.remote, w.member.Worker.ID(), kumquatlug.TurnRefused, kumquatlug.Millis(wait))
-}
-
-// grant gives a prompt of another front its turn.
-func (p *Placer) grant(now kumquatlug.Millis, w *worker, one *waiting) {
-	tokens := one.choice.tokens
-	read := (p.inHand(now, w) + tokens) / p.rate() * p.pace
-	w.turns = append(w.turns, turnOf{
-		remote: one.remote, tokens: tokens, until: now + kumquatlug.Millis(forgetFactor*(read+p.handOver())),
-		alone: w.reads == 0, wait: kumquatlug.Millis(read), fresh: int(one.choice.fresh),
+func (p *Placer) refuseRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
+	wait := (p.inFlightTokens(now, w) + w.queuedTokens() + queued.choice.effectiveTokens) / p.prefillRate() * p.slowdown
+	p.reply(queued.remote, w.member.Worker.ID(), kumquatlug.TurnRefused, kumquatlug.Millis(wait))
+}
+
+// grantRemote gives a prompt of another front its turn.
+func (p *Placer) grantRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
+	tokens := queued.choice.effectiveTokens
+	expectedWait := (p.inFlightTokens(now, w) + tokens) / p.prefillRate() * p.slowdown
+	w.grants = append(w.grants, remoteGrant{
+		remote: queued.remote, effectiveTokens: tokens, expiresAt: now + kumquatlug.Millis(grantTimeoutFactor*(expectedWait+p.handoffMs())),
+		engineIdle: w.prefills == 0, expectedWait: kumquatlug.Millis(expectedWait), uncachedTokens: int(queued.choice.uncachedTokens),
 	})
-	p.hold(now, w, one.query.Prompt)
-	w.read += one.choice.fresh
-	w.tokens += tokens
-	w.reads++
-	p.addLoad(now, w, one)
-	p.tellTurn(w, w.turns[len(w.turns)-1])
+	p.recordCached(now, w, queued.query.Prompt)
+	w.prefilledTokens += queued.choice.uncachedTokens
+	w.prefillTokens += tokens
+	w.prefills++
+	p.addLoad(now, w, queued)
+	p.sendGrant(w, w.grants[len(w.grants)-1])
 }
 
-// tellTurn tells another front that a prompt has its turn. It names the engine, as the
+// sendGrant tells another front that a prompt has its turn. It names the engine, as the
 // prompt may have gone elsewhere and its front then gives the turn back.
-func (p *Placer) tellTurn(w *worker, t turnOf) {
-	p.tell(t.remote.front, kumquatlug.Turn{
-		Step: kumquatlug.TurnGranted, Engine: w.member.Worker.ID(), Key: t.remote.key, Wait: t.wait, Alone: t.alone, Fresh: t.fresh,
+func (p *Placer) sendGrant(w *worker, t remoteGrant) {
+	p.send(t.remote.gateway, kumquatlug.Turn{
+		Step: kumquatlug.TurnGranted, Engine: w.member.Worker.ID(), Key: t.remote.key, Wait: t.expectedWait, Alone: t.engineIdle, Fresh: t.uncachedTokens,
 	})
 }
 
-// turnOver ends a turn, or takes a prompt out of the queue.
-func (w *worker) turnOver(r remoteKey) {
-	w.queue = slices.DeleteFunc(w.queue, func(one *waiting) bool { return one.remote == r })
-	w.endTurns(func(t turnOf) bool { return t.remote == r })
+// releaseRemote ends a turn, or takes a prompt out of the queue.
+func (w *worker) releaseRemote(r remoteKey) {
+	w.queue = slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool { return queued.remote == r })
+	w.releaseGrants(func(t remoteGrant) bool { return t.remote == r })
 }
 
-// endTurns ends the turns of other fronts that are over.
-func (w *worker) endTurns(over func(turnOf) bool) {
-	w.turns = slices.DeleteFunc(w.turns, func(t turnOf) bool {
+// releaseGrants ends the turns of other fronts that are over.
+func (w *worker) releaseGrants(over func(remoteGrant) bool) {
+	w.grants = slices.DeleteFunc(w.grants, func(t remoteGrant) bool {
 		if !over(t) {
 			return false
 		}
-		w.tokens = max(0, w.tokens-t.tokens)
-		w.reads--
+		w.prefillTokens = max(0, w.prefillTokens-t.effectiveTokens)
+		w.prefills--
 		return true
 	})
 }
 
-// forgetStale forgets the turns that were never told to be over and the prompts
+// expireRemote forgets the turns that were never told to be over and the prompts
 // that nobody asks for any more.
-func (p *Placer) forgetStale(now kumquatlug.Millis, w *worker) {
-	w.endTurns(func(t turnOf) bool { return now >= t.until })
-	w.queue = slices.DeleteFunc(w.queue, func(one *waiting) bool {
-		return one.remote.front != "" && now-one.seenAt > staleAfter
+func (p *Placer) expireRemote(now kumquatlug.Millis, w *worker) {
+	w.releaseGrants(func(t remoteGrant) bool { return now >= t.expiresAt })
+	w.queue = slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool {
+		return queued.remote.gateway != "" && now-queued.renewedAt > staleAfter
 	})
 }
 
 // StopCoordinating sends the prompts of other fronts to those that coordinate the engines now.
 func (p *Placer) StopCoordinating() {
-	for _, w := range p.list {
-		w.queue = p.sendRemoteAway(w)
+	for _, w := range p.ordered {
+		w.queue = p.disownRemote(w)
 	}
 }
 
-// sendRemoteAway answers the prompts of other fronts in the queue of a worker
+// disownRemote answers the prompts of other fronts in the queue of a worker
 // that reads no more, and returns the others.
-func (p *Placer) sendRemoteAway(w *worker) []*waiting {
-	return slices.DeleteFunc(w.queue, func(one *waiting) bool {
-		if one.remote.front == "" {
+func (p *Placer) disownRemote(w *worker) []*queuedPrompt {
+	return slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool {
+		if queued.remote.gateway == "" {
 			return false
 		}
-		p.answer(one.remote, w.member.Worker.ID(), kumquatlug.TurnUnknown, 0)
+		p.reply(queued.remote, w.member.Worker.ID(), kumquatlug.TurnUnknown, 0)
 		return true
 	})
 }
--- a/pkg/kumquatlug/placement/limit.go
+++ b/pkg/kumquatlug/placement/limit.go
@@ -9,64 +9,64 @@
 
 // Figures of waiting for a worker that names a limit, in milliseconds.
 const (
-	// mostWait is how long a request waits that can be in time. It is the same for all:
+	// maxLimitWaitMs is how long a request waits that can be in time. It is the same for all:
 	// the kind that may wait longest would else get all.
-	mostWait = 100.0
-	// lateWait is how long one waits that can't be in time any more.
-	lateWait = 25.0
-	// begunWait is how long a stream waits that goes on: its client leaves when it
+	maxLimitWaitMs = 100.0
+	// lateLimitWaitMs is how long one waits that can't be in time any more.
+	lateLimitWaitMs = 25.0
+	// startedLimitWaitMs is how long a stream waits that goes on: its client leaves when it
 	// stands still for two seconds.
-	begunWait = 1000.0
+	startedLimitWaitMs = 1000.0
 )
 
-// heldBack notes the workers that take no more requests soon enough.
-type heldBack struct{ least float64 }
+// limitedWorkers notes the workers that take no more requests soon enough.
+type limitedWorkers struct{ minDelay float64 }
 
-func newHeld() *heldBack { return &heldBack{least: math.Inf(1)} }
+func newLimitedWorkers() *limitedWorkers { return &limitedWorkers{minDelay: math.Inf(1)} }
 
-// back reports that a request must not wait until w takes it, as its first output comes
+// exclude reports that a request must not wait until w takes it, as its first output comes
 // rest ms after that.
-func (h *heldBack) back(now kumquatlug.Millis, w *worker, q Query, rest float64) bool {
+func (h *limitedWorkers) exclude(now kumquatlug.Millis, w *worker, q Query, rest float64) bool {
 	delay := w.limit.Delay(now)
-	if delay == 0 || delay <= q.mayWait(now, rest) {
+	if delay == 0 || delay <= q.maxLimitWait(now, rest) {
 		return false
 	}
-	h.least = min(h.least, delay)
+	h.minDelay = min(h.minDelay, delay)
 	return true
 }
 
-// mayWait is how long a request may wait until a worker takes it, in milliseconds. Those
+// maxLimitWait is how long a request may wait until a worker takes it, in milliseconds. Those
 // that are late take what the others leave: did they wait as long, all that come after
 // them would be late, too.
-func (q Query) mayWait(now kumquatlug.Millis, rest float64) float64 {
-	longest := lateWait
+func (q Query) maxLimitWait(now kumquatlug.Millis, rest float64) float64 {
+	longest := lateLimitWaitMs
 	switch inTime := float64(q.Target-now) - rest; {
 	case q.Begun:
-		longest = begunWait
+		longest = startedLimitWaitMs
 	case q.Target == 0:
-		longest = mostWait
-	case inTime > lateWait:
-		longest = min(inTime, mostWait)
+		longest = maxLimitWaitMs
+	case inTime > lateLimitWaitMs:
+		longest = min(inTime, maxLimitWaitMs)
 	}
-	return min(longest, float64(q.until(now)))
+	return min(longest, float64(q.timeLeft(now)))
 }
 
-// bestOr returns the best choice or, where none was found, how long it is until the first
+// bestOrDelay returns the best choice or, where none was found, how long it is until the first
 // worker takes a request.
-func (p *Placer) bestOr(now kumquatlug.Millis, best Choice, found bool, h *heldBack) Choice {
+func (p *Placer) bestOrDelay(now kumquatlug.Millis, best Choice, found bool, h *limitedWorkers) Choice {
 	if found {
 		return best
 	}
-	least := h.least
-	for _, w := range p.list {
+	minDelay := h.minDelay
+	for _, w := range p.ordered {
 		if w.member.State == kumquatlug.MemberReady && now < w.pausedUntil {
-			least = min(least, float64(w.pausedUntil-now))
+			minDelay = min(minDelay, float64(w.pausedUntil-now))
 		}
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(minDelay, 1) {
 		return best
 	}
-	return Choice{delay: least}
+	return Choice{delay: minDelay}
 }
 
 // Pause sends the worker of an attempt nothing for as long as it asked. What waits there
@@ -77,7 +77,7 @@
 		return
 	}
 	w.pausedUntil = max(w.pausedUntil, now+span)
-	p.orphan(w)
+	p.displaceQueue(w)
 }
 
 // Place is a request that an engine with a limit will take at a moment. It is kept for
@@ -88,8 +88,8 @@
 	at     kumquatlug.Millis
 }
 
-// placeAt returns the place of a choice, none at an engine without a limit.
-func (p *Placer) placeAt(now kumquatlug.Millis, c Choice) Place {
+// reservationFor returns the place of a choice, none at an engine without a limit.
+func (p *Placer) reservationFor(now kumquatlug.Millis, c Choice) Place {
 	id := c.worker.ID()
 	if w, known := p.workers[id]; !known || !w.limit.Named() {
 		return Place{}
@@ -97,24 +97,24 @@
 	return Place{worker: id, at: now + c.Delay()}
 }
 
-// keepPlaces counts a prompt at the engine that reads it, and at the one where a place
+// reserve counts a prompt at the engine that reads it, and at the one where a place
 // is kept for its output.
-func (p *Placer) keepPlaces(now kumquatlug.Millis, reader *worker, c Choice) {
+func (p *Placer) reserve(now kumquatlug.Millis, reader *worker, c Choice) {
 	reader.limit.Send(now)
-	if w, known := p.workers[c.place.worker]; known {
+	if w, known := p.workers[c.reservation.worker]; known {
 		w.limit.Send(now)
 	}
 }
 
-// atPlace chooses the engine at which a place was kept, while it may be used.
-func (p *Placer) atPlace(now kumquatlug.Millis, q Query) (Choice, bool) {
+// reservedChoice chooses the engine at which a place was kept, while it may be used.
+func (p *Placer) reservedChoice(now kumquatlug.Millis, q Query) (Choice, bool) {
 	w, known := p.workers[q.Place.worker]
-	if !known || !p.usable(now, w, q, kumquatlug.RoleDecode) {
+	if !known || !p.eligible(now, w, q, kumquatlug.RoleDecode) {
 		return Choice{}, false
 	}
 	delay := max(0, float64(q.Place.at-now))
-	wait := delay + p.slotWait(now, w, q.Prompt)
-	return Choice{worker: w.member.Worker, wait: wait, delay: delay, kept: true}, true
+	wait := delay + p.slotWaitMs(now, w, q.Prompt)
+	return Choice{worker: w.member.Worker, wait: wait, delay: delay, reserved: true}, true
 }
 
 // LimitNews is that a worker names another limit of its rate than before, or none.
@@ -139,12 +139,12 @@
 
 // Limited takes what the answer to an attempt says of its worker's limit, and reports
 // whether that is news. Good says that the worker did what it was asked.
-func (p *Placer) Limited(now kumquatlug.Millis, t *Ticket, says kumquatlug.RateLimit, good bool) (LimitNews, bool) {
+func (p *Placer) Limited(now kumquatlug.Millis, t *Ticket, limit kumquatlug.RateLimit, ok bool) (LimitNews, bool) {
 	if t.worker == nil || p.workers[t.id] != t.worker {
 		return LimitNews{}, false
 	}
 	l := t.worker.limit
-	if !l.Hear(now, ratelimit.Answer{Says: says, SentAt: t.at, Prompt: t.apart, Good: good}) {
+	if !l.Hear(now, ratelimit.Answer{Says: limit, SentAt: t.sentAt, Prompt: t.prefillOnly, Good: ok}) {
 		return LimitNews{}, false
 	}
 	return LimitNews{worker: t.id, named: l.Named(), perSecond: l.PerSecond(), sent: l.Sent()}, true
@@ -153,13 +153,13 @@
 // StillTakes reports whether the worker of an attempt that was held back may be sent it.
 func (p *Placer) StillTakes(now kumquatlug.Millis, t *Ticket) bool {
 	w := t.worker
-	return w != nil && p.workers[t.id] == w && !w.silent && p.usable(now, w, Query{}, w.member.Role)
+	return w != nil && p.workers[t.id] == w && !w.unresponsive && p.eligible(now, w, Query{}, w.member.Role)
 }
 
 // Limits returns what is known of the workers that have a limit.
 func (p *Placer) Limits() []LimitNews {
 	var all []LimitNews
-	for _, w := range p.list {
+	for _, w := range p.ordered {
 		if w.limit.Named() {
 			all = append(all, LimitNews{
 				worker: w.member.Worker.ID(), named: true, perSecond: w.limit.PerSecond(), sent: w.limit.Sent(),
--- a/pkg/kumquatlug/placement/limit_test.go
+++ b/pkg/kumquatlug/placement/limit_test.go
@@ -7,19 +7,19 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ratelimit"
 )
 
-// limited returns a placer of a front that is alone, with these workers, of which some
+// newLimitedPlacer returns a placer of a front that is alone, with these workers, of which some
 // name a limit in the answers to their first attempts.
-func limited(members []kumquatlug.Member, limits map[string]float64) *Placer {
+func newLimitedPlacer(members []kumquatlug.Member, limits map[string]float64) *Placer {
 	shares := ratelimit.NewShares("front-0")
 	shares.Meet(nil)
 	p := New(Config{Zone: "a", Shares: shares})
 	p.Sync(0, members)
 	for _, m := range members {
-		perSecond, names := limits[m.Worker.ID()]
-		if !names {
+		perSecond, limited := limits[m.Worker.ID()]
+		if !limited {
 			continue
 		}
-		c := Choice{worker: m.Worker, apart: m.Role == kumquatlug.RolePrefill}
+		c := Choice{worker: m.Worker, prefillOnly: m.Role == kumquatlug.RolePrefill}
 		t := p.Begin(0, c, document(0, 0))
 		p.Limited(1, t, kumquatlug.NewRateLimit(perSecond), true)
 		p.End(1, t, OutcomeGood)
@@ -27,9 +27,9 @@
 	return p
 }
 
-// sentTo plays requests, one each ten ms for four seconds, and counts by worker those
+// countSent plays requests, one each ten ms for four seconds, and counts by worker those
 // that are sent in that time, and those refused.
-func sentTo(p *Placer, choose func(now kumquatlug.Millis, key uint64) (Choice, *Ticket)) (sent map[string]int, refused int) {
+func countSent(p *Placer, choose func(now kumquatlug.Millis, key uint64) (Choice, *Ticket)) (sent map[string]int, refused int) {
 	sent = map[string]int{}
 	const begin, end = 2000, 6000
 	for now := kumquatlug.Millis(begin); now < end; now += 10 {
@@ -46,8 +46,8 @@
 	return sent, refused
 }
 
-// plainly chooses for a plain request that is due in 300 ms and may take 4 s.
-func plainly(p *Placer) func(kumquatlug.Millis, uint64) (Choice, *Ticket) {
+// plainChooser chooses for a plain request that is due in 300 ms and may take 4 s.
+func plainChooser(p *Placer) func(kumquatlug.Millis, uint64) (Choice, *Ticket) {
 	return func(now kumquatlug.Millis, _ uint64) (Choice, *Ticket) {
 		c, found := p.Plain(now, Query{Target: now + 300, Until: now + 4000})
 		if !found {
@@ -59,10 +59,10 @@
 
 // One of three plain workers names a limit. It must get no more, and the others all
 // that remains: nobody is refused while they have room.
-func TestWorkersWithoutALimitTakeWhatOneCannot(t *testing.T) {
+func TestUnlimitedWorkersAbsorbLimitedWorkersExcess(t *testing.T) {
 	members := []kumquatlug.Member{member("s0", "a", "", 6), member("s1", "a", "", 6), member("s2", "a", "", 6)}
-	p := limited(members, map[string]float64{"s0": 4})
-	sent, refused := sentTo(p, plainly(p))
+	p := newLimitedPlacer(members, map[string]float64{"s0": 4})
+	sent, refused := countSent(p, plainChooser(p))
 	if sent["s0"] > 17 || sent["s0"] < 8 || refused > 0 {
 		t.Errorf("sent %v, refused %d; the limit allows 16 and one saved up", sent, refused)
 	}
@@ -71,12 +71,12 @@
 // All workers of a service name a limit, together a fifth of what is asked. What they
 // take must be used to the full and in time, and the rest be refused at once with the
 // time at which a worker takes more, as it can't be served.
-func TestLimitsBelowTheLoadAreUsedInFull(t *testing.T) {
+func TestRateLimitsBelowLoadAreFullyUsed(t *testing.T) {
 	members := []kumquatlug.Member{member("s0", "a", "", 6), member("s1", "a", "", 6)}
-	p := limited(members, map[string]float64{"s0": 12, "s1": 8})
+	p := newLimitedPlacer(members, map[string]float64{"s0": 12, "s1": 8})
 	inTime, late := 0, 0
-	sent, refused := sentTo(p, func(now kumquatlug.Millis, key uint64) (Choice, *Ticket) {
-		c, ticket := plainly(p)(now, key)
+	sent, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Ticket) {
+		c, ticket := plainChooser(p)(now, key)
 		switch {
 		case ticket == nil && c.Delay() <= 0:
 			t.Fatal("a refusal doesn't tell when to come back")
@@ -97,10 +97,10 @@
 
 // Engines that read and that generate name limits. Prompts must go to the others, by
 // each of the ways that lead to an engine.
-func TestEnginesKeepTheirLimitsByEveryWay(t *testing.T) {
-	p := limited(engines(3, 3), map[string]float64{"r0": 3, "g0": 5})
+func TestEngineRateLimitsHoldOnEveryPlacementPath(t *testing.T) {
+	p := newLimitedPlacer(engines(3, 3), map[string]float64{"r0": 3, "g0": 5})
 	outputs := map[string]int{}
-	read, refused := sentTo(p, func(now kumquatlug.Millis, key uint64) (Choice, *Ticket) {
+	read, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Ticket) {
 		prompt := document(int(key), int(key))
 		if key%40 == 0 {
 			prompt = chatPrompt(int(key))
--- a/pkg/kumquatlug/placement/manyfronts_test.go
+++ b/pkg/kumquatlug/placement/manyfronts_test.go
@@ -9,115 +9,115 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/coordinator"
 )
 
-// manyFronts replays prompts that come through many fronts against engines which read
+// gatewayCluster replays prompts that come through many fronts against engines which read
 // in order of arrival and keep every part, and messages between fronts that take a millisecond each.
-type manyFronts struct {
-	fronts       []*Placer
+type gatewayCluster struct {
+	gateways     []*Placer
 	coordinators []*coordinator.Fronts
-	engines      map[string]*readingEngine
-	later        map[kumquatlug.Millis][]func(kumquatlug.Millis)
+	engines      map[string]*prefillEngine
+	scheduled    map[kumquatlug.Millis][]func(kumquatlug.Millis)
 	random       *rand.Rand
-	// lost is the part of the messages that are lost; the fronts in away neither
+	// lossRate is the part of the messages that are lost; the fronts in away neither
 	// get nor send any, nor work.
-	lost    float64
-	away    map[int]bool
-	prompts map[uint64]*prompt
-	// longest is the longest that an engine's own queue was.
-	longest int
+	lossRate float64
+	offline  map[int]bool
+	prompts  map[uint64]*promptRecord
+	// maxEngineQueue is the longest that an engine's own queue was.
+	maxEngineQueue int
 }
 
-// prompt is one request and what became of it.
-type prompt struct {
-	front                int
-	arrived, began, done kumquatlug.Millis
-	text                 kumquatlug.Prompt
-	tokens               float64
-	refused              bool
-	outcomes             int
+// promptRecord is one request and what became of it.
+type promptRecord struct {
+	gateway                    int
+	arrivedAt, sentAt, endedAt kumquatlug.Millis
+	text                       kumquatlug.Prompt
+	tokens                     float64
+	refused                    bool
+	outcomes                   int
 }
 
-// readingEngine is one engine.
-type readingEngine struct {
-	queue  []*reading
+// prefillEngine is one engine.
+type prefillEngine struct {
+	queue  []*prefillJob
 	freeAt float64
-	kept   map[string]bool
+	cached map[string]bool
 }
 
-// reads is how many tokens the engine has to read of a prompt.
-func (e *readingEngine) reads(text kumquatlug.Prompt) float64 {
+// cacheMisses is how many tokens the engine has to read of a prompt.
+func (e *prefillEngine) cacheMisses(text kumquatlug.Prompt) float64 {
 	tokens := 0
 	for _, part := range text.Parts() {
-		if !e.kept[part.ID()] {
+		if !e.cached[part.ID()] {
 			tokens += part.Tokens()
 		}
-		e.kept[part.ID()] = true
+		e.cached[part.ID()] = true
 	}
 	return float64(tokens)
 }
 
-type reading struct {
-	key    uint64
-	front  int
-	ticket *Ticket
+type prefillJob struct {
+	key     uint64
+	gateway int
+	ticket  *Ticket
 }
 
 // Figures of the replayed site: what an engine reads in a ms, and a prompt's span.
 const (
-	replayRate   = 236.0
-	replayTarget = 200
-	replayUntil  = 2000
+	prefillTokensPerMs = 236.0
+	targetLatencyMs    = 200
+	clientTimeoutMs    = 2000
 )
 
-func newManyFronts(fronts, engines int, asks bool) *manyFronts {
-	c := &manyFronts{
-		engines: map[string]*readingEngine{}, later: map[kumquatlug.Millis][]func(kumquatlug.Millis){},
-		random: rand.New(rand.NewPCG(3, 4)), away: map[int]bool{}, prompts: map[uint64]*prompt{},
+func newGatewayCluster(gateways, engines int, coordinated bool) *gatewayCluster {
+	c := &gatewayCluster{
+		engines: map[string]*prefillEngine{}, scheduled: map[kumquatlug.Millis][]func(kumquatlug.Millis){},
+		random: rand.New(rand.NewPCG(3, 4)), offline: map[int]bool{}, prompts: map[uint64]*promptRecord{},
 	}
-	names := make([]string, fronts)
+	names := make([]string, gateways)
 	for i := range names {
-		names[i] = frontName(i)
+		names[i] = gatewayName(i)
 	}
-	for i := range fronts {
+	for i := range gateways {
 		// Reading beside the streams of the engine that generates is out of the question.
 		config := Config{Zone: "a", MixedPrice: 1e9}
-		if asks {
+		if coordinated {
 			known := coordinator.New(names[i])
 			known.Set(names)
 			c.coordinators = append(c.coordinators, known)
 			config.Coordinators = known
 		}
 		p := New(config)
-		p.Sync(0, replayEngines(engines))
+		p.Sync(0, clusterEngines(engines))
 		if choice, found := p.Output(0, Query{Prompt: chatPrompt(0)}); found {
 			p.Begin(0, choice, chatPrompt(0))
 		}
-		c.fronts = append(c.fronts, p)
+		c.gateways = append(c.gateways, p)
 	}
 	for i := range engines {
-		c.engines[fmt.Sprintf("p%d", i)] = &readingEngine{kept: map[string]bool{}}
+		c.engines[fmt.Sprintf("p%d", i)] = &prefillEngine{cached: map[string]bool{}}
 	}
 	return c
 }
 
-func frontName(i int) string { return fmt.Sprintf("front-%d", i) }
+func gatewayName(i int) string { return fmt.Sprintf("front-%d", i) }
 
-// replayEngines are engines that read, and one that generates.
-func replayEngines(n int) []kumquatlug.Member {
-	all := []kumquatlug.Member{replayEngine("d0", kumquatlug.RoleDecode)}
+// clusterEngines are engines that read, and one that generates.
+func clusterEngines(n int) []kumquatlug.Member {
+	all := []kumquatlug.Member{clusterEngine("d0", kumquatlug.RoleDecode)}
 	for i := range n {
-		all = append(all, replayEngine(fmt.Sprintf("p%d", i), kumquatlug.RolePrefill))
+		all = append(all, clusterEngine(fmt.Sprintf("p%d", i), kumquatlug.RolePrefill))
 	}
 	return all
 }
 
-func replayEngine(id string, role kumquatlug.Role) kumquatlug.Member {
+func clusterEngine(id string, role kumquatlug.Role) kumquatlug.Member {
 	return kumquatlug.Member{
 		Worker: kumquatlug.NewWorker(id, id+":1"), Service: "s", Zone: "a", State: kumquatlug.MemberReady, Slots: 4000, Role: role,
 	}
 }
 
 // play lets prompts come at a rate, each second, until end.
-func (c *manyFronts) play(begin, end kumquatlug.Millis, perSecond float64) {
+func (c *gatewayCluster) play(begin, end kumquatlug.Millis, perSecond float64) {
 	nextAt := float64(begin)
 	for now := begin; now < end; now++ {
 		for float64(now) >= nextAt {
@@ -129,67 +129,67 @@
 }
 
 // arrive brings a new prompt to a front that is there.
-func (c *manyFronts) arrive(now kumquatlug.Millis) {
-	front := c.random.IntN(len(c.fronts))
-	for c.away[front] {
-		front = c.random.IntN(len(c.fronts))
+func (c *gatewayCluster) arrive(now kumquatlug.Millis) {
+	gateway := c.random.IntN(len(c.gateways))
+	for c.offline[gateway] {
+		gateway = c.random.IntN(len(c.gateways))
 	}
 	key := uint64(len(c.prompts) + 1)
 	own := min(int(2000*math.Exp(c.random.NormFloat64())), 30_000)
 	text := kumquatlug.NewPrompt(append(document(int(key)%40, int(key)).Shared(), kumquatlug.NewPart(fmt.Sprint("own", key), own)), 6300+own, 104)
-	c.prompts[key] = &prompt{front: front, arrived: now, text: text}
-	q := Query{Prompt: text, Target: now + replayTarget, Until: now + replayUntil}
-	entry, choice, ticket := c.fronts[front].Enter(now, key, q)
+	c.prompts[key] = &promptRecord{gateway: gateway, arrivedAt: now, text: text}
+	q := Query{Prompt: text, Target: now + targetLatencyMs, Until: now + clientTimeoutMs}
+	entry, choice, ticket := c.gateways[gateway].Enter(now, key, q)
 	switch entry {
 	case EntrySent:
-		c.send(now, front, key, choice, ticket)
+		c.send(now, gateway, key, choice, ticket)
 	case EntryRefused, EntryNobody:
-		c.end(now, key, true)
+		c.finish(now, key, true)
 	}
-	c.pump(now, front)
+	c.pump(now, gateway)
 }
 
 // send brings a prompt to its engine.
-func (c *manyFronts) send(now kumquatlug.Millis, front int, key uint64, choice Choice, ticket *Ticket) {
-	c.prompts[key].began = now
-	c.after(now, func(at kumquatlug.Millis) {
-		e, reads := c.engines[choice.Worker().ID()]
-		if !reads {
-			c.fronts[front].End(at, ticket, OutcomeGood)
-			c.end(at, key, false)
+func (c *gatewayCluster) send(now kumquatlug.Millis, gateway int, key uint64, choice Choice, ticket *Ticket) {
+	c.prompts[key].sentAt = now
+	c.nextMilli(now, func(at kumquatlug.Millis) {
+		e, isPrefill := c.engines[choice.Worker().ID()]
+		if !isPrefill {
+			c.gateways[gateway].End(at, ticket, OutcomeGood)
+			c.finish(at, key, false)
 			return
 		}
-		c.prompts[key].tokens = e.reads(c.prompts[key].text)
-		e.queue = append(e.queue, &reading{key: key, front: front, ticket: ticket})
-		c.longest = max(c.longest, len(e.queue))
+		c.prompts[key].tokens = e.cacheMisses(c.prompts[key].text)
+		e.queue = append(e.queue, &prefillJob{key: key, gateway: gateway, ticket: ticket})
+		c.maxEngineQueue = max(c.maxEngineQueue, len(e.queue))
 		if len(e.queue) == 1 {
-			e.freeAt = float64(at) + c.prompts[key].tokens/replayRate
+			e.freeAt = float64(at) + c.prompts[key].tokens/prefillTokensPerMs
 		}
 	})
 }
 
-func (c *manyFronts) after(now kumquatlug.Millis, f func(kumquatlug.Millis)) {
-	c.later[now+1] = append(c.later[now+1], f)
+func (c *gatewayCluster) nextMilli(now kumquatlug.Millis, f func(kumquatlug.Millis)) {
+	c.scheduled[now+1] = append(c.scheduled[now+1], f)
 }
 
-func (c *manyFronts) end(now kumquatlug.Millis, key uint64, refused bool) {
-	one := c.prompts[key]
-	one.done, one.refused = now, refused
-	one.outcomes++
+func (c *gatewayCluster) finish(now kumquatlug.Millis, key uint64, refused bool) {
+	record := c.prompts[key]
+	record.endedAt, record.refused = now, refused
+	record.outcomes++
 }
 
 // tick plays one ms.
-func (c *manyFronts) tick(now kumquatlug.Millis) {
-	for _, f := range c.later[now] {
+func (c *gatewayCluster) tick(now kumquatlug.Millis) {
+	for _, f := range c.scheduled[now] {
 		f(now)
 	}
-	delete(c.later, now)
+	delete(c.scheduled, now)
 	for i := range len(c.engines) {
-		c.read(now, c.engines[fmt.Sprintf("p%d", i)])
+		c.finishPrefills(now, c.engines[fmt.Sprintf("p%d", i)])
 	}
 	if now%20 == 0 {
-		for i, p := range c.fronts {
-			if c.away[i] {
+		for i, p := range c.gateways {
+			if c.offline[i] {
 				continue
 			}
 			p.Remind(now)
@@ -198,121 +198,121 @@
 	}
 }
 
-// read ends the prompts that an engine has read.
-func (c *manyFronts) read(now kumquatlug.Millis, e *readingEngine) {
+// finishPrefills ends the prompts that an engine has read.
+func (c *gatewayCluster) finishPrefills(now kumquatlug.Millis, e *prefillEngine) {
 	for len(e.queue) > 0 && e.freeAt <= float64(now) {
-		one := e.queue[0]
+		finished := e.queue[0]
 		e.queue = e.queue[1:]
 		if len(e.queue) > 0 {
-			e.freeAt += c.prompts[e.queue[0].key].tokens / replayRate
+			e.freeAt += c.prompts[e.queue[0].key].tokens / prefillTokensPerMs
 		}
-		c.after(now, func(at kumquatlug.Millis) {
-			if c.away[one.front] {
+		c.nextMilli(now, func(at kumquatlug.Millis) {
+			if c.offline[finished.gateway] {
 				return
 			}
-			c.fronts[one.front].End(at, one.ticket, OutcomeGood)
-			c.end(at, one.key, false)
-			c.pump(at, one.front)
+			c.gateways[finished.gateway].End(at, finished.ticket, OutcomeGood)
+			c.finish(at, finished.key, false)
+			c.pump(at, finished.gateway)
 		})
 	}
 }
 
 // pump does what is due at a front and posts its messages.
-func (c *manyFronts) pump(now kumquatlug.Millis, front int) {
-	for _, due := range c.fronts[front].Due(now) {
-		c.due(now, front, due)
+func (c *gatewayCluster) pump(now kumquatlug.Millis, gateway int) {
+	for _, due := range c.gateways[gateway].Due(now) {
+		c.handleDue(now, gateway, due)
 	}
-	for _, m := range c.fronts[front].Outbox() {
-		to := c.frontAt(m.Front)
-		m.Front = frontName(front)
-		if c.random.Float64() < c.lost {
+	for _, m := range c.gateways[gateway].Outbox() {
+		to := c.gatewayIndex(m.Front)
+		m.Front = gatewayName(gateway)
+		if c.random.Float64() < c.lossRate {
 			continue
 		}
-		c.after(now, func(at kumquatlug.Millis) { c.said(at, front, to, m) })
+		c.nextMilli(now, func(at kumquatlug.Millis) { c.deliver(at, gateway, to, m) })
 	}
 }
 
-func (c *manyFronts) due(now kumquatlug.Millis, front int, due Due) {
+func (c *gatewayCluster) handleDue(now kumquatlug.Millis, gateway int, due Due) {
 	if due.Ticket() == nil {
-		c.end(now, due.Key(), true)
+		c.finish(now, due.Key(), true)
 		return
 	}
-	c.send(now, front, due.Key(), due.Choice(), due.Ticket())
+	c.send(now, gateway, due.Key(), due.Choice(), due.Ticket())
 }
 
-func (c *manyFronts) frontAt(name string) int {
-	for i := range c.fronts {
-		if frontName(i) == name {
+func (c *gatewayCluster) gatewayIndex(name string) int {
+	for i := range c.gateways {
+		if gatewayName(i) == name {
 			return i
 		}
 	}
 	return -1
 }
 
-// said brings a message to a front.
-func (c *manyFronts) said(now kumquatlug.Millis, from, to int, m kumquatlug.TurnMessage) {
-	if c.away[from] || c.away[to] {
+// deliver brings a message to a front.
+func (c *gatewayCluster) deliver(now kumquatlug.Millis, from, to int, m kumquatlug.TurnMessage) {
+	if c.offline[from] || c.offline[to] {
 		return
 	}
-	p := c.fronts[to]
+	p := c.gateways[to]
 	switch m.Turn.Step {
 	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
 		p.Requested(now, m)
 	default:
 		if due, ended := p.Answered(now, m); ended {
-			c.due(now, to, due)
+			c.handleDue(now, to, due)
 		}
 	}
 	c.pump(now, to)
 }
 
 // inTime is the part of the prompts of a span that were read within their target.
-func (c *manyFronts) inTime(begin, end kumquatlug.Millis) float64 {
+func (c *gatewayCluster) inTime(begin, end kumquatlug.Millis) float64 {
 	all, good := 0, 0
-	for _, one := range c.prompts {
-		if one.arrived < begin || one.arrived >= end || c.away[one.front] {
+	for _, record := range c.prompts {
+		if record.arrivedAt < begin || record.arrivedAt >= end || c.offline[record.gateway] {
 			continue
 		}
 		all++
-		if one.outcomes == 1 && !one.refused && one.done-one.arrived <= replayTarget {
+		if record.outcomes == 1 && !record.refused && record.endedAt-record.arrivedAt <= targetLatencyMs {
 			good++
 		}
 	}
 	return float64(good) / float64(max(all, 1))
 }
 
-// longestHeld is the longest that a prompt of a span waited until it was sent or
+// maxHold is the longest that a prompt of a span waited until it was sent or
 // refused, at fronts that are there.
-func (c *manyFronts) longestHeld(begin, end kumquatlug.Millis) kumquatlug.Millis {
+func (c *gatewayCluster) maxHold(begin, end kumquatlug.Millis) kumquatlug.Millis {
 	longest := kumquatlug.Millis(0)
-	for _, one := range c.prompts {
-		if one.arrived < begin || one.arrived >= end || c.away[one.front] {
+	for _, record := range c.prompts {
+		if record.arrivedAt < begin || record.arrivedAt >= end || c.offline[record.gateway] {
 			continue
 		}
-		held := one.began
-		if held == 0 {
-			held = one.done
+		sentAt := record.sentAt
+		if sentAt == 0 {
+			sentAt = record.endedAt
 		}
-		if held != 0 {
-			longest = max(longest, held-one.arrived)
+		if sentAt != 0 {
+			longest = max(longest, sentAt-record.arrivedAt)
 		}
 	}
 	return longest
 }
 
-// fault tells what is wrong once all is over; the attempts that ended while their
+// findFault tells what is wrong once all is over; the attempts that ended while their
 // front stood still were told to nobody.
-func (c *manyFronts) fault(stood int) string {
-	for key, one := range c.prompts {
-		if one.outcomes > 1 || one.outcomes == 0 && one.front != stood {
-			return fmt.Sprintf("prompt %d of front %d ended %d times", key, one.front, one.outcomes)
+func (c *gatewayCluster) findFault(frozen int) string {
+	for key, record := range c.prompts {
+		if record.outcomes > 1 || record.outcomes == 0 && record.gateway != frozen {
+			return fmt.Sprintf("prompt %d of front %d ended %d times", key, record.gateway, record.outcomes)
 		}
 	}
-	for i, p := range c.fronts {
-		for _, w := range p.list {
-			own := w.reads - len(w.turns)
-			if i != stood && own > 0 || len(w.turns) > 0 || len(w.queue) > 0 || w.askedTokens > 0.5 {
-				return fmt.Sprintf("front %d counts %d attempts, %d turns, %d waiting, %.0f asked tokens", i, own, len(w.turns), len(w.queue), w.askedTokens)
+	for i, p := range c.gateways {
+		for _, w := range p.ordered {
+			own := w.prefills - len(w.grants)
+			if i != frozen && own > 0 || len(w.grants) > 0 || len(w.queue) > 0 || w.requestedTokens > 0.5 {
+				return fmt.Sprintf("front %d counts %d attempts, %d turns, %d waiting, %.0f asked tokens", i, own, len(w.grants), len(w.queue), w.requestedTokens)
 			}
 		}
 	}
--- a/pkg/kumquatlug/placement/placement.go
+++ b/pkg/kumquatlug/placement/placement.go
@@ -84,132 +84,132 @@
 
 // Figures of the package.
 const (
-	// streamCost is what one request in hand adds to each token of the next one
+	// batchTokenCostMs is what one request in hand adds to each token of the next one
 	// at a generating engine, in milliseconds: a step of the batch takes 0.0032
 	// ms longer with each request, and 0.0021 ms for each 1,000 tokens in memory.
-	streamCost = 0.008
-	// outputPart is the part of the greatest output that requests have on the
+	batchTokenCostMs = 0.008
+	// meanOutputFraction is the part of the greatest output that requests have on the
 	// average.
-	outputPart = 0.5
-	// memoryPart is the part of an engine's memory that is filled before another
+	meanOutputFraction = 0.5
+	// kvFillFraction is the part of an engine's memory that is filled before another
 	// one is better; what goes beyond it is read again by those that gave way.
-	memoryPart = 0.85
-	// firstRun is how long a request runs at a generating engine until answers
+	kvFillFraction = 0.85
+	// initialRunMs is how long a request runs at a generating engine until answers
 	// have shown it, in milliseconds.
-	firstRun = 1000.0
-	// firstTokenTime is how long it runs for each token that it may generate, and
-	// firstOutput how many these are, until then.
-	firstTokenTime = 0.4
-	firstOutput    = 300.0
-	// firstRoom is the memory of one request until some were seen, in tokens.
-	firstRoom = 3000.0
-	// plainCost is what a request ahead of another at a plain worker adds to its
+	initialRunMs = 1000.0
+	// initialTokenMs is how long it runs for each token that it may generate, and
+	// initialOutputTokens how many these are, until then.
+	initialTokenMs      = 0.4
+	initialOutputTokens = 300.0
+	// initialKVTokens is the memory of one request until some were seen, in tokens.
+	initialKVTokens = 3000.0
+	// initialPlainMs is what a request ahead of another at a plain worker adds to its
 	// wait, over the worker's slots, until answers have shown it.
-	plainCost = 40.0
-	// cacheZoneCost is what handing a KV cache to another data centre costs beside
+	initialPlainMs = 40.0
+	// crossZoneCacheCostMs is what handing a KV cache to another data centre costs beside
 	// ZonePrice, in milliseconds: the cache of a long prompt has a gigabyte and
 	// takes twice as long there, the answer has some kilobytes.
-	cacheZoneCost = 9.0
-	// smallRead is up to how many tokens a prompt is read beside streams without
+	crossZoneCacheCostMs = 9.0
+	// smallPrefillTokens is up to how many tokens a prompt is read beside streams without
 	// being noticed there: one piece between two tokens, 4 ms.
-	smallRead = 512
-	// reportAge is how long what a worker said of its load is believed; then what all
+	smallPrefillTokens = 512
+	// loadReportDecayMs is how long what a worker said of its load is believed; then what all
 	// of them say is.
-	reportAge = 500.0
-	// keptFor is how long parts are believed to be held where this front sent
+	loadReportDecayMs = 500.0
+	// cacheLifetime is how long parts are believed to be held where this front sent
 	// them: at the usual load an engine's memory turns over in some seconds.
-	// forgetParts is how long they are remembered at all.
-	keptFor     = 6 * kumquatlug.Second
-	forgetParts = 30 * kumquatlug.Second
-	// refusalPause is how long a worker that refused is left alone; it doubles
-	// with each refusal in a row up to refusalLimit. A full worker has room again
+	// partRetention is how long they are remembered at all.
+	cacheLifetime = 6 * kumquatlug.Second
+	partRetention = 30 * kumquatlug.Second
+	// refusalBackoff is how long a worker that refused is left alone; it doubles
+	// with each refusal in a row up to maxRefusalBackoff. A full worker has room again
 	// within tenths of a second; one that changes its role looks idle for
 	// seconds and would draw all work.
-	refusalPause = 50 * kumquatlug.Millis(1)
-	refusalLimit = 800 * kumquatlug.Millis(1)
-	// leastPace and mostPace bound how far the expected time of reading may lie
+	refusalBackoff    = 50 * kumquatlug.Millis(1)
+	maxRefusalBackoff = 800 * kumquatlug.Millis(1)
+	// minSlowdown and maxSlowdown bound how far the expected time of reading may lie
 	// from what an idle engine needs for the same tokens.
-	leastPace, mostPace = 0.7, 4.0
-	// meanStep is the weight of a new figure in a mean: some thirty make one.
-	meanStep = 1.0 / 32
+	minSlowdown, maxSlowdown = 0.7, 4.0
+	// ewmaWeight is the weight of a new figure in a mean: some thirty make one.
+	ewmaWeight = 1.0 / 32
 )
 
 // worker is what is known of one worker.
 type worker struct {
 	member kumquatlug.Member
 	hash   uint64
-	// reads and tokens are the prompts in hand for this front and what is to be
+	// prefills and tokens are the prompts in hand for this front and what is to be
 	// read of them; runs are all other requests in hand and room the memory that
 	// they take, in tokens.
-	reads  int
-	tokens float64
-	runs   int
-	room   float64
-	// others is how many requests of other fronts were in hand when the worker
+	prefills      int
+	prefillTokens float64
+	running       int
+	kvTokens      float64
+	// otherRequests is how many requests of other fronts were in hand when the worker
 	// last spoke, at saidAt.
-	others float64
-	saidAt kumquatlug.Millis
-	// held are the parts that were sent there, by this front or, where it coordinates the
+	otherRequests float64
+	reportedAt    kumquatlug.Millis
+	// cachedParts are the parts that were sent there, by this front or, where it coordinates the
 	// engine, by any, with their last use; read is how many tokens were read in all.
-	held map[string]use
-	read float64
-	// leaving is the role that the worker is about to take until leavingUntil.
-	leaving      kumquatlug.Role
-	leavingUntil kumquatlug.Millis
+	cachedParts     map[string]cachedPart
+	prefilledTokens float64
+	// nextRole is the role that the worker is about to take until leavingUntil.
+	nextRole        kumquatlug.Role
+	roleChangeUntil kumquatlug.Millis
 	// refusals counts those in a row; until then nothing new is sent there.
-	refusals int
-	until    kumquatlug.Millis
+	refusals     int
+	backoffUntil kumquatlug.Millis
 	// pausedUntil is for how long the worker asked to be sent nothing.
 	pausedUntil kumquatlug.Millis
-	// tickets are the attempts in hand for this front. Something last came from
+	// attempts are the attempts in hand for this front. Something last came from
 	// the worker at heardAt; pauses are those between two events of a stream;
 	// silent says that it was left out for saying nothing.
-	tickets []*Ticket
-	heardAt kumquatlug.Millis
-	pauses  learn.Pause
-	silent  bool
-	// askedAt is when the worker was last asked whether it is there.
-	askedAt kumquatlug.Millis
+	attempts     []*Ticket
+	lastSeenAt   kumquatlug.Millis
+	pauses       learn.Pause
+	unresponsive bool
+	// probedAt is when the worker was last asked whether it is there.
+	probedAt kumquatlug.Millis
 	// queue are the prompts that wait for the engine, those of other fronts among
 	// them where this one coordinates it; turns are those that other fronts were given.
-	queue []*waiting
-	turns []turnOf
-	// askedTokens are to be read of the prompts that wait at its coordinator.
-	askedTokens float64
-	// load is what this front gave it to read until loadAt, see [Placer.loadNow].
+	queue  []*queuedPrompt
+	grants []remoteGrant
+	// requestedTokens are to be read of the prompts that wait at its coordinator.
+	requestedTokens float64
+	// load is what this front gave it to read until loadAt, see [Placer.recentLoad].
 	load   float64
 	loadAt kumquatlug.Millis
 	// limit is what the worker says of the rate of requests that it takes.
 	limit *ratelimit.Limit
 }
 
-// use is when a part was used last, and how many tokens its engine had read by then.
-type use struct {
-	at   kumquatlug.Millis
-	read float64
+// cachedPart is when a part was used last, and how many tokens its engine had read by then.
+type cachedPart struct {
+	lastUsedAt      kumquatlug.Millis
+	prefilledTokens float64
 }
 
 // Placer chooses workers of one service.
 type Placer struct {
-	c       Config
+	config  Config
 	workers map[string]*worker
-	list    []*worker
-	// readers is how many of the workers read prompts apart.
-	readers int
-	health  *health.Group
-	// reading is how long engines read a prompt.
-	reading *learn.Reading
-	// meanRead is how many tokens one prompt leaves to be read, meanTime how
+	ordered []*worker
+	// prefillEngines is how many of the workers read prompts apart.
+	prefillEngines int
+	health         *health.Group
+	// prefillModel is how long engines read a prompt.
+	prefillModel *learn.Reading
+	// meanPrefillTokens is how many tokens one prompt leaves to be read, meanTime how
 	// long a plain request takes.
-	meanRead float64
-	meanTime float64
-	// meanRoom is the memory that one request takes at a generating engine, in
+	meanPrefillTokens float64
+	meanPlainMs       float64
+	// meanKVTokens is the memory that one request takes at a generating engine, in
 	// tokens, and memory what an engine has; zero when it is not known.
-	meanRoom float64
-	memory   float64
-	// meanOthers is how many requests of other fronts workers said to have.
-	meanOthers float64
-	meanRun    float64
+	meanKVTokens float64
+	kvCapacity   float64
+	// meanOtherRequests is how many requests of other fronts workers said to have.
+	meanOtherRequests float64
+	meanRunMs         float64
 	// pauses are those between two events of a stream at any engine.
 	pauses learn.Pause
 	// overrun is how much later than expected the first output of an engine comes,
@@ -218,31 +218,31 @@
 	// tokenTime is how long a run takes for each token of its greatest output, in
 	// ms.
 	tokenTime *learn.PerUnit
-	// pace is how long prompts take to be read beside what is expected.
-	pace    float64
-	cleanAt kumquatlug.Millis
-	// readEvery is the mean span between two prompts of this front that were given
+	// slowdown is how long prompts take to be read beside what is expected.
+	slowdown float64
+	prunedAt kumquatlug.Millis
+	// prefillInterval is the mean span between two prompts of this front that were given
 	// to readers, in ms; the last one was at readAt.
-	readEvery float64
-	readAt    kumquatlug.Millis
-	// orphans waited for workers that are gone, asked wait at other fronts.
-	orphans []*waiting
-	asked   map[uint64]*asked
+	prefillInterval float64
+	lastPrefillAt   kumquatlug.Millis
+	// displaced waited for workers that are gone, asked wait at other fronts.
+	displaced     []*queuedPrompt
+	grantRequests map[uint64]*grantRequest
 	// outbox are messages to other fronts.
-	outbox []kumquatlug.TurnMessage
-	gauge  gauge
-	// lookedAt is when silent workers were last looked for.
-	lookedAt kumquatlug.Millis
+	outbox   []kumquatlug.TurnMessage
+	averages pressureAverages
+	// livenessCheckedAt is when silent workers were last looked for.
+	livenessCheckedAt kumquatlug.Millis
 }
 
 // New returns a placer without workers.
 func New(c Config) *Placer {
 	c = c.withDefaults()
 	return &Placer{
-		c: c, workers: map[string]*worker{}, asked: map[uint64]*asked{}, health: health.New(c.Health), meanRead: 3000, meanTime: plainCost,
-		meanRun: firstRun, meanRoom: firstRoom, pace: 1, reading: learn.NewReading(c.Reading),
-		tokenTime: learn.NewPerUnit(firstTokenTime, firstOutput),
-		overrun:   learn.NewOverrun(firstOverrun), plainOverrun: learn.NewOverrun(firstPlainOverrun),
+		config: c, workers: map[string]*worker{}, grantRequests: map[uint64]*grantRequest{}, health: health.New(c.Health), meanPrefillTokens: 3000, meanPlainMs: initialPlainMs,
+		meanRunMs: initialRunMs, meanKVTokens: initialKVTokens, slowdown: 1, prefillModel: learn.NewReading(c.Reading),
+		tokenTime: learn.NewPerUnit(initialTokenMs, initialOutputTokens),
+		overrun:   learn.NewOverrun(initialOverrunMs), plainOverrun: learn.NewOverrun(initialPlainOverrunMs),
 	}
 }
 
@@ -258,14 +258,14 @@
 		seen[id] = true
 		w, known := p.workers[id]
 		if known && (w.member.Born != m.Born || w.member.Role != m.Role || m.State != kumquatlug.MemberReady) {
-			p.orphan(w)
+			p.displaceQueue(w)
 		}
 		if known && w.member.State == kumquatlug.MemberReady && m.State != kumquatlug.MemberReady {
-			streams = append(streams, w.begun()...)
+			streams = append(streams, w.startedAttempts()...)
 		}
 		if !known || w.member.Born != m.Born || w.member.Worker != m.Worker {
 			hash := xxhash.Sum64String(id)
-			w = &worker{hash: hash, held: map[string]use{}, limit: ratelimit.New(p.c.Shares, hash)}
+			w = &worker{hash: hash, cachedParts: map[string]cachedPart{}, limit: ratelimit.New(p.config.Shares, hash)}
 			p.workers[id] = w
 			p.health.Remove(id)
 			p.health.Add(id)
@@ -274,35 +274,35 @@
 	}
 	for id := range p.workers {
 		if w := p.workers[id]; !seen[id] {
-			p.orphan(w)
+			p.displaceQueue(w)
 			if w.member.State == kumquatlug.MemberReady {
-				streams = append(streams, w.begun()...)
+				streams = append(streams, w.startedAttempts()...)
 			}
 			delete(p.workers, id)
 			p.health.Remove(id)
 		}
 	}
-	p.relist()
+	p.sortWorkers()
 	return streams
 }
 
-// relist orders the workers by name, and counts those that read.
-func (p *Placer) relist() {
-	p.list, p.readers = p.list[:0], 0
+// sortWorkers orders the workers by name, and counts those that read.
+func (p *Placer) sortWorkers() {
+	p.ordered, p.prefillEngines = p.ordered[:0], 0
 	for _, w := range p.workers {
-		p.list = append(p.list, w)
+		p.ordered = append(p.ordered, w)
 		if w.member.Role == kumquatlug.RolePrefill {
-			p.readers++
+			p.prefillEngines++
 		}
 	}
-	slices.SortFunc(p.list, func(a, b *worker) int { return cmp.Compare(a.member.Worker.ID(), b.member.Worker.ID()) })
+	slices.SortFunc(p.ordered, func(a, b *worker) int { return cmp.Compare(a.member.Worker.ID(), b.member.Worker.ID()) })
 }
 
-// orphan takes over the queue of a worker that reads no more.
-func (p *Placer) orphan(w *worker) {
-	p.orphans = append(p.orphans, p.sendRemoteAway(w)...)
+// displaceQueue takes over the queue of a worker that reads no more.
+func (p *Placer) displaceQueue(w *worker) {
+	p.displaced = append(p.displaced, p.disownRemote(w)...)
 	w.queue = nil
-	p.withdraw(w)
+	p.withdrawRequests(w)
 }
 
 // Report takes what a worker said of its load in an answer.
@@ -311,10 +311,10 @@
 	if !known || !load.Known() {
 		return
 	}
-	w.others = max(0, float64(load.Running()+load.Waiting()-w.reads-w.runs))
-	w.saidAt = now
-	p.meanOthers += meanStep * (w.others - p.meanOthers)
+	w.otherRequests = max(0, float64(load.Running()+load.Waiting()-w.prefills-w.running))
+	w.reportedAt = now
+	p.meanOtherRequests += ewmaWeight * (w.otherRequests - p.meanOtherRequests)
 }
 
 // SetMemory tells how many tokens an engine keeps in memory.
-func (p *Placer) SetMemory(tokens int) { p.memory = float64(tokens) }
+func (p *Placer) SetMemory(tokens int) { p.kvCapacity = float64(tokens) }
--- a/pkg/kumquatlug/placement/placement_test.go
+++ b/pkg/kumquatlug/placement/placement_test.go
@@ -28,10 +28,10 @@
 }
 
 // document is a long prompt: two shared parts and its own.
-func document(chain, own int) kumquatlug.Prompt {
+func document(prefix, own int) kumquatlug.Prompt {
 	return kumquatlug.NewPrompt([]kumquatlug.Part{
-		kumquatlug.NewPart(fmt.Sprint("top", chain%4), 2520),
-		kumquatlug.NewPart(fmt.Sprint("chain", chain), 3780),
+		kumquatlug.NewPart(fmt.Sprint("top", prefix%4), 2520),
+		kumquatlug.NewPart(fmt.Sprint("chain", prefix), 3780),
 		kumquatlug.NewPart(fmt.Sprint("own", own), 2890),
 	}, 9190, 104)
 }
@@ -40,7 +40,7 @@
 	return kumquatlug.NewPrompt([]kumquatlug.Part{kumquatlug.NewPart("hello", 79), kumquatlug.NewPart(fmt.Sprint("c", own), 141)}, 220, 4600)
 }
 
-func pick(t *testing.T, p *Placer, now kumquatlug.Millis, prompt kumquatlug.Prompt) Choice {
+func mustPlacePrompt(t *testing.T, p *Placer, now kumquatlug.Millis, prompt kumquatlug.Prompt) Choice {
 	t.Helper()
 	c, found := p.Prompt(now, Query{Prompt: prompt})
 	if !found {
@@ -52,28 +52,28 @@
 // Fronts don't speak with each other. If each found its own place for a shared
 // part, every engine would read all of them; so all must agree, and few chains
 // may move when an engine goes.
-func TestFrontsAgreeOnHomesAndFewMove(t *testing.T) {
+func TestGatewaysAgreeOnPrefixOwnersAndFewMove(t *testing.T) {
 	owners := func(members []kumquatlug.Member) map[int]string {
 		p := New(Config{Zone: "a"})
 		p.Sync(0, members)
-		at := map[int]string{}
-		for chain := range 400 {
-			at[chain] = pick(t, p, 0, document(chain, chain)).Worker().ID()
+		ownerOf := map[int]string{}
+		for prefix := range 400 {
+			ownerOf[prefix] = mustPlacePrompt(t, p, 0, document(prefix, prefix)).Worker().ID()
 		}
-		return at
+		return ownerOf
 	}
 	all := engines(8, 4)
 	first, second := owners(all), owners(append(all[4:], all[:4]...))
 	without := owners(all[1:])
 	moved := 0
-	for chain, owner := range first {
-		if second[chain] != owner {
-			t.Fatalf("chain %d lives at %s and at %s", chain, owner, second[chain])
+	for prefix, owner := range first {
+		if second[prefix] != owner {
+			t.Fatalf("chain %d lives at %s and at %s", prefix, owner, second[prefix])
 		}
-		if without[chain] != owner {
+		if without[prefix] != owner {
 			moved++
 			if owner != all[0].Worker.ID() {
-				t.Fatalf("chain %d moved from %s, which stayed", chain, owner)
+				t.Fatalf("chain %d moved from %s, which stayed", prefix, owner)
 			}
 		}
 	}
@@ -82,10 +82,10 @@
 	}
 }
 
-// replay sends requests to engines that read at the sheet's rate and returns how
+// replayPrompts sends requests to engines that read at the sheet's rate and returns how
 // many tokens were read for each document, and the longest queue that
 // a document met, in milliseconds.
-func replay(t *testing.T, c Config, chains func(i int) int, perSecond float64, span kumquatlug.Millis) (tokens, longest float64) {
+func replayPrompts(t *testing.T, c Config, nextPrefix func(i int) int, perSecond float64, span kumquatlug.Millis) (tokens, longest float64) {
 	t.Helper()
 	p := New(c)
 	p.Sync(0, engines(8, 4))
@@ -93,41 +93,41 @@
 		ends   float64
 		ticket *Ticket
 	}
-	free := map[string]float64{}
-	held := map[string]map[string]bool{}
+	freeAt := map[string]float64{}
+	cached := map[string]map[string]bool{}
 	var jobs []job
 	random := rand.New(rand.NewPCG(1, 2))
 	n := 0
 	for at := 0.0; at < float64(span); at += random.ExpFloat64() * 1000 / perSecond {
 		now := kumquatlug.Millis(at)
-		left := jobs[:0]
+		running := jobs[:0]
 		for _, j := range jobs {
 			if j.ends <= at {
 				p.End(now, j.ticket, OutcomeGood)
 			} else {
-				left = append(left, j)
+				running = append(running, j)
 			}
 		}
-		jobs = left
-		prompt := document(chains(n), n)
-		choice := pick(t, p, now, prompt)
+		jobs = running
+		prompt := document(nextPrefix(n), n)
+		choice := mustPlacePrompt(t, p, now, prompt)
 		id := choice.Worker().ID()
 		read, rate := 2890.0, 236.0
 		if !choice.Apart() {
 			rate = 118
 		}
 		for _, part := range prompt.Shared() {
-			if held[id] == nil {
-				held[id] = map[string]bool{}
+			if cached[id] == nil {
+				cached[id] = map[string]bool{}
 			}
-			if !held[id][part.ID()] {
+			if !cached[id][part.ID()] {
 				read += float64(part.Tokens())
-				held[id][part.ID()] = true
+				cached[id][part.ID()] = true
 			}
 		}
-		free[id] = math.Max(free[id], at) + read/rate
-		longest = math.Max(longest, free[id]-at)
-		jobs = append(jobs, job{ends: free[id], ticket: p.Begin(now, choice, prompt)})
+		freeAt[id] = math.Max(freeAt[id], at) + read/rate
+		longest = math.Max(longest, freeAt[id]-at)
+		jobs = append(jobs, job{ends: freeAt[id], ticket: p.Begin(now, choice, prompt)})
 		tokens += read
 		n++
 	}
@@ -137,28 +137,28 @@
 // 446 chains at the usual rate. Kept at its owner, a document costs little more than
 // its own tokens; placed by load alone, most shared parts are read at every
 // engine.
-func TestSharedPartsAreReadOnce(t *testing.T) {
+func TestSharedPrefixesArePrefilledOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	chains := func(int) int { return random.IntN(446) }
-	owner, _ := replay(t, Config{}, chains, 147, 30_000)
-	spread, _ := replay(t, Config{AwayPrice: 0.001}, chains, 147, 30_000)
-	t.Logf("tokens read for one document: %.0f at owners, %.0f by load", owner, spread)
-	if owner > 3500 || owner >= spread {
-		t.Errorf("%.0f tokens for a document, %.0f by load alone", owner, spread)
+	nextPrefix := func(int) int { return random.IntN(446) }
+	affine, _ := replayPrompts(t, Config{}, nextPrefix, 147, 30_000)
+	byLoad, _ := replayPrompts(t, Config{AwayPrice: 0.001}, nextPrefix, 147, 30_000)
+	t.Logf("tokens read for one document: %.0f at owners, %.0f by load", affine, byLoad)
+	if affine > 3500 || affine >= byLoad {
+		t.Errorf("%.0f tokens for a document, %.0f by load alone", affine, byLoad)
 	}
 }
 
 // One chain has half of all requests. Kept at its owner alone, that engine's queue
 // would grow without end while seven others stand idle.
-func TestAHotChainLeavesItsOwner(t *testing.T) {
+func TestHotPrefixSpillsOverFromItsOwner(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
-	chains := func(int) int {
+	nextPrefix := func(int) int {
 		if random.IntN(2) == 0 {
 			return 7
 		}
 		return random.IntN(446)
 	}
-	_, longest := replay(t, Config{}, chains, 300, 20_000)
+	_, longest := replayPrompts(t, Config{}, nextPrefix, 300, 20_000)
 	if longest > 1500 {
 		t.Errorf("a queue of %.0f ms", longest)
 	}
@@ -166,20 +166,20 @@
 
 // Streams run for seconds at generating engines. Long prompts read there slow
 // every one of them; only where no stream runs may that be cheaper.
-func TestLongPromptsStayAwayFromStreams(t *testing.T) {
+func TestLongPromptsAvoidEnginesWithStreams(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(2, 1))
 	for i := range 40 {
-		p.Begin(0, pick(t, p, 0, chatPrompt(i)), chatPrompt(i))
+		p.Begin(0, mustPlacePrompt(t, p, 0, chatPrompt(i)), chatPrompt(i))
 	}
 	for i := range 6 {
-		c := pick(t, p, 0, document(i, i))
+		c := mustPlacePrompt(t, p, 0, document(i, i))
 		if !c.Apart() {
 			t.Fatalf("document %d is read at an engine with 40 streams", i)
 		}
 		p.Begin(0, c, document(i, i))
 	}
-	if c := pick(t, p, 0, chatPrompt(99)); c.Apart() {
+	if c := mustPlacePrompt(t, p, 0, chatPrompt(99)); c.Apart() {
 		t.Error("a short prompt is read apart")
 	}
 }
@@ -187,14 +187,14 @@
 // An engine was ordered into another role and refuses all requests until its last
 // stream has ended. It has nothing in hand and looks the least loaded; without a
 // pause every request of every front would go there first.
-func TestARefusingEngineIsLeftAlone(t *testing.T) {
+func TestRefusingEngineIsBackedOff(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 2))
 	now, refusals := kumquatlug.Millis(0), 0
 	for i := range 200 {
 		now += 10
 		prompt := chatPrompt(i)
-		c := pick(t, p, now, prompt)
+		c := mustPlacePrompt(t, p, now, prompt)
 		ticket := p.Begin(now, c, prompt)
 		if c.Worker().ID() == "g0" {
 			refusals++
@@ -208,7 +208,7 @@
 
 // A worker breaks off whatever it is given. It is always free, and so draws all
 // work; it must be out within a few requests, and be tried again later.
-func TestAFailingWorkerIsLeftOut(t *testing.T) {
+func TestFailingWorkerIsEjected(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, []kumquatlug.Member{member("x", "", "", 6), member("y", "", "", 6), member("z", "", "", 6)})
 	now, failed := kumquatlug.Millis(1000), 0
@@ -232,28 +232,28 @@
 
 // A worker starts anew under its old name: it holds nothing of before, and what
 // was in hand there must not count against it.
-func TestANewStartIsANewWorker(t *testing.T) {
+func TestRestartedWorkerStartsWithCleanState(t *testing.T) {
 	p := New(Config{})
 	members := engines(1, 1)
 	p.Sync(0, members)
-	old := p.Begin(0, pick(t, p, 0, document(1, 1)), document(1, 1))
+	old := p.Begin(0, mustPlacePrompt(t, p, 0, document(1, 1)), document(1, 1))
 	members[0].Born = 9
 	p.Sync(10, members)
-	if c := pick(t, p, 10, document(2, 2)); c.Wait() > 100 {
+	if c := mustPlacePrompt(t, p, 10, document(2, 2)); c.Wait() > 100 {
 		t.Errorf("expected wait %d ms at a worker that has just started", c.Wait())
 	}
 	p.End(20, old, OutcomeFailed)
-	if p.workers["r0"].tokens != 0 || p.workers["r0"].reads != 0 {
+	if p.workers["r0"].prefillTokens != 0 || p.workers["r0"].prefills != 0 {
 		t.Errorf("%+v", p.workers["r0"])
 	}
 }
 
 // Workers that leave, are excluded or have another role get nothing.
-func TestWhoMayNotBeChosen(t *testing.T) {
+func TestIneligibleWorkersAreNotChosen(t *testing.T) {
 	p := New(Config{})
-	leaving := member("x", "", "", 6)
-	leaving.State = kumquatlug.MemberDraining
-	p.Sync(0, []kumquatlug.Member{leaving, member("y", "", "", 6)})
+	draining := member("x", "", "", 6)
+	draining.State = kumquatlug.MemberDraining
+	p.Sync(0, []kumquatlug.Member{draining, member("y", "", "", 6)})
 	if c, found := p.Plain(0, Query{}); !found || c.Worker().ID() != "y" {
 		t.Error(c, found)
 	}
@@ -267,7 +267,7 @@
 }
 
 // Generating engines near the front go first while they have room.
-func TestOutputStaysNear(t *testing.T) {
+func TestDecodePrefersLocalZone(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, []kumquatlug.Member{member("far", "b", kumquatlug.RoleDecode, 8), member("near", "a", kumquatlug.RoleDecode, 8)})
 	at := map[string]int{}
@@ -287,12 +287,12 @@
 
 // A site has engines that know no roles. Each reads and generates; taken for
 // engines of no use, they would leave every request refused.
-func TestEnginesWithoutRolesDoBoth(t *testing.T) {
+func TestEnginesWithoutRolesPrefillAndDecode(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, []kumquatlug.Member{member("x", "a", "", 64), member("y", "a", "", 64)})
 	at := map[string]int{}
 	for i := range 40 {
-		c := pick(t, p, 0, document(i, i))
+		c := mustPlacePrompt(t, p, 0, document(i, i))
 		if c.Apart() {
 			t.Fatal("a prompt is read apart where no engine generates for another")
 		}
@@ -307,7 +307,7 @@
 // A front that is told to stop refuses what would not end before it leaves. Where
 // a token takes four times as long as at another site, answers that it goes on
 // taking are cut off in the middle.
-func TestWhatARequestTakesFollowsWhatWasSeen(t *testing.T) {
+func TestExpectedDurationFollowsObservations(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, engines(1, 1))
 	now := kumquatlug.Millis(0)
--- a/pkg/kumquatlug/placement/pressure.go
+++ b/pkg/kumquatlug/placement/pressure.go
@@ -6,40 +6,40 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// pressureSpan is the span over which pressure is averaged, in milliseconds:
+// pressureWindowMs is the span over which pressure is averaged, in milliseconds:
 // some tens of prompts, and a part of the seconds that a change of role takes.
-const pressureSpan = 700.0
+const pressureWindowMs = 700.0
 
-// trendSpan is the span over which the trend of taken slots is seen, changeSpan
+// trendWindowMs is the span over which the trend of taken slots is seen, roleChangeMs
 // how far it is followed, in milliseconds: until a change of role has effect.
 const (
-	trendSpan  = 2000.0
-	changeSpan = 3000.0
+	trendWindowMs = 2000.0
+	roleChangeMs  = 3000.0
 )
 
 // Pressure is how much is asked of a service's engines, as one front sees it:
 // its own work in hand, and what engines say of all other work.
 type Pressure struct {
-	reading float64
-	late    float64
-	taken   float64
-	coming  float64
+	prefillUtilization    float64
+	lateFraction          float64
+	decodeEnginesUsed     float64
+	decodeEnginesForecast float64
 }
 
 // Reading returns the part of the reading engines that have prompts in hand.
-func (p Pressure) Reading() float64 { return p.reading }
+func (p Pressure) Reading() float64 { return p.prefillUtilization }
 
 // Late returns the part of the long prompts that were refused or could not be
 // read within their target latency.
-func (p Pressure) Late() float64 { return p.late }
+func (p Pressure) Late() float64 { return p.lateFraction }
 
 // Taken returns how many engines' slots the requests at generating engines take,
 // waiting ones counted.
-func (p Pressure) Taken() float64 { return p.taken }
+func (p Pressure) Taken() float64 { return p.decodeEnginesUsed }
 
 // Coming returns how many they will take, by the trend, when a change of role
 // that is ordered now has effect.
-func (p Pressure) Coming() float64 { return p.coming }
+func (p Pressure) Coming() float64 { return p.decodeEnginesForecast }
 
 // Beside is what a worker has in hand, as one front sees it.
 type Beside struct {
@@ -58,57 +58,57 @@
 	if !known {
 		return Beside{}
 	}
-	return Beside{tokens: int(w.tokens), requests: w.runs + int(math.Round(p.othersNow(now, w)))}
+	return Beside{tokens: int(w.prefillTokens), requests: w.running + int(math.Round(p.otherRequestsAt(now, w)))}
 }
 
-// gauge keeps the averages behind a [Pressure].
-type gauge struct {
-	reading, taken float64
-	// entered and late count prompts; both fade.
-	entered, late float64
-	at            kumquatlug.Millis
-	// slowTaken is taken over a longer span, for the trend.
-	slowTaken float64
+// pressureAverages keeps the averages behind a [Pressure].
+type pressureAverages struct {
+	prefillUtilization, decodeEnginesUsed float64
+	// prompts and late count prompts; both fade.
+	prompts, latePrompts float64
+	sampledAt            kumquatlug.Millis
+	// slowDecodeEnginesUsed is taken over a longer span, for the trend.
+	slowDecodeEnginesUsed float64
 }
 
-// fade lets older counts weigh less.
-func (g *gauge) fade(now kumquatlug.Millis) float64 {
-	kept := math.Exp(-float64(now-g.at) / pressureSpan)
-	g.entered *= kept
-	g.late *= kept
-	g.at = now
+// decay lets older counts weigh less.
+func (g *pressureAverages) decay(now kumquatlug.Millis) float64 {
+	kept := math.Exp(-float64(now-g.sampledAt) / pressureWindowMs)
+	g.prompts *= kept
+	g.latePrompts *= kept
+	g.sampledAt = now
 	return kept
 }
 
 // Measure takes a sample; call it each few hundredths of a second.
 func (p *Placer) Measure(now kumquatlug.Millis) {
-	kept := p.gauge.fade(now)
-	busy := p.busyReaders(now)
+	kept := p.averages.decay(now)
+	busy := p.busyPrefillFraction(now)
 	taken := 0.0
-	for _, w := range p.list {
+	for _, w := range p.ordered {
 		if w.member.State != kumquatlug.MemberReady {
 			continue
 		}
 		if w.member.Role == kumquatlug.RoleDecode {
-			taken += (float64(w.runs) + p.othersNow(now, w)) / float64(max(w.member.Slots, 1))
+			taken += (float64(w.running) + p.otherRequestsAt(now, w)) / float64(max(w.member.Slots, 1))
 		}
 	}
-	p.gauge.reading = kept*p.gauge.reading + (1-kept)*busy
-	p.gauge.taken = kept*p.gauge.taken + (1-kept)*taken
-	slow := math.Pow(kept, pressureSpan/trendSpan)
-	p.gauge.slowTaken = slow*p.gauge.slowTaken + (1-slow)*taken
+	p.averages.prefillUtilization = kept*p.averages.prefillUtilization + (1-kept)*busy
+	p.averages.decodeEnginesUsed = kept*p.averages.decodeEnginesUsed + (1-kept)*taken
+	slow := math.Pow(kept, pressureWindowMs/trendWindowMs)
+	p.averages.slowDecodeEnginesUsed = slow*p.averages.slowDecodeEnginesUsed + (1-slow)*taken
 }
 
-// busyReaders is the part of the reading engines that is at work. Of an engine that this
+// busyPrefillFraction is the part of the reading engines that is at work. Of an engine that this
 // front coordinates it knows the prompts of all fronts, of the others its own alone;
 // which engines it coordinates is a fair sample of all.
-func (p *Placer) busyReaders(now kumquatlug.Millis) float64 {
+func (p *Placer) busyPrefillFraction(now kumquatlug.Millis) float64 {
 	known, all, knownBusy, allBusy := 0, 0, 0.0, 0.0
-	for _, w := range p.list {
+	for _, w := range p.ordered {
 		if w.member.State != kumquatlug.MemberReady || w.member.Role != kumquatlug.RolePrefill {
 			continue
 		}
-		busy := min(1, float64(w.reads)+p.othersNow(now, w))
+		busy := min(1, float64(w.prefills)+p.otherRequestsAt(now, w))
 		all++
 		allBusy += busy
 		if p.coordinates(now, w) {
@@ -125,12 +125,12 @@
 // Pressure returns the averages of the last second.
 func (p *Placer) Pressure() Pressure {
 	late := 0.0
-	if p.gauge.entered >= 1 {
-		late = p.gauge.late / p.gauge.entered
+	if p.averages.prompts >= 1 {
+		late = p.averages.latePrompts / p.averages.prompts
 	}
-	trend := (p.gauge.taken - p.gauge.slowTaken) / (trendSpan - pressureSpan)
+	trend := (p.averages.decodeEnginesUsed - p.averages.slowDecodeEnginesUsed) / (trendWindowMs - pressureWindowMs)
 	return Pressure{
-		reading: p.gauge.reading, late: late, taken: p.gauge.taken, coming: max(0, p.gauge.taken+trend*changeSpan),
+		prefillUtilization: p.averages.prefillUtilization, lateFraction: late, decodeEnginesUsed: p.averages.decodeEnginesUsed, decodeEnginesForecast: max(0, p.averages.decodeEnginesUsed+trend*roleChangeMs),
 	}
 }
 
@@ -150,24 +150,24 @@
 // what the workers said of the others.
 func (p *Placer) Occupied(now kumquatlug.Millis) map[string]Occupancy {
 	zones := map[string]Occupancy{}
-	for _, w := range p.list {
+	for _, w := range p.ordered {
 		if w.member.State != kumquatlug.MemberReady {
 			continue
 		}
 		o := zones[w.member.Zone]
 		o.workers++
-		o.busy += p.taken(now, w)
+		o.busy += p.usedFraction(now, w)
 		zones[w.member.Zone] = o
 	}
 	return zones
 }
 
-// taken is the part of a worker that is taken. One that reads prompts apart has as many
+// usedFraction is the part of a worker that is taken. One that reads prompts apart has as many
 // places as prompts it may have in hand.
-func (p *Placer) taken(now kumquatlug.Millis, w *worker) float64 {
+func (p *Placer) usedFraction(now kumquatlug.Millis, w *worker) float64 {
 	places := w.member.Slots
 	if w.member.Role == kumquatlug.RolePrefill {
-		places = mostReads
+		places = maxPrefills
 	}
-	return (float64(w.reads+w.runs) + p.othersNow(now, w)) / float64(max(places, 1))
+	return (float64(w.prefills+w.running) + p.otherRequestsAt(now, w)) / float64(max(places, 1))
 }
--- a/pkg/kumquatlug/placement/queue_test.go
+++ b/pkg/kumquatlug/placement/queue_test.go
@@ -11,15 +11,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/learn"
 )
 
-// rush replays prompts at a steady rate against one reading engine that reads
+// overloadResult replays prompts at a steady rate against one reading engine that reads
 // each prompt's own tokens, and counts what became of them.
-type rush struct {
+type overloadResult struct {
 	inTime, late, refused int
-	// refusedAfter is the longest that one was held before it was refused.
-	refusedAfter kumquatlug.Millis
+	// maxRefusalDelay is the longest that one was held before it was refused.
+	maxRefusalDelay kumquatlug.Millis
 }
 
-func runRush(t *testing.T, perSecond float64, span kumquatlug.Millis, queues bool) rush {
+func runOverload(t *testing.T, perSecond float64, span kumquatlug.Millis, queueing bool) overloadResult {
 	t.Helper()
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 1))
@@ -38,7 +38,7 @@
 		key    uint64
 		ticket *Ticket
 	}
-	var r rush
+	var r overloadResult
 	var atEngine []reading
 	jobs := map[uint64]job{}
 	random := rand.New(rand.NewPCG(7, 8))
@@ -51,10 +51,10 @@
 	}
 	for now := kumquatlug.Millis(0); now < span; now++ {
 		for len(atEngine) > 0 && freeAt <= float64(now) {
-			one := atEngine[0]
+			finished := atEngine[0]
 			atEngine = atEngine[1:]
-			p.End(now, one.ticket, OutcomeGood)
-			if now-jobs[one.key].arrived+afterRead <= 200 {
+			p.End(now, finished.ticket, OutcomeGood)
+			if now-jobs[finished.key].arrived+postPrefillMs <= 200 {
 				r.inTime++
 			} else {
 				r.late++
@@ -71,7 +71,7 @@
 			prompt := kumquatlug.NewPrompt(append(slices.Clone(shared), kumquatlug.NewPart("own", own)), 6300+own, 104)
 			jobs[key] = job{arrived: now, prompt: prompt}
 			q := Query{Prompt: prompt, Target: now + 200, Until: now + 2000}
-			if !queues {
+			if !queueing {
 				c, _ := p.Prompt(now, q)
 				start(now, key, p.Begin(now, c, prompt))
 				continue
@@ -90,7 +90,7 @@
 				continue
 			}
 			r.refused++
-			r.refusedAfter = max(r.refusedAfter, now-jobs[due.Key()].arrived)
+			r.maxRefusalDelay = max(r.maxRefusalDelay, now-jobs[due.Key()].arrived)
 		}
 	}
 	return r
@@ -100,21 +100,21 @@
 // on as they come, all but the first ones are late. In queues, two thirds and more
 // of what the engine can do must be in time, and who can't be served must be told
 // early, not at the end of their patience.
-func TestInAnOverloadMostAreInTime(t *testing.T) {
-	before, after := runRush(t, 150, 10_000, false), runRush(t, 150, 10_000, true)
-	t.Logf("handed on: %+v; in queues: %+v", before, after)
-	if after.inTime < 500 || after.inTime < 5*before.inTime {
-		t.Errorf("%d prompts in time, %d without queues", after.inTime, before.inTime)
+func TestQueueKeepsMostPromptsInTimeUnderOverload(t *testing.T) {
+	unqueued, queued := runOverload(t, 150, 10_000, false), runOverload(t, 150, 10_000, true)
+	t.Logf("handed on: %+v; in queues: %+v", unqueued, queued)
+	if queued.inTime < 500 || queued.inTime < 5*unqueued.inTime {
+		t.Errorf("%d prompts in time, %d without queues", queued.inTime, unqueued.inTime)
 	}
-	if after.refusedAfter > 500 {
-		t.Errorf("a prompt was refused after %d ms", after.refusedAfter)
+	if queued.maxRefusalDelay > 500 {
+		t.Errorf("a prompt was refused after %d ms", queued.maxRefusalDelay)
 	}
 }
 
 // Below what the engine reads nobody may be refused, and the queues may not make
 // anybody late.
-func TestWithoutOverloadNobodyIsRefused(t *testing.T) {
-	r := runRush(t, 35, 10_000, true)
+func TestNoRefusalsBelowCapacity(t *testing.T) {
+	r := runOverload(t, 35, 10_000, true)
 	if r.refused > 0 || r.late > 10 {
 		t.Errorf("%+v", r)
 	}
@@ -122,7 +122,7 @@
 
 // The engine whose queue a prompt stands in goes, or takes another role. The
 // prompt must go to another engine at once, not wait for one that won't come.
-func TestAQueueMovesWhenItsEngineGoes(t *testing.T) {
+func TestQueuedPromptsMoveWhenEngineLeaves(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, engines(2, 1))
 	var waits []uint64
@@ -135,7 +135,7 @@
 		t.Fatal("nobody waits")
 	}
 	owner := ""
-	for _, w := range p.list {
+	for _, w := range p.ordered {
 		if len(w.queue) > 0 {
 			owner = w.member.Worker.ID()
 		}
@@ -160,7 +160,7 @@
 // A hundred fronts send to a thousand engines, each seldom to the same one. Taken
 // for as many as each of them has there, the two prompts of this front would look
 // like an overload, and the third be refused at an engine that stands idle.
-func TestManyFrontsAreNoOverload(t *testing.T) {
+func TestOtherGatewaysDoNotCountAsOverload(t *testing.T) {
 	p := New(Config{Reading: learn.ReadingConfig{Rate: 236}})
 	p.Sync(0, engines(1, 1))
 	for i := range 40 {
@@ -173,7 +173,7 @@
 			t.Errorf("prompt %d is refused at an expected wait of %d ms", i, c.Wait())
 		}
 	}
-	if c := pick(t, p, 100, document(1, 4)); c.Wait() > 400 {
+	if c := mustPlacePrompt(t, p, 100, document(1, 4)); c.Wait() > 400 {
 		t.Errorf("expected wait of %d ms behind three prompts", c.Wait())
 	}
 }
@@ -181,7 +181,7 @@
 // An engine breaks a stream off while the other one has a queue that is late
 // already. Refused as overload, the client would see half an answer and a broken
 // connection, though three seconds are left to read the prompt again.
-func TestABegunAnswerIsNotRefusedAsOverload(t *testing.T) {
+func TestStartedResponseIsNotRefusedUnderOverload(t *testing.T) {
 	p := New(Config{Reading: learn.ReadingConfig{Rate: 50}})
 	p.Sync(0, engines(1, 1))
 	for key := uint64(1); key <= 30; key++ {
@@ -198,8 +198,8 @@
 			t.Error("given up while it waits")
 		}
 	}
-	for _, w := range p.list {
-		if len(w.queue) > 0 && p.next(w).key != 50 {
+	for _, w := range p.ordered {
+		if len(w.queue) > 0 && p.dequeue(w).key != 50 {
 			t.Error("another one has its turn before it")
 		}
 	}
@@ -209,10 +209,10 @@
 // already. Its engine is free again in half a second and its client waits for
 // one and a half; yet by the load of the last instant the engine would look full
 // for ever, and the client be sent away.
-func TestAFewPromptsAreNoFullEngine(t *testing.T) {
+func TestFewLargePromptsDoNotLookLikeAFullEngine(t *testing.T) {
 	p := New(Config{Reading: learn.ReadingConfig{Rate: 50}})
 	p.Sync(0, engines(1, 1))
-	great := func(i int) kumquatlug.Prompt {
+	largePrompt := func(i int) kumquatlug.Prompt {
 		return kumquatlug.NewPrompt([]kumquatlug.Part{kumquatlug.NewPart("s", 9000), kumquatlug.NewPart(fmt.Sprint("g", i), 20_000)}, 29_000, 50)
 	}
 	for i := range 50 {
@@ -224,7 +224,7 @@
 		if last != nil {
 			p.End(now, last, OutcomeGood)
 		}
-		entry, _, ticket := p.Enter(now, uint64(i+1), Query{Prompt: great(i), Target: now + 800, Until: now + 5000})
+		entry, _, ticket := p.Enter(now, uint64(i+1), Query{Prompt: largePrompt(i), Target: now + 800, Until: now + 5000})
 		if entry != EntrySent {
 			t.Fatalf("prompt %d: %s", i, entry)
 		}
--- a/pkg/kumquatlug/placement/silence.go
+++ b/pkg/kumquatlug/placement/silence.go
@@ -28,50 +28,50 @@
 
 // Figures of silence.
 const (
-	// streamMargin is how much longer than the longest pause of one stream an
+	// streamMarginMs is how much longer than the longest pause of one stream an
 	// engine with several streams must be quiet, in milliseconds. Any one of
 	// them alone would have sent an event.
-	streamMargin = 30.0
-	// overdueMargin is how long after the expected time an attempt that has shown
+	streamMarginMs = 30.0
+	// overdueMarginMs is how long after the expected time an attempt that has shown
 	// nothing makes its engine suspect: a few round trips and a piece of another
 	// front's prompt.
-	overdueMargin = 120.0
-	// plainOverdue attempts at a plain worker must be overdue at once, each by
-	// plainMargin: one in a hundred takes five times as long as the others, and
+	overdueMarginMs = 120.0
+	// minPlainOverdue attempts at a plain worker must be overdue at once, each by
+	// plainMarginMs: one in a hundred takes five times as long as the others, and
 	// a plain worker answers no question beside its work.
-	plainOverdue = 2
-	plainMargin  = 350.0
-	// askAgain is the span between two questions to a suspect that answered:
+	minPlainOverdue = 2
+	plainMarginMs   = 350.0
+	// suspectProbeInterval is the span between two questions to a suspect that answered:
 	// questions are cheap, but each is one more connection.
-	askAgain = 300 * kumquatlug.Millis(1)
-	// askSilent is the span between two questions to a silent engine, which is
+	suspectProbeInterval = 300 * kumquatlug.Millis(1)
+	// unresponsiveProbeInterval is the span between two questions to a silent engine, which is
 	// back as soon as it answers.
-	askSilent = 500 * kumquatlug.Millis(1)
-	// stalledSpan is how long one stream may stand still while its worker is
+	unresponsiveProbeInterval = 500 * kumquatlug.Millis(1)
+	// streamStallTimeout is how long one stream may stand still while its worker is
 	// heard of: a stream that gave way to more urgent work comes back within
 	// tenths of a second, and clients leave after two seconds.
-	stalledSpan = 1200 * kumquatlug.Millis(1)
-	// stallSpan is the longest span between two looks; after a longer one this
+	streamStallTimeout = 1200 * kumquatlug.Millis(1)
+	// maxCheckGap is the longest span between two looks; after a longer one this
 	// process stood still itself, and what workers sent lies unread.
-	stallSpan = 60 * kumquatlug.Millis(1)
-	// mostSilent is the part of the workers that may fall silent together. When
+	maxCheckGap = 60 * kumquatlug.Millis(1)
+	// maxUnresponsiveFraction is the part of the workers that may fall silent together. When
 	// more do, it is this front that is cut off, and nothing is gained by going
 	// elsewhere.
-	mostSilent = 0.5
+	maxUnresponsiveFraction = 0.5
 )
 
 // Fallen is a worker that fell silent.
 type Fallen struct {
-	worker   string
-	quiet    kumquatlug.Millis
-	attempts []*Ticket
+	worker    string
+	silentFor kumquatlug.Millis
+	attempts  []*Ticket
 }
 
 // Worker returns the worker's name.
 func (f Fallen) Worker() string { return f.worker }
 
 // Quiet returns for how long nothing had come from it.
-func (f Fallen) Quiet() kumquatlug.Millis { return f.quiet }
+func (f Fallen) Quiet() kumquatlug.Millis { return f.silentFor }
 
 // Attempts returns what this front has in hand there.
 func (f Fallen) Attempts() []*Ticket { return f.attempts }
@@ -82,20 +82,20 @@
 		return
 	}
 	w := t.worker
-	if t.heardAt != 0 {
-		pause := float64(now - t.heardAt)
+	if t.lastOutputAt != 0 {
+		pause := float64(now - t.lastOutputAt)
 		w.pauses.Saw(pause)
 		p.pauses.Saw(pause)
 	}
-	t.heardAt = now
-	p.heard(now, t.id, w)
+	t.lastOutputAt = now
+	p.markAlive(now, t.id, w)
 }
 
-// heard notes that a worker is not silent; one that was is back.
-func (p *Placer) heard(now kumquatlug.Millis, id string, w *worker) {
-	w.heardAt = now
-	if w.silent && p.workers[id] == w {
-		w.silent = false
+// markAlive notes that a worker is not silent; one that was is back.
+func (p *Placer) markAlive(now kumquatlug.Millis, id string, w *worker) {
+	w.lastSeenAt = now
+	if w.unresponsive && p.workers[id] == w {
+		w.unresponsive = false
 		p.health.Outcome(now, id, true, 0)
 	}
 }
@@ -103,33 +103,33 @@
 // Silent leaves out the workers that have fallen silent and tells which. Call it
 // each few hundredths of a second.
 func (p *Placer) Silent(now kumquatlug.Millis) []Fallen {
-	stalled := now-p.lookedAt > stallSpan
-	p.lookedAt = now
+	stalled := now-p.livenessCheckedAt > maxCheckGap
+	p.livenessCheckedAt = now
 	if stalled {
-		for _, w := range p.list {
-			w.heardAt = now
+		for _, w := range p.ordered {
+			w.lastSeenAt = now
 		}
 		return nil
 	}
-	var told []Fallen
-	if p.most(now) {
+	var fallen []Fallen
+	if p.gatewayIsolated(now) {
 		return nil
 	}
-	for _, w := range p.list {
-		if !w.silent && p.verdict(now, w) == verdictSilent {
-			told = append(told, p.leaveOut(now, w))
+	for _, w := range p.ordered {
+		if !w.unresponsive && p.liveness(now, w) == livenessUnresponsive {
+			fallen = append(fallen, p.ejectUnresponsive(now, w))
 		}
 	}
-	return told
+	return fallen
 }
 
-// leaveOut gives a silent worker nothing more.
-func (p *Placer) leaveOut(now kumquatlug.Millis, w *worker) Fallen {
+// ejectUnresponsive gives a silent worker nothing more.
+func (p *Placer) ejectUnresponsive(now kumquatlug.Millis, w *worker) Fallen {
 	id := w.member.Worker.ID()
-	w.silent = true
+	w.unresponsive = true
 	p.health.Eject(now, id)
-	p.orphan(w)
-	return Fallen{worker: id, quiet: now - w.heardAt, attempts: slices.Clone(w.tickets)}
+	p.displaceQueue(w)
+	return Fallen{worker: id, silentFor: now - w.lastSeenAt, attempts: slices.Clone(w.attempts)}
 }
 
 // Use is what a worker does, as far as its front knows.
@@ -150,9 +150,9 @@
 	all := map[string]Use{}
 	for id, w := range p.workers {
 		switch {
-		case w.silent:
+		case w.unresponsive:
 			all[id] = UseSilent
-		case len(w.tickets) == 0 && len(w.turns) == 0 && p.othersNow(now, w) < 1:
+		case len(w.attempts) == 0 && len(w.grants) == 0 && p.otherRequestsAt(now, w) < 1:
 			all[id] = UseIdle
 		default:
 			all[id] = UseBusy
@@ -165,9 +165,9 @@
 // of otherwise.
 func (p *Placer) Stalled(now kumquatlug.Millis) []*Ticket {
 	var stalled []*Ticket
-	for _, w := range p.list {
-		for _, t := range w.tickets {
-			if t.heardAt != 0 && now-t.heardAt > stalledSpan {
+	for _, w := range p.ordered {
+		for _, t := range w.attempts {
+			if t.lastOutputAt != 0 && now-t.lastOutputAt > streamStallTimeout {
 				stalled = append(stalled, t)
 			}
 		}
@@ -179,17 +179,17 @@
 // outcome with [Placer.Asked].
 func (p *Placer) Suspects(now kumquatlug.Millis) []kumquatlug.Worker {
 	var suspects []kumquatlug.Worker
-	for _, w := range p.list {
-		every := askAgain
-		if w.silent {
-			every = askSilent
+	for _, w := range p.ordered {
+		every := suspectProbeInterval
+		if w.unresponsive {
+			every = unresponsiveProbeInterval
 		}
 		plain := w.member.Role == ""
-		asked := w.askedAt != 0 && now-w.askedAt < every
-		if plain || asked || !w.silent && p.verdict(now, w) != verdictSuspect {
+		asked := w.probedAt != 0 && now-w.probedAt < every
+		if plain || asked || !w.unresponsive && p.liveness(now, w) != livenessSuspect {
 			continue
 		}
-		w.askedAt = now
+		w.probedAt = now
 		suspects = append(suspects, w.member.Worker)
 	}
 	return suspects
@@ -203,100 +203,100 @@
 	case !known:
 		return Fallen{}, false
 	case answered:
-		if quiet := float64(w.askedAt - w.heardAt); w.streaming() > 1 && quiet > w.pauses.Longest() {
+		if quiet := float64(w.probedAt - w.lastSeenAt); w.startedCount() > 1 && quiet > w.pauses.Longest() {
 			// It is there, and only pauses for so long.
 			w.pauses.Saw(quiet)
 		}
-		p.heard(now, id, w)
+		p.markAlive(now, id, w)
 		return Fallen{}, false
-	case w.silent || w.heardAt >= w.askedAt || p.most(now):
+	case w.unresponsive || w.lastSeenAt >= w.probedAt || p.gatewayIsolated(now):
 		return Fallen{}, false
 	}
-	return p.leaveOut(now, w), true
+	return p.ejectUnresponsive(now, w), true
 }
 
-// most reports that most of the workers with several streams are quiet: then it
+// gatewayIsolated reports that most of the workers with several streams are quiet: then it
 // is this front that is cut off. They fall quiet at slightly different moments,
 // so that half of the span counts.
-func (p *Placer) most(now kumquatlug.Millis) bool {
+func (p *Placer) gatewayIsolated(now kumquatlug.Millis) bool {
 	busy, quiet := 0, 0
-	for _, w := range p.list {
-		if w.streaming() < 2 {
+	for _, w := range p.ordered {
+		if w.startedCount() < 2 {
 			continue
 		}
 		busy++
-		if w.silent || float64(now-w.heardAt) > p.usualQuiet(w)/2 {
+		if w.unresponsive || float64(now-w.lastSeenAt) > p.silenceLimitMs(w)/2 {
 			quiet++
 		}
 	}
-	return quiet > 1 && float64(quiet) > mostSilent*float64(busy)
+	return quiet > 1 && float64(quiet) > maxUnresponsiveFraction*float64(busy)
 }
 
-// verdict is what a worker's quiet says of it.
-type verdict string
+// liveness is what a worker's quiet says of it.
+type liveness string
 
 const (
-	verdictSound   verdict = "sound"
-	verdictSuspect verdict = "suspect"
-	verdictSilent  verdict = "silent"
+	livenessOK           liveness = "sound"
+	livenessSuspect      liveness = "suspect"
+	livenessUnresponsive liveness = "silent"
 )
 
-// verdict judges how long nothing came from w by what it has in hand.
-func (p *Placer) verdict(now kumquatlug.Millis, w *worker) verdict {
+// liveness judges how long nothing came from w by what it has in hand.
+func (p *Placer) liveness(now kumquatlug.Millis, w *worker) liveness {
 	if w.member.Role == "" {
-		return p.plainVerdict(now, w)
+		return p.plainLiveness(now, w)
 	}
-	quiet := float64(now - w.heardAt)
-	streams := w.streaming()
-	still := quiet > p.usualQuiet(w)
+	quiet := float64(now - w.lastSeenAt)
+	streams := w.startedCount()
+	tooQuiet := quiet > p.silenceLimitMs(w)
 	switch {
-	case streams > 1 && still && p.pauses.Known():
-		return verdictSilent
-	case streams > 1 && still:
-		return verdictSuspect
+	case streams > 1 && tooQuiet && p.pauses.Known():
+		return livenessUnresponsive
+	case streams > 1 && tooQuiet:
+		return livenessSuspect
 	case streams > 1:
-		return verdictSound
-	case streams == 1 && still, p.overdue(now, w, overdueMargin) > 0 && quiet > overdueMargin:
-		return verdictSuspect
+		return livenessOK
+	case streams == 1 && tooQuiet, p.overdueAttempts(now, w, overdueMarginMs) > 0 && quiet > overdueMarginMs:
+		return livenessSuspect
 	}
-	return verdictSound
+	return livenessOK
 }
 
-// usualQuiet is how long nothing may come from an engine with streams, in
+// silenceLimitMs is how long nothing may come from an engine with streams, in
 // milliseconds: the pause between two events of one stream, and the prompts that
 // this front gave it to read meanwhile.
-func (p *Placer) usualQuiet(w *worker) float64 {
+func (p *Placer) silenceLimitMs(w *worker) float64 {
 	pause := w.pauses.Longest()
 	if !w.pauses.Known() {
 		pause = max(pause, p.pauses.Longest())
 	}
-	return pause + streamMargin + w.tokens/(p.rate()*p.c.MixedPart)
+	return pause + streamMarginMs + w.prefillTokens/(p.prefillRate()*p.config.MixedPart)
 }
 
-// plainVerdict does so for a worker of a plain service.
-func (p *Placer) plainVerdict(now kumquatlug.Millis, w *worker) verdict {
-	if p.overdue(now, w, plainMargin) >= plainOverdue && float64(now-w.heardAt) > plainMargin {
-		return verdictSilent
+// plainLiveness does so for a worker of a plain service.
+func (p *Placer) plainLiveness(now kumquatlug.Millis, w *worker) liveness {
+	if p.overdueAttempts(now, w, plainMarginMs) >= minPlainOverdue && float64(now-w.lastSeenAt) > plainMarginMs {
+		return livenessUnresponsive
 	}
-	return verdictSound
+	return livenessOK
 }
 
-// overdue is how many attempts at w have shown nothing for longer than expected.
-func (p *Placer) overdue(now kumquatlug.Millis, w *worker, margin float64) int {
+// overdueAttempts is how many attempts at w have shown nothing for longer than expected.
+func (p *Placer) overdueAttempts(now kumquatlug.Millis, w *worker, margin float64) int {
 	n := 0
-	for _, t := range w.tickets {
-		if t.heardAt == 0 && float64(now-t.at) > p.expected(t)+margin {
+	for _, t := range w.attempts {
+		if t.lastOutputAt == 0 && float64(now-t.sentAt) > p.expectedFirstOutputMs(t)+margin {
 			n++
 		}
 	}
 	return n
 }
 
-// expected is how long an attempt takes until it shows something, in
+// expectedFirstOutputMs is how long an attempt takes until it shows something, in
 // milliseconds.
-func (p *Placer) expected(t *Ticket) float64 {
+func (p *Placer) expectedFirstOutputMs(t *Ticket) float64 {
 	if t.worker.member.Role == "" {
-		return t.wait + p.meanTime
+		return t.expectedWaitMs + p.meanPlainMs
 	}
-	return t.wait
+	return t.expectedWaitMs
 }
--- a/pkg/kumquatlug/placement/silence_test.go
+++ b/pkg/kumquatlug/placement/silence_test.go
@@ -6,26 +6,26 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// look is the span between two looks for silent workers.
-const look = 20 * kumquatlug.Millis(1)
+// checkInterval is the span between two looks for silent workers.
+const checkInterval = 20 * kumquatlug.Millis(1)
 
-// streaming replays streams that were begun at the generating engines, each with
+// streamSim replays streams that were begun at the generating engines, each with
 // an event every 100 ms, their turns spread over that span.
-type streaming struct {
-	p     *Placer
-	turns []*Ticket
-	// dark are the engines that say nothing from their moment on.
-	dark map[string]kumquatlug.Millis
-	// fellAt is when each engine was told to be silent, with the attempts.
-	fellAt map[string]kumquatlug.Millis
-	left   map[string]int
+type streamSim struct {
+	p       *Placer
+	streams []*Ticket
+	// stoppedAt are the engines that say nothing from their moment on.
+	stoppedAt map[string]kumquatlug.Millis
+	// detectedAt is when each engine was told to be silent, with the attempts.
+	detectedAt map[string]kumquatlug.Millis
+	attempts   map[string]int
 }
 
-func newStreaming(t *testing.T, generators, streams int) *streaming {
+func newStreamSim(t *testing.T, generators, streams int) *streamSim {
 	t.Helper()
-	s := &streaming{
-		p: New(Config{Zone: "a"}), dark: map[string]kumquatlug.Millis{},
-		fellAt: map[string]kumquatlug.Millis{}, left: map[string]int{},
+	s := &streamSim{
+		p: New(Config{Zone: "a"}), stoppedAt: map[string]kumquatlug.Millis{},
+		detectedAt: map[string]kumquatlug.Millis{}, attempts: map[string]int{},
 	}
 	s.p.Sync(0, engines(1, generators))
 	for i := range streams {
@@ -33,50 +33,50 @@
 		if !found {
 			t.Fatal("no engine")
 		}
-		s.turns = append(s.turns, s.p.Begin(0, c, chatPrompt(i)))
+		s.streams = append(s.streams, s.p.Begin(0, c, chatPrompt(i)))
 	}
 	return s
 }
 
 // play lets time go from one moment to another; looks are left out while the
 // front stands still.
-func (s *streaming) play(from, to kumquatlug.Millis, frozen func(kumquatlug.Millis) bool) {
+func (s *streamSim) play(from, to kumquatlug.Millis, frozen func(kumquatlug.Millis) bool) {
 	const pause = 100
 	for now := from; now < to; now++ {
 		if frozen(now) {
 			continue
 		}
-		for i, t := range s.turns {
-			at, dark := s.dark[t.id]
-			if int(now)%pause == i*pause/len(s.turns) && (!dark || now < at) {
+		for i, t := range s.streams {
+			at, stopped := s.stoppedAt[t.id]
+			if int(now)%pause == i*pause/len(s.streams) && (!stopped || now < at) {
 				s.p.Heard(now, t)
 			}
 		}
-		if now%look != 0 {
+		if now%checkInterval != 0 {
 			continue
 		}
 		for _, f := range s.p.Silent(now) {
-			s.fellAt[f.Worker()] = now
-			s.left[f.Worker()] = len(f.Attempts())
+			s.detectedAt[f.Worker()] = now
+			s.attempts[f.Worker()] = len(f.Attempts())
 		}
 	}
 }
 
-func never(kumquatlug.Millis) bool { return false }
+func neverFrozen(kumquatlug.Millis) bool { return false }
 
 // An engine with a few streams goes dark. Its users see their streams stand still
 // until each times out, and new ones go there meanwhile. It must be found out
 // before a pause is longer than the 200 ms that a stream is allowed.
-func TestADarkEngineIsFoundWithinAPause(t *testing.T) {
-	s := newStreaming(t, 4, 24)
-	s.dark["g1"] = 1000
-	s.play(0, 3000, never)
-	at, fell := s.fellAt["g1"]
+func TestUnresponsiveEngineIsDetectedWithinAllowedPause(t *testing.T) {
+	s := newStreamSim(t, 4, 24)
+	s.stoppedAt["g1"] = 1000
+	s.play(0, 3000, neverFrozen)
+	at, fell := s.detectedAt["g1"]
 	if !fell || at-1000 > 170 {
 		t.Fatalf("found after %d ms (found: %v)", at-1000, fell)
 	}
-	if len(s.fellAt) != 1 || s.left["g1"] != 6 {
-		t.Errorf("silent: %v with %v attempts", s.fellAt, s.left)
+	if len(s.detectedAt) != 1 || s.attempts["g1"] != 6 {
+		t.Errorf("silent: %v with %v attempts", s.detectedAt, s.attempts)
 	}
 	if c, _ := s.p.Output(at, Query{Prompt: chatPrompt(99)}); c.Worker().ID() == "g1" {
 		t.Error("a new stream goes to the dark engine")
@@ -89,25 +89,25 @@
 
 // The front itself stands still for a second, or is cut off from all engines.
 // Then every engine looks silent; leaving them out would refuse all users.
-func TestAFrontThatWasFrozenOrCutOffBlamesNobody(t *testing.T) {
-	s := newStreaming(t, 4, 24)
+func TestFrozenOrIsolatedGatewayEjectsNoEngine(t *testing.T) {
+	s := newStreamSim(t, 4, 24)
 	s.play(0, 4000, func(now kumquatlug.Millis) bool { return now > 1000 && now < 2000 })
-	if len(s.fellAt) != 0 {
-		t.Errorf("after the freeze silent: %v", s.fellAt)
+	if len(s.detectedAt) != 0 {
+		t.Errorf("after the freeze silent: %v", s.detectedAt)
 	}
 	for _, g := range []string{"g0", "g1", "g2", "g3"} {
-		s.dark[g] = 5000
+		s.stoppedAt[g] = 5000
 	}
-	s.play(4000, 8000, never)
-	if len(s.fellAt) != 0 {
-		t.Errorf("cut off, silent: %v", s.fellAt)
+	s.play(4000, 8000, neverFrozen)
+	if len(s.detectedAt) != 0 {
+		t.Errorf("cut off, silent: %v", s.detectedAt)
 	}
 }
 
 // An engine reads the great prompt of another front, and the small one of this
 // front behind it is overdue. Taken for silent a sound engine would be left out
 // when its reading is needed most; one that went dark would keep its queue.
-func TestAnOverdueEngineIsAskedFirst(t *testing.T) {
+func TestOverdueEngineIsProbedBeforeEjection(t *testing.T) {
 	for name, answers := range map[string]bool{"busy": true, "dark": false} {
 		p := New(Config{Zone: "a"})
 		p.Sync(0, engines(2, 1))
@@ -122,7 +122,7 @@
 			}
 		}
 		now, askedAt := kumquatlug.Millis(0), kumquatlug.Millis(0)
-		for ; now < 400 && askedAt == 0; now += look {
+		for ; now < 400 && askedAt == 0; now += checkInterval {
 			if fallen := p.Silent(now); len(fallen) != 0 {
 				t.Fatalf("%s: silent after %d ms without a question", name, now)
 			}
@@ -153,7 +153,7 @@
 
 // A plain worker has two answers long overdue: it hangs or is gone, and postings
 // that are sent there are lost one by one. A single slow answer says nothing.
-func TestAPlainWorkerWithTwoOverdueAnswersIsLeftOut(t *testing.T) {
+func TestPlainWorkerWithTwoOverdueResponsesIsEjected(t *testing.T) {
 	for _, calls := range []int{1, 2} {
 		p := New(Config{Zone: "a"})
 		p.Sync(0, []kumquatlug.Member{member("s1", "a", "", 6), member("s2", "a", "", 6)})
@@ -162,7 +162,7 @@
 			p.Begin(0, c, kumquatlug.Prompt{})
 		}
 		var fallen []Fallen
-		for now := kumquatlug.Millis(0); now < 800; now += look {
+		for now := kumquatlug.Millis(0); now < 800; now += checkInterval {
 			fallen = append(fallen, p.Silent(now)...)
 		}
 		if len(fallen) != calls-1 {
@@ -173,21 +173,21 @@
 
 // One stream stands still while its engine goes on with others. Its client leaves
 // after two seconds; told before that, the stream can go on elsewhere.
-func TestAStreamThatStandsStillAloneIsTold(t *testing.T) {
-	s := newStreaming(t, 1, 4)
-	s.play(0, 1000, never)
-	lone := s.turns[0]
-	s.turns = s.turns[1:]
-	s.play(1000, 2000, never)
+func TestSingleStalledStreamIsReported(t *testing.T) {
+	s := newStreamSim(t, 1, 4)
+	s.play(0, 1000, neverFrozen)
+	lone := s.streams[0]
+	s.streams = s.streams[1:]
+	s.play(1000, 2000, neverFrozen)
 	if got := s.p.Stalled(2000); len(got) != 0 {
 		t.Errorf("told after a second: %d", len(got))
 	}
-	s.play(2000, 2300, never)
+	s.play(2000, 2300, neverFrozen)
 	if got := s.p.Stalled(2300); len(got) != 1 || got[0] != lone {
 		t.Errorf("told: %d", len(got))
 	}
-	if len(s.fellAt) != 0 {
-		t.Errorf("silent: %v", s.fellAt)
+	if len(s.detectedAt) != 0 {
+		t.Errorf("silent: %v", s.detectedAt)
 	}
 }
 
@@ -195,7 +195,7 @@
 // of them pauses for a third of a second now and then. Taken for silent, sound
 // engines lose their streams; their users wait for them to begin again elsewhere,
 // or see them cut off.
-func TestAnEngineThatPausesIsNotSilent(t *testing.T) {
+func TestPausingEngineIsNotEjected(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 1))
 	var streams []*Ticket
@@ -214,7 +214,7 @@
 				next += 260
 			}
 		}
-		if now%look != 0 {
+		if now%checkInterval != 0 {
 			continue
 		}
 		if fallen := p.Silent(now); len(fallen) != 0 {
--- a/pkg/kumquatlug/placement/ticket.go
+++ b/pkg/kumquatlug/placement/ticket.go
@@ -9,27 +9,27 @@
 
 // Ticket stands for one attempt in hand at a worker.
 type Ticket struct {
-	worker *worker
-	id     string
-	born   int64
-	apart  bool
-	tokens float64
-	// fresh and held are the tokens that the engine reads anew and those that it
+	worker          *worker
+	id              string
+	born            int64
+	prefillOnly     bool
+	effectiveTokens float64
+	// uncachedTokens and held are the tokens that the engine reads anew and those that it
 	// is believed to have; alone says that nothing was known to be before them.
-	fresh, held float64
-	alone       bool
-	room        float64
+	uncachedTokens, cachedTokens float64
+	engineIdle                   bool
+	kvTokens                     float64
 	// coordinator is the front that gave the attempt its turn under key, empty for none.
 	coordinator string
-	key         uint64
-	// output is the greatest number of tokens to generate.
-	output int
-	wait   float64
-	at     kumquatlug.Millis
-	read   bool
-	ended  bool
-	// heardAt is when output last came, zero for never.
-	heardAt kumquatlug.Millis
+	grantKey    uint64
+	// maxOutputTokens is the greatest number of tokens to generate.
+	maxOutputTokens int
+	expectedWaitMs  float64
+	sentAt          kumquatlug.Millis
+	prefillDone     bool
+	ended           bool
+	// lastOutputAt is when output last came, zero for never.
+	lastOutputAt kumquatlug.Millis
 }
 
 // Born returns the start of the worker's incarnation, as its row tells it.
@@ -56,7 +56,7 @@
 // Begin records that an attempt goes to the worker of a choice, once the choice's delay
 // is over.
 func (p *Placer) Begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt) *Ticket {
-	if w, known := p.workers[c.worker.ID()]; known && !c.apart && !c.kept {
+	if w, known := p.workers[c.worker.ID()]; known && !c.prefillOnly && !c.reserved {
 		// A prompt to be read was counted when it entered.
 		w.limit.Send(now)
 	}
@@ -70,44 +70,44 @@
 		return &Ticket{id: c.worker.ID(), ended: true}
 	}
 	t := &Ticket{
-		worker: w, id: c.worker.ID(), born: w.member.Born, apart: c.apart, tokens: c.tokens, wait: c.wait - c.delay, at: now + c.Delay(),
-		coordinator: coordinator, key: key,
-		fresh: c.fresh, held: max(float64(prompt.Input())-c.fresh, 0), alone: w.reads == 0 && p.othersNow(now, w) < 1,
+		worker: w, id: c.worker.ID(), born: w.member.Born, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.wait - c.delay, sentAt: now + c.Delay(),
+		coordinator: coordinator, grantKey: key,
+		uncachedTokens: c.uncachedTokens, cachedTokens: max(float64(prompt.Input())-c.uncachedTokens, 0), engineIdle: w.prefills == 0 && p.otherRequestsAt(now, w) < 1,
 	}
-	if len(w.tickets) == 0 {
-		w.heardAt = now
+	if len(w.attempts) == 0 {
+		w.lastSeenAt = now
 	}
-	w.tickets = append(w.tickets, t)
-	w.tokens += c.tokens
-	if c.apart {
-		w.reads++
+	w.attempts = append(w.attempts, t)
+	w.prefillTokens += c.effectiveTokens
+	if c.prefillOnly {
+		w.prefills++
 	} else {
-		t.room, t.output = roomOf(prompt), prompt.Output()
-		w.runs++
-		w.room += t.room
-		p.meanRoom += meanStep * (max(t.room, 1) - p.meanRoom)
+		t.kvTokens, t.maxOutputTokens = kvTokensFor(prompt), prompt.Output()
+		w.running++
+		w.kvTokens += t.kvTokens
+		p.meanKVTokens += ewmaWeight * (max(t.kvTokens, 1) - p.meanKVTokens)
 	}
-	if c.tokens > 0 {
-		p.meanRead += meanStep * (c.tokens - p.meanRead)
-		p.hold(now, w, prompt)
-		w.read += c.fresh
+	if c.effectiveTokens > 0 {
+		p.meanPrefillTokens += ewmaWeight * (c.effectiveTokens - p.meanPrefillTokens)
+		p.recordCached(now, w, prompt)
+		w.prefilledTokens += c.uncachedTokens
 	}
 	return t
 }
 
-// hold notes that w will keep the shared parts of a prompt.
-func (p *Placer) hold(now kumquatlug.Millis, w *worker, prompt kumquatlug.Prompt) {
+// recordCached notes that w will keep the shared parts of a prompt.
+func (p *Placer) recordCached(now kumquatlug.Millis, w *worker, prompt kumquatlug.Prompt) {
 	for _, part := range prompt.Shared() {
-		w.held[part.ID()] = use{at: now, read: w.read}
+		w.cachedParts[part.ID()] = cachedPart{lastUsedAt: now, prefilledTokens: w.prefilledTokens}
 	}
-	if now-p.cleanAt < keptFor {
+	if now-p.prunedAt < cacheLifetime {
 		return
 	}
-	p.cleanAt = now
-	for _, other := range p.list {
-		for id, last := range other.held {
-			if now-last.at > forgetParts {
-				delete(other.held, id)
+	p.prunedAt = now
+	for _, other := range p.ordered {
+		for id, last := range other.cachedParts {
+			if now-last.lastUsedAt > partRetention {
+				delete(other.cachedParts, id)
 			}
 		}
 	}
@@ -115,14 +115,14 @@
 
 // Read records that the prompt has been read: output has begun.
 func (p *Placer) Read(now kumquatlug.Millis, t *Ticket) {
-	if t.ended || t.read {
+	if t.ended || t.prefillDone {
 		return
 	}
-	t.read = true
-	if !t.worker.silent && now >= t.at {
-		p.overrunOf(t).Saw(float64(now-t.at) - p.expected(t))
+	t.prefillDone = true
+	if !t.worker.unresponsive && now >= t.sentAt {
+		p.overrunFor(t).Saw(float64(now-t.sentAt) - p.expectedFirstOutputMs(t))
 	}
-	t.worker.tokens = max(0, t.worker.tokens-t.tokens)
+	t.worker.prefillTokens = max(0, t.worker.prefillTokens-t.effectiveTokens)
 }
 
 // End records that an attempt is no longer in hand.
@@ -132,45 +132,45 @@
 	}
 	p.Read(now, t)
 	t.ended = true
-	t.worker.drop(t)
+	t.worker.removeAttempt(t)
 	if o == OutcomeGood || o == OutcomeRefused {
-		p.heard(now, t.id, t.worker)
+		p.markAlive(now, t.id, t.worker)
 	}
-	if t.apart {
-		t.worker.reads--
+	if t.prefillOnly {
+		t.worker.prefills--
 		if t.coordinator != "" {
-			p.tellOver(t.coordinator, kumquatlug.Turn{Engine: t.id, Key: t.key})
+			p.sendRelease(t.coordinator, kumquatlug.Turn{Engine: t.id, Key: t.grantKey})
 		}
 	} else {
-		t.worker.runs--
-		t.worker.room -= t.room
+		t.worker.running--
+		t.worker.kvTokens -= t.kvTokens
 	}
 	if o == OutcomeRefused {
-		t.worker.refuse(now)
+		t.worker.backOff(now)
 		return
 	}
 	if o == OutcomeSilent || p.workers[t.id] != t.worker {
 		return
 	}
 	t.worker.refusals = 0
-	took := float64(now - t.at)
-	if o == OutcomeGood && t.apart {
-		p.learnReading(t, took)
+	took := float64(now - t.sentAt)
+	if o == OutcomeGood && t.prefillOnly {
+		p.learnPrefill(t, took)
 	}
 	if o == OutcomeGood && t.worker.member.Role == "" {
-		p.meanTime += meanStep * (took - p.meanTime)
+		p.meanPlainMs += ewmaWeight * (took - p.meanPlainMs)
 	}
 	if o == OutcomeGood && t.worker.member.Role == kumquatlug.RoleDecode {
-		p.meanRun += meanStep * (took - p.meanRun)
-		p.tokenTime.Saw(took, float64(t.output))
+		p.meanRunMs += ewmaWeight * (took - p.meanRunMs)
+		p.tokenTime.Saw(took, float64(t.maxOutputTokens))
 	}
-	p.health.Outcome(now, t.id, o == OutcomeGood, p.ratio(t, took))
+	p.health.Outcome(now, t.id, o == OutcomeGood, p.latencyRatio(t, took))
 }
 
-// longRun is how many times its usual time a run takes at most: outputs come to
+// maxRunFactor is how many times its usual time a run takes at most: outputs come to
 // half of the greatest one on the average, and to all of it at times when each
 // token takes longer, too.
-const longRun = 3
+const maxRunFactor = 3
 
 // Takes returns how long nearly all requests take at an engine, by the greatest
 // number of tokens to generate: until the first output comes, and from then on.
@@ -180,7 +180,7 @@
 
 // Runs returns the latter: how long nearly all outputs take.
 func (p *Placer) Runs(output int) kumquatlug.Millis {
-	return kumquatlug.Millis(longRun * p.tokenTime.Value() * float64(output))
+	return kumquatlug.Millis(maxRunFactor * p.tokenTime.Value() * float64(output))
 }
 
 // Figure names what is learnt of a service's workers.
@@ -202,57 +202,57 @@
 // Learnt returns what the engines are believed to do.
 func (p *Placer) Learnt() map[Figure]float64 {
 	return map[Figure]float64{
-		FigureRate: p.rate(), FigurePause: p.pauses.Longest(), FigureOverrun: p.overrun.Bound(), FigureToken: p.tokenTime.Value(),
+		FigureRate: p.prefillRate(), FigurePause: p.pauses.Longest(), FigureOverrun: p.overrun.Bound(), FigureToken: p.tokenTime.Value(),
 	}
 }
 
-// drop takes an attempt out of those in hand.
-func (w *worker) drop(t *Ticket) {
-	at := slices.Index(w.tickets, t)
+// removeAttempt takes an attempt out of those in hand.
+func (w *worker) removeAttempt(t *Ticket) {
+	at := slices.Index(w.attempts, t)
 	if at < 0 {
 		return
 	}
-	last := len(w.tickets) - 1
-	w.tickets[at] = w.tickets[last]
-	w.tickets[last] = nil
-	w.tickets = w.tickets[:last]
+	last := len(w.attempts) - 1
+	w.attempts[at] = w.attempts[last]
+	w.attempts[last] = nil
+	w.attempts = w.attempts[:last]
 }
 
-// refuse leaves a worker alone for a while.
-func (w *worker) refuse(now kumquatlug.Millis) {
-	pause := refusalPause << min(w.refusals, 10)
+// backOff leaves a worker alone for a while.
+func (w *worker) backOff(now kumquatlug.Millis) {
+	pause := refusalBackoff << min(w.refusals, 10)
 	w.refusals++
-	w.until = now + min(pause, refusalLimit)
+	w.backoffUntil = now + min(pause, maxRefusalBackoff)
 }
 
-// learnReading takes how long a prompt took to be read. Those that found their
+// learnPrefill takes how long a prompt took to be read. Those that found their
 // engine idle tell how fast it reads; all tell how much longer it takes
 // under load, once the former is known.
-func (p *Placer) learnReading(t *Ticket, took float64) {
-	if t.alone {
-		p.reading.Saw(t.fresh, t.held, took)
+func (p *Placer) learnPrefill(t *Ticket, took float64) {
+	if t.engineIdle {
+		p.prefillModel.Saw(t.uncachedTokens, t.cachedTokens, took)
 	}
-	if t.wait < leastExpected || p.reading.Samples() < knownReading {
+	if t.expectedWaitMs < minExpectedMs || p.prefillModel.Samples() < minPrefillSamples {
 		return
 	}
-	p.pace += meanStep * (p.pace*took/t.wait - p.pace)
-	p.pace = min(max(p.pace, leastPace), mostPace)
+	p.slowdown += ewmaWeight * (p.slowdown*took/t.expectedWaitMs - p.slowdown)
+	p.slowdown = min(max(p.slowdown, minSlowdown), maxSlowdown)
 }
 
-// knownReading is how many samples make the reading of idle engines known.
-const knownReading = 8
+// minPrefillSamples is how many samples make the reading of idle engines known.
+const minPrefillSamples = 8
 
-// leastExpected keeps short expectations from making noise look like slowness,
+// minExpectedMs keeps short expectations from making noise look like slowness,
 // in milliseconds.
-const leastExpected = 20.0
+const minExpectedMs = 20.0
 
-// ratio compares what an attempt took with what was expected of it.
-func (p *Placer) ratio(t *Ticket, took float64) float64 {
+// latencyRatio compares what an attempt took with what was expected of it.
+func (p *Placer) latencyRatio(t *Ticket, took float64) float64 {
 	switch {
-	case t.apart:
-		return took / max(leastExpected, t.wait)
+	case t.prefillOnly:
+		return took / max(minExpectedMs, t.expectedWaitMs)
 	case t.worker.member.Role == "":
-		return took / max(leastExpected, p.meanTime+t.wait)
+		return took / max(minExpectedMs, p.meanPlainMs+t.expectedWaitMs)
 	default:
 		// How long a stream runs depends on its length, which nobody knows.
 		return 1
@@ -261,20 +261,20 @@
 
 // Overruns until some answers were seen, in milliseconds.
 const (
-	firstOverrun      = 900.0
-	firstPlainOverrun = 300.0
+	initialOverrunMs      = 900.0
+	initialPlainOverrunMs = 300.0
 )
 
-// overrunOf returns the overrun of workers like that of t.
-func (p *Placer) overrunOf(t *Ticket) *learn.Overrun {
+// overrunFor returns the overrun of workers like that of t.
+func (p *Placer) overrunFor(t *Ticket) *learn.Overrun {
 	if t.worker.member.Role == "" {
 		return p.plainOverrun
 	}
 	return p.overrun
 }
 
-// attemptFactor is how many times the expected wait is waited at least.
-const attemptFactor = 4
+// attemptTimeoutFactor is how many times the expected wait is waited at least.
+const attemptTimeoutFactor = 4
 
 // Patience returns how long the first output of an attempt that was begun may take
 // before it is taken for lost: a request that is given up while its engine reads
@@ -284,6 +284,6 @@
 		// Its worker went a moment ago.
 		return kumquatlug.Millis(p.overrun.Bound())
 	}
-	expected := p.expected(t)
-	return kumquatlug.Millis(max(attemptFactor*t.wait, expected+p.overrunOf(t).Bound()))
+	expected := p.expectedFirstOutputMs(t)
+	return kumquatlug.Millis(max(attemptTimeoutFactor*t.expectedWaitMs, expected+p.overrunFor(t).Bound()))
 }
--- a/pkg/kumquatlug/placement/turns.go
+++ b/pkg/kumquatlug/placement/turns.go
@@ -20,31 +20,31 @@
 
 // Figures of turns.
 const (
-	// askAgainAfter is how long a coordinator has for its answer until it is asked again:
+	// requestRetryAfter is how long a coordinator has for its answer until it is asked again:
 	// several round trips of 1 ms and a wake-up.
-	askAgainAfter = 25 * kumquatlug.Millis(1)
-	// askMost is how often it is asked without an answer.
-	askMost = 2
-	// askRenew is how often a coordinator that has a prompt in its queue is asked again.
+	requestRetryAfter = 25 * kumquatlug.Millis(1)
+	// maxUnansweredRequests is how often it is asked without an answer.
+	maxUnansweredRequests = 2
+	// requestRenewInterval is how often a coordinator that has a prompt in its queue is asked again.
 	// A grant that was lost is learnt of so.
-	askRenew = 100 * kumquatlug.Millis(1)
+	requestRenewInterval = 100 * kumquatlug.Millis(1)
 )
 
-// asked is what a front remembers of a prompt whose turn it asked for.
-type asked struct {
-	one         *waiting
+// grantRequest is what a front remembers of a prompt whose turn it asked for.
+type grantRequest struct {
+	prompt      *queuedPrompt
 	worker      *worker
 	coordinator string
-	// at is when the coordinator was asked last, times how often without an answer;
+	// sentAt is when the coordinator was asked last, times how often without an answer;
 	// queued says that it has answered.
-	at     kumquatlug.Millis
-	times  int
-	queued bool
+	sentAt     kumquatlug.Millis
+	unanswered int
+	queued     bool
 }
 
-// tell puts a message to another front into the outbox.
-func (p *Placer) tell(front string, t kumquatlug.Turn) {
-	p.outbox = append(p.outbox, kumquatlug.TurnMessage{Front: front, Turn: t})
+// send puts a message to another front into the outbox.
+func (p *Placer) send(gateway string, t kumquatlug.Turn) {
+	p.outbox = append(p.outbox, kumquatlug.TurnMessage{Front: gateway, Turn: t})
 }
 
 // Outbox returns the messages to other fronts that are to be sent now.
@@ -56,158 +56,158 @@
 
 // coordinator returns the front to be asked for a turn at w, empty for none.
 func (p *Placer) coordinator(now kumquatlug.Millis, w *worker) string {
-	if p.c.Coordinators == nil {
+	if p.config.Coordinators == nil {
 		return ""
 	}
 	id := w.member.Worker.ID()
-	if p.c.Coordinators.Coordinates(now, id) {
+	if p.config.Coordinators.Coordinates(now, id) {
 		return ""
 	}
-	return p.c.Coordinators.Coordinator(now, id)
+	return p.config.Coordinators.Coordinator(now, id)
 }
 
 // coordinates reports that this front orders the prompts of all fronts at w.
 func (p *Placer) coordinates(now kumquatlug.Millis, w *worker) bool {
-	return p.c.Coordinators != nil && p.c.Coordinators.Coordinates(now, w.member.Worker.ID())
+	return p.config.Coordinators != nil && p.config.Coordinators.Coordinates(now, w.member.Worker.ID())
 }
 
-// askFor asks a coordinator for the turn of a prompt.
-func (p *Placer) askFor(now kumquatlug.Millis, coordinator string, w *worker, one *waiting) {
-	a := &asked{one: one, worker: w, coordinator: coordinator}
-	p.asked[one.key] = a
-	w.askedTokens += one.choice.tokens
-	p.ask(now, a)
+// requestGrant asks a coordinator for the turn of a prompt.
+func (p *Placer) requestGrant(now kumquatlug.Millis, coordinator string, w *worker, queued *queuedPrompt) {
+	a := &grantRequest{prompt: queued, worker: w, coordinator: coordinator}
+	p.grantRequests[queued.key] = a
+	w.requestedTokens += queued.choice.effectiveTokens
+	p.sendRequest(now, a)
 }
 
-func (p *Placer) ask(now kumquatlug.Millis, a *asked) {
-	a.at = now
-	a.times++
-	q := a.one.query
-	p.tell(a.coordinator, kumquatlug.Turn{
-		Step: kumquatlug.TurnAsked, Engine: a.worker.member.Worker.ID(), Key: a.one.key,
+func (p *Placer) sendRequest(now kumquatlug.Millis, a *grantRequest) {
+	a.sentAt = now
+	a.unanswered++
+	q := a.prompt.query
+	p.send(a.coordinator, kumquatlug.Turn{
+		Step: kumquatlug.TurnAsked, Engine: a.worker.member.Worker.ID(), Key: a.prompt.key,
 		Prompt: q.Prompt, Worth: q.Worth,
-		Target: q.Target - now, Timed: q.Target != 0, Patience: q.until(now), Begun: q.Begun,
+		Target: q.Target - now, Timed: q.Target != 0, Patience: q.timeLeft(now), Begun: q.Begun,
 	})
 }
 
-// forget takes a prompt out of those that were asked for.
-func (p *Placer) forget(a *asked) {
-	delete(p.asked, a.one.key)
-	a.worker.askedTokens -= a.one.choice.tokens
+// removeRequest takes a prompt out of those that were asked for.
+func (p *Placer) removeRequest(a *grantRequest) {
+	delete(p.grantRequests, a.prompt.key)
+	a.worker.requestedTokens -= a.prompt.choice.effectiveTokens
 }
 
 // Answered takes what a coordinator says of a prompt. It returns the prompt when its
 // turn has come or it is given up.
 func (p *Placer) Answered(now kumquatlug.Millis, m kumquatlug.TurnMessage) (Due, bool) {
-	a, known := p.asked[m.Turn.Key]
-	if !known || !a.answeredBy(m) {
+	a, known := p.grantRequests[m.Turn.Key]
+	if !known || !a.matches(m) {
 		if m.Turn.Step == kumquatlug.TurnGranted {
 			// It went elsewhere meanwhile; the engine is free for the next one.
-			p.tellOver(m.Front, m.Turn)
+			p.sendRelease(m.Front, m.Turn)
 		}
 		return Due{}, false
 	}
-	p.c.Coordinators.Answered(m.Front)
+	p.config.Coordinators.Answered(m.Front)
 	switch m.Turn.Step {
 	case kumquatlug.TurnQueued:
-		a.times, a.queued = 0, true
+		a.unanswered, a.queued = 0, true
 		return Due{}, false
 	case kumquatlug.TurnGranted:
-		p.forget(a)
-		return p.granted(now, a, m.Turn), true
+		p.removeRequest(a)
+		return p.beginGranted(now, a, m.Turn), true
 	case kumquatlug.TurnRefused:
-		p.forget(a)
-		a.one.choice.wait = float64(m.Turn.Wait)
-		return Due{key: a.one.key, choice: a.one.choice}, true
+		p.removeRequest(a)
+		a.prompt.choice.wait = float64(m.Turn.Wait)
+		return Due{key: a.prompt.key, choice: a.prompt.choice}, true
 	}
 	// The coordinator has another view of who coordinates what; this front's own queue does.
-	p.forget(a)
-	a.one.alone = true
-	p.orphans = append(p.orphans, a.one)
+	p.removeRequest(a)
+	a.prompt.skipCoordinator = true
+	p.displaced = append(p.displaced, a.prompt)
 	return Due{}, false
 }
 
-// answeredBy reports that a message is the answer to what was asked last: of this
+// matches reports that a message is the answer to what was asked last: of this
 // coordinator, and for this engine. A release before this one names no engine.
-func (a *asked) answeredBy(m kumquatlug.TurnMessage) bool {
+func (a *grantRequest) matches(m kumquatlug.TurnMessage) bool {
 	engine := m.Turn.Engine
 	return a.coordinator == m.Front && (engine == "" || engine == a.worker.member.Worker.ID())
 }
 
-// granted begins the attempt whose turn has come.
-func (p *Placer) granted(now kumquatlug.Millis, a *asked, turn kumquatlug.Turn) Due {
-	one := a.one
-	one.choice.wait = float64(turn.Wait) + p.handOver()
-	one.choice.fresh = float64(turn.Fresh)
-	one.choice.tokens = p.priced(one.choice.fresh, one.query.Prompt)
-	p.addLoad(now, a.worker, one)
-	t := p.begin(now, one.choice, one.query.Prompt, a.coordinator, one.key)
+// beginGranted begins the attempt whose turn has come.
+func (p *Placer) beginGranted(now kumquatlug.Millis, a *grantRequest, turn kumquatlug.Turn) Due {
+	queued := a.prompt
+	queued.choice.wait = float64(turn.Wait) + p.handoffMs()
+	queued.choice.uncachedTokens = float64(turn.Fresh)
+	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
+	p.addLoad(now, a.worker, queued)
+	t := p.begin(now, queued.choice, queued.query.Prompt, a.coordinator, queued.key)
 	// Only the coordinator knows whether others are read before it; taken for alone, such a
 	// prompt would make its engine look slow.
-	t.alone = turn.Alone
-	return Due{key: one.key, choice: one.choice, ticket: t}
+	t.engineIdle = turn.Alone
+	return Due{key: queued.key, choice: queued.choice, ticket: t}
 }
 
-// tellOver tells a coordinator that a turn is over.
-func (p *Placer) tellOver(coordinator string, t kumquatlug.Turn) {
-	p.tell(coordinator, kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: t.Engine, Key: t.Key})
+// sendRelease tells a coordinator that a turn is over.
+func (p *Placer) sendRelease(coordinator string, t kumquatlug.Turn) {
+	p.send(coordinator, kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: t.Engine, Key: t.Key})
 }
 
 // Remind asks the coordinators again that left something unanswered, and goes on
 // without those that did so twice. Call it each few hundredths of a second.
 func (p *Placer) Remind(now kumquatlug.Millis) {
-	for _, a := range p.askedInOrder() {
-		after := askAgainAfter
-		if a.queued && a.times == 0 {
-			after = askRenew
+	for _, a := range p.requestsInOrder() {
+		after := requestRetryAfter
+		if a.queued && a.unanswered == 0 {
+			after = requestRenewInterval
 		}
 		switch {
-		case p.asked[a.one.key] != a || now-a.at < after:
-		case a.times >= askMost:
-			p.withoutCoordinator(now, a.coordinator)
+		case p.grantRequests[a.prompt.key] != a || now-a.sentAt < after:
+		case a.unanswered >= maxUnansweredRequests:
+			p.abandonCoordinator(now, a.coordinator)
 		default:
-			p.ask(now, a)
+			p.sendRequest(now, a)
 		}
 	}
 }
 
-// askedInOrder returns what was asked for, the oldest first.
-func (p *Placer) askedInOrder() []*asked {
-	all := make([]*asked, 0, len(p.asked))
-	for _, a := range p.asked {
+// requestsInOrder returns what was asked for, the oldest first.
+func (p *Placer) requestsInOrder() []*grantRequest {
+	all := make([]*grantRequest, 0, len(p.grantRequests))
+	for _, a := range p.grantRequests {
 		all = append(all, a)
 	}
-	slices.SortFunc(all, func(a, b *asked) int { return cmp.Compare(a.one.key, b.one.key) })
+	slices.SortFunc(all, func(a, b *grantRequest) int { return cmp.Compare(a.prompt.key, b.prompt.key) })
 	return all
 }
 
-// withoutCoordinator finds other ways for all that was asked of a coordinator that is gone.
-func (p *Placer) withoutCoordinator(now kumquatlug.Millis, coordinator string) {
-	p.c.Coordinators.Missed(now, coordinator)
-	for _, a := range p.askedInOrder() {
+// abandonCoordinator finds other ways for all that was asked of a coordinator that is gone.
+func (p *Placer) abandonCoordinator(now kumquatlug.Millis, coordinator string) {
+	p.config.Coordinators.Missed(now, coordinator)
+	for _, a := range p.requestsInOrder() {
 		if a.coordinator == coordinator {
-			p.forget(a)
-			p.orphans = append(p.orphans, a.one)
+			p.removeRequest(a)
+			p.displaced = append(p.displaced, a.prompt)
 		}
 	}
 }
 
-// withdraw takes back what was asked for at a worker that reads no more; the
+// withdrawRequests takes back what was asked for at a worker that reads no more; the
 // prompts go elsewhere.
-func (p *Placer) withdraw(w *worker) {
-	for _, a := range p.askedInOrder() {
+func (p *Placer) withdrawRequests(w *worker) {
+	for _, a := range p.requestsInOrder() {
 		if a.worker == w {
-			p.forget(a)
-			p.orphans = append(p.orphans, a.one)
-			p.tellOver(a.coordinator, kumquatlug.Turn{Engine: w.member.Worker.ID(), Key: a.one.key})
+			p.removeRequest(a)
+			p.displaced = append(p.displaced, a.prompt)
+			p.sendRelease(a.coordinator, kumquatlug.Turn{Engine: w.member.Worker.ID(), Key: a.prompt.key})
 		}
 	}
 }
 
-// leaveAsked takes back what was asked for a client that left.
-func (p *Placer) leaveAsked(key uint64) {
-	if a, known := p.asked[key]; known {
-		p.forget(a)
-		p.tellOver(a.coordinator, kumquatlug.Turn{Engine: a.worker.member.Worker.ID(), Key: key})
+// cancelRequest takes back what was asked for a client that left.
+func (p *Placer) cancelRequest(key uint64) {
+	if a, known := p.grantRequests[key]; known {
+		p.removeRequest(a)
+		p.sendRelease(a.coordinator, kumquatlug.Turn{Engine: a.worker.member.Worker.ID(), Key: key})
 	}
 }
--- a/pkg/kumquatlug/placement/unknown_test.go
+++ b/pkg/kumquatlug/placement/unknown_test.go
@@ -12,23 +12,23 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// reader is an engine that reads prompts one after the other at a rate of its own.
-type reader struct {
-	rate, pairs, fixed float64
-	freeAt             float64
+// simEngine is an engine that reads prompts one after the other at a rate of its own.
+type simEngine struct {
+	rate, pairCost, fixedMs float64
+	freeAt                  float64
 }
 
-// read returns when a prompt that is sent now has been read.
-func (r *reader) read(now, fresh, held float64) float64 {
-	took := fresh/r.rate + r.pairs*fresh*(held+fresh/2)/1e6
+// prefill returns when a prompt that is sent now has been read.
+func (r *simEngine) prefill(now, uncached, cached float64) float64 {
+	took := uncached/r.rate + r.pairCost*uncached*(cached+uncached/2)/1e6
 	r.freeAt = math.Max(r.freeAt, now) + took
-	return r.freeAt + r.fixed
+	return r.freeAt + r.fixedMs
 }
 
-// givenUp plays half a minute of prompts at half of what one engine reads, half of
+// countTimedOut plays half a minute of prompts at half of what one engine reads, half of
 // them of another front, and returns how many of this front's attempts were given
 // up though they were being read: in the first three seconds, and later.
-func givenUp(e reader, seed uint64) (early, late, sent int) {
+func countTimedOut(e simEngine, seed uint64) (early, late, sent int) {
 	type attempt struct {
 		ends   float64
 		ticket *Ticket
@@ -41,31 +41,31 @@
 		p.Begin(0, c, chatPrompt(i))
 	}
 	random := rand.New(rand.NewPCG(seed, 3))
-	every := 2 * (2890/e.rate + e.fixed/4)
+	every := 2 * (2890/e.rate + e.fixedMs/4)
 	var inHand []attempt
 	for now, n := 1.0, 0; now < span; n++ {
 		now += random.ExpFloat64() * every
 		at := kumquatlug.Millis(now)
-		left := inHand[:0]
+		running := inHand[:0]
 		for _, a := range inHand {
 			if a.ends <= now {
 				p.End(kumquatlug.Millis(a.ends), a.ticket, OutcomeGood)
 			} else {
-				left = append(left, a)
+				running = append(running, a)
 			}
 		}
-		inHand = left
+		inHand = running
 		own := math.Min(2200*math.Exp(0.75*random.NormFloat64()), 25_000)
 		if n%2 == 1 {
-			e.read(now, own, 6300)
+			e.prefill(now, own, 6300)
 			continue
 		}
-		c := mustPick(p, at, kumquatlug.NewPrompt(append(document(1, n).Shared(), kumquatlug.NewPart("own", int(own))), 6300+int(own), 104))
+		c := placePromptOrPanic(p, at, kumquatlug.NewPrompt(append(document(1, n).Shared(), kumquatlug.NewPart("own", int(own))), 6300+int(own), 104))
 		if !c.Apart() {
 			continue
 		}
 		ticket := p.Begin(at, c, document(1, n))
-		ends := e.read(now, own, 6300)
+		ends := e.prefill(now, own, 6300)
 		sent++
 		if ends-now > float64(p.Patience(ticket)) {
 			if now < settled {
@@ -83,13 +83,13 @@
 // another engine's sheet, prompts are given up while they are read, sent again and
 // read a second time, and the more that happens the fuller all engines are. Once
 // the first seconds have shown what they do, hardly any may be given up.
-func TestHardlyAnyPromptIsGivenUpWhileItIsRead(t *testing.T) {
+func TestFewPrefillsTimeOutAtUnknownEngines(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(17))
 	properties.Property("any engine", prop.ForAll(func(rate, pairs, fixed float64, seed int64) bool {
-		e := reader{rate: math.Exp(rate), pairs: pairs * 12 / math.Exp(rate), fixed: fixed}
-		early, late, sent := givenUp(e, uint64(seed))
+		e := simEngine{rate: math.Exp(rate), pairCost: pairs * 12 / math.Exp(rate), fixedMs: fixed}
+		early, late, sent := countTimedOut(e, uint64(seed))
 		if early > 8 || float64(late) > 0.03*float64(sent)+2 {
-			t.Logf("%.0f tokens a ms, %.2f, %.0f ms: given up %d early, %d later of %d", e.rate, e.pairs, fixed, early, late, sent)
+			t.Logf("%.0f tokens a ms, %.2f, %.0f ms: given up %d early, %d later of %d", e.rate, e.pairCost, fixed, early, late, sent)
 			return false
 		}
 		return true
@@ -97,7 +97,7 @@
 	properties.TestingRun(t)
 }
 
-func mustPick(p *Placer, now kumquatlug.Millis, prompt kumquatlug.Prompt) Choice {
+func placePromptOrPanic(p *Placer, now kumquatlug.Millis, prompt kumquatlug.Prompt) Choice {
 	c, found := p.Prompt(now, Query{Prompt: prompt})
 	if !found {
 		panic("no engine")
