--- a/pkg/kumquatlug/placement/choose.go
+++ b/pkg/kumquatlug/placement/choose.go
@@ -8,69 +8,71 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/rendezvous"
 )
 
-// Query asks for a worker.
+// Query describes the request for which a worker is chosen.
 type Query struct {
 	Prompt kumquatlug.Prompt
-	// Exclude are workers not to be chosen.
+	// Exclude lists workers that must not be chosen.
 	Exclude []string
-	// Target is when the first output is due for its full worth, Until when the
-	// client gives up; zero for never.
+	// Target is when the first output is due for the request to have its full value,
+	// Until when the client gives up; zero for never.
 	Target kumquatlug.Millis
 	Until  kumquatlug.Millis
-	// Worth is what the request is worth beside the mean one of its route; zero
-	// stands for 1.
+	// Worth is the value of the request relative to the mean of its route; zero stands
+	// for 1.
 	Worth float64
-	// Begun says that the client has a part of the answer: to refuse it now breaks
-	// that answer off, late as the rest may be.
+	// Begun says that the client already has part of the response: refusing the request
+	// now cuts that response off, however late the rest is.
 	Begun bool
-	// CacheZone is the data centre in which the prompt's KV cache lies, empty for
+	// CacheZone is the data centre that holds the prompt's KV cache, empty if there is
 	// none.
 	CacheZone string
-	// Place is what was kept for the output when the prompt entered.
+	// Place is what was reserved for decoding when the prompt entered.
 	Place Place
 }
 
-// Choice is the answer to a [Query].
+// Choice is the result of a [Query].
 type Choice struct {
 	worker      kumquatlug.Worker
 	zone        string
 	prefillOnly bool
-	// uncachedTokens is how many tokens are believed to be read anew, tokens the same with
-	// the price of their context, as if there were none.
+	// uncachedTokens is the number of tokens assumed to need prefill. effectiveTokens
+	// is the number of tokens without preceding context that would take as long.
 	uncachedTokens  float64
 	effectiveTokens float64
 	wait            float64
 	cost            float64
-	// delay is the part of wait before the attempt is sent.
+	// delay is the part of wait that passes before the attempt is sent.
 	delay float64
-	// reservation is what is kept for the output; kept says that the worker's limit counts the
-	// attempt already.
+	// reservation is what is reserved for decoding. reserved says that the worker's
+	// rate limit already counts the attempt.
 	reservation Place
 	reserved    bool
 }
 
-// Place returns what is kept for the output of a prompt that is read apart.
+// Place returns what is reserved for decoding a prompt that is prefilled at another
+// engine.
 func (c Choice) Place() Place { return c.reservation }
 
 // Zone returns the worker's data centre.
 func (c Choice) Zone() string { return c.zone }
 
-// Worker returns whom to call.
+// Worker returns the worker to call.
 func (c Choice) Worker() kumquatlug.Worker { return c.worker }
 
-// Apart reports that the worker only reads the prompt and another one is to be
-// chosen for the output.
+// Apart reports whether the worker only prefills the prompt, so that another one has to
+// be chosen for decoding.
 func (c Choice) Apart() bool { return c.prefillOnly }
 
-// Wait returns the expected span until the first output.
+// Wait returns the expected time until the first output.
 func (c Choice) Wait() kumquatlug.Millis { return kumquatlug.Millis(c.wait) }
 
-// Delay returns how long the attempt must be held back before it is sent, as its worker
-// takes no more requests yet. Where no worker was found it is the least one of all.
+// Delay returns how long the attempt must be delayed before it is sent, because its
+// worker's rate limit allows no request yet. If no worker was found, it is the shortest
+// delay of all workers.
 func (c Choice) Delay() kumquatlug.Millis { return kumquatlug.Millis(math.Ceil(c.delay)) }
 
-// eligible reports whether a worker may be given new work of a role. An engine
-// that names no role reads and generates.
+// eligible reports whether a worker may be given new requests of a role. An engine
+// without a role prefills and decodes.
 func (p *Placer) eligible(now kumquatlug.Millis, w *worker, q Query, role kumquatlug.Role) bool {
 	id := w.member.Worker.ID()
 	roleMatches := w.member.Role == role || role == kumquatlug.RoleDecode && w.member.Role == ""
@@ -78,7 +80,7 @@
 		!slices.Contains(q.Exclude, id) && p.health.Weight(now, id) > 0
 }
 
-// Plain chooses the worker of a plain service with the least expected wait.
+// Plain chooses the worker of a plain service with the shortest expected wait.
 func (p *Placer) Plain(now kumquatlug.Millis, q Query) (Choice, bool) {
 	var best Choice
 	minCost, found := math.Inf(1), false
@@ -104,8 +106,8 @@
 	return p.bestOrDelay(now, best, found, limited), found
 }
 
-// Prompt chooses where a prompt is read: apart from its output, or by the
-// engine that then generates.
+// Prompt chooses where a prompt is prefilled: at an engine that only prefills, or at
+// the one that then decodes.
 func (p *Placer) Prompt(now kumquatlug.Millis, q Query) (Choice, bool) {
 	output, outputFound := p.Output(now, Query{Prompt: q.Prompt, Target: q.Target, Until: q.Until})
 	if !outputFound {
@@ -121,7 +123,7 @@
 	return prefill, true
 }
 
-// cheapestPrefill finds the engine to read the prompt apart.
+// cheapestPrefill returns the engine that only prefills the prompt at the lowest cost.
 func (p *Placer) cheapestPrefill(now kumquatlug.Millis, q Query) (Choice, float64, bool) {
 	key := prefixKey(q.Prompt)
 	owner, ownerKey := (*worker)(nil), uint64(0)
@@ -157,13 +159,14 @@
 	return best, minCost + p.config.TransferCost, true
 }
 
-// canPrefill reports that an engine may be given a prompt to read apart. One that takes no
-// more requests yet is left out: a prompt is better read elsewhere than late.
+// canPrefill reports whether an engine may be given a prompt to prefill only. One whose
+// rate limit allows no request yet is excluded: it is better to prefill a prompt
+// elsewhere than late.
 func (p *Placer) canPrefill(now kumquatlug.Millis, w *worker, q Query) bool {
 	return p.eligible(now, w, q, kumquatlug.RolePrefill) && w.limit.Delay(now) == 0
 }
 
-// cheapestMixed finds the engine to read the prompt and generate.
+// cheapestMixed returns the engine that prefills and decodes at the lowest cost.
 func (p *Placer) cheapestMixed(now kumquatlug.Millis, q Query) (Choice, float64, bool) {
 	minCost, best, found := math.Inf(1), Choice{}, false
 	limited := newLimitedWorkers()
@@ -176,8 +179,8 @@
 			rate *= p.config.MixedPart
 		}
 		tokens := p.effectiveTokens(uncached, q.Prompt)
-		read := tokens / rate
-		rest := w.prefillTokens/rate + read + p.slotWaitMs(now, w, q.Prompt)
+		prefill := tokens / rate
+		rest := w.prefillTokens/rate + prefill + p.slotWaitMs(now, w, q.Prompt)
 		if limited.exclude(now, w, q, rest+postPrefillMs) {
 			continue
 		}
@@ -195,7 +198,8 @@
 	return p.bestOrDelay(now, best, found, limited), minCost, found
 }
 
-// Output chooses the engine that generates from a KV cache read elsewhere.
+// Output chooses the engine that decodes from a KV cache that was prefilled at another
+// one.
 func (p *Placer) Output(now kumquatlug.Millis, q Query) (Choice, bool) {
 	if c, reserved := p.reservedChoice(now, q); reserved {
 		return c, true
--- a/pkg/kumquatlug/placement/coordinate.go
+++ b/pkg/kumquatlug/placement/coordinate.go
@@ -6,56 +6,58 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// A coordinator has the prompts of other fronts in the queue of each engine that it
-// coordinates, beside its own, and gives them turns by the same order. What a front
-// leaves behind when it ends, freezes or is cut off goes by itself: a turn that
-// is never told to be over is forgotten after a few times its reading, and a prompt
-// that is not asked for again leaves the queue.
+// A coordinator keeps the prompts of other gateways in the queue of each engine that it
+// coordinates, together with its own, and grants prefills in one order. The state of a
+// gateway that stops, freezes or is cut off expires: a grant that is never released is
+// dropped after a few times its expected prefill time, and a prompt whose request is
+// not renewed leaves the queue.
 
-// Figures of coordinating.
+// Constants of a coordinator.
 const (
-	// staleAfter is how long a prompt of another front stays in a queue without
-	// being asked for again: its front does so each requestRenewInterval.
+	// staleAfter is how long a prompt of another gateway stays queued without its
+	// request being renewed, which its gateway does each requestRenewInterval.
 	staleAfter = 4 * requestRenewInterval
-	// grantTimeoutFactor is how many times as long as expected a turn lasts until it is
-	// forgotten.
+	// grantTimeoutFactor is the multiple of the expected time after which a grant
+	// expires.
 	grantTimeoutFactor = 4
-	// cacheRetainFraction is the part of an engine's memory that is read until a part that
-	// nobody used meanwhile is gone; outputs and copies take the rest.
+	// cacheRetainFraction is the fraction of an engine's KV memory that is prefilled
+	// before a part unused meanwhile is assumed to be evicted; outputs and copies take
+	// the rest.
 	cacheRetainFraction = 0.9
-	// maxRemotePrompts bounds the prompts of other fronts in the queue of one engine.
-	// At the fastest engines it is a second of reading; beyond it prompts are refused.
+	// maxRemotePrompts bounds the prompts of other gateways in the queue of one engine;
+	// further ones are refused. At the fastest engines it is a second of prefill.
 	maxRemotePrompts = 500
 )
 
-// remoteKey is a prompt of another front, by that front's name and key.
+// remoteKey identifies a prompt of another gateway by that gateway's name and key.
 type remoteKey struct {
 	gateway string
 	key     uint64
 }
 
-// remoteGrant is a turn that another front was given.
+// remoteGrant is a prefill granted to another gateway.
 type remoteGrant struct {
 	remote          remoteKey
 	effectiveTokens float64
 	expiresAt       kumquatlug.Millis
-	// engineIdle says that nothing else was in hand at the engine, wait is how long reading
-	// was expected to take.
+	// engineIdle says that nothing else was in flight at the engine, expectedWait is
+	// how long the prefill was expected to take.
 	engineIdle     bool
 	expectedWait   kumquatlug.Millis
 	uncachedTokens int
 }
 
-// estimateTokens sets what is to be read of a prompt at an engine that this front coordinates: by
-// what all fronts had read there, and what has been driven out of its memory since.
-// An engine that is believed to hold what it does not, as all are at a start, is
-// given several times what it can read in time.
+// estimateTokens sets the tokens to prefill of a prompt at an engine that this gateway
+// coordinates, from what all gateways had prefilled there and what was evicted since.
+// If an engine is assumed to have cached what it has not, as at startup, it is given
+// several times what it can prefill in time.
 func (p *Placer) estimateTokens(w *worker, queued *queuedPrompt) {
 	queued.choice.uncachedTokens = p.coordinatedUncached(w, queued.query.Prompt)
 	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
 }
 
-// coordinatedUncached is how many tokens of a prompt an engine has to read that this front coordinates.
+// coordinatedUncached returns the number of tokens of a prompt that an engine which
+// this gateway coordinates has to prefill.
 func (p *Placer) coordinatedUncached(w *worker, prompt kumquatlug.Prompt) float64 {
 	left := prompt.Input()
 	for _, part := range prompt.Shared() {
@@ -68,8 +70,8 @@
 	return float64(max(left, 0))
 }
 
-// Requested takes what another front says to this one as a coordinator; the answers lie in
-// the [Placer.Outbox].
+// Requested handles a message that another gateway sends to this one as a coordinator.
+// Replies are put into the [Placer.Outbox].
 func (p *Placer) Requested(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
 	r := remoteKey{gateway: m.Front, key: m.Turn.Key}
 	w, known := p.workers[m.Turn.Engine]
@@ -95,7 +97,7 @@
 	p.submitRemote(now, w, r, m.Turn)
 }
 
-// findRemote returns the prompt of another front in the queue, nil for none.
+// findRemote returns the queued prompt of another gateway, nil if there is none.
 func (w *worker) findRemote(r remoteKey) *queuedPrompt {
 	for _, queued := range w.queue {
 		if queued.remote == r {
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// submitRemote takes a prompt of another front into the queue, or refuses it.
+// submitRemote queues a prompt of another gateway, or refuses it.
 func (p *Placer) submitRemote(now kumquatlug.Millis, w *worker, r remoteKey, t kumquatlug.Turn) {
 	q := Query{Prompt: t.Prompt, Worth: t.Worth, Until: now + t.Patience, Begun: t.Begun}
 	if t.Timed {
@@ -127,18 +129,18 @@
 	}
 }
 
-// reply tells another front what becomes of its prompt.
+// reply sends another gateway the state of its prompt.
 func (p *Placer) reply(r remoteKey, engine string, step kumquatlug.TurnStep, wait kumquatlug.Millis) {
 	p.send(r.gateway, kumquatlug.Turn{Step: step, Engine: engine, Key: r.key, Wait: wait})
 }
 
-// refuseRemote tells that a prompt can't be read in time.
+// refuseRemote replies that a prompt can't be prefilled in time.
 func (p *Placer) refuseRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
 	wait := (p.inFlightTokens(now, w) + w.queuedTokens() + queued.choice.effectiveTokens) / p.prefillRate() * p.slowdown
 	p.reply(queued.remote, w.member.Worker.ID(), kumquatlug.TurnRefused, kumquatlug.Millis(wait))
 }
 
-// grantRemote gives a prompt of another front its turn.
+// grantRemote grants a prompt of another gateway its prefill.
 func (p *Placer) grantRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
 	tokens := queued.choice.effectiveTokens
 	expectedWait := (p.inFlightTokens(now, w) + tokens) / p.prefillRate() * p.slowdown
@@ -154,21 +156,21 @@
 	p.sendGrant(w, w.grants[len(w.grants)-1])
 }
 
-// sendGrant tells another front that a prompt has its turn. It names the engine, as the
-// prompt may have gone elsewhere and its front then gives the turn back.
+// sendGrant sends a grant to another gateway. It names the engine, because the prompt
+// may have been sent elsewhere, and its gateway then has to release the grant.
 func (p *Placer) sendGrant(w *worker, t remoteGrant) {
 	p.send(t.remote.gateway, kumquatlug.Turn{
 		Step: kumquatlug.TurnGranted, Engine: w.member.Worker.ID(), Key: t.remote.key, Wait: t.expectedWait, Alone: t.engineIdle, Fresh: t.uncachedTokens,
 	})
 }
 
-// releaseRemote ends a turn, or takes a prompt out of the queue.
+// releaseRemote releases a grant, or removes a prompt from the queue.
 func (w *worker) releaseRemote(r remoteKey) {
 	w.queue = slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool { return queued.remote == r })
 	w.releaseGrants(func(t remoteGrant) bool { return t.remote == r })
 }
 
-// releaseGrants ends the turns of other fronts that are over.
+// releaseGrants releases the grants to other gateways for which over returns true.
 func (w *worker) releaseGrants(over func(remoteGrant) bool) {
 	w.grants = slices.DeleteFunc(w.grants, func(t remoteGrant) bool {
 		if !over(t) {
@@ -180,8 +182,8 @@
 	})
 }
 
-// expireRemote forgets the turns that were never told to be over and the prompts
-// that nobody asks for any more.
+// expireRemote drops grants that were never released and queued prompts whose request
+// is no longer renewed.
 func (p *Placer) expireRemote(now kumquatlug.Millis, w *worker) {
 	w.releaseGrants(func(t remoteGrant) bool { return now >= t.expiresAt })
 	w.queue = slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool {
@@ -189,15 +191,17 @@
 	})
 }
 
-// StopCoordinating sends the prompts of other fronts to those that coordinate the engines now.
+// StopCoordinating replies to other gateways that this one no longer coordinates, so
+// that they send their queued prompts to the engines' new coordinators.
 func (p *Placer) StopCoordinating() {
 	for _, w := range p.ordered {
 		w.queue = p.disownRemote(w)
 	}
 }
 
-// disownRemote answers the prompts of other fronts in the queue of a worker
-// that reads no more, and returns the others.
+// disownRemote replies to the gateways of the remote prompts in the queue of a worker
+// that this gateway no longer coordinates or that no longer prefills, and returns the
+// local prompts.
 func (p *Placer) disownRemote(w *worker) []*queuedPrompt {
 	return slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool {
 		if queued.remote.gateway == "" {
--- a/pkg/kumquatlug/placement/leave.go
+++ b/pkg/kumquatlug/placement/leave.go
@@ -2,13 +2,14 @@
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// roleChangeTimeout is how long an engine that was announced to change its role is given
-// nothing, at most: three seconds for the change, and some to end what it has.
+// roleChangeTimeout is how long an engine with an announced role change is given no
+// requests at most: three seconds for the change, and a few to finish its requests.
 const roleChangeTimeout = 8 * kumquatlug.Second
 
-// Announce takes which engines are about to take which role. Engines that are no
-// longer named get work as before. What waits for one goes elsewhere; the
-// streams in hand there are returned, and whether anything is new.
+// Announce sets the roles to which engines are about to change. Engines that are no
+// longer named get requests as before. Prompts that are queued for a changing engine
+// are moved to others. Announce returns the streams in flight there, and whether any
+// role is new.
 func (p *Placer) Announce(now kumquatlug.Millis, roles map[string]kumquatlug.Role) (streams []*Ticket, news bool) {
 	for _, w := range p.ordered {
 		role := roles[w.member.Worker.ID()]
@@ -26,7 +27,7 @@
 	return streams, news
 }
 
-// startedAttempts returns the attempts in hand that have shown output.
+// startedAttempts returns the attempts in flight that have produced output.
 func (w *worker) startedAttempts() []*Ticket {
 	var streams []*Ticket
 	for _, t := range w.attempts {
@@ -37,8 +38,8 @@
 	return streams
 }
 
-// startedCount is how many attempts there have begun. Each look at silence asks it
-// of every worker, so it only counts.
+// startedCount returns the number of attempts in flight that have produced output. It
+// builds no slice, as each liveness check calls it for every worker.
 func (w *worker) startedCount() int {
 	n := 0
 	for _, t := range w.attempts {
@@ -49,7 +50,7 @@
 	return n
 }
 
-// changingRole reports that the worker is on its way to another role.
+// changingRole reports whether the worker is changing to another role.
 func (w *worker) changingRole(now kumquatlug.Millis) bool {
 	return w.nextRole != "" && w.nextRole != w.member.Role && now < w.roleChangeUntil
 }
--- a/pkg/kumquatlug/placement/limit.go
+++ b/pkg/kumquatlug/placement/limit.go
@@ -7,25 +7,26 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ratelimit"
 )
 
-// Figures of waiting for a worker that names a limit, in milliseconds.
+// How long a request waits for a worker that advertises a rate limit, in milliseconds.
 const (
-	// maxLimitWaitMs is how long a request waits that can be in time. It is the same for all:
-	// the kind that may wait longest would else get all.
+	// maxLimitWaitMs applies to a request that can be in time. It is the same for all
+	// routes: the one that may wait longest would otherwise get the whole limit.
 	maxLimitWaitMs = 100.0
-	// lateLimitWaitMs is how long one waits that can't be in time any more.
+	// lateLimitWaitMs applies to a request that can't be in time any more.
 	lateLimitWaitMs = 25.0
-	// startedLimitWaitMs is how long a stream waits that goes on: its client leaves when it
-	// stands still for two seconds.
+	// startedLimitWaitMs applies to a stream that is resumed: its client disconnects
+	// after two seconds without an event.
 	startedLimitWaitMs = 1000.0
 )
 
-// limitedWorkers notes the workers that take no more requests soon enough.
+// limitedWorkers records the shortest delay of the workers that are excluded by their
+// rate limits.
 type limitedWorkers struct{ minDelay float64 }
 
 func newLimitedWorkers() *limitedWorkers { return &limitedWorkers{minDelay: math.Inf(1)} }
 
-// exclude reports that a request must not wait until w takes it, as its first output comes
-// rest ms after that.
+// exclude reports whether w is excluded because a request must not wait until its rate
+// limit allows one. The first output is expected rest ms after the request is sent.
 func (h *limitedWorkers) exclude(now kumquatlug.Millis, w *worker, q Query, rest float64) bool {
 	delay := w.limit.Delay(now)
 	if delay == 0 || delay <= q.maxLimitWait(now, rest) {
@@ -35,9 +36,9 @@
 	return true
 }
 
-// maxLimitWait is how long a request may wait until a worker takes it, in milliseconds. Those
-// that are late take what the others leave: did they wait as long, all that come after
-// them would be late, too.
+// maxLimitWait returns how long a request may wait for a rate limit, in milliseconds.
+// Late requests use only what the others leave: if they waited as long, all requests
+// after them would be late, too.
 func (q Query) maxLimitWait(now kumquatlug.Millis, rest float64) float64 {
 	longest := lateLimitWaitMs
 	switch inTime := float64(q.Target-now) - rest; {
@@ -51,8 +52,8 @@
 	return min(longest, float64(q.timeLeft(now)))
 }
 
-// bestOrDelay returns the best choice or, where none was found, how long it is until the first
-// worker takes a request.
+// bestOrDelay returns the best choice or, if none was found, one with the delay until
+// the first worker accepts a request.
 func (p *Placer) bestOrDelay(now kumquatlug.Millis, best Choice, found bool, h *limitedWorkers) Choice {
 	if found {
 		return best
@@ -69,8 +70,8 @@
 	return Choice{delay: minDelay}
 }
 
-// Pause sends the worker of an attempt nothing for as long as it asked. What waits there
-// goes elsewhere.
+// Pause stops sending requests to the worker of an attempt for as long as it asked.
+// Prompts queued for the worker are moved to others.
 func (p *Placer) Pause(now kumquatlug.Millis, t *Ticket, span kumquatlug.Millis) {
 	w := t.worker
 	if w == nil || p.workers[t.id] != w || span <= 0 {
@@ -80,15 +81,17 @@
 	p.displaceQueue(w)
 }
 
-// Place is a request that an engine with a limit will take at a moment. It is kept for
-// the output of a prompt before the prompt is read: prompts that are read at the same
-// time would else all count on the same one, and be read for nothing.
+// Place is a reservation of one request within an engine's rate limit at a given time.
+// It is made for decoding a prompt before the prompt is prefilled: otherwise all
+// prompts prefilled at the same time would count on the same request, and be prefilled
+// in vain.
 type Place struct {
 	worker string
 	at     kumquatlug.Millis
 }
 
-// reservationFor returns the place of a choice, none at an engine without a limit.
+// reservationFor returns the reservation of a choice, the zero value at an engine
+// without a rate limit.
 func (p *Placer) reservationFor(now kumquatlug.Millis, c Choice) Place {
 	id := c.worker.ID()
 	if w, known := p.workers[id]; !known || !w.limit.Named() {
@@ -97,16 +100,16 @@
 	return Place{worker: id, at: now + c.Delay()}
 }
 
-// reserve counts a prompt at the engine that reads it, and at the one where a place
-// is kept for its output.
-func (p *Placer) reserve(now kumquatlug.Millis, reader *worker, c Choice) {
-	reader.limit.Send(now)
+// reserve counts a prompt in the rate limit of the engine that prefills it, and in that
+// of the engine where decoding is reserved.
+func (p *Placer) reserve(now kumquatlug.Millis, prefillWorker *worker, c Choice) {
+	prefillWorker.limit.Send(now)
 	if w, known := p.workers[c.reservation.worker]; known {
 		w.limit.Send(now)
 	}
 }
 
-// reservedChoice chooses the engine at which a place was kept, while it may be used.
+// reservedChoice returns the engine of a reservation, as long as it may be used.
 func (p *Placer) reservedChoice(now kumquatlug.Millis, q Query) (Choice, bool) {
 	w, known := p.workers[q.Place.worker]
 	if !known || !p.eligible(now, w, q, kumquatlug.RoleDecode) {
@@ -117,7 +120,7 @@
 	return Choice{worker: w.member.Worker, wait: wait, delay: delay, reserved: true}, true
 }
 
-// LimitNews is that a worker names another limit of its rate than before, or none.
+// LimitNews is a change of the rate limit that a worker advertises, or its end.
 type LimitNews struct {
 	worker    string
 	named     bool
@@ -128,17 +131,18 @@
 // Worker returns the worker's name.
 func (n LimitNews) Worker() string { return n.worker }
 
-// Named reports whether the worker names a limit.
+// Named reports whether the worker advertises a rate limit.
 func (n LimitNews) Named() bool { return n.named }
 
-// PerSecond returns the requests a second that it takes from all fronts.
+// PerSecond returns the requests per second that the worker accepts from all gateways.
 func (n LimitNews) PerSecond() float64 { return n.perSecond }
 
-// Sent returns how many requests this front sent there since it first heard of a limit.
+// Sent returns the number of requests that this gateway has sent to the worker since it
+// first learned of a limit.
 func (n LimitNews) Sent() int { return n.sent }
 
-// Limited takes what the answer to an attempt says of its worker's limit, and reports
-// whether that is news. Good says that the worker did what it was asked.
+// Limited records the rate limit in the response to an attempt, and reports whether the
+// limit has changed. ok says that the worker served the request.
 func (p *Placer) Limited(now kumquatlug.Millis, t *Ticket, limit kumquatlug.RateLimit, ok bool) (LimitNews, bool) {
 	if t.worker == nil || p.workers[t.id] != t.worker {
 		return LimitNews{}, false
@@ -150,13 +154,13 @@
 	return LimitNews{worker: t.id, named: l.Named(), perSecond: l.PerSecond(), sent: l.Sent()}, true
 }
 
-// StillTakes reports whether the worker of an attempt that was held back may be sent it.
+// StillTakes reports whether a delayed attempt may still be sent to its worker.
 func (p *Placer) StillTakes(now kumquatlug.Millis, t *Ticket) bool {
 	w := t.worker
 	return w != nil && p.workers[t.id] == w && !w.unresponsive && p.eligible(now, w, Query{}, w.member.Role)
 }
 
-// Limits returns what is known of the workers that have a limit.
+// Limits returns the workers that have a rate limit.
 func (p *Placer) Limits() []LimitNews {
 	var all []LimitNews
 	for _, w := range p.ordered {
--- a/pkg/kumquatlug/placement/limit_test.go
+++ b/pkg/kumquatlug/placement/limit_test.go
@@ -7,8 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ratelimit"
 )
 
-// newLimitedPlacer returns a placer of a front that is alone, with these workers, of which some
-// name a limit in the answers to their first attempts.
+// newLimitedPlacer returns the Placer of a single gateway with these workers, of which
+// some advertise a rate limit in the responses to their first attempts.
 func newLimitedPlacer(members []kumquatlug.Member, limits map[string]float64) *Placer {
 	shares := ratelimit.NewShares("front-0")
 	shares.Meet(nil)
@@ -27,8 +27,8 @@
 	return p
 }
 
-// countSent plays requests, one each ten ms for four seconds, and counts by worker those
-// that are sent in that time, and those refused.
+// countSent plays requests, one every 10 ms for four seconds, and counts by worker
+// those that are sent in that time, and those refused.
 func countSent(p *Placer, choose func(now kumquatlug.Millis, key uint64) (Choice, *Ticket)) (sent map[string]int, refused int) {
 	sent = map[string]int{}
 	const begin, end = 2000, 6000
@@ -46,7 +46,8 @@
 	return sent, refused
 }
 
-// plainChooser chooses for a plain request that is due in 300 ms and may take 4 s.
+// plainChooser chooses a worker for a plain request that is due in 300 ms and may take
+// 4 s.
 func plainChooser(p *Placer) func(kumquatlug.Millis, uint64) (Choice, *Ticket) {
 	return func(now kumquatlug.Millis, _ uint64) (Choice, *Ticket) {
 		c, found := p.Plain(now, Query{Target: now + 300, Until: now + 4000})
@@ -57,20 +58,20 @@
 	}
 }
 
-// One of three plain workers names a limit. It must get no more, and the others all
-// that remains: nobody is refused while they have room.
+// One of three plain workers advertises a rate limit. It must get no more, and the
+// others all of the rest: no request may be refused while they have capacity.
 func TestUnlimitedWorkersAbsorbLimitedWorkersExcess(t *testing.T) {
 	members := []kumquatlug.Member{member("s0", "a", "", 6), member("s1", "a", "", 6), member("s2", "a", "", 6)}
 	p := newLimitedPlacer(members, map[string]float64{"s0": 4})
 	sent, refused := countSent(p, plainChooser(p))
 	if sent["s0"] > 17 || sent["s0"] < 8 || refused > 0 {
-		t.Errorf("sent %v, refused %d; the limit allows 16 and one saved up", sent, refused)
+		t.Errorf("sent %v, refused %d; the limit allows 16 and a burst of one", sent, refused)
 	}
 }
 
-// All workers of a service name a limit, together a fifth of what is asked. What they
-// take must be used to the full and in time, and the rest be refused at once with the
-// time at which a worker takes more, as it can't be served.
+// All workers of a service advertise rate limits, in total a fifth of the load. The
+// limits must be used in full and in time. The rest can't be served and must be refused
+// at once, with the time at which a worker accepts more.
 func TestRateLimitsBelowLoadAreFullyUsed(t *testing.T) {
 	members := []kumquatlug.Member{member("s0", "a", "", 6), member("s1", "a", "", 6)}
 	p := newLimitedPlacer(members, map[string]float64{"s0": 12, "s1": 8})
@@ -79,7 +80,7 @@
 		c, ticket := plainChooser(p)(now, key)
 		switch {
 		case ticket == nil && c.Delay() <= 0:
-			t.Fatal("a refusal doesn't tell when to come back")
+			t.Fatal("a refusal has no time after which to retry")
 		case ticket != nil && c.Delay() <= 600:
 			inTime++
 		case ticket != nil:
@@ -91,16 +92,16 @@
 		t.Errorf("sent %v; the limits allow 48 and 32", sent)
 	}
 	if late > 0 || inTime+refused != 400 {
-		t.Errorf("%d held back within a part of their patience, %d longer, %d refused", inTime, late, refused)
+		t.Errorf("%d delayed by up to 600 ms, %d longer, %d refused", inTime, late, refused)
 	}
 }
 
-// Engines that read and that generate name limits. Prompts must go to the others, by
-// each of the ways that lead to an engine.
+// Prefill and decode engines advertise rate limits. On each placement path the prompts
+// above a limit must go to the other engines.
 func TestEngineRateLimitsHoldOnEveryPlacementPath(t *testing.T) {
 	p := newLimitedPlacer(engines(3, 3), map[string]float64{"r0": 3, "g0": 5})
 	outputs := map[string]int{}
-	read, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Ticket) {
+	prefilled, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Ticket) {
 		prompt := document(int(key), int(key))
 		if key%40 == 0 {
 			prompt = chatPrompt(int(key))
@@ -110,14 +111,14 @@
 		if entry == EntryWaits {
 			due := p.Due(now + 200)
 			if len(due) == 0 {
-				t.Fatal("a prompt waits for ever")
+				t.Fatal("a prompt stays queued")
 			}
 			c, ticket = due[0].Choice(), due[0].Ticket()
 		}
 		if ticket != nil && c.Apart() {
 			out, found := p.Output(now, q)
 			if !found {
-				t.Fatal("no engine generates")
+				t.Fatal("no engine decodes")
 			}
 			if now+out.Delay() < 6000 {
 				outputs[out.Worker().ID()]++
@@ -126,10 +127,10 @@
 		}
 		return c, ticket
 	})
-	if read["r0"] > 13 || outputs["g0"]+read["g0"] > 21 || refused > 0 {
-		t.Errorf("read %v, generated %v, refused %d; limits allow 12 and 20, and one saved up", read, outputs, refused)
+	if prefilled["r0"] > 13 || outputs["g0"]+prefilled["g0"] > 21 || refused > 0 {
+		t.Errorf("prefilled %v, decoded %v, refused %d; limits allow 12 and 20, and a burst of one", prefilled, outputs, refused)
 	}
-	if read["r0"] == 0 || outputs["g0"]+read["g0"] == 0 {
-		t.Errorf("read %v, generated %v: an engine with a limit gets nothing", read, outputs)
+	if prefilled["r0"] == 0 || outputs["g0"]+prefilled["g0"] == 0 {
+		t.Errorf("prefilled %v, decoded %v: an engine with a limit gets nothing", prefilled, outputs)
 	}
 }
--- a/pkg/kumquatlug/placement/manyfronts_test.go
+++ b/pkg/kumquatlug/placement/manyfronts_test.go
@@ -9,24 +9,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/coordinator"
 )
 
-// gatewayCluster replays prompts that come through many fronts against engines which read
-// in order of arrival and keep every part, and messages between fronts that take a millisecond each.
+// gatewayCluster replays prompts that arrive through many gateways against engines that
+// prefill in order of arrival and cache every part, and delivers messages between
+// gateways after a millisecond.
 type gatewayCluster struct {
 	gateways     []*Placer
 	coordinators []*coordinator.Fronts
 	engines      map[string]*prefillEngine
 	scheduled    map[kumquatlug.Millis][]func(kumquatlug.Millis)
 	random       *rand.Rand
-	// lossRate is the part of the messages that are lost; the fronts in away neither
-	// get nor send any, nor work.
+	// lossRate is the fraction of messages that are lost. The gateways in offline
+	// neither receive nor send any, nor do they work.
 	lossRate float64
 	offline  map[int]bool
 	prompts  map[uint64]*promptRecord
-	// maxEngineQueue is the longest that an engine's own queue was.
+	// maxEngineQueue is the greatest length of an engine's own queue.
 	maxEngineQueue int
 }
 
-// promptRecord is one request and what became of it.
+// promptRecord is one request and its outcome.
 type promptRecord struct {
 	gateway                    int
 	arrivedAt, sentAt, endedAt kumquatlug.Millis
@@ -36,14 +37,15 @@
 	outcomes                   int
 }
 
-// prefillEngine is one engine.
+// prefillEngine simulates one engine.
 type prefillEngine struct {
 	queue  []*prefillJob
 	freeAt float64
 	cached map[string]bool
 }
 
-// cacheMisses is how many tokens the engine has to read of a prompt.
+// cacheMisses returns the number of tokens of a prompt that the engine has to prefill,
+// and adds the parts to its cache.
 func (e *prefillEngine) cacheMisses(text kumquatlug.Prompt) float64 {
 	tokens := 0
 	for _, part := range text.Parts() {
@@ -61,7 +63,8 @@
 	ticket  *Ticket
 }
 
-// Figures of the replayed site: what an engine reads in a ms, and a prompt's span.
+// The prefill rate of the simulated engines, in tokens per ms, and the target latency
+// and client timeout of a prompt, in ms.
 const (
 	prefillTokensPerMs = 236.0
 	targetLatencyMs    = 200
@@ -78,7 +81,7 @@
 		names[i] = gatewayName(i)
 	}
 	for i := range gateways {
-		// Reading beside the streams of the engine that generates is out of the question.
+		// The penalty rules out prefill beside the streams of the decode engine.
 		config := Config{Zone: "a", MixedPrice: 1e9}
 		if coordinated {
 			known := coordinator.New(names[i])
@@ -101,7 +104,7 @@
 
 func gatewayName(i int) string { return fmt.Sprintf("front-%d", i) }
 
-// clusterEngines are engines that read, and one that generates.
+// clusterEngines returns n prefill engines and one decode engine.
 func clusterEngines(n int) []kumquatlug.Member {
 	all := []kumquatlug.Member{clusterEngine("d0", kumquatlug.RoleDecode)}
 	for i := range n {
@@ -116,7 +119,7 @@
 	}
 }
 
-// play lets prompts come at a rate, each second, until end.
+// play lets prompts arrive at a rate per second until end.
 func (c *gatewayCluster) play(begin, end kumquatlug.Millis, perSecond float64) {
 	nextAt := float64(begin)
 	for now := begin; now < end; now++ {
@@ -128,7 +131,7 @@
 	}
 }
 
-// arrive brings a new prompt to a front that is there.
+// arrive submits a new prompt to a gateway that is online.
 func (c *gatewayCluster) arrive(now kumquatlug.Millis) {
 	gateway := c.random.IntN(len(c.gateways))
 	for c.offline[gateway] {
@@ -149,7 +152,7 @@
 	c.pump(now, gateway)
 }
 
-// send brings a prompt to its engine.
+// send delivers a prompt to its engine.
 func (c *gatewayCluster) send(now kumquatlug.Millis, gateway int, key uint64, choice Choice, ticket *Ticket) {
 	c.prompts[key].sentAt = now
 	c.nextMilli(now, func(at kumquatlug.Millis) {
@@ -178,7 +181,7 @@
 	record.outcomes++
 }
 
-// tick plays one ms.
+// tick simulates one ms.
 func (c *gatewayCluster) tick(now kumquatlug.Millis) {
 	for _, f := range c.scheduled[now] {
 		f(now)
@@ -198,7 +201,7 @@
 	}
 }
 
-// finishPrefills ends the prompts that an engine has read.
+// finishPrefills ends the prompts that an engine has prefilled.
 func (c *gatewayCluster) finishPrefills(now kumquatlug.Millis, e *prefillEngine) {
 	for len(e.queue) > 0 && e.freeAt <= float64(now) {
 		finished := e.queue[0]
@@ -217,7 +220,7 @@
 	}
 }
 
-// pump does what is due at a front and posts its messages.
+// pump handles the prompts that are due at a gateway and sends its messages.
 func (c *gatewayCluster) pump(now kumquatlug.Millis, gateway int) {
 	for _, due := range c.gateways[gateway].Due(now) {
 		c.handleDue(now, gateway, due)
@@ -249,7 +252,7 @@
 	return -1
 }
 
-// deliver brings a message to a front.
+// deliver passes a message to a gateway.
 func (c *gatewayCluster) deliver(now kumquatlug.Millis, from, to int, m kumquatlug.TurnMessage) {
 	if c.offline[from] || c.offline[to] {
 		return
@@ -266,7 +269,8 @@
 	c.pump(now, to)
 }
 
-// inTime is the part of the prompts of a span that were read within their target.
+// inTime returns the fraction of the prompts that arrived from begin to end and were
+// prefilled within their target latency.
 func (c *gatewayCluster) inTime(begin, end kumquatlug.Millis) float64 {
 	all, good := 0, 0
 	for _, record := range c.prompts {
@@ -281,8 +285,8 @@
 	return float64(good) / float64(max(all, 1))
 }
 
-// maxHold is the longest that a prompt of a span waited until it was sent or
-// refused, at fronts that are there.
+// maxHold returns the longest time that a prompt which arrived from begin to end waited
+// until it was sent or refused, at gateways that are online.
 func (c *gatewayCluster) maxHold(begin, end kumquatlug.Millis) kumquatlug.Millis {
 	longest := kumquatlug.Millis(0)
 	for _, record := range c.prompts {
@@ -300,19 +304,19 @@
 	return longest
 }
 
-// findFault tells what is wrong once all is over; the attempts that ended while their
-// front stood still were told to nobody.
+// findFault describes an inconsistency after all prompts have ended. The attempts that
+// ended while their gateway was frozen were reported to none.
 func (c *gatewayCluster) findFault(frozen int) string {
 	for key, record := range c.prompts {
 		if record.outcomes > 1 || record.outcomes == 0 && record.gateway != frozen {
-			return fmt.Sprintf("prompt %d of front %d ended %d times", key, record.gateway, record.outcomes)
+			return fmt.Sprintf("prompt %d of gateway %d ended %d times", key, record.gateway, record.outcomes)
 		}
 	}
 	for i, p := range c.gateways {
 		for _, w := range p.ordered {
-			own := w.prefills - len(w.grants)
-			if i != frozen && own > 0 || len(w.grants) > 0 || len(w.queue) > 0 || w.requestedTokens > 0.5 {
-				return fmt.Sprintf("front %d counts %d attempts, %d turns, %d waiting, %.0f asked tokens", i, own, len(w.grants), len(w.queue), w.requestedTokens)
+			attempts := w.prefills - len(w.grants)
+			if i != frozen && attempts > 0 || len(w.grants) > 0 || len(w.queue) > 0 || w.requestedTokens > 0.5 {
+				return fmt.Sprintf("gateway %d counts %d attempts, %d grants, %d queued, %.0f requested tokens", i, attempts, len(w.grants), len(w.queue), w.requestedTokens)
 			}
 		}
 	}
--- a/pkg/kumquatlug/placement/placement.go
+++ b/pkg/kumquatlug/placement/placement.go
@@ -1,28 +1,29 @@
-// Package placement decides at which worker a front makes an attempt when it
-// calls workers directly: which engine reads a prompt, which one generates, and
-// which worker of a plain service runs a request.
+// Package placement decides to which worker a gateway sends an attempt when it calls
+// workers directly: which engine prefills a prompt, which one decodes, and which worker
+// of a plain service runs a request.
 //
-// It answers long prompts that share most of their tokens, at a rate near what
-// the engines can read. A front sees its own requests, what workers say of their
-// load in each answer, and, at the engines that it coordinates, the prompts of all
-// fronts. Were prompts spread evenly, each engine would read every shared part again,
-// three times the work, and the queues would never end; were they kept at one
-// place whatever its queue, a hot part would drown its engine. So
+// It is built for long prompts that share most of their tokens, at a rate close to the
+// prefill capacity of the engines. A gateway knows its own requests, the load that
+// workers report in each response, and, for the engines that it coordinates, the
+// prompts of all gateways. If prompts were spread evenly, each engine would prefill
+// every shared prefix again, three times the work, and the queues would never drain. If
+// a prefix always went to the same engine whatever its queue, a hot prefix would
+// overload that engine. Therefore:
 //
-//   - each chain of shared parts has an owner, the first of all reading engines in
-//     its rendezvous order, which every front works out alike and which moves
-//     only for a small part of the chains when an engine comes or goes;
-//   - a chain leaves its owner only when waiting there costs more than reading
-//     the shared parts again, at a price above their mere time: reading is what
-//     is scarce, and what is read twice delays everybody behind it;
-//   - a prompt that is quickly read goes straight to a generating engine, which
-//     spares a transfer; a long one does so when the reading engines are behind;
-//   - the prompts of all fronts for one engine stand in one queue, at the front that
-//     coordinates it;
-//   - generation goes to the least loaded engine, by preference in this data
-//     centre;
-//   - a request that no worker can begin in time is refused at once, with a
-//     time to come back.
+//   - each shared prefix has an owner, the first of all prefill engines in its
+//     rendezvous order, which every gateway computes alike and which changes only for a
+//     small part of the prefixes when an engine joins or leaves;
+//   - a prefix is sent to an engine other than its owner only when waiting at the owner
+//     costs more than prefilling the prefix again, at a penalty above the time that
+//     takes: prefill is the scarce resource, and each repeated prefill delays
+//     everything queued behind it;
+//   - a short prompt goes straight to a decode engine, which saves a transfer; a long
+//     one does so when the prefill engines are behind;
+//   - the prompts of all gateways for one engine are in one queue, at the gateway that
+//     coordinates the engine;
+//   - decoding goes to the least loaded engine, preferably in this data centre;
+//   - a request that no worker can start in time is refused at once, with a time after
+//     which to retry.
 //
 // A Placer belongs to one owner and is not safe for concurrent use.
 package placement
@@ -39,37 +40,38 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ratelimit"
 )
 
-// Config is what a [Placer] is made of. The zero value of each field stands for
-// its default.
+// Config holds the settings of a [Placer]. The zero value of each field stands for its
+// default.
 type Config struct {
-	// Zone is the front's data centre.
+	// Zone is the gateway's data centre.
 	Zone string
-	// Reading is what engines are taken to read until they have shown it.
+	// Reading is the prefill performance assumed of engines until it has been measured.
 	Reading learn.ReadingConfig
-	// MixedPart is the part of its reading rate that an engine has for prompts
-	// while it generates. Default 0.5, as the engines' protocol states.
+	// MixedPart is the fraction of its prefill rate that an engine has left while it
+	// decodes. Default 0.5, as the engines' protocol states.
 	MixedPart float64
-	// AwayPrice is what reading shared parts again costs, as a multiple of its
-	// time. Default 24: what is read twice also drives other parts out of memory.
+	// AwayPrice is the cost of prefilling a shared prefix again, as a multiple of the
+	// time it takes. Default 24: a repeated prefill also evicts other prefixes from the
+	// cache.
 	AwayPrice float64
-	// MixedPrice is what reading at a generating engine whose slots are all taken
-	// costs, as a multiple of its time: every stream there pauses meanwhile.
-	// Default 60.
+	// MixedPrice is the cost of a prefill at a decode engine whose slots are all taken,
+	// as a multiple of the time it takes: every stream there pauses meanwhile. Default
+	// 60.
 	MixedPrice float64
-	// ZonePrice is the price of another data centre in milliseconds. Default 3:
-	// a few round trips of 1 ms, and bytes that cost money there; any real queue
+	// ZonePrice is the cost of a worker in another data centre, in milliseconds.
+	// Default 3: a few round trips of 1 ms, and traffic that is billed; any real queue
 	// outweighs it.
 	ZonePrice float64
-	// TransferCost is what handing a KV cache over costs in milliseconds: two
-	// round trips and the copy. Default 4.
+	// TransferCost is the cost of transferring a KV cache, in milliseconds: two round
+	// trips and the copy. Default 4.
 	TransferCost float64
-	// Coordinators tells which front orders the prompts at an engine; nil where each
-	// front goes by itself.
+	// Coordinators names the gateway that orders the prompts at an engine; nil where
+	// each gateway orders only its own.
 	Coordinators kumquatlug.Coordinators
-	// Shares divide the rate limits of workers among the fronts; nil where there is one
-	// front.
+	// Shares divides the rate limits of workers among the gateways; nil where there is
+	// one gateway.
 	Shares *ratelimit.Shares
-	// Health tunes the judgement of workers.
+	// Health configures the health checks of workers.
 	Health health.Config
 }
 
@@ -82,108 +84,116 @@
 	return c
 }
 
-// Figures of the package.
+// Constants of the cost model.
 const (
-	// batchTokenCostMs is what one request in hand adds to each token of the next one
-	// at a generating engine, in milliseconds: a step of the batch takes 0.0032
-	// ms longer with each request, and 0.0021 ms for each 1,000 tokens in memory.
+	// batchTokenCostMs is the time that one request in flight adds to each token of the
+	// next one at a decode engine, in milliseconds: a step of the batch takes 0.0032 ms
+	// longer with each request, and 0.0021 ms for each 1,000 tokens in memory.
 	batchTokenCostMs = 0.008
-	// meanOutputFraction is the part of the greatest output that requests have on the
-	// average.
+	// meanOutputFraction is the mean output of a request as a fraction of its maximum.
 	meanOutputFraction = 0.5
-	// kvFillFraction is the part of an engine's memory that is filled before another
-	// one is better; what goes beyond it is read again by those that gave way.
+	// kvFillFraction is the fraction of an engine's KV memory above which another
+	// engine is preferred. Requests beyond it are preempted, and their tokens are
+	// prefilled again.
 	kvFillFraction = 0.85
-	// initialRunMs is how long a request runs at a generating engine until answers
-	// have shown it, in milliseconds.
+	// initialRunMs is the assumed run time of a request at a decode engine until
+	// responses have shown it, in milliseconds.
 	initialRunMs = 1000.0
-	// initialTokenMs is how long it runs for each token that it may generate, and
-	// initialOutputTokens how many these are, until then.
+	// initialTokenMs is the assumed run time for each token of the maximum output until
+	// responses have shown it, in milliseconds; initialOutputTokens is the weight of
+	// that assumption, as a number of output tokens.
 	initialTokenMs      = 0.4
 	initialOutputTokens = 300.0
-	// initialKVTokens is the memory of one request until some were seen, in tokens.
+	// initialKVTokens is the assumed KV memory of one request until some were seen, in
+	// tokens.
 	initialKVTokens = 3000.0
-	// initialPlainMs is what a request ahead of another at a plain worker adds to its
-	// wait, over the worker's slots, until answers have shown it.
+	// initialPlainMs is the assumed run time of a request at a plain worker until
+	// responses have shown it, in milliseconds. Divided by the worker's slots it is
+	// what each request ahead adds to the wait.
 	initialPlainMs = 40.0
-	// crossZoneCacheCostMs is what handing a KV cache to another data centre costs beside
-	// ZonePrice, in milliseconds: the cache of a long prompt has a gigabyte and
-	// takes twice as long there, the answer has some kilobytes.
+	// crossZoneCacheCostMs is the cost of transferring a KV cache to another data
+	// centre in addition to ZonePrice, in milliseconds: the cache of a long prompt is a
+	// gigabyte and takes twice as long there, while the response is a few kilobytes.
 	crossZoneCacheCostMs = 9.0
-	// smallPrefillTokens is up to how many tokens a prompt is read beside streams without
-	// being noticed there: one piece between two tokens, 4 ms.
+	// smallPrefillTokens is the largest prefill that doesn't noticeably delay the
+	// streams of the same engine: one chunk between two tokens, 4 ms.
 	smallPrefillTokens = 512
-	// loadReportDecayMs is how long what a worker said of its load is believed; then what all
-	// of them say is.
+	// loadReportDecayMs is the time constant with which a worker's last load report
+	// decays to the mean of all workers, in milliseconds.
 	loadReportDecayMs = 500.0
-	// cacheLifetime is how long parts are believed to be held where this front sent
-	// them: at the usual load an engine's memory turns over in some seconds.
-	// partRetention is how long they are remembered at all.
+	// cacheLifetime is how long prompt parts are assumed to stay cached at the engine
+	// to which this gateway sent them: at the usual load an engine's cache turns over
+	// in a few seconds. partRetention is how long they are remembered at all.
 	cacheLifetime = 6 * kumquatlug.Second
 	partRetention = 30 * kumquatlug.Second
-	// refusalBackoff is how long a worker that refused is left alone; it doubles
-	// with each refusal in a row up to maxRefusalBackoff. A full worker has room again
-	// within tenths of a second; one that changes its role looks idle for
-	// seconds and would draw all work.
+	// refusalBackoff is how long a worker that refused a request is given no new one;
+	// it doubles with each consecutive refusal up to maxRefusalBackoff. A full worker
+	// has capacity again within tenths of a second. A worker that changes its role
+	// looks idle for seconds and would attract all requests.
 	refusalBackoff    = 50 * kumquatlug.Millis(1)
 	maxRefusalBackoff = 800 * kumquatlug.Millis(1)
-	// minSlowdown and maxSlowdown bound how far the expected time of reading may lie
-	// from what an idle engine needs for the same tokens.
+	// minSlowdown and maxSlowdown bound the ratio of the expected prefill time to that
+	// of an idle engine for the same tokens.
 	minSlowdown, maxSlowdown = 0.7, 4.0
-	// ewmaWeight is the weight of a new figure in a mean: some thirty make one.
+	// ewmaWeight is the weight of a new sample in a moving average, which covers about
+	// thirty samples.
 	ewmaWeight = 1.0 / 32
 )
 
-// worker is what is known of one worker.
+// worker is the state kept for one worker.
 type worker struct {
 	member kumquatlug.Member
 	hash   uint64
-	// prefills and tokens are the prompts in hand for this front and what is to be
-	// read of them; runs are all other requests in hand and room the memory that
-	// they take, in tokens.
+	// prefills counts the prompts in flight for this gateway and prefillTokens the
+	// tokens that they still have to prefill. running counts all other requests in
+	// flight and kvTokens the KV memory that they take, in tokens.
 	prefills      int
 	prefillTokens float64
 	running       int
 	kvTokens      float64
-	// otherRequests is how many requests of other fronts were in hand when the worker
-	// last spoke, at saidAt.
+	// otherRequests is the number of requests of other gateways in flight when the
+	// worker last reported its load, at reportedAt.
 	otherRequests float64
 	reportedAt    kumquatlug.Millis
-	// cachedParts are the parts that were sent there, by this front or, where it coordinates the
-	// engine, by any, with their last use; read is how many tokens were read in all.
+	// cachedParts are the prompt parts that were sent to the worker, by this gateway
+	// or, if it coordinates the engine, by any, with their last use. prefilledTokens is
+	// the total number of tokens prefilled there.
 	cachedParts     map[string]cachedPart
 	prefilledTokens float64
-	// nextRole is the role that the worker is about to take until leavingUntil.
+	// nextRole is the role to which the worker is changing until roleChangeUntil.
 	nextRole        kumquatlug.Role
 	roleChangeUntil kumquatlug.Millis
-	// refusals counts those in a row; until then nothing new is sent there.
+	// refusals counts consecutive refusals; until backoffUntil no new request is sent.
 	refusals     int
 	backoffUntil kumquatlug.Millis
-	// pausedUntil is for how long the worker asked to be sent nothing.
+	// pausedUntil is the end of a pause for which the worker asked.
 	pausedUntil kumquatlug.Millis
-	// attempts are the attempts in hand for this front. Something last came from
-	// the worker at heardAt; pauses are those between two events of a stream;
-	// silent says that it was left out for saying nothing.
+	// attempts are the attempts in flight for this gateway. lastSeenAt is when anything
+	// last came from the worker, pauses are those between two events of a stream, and
+	// unresponsive says that the worker is excluded because nothing came from it.
 	attempts     []*Ticket
 	lastSeenAt   kumquatlug.Millis
 	pauses       learn.Pause
 	unresponsive bool
-	// probedAt is when the worker was last asked whether it is there.
+	// probedAt is when the last liveness probe was sent.
 	probedAt kumquatlug.Millis
-	// queue are the prompts that wait for the engine, those of other fronts among
-	// them where this one coordinates it; turns are those that other fronts were given.
+	// queue holds the prompts that wait for the engine, including those of other
+	// gateways if this one coordinates it. grants are the ones given to other gateways.
 	queue  []*queuedPrompt
 	grants []remoteGrant
-	// requestedTokens are to be read of the prompts that wait at its coordinator.
+	// requestedTokens is the number of tokens to prefill in the prompts that wait at
+	// the engine's coordinator.
 	requestedTokens float64
-	// load is what this front gave it to read until loadAt, see [Placer.recentLoad].
+	// load is the decaying sum of tokens that this gateway gave the worker to prefill,
+	// as of loadAt; see [Placer.recentLoad].
 	load   float64
 	loadAt kumquatlug.Millis
-	// limit is what the worker says of the rate of requests that it takes.
+	// limit is the request rate limit that the worker advertises.
 	limit *ratelimit.Limit
 }
 
-// cachedPart is when a part was used last, and how many tokens its engine had read by then.
+// cachedPart records when a prompt part was last used and how many tokens its engine
+// had prefilled by then.
 type cachedPart struct {
 	lastUsedAt      kumquatlug.Millis
 	prefilledTokens float64
@@ -194,48 +204,50 @@
 	config  Config
 	workers map[string]*worker
 	ordered []*worker
-	// prefillEngines is how many of the workers read prompts apart.
+	// prefillEngines is the number of workers that only prefill.
 	prefillEngines int
 	health         *health.Group
-	// prefillModel is how long engines read a prompt.
+	// prefillModel estimates how long an engine takes to prefill a prompt.
 	prefillModel *learn.Reading
-	// meanPrefillTokens is how many tokens one prompt leaves to be read, meanTime how
-	// long a plain request takes.
+	// meanPrefillTokens is the mean number of tokens that a prompt leaves to prefill,
+	// meanPlainMs the mean run time of a plain request.
 	meanPrefillTokens float64
 	meanPlainMs       float64
-	// meanKVTokens is the memory that one request takes at a generating engine, in
-	// tokens, and memory what an engine has; zero when it is not known.
+	// meanKVTokens is the mean KV memory of one request at a decode engine, in tokens,
+	// and kvCapacity that of an engine; zero when it is not known.
 	meanKVTokens float64
 	kvCapacity   float64
-	// meanOtherRequests is how many requests of other fronts workers said to have.
+	// meanOtherRequests is the mean number of requests of other gateways that workers
+	// reported.
 	meanOtherRequests float64
 	meanRunMs         float64
 	// pauses are those between two events of a stream at any engine.
 	pauses learn.Pause
-	// overrun is how much later than expected the first output of an engine comes,
-	// plainOverrun an answer of a plain worker.
+	// overrun is how much later than expected the first output of an engine arrives,
+	// plainOverrun the same for a response of a plain worker.
 	overrun, plainOverrun *learn.Overrun
-	// tokenTime is how long a run takes for each token of its greatest output, in
+	// tokenTime is the run time of a request for each token of its maximum output, in
 	// ms.
 	tokenTime *learn.PerUnit
-	// slowdown is how long prompts take to be read beside what is expected.
+	// slowdown is the ratio of actual to expected prefill time.
 	slowdown float64
 	prunedAt kumquatlug.Millis
-	// prefillInterval is the mean span between two prompts of this front that were given
-	// to readers, in ms; the last one was at readAt.
+	// prefillInterval is the mean interval between two prompts of this gateway that
+	// were given to prefill engines, in ms; lastPrefillAt is the time of the last one.
 	prefillInterval float64
 	lastPrefillAt   kumquatlug.Millis
-	// displaced waited for workers that are gone, asked wait at other fronts.
+	// displaced holds prompts that were queued for workers that left, grantRequests
+	// those that wait at other gateways.
 	displaced     []*queuedPrompt
 	grantRequests map[uint64]*grantRequest
-	// outbox are messages to other fronts.
+	// outbox holds messages to other gateways.
 	outbox   []kumquatlug.TurnMessage
 	averages pressureAverages
-	// livenessCheckedAt is when silent workers were last looked for.
+	// livenessCheckedAt is when workers were last checked for being unresponsive.
 	livenessCheckedAt kumquatlug.Millis
 }
 
-// New returns a placer without workers.
+// New returns a Placer without workers.
 func New(c Config) *Placer {
 	c = c.withDefaults()
 	return &Placer{
@@ -246,10 +258,10 @@
 	}
 }
 
-// Sync takes the members of the service as they are now. A worker that started
-// anew under its old name holds nothing. The streams in hand at workers that
-// leave are returned: such a worker serves on for some seconds, and what is not
-// moved away by then is cut.
+// Sync updates the workers to the current members of the service. A worker that
+// restarted under the same name has nothing cached. Sync returns the streams in flight
+// at workers that leave: such a worker serves for a few more seconds, and streams that
+// are not moved by then are cut off.
 func (p *Placer) Sync(now kumquatlug.Millis, members []kumquatlug.Member) []*Ticket {
 	var streams []*Ticket
 	seen := map[string]bool{}
@@ -286,7 +298,7 @@
 	return streams
 }
 
-// sortWorkers orders the workers by name, and counts those that read.
+// sortWorkers orders the workers by name and counts those that only prefill.
 func (p *Placer) sortWorkers() {
 	p.ordered, p.prefillEngines = p.ordered[:0], 0
 	for _, w := range p.workers {
@@ -298,14 +310,14 @@
 	slices.SortFunc(p.ordered, func(a, b *worker) int { return cmp.Compare(a.member.Worker.ID(), b.member.Worker.ID()) })
 }
 
-// displaceQueue takes over the queue of a worker that reads no more.
+// displaceQueue takes over the queue of a worker that no longer prefills.
 func (p *Placer) displaceQueue(w *worker) {
 	p.displaced = append(p.displaced, p.disownRemote(w)...)
 	w.queue = nil
 	p.withdrawRequests(w)
 }
 
-// Report takes what a worker said of its load in an answer.
+// Report records the load that a worker reported in a response.
 func (p *Placer) Report(now kumquatlug.Millis, id string, load kumquatlug.WorkerLoad) {
 	w, known := p.workers[id]
 	if !known || !load.Known() {
@@ -316,5 +328,5 @@
 	p.meanOtherRequests += ewmaWeight * (w.otherRequests - p.meanOtherRequests)
 }
 
-// SetMemory tells how many tokens an engine keeps in memory.
+// SetMemory sets the KV memory of an engine, in tokens.
 func (p *Placer) SetMemory(tokens int) { p.kvCapacity = float64(tokens) }
--- a/pkg/kumquatlug/placement/placement_test.go
+++ b/pkg/kumquatlug/placement/placement_test.go
@@ -15,19 +15,19 @@
 	}
 }
 
-// engines returns members: readers r0, r1, … and generators g0, g1, …
-func engines(readers, generators int) []kumquatlug.Member {
+// engines returns members: prefill engines r0, r1, … and decode engines g0, g1, …
+func engines(prefill, decode int) []kumquatlug.Member {
 	var members []kumquatlug.Member
-	for i := range readers {
+	for i := range prefill {
 		members = append(members, member(fmt.Sprintf("r%d", i), "a", kumquatlug.RolePrefill, 64))
 	}
-	for i := range generators {
+	for i := range decode {
 		members = append(members, member(fmt.Sprintf("g%d", i), "a", kumquatlug.RoleDecode, 64))
 	}
 	return members
 }
 
-// document is a long prompt: two shared parts and its own.
+// document returns a long prompt of two shared parts and its own.
 func document(prefix, own int) kumquatlug.Prompt {
 	return kumquatlug.NewPrompt([]kumquatlug.Part{
 		kumquatlug.NewPart(fmt.Sprint("top", prefix%4), 2520),
@@ -49,9 +49,9 @@
 	return c
 }
 
-// Fronts don't speak with each other. If each found its own place for a shared
-// part, every engine would read all of them; so all must agree, and few chains
-// may move when an engine goes.
+// Gateways choose engines without communicating. If each chose its own owner for a
+// shared prefix, every engine would prefill all of them. So all gateways must agree,
+// and few prefixes may move when an engine leaves.
 func TestGatewaysAgreeOnPrefixOwnersAndFewMove(t *testing.T) {
 	owners := func(members []kumquatlug.Member) map[int]string {
 		p := New(Config{Zone: "a"})
@@ -68,23 +68,23 @@
 	moved := 0
 	for prefix, owner := range first {
 		if second[prefix] != owner {
-			t.Fatalf("chain %d lives at %s and at %s", prefix, owner, second[prefix])
+			t.Fatalf("prefix %d is owned by %s and by %s", prefix, owner, second[prefix])
 		}
 		if without[prefix] != owner {
 			moved++
 			if owner != all[0].Worker.ID() {
-				t.Fatalf("chain %d moved from %s, which stayed", prefix, owner)
+				t.Fatalf("prefix %d moved from %s, which did not leave", prefix, owner)
 			}
 		}
 	}
 	if moved < 400/16 || moved > 400/4 {
-		t.Errorf("%d of 400 chains moved when one engine of eight went", moved)
+		t.Errorf("%d of 400 prefixes moved when one engine of eight left", moved)
 	}
 }
 
-// replayPrompts sends requests to engines that read at the sheet's rate and returns how
-// many tokens were read for each document, and the longest queue that
-// a document met, in milliseconds.
+// replayPrompts sends requests to engines that prefill at their specified rate. It
+// returns the mean number of tokens prefilled per document, and the longest queue that
+// a document found, in milliseconds.
 func replayPrompts(t *testing.T, c Config, nextPrefix func(i int) int, perSecond float64, span kumquatlug.Millis) (tokens, longest float64) {
 	t.Helper()
 	p := New(c)
@@ -112,7 +112,7 @@
 		prompt := document(nextPrefix(n), n)
 		choice := mustPlacePrompt(t, p, now, prompt)
 		id := choice.Worker().ID()
-		read, rate := 2890.0, 236.0
+		uncached, rate := 2890.0, 236.0
 		if !choice.Apart() {
 			rate = 118
 		}
@@ -121,35 +121,35 @@
 				cached[id] = map[string]bool{}
 			}
 			if !cached[id][part.ID()] {
-				read += float64(part.Tokens())
+				uncached += float64(part.Tokens())
 				cached[id][part.ID()] = true
 			}
 		}
-		freeAt[id] = math.Max(freeAt[id], at) + read/rate
+		freeAt[id] = math.Max(freeAt[id], at) + uncached/rate
 		longest = math.Max(longest, freeAt[id]-at)
 		jobs = append(jobs, job{ends: freeAt[id], ticket: p.Begin(now, choice, prompt)})
-		tokens += read
+		tokens += uncached
 		n++
 	}
 	return tokens / float64(n), longest
 }
 
-// 446 chains at the usual rate. Kept at its owner, a document costs little more than
-// its own tokens; placed by load alone, most shared parts are read at every
-// engine.
+// 446 prefixes arrive at the usual rate. Sent to its prefix's owner, a document costs
+// little more than its own tokens; placed by load alone, most shared prefixes are
+// prefilled at every engine.
 func TestSharedPrefixesArePrefilledOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	nextPrefix := func(int) int { return random.IntN(446) }
 	affine, _ := replayPrompts(t, Config{}, nextPrefix, 147, 30_000)
 	byLoad, _ := replayPrompts(t, Config{AwayPrice: 0.001}, nextPrefix, 147, 30_000)
-	t.Logf("tokens read for one document: %.0f at owners, %.0f by load", affine, byLoad)
+	t.Logf("tokens prefilled per document: %.0f at owners, %.0f by load", affine, byLoad)
 	if affine > 3500 || affine >= byLoad {
-		t.Errorf("%.0f tokens for a document, %.0f by load alone", affine, byLoad)
+		t.Errorf("%.0f tokens prefilled per document, %.0f by load alone", affine, byLoad)
 	}
 }
 
-// One chain has half of all requests. Kept at its owner alone, that engine's queue
-// would grow without end while seven others stand idle.
+// One prefix gets half of all requests. If they all went to its owner, that engine's
+// queue would grow without bound while seven others are idle.
 func TestHotPrefixSpillsOverFromItsOwner(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	nextPrefix := func(int) int {
@@ -160,12 +160,12 @@
 	}
 	_, longest := replayPrompts(t, Config{}, nextPrefix, 300, 20_000)
 	if longest > 1500 {
-		t.Errorf("a queue of %.0f ms", longest)
+		t.Errorf("longest queue is %.0f ms", longest)
 	}
 }
 
-// Streams run for seconds at generating engines. Long prompts read there slow
-// every one of them; only where no stream runs may that be cheaper.
+// Streams run for seconds at decode engines. A long prefill there slows all of them
+// down, so it may be cheaper only where no stream runs.
 func TestLongPromptsAvoidEnginesWithStreams(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(2, 1))
@@ -175,18 +175,18 @@
 	for i := range 6 {
 		c := mustPlacePrompt(t, p, 0, document(i, i))
 		if !c.Apart() {
-			t.Fatalf("document %d is read at an engine with 40 streams", i)
+			t.Fatalf("document %d is prefilled at an engine with 40 streams", i)
 		}
 		p.Begin(0, c, document(i, i))
 	}
 	if c := mustPlacePrompt(t, p, 0, chatPrompt(99)); c.Apart() {
-		t.Error("a short prompt is read apart")
+		t.Error("a short prompt is sent to a prefill engine")
 	}
 }
 
-// An engine was ordered into another role and refuses all requests until its last
-// stream has ended. It has nothing in hand and looks the least loaded; without a
-// pause every request of every front would go there first.
+// An engine was ordered to change its role and refuses all requests until its last
+// stream has ended. It has nothing in flight and looks least loaded; without a backoff
+// every request of every gateway would be sent there first.
 func TestRefusingEngineIsBackedOff(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 2))
@@ -206,8 +206,8 @@
 	}
 }
 
-// A worker breaks off whatever it is given. It is always free, and so draws all
-// work; it must be out within a few requests, and be tried again later.
+// A worker breaks off every request. It is always free, and so attracts all requests.
+// It must be ejected within a few requests, and be tried again later.
 func TestFailingWorkerIsEjected(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, []kumquatlug.Member{member("x", "", "", 6), member("y", "", "", 6), member("z", "", "", 6)})
@@ -230,8 +230,8 @@
 	}
 }
 
-// A worker starts anew under its old name: it holds nothing of before, and what
-// was in hand there must not count against it.
+// A worker restarts under the same name: it has lost its cache, and what was in flight
+// there must not count against it.
 func TestRestartedWorkerStartsWithCleanState(t *testing.T) {
 	p := New(Config{})
 	members := engines(1, 1)
@@ -244,29 +244,29 @@
 	}
 	p.End(20, old, OutcomeFailed)
 	if p.workers["r0"].prefillTokens != 0 || p.workers["r0"].prefills != 0 {
-		t.Errorf("%+v", p.workers["r0"])
+		t.Errorf("state of the restarted worker: %+v", p.workers["r0"])
 	}
 }
 
-// Workers that leave, are excluded or have another role get nothing.
+// Workers that leave, are excluded or have another role must not be chosen.
 func TestIneligibleWorkersAreNotChosen(t *testing.T) {
 	p := New(Config{})
 	draining := member("x", "", "", 6)
 	draining.State = kumquatlug.MemberDraining
 	p.Sync(0, []kumquatlug.Member{draining, member("y", "", "", 6)})
 	if c, found := p.Plain(0, Query{}); !found || c.Worker().ID() != "y" {
-		t.Error(c, found)
+		t.Errorf("chose %+v (found: %v), want y", c, found)
 	}
 	if _, found := p.Plain(0, Query{Exclude: []string{"y"}}); found {
 		t.Error("an excluded or leaving worker is chosen")
 	}
 	p.Sync(0, engines(2, 0))
 	if _, found := p.Prompt(0, Query{Prompt: document(1, 1)}); found {
-		t.Error("a prompt is read though nobody can generate")
+		t.Error("a prompt is prefilled though no engine can decode")
 	}
 }
 
-// Generating engines near the front go first while they have room.
+// Decode engines in the gateway's data centre are preferred while they have capacity.
 func TestDecodePrefersLocalZone(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, []kumquatlug.Member{member("far", "b", kumquatlug.RoleDecode, 8), member("near", "a", kumquatlug.RoleDecode, 8)})
@@ -277,16 +277,16 @@
 		p.Begin(0, c, chatPrompt(i))
 	}
 	if at["near"] < 4 || at["far"] < 4 {
-		t.Errorf("%v", at)
+		t.Errorf("requests by engine: %v", at)
 	}
 	p.Report(0, "near", kumquatlug.NewWorkerLoad(60, 0, 64))
 	if c, _ := p.Output(0, Query{Prompt: chatPrompt(99)}); c.Worker().ID() != "far" {
-		t.Error("an engine that others have filled is chosen")
+		t.Error("an engine that is full of other gateways' requests is chosen")
 	}
 }
 
-// A site has engines that know no roles. Each reads and generates; taken for
-// engines of no use, they would leave every request refused.
+// The engines of a deployment have no roles. Each prefills and decodes; if they were
+// not eligible, every request would be refused.
 func TestEnginesWithoutRolesPrefillAndDecode(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, []kumquatlug.Member{member("x", "a", "", 64), member("y", "a", "", 64)})
@@ -294,19 +294,19 @@
 	for i := range 40 {
 		c := mustPlacePrompt(t, p, 0, document(i, i))
 		if c.Apart() {
-			t.Fatal("a prompt is read apart where no engine generates for another")
+			t.Fatal("a prompt is only prefilled where no engine decodes for another")
 		}
 		at[c.Worker().ID()]++
 		p.Begin(0, c, document(i, i))
 	}
 	if at["x"] < 10 || at["y"] < 10 {
-		t.Errorf("%v", at)
+		t.Errorf("requests by engine: %v", at)
 	}
 }
 
-// A front that is told to stop refuses what would not end before it leaves. Where
-// a token takes four times as long as at another site, answers that it goes on
-// taking are cut off in the middle.
+// A gateway that is stopping refuses requests that would not end in time. Where a token
+// takes four times as long as in another deployment, requests that it still accepts
+// would be cut off midway.
 func TestExpectedDurationFollowsObservations(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, engines(1, 1))
@@ -319,13 +319,13 @@
 		p.End(now, ticket, OutcomeGood)
 	}
 	if got := p.Takes(1000) - p.Takes(0); got < 3*3500 || got > 3*4200 {
-		t.Errorf("%d ms for 1,000 tokens that take 4 ms each at the mean", got)
+		t.Errorf("%d ms for 1,000 tokens that take 4 ms each on average", got)
 	}
 	before := p.Takes(0)
 	for range 10 {
 		p.overrun.Saw(8000)
 	}
 	if got := p.Takes(0); got < before+2000 {
-		t.Errorf("%d ms when ten first outputs came eight seconds late", got)
+		t.Errorf("%d ms after ten first outputs arrived eight seconds late", got)
 	}
 }
--- a/pkg/kumquatlug/placement/pressure.go
+++ b/pkg/kumquatlug/placement/pressure.go
@@ -6,19 +6,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// pressureWindowMs is the span over which pressure is averaged, in milliseconds:
-// some tens of prompts, and a part of the seconds that a change of role takes.
+// pressureWindowMs is the window over which pressure is averaged, in milliseconds: some
+// tens of prompts, and a fraction of the seconds that a role change takes.
 const pressureWindowMs = 700.0
 
-// trendWindowMs is the span over which the trend of taken slots is seen, roleChangeMs
-// how far it is followed, in milliseconds: until a change of role has effect.
+// trendWindowMs is the window over which the trend of used slots is measured,
+// roleChangeMs how far it is extrapolated, in milliseconds: until a role change takes
+// effect.
 const (
 	trendWindowMs = 2000.0
 	roleChangeMs  = 3000.0
 )
 
-// Pressure is how much is asked of a service's engines, as one front sees it:
-// its own work in hand, and what engines say of all other work.
+// Pressure is the load of a service's engines as one gateway sees it: its own requests
+// in flight, and the load that engines report for all others.
 type Pressure struct {
 	prefillUtilization    float64
 	lateFraction          float64
@@ -26,33 +27,33 @@
 	decodeEnginesForecast float64
 }
 
-// Reading returns the part of the reading engines that have prompts in hand.
+// Reading returns the fraction of the prefill engines that have prompts in flight.
 func (p Pressure) Reading() float64 { return p.prefillUtilization }
 
-// Late returns the part of the long prompts that were refused or could not be
-// read within their target latency.
+// Late returns the fraction of the long prompts that were refused or could not be
+// prefilled within their target latency.
 func (p Pressure) Late() float64 { return p.lateFraction }
 
-// Taken returns how many engines' slots the requests at generating engines take,
-// waiting ones counted.
+// Taken returns how many engines' worth of slots the requests at decode engines take,
+// including waiting ones.
 func (p Pressure) Taken() float64 { return p.decodeEnginesUsed }
 
-// Coming returns how many they will take, by the trend, when a change of role
-// that is ordered now has effect.
+// Coming returns how many they will take, by the trend, when a role change that is
+// ordered now takes effect.
 func (p Pressure) Coming() float64 { return p.decodeEnginesForecast }
 
-// Beside is what a worker has in hand, as one front sees it.
+// Beside is the work in flight at a worker, as one gateway sees it.
 type Beside struct {
 	tokens, requests int
 }
 
-// Tokens returns how many tokens are to be read there for this front.
+// Tokens returns the number of tokens to prefill there for this gateway.
 func (b Beside) Tokens() int { return b.tokens }
 
-// Requests returns how many requests are believed to run there, those of all fronts.
+// Requests returns the estimated number of requests of all gateways that run there.
 func (b Beside) Requests() int { return b.requests }
 
-// Beside returns what a worker has in hand.
+// Beside returns the work in flight at a worker.
 func (p *Placer) Beside(now kumquatlug.Millis, id string) Beside {
 	w, known := p.workers[id]
 	if !known {
@@ -61,17 +62,17 @@
 	return Beside{tokens: int(w.prefillTokens), requests: w.running + int(math.Round(p.otherRequestsAt(now, w)))}
 }
 
-// pressureAverages keeps the averages behind a [Pressure].
+// pressureAverages holds the averages behind a [Pressure].
 type pressureAverages struct {
 	prefillUtilization, decodeEnginesUsed float64
-	// prompts and late count prompts; both fade.
+	// prompts and latePrompts are decaying counts.
 	prompts, latePrompts float64
 	sampledAt            kumquatlug.Millis
-	// slowDecodeEnginesUsed is taken over a longer span, for the trend.
+	// slowDecodeEnginesUsed is averaged over trendWindowMs, for the trend.
 	slowDecodeEnginesUsed float64
 }
 
-// decay lets older counts weigh less.
+// decay reduces the weight of older counts and returns the factor.
 func (g *pressureAverages) decay(now kumquatlug.Millis) float64 {
 	kept := math.Exp(-float64(now-g.sampledAt) / pressureWindowMs)
 	g.prompts *= kept
@@ -80,7 +81,7 @@
 	return kept
 }
 
-// Measure takes a sample; call it each few hundredths of a second.
+// Measure takes a sample. It has to be called every few hundredths of a second.
 func (p *Placer) Measure(now kumquatlug.Millis) {
 	kept := p.averages.decay(now)
 	busy := p.busyPrefillFraction(now)
@@ -99,9 +100,9 @@
 	p.averages.slowDecodeEnginesUsed = slow*p.averages.slowDecodeEnginesUsed + (1-slow)*taken
 }
 
-// busyPrefillFraction is the part of the reading engines that is at work. Of an engine that this
-// front coordinates it knows the prompts of all fronts, of the others its own alone;
-// which engines it coordinates is a fair sample of all.
+// busyPrefillFraction returns the fraction of the prefill engines that are busy. For an
+// engine that this gateway coordinates it knows the prompts of all gateways, for others
+// only its own. The engines that it coordinates are a fair sample of all.
 func (p *Placer) busyPrefillFraction(now kumquatlug.Millis) float64 {
 	known, all, knownBusy, allBusy := 0, 0, 0.0, 0.0
 	for _, w := range p.ordered {
@@ -134,20 +135,21 @@
 	}
 }
 
-// Occupancy is how much of a service's workers in one data centre is taken.
+// Occupancy is how much of a service's workers in one data centre is in use.
 type Occupancy struct {
 	workers int
 	busy    float64
 }
 
-// Workers returns how many workers take work.
+// Workers returns the number of workers that accept requests.
 func (o Occupancy) Workers() int { return o.workers }
 
-// Busy returns how much of them is taken, in workers; above their number requests wait.
+// Busy returns how much of them is in use, in workers; above their number requests
+// wait.
 func (o Occupancy) Busy() float64 { return o.busy }
 
-// Occupied returns how much is taken by data centre, by what this front has in hand and
-// what the workers said of the others.
+// Occupied returns the occupancy by data centre, from this gateway's requests in flight
+// and the load that workers report for the others.
 func (p *Placer) Occupied(now kumquatlug.Millis) map[string]Occupancy {
 	zones := map[string]Occupancy{}
 	for _, w := range p.ordered {
@@ -162,8 +164,8 @@
 	return zones
 }
 
-// usedFraction is the part of a worker that is taken. One that reads prompts apart has as many
-// places as prompts it may have in hand.
+// usedFraction returns the fraction of a worker that is in use. A prefill engine has as
+// many slots as prompts it may have in flight.
 func (p *Placer) usedFraction(now kumquatlug.Millis, w *worker) float64 {
 	places := w.member.Slots
 	if w.member.Role == kumquatlug.RolePrefill {
--- a/pkg/kumquatlug/placement/queue.go
+++ b/pkg/kumquatlug/placement/queue.go
@@ -8,42 +8,44 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// The queues answer a load of prompts above what the engines can read, for
-// seconds. Handed on at once, all of them stand in the engines' own queues, which
-// are served in order: after a second every prompt is read when its target
-// latency has passed, and the engines work at full rate for nobody who is still
-// in time. So an engine is given little ahead, and what it has no room for waits
-// at the front, where the order can still be chosen: those that can be in time
-// go first, by their worth for the tokens to be read; the late ones go when there
-// is nothing else; and who can't be served before its client gives up is refused as
-// soon as that shows, not at its deadline.
-
-// Figures of the queues.
+// The queues handle prompts that arrive, for seconds at a time, faster than the engines
+// can prefill them. If all were passed on at once, they would wait in the engines' own
+// first-in-first-out queues: after a second every prompt would be prefilled past its
+// target latency, and the engines would work at full rate without a single response in
+// time. So an engine is given little work in advance, and further prompts wait at the
+// gateway, where their order can still be chosen: those that can be in time go first,
+// by value per token to prefill; late ones go when there is nothing else; and one that
+// can't be served before its client gives up is refused as soon as that is known, not
+// at its deadline.
+
+// Constants of the queues.
 const (
-	// maxPrefills is how many prompts an engine may have in hand for all fronts: it reads
-	// a piece of several at a time, and a short one is not held up by a long one.
+	// maxPrefills is the number of prompts that an engine may have in flight for all
+	// gateways: it prefills chunks of several at a time, so that a long prompt doesn't
+	// delay a short one.
 	maxPrefills = 3
-	// maxEngineBacklogMs is how much reading an engine may have left when it is given the
-	// next prompt, in milliseconds: the way there takes one or two. Each prompt
-	// that is there early takes memory from the shared parts.
+	// maxEngineBacklogMs is how much prefill an engine may have left when it is given
+	// the next prompt, in milliseconds: sending one takes one or two. Each prompt that
+	// arrives early takes memory from cached prefixes.
 	maxEngineBacklogMs = 5.0
-	// postPrefillMs is how long after its prompt was read a request needs until its
-	// first output reaches the client, in milliseconds: the hand-over, a place in
-	// the batch and the way.
+	// postPrefillMs is the time from the end of a prefill until the first output
+	// reaches the client, in milliseconds: the transfer, a place in the batch and the
+	// network.
 	postPrefillMs = 25.0
-	// promptOverheadTokens is what a prompt costs beside its reading, in tokens.
+	// promptOverheadTokens is the fixed cost of a prompt, in tokens.
 	promptOverheadTokens = 500.0
-	// loadWindowPrompts is how many prompts of this front an engine's load is averaged
-	// over, minLoadWindowMs and maxLoadWindowMs bound the span that they take, in
-	// milliseconds. Over fewer a single prompt looks like a full engine.
+	// loadWindowPrompts is the number of this gateway's prompts over which an engine's
+	// load is averaged; minLoadWindowMs and maxLoadWindowMs bound the time that they
+	// span, in milliseconds. Over fewer prompts a single one looks like a full engine.
 	loadWindowPrompts                = 3.0
 	minLoadWindowMs, maxLoadWindowMs = 500.0, 4000.0
-	// lateHoldDivisor is the part of a client's patience, as a divisor, for which a prompt
-	// waits at most after it turned late. By then the load has not gone down; told
-	// so, its client has time for another try.
+	// lateHoldDivisor divides the time left until the client gives up; the quotient is
+	// how long a prompt stays queued at most after it has become late. After that long
+	// the load has evidently not fallen, and an early refusal leaves the client time to
+	// retry.
 	lateHoldDivisor = 7
-	// minSpareFraction is the part of an engine that late prompts may count on when it
-	// is full: what others leave by chance.
+	// minSpareFraction is the fraction of a full engine that late prompts may count on:
+	// the gaps that other prompts leave.
 	minSpareFraction = 0.15
 )
 
@@ -52,44 +54,45 @@
 	key    uint64
 	query  Query
 	choice Choice
-	// density is its worth for each token that has to be read; see [valueDensity].
+	// density is its value per token to prefill; see [valueDensity].
 	density float64
 	// late says that it can't be in time any more, lateAt since when.
 	late   bool
 	lateAt kumquatlug.Millis
-	// maxLateHold is how long it waits at most from then on.
+	// maxLateHold is how long it stays queued at most from then on.
 	maxLateHold kumquatlug.Millis
-	// skipCoordinator says that no coordinator is to be asked.
+	// skipCoordinator says that no coordinator is asked for a grant.
 	skipCoordinator bool
-	// remote names a prompt of another front, which asked for it last at seenAt.
+	// remote identifies a prompt of another gateway, which last renewed its request at
+	// renewedAt.
 	remote    remoteKey
 	renewedAt kumquatlug.Millis
 }
 
-// Entry is what became of a prompt that came to the engines.
+// Entry is the result of submitting a prompt.
 type Entry string
 
-// The ways in which a prompt enters.
+// The results of [Placer.Enter].
 const (
-	// EntrySent: it goes to its engine now.
+	// EntrySent: the prompt is sent to its engine now.
 	EntrySent Entry = "sent"
-	// EntryWaits: it waits in its engine's queue; see [Placer.Due].
+	// EntryWaits: the prompt waits in its engine's queue; see [Placer.Due].
 	EntryWaits Entry = "waits"
-	// EntryRefused: no engine can read it in time.
+	// EntryRefused: no engine can prefill the prompt in time.
 	EntryRefused Entry = "refused"
-	// EntryNobody: there is no engine for it.
+	// EntryNobody: no engine is available.
 	EntryNobody Entry = "nobody"
 )
 
-// Enter takes a new prompt. The key tells it from the others that wait. With
-// EntrySent the ticket is begun; with EntryRefused the choice tells the wait that
-// was expected.
+// Enter submits a new prompt. The key identifies it among the queued ones. With
+// EntrySent the ticket is of an attempt that has begun; with EntryRefused the choice
+// holds the expected wait.
 func (p *Placer) Enter(now kumquatlug.Millis, key uint64, q Query) (Entry, Choice, *Ticket) {
 	return p.submit(now, &queuedPrompt{key: key, query: q, maxLateHold: q.timeLeft(now) / lateHoldDivisor})
 }
 
-// submit brings a prompt to its engine, the engine's queue, or the front that coordinates
-// the engine.
+// submit sends a prompt to its engine, or queues it for the engine, or requests a grant
+// from the gateway that coordinates the engine.
 func (p *Placer) submit(now kumquatlug.Millis, queued *queuedPrompt) (Entry, Choice, *Ticket) {
 	q := queued.query
 	c, found := p.Prompt(now, q)
@@ -102,7 +105,7 @@
 	}
 	queued.choice = c
 	if p.coordinates(now, w) {
-		// Its wait is known, with the prompts of all fronts in it.
+		// The wait is known, as it includes the prompts of all gateways.
 		queued.maxLateHold = q.timeLeft(now)
 		if c.prefillOnly {
 			p.estimateTokens(w, queued)
@@ -135,9 +138,9 @@
 	return EntryWaits, c, nil
 }
 
-// enqueue puts a prompt into its place in a queue: those that can be in time by
-// their density, then the late ones by age. The engine has less time than they need
-// together, and by age a prompt of 30,000 tokens would make ten others late.
+// enqueue inserts a prompt into a queue: those that can be in time by density, then the
+// late ones by age. The engine has less time than all of them need, and in order of age
+// a prompt of 30,000 tokens would make ten others late.
 func (w *worker) enqueue(queued *queuedPrompt) {
 	queued.density = valueDensity(queued.query, queued.choice.effectiveTokens)
 	at := len(w.queue)
@@ -150,7 +153,7 @@
 	w.queue = slices.Insert(w.queue, at, queued)
 }
 
-// timeLeft returns how long a client still waits.
+// timeLeft returns the time until the client gives up.
 func (q Query) timeLeft(now kumquatlug.Millis) kumquatlug.Millis {
 	if q.Until == 0 {
 		return math.MaxInt64
@@ -158,8 +161,8 @@
 	return q.Until - now
 }
 
-// hasCapacity reports that an engine may be given one more prompt. Where this front does
-// not coordinate it, each other front has some there, too.
+// hasCapacity reports whether an engine may be given one more prompt. If this gateway
+// does not coordinate the engine, each other gateway has prompts there, too.
 func (p *Placer) hasCapacity(now kumquatlug.Millis, w *worker) bool {
 	if p.coordinates(now, w) && w.prefills < maxPrefills {
 		return true
@@ -167,12 +170,12 @@
 	return w.prefills == 0 || p.inFlightTokens(now, w)/p.prefillRate()*p.slowdown < maxEngineBacklogMs
 }
 
-// inFlightTokens is how many tokens are to be read of what the engine has already.
+// inFlightTokens returns the number of tokens to prefill that the engine already has.
 func (p *Placer) inFlightTokens(now kumquatlug.Millis, w *worker) float64 {
 	return w.prefillTokens + p.otherRequestsAt(now, w)*p.meanPrefillTokens
 }
 
-// queuedTokens is how many tokens wait for w.
+// queuedTokens returns the number of tokens to prefill that wait for w.
 func (w *worker) queuedTokens() float64 {
 	sum := w.requestedTokens
 	for _, queued := range w.queue {
@@ -181,8 +184,9 @@
 	return sum
 }
 
-// tokensAhead is how many tokens are to be read before a prompt that joins the queue of w:
-// those of the prompts in time that go before it, or of the late ones.
+// tokensAhead returns the number of tokens to prefill before a prompt that joins the
+// queue of w: those of the prompts in time that go before it or, for a late one, of the
+// other late ones.
 func (w *worker) tokensAhead(queued *queuedPrompt) float64 {
 	density := valueDensity(queued.query, queued.choice.effectiveTokens)
 	sum := 0.0
@@ -194,9 +198,9 @@
 	return sum
 }
 
-// willBeLate reports that a prompt can no longer be in time behind so many tokens
-// ahead of it. For one whose answer has begun that is past, and it has its turn
-// first.
+// willBeLate reports whether a prompt can no longer be in time with so many tokens
+// ahead of it. It is false for a prompt whose response has begun: the first output is
+// past, and the prompt goes first.
 func (p *Placer) willBeLate(now kumquatlug.Millis, w *worker, queued *queuedPrompt, ahead float64) bool {
 	if queued.query.Target == 0 || queued.query.Begun {
 		return false
@@ -211,9 +215,9 @@
 	p.averages.latePrompts++
 }
 
-// canServeLate reports that a late prompt will have its turn before its client gives
-// up: by the late ones ahead of it, and the part of the engine that those in time
-// leave to them.
+// canServeLate reports whether a late prompt will be prefilled before its client gives
+// up, given the late ones ahead of it and the fraction of the engine that the prompts
+// in time leave.
 func (p *Placer) canServeLate(now kumquatlug.Millis, w *worker, queued *queuedPrompt, ahead float64) bool {
 	if now-queued.lateAt > queued.maxLateHold {
 		return false
@@ -222,7 +226,7 @@
 	return kumquatlug.Millis(wait+postPrefillMs) < queued.query.timeLeft(now)
 }
 
-// mayQueue reports that a new prompt is worth a place in the queue of w.
+// mayQueue reports whether a new prompt may join the queue of w.
 func (p *Placer) mayQueue(now kumquatlug.Millis, w *worker, queued *queuedPrompt) bool {
 	if !p.willBeLate(now, w, queued, w.tokensAhead(queued)) {
 		return true
@@ -231,18 +235,20 @@
 	return p.canServeLate(now, w, queued, w.tokensAhead(queued))
 }
 
-// spareFraction is the part of an engine that this front's load leaves.
+// spareFraction returns the fraction of an engine that this gateway's load leaves.
 func (p *Placer) spareFraction(now kumquatlug.Millis, w *worker) float64 {
 	return max(minSpareFraction, 1-p.recentLoad(now, w)*p.slowdown/(p.prefillRate()*p.loadWindowMs()))
 }
 
-// recentLoad is how many tokens this front gave the engine to read lately.
+// recentLoad returns the decaying sum of tokens that this gateway gave the engine to
+// prefill.
 func (p *Placer) recentLoad(now kumquatlug.Millis, w *worker) float64 {
 	return w.load * math.Exp(-float64(now-w.loadAt)/p.loadWindowMs())
 }
 
-// addLoad counts a prompt that the engine was given. Late ones at an engine that is
-// coordinated take what the others leave, and don't count in that.
+// addLoad counts a prompt that the engine was given. Late prompts at an engine that
+// this gateway coordinates use only what the others leave, and are not counted as part
+// of it.
 func (p *Placer) addLoad(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
 	if queued.late && p.coordinates(now, w) {
 		return
@@ -253,29 +259,30 @@
 	p.lastPrefillAt = now
 }
 
-// loadWindowMs is the span over which an engine's load is averaged.
+// loadWindowMs returns the time over which an engine's load is averaged, in
+// milliseconds.
 func (p *Placer) loadWindowMs() float64 {
 	return min(max(loadWindowPrompts*p.prefillInterval*float64(p.prefillEngines), minLoadWindowMs), maxLoadWindowMs)
 }
 
-// Due is a prompt whose turn has come, or that is given up.
+// Due is a prompt that leaves the queue: it is sent, or given up.
 type Due struct {
 	key    uint64
 	choice Choice
 	ticket *Ticket
 }
 
-// Key returns the key under which the prompt entered.
+// Key returns the key under which the prompt was submitted.
 func (d Due) Key() uint64 { return d.key }
 
-// Choice returns the engine.
+// Choice returns the chosen engine.
 func (d Due) Choice() Choice { return d.choice }
 
-// Ticket returns the attempt that was begun, nil for a prompt that is given up.
+// Ticket returns the attempt that has begun, nil for a prompt that is given up.
 func (d Due) Ticket() *Ticket { return d.ticket }
 
-// Due returns the prompts whose turn has come and those that can't be served in
-// time any more. Call it after each event and, while somebody waits, each few
+// Due returns the prompts to send now and those that can't be served in time any more.
+// It has to be called after each event and, while prompts are queued, every few
 // hundredths of a second.
 func (p *Placer) Due(now kumquatlug.Millis) []Due {
 	due := p.requeueDisplaced(now)
@@ -285,14 +292,14 @@
 		for len(w.queue) > 0 && p.hasCapacity(now, w) && p.eligible(now, w, Query{}, kumquatlug.RolePrefill) {
 			queued := p.dequeue(w)
 			if p.coordinates(now, w) {
-				// What was read since it came spares it that.
+				// Parts that were prefilled since it was queued are cached now.
 				p.estimateTokens(w, queued)
 			}
 			if queued.remote.gateway != "" {
 				p.grantRemote(now, w, queued)
 				continue
 			}
-			// What it waited in the queue is no part of what the engine takes.
+			// The time in the queue is not part of what the engine takes.
 			queued.choice.wait = (p.inFlightTokens(now, w)+queued.choice.effectiveTokens)/p.prefillRate()*p.slowdown + p.handoffMs()
 			p.addLoad(now, w, queued)
 			due = append(due, Due{key: queued.key, choice: queued.choice, ticket: p.Begin(now, queued.choice, queued.query.Prompt)})
@@ -301,8 +308,8 @@
 	return due
 }
 
-// requeueDisplaced finds other engines for the prompts that waited for one that is
-// gone.
+// requeueDisplaced finds other engines for the prompts that were queued for an engine
+// that left.
 func (p *Placer) requeueDisplaced(now kumquatlug.Millis) []Due {
 	var due []Due
 	displaced := p.displaced
@@ -317,8 +324,8 @@
 	return due
 }
 
-// dropLate marks the prompts of a queue that turn late and gives up those that
-// won't have their turn.
+// dropLate marks the prompts of a queue that have become late and gives up those that
+// can't be served before their client gives up.
 func (p *Placer) dropLate(now kumquatlug.Millis, w *worker, due []Due) []Due {
 	queue := w.queue
 	w.queue = make([]*queuedPrompt, 0, len(queue))
@@ -343,8 +350,8 @@
 	return due
 }
 
-// keepOrDropLate keeps a late prompt at the end of the queue or gives it up; ahead are
-// the tokens of those before it.
+// keepOrDropLate keeps a late prompt at the end of the queue or gives it up; ahead is
+// the number of tokens before it.
 func (p *Placer) keepOrDropLate(now kumquatlug.Millis, w *worker, queued *queuedPrompt, ahead *float64, due []Due) []Due {
 	switch {
 	case p.canServeLate(now, w, queued, *ahead):
@@ -358,15 +365,15 @@
 	return due
 }
 
-// dequeue takes the prompt to be read next out of a queue.
+// dequeue removes the prompt to prefill next from a queue.
 func (p *Placer) dequeue(w *worker) *queuedPrompt {
 	queued := w.queue[0]
 	w.queue = slices.Delete(w.queue, 0, 1)
 	return queued
 }
 
-// valueDensity is a prompt's worth for each token that has to be read. One whose answer
-// has begun goes first, as its client sees it stand still.
+// valueDensity returns the value of a prompt per token to prefill. One whose response
+// has begun goes first, as its client sees a stalled stream.
 func valueDensity(q Query, tokens float64) float64 {
 	if q.Begun {
 		return math.Inf(1)
@@ -374,7 +381,7 @@
 	return cmp.Or(q.Worth, 1) / (tokens + promptOverheadTokens)
 }
 
-// Leave takes a prompt out of the queues; its client left.
+// Leave removes a prompt from the queues after its client has disconnected.
 func (p *Placer) Leave(key uint64) {
 	isLocal := func(queued *queuedPrompt) bool { return queued.key == key && queued.remote.gateway == "" }
 	p.displaced = slices.DeleteFunc(p.displaced, isLocal)
@@ -384,7 +391,7 @@
 	}
 }
 
-// Waiting returns how many prompts wait, those of other fronts counted.
+// Waiting returns the number of queued prompts, including those of other gateways.
 func (p *Placer) Waiting() int {
 	n := len(p.displaced) + len(p.grantRequests)
 	for _, w := range p.ordered {
--- a/pkg/kumquatlug/placement/queue_test.go
+++ b/pkg/kumquatlug/placement/queue_test.go
@@ -11,11 +11,12 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/learn"
 )
 
-// overloadResult replays prompts at a steady rate against one reading engine that reads
-// each prompt's own tokens, and counts what became of them.
+// overloadResult counts the outcomes of prompts that arrive at a steady rate at one
+// prefill engine, which prefills only each prompt's own tokens.
 type overloadResult struct {
 	inTime, late, refused int
-	// maxRefusalDelay is the longest that one was held before it was refused.
+	// maxRefusalDelay is the longest time that a prompt was queued before it was
+	// refused.
 	maxRefusalDelay kumquatlug.Millis
 }
 
@@ -34,33 +35,33 @@
 		arrived kumquatlug.Millis
 		prompt  kumquatlug.Prompt
 	}
-	type reading struct {
+	type prefillJob struct {
 		key    uint64
 		ticket *Ticket
 	}
 	var r overloadResult
-	var atEngine []reading
+	var engineQueue []prefillJob
 	jobs := map[uint64]job{}
 	random := rand.New(rand.NewPCG(7, 8))
 	freeAt, nextAt, key := 0.0, 0.0, uint64(0)
 	start := func(now kumquatlug.Millis, k uint64, ticket *Ticket) {
-		atEngine = append(atEngine, reading{key: k, ticket: ticket})
-		if len(atEngine) == 1 {
+		engineQueue = append(engineQueue, prefillJob{key: k, ticket: ticket})
+		if len(engineQueue) == 1 {
 			freeAt = float64(now) + float64(jobs[k].prompt.Input()-6300)/236
 		}
 	}
 	for now := kumquatlug.Millis(0); now < span; now++ {
-		for len(atEngine) > 0 && freeAt <= float64(now) {
-			finished := atEngine[0]
-			atEngine = atEngine[1:]
+		for len(engineQueue) > 0 && freeAt <= float64(now) {
+			finished := engineQueue[0]
+			engineQueue = engineQueue[1:]
 			p.End(now, finished.ticket, OutcomeGood)
 			if now-jobs[finished.key].arrived+postPrefillMs <= 200 {
 				r.inTime++
 			} else {
 				r.late++
 			}
-			if len(atEngine) > 0 {
-				freeAt += float64(jobs[atEngine[0].key].prompt.Input()-6300) / 236
+			if len(engineQueue) > 0 {
+				freeAt += float64(jobs[engineQueue[0].key].prompt.Input()-6300) / 236
 			}
 		}
 		for float64(now) >= nextAt {
@@ -96,32 +97,32 @@
 	return r
 }
 
-// Prompts come at twice the rate that the engine reads, for ten seconds. Handed
-// on as they come, all but the first ones are late. In queues, two thirds and more
-// of what the engine can do must be in time, and who can't be served must be told
-// early, not at the end of their patience.
+// Prompts arrive at twice the prefill rate for ten seconds. Passed on at once, all but
+// the first ones would be late. With queues at least two thirds of the engine's
+// capacity must be in time, and clients that can't be served must be refused early, not
+// at their deadline.
 func TestQueueKeepsMostPromptsInTimeUnderOverload(t *testing.T) {
 	unqueued, queued := runOverload(t, 150, 10_000, false), runOverload(t, 150, 10_000, true)
-	t.Logf("handed on: %+v; in queues: %+v", unqueued, queued)
+	t.Logf("without queues: %+v; with queues: %+v", unqueued, queued)
 	if queued.inTime < 500 || queued.inTime < 5*unqueued.inTime {
-		t.Errorf("%d prompts in time, %d without queues", queued.inTime, unqueued.inTime)
+		t.Errorf("%d prompts in time with queues, %d without", queued.inTime, unqueued.inTime)
 	}
 	if queued.maxRefusalDelay > 500 {
 		t.Errorf("a prompt was refused after %d ms", queued.maxRefusalDelay)
 	}
 }
 
-// Below what the engine reads nobody may be refused, and the queues may not make
-// anybody late.
+// Below the prefill capacity no prompt may be refused, and the queues may make none
+// late.
 func TestNoRefusalsBelowCapacity(t *testing.T) {
 	r := runOverload(t, 35, 10_000, true)
 	if r.refused > 0 || r.late > 10 {
-		t.Errorf("%+v", r)
+		t.Errorf("below capacity: %+v", r)
 	}
 }
 
-// The engine whose queue a prompt stands in goes, or takes another role. The
-// prompt must go to another engine at once, not wait for one that won't come.
+// The engine for which a prompt is queued leaves, or changes its role. The prompt must
+// move to another engine at once instead of waiting for one that won't take it.
 func TestQueuedPromptsMoveWhenEngineLeaves(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, engines(2, 1))
@@ -132,7 +133,7 @@
 		}
 	}
 	if len(waits) == 0 {
-		t.Fatal("nobody waits")
+		t.Fatal("no prompt is queued")
 	}
 	owner := ""
 	for _, w := range p.ordered {
@@ -145,21 +146,21 @@
 	p.Sync(10, members)
 	for _, due := range p.Due(10) {
 		if due.Ticket() == nil {
-			t.Error("a prompt is given up")
+			t.Error("a prompt is dropped")
 		}
 		if due.Choice().Worker().ID() == owner {
-			t.Error("a prompt goes to the engine that is gone")
+			t.Error("a prompt is sent to the engine that left")
 		}
 	}
 	p.Leave(waits[len(waits)-1])
 	if n := p.Waiting(); n >= len(waits) {
-		t.Errorf("%d of %d still wait", n, len(waits))
+		t.Errorf("%d of %d are still queued", n, len(waits))
 	}
 }
 
-// A hundred fronts send to a thousand engines, each seldom to the same one. Taken
-// for as many as each of them has there, the two prompts of this front would look
-// like an overload, and the third be refused at an engine that stands idle.
+// A hundred gateways send to a thousand engines, each rarely to the same one. If each
+// of them were assumed to have as many prompts there, the two prompts of this gateway
+// would look like an overload, and the third would be refused at an idle engine.
 func TestOtherGatewaysDoNotCountAsOverload(t *testing.T) {
 	p := New(Config{Reading: learn.ReadingConfig{Rate: 236}})
 	p.Sync(0, engines(1, 1))
@@ -170,7 +171,7 @@
 	for i := range 3 {
 		entry, c, _ := p.Enter(0, uint64(i), Query{Prompt: document(1, i), Target: 200, Until: 2000})
 		if entry == EntryRefused || entry == EntryNobody {
-			t.Errorf("prompt %d is refused at an expected wait of %d ms", i, c.Wait())
+			t.Errorf("prompt %d was refused with an expected wait of %d ms", i, c.Wait())
 		}
 	}
 	if c := mustPlacePrompt(t, p, 100, document(1, 4)); c.Wait() > 400 {
@@ -178,9 +179,9 @@
 	}
 }
 
-// An engine breaks a stream off while the other one has a queue that is late
-// already. Refused as overload, the client would see half an answer and a broken
-// connection, though three seconds are left to read the prompt again.
+// An engine breaks off a stream while the queue of the other one is already late. If
+// the prompt were refused as overload, the client would see half a response and a
+// broken connection, though three seconds are left to prefill it again.
 func TestStartedResponseIsNotRefusedUnderOverload(t *testing.T) {
 	p := New(Config{Reading: learn.ReadingConfig{Rate: 50}})
 	p.Sync(0, engines(1, 1))
@@ -188,27 +189,27 @@
 		p.Enter(0, key, Query{Prompt: document(1, int(key)), Target: 600, Until: 5000})
 	}
 	if entry, _, _ := p.Enter(0, 40, Query{Prompt: document(1, 40), Target: 20, Until: 60}); entry != EntryRefused {
-		t.Fatalf("a late one that has not begun: %s", entry)
+		t.Fatalf("late prompt without output: %s", entry)
 	}
 	if entry, _, _ := p.Enter(0, 50, Query{Prompt: document(1, 50), Target: 100, Until: 3000, Begun: true}); entry != EntryWaits {
-		t.Fatalf("one that has begun: %s", entry)
+		t.Fatalf("prompt with a started response: %s", entry)
 	}
 	for _, due := range p.Due(400) {
 		if due.Key() == 50 && due.Ticket() == nil {
-			t.Error("given up while it waits")
+			t.Error("the prompt with a started response was dropped")
 		}
 	}
 	for _, w := range p.ordered {
 		if len(w.queue) > 0 && p.dequeue(w).key != 50 {
-			t.Error("another one has its turn before it")
+			t.Error("another prompt goes before the one with a started response")
 		}
 	}
 }
 
-// Three great prompts come within a second, and then one that is small and late
-// already. Its engine is free again in half a second and its client waits for
-// one and a half; yet by the load of the last instant the engine would look full
-// for ever, and the client be sent away.
+// Three large prompts arrive within a second, and then a small one that is already
+// late. Its engine is free again in half a second and its client waits for one and a
+// half. By the load of the last instant alone the engine would always look full, and
+// the prompt would be refused.
 func TestFewLargePromptsDoNotLookLikeAFullEngine(t *testing.T) {
 	p := New(Config{Reading: learn.ReadingConfig{Rate: 50}})
 	p.Sync(0, engines(1, 1))
@@ -233,6 +234,6 @@
 	}
 	now -= 400
 	if entry, _, _ := p.Enter(now, 9, Query{Prompt: document(1, 9), Target: now + 50, Until: now + 1500}); entry != EntryWaits {
-		t.Errorf("the late one: %s", entry)
+		t.Errorf("late prompt: %s", entry)
 	}
 }
--- a/pkg/kumquatlug/placement/silence.go
+++ b/pkg/kumquatlug/placement/silence.go
@@ -6,61 +6,61 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// A worker that goes dark, or to which the path is cut, sends no reset: its
-// attempts end when each has timed out, a second or more later, and until some
-// have, every new request still goes there. Users see streams that stand still
-// and prompts that are never read. But a worker with work in hand is heard of
-// all the time, over one attempt or another: its streams take turns with their
-// events. So a worker with several streams is silent when nothing at all has come
-// from it for longer than any stream ever pauses. Where less is in hand an
-// attempt that is overdue makes an engine suspect: it is asked, and silent if
-// it leaves the question unanswered, since another front's great prompt may
-// keep a sound one for a third of a second. A silent worker is left out until it is
-// heard again, what waits for it goes to other engines, and attempts that can
-// go on elsewhere do so at once: a stream that is resumed within its allowed
-// pause is still on time.
+// A worker that freezes, or to which the network path is cut, sends no reset: its
+// attempts time out one by one, a second or more later, and until some have, every new
+// request is still sent there. Users see stalled streams and prompts that are never
+// prefilled. But a worker with requests in flight sends something all the time, on one
+// attempt or another, as the events of its streams interleave. So a worker with several
+// streams is unresponsive when nothing at all has come from it for longer than any
+// stream ever pauses. With fewer streams, an overdue attempt makes an engine suspect:
+// it is probed, and unresponsive if it doesn't answer the probe, since a large prompt
+// of another gateway may occupy a healthy engine for a third of a second. An
+// unresponsive worker is excluded until something comes from it again. Prompts queued
+// for it are moved to other engines, and attempts that can continue elsewhere do so at
+// once: a stream that is resumed within its allowed pause is still on time.
 //
-// How long streams usually pause is learnt, for each engine and for all of a
-// service. An engine that reads prompts between the tokens of its streams pauses
-// several times as long as another; taken for silent, its streams would be broken
-// off and begun again elsewhere, where they are in the way of others. Until the
-// pauses are known a quiet engine is asked before it is left out.
+// The usual pauses of streams are estimated for each engine and for all engines of a
+// service. An engine that prefills prompts between the tokens of its streams pauses
+// several times as long as another. If it were taken for unresponsive, its streams
+// would be aborted and restarted at other engines, where they slow down the rest. Until
+// its pauses are known, a quiet engine is probed before it is excluded.
 
-// Figures of silence.
+// Constants of liveness checks.
 const (
-	// streamMarginMs is how much longer than the longest pause of one stream an
-	// engine with several streams must be quiet, in milliseconds. Any one of
-	// them alone would have sent an event.
+	// streamMarginMs is how much longer than the longest pause of one stream an engine
+	// with several streams must be quiet, in milliseconds. Each of them alone would
+	// have sent an event.
 	streamMarginMs = 30.0
-	// overdueMarginMs is how long after the expected time an attempt that has shown
-	// nothing makes its engine suspect: a few round trips and a piece of another
-	// front's prompt.
+	// overdueMarginMs is how long after its expected time an attempt without output
+	// makes its engine suspect, in milliseconds: a few round trips and a chunk of
+	// another gateway's prompt.
 	overdueMarginMs = 120.0
-	// minPlainOverdue attempts at a plain worker must be overdue at once, each by
-	// plainMarginMs: one in a hundred takes five times as long as the others, and
-	// a plain worker answers no question beside its work.
+	// minPlainOverdue is the number of attempts at a plain worker that must be overdue
+	// at the same time, each by plainMarginMs milliseconds: one in a hundred takes five
+	// times as long as the others, and a plain worker answers no probes beside its
+	// work.
 	minPlainOverdue = 2
 	plainMarginMs   = 350.0
-	// suspectProbeInterval is the span between two questions to a suspect that answered:
-	// questions are cheap, but each is one more connection.
+	// suspectProbeInterval is the interval between two probes of a suspect that
+	// answered: probes are cheap, but each takes another connection.
 	suspectProbeInterval = 300 * kumquatlug.Millis(1)
-	// unresponsiveProbeInterval is the span between two questions to a silent engine, which is
-	// back as soon as it answers.
+	// unresponsiveProbeInterval is the interval between two probes of an unresponsive
+	// engine, which is used again as soon as it answers.
 	unresponsiveProbeInterval = 500 * kumquatlug.Millis(1)
-	// streamStallTimeout is how long one stream may stand still while its worker is
-	// heard of: a stream that gave way to more urgent work comes back within
-	// tenths of a second, and clients leave after two seconds.
+	// streamStallTimeout is how long one stream may stall while its worker responds
+	// otherwise: a preempted stream continues within tenths of a second, and clients
+	// disconnect after two seconds.
 	streamStallTimeout = 1200 * kumquatlug.Millis(1)
-	// maxCheckGap is the longest span between two looks; after a longer one this
-	// process stood still itself, and what workers sent lies unread.
+	// maxCheckGap is the longest time between two checks. After a longer one this
+	// process itself was stopped, and what workers sent has not been read yet.
 	maxCheckGap = 60 * kumquatlug.Millis(1)
-	// maxUnresponsiveFraction is the part of the workers that may fall silent together. When
-	// more do, it is this front that is cut off, and nothing is gained by going
-	// elsewhere.
+	// maxUnresponsiveFraction is the fraction of the workers that may become
+	// unresponsive together. If more do, this gateway is the one that is cut off, and
+	// sending requests elsewhere gains nothing.
 	maxUnresponsiveFraction = 0.5
 )
 
-// Fallen is a worker that fell silent.
+// Fallen is a worker that became unresponsive.
 type Fallen struct {
 	worker    string
 	silentFor kumquatlug.Millis
@@ -70,13 +70,13 @@
 // Worker returns the worker's name.
 func (f Fallen) Worker() string { return f.worker }
 
-// Quiet returns for how long nothing had come from it.
+// Quiet returns how long nothing had come from the worker.
 func (f Fallen) Quiet() kumquatlug.Millis { return f.silentFor }
 
-// Attempts returns what this front has in hand there.
+// Attempts returns this gateway's attempts in flight there.
 func (f Fallen) Attempts() []*Ticket { return f.attempts }
 
-// Heard records that output of an attempt came.
+// Heard records that output of an attempt arrived.
 func (p *Placer) Heard(now kumquatlug.Millis, t *Ticket) {
 	if t.ended {
 		return
@@ -91,7 +91,8 @@
 	p.markAlive(now, t.id, w)
 }
 
-// markAlive notes that a worker is not silent; one that was is back.
+// markAlive records that something came from a worker. An unresponsive one is used
+// again.
 func (p *Placer) markAlive(now kumquatlug.Millis, id string, w *worker) {
 	w.lastSeenAt = now
 	if w.unresponsive && p.workers[id] == w {
@@ -100,8 +101,8 @@
 	}
 }
 
-// Silent leaves out the workers that have fallen silent and tells which. Call it
-// each few hundredths of a second.
+// Silent excludes the workers that have become unresponsive and returns them. It has to
+// be called every few hundredths of a second.
 func (p *Placer) Silent(now kumquatlug.Millis) []Fallen {
 	stalled := now-p.livenessCheckedAt > maxCheckGap
 	p.livenessCheckedAt = now
@@ -123,7 +124,7 @@
 	return fallen
 }
 
-// ejectUnresponsive gives a silent worker nothing more.
+// ejectUnresponsive excludes an unresponsive worker from new requests.
 func (p *Placer) ejectUnresponsive(now kumquatlug.Millis, w *worker) Fallen {
 	id := w.member.Worker.ID()
 	w.unresponsive = true
@@ -132,16 +133,16 @@
 	return Fallen{worker: id, silentFor: now - w.lastSeenAt, attempts: slices.Clone(w.attempts)}
 }
 
-// Use is what a worker does, as far as its front knows.
+// Use is what a worker does, as far as its gateway knows.
 type Use string
 
-// The uses.
+// The values of [Use].
 const (
-	// UseSilent: it was left out for saying nothing.
+	// UseSilent: the worker is excluded as unresponsive.
 	UseSilent Use = "silent"
-	// UseIdle: nobody has work in hand there.
+	// UseIdle: no gateway has requests in flight there.
 	UseIdle Use = "idle"
-	// UseBusy: somebody has.
+	// UseBusy: some gateway has.
 	UseBusy Use = "busy"
 )
 
@@ -161,8 +162,7 @@
 	return all
 }
 
-// Stalled returns the streams that stand still alone, at workers that are heard
-// of otherwise.
+// Stalled returns single streams that have stalled at workers that respond otherwise.
 func (p *Placer) Stalled(now kumquatlug.Millis) []*Ticket {
 	var stalled []*Ticket
 	for _, w := range p.ordered {
@@ -175,8 +175,7 @@
 	return stalled
 }
 
-// Suspects returns the engines to be asked whether they are there; tell the
-// outcome with [Placer.Asked].
+// Suspects returns the engines to probe now. The results are passed to [Placer.Asked].
 func (p *Placer) Suspects(now kumquatlug.Millis) []kumquatlug.Worker {
 	var suspects []kumquatlug.Worker
 	for _, w := range p.ordered {
@@ -185,8 +184,8 @@
 			every = unresponsiveProbeInterval
 		}
 		plain := w.member.Role == ""
-		asked := w.probedAt != 0 && now-w.probedAt < every
-		if plain || asked || !w.unresponsive && p.liveness(now, w) != livenessSuspect {
+		probedRecently := w.probedAt != 0 && now-w.probedAt < every
+		if plain || probedRecently || !w.unresponsive && p.liveness(now, w) != livenessSuspect {
 			continue
 		}
 		w.probedAt = now
@@ -195,8 +194,8 @@
 	return suspects
 }
 
-// Asked takes whether an engine answered a question. One that did not is
-// silent, unless it was heard of meanwhile.
+// Asked records whether an engine answered a probe. One that did not is unresponsive,
+// unless something has come from it since the probe.
 func (p *Placer) Asked(now kumquatlug.Millis, id string, answered bool) (Fallen, bool) {
 	w, known := p.workers[id]
 	switch {
@@ -204,7 +203,7 @@
 		return Fallen{}, false
 	case answered:
 		if quiet := float64(w.probedAt - w.lastSeenAt); w.startedCount() > 1 && quiet > w.pauses.Longest() {
-			// It is there, and only pauses for so long.
+			// The engine is alive, and only pauses for so long.
 			w.pauses.Saw(quiet)
 		}
 		p.markAlive(now, id, w)
@@ -215,9 +214,9 @@
 	return p.ejectUnresponsive(now, w), true
 }
 
-// gatewayIsolated reports that most of the workers with several streams are quiet: then it
-// is this front that is cut off. They fall quiet at slightly different moments,
-// so that half of the span counts.
+// gatewayIsolated reports whether most of the workers with several streams are quiet,
+// which means that this gateway is cut off. They become quiet at slightly different
+// times, so half of the limit counts.
 func (p *Placer) gatewayIsolated(now kumquatlug.Millis) bool {
 	busy, quiet := 0, 0
 	for _, w := range p.ordered {
@@ -232,7 +231,7 @@
 	return quiet > 1 && float64(quiet) > maxUnresponsiveFraction*float64(busy)
 }
 
-// liveness is what a worker's quiet says of it.
+// liveness is the state of a worker as its silence shows it.
 type liveness string
 
 const (
@@ -241,7 +240,7 @@
 	livenessUnresponsive liveness = "silent"
 )
 
-// liveness judges how long nothing came from w by what it has in hand.
+// liveness judges how long nothing has come from w by its requests in flight.
 func (p *Placer) liveness(now kumquatlug.Millis, w *worker) liveness {
 	if w.member.Role == "" {
 		return p.plainLiveness(now, w)
@@ -262,9 +261,9 @@
 	return livenessOK
 }
 
-// silenceLimitMs is how long nothing may come from an engine with streams, in
-// milliseconds: the pause between two events of one stream, and the prompts that
-// this front gave it to read meanwhile.
+// silenceLimitMs returns how long nothing may come from an engine with streams, in
+// milliseconds: the pause between two events of one stream, and the time for the
+// prompts that this gateway gave it to prefill meanwhile.
 func (p *Placer) silenceLimitMs(w *worker) float64 {
 	pause := w.pauses.Longest()
 	if !w.pauses.Known() {
@@ -273,7 +272,7 @@
 	return pause + streamMarginMs + w.prefillTokens/(p.prefillRate()*p.config.MixedPart)
 }
 
-// plainLiveness does so for a worker of a plain service.
+// plainLiveness is liveness for a worker of a plain service.
 func (p *Placer) plainLiveness(now kumquatlug.Millis, w *worker) liveness {
 	if p.overdueAttempts(now, w, plainMarginMs) >= minPlainOverdue && float64(now-w.lastSeenAt) > plainMarginMs {
 		return livenessUnresponsive
@@ -281,7 +280,8 @@
 	return livenessOK
 }
 
-// overdueAttempts is how many attempts at w have shown nothing for longer than expected.
+// overdueAttempts returns the number of attempts at w without output that are overdue
+// by more than margin, in milliseconds.
 func (p *Placer) overdueAttempts(now kumquatlug.Millis, w *worker, margin float64) int {
 	n := 0
 	for _, t := range w.attempts {
@@ -292,8 +292,8 @@
 	return n
 }
 
-// expectedFirstOutputMs is how long an attempt takes until it shows something, in
-// milliseconds.
+// expectedFirstOutputMs returns the expected time until the first output of an attempt,
+// in milliseconds.
 func (p *Placer) expectedFirstOutputMs(t *Ticket) float64 {
 	if t.worker.member.Role == "" {
 		return t.expectedWaitMs + p.meanPlainMs
--- a/pkg/kumquatlug/placement/ticket.go
+++ b/pkg/kumquatlug/placement/ticket.go
@@ -7,63 +7,66 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/learn"
 )
 
-// Ticket stands for one attempt in hand at a worker.
+// Ticket tracks one attempt in flight at a worker.
 type Ticket struct {
 	worker          *worker
 	id              string
 	born            int64
 	prefillOnly     bool
 	effectiveTokens float64
-	// uncachedTokens and held are the tokens that the engine reads anew and those that it
-	// is believed to have; alone says that nothing was known to be before them.
+	// uncachedTokens is the number of tokens to prefill and cachedTokens the number
+	// assumed to be cached. engineIdle says that no work was known to be ahead of them.
 	uncachedTokens, cachedTokens float64
 	engineIdle                   bool
 	kvTokens                     float64
-	// coordinator is the front that gave the attempt its turn under key, empty for none.
+	// coordinator is the gateway that granted the attempt under grantKey, empty if none
+	// did.
 	coordinator string
 	grantKey    uint64
-	// maxOutputTokens is the greatest number of tokens to generate.
+	// maxOutputTokens is the maximum number of tokens to generate.
 	maxOutputTokens int
 	expectedWaitMs  float64
 	sentAt          kumquatlug.Millis
 	prefillDone     bool
 	ended           bool
-	// lastOutputAt is when output last came, zero for never.
+	// lastOutputAt is when output last arrived, zero for never.
 	lastOutputAt kumquatlug.Millis
 }
 
-// Born returns the start of the worker's incarnation, as its row tells it.
+// Born returns the start time of the worker's incarnation, as in its row.
 func (t *Ticket) Born() int64 { return t.born }
 
-// Worker returns the name of the worker.
+// Worker returns the worker's name.
 func (t *Ticket) Worker() string { return t.id }
 
-// Outcome is how an attempt ended, as far as it tells of the worker.
+// Outcome is how an attempt ended, as far as that concerns the worker.
 type Outcome string
 
-// The outcomes.
+// The outcomes of attempts.
 const (
-	// OutcomeGood: the worker did its work.
+	// OutcomeGood: the worker served the request.
 	OutcomeGood Outcome = "good"
-	// OutcomeFailed: it broke off, was not reached or answered with a failure.
+	// OutcomeFailed: the worker broke off, was unreachable or responded with a failure.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeRefused: it took nothing on, for want of room or to change its role.
+	// OutcomeRefused: the worker did not accept the request, because it is full or
+	// changes its role.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeSilent: it says nothing of the worker, as when the client left.
+	// OutcomeSilent: the end says nothing about the worker, as when the client
+	// disconnects.
 	OutcomeSilent Outcome = "silent"
 )
 
-// Begin records that an attempt goes to the worker of a choice, once the choice's delay
-// is over.
+// Begin records that an attempt is sent to the worker of a choice after the choice's
+// delay.
 func (p *Placer) Begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt) *Ticket {
 	if w, known := p.workers[c.worker.ID()]; known && !c.prefillOnly && !c.reserved {
-		// A prompt to be read was counted when it entered.
+		// The limit counted a prompt to prefill when it was submitted.
 		w.limit.Send(now)
 	}
 	return p.begin(now, c, prompt, "", 0)
 }
 
-// begin does so for an attempt to which a coordinator gave a turn under key.
+// begin is Begin for an attempt that a coordinator granted under key.
 func (p *Placer) begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt, coordinator string, key uint64) *Ticket {
 	w, known := p.workers[c.worker.ID()]
 	if !known {
@@ -95,7 +98,7 @@
 	return t
 }
 
-// recordCached notes that w will keep the shared parts of a prompt.
+// recordCached records that w has the shared parts of a prompt cached.
 func (p *Placer) recordCached(now kumquatlug.Millis, w *worker, prompt kumquatlug.Prompt) {
 	for _, part := range prompt.Shared() {
 		w.cachedParts[part.ID()] = cachedPart{lastUsedAt: now, prefilledTokens: w.prefilledTokens}
@@ -113,7 +116,7 @@
 	}
 }
 
-// Read records that the prompt has been read: output has begun.
+// Read records that the prompt has been prefilled: output has begun.
 func (p *Placer) Read(now kumquatlug.Millis, t *Ticket) {
 	if t.ended || t.prefillDone {
 		return
@@ -125,7 +128,7 @@
 	t.worker.prefillTokens = max(0, t.worker.prefillTokens-t.effectiveTokens)
 }
 
-// End records that an attempt is no longer in hand.
+// End records that an attempt is no longer in flight.
 func (p *Placer) End(now kumquatlug.Millis, t *Ticket, o Outcome) {
 	if t.ended {
 		return
@@ -167,46 +170,47 @@
 	p.health.Outcome(now, t.id, o == OutcomeGood, p.latencyRatio(t, took))
 }
 
-// maxRunFactor is how many times its usual time a run takes at most: outputs come to
-// half of the greatest one on the average, and to all of it at times when each
-// token takes longer, too.
+// maxRunFactor is the greatest run time as a multiple of the usual one: outputs are
+// half of the maximum on average, and at times as long as the maximum while each token
+// takes longer, too.
 const maxRunFactor = 3
 
-// Takes returns how long nearly all requests take at an engine, by the greatest
-// number of tokens to generate: until the first output comes, and from then on.
+// Takes returns an upper bound of the time that nearly all requests take at an engine,
+// by the greatest number of tokens to generate: until the first output, and from then
+// on.
 func (p *Placer) Takes(output int) kumquatlug.Millis {
 	return kumquatlug.Millis(p.overrun.Bound()) + p.Runs(output)
 }
 
-// Runs returns the latter: how long nearly all outputs take.
+// Runs returns the second part of [Placer.Takes]: the time that nearly all outputs
+// take.
 func (p *Placer) Runs(output int) kumquatlug.Millis {
 	return kumquatlug.Millis(maxRunFactor * p.tokenTime.Value() * float64(output))
 }
 
-// Figure names what is learnt of a service's workers.
+// Figure names an estimate about a service's workers.
 type Figure string
 
-// The figures, with their units.
+// The estimates, with their units.
 const (
-	// FigureRate is how many prompt tokens an engine reads in a ms.
+	// FigureRate is the number of prompt tokens that an engine prefills in a ms.
 	FigureRate Figure = "read_tokens_per_ms"
 	// FigurePause is the longest usual pause between two events of a stream, in ms.
 	FigurePause Figure = "pause_ms"
-	// FigureOverrun is how much later than expected a first output may come, in ms.
+	// FigureOverrun is how much later than expected a first output may arrive, in ms.
 	FigureOverrun Figure = "overrun_ms"
-	// FigureToken is how long a run takes for each token of its greatest output, in
-	// ms.
+	// FigureToken is the run time for each token of the maximum output, in ms.
 	FigureToken Figure = "token_ms"
 )
 
-// Learnt returns what the engines are believed to do.
+// Learnt returns the current estimates.
 func (p *Placer) Learnt() map[Figure]float64 {
 	return map[Figure]float64{
 		FigureRate: p.prefillRate(), FigurePause: p.pauses.Longest(), FigureOverrun: p.overrun.Bound(), FigureToken: p.tokenTime.Value(),
 	}
 }
 
-// removeAttempt takes an attempt out of those in hand.
+// removeAttempt removes an attempt from those in flight.
 func (w *worker) removeAttempt(t *Ticket) {
 	at := slices.Index(w.attempts, t)
 	if at < 0 {
@@ -218,16 +222,15 @@
 	w.attempts = w.attempts[:last]
 }
 
-// backOff leaves a worker alone for a while.
+// backOff stops sending requests to a worker for a while.
 func (w *worker) backOff(now kumquatlug.Millis) {
 	pause := refusalBackoff << min(w.refusals, 10)
 	w.refusals++
 	w.backoffUntil = now + min(pause, maxRefusalBackoff)
 }
 
-// learnPrefill takes how long a prompt took to be read. Those that found their
-// engine idle tell how fast it reads; all tell how much longer it takes
-// under load, once the former is known.
+// learnPrefill records how long a prefill took. Those at an idle engine show its rate;
+// all show how much longer a prefill takes under load, once the rate is known.
 func (p *Placer) learnPrefill(t *Ticket, took float64) {
 	if t.engineIdle {
 		p.prefillModel.Saw(t.uncachedTokens, t.cachedTokens, took)
@@ -239,14 +242,15 @@
 	p.slowdown = min(max(p.slowdown, minSlowdown), maxSlowdown)
 }
 
-// minPrefillSamples is how many samples make the reading of idle engines known.
+// minPrefillSamples is the number of samples after which the prefill time of idle
+// engines counts as known.
 const minPrefillSamples = 8
 
-// minExpectedMs keeps short expectations from making noise look like slowness,
-// in milliseconds.
+// minExpectedMs is a lower bound of expected times, in milliseconds. With shorter ones
+// noise would look like slowness.
 const minExpectedMs = 20.0
 
-// latencyRatio compares what an attempt took with what was expected of it.
+// latencyRatio returns the ratio of the time that an attempt took to the expected time.
 func (p *Placer) latencyRatio(t *Ticket, took float64) float64 {
 	switch {
 	case t.prefillOnly:
@@ -254,18 +258,19 @@
 	case t.worker.member.Role == "":
 		return took / max(minExpectedMs, p.meanPlainMs+t.expectedWaitMs)
 	default:
-		// How long a stream runs depends on its length, which nobody knows.
+		// The run time of a stream depends on its length, which is not known in
+		// advance.
 		return 1
 	}
 }
 
-// Overruns until some answers were seen, in milliseconds.
+// Overruns that are assumed until responses have shown them, in milliseconds.
 const (
 	initialOverrunMs      = 900.0
 	initialPlainOverrunMs = 300.0
 )
 
-// overrunFor returns the overrun of workers like that of t.
+// overrunFor returns the overrun estimate for the kind of worker that t is at.
 func (p *Placer) overrunFor(t *Ticket) *learn.Overrun {
 	if t.worker.member.Role == "" {
 		return p.plainOverrun
@@ -273,15 +278,16 @@
 	return p.overrun
 }
 
-// attemptTimeoutFactor is how many times the expected wait is waited at least.
+// attemptTimeoutFactor is the least timeout of an attempt as a multiple of the expected
+// wait.
 const attemptTimeoutFactor = 4
 
-// Patience returns how long the first output of an attempt that was begun may take
-// before it is taken for lost: a request that is given up while its engine reads
-// it is read again at another one, and both are slower for all others.
+// Patience returns how long the first output of an attempt may take before the attempt
+// is given up as lost. If a request is given up while its engine prefills it, it is
+// prefilled again at another one, which slows both down for all other requests.
 func (p *Placer) Patience(t *Ticket) kumquatlug.Millis {
 	if t.worker == nil {
-		// Its worker went a moment ago.
+		// The worker left a moment ago.
 		return kumquatlug.Millis(p.overrun.Bound())
 	}
 	expected := p.expectedFirstOutputMs(t)
--- a/pkg/kumquatlug/placement/turns.go
+++ b/pkg/kumquatlug/placement/turns.go
@@ -7,54 +7,56 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Turns answer a load near what the engines read that comes through many fronts.
-// Each front orders the prompts that it has, but an engine has those of thirty
-// fronts, and serves them in order of arrival: most of the worth that one queue
-// would have in time is late. So the prompts of one engine stand in one queue, at
-// its coordinator, and a front asks there for a turn before it sends one.
+// Grants handle a load close to the prefill capacity that arrives through many
+// gateways. Each gateway orders its own prompts, but an engine gets those of thirty
+// gateways and serves them in order of arrival, so that most of the value which a
+// single queue would serve in time is served late. So the prompts for one engine are in
+// one queue, at its coordinator, and a gateway requests a grant there before it sends a
+// prompt.
 //
-// A coordinator that is gone, frozen or cut off must not hold a prompt up. What it
-// leaves unanswered is asked a second time, as a datagram may be lost, and then
-// goes elsewhere with all that was asked of that coordinator: to the next front that
-// coordinates the engine, or into this front's own queue.
+// A coordinator that is down, frozen or cut off must not delay a prompt. A request
+// without a reply is sent a second time, as a datagram may be lost. After that all
+// requests to that coordinator go elsewhere: to the next gateway that coordinates the
+// engine, or into this gateway's own queue.
 
-// Figures of turns.
+// Constants of grant requests.
 const (
-	// requestRetryAfter is how long a coordinator has for its answer until it is asked again:
-	// several round trips of 1 ms and a wake-up.
+	// requestRetryAfter is the time without a reply after which a request is sent
+	// again: several round trips of 1 ms and the wake-up of a process.
 	requestRetryAfter = 25 * kumquatlug.Millis(1)
-	// maxUnansweredRequests is how often it is asked without an answer.
+	// maxUnansweredRequests is how often a request is sent without a reply.
 	maxUnansweredRequests = 2
-	// requestRenewInterval is how often a coordinator that has a prompt in its queue is asked again.
-	// A grant that was lost is learnt of so.
+	// requestRenewInterval is the interval at which the request of a queued prompt is
+	// renewed. It also recovers a grant that was lost.
 	requestRenewInterval = 100 * kumquatlug.Millis(1)
 )
 
-// grantRequest is what a front remembers of a prompt whose turn it asked for.
+// grantRequest is the state of a prompt that waits for a grant.
 type grantRequest struct {
 	prompt      *queuedPrompt
 	worker      *worker
 	coordinator string
-	// sentAt is when the coordinator was asked last, times how often without an answer;
-	// queued says that it has answered.
+	// sentAt is when the request was last sent and unanswered how often since the last
+	// reply. queued says that the coordinator has replied.
 	sentAt     kumquatlug.Millis
 	unanswered int
 	queued     bool
 }
 
-// send puts a message to another front into the outbox.
+// send puts a message to another gateway into the outbox.
 func (p *Placer) send(gateway string, t kumquatlug.Turn) {
 	p.outbox = append(p.outbox, kumquatlug.TurnMessage{Front: gateway, Turn: t})
 }
 
-// Outbox returns the messages to other fronts that are to be sent now.
+// Outbox returns and removes the messages to other gateways that have to be sent now.
 func (p *Placer) Outbox() []kumquatlug.TurnMessage {
 	out := p.outbox
 	p.outbox = nil
 	return out
 }
 
-// coordinator returns the front to be asked for a turn at w, empty for none.
+// coordinator returns the gateway that grants prefills at w, empty if none has to be
+// asked.
 func (p *Placer) coordinator(now kumquatlug.Millis, w *worker) string {
 	if p.config.Coordinators == nil {
 		return ""
@@ -66,12 +68,12 @@
 	return p.config.Coordinators.Coordinator(now, id)
 }
 
-// coordinates reports that this front orders the prompts of all fronts at w.
+// coordinates reports whether this gateway orders the prompts of all gateways at w.
 func (p *Placer) coordinates(now kumquatlug.Millis, w *worker) bool {
 	return p.config.Coordinators != nil && p.config.Coordinators.Coordinates(now, w.member.Worker.ID())
 }
 
-// requestGrant asks a coordinator for the turn of a prompt.
+// requestGrant requests a grant for a prompt from a coordinator.
 func (p *Placer) requestGrant(now kumquatlug.Millis, coordinator string, w *worker, queued *queuedPrompt) {
 	a := &grantRequest{prompt: queued, worker: w, coordinator: coordinator}
 	p.grantRequests[queued.key] = a
@@ -90,19 +92,20 @@
 	})
 }
 
-// removeRequest takes a prompt out of those that were asked for.
+// removeRequest removes a request from the pending ones.
 func (p *Placer) removeRequest(a *grantRequest) {
 	delete(p.grantRequests, a.prompt.key)
 	a.worker.requestedTokens -= a.prompt.choice.effectiveTokens
 }
 
-// Answered takes what a coordinator says of a prompt. It returns the prompt when its
-// turn has come or it is given up.
+// Answered handles the reply of a coordinator. It returns the prompt when it is granted
+// or given up.
 func (p *Placer) Answered(now kumquatlug.Millis, m kumquatlug.TurnMessage) (Due, bool) {
 	a, known := p.grantRequests[m.Turn.Key]
 	if !known || !a.matches(m) {
 		if m.Turn.Step == kumquatlug.TurnGranted {
-			// It went elsewhere meanwhile; the engine is free for the next one.
+			// The prompt was sent elsewhere meanwhile; the engine is free for the next
+			// one.
 			p.sendRelease(m.Front, m.Turn)
 		}
 		return Due{}, false
@@ -120,21 +123,23 @@
 		a.prompt.choice.wait = float64(m.Turn.Wait)
 		return Due{key: a.prompt.key, choice: a.prompt.choice}, true
 	}
-	// The coordinator has another view of who coordinates what; this front's own queue does.
+	// The gateways disagree on who coordinates the engine, so this one's own queue is
+	// used.
 	p.removeRequest(a)
 	a.prompt.skipCoordinator = true
 	p.displaced = append(p.displaced, a.prompt)
 	return Due{}, false
 }
 
-// matches reports that a message is the answer to what was asked last: of this
-// coordinator, and for this engine. A release before this one names no engine.
+// matches reports whether a message is the reply to the last request: from this
+// coordinator, and for this engine. Coordinators of an older software version name no
+// engine.
 func (a *grantRequest) matches(m kumquatlug.TurnMessage) bool {
 	engine := m.Turn.Engine
 	return a.coordinator == m.Front && (engine == "" || engine == a.worker.member.Worker.ID())
 }
 
-// beginGranted begins the attempt whose turn has come.
+// beginGranted begins the attempt for a granted prompt.
 func (p *Placer) beginGranted(now kumquatlug.Millis, a *grantRequest, turn kumquatlug.Turn) Due {
 	queued := a.prompt
 	queued.choice.wait = float64(turn.Wait) + p.handoffMs()
@@ -142,19 +147,19 @@
 	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
 	p.addLoad(now, a.worker, queued)
 	t := p.begin(now, queued.choice, queued.query.Prompt, a.coordinator, queued.key)
-	// Only the coordinator knows whether others are read before it; taken for alone, such a
-	// prompt would make its engine look slow.
+	// Only the coordinator knows whether other prompts are prefilled first. If this one
+	// were taken to be alone, its engine would look slow.
 	t.engineIdle = turn.Alone
 	return Due{key: queued.key, choice: queued.choice, ticket: t}
 }
 
-// sendRelease tells a coordinator that a turn is over.
+// sendRelease sends the release of a grant to a coordinator.
 func (p *Placer) sendRelease(coordinator string, t kumquatlug.Turn) {
 	p.send(coordinator, kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: t.Engine, Key: t.Key})
 }
 
-// Remind asks the coordinators again that left something unanswered, and goes on
-// without those that did so twice. Call it each few hundredths of a second.
+// Remind sends requests without a reply again, and gives up coordinators that left one
+// unanswered twice. It has to be called every few hundredths of a second.
 func (p *Placer) Remind(now kumquatlug.Millis) {
 	for _, a := range p.requestsInOrder() {
 		after := requestRetryAfter
@@ -171,7 +176,7 @@
 	}
 }
 
-// requestsInOrder returns what was asked for, the oldest first.
+// requestsInOrder returns the pending requests, the oldest first.
 func (p *Placer) requestsInOrder() []*grantRequest {
 	all := make([]*grantRequest, 0, len(p.grantRequests))
 	for _, a := range p.grantRequests {
@@ -181,7 +186,8 @@
 	return all
 }
 
-// abandonCoordinator finds other ways for all that was asked of a coordinator that is gone.
+// abandonCoordinator requeues all prompts that wait for grants of a coordinator that is
+// down.
 func (p *Placer) abandonCoordinator(now kumquatlug.Millis, coordinator string) {
 	p.config.Coordinators.Missed(now, coordinator)
 	for _, a := range p.requestsInOrder() {
@@ -192,8 +198,8 @@
 	}
 }
 
-// withdrawRequests takes back what was asked for at a worker that reads no more; the
-// prompts go elsewhere.
+// withdrawRequests withdraws the requests for a worker that no longer prefills and
+// requeues their prompts.
 func (p *Placer) withdrawRequests(w *worker) {
 	for _, a := range p.requestsInOrder() {
 		if a.worker == w {
@@ -204,7 +210,7 @@
 	}
 }
 
-// cancelRequest takes back what was asked for a client that left.
+// cancelRequest withdraws the request of a prompt whose client has disconnected.
 func (p *Placer) cancelRequest(key uint64) {
 	if a, known := p.grantRequests[key]; known {
 		p.removeRequest(a)
--- a/pkg/kumquatlug/placement/turns_test.go
+++ b/pkg/kumquatlug/placement/turns_test.go
@@ -10,11 +10,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Twenty-eight fronts send prompts to six engines at one and a half times what these
-// read. Each front alone gives an engine a prompt whenever it has none of its own
-// there, so that two dozen stand in the engine's own queue, in order of arrival, and
-// nearly all clients get their answers late. In one queue nearly as many must be in
-// time as if all came through one front.
+// Twenty-eight gateways send prompts to six engines at one and a half times the prefill
+// capacity. Without coordination each gateway gives an engine a prompt whenever it has
+// none of its own there, so that two dozen wait in the engine's own queue, in order of
+// arrival, and nearly all responses are late. With a single queue nearly as many
+// prompts must be in time as if all arrived through one gateway.
 func TestManyGatewaysServeAsManyInTimeAsOne(t *testing.T) {
 	rate := 1.5 * 6 * prefillTokensPerMs / 3300 * 1000
 	play := func(gateways int, coordinated bool) float64 {
@@ -23,16 +23,16 @@
 		return c.inTime(1000, 5000)
 	}
 	single, independent, coordinated := play(1, true), play(28, false), play(28, true)
-	t.Logf("in time: one front %.3f, 28 alone %.3f, 28 that ask %.3f", single, independent, coordinated)
+	t.Logf("in time: one gateway %.3f, 28 independent %.3f, 28 coordinated %.3f", single, independent, coordinated)
 	if coordinated < 0.9*single || independent > 0.7*single {
-		t.Errorf("in time: one front %.3f, 28 alone %.3f, 28 that ask %.3f", single, independent, coordinated)
+		t.Errorf("in time: one gateway %.3f, 28 independent %.3f, 28 coordinated %.3f", single, independent, coordinated)
 	}
 }
 
-// A front that coordinates engines loses its power while prompts wait there. Nobody tells
-// the others. A prompt may wait for it twice requestRetryAfter and the looks between,
-// then it goes elsewhere, with all others that were asked there; two seconds later
-// as many must be in time as before.
+// A gateway that coordinates engines loses power while prompts wait there, and the
+// others are not notified. A prompt may wait for it twice requestRetryAfter and the
+// interval between checks. Then it must go elsewhere, together with all others
+// requested there, and two seconds later as many prompts must be in time as before.
 func TestLostCoordinatorDoesNotDelayPrompts(t *testing.T) {
 	rate := 0.3 * 6 * prefillTokensPerMs / 3300 * 1000
 	c := newGatewayCluster(5, 6, true)
@@ -40,9 +40,9 @@
 	lost := c.gatewayIndex(c.coordinators[0].Coordinator(2000, "p0"))
 	c.offline[lost] = true
 	c.play(2000, 6000, rate)
-	// Prompts are in time at this load; one may wait its target latency for its turn.
+	// Prompts are in time at this load; one may wait its target latency for its grant.
 	if hold := c.maxHold(1500, 6000); hold > targetLatencyMs+150 {
-		t.Errorf("a prompt was held for %d ms", hold)
+		t.Errorf("a prompt was queued for %d ms", hold)
 	}
 	before, after := c.inTime(500, 1900), c.inTime(4000, 5700)
 	if after < before-0.05 {
@@ -50,9 +50,9 @@
 	}
 }
 
-// A front that coordinates engines stands still for three seconds and wakes with what lay
-// in its socket. If it then gave turns to prompts that went elsewhere meanwhile, the
-// engines would get all of them at once, and everybody behind them would be late.
+// A gateway that coordinates engines freezes for three seconds and then handles what is
+// left in its socket. If it granted prompts that went elsewhere meanwhile, the engines
+// would get all of them at once, and all prompts behind them would be late.
 func TestResumedCoordinatorDoesNotGrantABurst(t *testing.T) {
 	rate := 0.6 * 6 * prefillTokensPerMs / 3300 * 1000
 	c := newGatewayCluster(5, 6, true)
@@ -65,16 +65,16 @@
 	c.maxEngineQueue = 0
 	c.play(5000, 9000, rate)
 	if c.maxEngineQueue > before+maxPrefills+2 {
-		t.Errorf("%d prompts stood at one engine, %d before", c.maxEngineQueue, before)
+		t.Errorf("%d prompts queued at one engine, %d before", c.maxEngineQueue, before)
 	}
 	if after := c.inTime(6500, 8700); after < c.inTime(500, 1900)-0.05 {
-		t.Errorf("in time after it woke: %.3f", after)
+		t.Errorf("in time after it resumed: %.3f", after)
 	}
 }
 
-// A front is given turns and dies before it tells that they are over. Its prompts
-// would count as in hand at the engine for ever, and fewer of the others would get
-// turns with each front that ends.
+// A gateway gets grants and dies before it releases them. Without expiry its prompts
+// would count as in flight at the engine for ever, and the others would get fewer
+// grants with each gateway that dies.
 func TestGrantsOfDeadGatewayExpire(t *testing.T) {
 	c := newGatewayCluster(3, 2, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
@@ -92,16 +92,16 @@
 		}
 	}
 	if granted != maxPrefills {
-		t.Fatalf("%d turns were given", granted)
+		t.Fatalf("%d grants were sent", granted)
 	}
 	p.Due(1000)
 	if w := p.workers["p0"]; w.prefills != 0 || len(w.grants) != 0 || len(w.queue) != 0 || w.prefillTokens != 0 {
-		t.Errorf("%d in hand, %d turns, %d waiting, %.0f tokens", w.prefills, len(w.grants), len(w.queue), w.prefillTokens)
+		t.Errorf("%d in flight, %d grants, %d queued, %.0f tokens", w.prefills, len(w.grants), len(w.queue), w.prefillTokens)
 	}
 }
 
-// The client of a prompt that waits at a coordinator leaves. If nobody told the coordinator,
-// it would keep a turn for it.
+// The client of a prompt that waits at a coordinator disconnects. Without a release the
+// coordinator would keep a grant for it.
 func TestClientDisconnectReleasesGrant(t *testing.T) {
 	c := newGatewayCluster(2, 1, true)
 	requester := 1 - c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
@@ -113,20 +113,20 @@
 	p.Leave(7)
 	out := p.Outbox()
 	if len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Key != 7 || p.Waiting() != 0 {
-		t.Errorf("told %+v, %d waiting", out, p.Waiting())
+		t.Errorf("sent %+v, %d queued", out, p.Waiting())
 	}
-	// A grant that was on its way is given back, too.
+	// A grant that was already sent is released, too.
 	if _, ended := p.Answered(9, kumquatlug.TurnMessage{Front: gatewayName(1 - requester), Turn: kumquatlug.Turn{Step: kumquatlug.TurnGranted, Engine: "p0", Key: 7}}); ended {
-		t.Error("a prompt that left was sent")
+		t.Error("a cancelled prompt was sent")
 	}
 	if out = p.Outbox(); len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Engine != "p0" {
-		t.Errorf("told %+v", out)
+		t.Errorf("sent %+v", out)
 	}
 }
 
-// A grant comes when its prompt has gone elsewhere. Given back without the name of its
-// engine, the coordinator would pass over the answer, and the engine would look taken
-// until the turn is forgotten.
+// A grant arrives after its prompt has gone elsewhere. If the release didn't name the
+// engine, the coordinator would ignore it, and the engine would look busy until the
+// grant expires.
 func TestLateGrantIsReleased(t *testing.T) {
 	coordinator, request := newCoordinator()
 	granted := request(10, 1, 7)[0]
@@ -139,17 +139,17 @@
 	}
 	out := gateway.Outbox()
 	if len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Engine != "p0" {
-		t.Fatalf("told %+v", out)
+		t.Fatalf("sent %+v", out)
 	}
 	coordinator.Requested(21, kumquatlug.TurnMessage{Front: "front-9", Turn: out[0].Turn})
 	if w := coordinator.workers["p0"]; len(w.grants) != 0 || w.prefills != 0 || w.prefillTokens != 0 {
-		t.Errorf("%d turns, %d in hand, %.0f tokens", len(w.grants), w.prefills, w.prefillTokens)
+		t.Errorf("%d grants, %d in flight, %.0f tokens", len(w.grants), w.prefills, w.prefillTokens)
 	}
 }
 
-// A prompt is asked for at one engine and then at another of the same coordinator. The
-// grant of the first, on its way meanwhile, would have it sent to the second, where
-// another prompt has its turn.
+// A prompt is requested at one engine and then at another of the same coordinator. If
+// the grant for the first, still under way, were accepted, the prompt would be sent to
+// the second, where another prompt has the grant.
 func TestGrantForAnotherEngineIsReleased(t *testing.T) {
 	c := newGatewayCluster(2, 1, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
@@ -160,40 +160,42 @@
 	p.Outbox()
 	grant := kumquatlug.Turn{Step: kumquatlug.TurnGranted, Engine: "p9", Key: 7}
 	if _, ended := p.Answered(9, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: grant}); ended {
-		t.Error("sent by the grant of another engine")
+		t.Error("a grant for another engine was accepted")
 	}
 	if out := p.Outbox(); len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Engine != "p9" {
-		t.Errorf("told %+v", out)
+		t.Errorf("sent %+v", out)
 	}
 	if p.Waiting() != 1 {
-		t.Errorf("%d wait", p.Waiting())
+		t.Errorf("%d prompts queued", p.Waiting())
 	}
 }
 
-// Two fronts have another view of who coordinates an engine, as while a new one is met or
-// an older release runs beside. The prompt goes by its own front's queue; asked
-// again and again it would wait until its client leaves.
+// Two gateways disagree on who coordinates an engine, as while a new one is being
+// discovered or one with an older software version is running. The prompt must use its
+// own gateway's queue; if it were requested again and again, it would wait until its
+// client disconnects.
 func TestNonCoordinatorRepliesUnknown(t *testing.T) {
 	c := newGatewayCluster(2, 1, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[1-at]
 	p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005})
-	asked := p.Outbox()[0].Turn
+	request := p.Outbox()[0].Turn
 	c.coordinators[at].Leave()
-	c.gateways[at].Requested(6, kumquatlug.TurnMessage{Front: gatewayName(1 - at), Turn: asked})
-	answer := c.gateways[at].Outbox()[0].Turn
-	if answer.Step != kumquatlug.TurnUnknown {
-		t.Fatalf("answer %q", answer.Step)
+	c.gateways[at].Requested(6, kumquatlug.TurnMessage{Front: gatewayName(1 - at), Turn: request})
+	reply := c.gateways[at].Outbox()[0].Turn
+	if reply.Step != kumquatlug.TurnUnknown {
+		t.Fatalf("reply %q", reply.Step)
 	}
-	p.Answered(7, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: answer})
+	p.Answered(7, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: reply})
 	due := p.Due(7)
 	if len(due) != 1 || due[0].Key() != 7 || due[0].Ticket() == nil {
 		t.Errorf("due %+v", due)
 	}
 }
 
-// Whatever is lost, and whoever stands still when: each prompt at a front that is
-// there ends once, and when all is over no engine counts anything as in hand.
+// Whichever messages are lost, and whichever gateway freezes when: each prompt at a
+// gateway that is online ends once, and after all have ended no engine counts anything
+// as in flight.
 func TestPromptsEndOnceUnderMessageLoss(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 40
@@ -215,9 +217,9 @@
 	properties.TestingRun(t)
 }
 
-// Of thirty fronts each hears of a generating engine once in half a second, and its
-// streams go on for seconds. An engine that looks empty because nobody told of it
-// would be given long prompts to read beside them, and each of its streams would
+// With thirty gateways each gets a load report of a decode engine only every half
+// second, while streams run for seconds. An engine that looks idle for lack of a report
+// would be given long prompts to prefill beside them, and each of its streams would
 // pause.
 func TestUnreportedDecodeEngineIsNotAssumedIdle(t *testing.T) {
 	p := New(Config{Zone: "a"})
@@ -226,15 +228,15 @@
 		p.Report(kumquatlug.Millis(i), "d0", kumquatlug.NewWorkerLoad(6, 0, 12))
 	}
 	if others := p.otherRequestsAt(5000, p.workers["d1"]); others < 5 {
-		t.Errorf("%.1f requests are believed to run there", others)
+		t.Errorf("%.1f requests estimated at a decode engine without a report", others)
 	}
 	if others := p.otherRequestsAt(5000, p.workers["p0"]); others != 0 {
-		t.Errorf("%.1f at an engine that reads, which nobody reported", others)
+		t.Errorf("%.1f requests estimated at a prefill engine without a report", others)
 	}
 }
 
-// newCoordinator returns the front that coordinates p0, and a question of another one for a prompt
-// of a chain.
+// newCoordinator returns the gateway that coordinates p0, and a function that requests
+// a grant for a prompt of a prefix from another gateway.
 func newCoordinator() (*Placer, func(now kumquatlug.Millis, prefix, key int) []kumquatlug.Turn) {
 	c := newGatewayCluster(2, 1, true)
 	p := c.gateways[c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))]
@@ -251,25 +253,25 @@
 	}
 }
 
-// releasePrompt tells the coordinator that a prompt has been read.
+// releasePrompt releases the grant of a prompt that has been prefilled.
 func releasePrompt(p *Placer, now kumquatlug.Millis, key int) {
 	p.Requested(now, kumquatlug.TurnMessage{Front: "front-9", Turn: kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: "p0", Key: uint64(key)}})
 }
 
-// At a start engines hold nothing, and later what nobody used is driven out of their
-// memory. A coordinator that took its engines to hold all shared parts would give them
-// several times what they read in time, attempts would be given up as lost, and
-// what had been read for them would be read again elsewhere.
+// At startup engines have nothing cached, and later unused parts are evicted. If a
+// coordinator assumed that its engines had all shared prefixes cached, it would give
+// them several times what they prefill in time, attempts would be given up as lost, and
+// what had been prefilled for them would be prefilled again elsewhere.
 func TestCoordinatorTracksEngineCache(t *testing.T) {
 	p, request := newCoordinator()
 	p.SetMemory(30_000)
 	whole, own := document(1, 1).Input(), int(p.unsharedTokens(document(1, 2)))
 	if got := request(10, 1, 1)[0].Fresh; got != whole {
-		t.Errorf("the first prompt of a chain: %d tokens to read, want %d", got, whole)
+		t.Errorf("first prompt of a prefix: %d tokens to prefill, want %d", got, whole)
 	}
 	releasePrompt(p, 50, 1)
 	if got := request(60, 1, 2)[0].Fresh; got != own {
-		t.Errorf("the second one: %d tokens to read, want %d", got, own)
+		t.Errorf("second prompt: %d tokens to prefill, want %d", got, own)
 	}
 	releasePrompt(p, 80, 2)
 	for key := 3; key < 8; key++ {
@@ -277,26 +279,28 @@
 		releasePrompt(p, kumquatlug.Millis(key*100+50), key)
 	}
 	if got := request(900, 1, 9)[0].Fresh; got <= own {
-		t.Errorf("after five other chains: %d tokens to read", got)
+		t.Errorf("after five other prefixes: %d tokens to prefill", got)
 	}
 }
 
-// A prompt is given its turn while the engine still reads another front's. Its front
-// would take the engine for slow by how long that took, and with that figure give up
-// attempts, refuse clients and leave engines out; only the coordinator can tell.
+// A prompt is granted while the engine still prefills that of another gateway. From the
+// time that took, its gateway would infer a slow engine, and by that estimate give up
+// attempts, refuse clients and exclude engines. Only the coordinator knows whether the
+// engine is idle.
 func TestGrantReportsWhetherEngineIsIdle(t *testing.T) {
 	_, request := newCoordinator()
 	first, second := request(10, 1, 1)[0], request(11, 1, 2)[0]
 	if !first.Alone || second.Alone {
-		t.Errorf("alone: the first %v, the second %v", first.Alone, second.Alone)
+		t.Errorf("engine idle: first prompt %v, second %v", first.Alone, second.Alone)
 	}
 	if second.Wait <= first.Wait {
-		t.Errorf("the first takes %d ms, the one behind it %d", first.Wait, second.Wait)
+		t.Errorf("expected wait: first prompt %d ms, second %d ms", first.Wait, second.Wait)
 	}
 }
 
-// Thirty engines read all the time for ten fronts. A front that counted its own prompts
-// alone would take most of them for idle, and have them write while prompts wait.
+// Thirty engines prefill continuously for ten gateways. A gateway that counted only its
+// own prompts would take most of them for idle, and have them decode while prompts
+// wait.
 func TestPrefillUtilizationUsesCoordinatedEngines(t *testing.T) {
 	c := newGatewayCluster(10, 30, true)
 	p := c.gateways[0]
@@ -306,11 +310,11 @@
 		}
 	}
 	if busy := p.busyPrefillFraction(0); busy < 0.99 {
-		t.Errorf("%.2f of the readers look busy", busy)
+		t.Errorf("%.2f of the prefill engines look busy", busy)
 	}
 	uncoordinated := newGatewayCluster(1, 4, false).gateways[0]
 	uncoordinated.workers["p0"].prefills, uncoordinated.workers["p1"].prefills = 1, 1
 	if busy := uncoordinated.busyPrefillFraction(0); busy != 0.5 {
-		t.Errorf("without coordinators %.2f of the readers look busy", busy)
+		t.Errorf("without coordinators %.2f of the prefill engines look busy", busy)
 	}
 }
--- a/pkg/kumquatlug/placement/unknown_test.go
+++ b/pkg/kumquatlug/placement/unknown_test.go
@@ -12,22 +12,24 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// simEngine is an engine that reads prompts one after the other at a rate of its own.
+// simEngine simulates an engine that prefills prompts one after the other at its own
+// rate.
 type simEngine struct {
 	rate, pairCost, fixedMs float64
 	freeAt                  float64
 }
 
-// prefill returns when a prompt that is sent now has been read.
+// prefill returns when a prompt that is sent now has been prefilled.
 func (r *simEngine) prefill(now, uncached, cached float64) float64 {
 	took := uncached/r.rate + r.pairCost*uncached*(cached+uncached/2)/1e6
 	r.freeAt = math.Max(r.freeAt, now) + took
 	return r.freeAt + r.fixedMs
 }
 
-// countTimedOut plays half a minute of prompts at half of what one engine reads, half of
-// them of another front, and returns how many of this front's attempts were given
-// up though they were being read: in the first three seconds, and later.
+// countTimedOut plays half a minute of prompts at half of one engine's prefill
+// capacity, half of them of another gateway. It returns how many of this gateway's
+// attempts were given up while they were being prefilled: in the first three seconds,
+// and later.
 func countTimedOut(e simEngine, seed uint64) (early, late, sent int) {
 	type attempt struct {
 		ends   float64
@@ -79,17 +81,17 @@
 	return early, late, sent
 }
 
-// Engines come that read 20 tokens a ms, or 1,000, and nobody says which. Taken by
-// another engine's sheet, prompts are given up while they are read, sent again and
-// read a second time, and the more that happens the fuller all engines are. Once
-// the first seconds have shown what they do, hardly any may be given up.
+// Engines prefill 20 tokens a ms, or 1,000, and their rate is not configured. By the
+// specification of another engine, prompts would be given up while they are prefilled,
+// sent again and prefilled a second time, which loads the engines further. Once the
+// first seconds have shown their rate, hardly any may be given up.
 func TestFewPrefillsTimeOutAtUnknownEngines(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(17))
 	properties.Property("any engine", prop.ForAll(func(rate, pairs, fixed float64, seed int64) bool {
 		e := simEngine{rate: math.Exp(rate), pairCost: pairs * 12 / math.Exp(rate), fixedMs: fixed}
 		early, late, sent := countTimedOut(e, uint64(seed))
 		if early > 8 || float64(late) > 0.03*float64(sent)+2 {
-			t.Logf("%.0f tokens a ms, %.2f, %.0f ms: given up %d early, %d later of %d", e.rate, e.pairCost, fixed, early, late, sent)
+			t.Logf("%.0f tokens/ms, pair cost %.2f, fixed %.0f ms: %d early and %d later timeouts of %d", e.rate, e.pairCost, fixed, early, late, sent)
 			return false
 		}
 		return true
