--- /dev/null
+++ b/pkg/kumquatlug/placement/attempt.go
@@ -0,0 +1,295 @@
+package placement
+
+import (
+	"slices"
+
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/learn"
+)
+
+// Ticket tracks one attempt in flight at a worker.
+type Ticket struct {
+	worker          *worker
+	id              string
+	born            int64
+	prefillOnly     bool
+	effectiveTokens float64
+	// uncachedTokens is the number of tokens to prefill and cachedTokens the number
+	// assumed to be cached. engineIdle says that no work was known to be ahead of them.
+	uncachedTokens, cachedTokens float64
+	engineIdle                   bool
+	kvTokens                     float64
+	// coordinator is the gateway that granted the attempt under grantKey, empty if none
+	// did.
+	coordinator string
+	grantKey    uint64
+	// maxOutputTokens is the maximum number of tokens to generate.
+	maxOutputTokens int
+	expectedWaitMs  float64
+	sentAt          kumquatlug.Millis
+	prefillDone     bool
+	ended           bool
+	// lastOutputAt is when output last arrived, zero for never.
+	lastOutputAt kumquatlug.Millis
+}
+
+// Born returns the start time of the worker's incarnation, as in its row.
+func (t *Ticket) Born() int64 { return t.born }
+
+// Worker returns the worker's name.
+func (t *Ticket) Worker() string { return t.id }
+
+// Outcome is how an attempt ended, as far as that concerns the worker.
+type Outcome string
+
+// The outcomes of attempts.
+const (
+	// OutcomeGood: the worker served the request.
+	OutcomeGood Outcome = "good"
+	// OutcomeFailed: the worker broke off, was unreachable or responded with a failure.
+	OutcomeFailed Outcome = "failed"
+	// OutcomeRefused: the worker did not accept the request, because it is full or
+	// changes its role.
+	OutcomeRefused Outcome = "refused"
+	// OutcomeSilent: the end says nothing about the worker, as when the client
+	// disconnects.
+	OutcomeSilent Outcome = "silent"
+)
+
+// Begin records that an attempt is sent to the worker of a choice after the choice's
+// delay.
+func (p *Placer) Begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt) *Ticket {
+	if w, known := p.workers[c.worker.ID()]; known && !c.prefillOnly && !c.reserved {
+		// The limit counted a prompt to prefill when it was submitted.
+		w.limit.Send(now)
+	}
+	return p.begin(now, c, prompt, "", 0)
+}
+
+// begin is Begin for an attempt that a coordinator granted under key.
+func (p *Placer) begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt, coordinator string, key uint64) *Ticket {
+	w, known := p.workers[c.worker.ID()]
+	if !known {
+		return &Ticket{id: c.worker.ID(), ended: true}
+	}
+	t := &Ticket{
+		worker: w, id: c.worker.ID(), born: w.member.Born, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.wait - c.delay, sentAt: now + c.Delay(),
+		coordinator: coordinator, grantKey: key,
+		uncachedTokens: c.uncachedTokens, cachedTokens: max(float64(prompt.Input())-c.uncachedTokens, 0), engineIdle: w.prefills == 0 && p.otherRequestsAt(now, w) < 1,
+	}
+	if len(w.attempts) == 0 {
+		w.lastSeenAt = now
+	}
+	w.attempts = append(w.attempts, t)
+	w.prefillTokens += c.effectiveTokens
+	if c.prefillOnly {
+		w.prefills++
+	} else {
+		t.kvTokens, t.maxOutputTokens = kvTokensFor(prompt), prompt.Output()
+		w.running++
+		w.kvTokens += t.kvTokens
+		p.meanKVTokens += ewmaWeight * (max(t.kvTokens, 1) - p.meanKVTokens)
+	}
+	if c.effectiveTokens > 0 {
+		p.meanPrefillTokens += ewmaWeight * (c.effectiveTokens - p.meanPrefillTokens)
+		p.recordCached(now, w, prompt)
+		w.prefilledTokens += c.uncachedTokens
+	}
+	return t
+}
+
+// recordCached records that w has the shared parts of a prompt cached.
+func (p *Placer) recordCached(now kumquatlug.Millis, w *worker, prompt kumquatlug.Prompt) {
+	for _, part := range prompt.Shared() {
+		w.cachedParts[part.ID()] = cachedPart{lastUsedAt: now, prefilledTokens: w.prefilledTokens}
+	}
+	if now-p.prunedAt < cacheLifetime {
+		return
+	}
+	p.prunedAt = now
+	for _, other := range p.ordered {
+		for id, last := range other.cachedParts {
+			if now-last.lastUsedAt > partRetention {
+				delete(other.cachedParts, id)
+			}
+		}
+	}
+}
+
+// Read records that the prompt has been prefilled: output has begun.
+func (p *Placer) Read(now kumquatlug.Millis, t *Ticket) {
+	if t.ended || t.prefillDone {
+		return
+	}
+	t.prefillDone = true
+	if !t.worker.unresponsive && now >= t.sentAt {
+		p.overrunFor(t).Saw(float64(now-t.sentAt) - p.expectedFirstOutputMs(t))
+	}
+	t.worker.prefillTokens = max(0, t.worker.prefillTokens-t.effectiveTokens)
+}
+
+// End records that an attempt is no longer in flight.
+func (p *Placer) End(now kumquatlug.Millis, t *Ticket, o Outcome) {
+	if t.ended {
+		return
+	}
+	p.Read(now, t)
+	t.ended = true
+	t.worker.removeAttempt(t)
+	if o == OutcomeGood || o == OutcomeRefused {
+		p.markAlive(now, t.id, t.worker)
+	}
+	if t.prefillOnly {
+		t.worker.prefills--
+		if t.coordinator != "" {
+			p.sendRelease(t.coordinator, kumquatlug.Turn{Engine: t.id, Key: t.grantKey})
+		}
+	} else {
+		t.worker.running--
+		t.worker.kvTokens -= t.kvTokens
+	}
+	if o == OutcomeRefused {
+		t.worker.backOff(now)
+		return
+	}
+	if o == OutcomeSilent || p.workers[t.id] != t.worker {
+		return
+	}
+	t.worker.refusals = 0
+	took := float64(now - t.sentAt)
+	if o == OutcomeGood && t.prefillOnly {
+		p.learnPrefill(t, took)
+	}
+	if o == OutcomeGood && t.worker.member.Role == "" {
+		p.meanPlainMs += ewmaWeight * (took - p.meanPlainMs)
+	}
+	if o == OutcomeGood && t.worker.member.Role == kumquatlug.RoleDecode {
+		p.meanRunMs += ewmaWeight * (took - p.meanRunMs)
+		p.tokenTime.Saw(took, float64(t.maxOutputTokens))
+	}
+	p.health.Outcome(now, t.id, o == OutcomeGood, p.latencyRatio(t, took))
+}
+
+// maxRunFactor is the greatest run time as a multiple of the usual one: outputs are
+// half of the maximum on average, and at times as long as the maximum while each token
+// takes longer, too.
+const maxRunFactor = 3
+
+// Takes returns an upper bound of the time that nearly all requests take at an engine,
+// by the greatest number of tokens to generate: until the first output, and from then
+// on.
+func (p *Placer) Takes(output int) kumquatlug.Millis {
+	return kumquatlug.Millis(p.overrun.Bound()) + p.Runs(output)
+}
+
+// Runs returns the second part of [Placer.Takes]: the time that nearly all outputs
+// take.
+func (p *Placer) Runs(output int) kumquatlug.Millis {
+	return kumquatlug.Millis(maxRunFactor * p.tokenTime.Value() * float64(output))
+}
+
+// Figure names an estimate about a service's workers.
+type Figure string
+
+// The estimates, with their units.
+const (
+	// FigureRate is the number of prompt tokens that an engine prefills in a ms.
+	FigureRate Figure = "read_tokens_per_ms"
+	// FigurePause is the longest usual pause between two events of a stream, in ms.
+	FigurePause Figure = "pause_ms"
+	// FigureOverrun is how much later than expected a first output may arrive, in ms.
+	FigureOverrun Figure = "overrun_ms"
+	// FigureToken is the run time for each token of the maximum output, in ms.
+	FigureToken Figure = "token_ms"
+)
+
+// Learnt returns the current estimates.
+func (p *Placer) Learnt() map[Figure]float64 {
+	return map[Figure]float64{
+		FigureRate: p.prefillRate(), FigurePause: p.pauses.Longest(), FigureOverrun: p.overrun.Bound(), FigureToken: p.tokenTime.Value(),
+	}
+}
+
+// removeAttempt removes an attempt from those in flight.
+func (w *worker) removeAttempt(t *Ticket) {
+	at := slices.Index(w.attempts, t)
+	if at < 0 {
+		return
+	}
+	last := len(w.attempts) - 1
+	w.attempts[at] = w.attempts[last]
+	w.attempts[last] = nil
+	w.attempts = w.attempts[:last]
+}
+
+// backOff stops sending requests to a worker for a while.
+func (w *worker) backOff(now kumquatlug.Millis) {
+	pause := refusalBackoff << min(w.refusals, 10)
+	w.refusals++
+	w.backoffUntil = now + min(pause, maxRefusalBackoff)
+}
+
+// learnPrefill records how long a prefill took. Those at an idle engine show its rate;
+// all show how much longer a prefill takes under load, once the rate is known.
+func (p *Placer) learnPrefill(t *Ticket, took float64) {
+	if t.engineIdle {
+		p.prefillModel.Saw(t.uncachedTokens, t.cachedTokens, took)
+	}
+	if t.expectedWaitMs < minExpectedMs || p.prefillModel.Samples() < minPrefillSamples {
+		return
+	}
+	p.slowdown += ewmaWeight * (p.slowdown*took/t.expectedWaitMs - p.slowdown)
+	p.slowdown = min(max(p.slowdown, minSlowdown), maxSlowdown)
+}
+
+// minPrefillSamples is the number of samples after which the prefill time of idle
+// engines counts as known.
+const minPrefillSamples = 8
+
+// minExpectedMs is a lower bound of expected times, in milliseconds. With shorter ones
+// noise would look like slowness.
+const minExpectedMs = 20.0
+
+// latencyRatio returns the ratio of the time that an attempt took to the expected time.
+func (p *Placer) latencyRatio(t *Ticket, took float64) float64 {
+	switch {
+	case t.prefillOnly:
+		return took / max(minExpectedMs, t.expectedWaitMs)
+	case t.worker.member.Role == "":
+		return took / max(minExpectedMs, p.meanPlainMs+t.expectedWaitMs)
+	default:
+		// The run time of a stream depends on its length, which is not known in
+		// advance.
+		return 1
+	}
+}
+
+// Overruns that are assumed until responses have shown them, in milliseconds.
+const (
+	initialOverrunMs      = 900.0
+	initialPlainOverrunMs = 300.0
+)
+
+// overrunFor returns the overrun estimate for the kind of worker that t is at.
+func (p *Placer) overrunFor(t *Ticket) *learn.Overrun {
+	if t.worker.member.Role == "" {
+		return p.plainOverrun
+	}
+	return p.overrun
+}
+
+// attemptTimeoutFactor is the least timeout of an attempt as a multiple of the expected
+// wait.
+const attemptTimeoutFactor = 4
+
+// Patience returns how long the first output of an attempt may take before the attempt
+// is given up as lost. If a request is given up while its engine prefills it, it is
+// prefilled again at another one, which slows both down for all other requests.
+func (p *Placer) Patience(t *Ticket) kumquatlug.Millis {
+	if t.worker == nil {
+		// The worker left a moment ago.
+		return kumquatlug.Millis(p.overrun.Bound())
+	}
+	expected := p.expectedFirstOutputMs(t)
+	return kumquatlug.Millis(max(attemptTimeoutFactor*t.expectedWaitMs, expected+p.overrunFor(t).Bound()))
+}
--- /dev/null
+++ b/pkg/kumquatlug/placement/liveness.go
@@ -0,0 +1,302 @@
+package placement
+
+import (
+	"slices"
+
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
+)
+
+// A worker that freezes, or to which the network path is cut, sends no reset: its
+// attempts time out one by one, a second or more later, and until some have, every new
+// request is still sent there. Users see stalled streams and prompts that are never
+// prefilled. But a worker with requests in flight sends something all the time, on one
+// attempt or another, as the events of its streams interleave. So a worker with several
+// streams is unresponsive when nothing at all has come from it for longer than any
+// stream ever pauses. With fewer streams, an overdue attempt makes an engine suspect:
+// it is probed, and unresponsive if it doesn't answer the probe, since a large prompt
+// of another gateway may occupy a healthy engine for a third of a second. An
+// unresponsive worker is excluded until something comes from it again. Prompts queued
+// for it are moved to other engines, and attempts that can continue elsewhere do so at
+// once: a stream that is resumed within its allowed pause is still on time.
+//
+// The usual pauses of streams are estimated for each engine and for all engines of a
+// service. An engine that prefills prompts between the tokens of its streams pauses
+// several times as long as another. If it were taken for unresponsive, its streams
+// would be aborted and restarted at other engines, where they slow down the rest. Until
+// its pauses are known, a quiet engine is probed before it is excluded.
+
+// Constants of liveness checks.
+const (
+	// streamMarginMs is how much longer than the longest pause of one stream an engine
+	// with several streams must be quiet, in milliseconds. Each of them alone would
+	// have sent an event.
+	streamMarginMs = 30.0
+	// overdueMarginMs is how long after its expected time an attempt without output
+	// makes its engine suspect, in milliseconds: a few round trips and a chunk of
+	// another gateway's prompt.
+	overdueMarginMs = 120.0
+	// minPlainOverdue is the number of attempts at a plain worker that must be overdue
+	// at the same time, each by plainMarginMs milliseconds: one in a hundred takes five
+	// times as long as the others, and a plain worker answers no probes beside its
+	// work.
+	minPlainOverdue = 2
+	plainMarginMs   = 350.0
+	// suspectProbeInterval is the interval between two probes of a suspect that
+	// answered: probes are cheap, but each takes another connection.
+	suspectProbeInterval = 300 * kumquatlug.Millis(1)
+	// unresponsiveProbeInterval is the interval between two probes of an unresponsive
+	// engine, which is used again as soon as it answers.
+	unresponsiveProbeInterval = 500 * kumquatlug.Millis(1)
+	// streamStallTimeout is how long one stream may stall while its worker responds
+	// otherwise: a preempted stream continues within tenths of a second, and clients
+	// disconnect after two seconds.
+	streamStallTimeout = 1200 * kumquatlug.Millis(1)
+	// maxCheckGap is the longest time between two checks. After a longer one this
+	// process itself was stopped, and what workers sent has not been read yet.
+	maxCheckGap = 60 * kumquatlug.Millis(1)
+	// maxUnresponsiveFraction is the fraction of the workers that may become
+	// unresponsive together. If more do, this gateway is the one that is cut off, and
+	// sending requests elsewhere gains nothing.
+	maxUnresponsiveFraction = 0.5
+)
+
+// Fallen is a worker that became unresponsive.
+type Fallen struct {
+	worker    string
+	silentFor kumquatlug.Millis
+	attempts  []*Ticket
+}
+
+// Worker returns the worker's name.
+func (f Fallen) Worker() string { return f.worker }
+
+// Quiet returns how long nothing had come from the worker.
+func (f Fallen) Quiet() kumquatlug.Millis { return f.silentFor }
+
+// Attempts returns this gateway's attempts in flight there.
+func (f Fallen) Attempts() []*Ticket { return f.attempts }
+
+// Heard records that output of an attempt arrived.
+func (p *Placer) Heard(now kumquatlug.Millis, t *Ticket) {
+	if t.ended {
+		return
+	}
+	w := t.worker
+	if t.lastOutputAt != 0 {
+		pause := float64(now - t.lastOutputAt)
+		w.pauses.Saw(pause)
+		p.pauses.Saw(pause)
+	}
+	t.lastOutputAt = now
+	p.markAlive(now, t.id, w)
+}
+
+// markAlive records that something came from a worker. An unresponsive one is used
+// again.
+func (p *Placer) markAlive(now kumquatlug.Millis, id string, w *worker) {
+	w.lastSeenAt = now
+	if w.unresponsive && p.workers[id] == w {
+		w.unresponsive = false
+		p.health.Outcome(now, id, true, 0)
+	}
+}
+
+// Silent excludes the workers that have become unresponsive and returns them. It has to
+// be called every few hundredths of a second.
+func (p *Placer) Silent(now kumquatlug.Millis) []Fallen {
+	stalled := now-p.livenessCheckedAt > maxCheckGap
+	p.livenessCheckedAt = now
+	if stalled {
+		for _, w := range p.ordered {
+			w.lastSeenAt = now
+		}
+		return nil
+	}
+	var fallen []Fallen
+	if p.gatewayIsolated(now) {
+		return nil
+	}
+	for _, w := range p.ordered {
+		if !w.unresponsive && p.liveness(now, w) == livenessUnresponsive {
+			fallen = append(fallen, p.ejectUnresponsive(now, w))
+		}
+	}
+	return fallen
+}
+
+// ejectUnresponsive excludes an unresponsive worker from new requests.
+func (p *Placer) ejectUnresponsive(now kumquatlug.Millis, w *worker) Fallen {
+	id := w.member.Worker.ID()
+	w.unresponsive = true
+	p.health.Eject(now, id)
+	p.displaceQueue(w)
+	return Fallen{worker: id, silentFor: now - w.lastSeenAt, attempts: slices.Clone(w.attempts)}
+}
+
+// Use is what a worker does, as far as its gateway knows.
+type Use string
+
+// The values of [Use].
+const (
+	// UseSilent: the worker is excluded as unresponsive.
+	UseSilent Use = "silent"
+	// UseIdle: no gateway has requests in flight there.
+	UseIdle Use = "idle"
+	// UseBusy: some gateway has.
+	UseBusy Use = "busy"
+)
+
+// InUse returns what each worker does, by name.
+func (p *Placer) InUse(now kumquatlug.Millis) map[string]Use {
+	all := map[string]Use{}
+	for id, w := range p.workers {
+		switch {
+		case w.unresponsive:
+			all[id] = UseSilent
+		case len(w.attempts) == 0 && len(w.grants) == 0 && p.otherRequestsAt(now, w) < 1:
+			all[id] = UseIdle
+		default:
+			all[id] = UseBusy
+		}
+	}
+	return all
+}
+
+// Stalled returns single streams that have stalled at workers that respond otherwise.
+func (p *Placer) Stalled(now kumquatlug.Millis) []*Ticket {
+	var stalled []*Ticket
+	for _, w := range p.ordered {
+		for _, t := range w.attempts {
+			if t.lastOutputAt != 0 && now-t.lastOutputAt > streamStallTimeout {
+				stalled = append(stalled, t)
+			}
+		}
+	}
+	return stalled
+}
+
+// Suspects returns the engines to probe now. The results are passed to [Placer.Asked].
+func (p *Placer) Suspects(now kumquatlug.Millis) []kumquatlug.Worker {
+	var suspects []kumquatlug.Worker
+	for _, w := range p.ordered {
+		every := suspectProbeInterval
+		if w.unresponsive {
+			every = unresponsiveProbeInterval
+		}
+		plain := w.member.Role == ""
+		probedRecently := w.probedAt != 0 && now-w.probedAt < every
+		if plain || probedRecently || !w.unresponsive && p.liveness(now, w) != livenessSuspect {
+			continue
+		}
+		w.probedAt = now
+		suspects = append(suspects, w.member.Worker)
+	}
+	return suspects
+}
+
+// Asked records whether an engine answered a probe. One that did not is unresponsive,
+// unless something has come from it since the probe.
+func (p *Placer) Asked(now kumquatlug.Millis, id string, answered bool) (Fallen, bool) {
+	w, known := p.workers[id]
+	switch {
+	case !known:
+		return Fallen{}, false
+	case answered:
+		if quiet := float64(w.probedAt - w.lastSeenAt); w.startedCount() > 1 && quiet > w.pauses.Longest() {
+			// The engine is alive, and only pauses for so long.
+			w.pauses.Saw(quiet)
+		}
+		p.markAlive(now, id, w)
+		return Fallen{}, false
+	case w.unresponsive || w.lastSeenAt >= w.probedAt || p.gatewayIsolated(now):
+		return Fallen{}, false
+	}
+	return p.ejectUnresponsive(now, w), true
+}
+
+// gatewayIsolated reports whether most of the workers with several streams are quiet,
+// which means that this gateway is cut off. They become quiet at slightly different
+// times, so half of the limit counts.
+func (p *Placer) gatewayIsolated(now kumquatlug.Millis) bool {
+	busy, quiet := 0, 0
+	for _, w := range p.ordered {
+		if w.startedCount() < 2 {
+			continue
+		}
+		busy++
+		if w.unresponsive || float64(now-w.lastSeenAt) > p.silenceLimitMs(w)/2 {
+			quiet++
+		}
+	}
+	return quiet > 1 && float64(quiet) > maxUnresponsiveFraction*float64(busy)
+}
+
+// liveness is the state of a worker as its silence shows it.
+type liveness string
+
+const (
+	livenessOK           liveness = "sound"
+	livenessSuspect      liveness = "suspect"
+	livenessUnresponsive liveness = "silent"
+)
+
+// liveness judges how long nothing has come from w by its requests in flight.
+func (p *Placer) liveness(now kumquatlug.Millis, w *worker) liveness {
+	if w.member.Role == "" {
+		return p.plainLiveness(now, w)
+	}
+	quiet := float64(now - w.lastSeenAt)
+	streams := w.startedCount()
+	tooQuiet := quiet > p.silenceLimitMs(w)
+	switch {
+	case streams > 1 && tooQuiet && p.pauses.Known():
+		return livenessUnresponsive
+	case streams > 1 && tooQuiet:
+		return livenessSuspect
+	case streams > 1:
+		return livenessOK
+	case streams == 1 && tooQuiet, p.overdueAttempts(now, w, overdueMarginMs) > 0 && quiet > overdueMarginMs:
+		return livenessSuspect
+	}
+	return livenessOK
+}
+
+// silenceLimitMs returns how long nothing may come from an engine with streams, in
+// milliseconds: the pause between two events of one stream, and the time for the
+// prompts that this gateway gave it to prefill meanwhile.
+func (p *Placer) silenceLimitMs(w *worker) float64 {
+	pause := w.pauses.Longest()
+	if !w.pauses.Known() {
+		pause = max(pause, p.pauses.Longest())
+	}
+	return pause + streamMarginMs + w.prefillTokens/(p.prefillRate()*p.config.MixedPart)
+}
+
+// plainLiveness is liveness for a worker of a plain service.
+func (p *Placer) plainLiveness(now kumquatlug.Millis, w *worker) liveness {
+	if p.overdueAttempts(now, w, plainMarginMs) >= minPlainOverdue && float64(now-w.lastSeenAt) > plainMarginMs {
+		return livenessUnresponsive
+	}
+	return livenessOK
+}
+
+// overdueAttempts returns the number of attempts at w without output that are overdue
+// by more than margin, in milliseconds.
+func (p *Placer) overdueAttempts(now kumquatlug.Millis, w *worker, margin float64) int {
+	n := 0
+	for _, t := range w.attempts {
+		if t.lastOutputAt == 0 && float64(now-t.sentAt) > p.expectedFirstOutputMs(t)+margin {
+			n++
+		}
+	}
+	return n
+}
+
+// expectedFirstOutputMs returns the expected time until the first output of an attempt,
+// in milliseconds.
+func (p *Placer) expectedFirstOutputMs(t *Ticket) float64 {
+	if t.worker.member.Role == "" {
+		return t.expectedWaitMs + p.meanPlainMs
+	}
+	return t.expectedWaitMs
+}
--- a/pkg/kumquatlug/placement/pressure.go
+++ b/pkg/kumquatlug/placement/pressure.go
@@ -6,109 +6,110 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// pressureSpan is the span over which pressure is averaged, in milliseconds:
-// some tens of prompts, and a part of the seconds that a change of role takes.
-const pressureSpan = 700.0
+// pressureWindowMs is the window over which pressure is averaged, in milliseconds: some
+// tens of prompts, and a fraction of the seconds that a role change takes.
+const pressureWindowMs = 700.0
 
-// trendSpan is the span over which the trend of taken slots is seen, changeSpan
-// how far it is followed, in milliseconds: until a change of role has effect.
+// trendWindowMs is the window over which the trend of used slots is measured,
+// roleChangeMs how far it is extrapolated, in milliseconds: until a role change takes
+// effect.
 const (
-	trendSpan  = 2000.0
-	changeSpan = 3000.0
+	trendWindowMs = 2000.0
+	roleChangeMs  = 3000.0
 )
 
-// Pressure is how much is asked of a service's engines, as one front sees it:
-// its own work in hand, and what engines say of all other work.
+// Pressure is the load of a service's engines as one gateway sees it: its own requests
+// in flight, and the load that engines report for all others.
 type Pressure struct {
-	reading float64
-	late    float64
-	taken   float64
-	coming  float64
+	prefillUtilization    float64
+	lateFraction          float64
+	decodeEnginesUsed     float64
+	decodeEnginesForecast float64
 }
 
-// Reading returns the part of the reading engines that have prompts in hand.
-func (p Pressure) Reading() float64 { return p.reading }
+// Reading returns the fraction of the prefill engines that have prompts in flight.
+func (p Pressure) Reading() float64 { return p.prefillUtilization }
 
-// Late returns the part of the long prompts that were refused or could not be
-// read within their target latency.
-func (p Pressure) Late() float64 { return p.late }
+// Late returns the fraction of the long prompts that were refused or could not be
+// prefilled within their target latency.
+func (p Pressure) Late() float64 { return p.lateFraction }
 
-// Taken returns how many engines' slots the requests at generating engines take,
-// waiting ones counted.
-func (p Pressure) Taken() float64 { return p.taken }
+// Taken returns how many engines' worth of slots the requests at decode engines take,
+// including waiting ones.
+func (p Pressure) Taken() float64 { return p.decodeEnginesUsed }
 
-// Coming returns how many they will take, by the trend, when a change of role
-// that is ordered now has effect.
-func (p Pressure) Coming() float64 { return p.coming }
+// Coming returns how many they will take, by the trend, when a role change that is
+// ordered now takes effect.
+func (p Pressure) Coming() float64 { return p.decodeEnginesForecast }
 
-// Beside is what a worker has in hand, as one front sees it.
+// Beside is the work in flight at a worker, as one gateway sees it.
 type Beside struct {
 	tokens, requests int
 }
 
-// Tokens returns how many tokens are to be read there for this front.
+// Tokens returns the number of tokens to prefill there for this gateway.
 func (b Beside) Tokens() int { return b.tokens }
 
-// Requests returns how many requests are believed to run there, those of all fronts.
+// Requests returns the estimated number of requests of all gateways that run there.
 func (b Beside) Requests() int { return b.requests }
 
-// Beside returns what a worker has in hand.
+// Beside returns the work in flight at a worker.
 func (p *Placer) Beside(now kumquatlug.Millis, id string) Beside {
 	w, known := p.workers[id]
 	if !known {
 		return Beside{}
 	}
-	return Beside{tokens: int(w.tokens), requests: w.runs + int(math.Round(p.othersNow(now, w)))}
+	return Beside{tokens: int(w.prefillTokens), requests: w.running + int(math.Round(p.otherRequestsAt(now, w)))}
 }
 
-// gauge keeps the averages behind a [Pressure].
-type gauge struct {
-	reading, taken float64
-	// entered and late count prompts; both fade.
-	entered, late float64
-	at            kumquatlug.Millis
-	// slowTaken is taken over a longer span, for the trend.
-	slowTaken float64
+// pressureAverages holds the averages behind a [Pressure].
+type pressureAverages struct {
+	prefillUtilization, decodeEnginesUsed float64
+	// prompts and latePrompts are decaying counts.
+	prompts, latePrompts float64
+	sampledAt            kumquatlug.Millis
+	// slowDecodeEnginesUsed is averaged over trendWindowMs, for the trend.
+	slowDecodeEnginesUsed float64
 }
 
-// fade lets older counts weigh less.
-func (g *gauge) fade(now kumquatlug.Millis) float64 {
-	kept := math.Exp(-float64(now-g.at) / pressureSpan)
-	g.entered *= kept
-	g.late *= kept
-	g.at = now
+// decay reduces the weight of older counts and returns the factor.
+func (g *pressureAverages) decay(now kumquatlug.Millis) float64 {
+	kept := math.Exp(-float64(now-g.sampledAt) / pressureWindowMs)
+	g.prompts *= kept
+	g.latePrompts *= kept
+	g.sampledAt = now
 	return kept
 }
 
-// Measure takes a sample; call it each few hundredths of a second.
+// Measure takes a sample. It has to be called every few hundredths of a second.
 func (p *Placer) Measure(now kumquatlug.Millis) {
-	kept := p.gauge.fade(now)
-	busy := p.busyReaders(now)
+	kept := p.averages.decay(now)
+	busy := p.busyPrefillFraction(now)
 	taken := 0.0
-	for _, w := range p.list {
+	for _, w := range p.ordered {
 		if w.member.State != kumquatlug.MemberReady {
 			continue
 		}
 		if w.member.Role == kumquatlug.RoleDecode {
-			taken += (float64(w.runs) + p.othersNow(now, w)) / float64(max(w.member.Slots, 1))
+			taken += (float64(w.running) + p.otherRequestsAt(now, w)) / float64(max(w.member.Slots, 1))
 		}
 	}
-	p.gauge.reading = kept*p.gauge.reading + (1-kept)*busy
-	p.gauge.taken = kept*p.gauge.taken + (1-kept)*taken
-	slow := math.Pow(kept, pressureSpan/trendSpan)
-	p.gauge.slowTaken = slow*p.gauge.slowTaken + (1-slow)*taken
+	p.averages.prefillUtilization = kept*p.averages.prefillUtilization + (1-kept)*busy
+	p.averages.decodeEnginesUsed = kept*p.averages.decodeEnginesUsed + (1-kept)*taken
+	slow := math.Pow(kept, pressureWindowMs/trendWindowMs)
+	p.averages.slowDecodeEnginesUsed = slow*p.averages.slowDecodeEnginesUsed + (1-slow)*taken
 }
 
-// busyReaders is the part of the reading engines that is at work. Of an engine that this
-// front coordinates it knows the prompts of all fronts, of the others its own alone;
-// which engines it coordinates is a fair sample of all.
-func (p *Placer) busyReaders(now kumquatlug.Millis) float64 {
+// busyPrefillFraction returns the fraction of the prefill engines that are busy. For an
+// engine that this gateway coordinates it knows the prompts of all gateways, for others
+// only its own. The engines that it coordinates are a fair sample of all.
+func (p *Placer) busyPrefillFraction(now kumquatlug.Millis) float64 {
 	known, all, knownBusy, allBusy := 0, 0, 0.0, 0.0
-	for _, w := range p.list {
+	for _, w := range p.ordered {
 		if w.member.State != kumquatlug.MemberReady || w.member.Role != kumquatlug.RolePrefill {
 			continue
 		}
-		busy := min(1, float64(w.reads)+p.othersNow(now, w))
+		busy := min(1, float64(w.prefills)+p.otherRequestsAt(now, w))
 		all++
 		allBusy += busy
 		if p.coordinates(now, w) {
@@ -125,49 +126,50 @@
 // Pressure returns the averages of the last second.
 func (p *Placer) Pressure() Pressure {
 	late := 0.0
-	if p.gauge.entered >= 1 {
-		late = p.gauge.late / p.gauge.entered
+	if p.averages.prompts >= 1 {
+		late = p.averages.latePrompts / p.averages.prompts
 	}
-	trend := (p.gauge.taken - p.gauge.slowTaken) / (trendSpan - pressureSpan)
+	trend := (p.averages.decodeEnginesUsed - p.averages.slowDecodeEnginesUsed) / (trendWindowMs - pressureWindowMs)
 	return Pressure{
-		reading: p.gauge.reading, late: late, taken: p.gauge.taken, coming: max(0, p.gauge.taken+trend*changeSpan),
+		prefillUtilization: p.averages.prefillUtilization, lateFraction: late, decodeEnginesUsed: p.averages.decodeEnginesUsed, decodeEnginesForecast: max(0, p.averages.decodeEnginesUsed+trend*roleChangeMs),
 	}
 }
 
-// Occupancy is how much of a service's workers in one data centre is taken.
+// Occupancy is how much of a service's workers in one data centre is in use.
 type Occupancy struct {
 	workers int
 	busy    float64
 }
 
-// Workers returns how many workers take work.
+// Workers returns the number of workers that accept requests.
 func (o Occupancy) Workers() int { return o.workers }
 
-// Busy returns how much of them is taken, in workers; above their number requests wait.
+// Busy returns how much of them is in use, in workers; above their number requests
+// wait.
 func (o Occupancy) Busy() float64 { return o.busy }
 
-// Occupied returns how much is taken by data centre, by what this front has in hand and
-// what the workers said of the others.
+// Occupied returns the occupancy by data centre, from this gateway's requests in flight
+// and the load that workers report for the others.
 func (p *Placer) Occupied(now kumquatlug.Millis) map[string]Occupancy {
 	zones := map[string]Occupancy{}
-	for _, w := range p.list {
+	for _, w := range p.ordered {
 		if w.member.State != kumquatlug.MemberReady {
 			continue
 		}
 		o := zones[w.member.Zone]
 		o.workers++
-		o.busy += p.taken(now, w)
+		o.busy += p.usedFraction(now, w)
 		zones[w.member.Zone] = o
 	}
 	return zones
 }
 
-// taken is the part of a worker that is taken. One that reads prompts apart has as many
-// places as prompts it may have in hand.
-func (p *Placer) taken(now kumquatlug.Millis, w *worker) float64 {
+// usedFraction returns the fraction of a worker that is in use. A prefill engine has as
+// many slots as prompts it may have in flight.
+func (p *Placer) usedFraction(now kumquatlug.Millis, w *worker) float64 {
 	places := w.member.Slots
 	if w.member.Role == kumquatlug.RolePrefill {
-		places = mostReads
+		places = maxPrefills
 	}
-	return (float64(w.reads+w.runs) + p.othersNow(now, w)) / float64(max(places, 1))
+	return (float64(w.prefills+w.running) + p.otherRequestsAt(now, w)) / float64(max(places, 1))
 }
