--- a/pkg/kumquatlug/caller.go
+++ b/pkg/kumquatlug/caller.go
@@ -16,7 +16,7 @@
 	tokensPerSecond int64
 	concurrency     int
 	priority        int
-	ranked          bool
+	hasPriority     bool
 }
 
 // CallerConfig is what a [Caller] is made of; it is also its stored JSON form.
@@ -51,7 +51,7 @@
 		tokensPerSecond: c.TokensPerSecond, concurrency: c.Concurrency,
 	}
 	if c.Priority != nil {
-		caller.priority, caller.ranked = *c.Priority, true
+		caller.priority, caller.hasPriority = *c.Priority, true
 	}
 	return caller, nil
 }
@@ -88,13 +88,13 @@
 func (c Caller) Concurrency() int { return c.concurrency }
 
 // Priority returns the rank of the account's work, 0 first, and whether it has one.
-func (c Caller) Priority() (int, bool) { return c.priority, c.ranked }
+func (c Caller) Priority() (int, bool) { return c.priority, c.hasPriority }
 
 // Credential is what a request carries to say whose it is. It holds a hash, never
 // a key.
 type Credential struct {
-	keys int
-	hash string
+	keyCount int
+	hash     string
 }
 
 // NewCredential returns the credential of a request with these keys; empty ones
@@ -105,14 +105,14 @@
 		if key == "" {
 			continue
 		}
-		c.keys++
+		c.keyCount++
 		c.hash = HashKey(key)
 	}
 	return c
 }
 
 // Keys returns how many keys the request carries.
-func (c Credential) Keys() int { return c.keys }
+func (c Credential) Keys() int { return c.keyCount }
 
 // Hash returns [HashKey] of the last key, empty without one.
 func (c Credential) Hash() string { return c.hash }
--- a/pkg/kumquatlug/direct.go
+++ b/pkg/kumquatlug/direct.go
@@ -57,16 +57,16 @@
 
 // Ask is one request as a front received it from a client.
 type Ask struct {
-	id       string
-	host     string
-	method   string
-	path     string
-	target   string
-	header   http.Header
-	body     []byte
-	deadline Millis
-	resume   int64
-	prompt   Prompt
+	id          string
+	host        string
+	method      string
+	path        string
+	target      string
+	header      http.Header
+	body        []byte
+	timeout     Millis
+	lastEventID int64
+	prompt      Prompt
 	// credential says whose request it is, account is the account found by it.
 	credential Credential
 	account    string
@@ -100,7 +100,7 @@
 func NewAsk(c AskConfig) Ask {
 	return Ask{
 		id: c.ID, host: c.Host, method: c.Method, path: c.Path, target: c.Target, header: c.Header,
-		body: c.Body, deadline: c.Deadline, resume: c.Resume, prompt: c.Prompt, credential: c.Credential,
+		body: c.Body, timeout: c.Deadline, lastEventID: c.Resume, prompt: c.Prompt, credential: c.Credential,
 	}
 }
 
@@ -127,10 +127,10 @@
 
 // Deadline returns how long the client waits, counted from the arrival, zero
 // when it does not say.
-func (a Ask) Deadline() Millis { return a.deadline }
+func (a Ask) Deadline() Millis { return a.timeout }
 
 // Resume returns the number of the last event that the client has.
-func (a Ask) Resume() int64 { return a.resume }
+func (a Ask) Resume() int64 { return a.lastEventID }
 
 // Prompt returns what the request says of its prompt.
 func (a Ask) Prompt() Prompt { return a.prompt }
--- a/pkg/kumquatlug/incarnation_test.go
+++ b/pkg/kumquatlug/incarnation_test.go
@@ -7,7 +7,7 @@
 
 // All VMs start in the same moment after a loss of power. Two starts under one name
 // would overwrite each other's rows, and one could take the other's claim for its own.
-func TestStartsInOneMomentHaveNamesOfTheirOwn(t *testing.T) {
+func TestSimultaneousStartsGetDistinctIncarnations(t *testing.T) {
 	seen := map[string]bool{}
 	for range 1000 {
 		for _, vm := range []string{"vm-1", "vm-2"} {
--- a/pkg/kumquatlug/limit/callers.go
+++ b/pkg/kumquatlug/limit/callers.go
@@ -39,7 +39,7 @@
 	Concurrency int
 }
 
-const burstSeconds = 10
+const defaultBurstSeconds = 10
 
 // CallersConfig is what [Callers] is made of.
 type CallersConfig struct {
@@ -57,21 +57,21 @@
 
 // Callers holds each account to its terms.
 type Callers struct {
-	config  CallersConfig
-	terms   map[string]CallerTerms
-	callers map[string]*caller
+	config CallersConfig
+	limits map[string]CallerTerms
+	usage  map[string]*callerUsage
 }
 
-// caller is what one account has used. level is in thousandths of a token, so
+// callerUsage is what one account has used. level is in thousandths of a token, so
 // that a slow rate loses nothing between two close requests.
-type caller struct {
-	level   int64
-	filled  kumquatlug.Millis
-	running int
-	mean    float64
+type callerUsage struct {
+	milliTokens    int64
+	refilledAt     kumquatlug.Millis
+	running        int
+	meanHeldMillis float64
 }
 
-const milli = 1000
+const milliTokensPerToken = 1000
 
 // NewCallers returns limits under which nobody has used anything.
 func NewCallers(c CallersConfig) *Callers {
@@ -82,11 +82,11 @@
 	if c.Random == nil {
 		c.Random = rand.New(rand.NewPCG(1, 1))
 	}
-	return &Callers{config: c, terms: make(map[string]CallerTerms), callers: make(map[string]*caller)}
+	return &Callers{config: c, limits: make(map[string]CallerTerms), usage: make(map[string]*callerUsage)}
 }
 
 // SetTerms gives a caller terms of its own.
-func (c *Callers) SetTerms(name string, t CallerTerms) { c.terms[name] = t }
+func (c *Callers) SetTerms(name string, t CallerTerms) { c.limits[name] = t }
 
 // SetEntries says how many entries now share the callers.
 func (c *Callers) SetEntries(n int) { c.config.Entries = max(n, 1) }
@@ -128,17 +128,17 @@
 // Begin lets a request of so many estimated tokens pass and counts it, or
 // refuses it. Each request that passed is ended once with [Callers.End].
 func (c *Callers) Begin(now kumquatlug.Millis, name string, cost int64) Verdict {
-	t := c.part(name)
-	u := c.use(now, name, t)
+	t := c.localLimits(name)
+	u := c.refilledUsage(now, name, t)
 	if t.Concurrency > 0 && u.running >= t.Concurrency {
-		return c.refuse(ReasonConcurrency, u.freeIn(t))
+		return c.refuse(ReasonConcurrency, u.expectedFreeIn(t))
 	}
 	if wait := u.wait(t, cost); wait > 0 {
 		return c.refuse(ReasonRate, wait)
 	}
 	u.running++
 	if t.Rate > 0 {
-		u.level -= cost * milli
+		u.milliTokens -= cost * milliTokensPerToken
 	}
 	return Verdict{}
 }
@@ -147,32 +147,32 @@
 // the cost given at its start and actual what it used. A caller is charged
 // what it used, so that asking for more output than it needs, or for less,
 // gains it nothing.
-func (c *Callers) End(now kumquatlug.Millis, name string, held kumquatlug.Millis, estimated, actual int64) {
-	t := c.part(name)
-	u := c.use(now, name, t)
+func (c *Callers) End(now kumquatlug.Millis, name string, duration kumquatlug.Millis, estimated, actual int64) {
+	t := c.localLimits(name)
+	u := c.refilledUsage(now, name, t)
 	u.running = max(u.running-1, 0)
-	u.mean += (float64(held) - u.mean) / 8
+	u.meanHeldMillis += (float64(duration) - u.meanHeldMillis) / 8
 	if t.Rate > 0 {
-		u.level = min(u.level+(estimated-actual)*milli, t.Burst*milli)
+		u.milliTokens = min(u.milliTokens+(estimated-actual)*milliTokensPerToken, t.Burst*milliTokensPerToken)
 	}
 }
 
 // Running returns how many requests of a caller are in hand here.
 func (c *Callers) Running(name string) int {
-	if u, ok := c.callers[name]; ok {
+	if u, ok := c.usage[name]; ok {
 		return u.running
 	}
 	return 0
 }
 
-// part returns this entry's part of a caller's terms, at least one request.
-func (c *Callers) part(name string) CallerTerms {
-	t, ok := c.terms[name]
+// localLimits returns this entry's part of a caller's terms, at least one request.
+func (c *Callers) localLimits(name string) CallerTerms {
+	t, ok := c.limits[name]
 	if !ok {
 		t = c.config.Default
 	}
 	if t.Rate > 0 && t.Burst <= 0 {
-		t.Burst = t.Rate * burstSeconds
+		t.Burst = t.Rate * defaultBurstSeconds
 	}
 	n := c.config.Entries
 	t.Rate = (t.Rate + int64(n) - 1) / int64(n)
@@ -181,47 +181,47 @@
 	return t
 }
 
-func (c *Callers) use(now kumquatlug.Millis, name string, t CallerTerms) *caller {
-	u, ok := c.callers[name]
+func (c *Callers) refilledUsage(now kumquatlug.Millis, name string, t CallerTerms) *callerUsage {
+	u, ok := c.usage[name]
 	if !ok {
-		u = &caller{level: t.Burst * milli, filled: now}
-		c.callers[name] = u
+		u = &callerUsage{milliTokens: t.Burst * milliTokensPerToken, refilledAt: now}
+		c.usage[name] = u
 	}
-	u.fill(now, t)
+	u.refill(now, t)
 	return u
 }
 
-func (u *caller) fill(now kumquatlug.Millis, t CallerTerms) {
-	span := int64(now - u.filled)
-	if span <= 0 {
+func (u *callerUsage) refill(now kumquatlug.Millis, t CallerTerms) {
+	elapsed := int64(now - u.refilledAt)
+	if elapsed <= 0 {
 		return
 	}
-	u.filled = now
-	full := t.Burst * milli
-	if t.Rate > 0 && span > (full-u.level)/t.Rate {
-		u.level = full
+	u.refilledAt = now
+	capacity := t.Burst * milliTokensPerToken
+	if t.Rate > 0 && elapsed > (capacity-u.milliTokens)/t.Rate {
+		u.milliTokens = capacity
 		return
 	}
-	u.level += span * t.Rate
+	u.milliTokens += elapsed * t.Rate
 }
 
 // wait returns how long until the cost may be asked. A request above the whole
 // burst passes when the bucket is full and is paid off afterwards; else it
 // could never pass.
-func (u *caller) wait(t CallerTerms, cost int64) kumquatlug.Millis {
+func (u *callerUsage) wait(t CallerTerms, cost int64) kumquatlug.Millis {
 	if t.Rate <= 0 {
 		return 0
 	}
-	missing := min(cost, t.Burst)*milli - u.level
+	missing := min(cost, t.Burst)*milliTokensPerToken - u.milliTokens
 	if missing <= 0 {
 		return 0
 	}
 	return kumquatlug.Millis((missing + t.Rate - 1) / t.Rate)
 }
 
-// freeIn returns when one of the running requests is likely to end.
-func (u *caller) freeIn(t CallerTerms) kumquatlug.Millis {
-	return kumquatlug.Millis(u.mean / float64(t.Concurrency))
+// expectedFreeIn returns when one of the running requests is likely to end.
+func (u *callerUsage) expectedFreeIn(t CallerTerms) kumquatlug.Millis {
+	return kumquatlug.Millis(u.meanHeldMillis / float64(t.Concurrency))
 }
 
 func (c *Callers) refuse(reason Reason, wait kumquatlug.Millis) Verdict {
@@ -233,11 +233,11 @@
 // Forget drops callers that have nothing in hand and a full bucket, so that
 // memory is bounded by who was active lately. Call it now and then.
 func (c *Callers) Forget(now kumquatlug.Millis) {
-	for name, u := range c.callers {
-		t := c.part(name)
-		u.fill(now, t)
-		if u.running == 0 && u.level >= t.Burst*milli {
-			delete(c.callers, name)
+	for name, u := range c.usage {
+		t := c.localLimits(name)
+		u.refill(now, t)
+		if u.running == 0 && u.milliTokens >= t.Burst*milliTokensPerToken {
+			delete(c.usage, name)
 		}
 	}
 }
--- a/pkg/kumquatlug/limit/limit_test.go
+++ b/pkg/kumquatlug/limit/limit_test.go
@@ -31,7 +31,7 @@
 	// true
 }
 
-func TestCallerNeverGetsMoreThanItsRate(t *testing.T) {
+func TestCallerNeverExceedsItsRate(t *testing.T) {
 	p := properties(t)
 	p.Property("burst plus rate times time bounds what passes", prop.ForAll(func(ops []uint64) string {
 		c := NewCallers(CallersConfig{Default: CallerTerms{Rate: 100, Burst: 1000, Concurrency: 4}})
@@ -57,7 +57,7 @@
 	p.TestingRun(t)
 }
 
-func TestRefusedCallersComeBackApart(t *testing.T) {
+func TestRetryAfterIsJittered(t *testing.T) {
 	// A hundred clients of one account are refused in one moment. Told the
 	// same second, they would all come back in it and be refused again.
 	c := NewCallers(CallersConfig{Default: CallerTerms{Concurrency: 1}})
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestActualUseIsCharged(t *testing.T) {
+func TestCallerIsChargedActualTokens(t *testing.T) {
 	// A client that asks for little output and takes much would else get many
 	// times its rate.
 	c := NewCallers(CallersConfig{Default: CallerTerms{Rate: 100, Burst: 1000}})
@@ -87,26 +87,26 @@
 	}
 }
 
-// engine is a target whose time for a token grows with its batch above a size.
-type engine struct {
-	batch int
-	knee  int
+// simulatedEngine is a target whose time for a token grows with its batch above a size.
+type simulatedEngine struct {
+	batch           int
+	saturationBatch int
 }
 
-func (e engine) latency(tokens int64) kumquatlug.Millis {
+func (e simulatedEngine) latency(tokens int64) kumquatlug.Millis {
 	perToken := 10.0
-	if e.batch > e.knee {
-		perToken *= float64(e.batch) / float64(e.knee)
+	if e.batch > e.saturationBatch {
+		perToken *= float64(e.batch) / float64(e.saturationBatch)
 	}
 	return kumquatlug.Millis(perToken * float64(tokens))
 }
 
-// settle keeps each entry's limit full against one engine and returns the mean
+// runToSteadyState keeps each entry's limit full against one engine and returns the mean
 // batch, and how many times the least entry's part the greatest one is.
-func settle(e engine, entries int, overloadAt int) (batch, uneven float64) {
+func runToSteadyState(e simulatedEngine, gateways int, overloadAt int) (batch, imbalance float64) {
 	var all []*Targets
-	for n := range entries {
-		l := NewTargets(TargetsConfig{Entries: entries, Random: rand.New(rand.NewPCG(uint64(n), 1))})
+	for n := range gateways {
+		l := NewTargets(TargetsConfig{Entries: gateways, Random: rand.New(rand.NewPCG(uint64(n), 1))})
 		l.Add("x")
 		all = append(all, l)
 	}
@@ -118,7 +118,7 @@
 	}
 	var running []run
 	sum, samples := 0.0, 0.0
-	parts := make([]float64, entries)
+	shares := make([]float64, gateways)
 	for now := kumquatlug.Millis(0); now < 10*kumquatlug.Minute; now += 50 {
 		kept := running[:0]
 		for _, r := range running {
@@ -145,34 +145,34 @@
 		if now > 5*kumquatlug.Minute {
 			sum, samples = sum+float64(e.batch), samples+1
 			for n, l := range all {
-				parts[n] += float64(l.Running("x"))
+				shares[n] += float64(l.Running("x"))
 			}
 		}
 	}
-	return sum / samples, slices.Max(parts) / max(slices.Min(parts), 1)
+	return sum / samples, slices.Max(shares) / max(slices.Min(shares), 1)
 }
 
-func TestConcurrencyFindsTheTarget(t *testing.T) {
+func TestConcurrencyLimitConverges(t *testing.T) {
 	// A target is given whatever comes. Past the size of its batch each request
 	// only makes all others slower, and every answer on it is late at once.
-	for _, entries := range []int{1, 4} {
-		batch, uneven := settle(engine{knee: 20}, entries, 0)
-		if uneven > 2 {
-			t.Errorf("one of %d entries has %.1f times as much as another", entries, uneven)
+	for _, gateways := range []int{1, 4} {
+		batch, imbalance := runToSteadyState(simulatedEngine{saturationBatch: 20}, gateways, 0)
+		if imbalance > 2 {
+			t.Errorf("one of %d entries has %.1f times as much as another", gateways, imbalance)
 		}
 		// 3 times the floor is a batch of 60; the step up holds it the root of
 		// its size above, at 67.
 		if batch < 60 || batch > 75 {
-			t.Errorf("%d entries settle at a batch of %.1f, want about 67", entries, batch)
+			t.Errorf("%d entries settle at a batch of %.1f, want about 67", gateways, batch)
 		}
-		t.Logf("%d entries, knee at 20: batch %.1f", entries, batch)
+		t.Logf("%d entries, knee at 20: batch %.1f", gateways, batch)
 	}
-	if batch, _ := settle(engine{knee: 1000}, 1, 50); batch > 60 {
+	if batch, _ := runToSteadyState(simulatedEngine{saturationBatch: 1000}, 1, 50); batch > 60 {
 		t.Errorf("a target that refuses above 50 is given %.1f", batch)
 	}
 }
 
-func TestShortPatienceMakesASmallBatch(t *testing.T) {
+func TestShortPatienceLowersTolerance(t *testing.T) {
 	// A batch that suits documents is too slow for questions. Held to the same
 	// tolerance, the target fills up with answers that come too late.
 	l := NewTargets(TargetsConfig{Floor: 1})
@@ -182,7 +182,7 @@
 	}{
 		{patience: 3000, want: 1.95},
 		{patience: kumquatlug.Minute, want: DefaultTolerance},
-		{patience: 100, want: leastTolerance},
+		{patience: 100, want: minTolerance},
 	} {
 		var k Ticket
 		l.Tolerate(&k, c.patience, 1000)
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestPromptsWaitAtTheEntry(t *testing.T) {
+func TestPendingBoundHoldsBackLongPrompts(t *testing.T) {
 	// Prompts sent ahead of time wait inside the engine: they have left the fair
 	// order, and a question that comes later stands behind them.
 	l := NewTargets(TargetsConfig{MaxPending: 8000})
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestReportIsNotCountedTwice(t *testing.T) {
+func TestReportedRequestsAreNotCountedTwice(t *testing.T) {
 	// The report of a second ago doesn't hold the last second's requests. An
 	// entry that ignored them would send a second's work into memory that is
 	// already full; one that added all it has in hand would stop at half.
@@ -231,22 +231,22 @@
 	}
 }
 
-func TestEntriesDoNotOverfillOnOneReport(t *testing.T) {
+func TestGatewaysDoNotOverfillMemoryOnOneReport(t *testing.T) {
 	// Ten entries read the same report of a target with some room and send at
 	// once. Each believes that the room is its own; together they overfill the
 	// memory, and the target throws out half-done answers.
 	for _, used := range []int64{0, 4500, 8500} {
 		for _, cost := range []int64{50, 700, 3000} {
-			sum, far := 0.0, 0
+			sum, excessive := 0.0, 0
 			for seed := range uint64(1000) {
 				over := sentOnOneReport(used, cost, seed) - (9000 - used)
 				sum += float64(over)
 				if over > 4*cost {
-					far++
+					excessive++
 				}
 			}
-			if mean := sum / 1000; mean > 0.1*float64(cost) || far > 10 {
-				t.Errorf("used %d, pieces of %d: %.0f too many in the mean, far too many in %d of 1000", used, cost, mean, far)
+			if mean := sum / 1000; mean > 0.1*float64(cost) || excessive > 10 {
+				t.Errorf("used %d, pieces of %d: %.0f too many in the mean, far too many in %d of 1000", used, cost, mean, excessive)
 			}
 		}
 	}
--- a/pkg/kumquatlug/limit/targets.go
+++ b/pkg/kumquatlug/limit/targets.go
@@ -87,18 +87,18 @@
 // Targets holds each target to what it can take from this entry.
 type Targets struct {
 	config  TargetsConfig
-	targets map[string]*target
+	targets map[string]*targetState
 }
 
 // NewTargets returns limits over no targets.
 func NewTargets(c TargetsConfig) *Targets {
-	return &Targets{config: c.withDefaults(), targets: make(map[string]*target)}
+	return &Targets{config: c.withDefaults(), targets: make(map[string]*targetState)}
 }
 
 // Add starts the limits of a target, or of its new incarnation.
 func (t *Targets) Add(name string) {
-	part := float64(t.config.Initial) / float64(t.config.Entries)
-	t.targets[name] = &target{limit: max(part, float64(t.config.Min)), floor: t.config.Floor}
+	share := float64(t.config.Initial) / float64(t.config.Entries)
+	t.targets[name] = &targetState{limit: max(share, float64(t.config.Min)), baseline: t.config.Floor}
 }
 
 // Remove forgets a target that is gone.
@@ -109,10 +109,10 @@
 
 // Ticket is one request in hand at a target.
 type Ticket struct {
-	target  *target
-	cost    int64
-	size    size
-	started bool
+	target    *targetState
+	cost      int64
+	sizeClass sizeClass
+	started   bool
 	// tolerance is how many times its least time it may take, zero for the
 	// default.
 	tolerance float64
@@ -125,12 +125,12 @@
 	if !ok {
 		return Ticket{}
 	}
-	g.count(now, 1)
-	pending := t.sizeOf(cost)
-	g.pending[pending] += cost
+	g.addRunning(now, 1)
+	class := t.sizeClassOf(cost)
+	g.pendingTokens[class] += cost
 	g.memory.add(now, cost)
-	g.crowded = g.crowded || float64(g.running) >= g.limit/2
-	return Ticket{target: g, cost: cost, size: pending}
+	g.limitInUse = g.limitInUse || float64(g.running) >= g.limit/2
+	return Ticket{target: g, cost: cost, sizeClass: class}
 }
 
 // Sample tells how long a piece of a request took: from sending to the first
@@ -143,12 +143,12 @@
 	if g == nil {
 		return
 	}
-	g.start(k)
-	g.sample(now, float64(latency), work, work*t.toleranceOf(k))
+	g.markStarted(k)
+	g.addSample(now, float64(latency), work, work*t.toleranceOf(k))
 	if t.config.Floor > 0 {
-		g.floor = t.config.Floor
+		g.baseline = t.config.Floor
 	}
-	t.adjust(now, g)
+	t.adjustLimit(now, g)
 }
 
 func (t *Targets) toleranceOf(k *Ticket) float64 {
@@ -159,15 +159,15 @@
 }
 
 const (
-	// patiencePart is the part of a caller's time that its answer may take once
+	// maxPatienceShare is the part of a caller's time that its answer may take once
 	// sent; the rest is for waiting and for odd lengths. With 0.7 quiet callers
 	// beside a hot one kept 0.97 of their on-time answers, with 0.6 a fleet at
 	// twice its load 0.947 of its goodput in place of 0.956
 	// (cmd/kumquatlug-experiment, seeds 1 to 3).
-	patiencePart = 0.65
-	// leastTolerance leaves some batching to requests whose time is too short
+	maxPatienceShare = 0.65
+	// minTolerance leaves some batching to requests whose time is too short
 	// for any.
-	leastTolerance = 1.2
+	minTolerance = 1.2
 )
 
 // Tolerate says how long the caller of a request waits and how long the request
@@ -177,8 +177,8 @@
 // answers that come too late and the queue before it empty, so that nobody's
 // turn would be kept.
 func (t *Targets) Tolerate(k *Ticket, patience, alone kumquatlug.Millis) {
-	most := patiencePart * float64(patience) / float64(max(alone, 1))
-	k.tolerance = min(max(most, leastTolerance), t.config.Tolerance)
+	allowed := maxPatienceShare * float64(patience) / float64(max(alone, 1))
+	k.tolerance = min(max(allowed, minTolerance), t.config.Tolerance)
 }
 
 // Outcome is how a request at a target ended.
@@ -199,11 +199,11 @@
 	if g == nil {
 		return
 	}
-	g.start(&k)
-	g.count(now, -1)
+	g.markStarted(&k)
+	g.addRunning(now, -1)
 	g.memory.add(now, -k.cost)
 	g.overloaded = g.overloaded || o == OutcomeOverload
-	t.adjust(now, g)
+	t.adjustLimit(now, g)
 }
 
 // Load is what a target last said of itself.
@@ -225,21 +225,21 @@
 // Report takes a target's load. One that is older than the last is dropped.
 func (t *Targets) Report(now kumquatlug.Millis, name string, l Load) {
 	g, ok := t.targets[name]
-	if !ok || !g.memory.report(l) {
+	if !ok || !g.memory.update(l) {
 		return
 	}
-	g.all, g.waiting = l.Running, l.Waiting
-	g.coin = t.config.Random.Float64()
+	g.totalRunning, g.waiting = l.Running, l.Waiting
+	g.reportDraw = t.config.Random.Float64()
 	if l.Waiting > int64(t.config.Entries) {
 		g.overloaded = true
-		t.adjust(now, g)
+		t.adjustLimit(now, g)
 	}
 }
 
 // Room reports whether a target may be given a request of so many tokens now.
 func (t *Targets) Room(name string, cost int64) bool {
 	g, ok := t.targets[name]
-	return ok && t.free(g) > 0 && t.mayWait(g, cost) && g.memory.room(t.config, g.coin, cost)
+	return ok && t.free(g) > 0 && t.fitsPending(g, cost) && g.memory.hasRoom(t.config, g.reportDraw, cost)
 }
 
 // Free returns how many more requests the concurrency limit allows.
@@ -259,42 +259,42 @@
 	return 0
 }
 
-func (t *Targets) free(g *target) int {
-	limit := min(g.limit, t.most())
+func (t *Targets) free(g *targetState) int {
+	limit := min(g.limit, t.maxLimit())
 	return max(int(math.Round(limit))-g.running, 0)
 }
 
-// mayWait reports whether the pending bound lets a request through. Small ones
+// fitsPending reports whether the pending bound lets a request through. Small ones
 // have a bound of their own: an engine that honours priorities runs them before
 // a long prompt, and behind a shared bound they would wait for it here.
-func (t *Targets) mayWait(g *target, cost int64) bool {
-	pending := g.pending[t.sizeOf(cost)]
-	return pending == 0 || pending+cost <= t.pendingPart()
+func (t *Targets) fitsPending(g *targetState, cost int64) bool {
+	pending := g.pendingTokens[t.sizeClassOf(cost)]
+	return pending == 0 || pending+cost <= t.pendingShare()
 }
 
-func (t *Targets) pendingPart() int64 { return t.config.MaxPending / int64(t.config.Entries) }
+func (t *Targets) pendingShare() int64 { return t.config.MaxPending / int64(t.config.Entries) }
 
-// size tells small requests from large ones.
-type size int
+// sizeClass tells small requests from large ones.
+type sizeClass int
 
 const (
-	sizeSmall size = iota
+	sizeSmall sizeClass = iota
 	sizeLarge
-	sizes
+	sizeClassCount
 )
 
-// smallPart is the part of the pending bound up to which a request is small:
+// smallRequestsPerShare is the part of the pending bound up to which a request is small:
 // four of them fit, so that they fill their bound without a gap.
-const smallPart = 4
+const smallRequestsPerShare = 4
 
-func (t *Targets) sizeOf(cost int64) size {
-	if cost <= t.pendingPart()/smallPart {
+func (t *Targets) sizeClassOf(cost int64) sizeClass {
+	if cost <= t.pendingShare()/smallRequestsPerShare {
 		return sizeSmall
 	}
 	return sizeLarge
 }
 
-func (t *Targets) most() float64 {
-	part := float64(t.config.Max) / float64(t.config.Entries)
-	return max(part, float64(t.config.Min))
+func (t *Targets) maxLimit() float64 {
+	share := float64(t.config.Max) / float64(t.config.Entries)
+	return max(share, float64(t.config.Min))
 }
--- a/pkg/kumquatlug/routing/cache.go
+++ b/pkg/kumquatlug/routing/cache.go
@@ -9,16 +9,16 @@
 // one bit a target, so that one look-up a key answers for all candidates.
 // When it is full the key that came first gives way.
 type prefixIndex struct {
-	holders map[uint64][]uint64
-	order   []uint64
-	next    int
-	limit   int
-	// holding is working space of depths.
-	holding []uint64
+	holders      map[uint64][]uint64
+	evictionRing []uint64
+	evictNext    int
+	capacity     int
+	// contiguous is working space of depths.
+	contiguous []uint64
 }
 
-func newPrefixIndex(limit int) prefixIndex {
-	return prefixIndex{holders: map[uint64][]uint64{}, limit: limit}
+func newPrefixIndex(capacity int) prefixIndex {
+	return prefixIndex{holders: map[uint64][]uint64{}, capacity: capacity}
 }
 
 func (x *prefixIndex) addAll(slot int, keys []uint64) {
@@ -36,110 +36,110 @@
 	set[word] |= 1 << (slot % 64)
 	x.holders[key] = set
 	if !known {
-		x.remember(key)
+		x.recordKey(key)
 	}
 }
 
-// remember keeps the index within its limit. A key dropped by an event stays
+// recordKey keeps the index within its limit. A key dropped by an event stays
 // in the ring until its turn comes.
-func (x *prefixIndex) remember(key uint64) {
-	if len(x.order) < x.limit {
-		x.order = append(x.order, key)
+func (x *prefixIndex) recordKey(key uint64) {
+	if len(x.evictionRing) < x.capacity {
+		x.evictionRing = append(x.evictionRing, key)
 		return
 	}
-	if old := x.order[x.next]; old != key {
-		delete(x.holders, old)
+	if evicted := x.evictionRing[x.evictNext]; evicted != key {
+		delete(x.holders, evicted)
 	}
-	x.order[x.next] = key
-	x.next = (x.next + 1) % x.limit
+	x.evictionRing[x.evictNext] = key
+	x.evictNext = (x.evictNext + 1) % x.capacity
 }
 
-func (x *prefixIndex) drop(slot int, key uint64) {
+func (x *prefixIndex) remove(slot int, key uint64) {
 	set := x.holders[key]
 	if word := slot / 64; word < len(set) {
 		set[word] &^= 1 << (slot % 64)
 	}
 }
 
-func (x *prefixIndex) forget(slot int) {
+func (x *prefixIndex) removeSlot(slot int) {
 	for key := range x.holders {
-		x.drop(slot, key)
+		x.remove(slot, key)
 	}
 }
 
 // A target is taken to hold the prompt up to the deepest block at which
-// holdsPart of holdsOf blocks so far are known to be there. Asking for all of
+// matchNumerator of matchDenominator blocks so far are known to be there. Asking for all of
 // them, the loss of one event in five would hide three quarters of what is
 // held; an evicted prompt still drops out, since most of its events arrive.
 const (
-	holdsPart = 3
-	holdsOf   = 4
+	matchNumerator   = 3
+	matchDenominator = 4
 )
 
-// misses is how many blocks in a row that nobody holds end the search.
-const misses = 2
+// maxMissingBlocks is how many blocks in a row that nobody holds end the search.
+const maxMissingBlocks = 2
 
-// depths writes to each slot how many leading blocks of keys its target is
+// matchDepths writes to each slot how many leading blocks of keys its target is
 // believed to hold, and returns the greatest of them. Most targets hold all
 // blocks up to one and none beyond; they stay in the set holding until then, so
 // that only those with a block missing are counted one by one.
-func (x *prefixIndex) depths(keys []uint64, into []believed) int {
-	deepest, missed := 0, 0
+func (x *prefixIndex) matchDepths(keys []uint64, matches []slotMatch) int {
+	deepest, missing := 0, 0
 	for i, key := range keys {
 		set := x.holders[key]
 		if i == 0 {
-			x.holding = append(x.holding[:0], set...)
+			x.contiguous = append(x.contiguous[:0], set...)
 		}
-		x.drops(set, i, into)
-		if x.strays(set, i, into) || anySet(x.holding) {
+		x.narrowContiguous(set, i, matches)
+		if x.countAfterGap(set, i, matches) || anyBitSet(x.contiguous) {
 			deepest = i + 1
 		}
-		if missed++; anySet(set) {
-			missed = 0
+		if missing++; anyBitSet(set) {
+			missing = 0
 		}
-		if missed == misses {
+		if missing == maxMissingBlocks {
 			return deepest
 		}
 	}
-	x.drops(nil, len(keys), into)
+	x.narrowContiguous(nil, len(keys), matches)
 	return deepest
 }
 
-// drops takes those out of holding that are not in set, with what they held.
-func (x *prefixIndex) drops(set []uint64, held int, into []believed) {
-	for word, all := range x.holding {
+// narrowContiguous takes those out of holding that are not in set, with what they held.
+func (x *prefixIndex) narrowContiguous(set []uint64, held int, matches []slotMatch) {
+	for word, before := range x.contiguous {
 		kept := uint64(0)
 		if word < len(set) {
-			kept = all & set[word]
+			kept = before & set[word]
 		}
-		x.holding[word] = kept
-		for gone := all &^ kept; gone != 0; gone &= gone - 1 {
-			b := &into[word*64+bits.TrailingZeros64(gone)]
+		x.contiguous[word] = kept
+		for ended := before &^ kept; ended != 0; ended &= ended - 1 {
+			b := &matches[word*64+bits.TrailingZeros64(ended)]
 			b.depth, b.found = held, held
 		}
 	}
 }
 
-// strays counts the block at i for those in set that miss one before it, and
+// countAfterGap counts the block at i for those in set that miss one before it, and
 // reports whether it lies within what one of them holds.
-func (x *prefixIndex) strays(set []uint64, i int, into []believed) bool {
-	within := false
-	for word, stray := range set {
-		if word < len(x.holding) {
-			stray &^= x.holding[word]
+func (x *prefixIndex) countAfterGap(set []uint64, i int, matches []slotMatch) bool {
+	extended := false
+	for word, rest := range set {
+		if word < len(x.contiguous) {
+			rest &^= x.contiguous[word]
 		}
-		for ; stray != 0; stray &= stray - 1 {
-			b := &into[word*64+bits.TrailingZeros64(stray)]
-			if b.found++; b.found*holdsOf >= (i+1)*holdsPart {
+		for ; rest != 0; rest &= rest - 1 {
+			b := &matches[word*64+bits.TrailingZeros64(rest)]
+			if b.found++; b.found*matchDenominator >= (i+1)*matchNumerator {
 				b.depth = i + 1
-				within = true
+				extended = true
 			}
 		}
 	}
-	return within
+	return extended
 }
 
-func anySet(set []uint64) bool {
+func anyBitSet(set []uint64) bool {
 	for _, word := range set {
 		if word != 0 {
 			return true
@@ -148,9 +148,9 @@
 	return false
 }
 
-// eventStep is the weight of one cache event, heard or lost, in the trust in a
+// eventTrustWeight is the weight of one cache event, heard or lost, in the trust in a
 // target's cache: some hundred events make it.
-const eventStep = 1.0 / 64
+const eventTrustWeight = 1.0 / 64
 
 // Cached takes in an event of a target's cache: it holds the prefix, or has
 // evicted it. Events come late and with gaps. A gap may hide evictions, after
@@ -160,17 +160,17 @@
 // ([Router.Hit]) earn it back.
 func (r *Router) Cached(name string, prefix uint64, sequence int64, evicted bool) {
 	t, ok := r.targets[name]
-	if !ok || (t.heard && sequence <= t.sequence) {
+	if !ok || (t.hasEvent && sequence <= t.eventSequence) {
 		return
 	}
-	if t.heard {
-		t.trust *= math.Pow(1-eventStep, float64(sequence-t.sequence-1))
-		t.trust += eventStep * (1 - t.trust)
+	if t.hasEvent {
+		t.trust *= math.Pow(1-eventTrustWeight, float64(sequence-t.eventSequence-1))
+		t.trust += eventTrustWeight * (1 - t.trust)
 	}
-	t.heard = true
-	t.sequence = sequence
+	t.hasEvent = true
+	t.eventSequence = sequence
 	if evicted {
-		r.cache.drop(t.slot, prefix)
+		r.cache.remove(t.slot, prefix)
 		return
 	}
 	r.cache.add(t.slot, prefix)
@@ -182,13 +182,13 @@
 	if !ok {
 		return
 	}
-	r.cache.forget(t.slot)
+	r.cache.removeSlot(t.slot)
 	t.trust = 1
-	t.heard = false
+	t.hasEvent = false
 }
 
-// trustStep is the weight of one answer in the trust in a target's cache.
-const trustStep = 0.2
+// responseTrustWeight is the weight of one answer in the trust in a target's cache.
+const responseTrustWeight = 0.2
 
 // Hit takes in what an answer said: of the tokens that were expected in the
 // target's cache (see [Choice.Cached]) so many were.
@@ -197,6 +197,6 @@
 	if !ok || expected <= 0 {
 		return
 	}
-	truth := min(float64(cached)/float64(expected), 1)
-	t.trust += trustStep * (truth - t.trust)
+	found := min(float64(cached)/float64(expected), 1)
+	t.trust += responseTrustWeight * (found - t.trust)
 }
--- a/pkg/kumquatlug/routing/herd_test.go
+++ b/pkg/kumquatlug/routing/herd_test.go
@@ -11,45 +11,45 @@
 
 // Sizes of the simulated engines.
 const (
-	simRate     = 8000.0
-	simDocument = 4096
-	simBlocks   = simDocument / 256
-	simReports  = kumquatlug.Second
-	simLag      = 200
+	simPrefillRate     = 8000.0
+	simDocumentTokens  = 4096
+	simDocumentBlocks  = simDocumentTokens / 256
+	simReportInterval  = kumquatlug.Second
+	simReportLagMillis = 200
 )
 
-// rule chooses a target for an entry; the routing under test or a baseline.
-type rule func(s *sim, entry int, now kumquatlug.Millis, q Query) (string, int)
+// policy chooses a target for an entry; the routing under test or a baseline.
+type policy func(s *simulation, gateway int, now kumquatlug.Millis, q Query) (string, int)
 
-// sim is a few entries before a few engines that run prompts one after the
+// simulation is a few entries before a few engines that run prompts one after the
 // other and remember the documents they saw last. Each entry has one router
 // and hears reports that are 200 ms old once a second.
-type sim struct {
-	random  *rand.Rand
-	routers []*Router
-	engines []*simEngine
-	index   map[string]*simEngine
-	events  map[kumquatlug.Millis][]func(now kumquatlug.Millis)
-	turn    int
-	open    []map[string]int
-	// loss is the part of cache events that never arrive.
-	loss float64
+type simulation struct {
+	random    *rand.Rand
+	routers   []*Router
+	engines   []*simulatedEngine
+	index     map[string]*simulatedEngine
+	events    map[kumquatlug.Millis][]func(now kumquatlug.Millis)
+	callCount int
+	openCalls []map[string]int
+	// eventLoss is the part of cache events that never arrive.
+	eventLoss float64
 
-	waits  []float64
-	tokens float64
-	hits   float64
+	waits        []float64
+	promptTokens float64
+	hitTokens    float64
 }
 
-type simEngine struct {
-	name  string
-	busy  kumquatlug.Millis
-	count int
-	begun []int64
-	docs  []uint64
-	keep  int
-	// told numbers the cache events; unsent are those since the last report.
-	told   int64
-	unsent []simEvent
+type simulatedEngine struct {
+	name          string
+	busyUntil     kumquatlug.Millis
+	callCount     int
+	begunCalls    []int64
+	cachedDocs    []uint64
+	cacheCapacity int
+	// eventSequence numbers the cache events; unsent are those since the last report.
+	eventSequence int64
+	unsentEvents  []simEvent
 }
 
 type simEvent struct {
@@ -58,60 +58,60 @@
 	evicted  bool
 }
 
-func newSim(seed uint64, entries, engines, subset int) *sim {
-	s := &sim{
-		random: rand.New(rand.NewPCG(seed, 9)), index: map[string]*simEngine{},
+func newSimulation(seed uint64, gateways, engines, subset int) *simulation {
+	s := &simulation{
+		random: rand.New(rand.NewPCG(seed, 9)), index: map[string]*simulatedEngine{},
 		events: map[kumquatlug.Millis][]func(kumquatlug.Millis){},
 	}
 	for i := range engines {
-		e := &simEngine{name: fmt.Sprintf("t%03d", i), begun: make([]int64, entries), keep: 12}
+		e := &simulatedEngine{name: fmt.Sprintf("t%03d", i), begunCalls: make([]int64, gateways), cacheCapacity: 12}
 		s.engines = append(s.engines, e)
 		s.index[e.name] = e
 	}
-	names, targets := make([]string, entries), make([]string, engines)
+	names, targets := make([]string, gateways), make([]string, engines)
 	for i := range names {
 		names[i] = fmt.Sprint("entry", i)
 	}
 	for i := range targets {
 		targets[i] = s.engines[i].name
 	}
-	for i := range entries {
+	for i := range gateways {
 		r := New(Config{Source: rand.NewPCG(seed, uint64(i))})
-		r.SetEntries(Replicas(entries, engines, subset))
+		r.SetEntries(Replicas(gateways, engines, subset))
 		for _, name := range Subset(names, names[i], targets, subset) {
-			r.Set(0, Candidate{Name: name, PrefillRate: simRate, Duties: []Duty{{Kind: chat, Role: kumquatlug.RoleBoth}}})
+			r.Set(0, Candidate{Name: name, PrefillRate: simPrefillRate, Duties: []Duty{{Kind: chat, Role: kumquatlug.RoleBoth}}})
 		}
 		s.routers = append(s.routers, r)
-		s.open = append(s.open, map[string]int{})
+		s.openCalls = append(s.openCalls, map[string]int{})
 	}
 	return s
 }
 
-func (s *sim) at(t kumquatlug.Millis, f func(now kumquatlug.Millis)) {
+func (s *simulation) schedule(t kumquatlug.Millis, f func(now kumquatlug.Millis)) {
 	s.events[t] = append(s.events[t], f)
 }
 
 // run offers calls at a part of the engines' capacity for a time; draw makes
 // each call's query.
-func (s *sim) run(until kumquatlug.Millis, load float64, draw func(*rand.Rand) Query, choose rule) {
+func (s *simulation) run(until kumquatlug.Millis, load float64, draw func(*rand.Rand) Query, choose policy) {
 	mean := 0.0
 	for range 2000 {
 		mean += float64(draw(s.random).PrefillTokens) / 2000
 	}
-	perMilli := load * simRate / 1000 * float64(len(s.engines)) / mean
+	perMilli := load * simPrefillRate / 1000 * float64(len(s.engines)) / mean
 	for now := kumquatlug.Millis(0); now < until; now++ {
 		for _, f := range s.events[now] {
 			f(now)
 		}
 		delete(s.events, now)
-		s.report(now)
+		s.sendReports(now)
 		for range s.poisson(perMilli) {
-			s.call(now, draw(s.random), choose)
+			s.sendCall(now, draw(s.random), choose)
 		}
 	}
 }
 
-func (s *sim) poisson(mean float64) int {
+func (s *simulation) poisson(mean float64) int {
 	n, p, bound := 0, 1.0, math.Exp(-mean)
 	for {
 		if p *= s.random.Float64(); p < bound {
@@ -121,86 +121,86 @@
 	}
 }
 
-func (s *sim) call(now kumquatlug.Millis, q Query, choose rule) {
-	entry := s.random.IntN(len(s.routers))
-	r := s.routers[entry]
-	name, expected := choose(s, entry, now, q)
+func (s *simulation) sendCall(now kumquatlug.Millis, q Query, choose policy) {
+	gateway := s.random.IntN(len(s.routers))
+	r := s.routers[gateway]
+	name, expected := choose(s, gateway, now, q)
 	e := s.index[name]
-	id := fmt.Sprint(s.turn)
-	s.turn++
+	id := fmt.Sprint(s.callCount)
+	s.callCount++
 	r.Sent(now, name, Call{ID: id, Prefix: q.Prefix, PrefillTokens: q.PrefillTokens, DecodeTokens: q.DecodeTokens})
-	hit := e.hit(q)
-	s.tokens += float64(q.PrefillTokens)
-	s.hits += float64(hit)
-	start := max(now, e.busy)
+	hit := e.lookUpAndCache(q)
+	s.promptTokens += float64(q.PrefillTokens)
+	s.hitTokens += float64(hit)
+	start := max(now, e.busyUntil)
 	s.waits = append(s.waits, float64(start-now))
-	e.busy = start + kumquatlug.Millis(float64(q.PrefillTokens-hit)*1000/simRate) + 1
-	e.count++
-	e.begun[entry]++
-	s.open[entry][name]++
-	s.at(e.busy, func(now kumquatlug.Millis) {
+	e.busyUntil = start + kumquatlug.Millis(float64(q.PrefillTokens-hit)*1000/simPrefillRate) + 1
+	e.callCount++
+	e.begunCalls[gateway]++
+	s.openCalls[gateway][name]++
+	s.schedule(e.busyUntil, func(now kumquatlug.Millis) {
 		r.Progress(now, name, id, 1)
 		r.Hit(name, expected, hit)
 	})
-	s.at(e.busy+kumquatlug.Millis(20*q.DecodeTokens), func(now kumquatlug.Millis) {
+	s.schedule(e.busyUntil+kumquatlug.Millis(20*q.DecodeTokens), func(now kumquatlug.Millis) {
 		r.Finished(now, name, id)
-		e.count--
-		s.open[entry][name]--
+		e.callCount--
+		s.openCalls[gateway][name]--
 	})
 }
 
-// hit returns how much of the prompt the engine remembers, and remembers it.
-func (e *simEngine) hit(q Query) int {
+// lookUpAndCache returns how much of the prompt the engine remembers, and remembers it.
+func (e *simulatedEngine) lookUpAndCache(q Query) int {
 	if len(q.Prefix) == 0 {
 		return 0
 	}
 	doc, cached := q.Prefix[len(q.Prefix)-1], 0
-	if at := slices.Index(e.docs, doc); at >= 0 {
-		e.docs = slices.Delete(e.docs, at, at+1)
-		cached = simDocument
+	if at := slices.Index(e.cachedDocs, doc); at >= 0 {
+		e.cachedDocs = slices.Delete(e.cachedDocs, at, at+1)
+		cached = simDocumentTokens
 	}
-	e.docs = append(e.docs, doc)
+	e.cachedDocs = append(e.cachedDocs, doc)
 	if cached == 0 {
-		e.tell(q.Prefix[len(q.Prefix)-1], false)
+		e.emitEvents(q.Prefix[len(q.Prefix)-1], false)
 	}
-	if len(e.docs) > e.keep {
-		e.tell(e.docs[0], true)
-		e.docs = e.docs[1:]
+	if len(e.cachedDocs) > e.cacheCapacity {
+		e.emitEvents(e.cachedDocs[0], true)
+		e.cachedDocs = e.cachedDocs[1:]
 	}
 	return cached
 }
 
-func (e *simEngine) tell(doc uint64, evicted bool) {
+func (e *simulatedEngine) emitEvents(doc uint64, evicted bool) {
 	for _, key := range documentKeys(doc) {
-		e.told++
-		e.unsent = append(e.unsent, simEvent{key: key, sequence: e.told, evicted: evicted})
+		e.eventSequence++
+		e.unsentEvents = append(e.unsentEvents, simEvent{key: key, sequence: e.eventSequence, evicted: evicted})
 	}
 }
 
 // documentKeys returns the prefix keys of the document whose last key is doc.
 func documentKeys(doc uint64) []uint64 {
-	keys := make([]uint64, simBlocks)
+	keys := make([]uint64, simDocumentBlocks)
 	for i := range keys {
-		keys[i] = doc - uint64(simBlocks-1-i)
+		keys[i] = doc - uint64(simDocumentBlocks-1-i)
 	}
 	return keys
 }
 
-func (s *sim) report(now kumquatlug.Millis) {
+func (s *simulation) sendReports(now kumquatlug.Millis) {
 	for i, e := range s.engines {
-		if (now+kumquatlug.Millis(i)*37)%simReports != 0 {
+		if (now+kumquatlug.Millis(i)*37)%simReportInterval != 0 {
 			continue
 		}
-		waiting := int(max(0, e.busy-now)) * e.count / int(max(1, e.busy-now+1000))
-		begun, events := slices.Clone(e.begun), e.unsent
-		e.unsent = nil
-		l := Load{Running: e.count - waiting, Waiting: waiting, TakenAt: now}
-		s.at(now+simLag, func(now kumquatlug.Millis) {
-			for entry, r := range s.routers {
-				l.Begun = begun[entry]
+		waiting := int(max(0, e.busyUntil-now)) * e.callCount / int(max(1, e.busyUntil-now+1000))
+		begun, events := slices.Clone(e.begunCalls), e.unsentEvents
+		e.unsentEvents = nil
+		l := Load{Running: e.callCount - waiting, Waiting: waiting, TakenAt: now}
+		s.schedule(now+simReportLagMillis, func(now kumquatlug.Millis) {
+			for gateway, r := range s.routers {
+				l.Begun = begun[gateway]
 				r.Report(now, e.name, l)
 				for _, v := range events {
-					if s.random.Float64() < s.loss {
+					if s.random.Float64() < s.eventLoss {
 						continue
 					}
 					r.Cached(e.name, v.key, v.sequence, v.evicted)
@@ -210,56 +210,56 @@
 	}
 }
 
-// wait returns a percentile of the waits in the second half of the run.
-func (s *sim) wait(part float64) float64 {
+// waitPercentile returns a percentile of the waits in the second half of the run.
+func (s *simulation) waitPercentile(quantile float64) float64 {
 	late := slices.Clone(s.waits[len(s.waits)/2:])
 	slices.Sort(late)
-	return late[int(part*float64(len(late)-1))]
+	return late[int(quantile*float64(len(late)-1))]
 }
 
-// routed is the rule under test.
-func routed(s *sim, entry int, now kumquatlug.Millis, q Query) (string, int) {
-	c, _ := s.routers[entry].Pick(now, q, nil)
+// routerPolicy is the rule under test.
+func routerPolicy(s *simulation, gateway int, now kumquatlug.Millis, q Query) (string, int) {
+	c, _ := s.routers[gateway].Pick(now, q, nil)
 	return c.Target(), c.Cached()
 }
 
-// greedy is the least expected finish without a thought for other entries.
-func greedy(s *sim, entry int, now kumquatlug.Millis, q Query) (string, int) {
-	s.routers[entry].SetEntries(1)
-	return routed(s, entry, now, q)
+// greedyPolicy is the least expected finish without a thought for other entries.
+func greedyPolicy(s *simulation, gateway int, now kumquatlug.Millis, q Query) (string, int) {
+	s.routers[gateway].SetEntries(1)
+	return routerPolicy(s, gateway, now, q)
 }
 
-// roundRobin takes the engines in turn.
-func roundRobin(s *sim, _ int, _ kumquatlug.Millis, _ Query) (string, int) {
-	return s.engines[s.turn%len(s.engines)].name, 0
+// roundRobinPolicy takes the engines in turn.
+func roundRobinPolicy(s *simulation, _ int, _ kumquatlug.Millis, _ Query) (string, int) {
+	return s.engines[s.callCount%len(s.engines)].name, 0
 }
 
-// leastConnections takes the engine with the fewest of the entry's own calls.
-func leastConnections(s *sim, entry int, _ kumquatlug.Millis, _ Query) (string, int) {
+// leastConnectionsPolicy takes the engine with the fewest of the entry's own calls.
+func leastConnectionsPolicy(s *simulation, gateway int, _ kumquatlug.Millis, _ Query) (string, int) {
 	offset := s.random.IntN(len(s.engines))
 	best := s.engines[offset]
 	for i := range s.engines {
 		e := s.engines[(i+offset)%len(s.engines)]
-		if s.open[entry][e.name] < s.open[entry][best.name] {
+		if s.openCalls[gateway][e.name] < s.openCalls[gateway][best.name] {
 			best = e
 		}
 	}
 	return best.name, 0
 }
 
-// documents draws questions about n documents, a part of them about the first.
-func documents(n int, hot float64) func(*rand.Rand) Query {
+// documentQueries draws questions about n documents, a part of them about the first.
+func documentQueries(n int, hot float64) func(*rand.Rand) Query {
 	return func(random *rand.Rand) Query {
 		d := uint64(random.IntN(n))
 		if random.Float64() < hot {
 			d = 0
 		}
-		return query(simDocument+100+random.IntN(300), documentKeys(d*1000+simBlocks)...)
+		return query(simDocumentTokens+100+random.IntN(300), documentKeys(d*1000+simDocumentBlocks)...)
 	}
 }
 
-// mixed draws one long prompt among nine short ones.
-func mixed(random *rand.Rand) Query {
+// mixedQuery draws one long prompt among nine short ones.
+func mixedQuery(random *rand.Rand) Query {
 	if random.IntN(10) == 0 {
 		return query(8000 + random.IntN(8000))
 	}
--- a/pkg/kumquatlug/routing/pick.go
+++ b/pkg/kumquatlug/routing/pick.go
@@ -79,8 +79,8 @@
 // tell [Router.Hit] when the answer says how many it did.
 func (c Choice) Cached() int { return c.cached }
 
-// believed is the working record of a slot during one decision.
-type believed struct {
+// slotMatch is the working record of a slot during one decision.
+type slotMatch struct {
 	// depth is how many leading blocks of the prompt the target holds, found
 	// how many of the blocks are known to be there.
 	depth    int
@@ -88,26 +88,26 @@
 	excluded bool
 }
 
-// option is a target that may be chosen in one decision; spans are in
+// scoredTarget is a target that may be chosen in one decision; spans are in
 // milliseconds.
-type option struct {
+type scoredTarget struct {
 	target *target
 	// cost is the expected finish as if nothing of the prompt were held there;
 	// infinite when the target turned out to have no room.
 	cost float64
-	// saved is what the held part of the prompt saves, with hoped, which is no
+	// savings is what the held part of the prompt saves, with hoped, which is no
 	// part of what is expected.
-	saved float64
-	hoped float64
+	savings       float64
+	affinityBonus float64
 	// wait is the part of the cost until the first output.
 	wait  float64
 	depth int
 }
 
-// firstAsked is how many choices are tried against Room one by one before all
+// maxSingleRoomChecks is how many choices are tried against Room one by one before all
 // candidates are asked: rooms are seldom full, and asking all costs a look-up
 // each.
-const firstAsked = 3
+const maxSingleRoomChecks = 3
 
 // Pick chooses a target for a call, or reports false when no candidate may
 // take it. Room may be nil. The caller records its use with [Router.Sent].
@@ -116,55 +116,55 @@
 	if !ok {
 		return Choice{}, false
 	}
-	known := r.gather(p, q)
+	heldBlocks := r.collectCandidates(p, q)
 	if len(r.candidates) == 0 {
 		return Choice{}, false
 	}
-	load, age := r.estimate(now, q)
-	favourite := r.favour(q, known, load)
-	level := r.level(r.unseenWork(now, p, age))
-	for range firstAsked {
-		c := r.choose(level)
+	load, age := r.scoreCandidates(now, q)
+	preferred := r.applyAffinity(q, heldBlocks, load)
+	level := r.fillLevel(r.unreportedWork(now, p, age))
+	for range maxSingleRoomChecks {
+		c := r.selectCandidate(level)
 		if c == nil {
 			return Choice{}, false
 		}
 		if room == nil || room.Room(c.target.name) {
-			return r.choice(c, q, c == favourite), true
+			return r.newChoice(c, q, c == preferred), true
 		}
 		c.cost = math.Inf(1)
 	}
-	r.askAll(room)
-	c := r.choose(level)
+	r.filterByRoom(room)
+	c := r.selectCandidate(level)
 	if c == nil {
 		return Choice{}, false
 	}
-	return r.choice(c, q, c == favourite), true
+	return r.newChoice(c, q, c == preferred), true
 }
 
-// gather fills r.candidates with the targets that may take q, and returns how
+// collectCandidates fills r.candidates with the targets that may take q, and returns how
 // many leading blocks of the prompt any target holds.
-func (r *Router) gather(p *pool, q Query) int {
+func (r *Router) collectCandidates(p *pool, q Query) int {
 	for _, m := range p.members {
-		r.believed[m.target.slot] = believed{}
+		r.matches[m.target.slot] = slotMatch{}
 	}
 	for _, name := range q.Exclude {
 		if t, ok := r.targets[name]; ok {
-			r.believed[t.slot].excluded = true
+			r.matches[t.slot].excluded = true
 		}
 	}
-	known := r.cache.depths(q.Prefix, r.believed)
+	heldBlocks := r.cache.matchDepths(q.Prefix, r.matches)
 	r.candidates = r.candidates[:0]
 	for _, m := range p.members {
-		b := r.believed[m.target.slot]
-		if !b.excluded && m.target.takes(m.role, q.Role) {
-			r.candidates = append(r.candidates, option{target: m.target, depth: b.depth})
+		b := r.matches[m.target.slot]
+		if !b.excluded && m.target.accepts(m.role, q.Role) {
+			r.candidates = append(r.candidates, scoredTarget{target: m.target, depth: b.depth})
 		}
 	}
-	return known
+	return heldBlocks
 }
 
-// takes reports whether t may be given work of the wanted role.
-func (t *target) takes(has, want kumquatlug.Role) bool {
+// accepts reports whether t may be given work of the wanted role.
+func (t *target) accepts(has, want kumquatlug.Role) bool {
 	if !t.ready {
 		return false
 	}
@@ -174,91 +174,91 @@
 	return has == kumquatlug.RoleBoth && (want == kumquatlug.RolePrefill || want == kumquatlug.RoleDecode)
 }
 
-// estimate expects the finish of q at each candidate, and returns their mean
+// scoreCandidates expects the finish of q at each candidate, and returns their mean
 // load in calls and the mean age of their reports.
-func (r *Router) estimate(now kumquatlug.Millis, q Query) (float64, float64) {
+func (r *Router) scoreCandidates(now kumquatlug.Millis, q Query) (float64, float64) {
 	load, age := 0.0, 0.0
 	for i := range r.candidates {
 		c := &r.candidates[i]
-		r.expect(c, q)
-		load += c.target.streams()
+		r.score(c, q)
+		load += c.target.callCount()
 		age += float64(now - c.target.reportedAt)
 	}
 	n := float64(len(r.candidates))
 	return load / n, age / n
 }
 
-// expect estimates the finish of q at one candidate.
-func (r *Router) expect(c *option, q Query) {
+// score estimates the finish of q at one candidate.
+func (r *Router) score(c *scoredTarget, q Query) {
 	t := c.target
-	token := t.decodeToken * (1 + r.config.BatchSlowdown*t.streams())
-	queue := t.ownPrefill + t.othersWaiting*r.meanPrefill
-	c.wait = t.prefillToken * (queue + float64(q.PrefillTokens))
-	c.wait += r.memoryWait(t, token, float64(q.PrefillTokens+q.DecodeTokens))
-	if t.remote {
+	millisPerToken := t.decodeMillisPerToken * (1 + r.config.BatchSlowdown*t.callCount())
+	queue := t.ownPrefillTokens + t.othersWaiting*r.meanPrefill
+	c.wait = t.prefillMillisPerToken * (queue + float64(q.PrefillTokens))
+	c.wait += r.memoryWait(t, millisPerToken, float64(q.PrefillTokens+q.DecodeTokens))
+	if t.otherZone {
 		c.wait += float64(r.config.ZonePenalty)
 	}
-	c.cost = c.wait + token*float64(q.DecodeTokens)
+	c.cost = c.wait + millisPerToken*float64(q.DecodeTokens)
 	held := min(c.depth*r.config.BlockTokens, q.PrefillTokens)
-	c.saved = t.prefillToken * t.trust * float64(held)
+	c.savings = t.prefillMillisPerToken * t.trust * float64(held)
 }
 
 // memoryWait estimates how long a call waits for KV memory: what it lacks,
 // freed at the pace at which the calls of mean length there end.
-func (r *Router) memoryWait(t *target, token, need float64) float64 {
+func (r *Router) memoryWait(t *target, millisPerToken, need float64) float64 {
 	if t.kvTotal <= 0 {
 		return 0
 	}
-	used := t.kvUsed + t.unseenKV
-	lack := used + need - t.kvTotal
-	if lack <= 0 || used <= 0 {
+	used := t.kvUsed + t.unreportedKV
+	missing := used + need - t.kvTotal
+	if missing <= 0 || used <= 0 {
 		return 0
 	}
-	return lack / used * token * r.meanDecode
+	return missing / used * millisPerToken * r.meanDecode
 }
 
-// favour finds the first block of the prompt that nobody holds and gives a
+// applyAffinity finds the first block of the prompt that nobody holds and gives a
 // bonus to the first candidate in its rendezvous order whose load is within
 // the bound. Without a common place the same new prompt would be run on every
 // target that it happens to meet; without the bound a popular one would drown
 // its place.
-func (r *Router) favour(q Query, known int, load float64) *option {
-	if known >= len(q.Prefix) {
+func (r *Router) applyAffinity(q Query, heldBlocks int, load float64) *scoredTarget {
+	if heldBlocks >= len(q.Prefix) {
 		return nil
 	}
-	key, bound := q.Prefix[known], r.config.LoadBound*(load+1)
-	var first *option
+	key, bound := q.Prefix[heldBlocks], r.config.LoadBound*(load+1)
+	var preferred *scoredTarget
 	var highest uint64
 	for i := range r.candidates {
 		c := &r.candidates[i]
-		if h := rendezvous.Mix(key ^ c.target.hash); (first == nil || h > highest) && c.target.streams() <= bound {
-			first, highest = c, h
+		if h := rendezvous.Mix(key ^ c.target.hash); (preferred == nil || h > highest) && c.target.callCount() <= bound {
+			preferred, highest = c, h
 		}
 	}
-	if first == nil {
+	if preferred == nil {
 		return nil
 	}
-	unknown := max(q.PrefillTokens-first.depth*r.config.BlockTokens, 0)
-	first.hoped = r.config.Affinity * float64(unknown) * first.target.prefillToken
-	first.saved += first.hoped
-	return first
+	uncachedTokens := max(q.PrefillTokens-preferred.depth*r.config.BlockTokens, 0)
+	preferred.affinityBonus = r.config.Affinity * float64(uncachedTokens) * preferred.target.prefillMillisPerToken
+	preferred.savings += preferred.affinityBonus
+	return preferred
 }
 
-// unseenWork estimates the work, in milliseconds of target time, that the
+// unreportedWork estimates the work, in milliseconds of target time, that the
 // other entries have sent since the reports were taken: as much each as this
 // entry sends in that time.
-func (r *Router) unseenWork(now kumquatlug.Millis, p *pool, age float64) float64 {
-	if r.entries < 2 || age <= 0 {
+func (r *Router) unreportedWork(now kumquatlug.Millis, p *pool, age float64) float64 {
+	if r.gateways < 2 || age <= 0 {
 		return 0
 	}
-	return float64(r.entries-1) * p.recent(now) / float64(rateWindow) * age
+	return float64(r.gateways-1) * p.recentWork(now) / float64(sendRateWindow) * age
 }
 
-// level returns the cost up to which unseen work has filled the candidates,
+// fillLevel returns the cost up to which unseen work has filled the candidates,
 // like water in a vessel with an uneven floor. It starts with all candidates
 // and leaves out those above the level until none is; each round lowers the
 // level, and a few rounds are enough in practice.
-func (r *Router) level(work float64) float64 {
+func (r *Router) fillLevel(work float64) float64 {
 	if work <= 0 {
 		return 0
 	}
@@ -282,56 +282,56 @@
 	}
 }
 
-// choose takes the least cost, what is saved taken off and unseen work added.
+// selectCandidate takes the least cost, what is saved taken off and unseen work added.
 // Targets below the level are alike by that: among them it draws, each with the
 // chance in which it would have received that work. By the reports alone, every
 // entry would choose the same target until its next report, and the queue there
 // would grow by what all of them send in that time. What is saved is no part of
 // the level: a prompt has the same place for all entries, and would lose it in
 // the draw.
-func (r *Router) choose(level float64) *option {
-	least := r.least(level)
+func (r *Router) selectCandidate(level float64) *scoredTarget {
+	least := r.lowestCost(level)
 	if least == nil || least.cost >= level {
 		return least
 	}
 	total := 0.0
 	for i := range r.candidates {
-		total += r.candidates[i].below(level, least.saved)
+		total += r.candidates[i].headroom(level, least.savings)
 	}
 	draw := r.random.Float64() * total
 	for i := range r.candidates {
 		c := &r.candidates[i]
-		below := c.below(level, least.saved)
-		if draw -= below; below > 0 && draw <= 0 {
+		headroom := c.headroom(level, least.savings)
+		if draw -= headroom; headroom > 0 && draw <= 0 {
 			return c
 		}
 	}
 	return least
 }
 
-// below returns how far a candidate lies below the level, zero when it saves
+// headroom returns how far a candidate lies below the level, zero when it saves
 // less than the best does.
-func (c *option) below(level, saved float64) float64 {
-	if c.cost >= level || c.saved < saved {
+func (c *scoredTarget) headroom(level, minSavings float64) float64 {
+	if c.cost >= level || c.savings < minSavings {
 		return 0
 	}
 	return level - c.cost
 }
 
-func (r *Router) least(level float64) *option {
-	var least *option
-	cost := math.Inf(1)
+func (r *Router) lowestCost(level float64) *scoredTarget {
+	var least *scoredTarget
+	lowest := math.Inf(1)
 	for i := range r.candidates {
 		c := &r.candidates[i]
-		if known := max(c.cost, level) - c.saved; known < cost {
-			least, cost = c, known
+		if effective := max(c.cost, level) - c.savings; effective < lowest {
+			least, lowest = c, effective
 		}
 	}
 	return least
 }
 
-// askAll leaves out the candidates without room.
-func (r *Router) askAll(room Room) {
+// filterByRoom leaves out the candidates without room.
+func (r *Router) filterByRoom(room Room) {
 	for i := range r.candidates {
 		c := &r.candidates[i]
 		if !math.IsInf(c.cost, 1) && !room.Room(c.target.name) {
@@ -340,15 +340,15 @@
 	}
 }
 
-func (r *Router) choice(c *option, q Query, favourite bool) Choice {
+func (r *Router) newChoice(c *scoredTarget, q Query, preferred bool) Choice {
 	reason := ReasonFinish
-	if favourite {
+	if preferred {
 		reason = ReasonAffinity
 	}
-	if c.depth > 0 && c.depth > r.shallowest() {
+	if c.depth > 0 && c.depth > r.minDepth() {
 		reason = ReasonCached
 	}
-	held := c.saved - c.hoped
+	held := c.savings - c.affinityBonus
 	finish := max(c.cost-held, 0)
 	return Choice{
 		target: c.target.name, reason: reason, cached: min(c.depth*r.config.BlockTokens, q.PrefillTokens),
@@ -357,8 +357,8 @@
 	}
 }
 
-// shallowest returns the least depth among the candidates.
-func (r *Router) shallowest() int {
+// minDepth returns the least depth among the candidates.
+func (r *Router) minDepth() int {
 	depth := math.MaxInt
 	for i := range r.candidates {
 		depth = min(depth, r.candidates[i].depth)
--- a/pkg/kumquatlug/routing/routing.go
+++ b/pkg/kumquatlug/routing/routing.go
@@ -126,31 +126,31 @@
 	return c
 }
 
-// rateWindow is the span over which the entry's own sending is averaged: long
+// sendRateWindow is the span over which the entry's own sending is averaged: long
 // enough to hold several calls at 13 a second and entry, short beside the
 // minutes within which the mix shifts.
-const rateWindow = 10 * kumquatlug.Second
+const sendRateWindow = 10 * kumquatlug.Second
 
-// meanStep is the weight of a new call in the mean sizes of calls: some
+// meanSizeWeight is the weight of a new call in the mean sizes of calls: some
 // thirty calls make a mean.
-const meanStep = 1.0 / 32
+const meanSizeWeight = 1.0 / 32
 
 // Router chooses targets for the calls of one entry.
 type Router struct {
-	config  Config
-	random  *rand.Rand
-	targets map[string]*target
-	slots   []*target
-	pools   map[kumquatlug.Kind]*pool
-	cache   prefixIndex
-	entries int
+	config   Config
+	random   *rand.Rand
+	targets  map[string]*target
+	slots    []*target
+	pools    map[kumquatlug.Kind]*pool
+	cache    prefixIndex
+	gateways int
 
 	meanPrefill float64
 	meanDecode  float64
 
 	// Working space of one decision, so that it allocates nothing.
-	believed   []believed
-	candidates []option
+	matches    []slotMatch
+	candidates []scoredTarget
 }
 
 // pool is what one kind of work has: the targets that take it, in name order,
@@ -162,15 +162,15 @@
 	workAt  kumquatlug.Millis
 }
 
-// recent returns the work sent lately, in milliseconds of target time,
-// weighted down with age over rateWindow.
-func (p *pool) recent(now kumquatlug.Millis) float64 {
+// recentWork returns the work sent lately, in milliseconds of target time,
+// weighted down with age over sendRateWindow.
+func (p *pool) recentWork(now kumquatlug.Millis) float64 {
 	age := max(now-p.workAt, 0)
-	return p.work * math.Exp(-float64(age)/float64(rateWindow))
+	return p.work * math.Exp(-float64(age)/float64(sendRateWindow))
 }
 
-func (p *pool) add(now kumquatlug.Millis, work float64) {
-	p.work = p.recent(now) + work
+func (p *pool) addWork(now kumquatlug.Millis, work float64) {
+	p.work = p.recentWork(now) + work
 	p.workAt = now
 }
 
@@ -184,12 +184,12 @@
 func New(c Config) *Router {
 	c = c.withDefaults()
 	return &Router{
-		config:  c,
-		random:  rand.New(c.Source),
-		targets: map[string]*target{},
-		pools:   map[kumquatlug.Kind]*pool{},
-		cache:   newPrefixIndex(c.PrefixKeys),
-		entries: 1,
+		config:   c,
+		random:   rand.New(c.Source),
+		targets:  map[string]*target{},
+		pools:    map[kumquatlug.Kind]*pool{},
+		cache:    newPrefixIndex(c.PrefixKeys),
+		gateways: 1,
 		// The first guess at a call is a page of text and a short answer.
 		meanPrefill: 1000,
 		meanDecode:  200,
@@ -201,9 +201,9 @@
 func (r *Router) Set(now kumquatlug.Millis, c Candidate) {
 	t, ok := r.targets[c.Name]
 	if !ok {
-		t = r.add(now, c.Name)
+		t = r.addTarget(now, c.Name)
 	}
-	t.remote = c.Zone != r.config.Zone
+	t.otherZone = c.Zone != r.config.Zone
 	t.state = c.State
 	if t.state == "" {
 		t.state = StateReady
@@ -214,20 +214,20 @@
 	if c.DecodeRate > 0 {
 		t.decodeRate = c.DecodeRate
 	}
-	t.weigh()
-	r.setDuties(t, c.Duties)
+	t.updateSpeed()
+	r.setAssignments(t, c.Duties)
 }
 
-func (r *Router) add(now kumquatlug.Millis, name string) *target {
+func (r *Router) addTarget(now kumquatlug.Millis, name string) *target {
 	t := &target{
 		name: name, hash: xxhash.Sum64String(name), weight: 1, trust: 1, reportedAt: now,
-		prefillRate: r.config.PrefillRate, decodeRate: r.config.DecodeRate, calls: map[string]call{},
+		prefillRate: r.config.PrefillRate, decodeRate: r.config.DecodeRate, calls: map[string]ownCall{},
 	}
 	t.slot = slices.Index(r.slots, nil)
 	if t.slot < 0 {
 		t.slot = len(r.slots)
 		r.slots = append(r.slots, nil)
-		r.believed = append(r.believed, believed{})
+		r.matches = append(r.matches, slotMatch{})
 		r.candidates = slices.Grow(r.candidates[:0], len(r.slots))
 	}
 	r.slots[t.slot] = t
@@ -235,14 +235,14 @@
 	return t
 }
 
-// setDuties puts t into the pools of its kinds.
-func (r *Router) setDuties(t *target, duties []Duty) {
-	if slices.Equal(t.duties, duties) {
+// setAssignments puts t into the pools of its kinds.
+func (r *Router) setAssignments(t *target, assignments []Duty) {
+	if slices.Equal(t.assignments, assignments) {
 		return
 	}
-	r.dropDuties(t)
-	t.duties = slices.Clone(duties)
-	for _, d := range duties {
+	r.removeAssignments(t)
+	t.assignments = slices.Clone(assignments)
+	for _, d := range assignments {
 		p, ok := r.pools[d.Kind]
 		if !ok {
 			p = &pool{}
@@ -255,10 +255,10 @@
 	}
 }
 
-// dropDuties takes t out of its pools; an empty pool goes, since kinds come and
+// removeAssignments takes t out of its pools; an empty pool goes, since kinds come and
 // go with labels.
-func (r *Router) dropDuties(t *target) {
-	for _, d := range t.duties {
+func (r *Router) removeAssignments(t *target) {
+	for _, d := range t.assignments {
 		p, ok := r.pools[d.Kind]
 		if !ok {
 			continue
@@ -268,7 +268,7 @@
 			delete(r.pools, d.Kind)
 		}
 	}
-	t.duties = nil
+	t.assignments = nil
 }
 
 // Remove forgets a target; calls in hand there are the entry's to finish.
@@ -277,8 +277,8 @@
 	if !ok {
 		return
 	}
-	r.dropDuties(t)
-	r.cache.forget(t.slot)
+	r.removeAssignments(t)
+	r.cache.removeSlot(t.slot)
 	r.slots[t.slot] = nil
 	delete(r.targets, name)
 }
@@ -288,14 +288,14 @@
 func (r *Router) SetWeight(name string, weight float64) {
 	if t, ok := r.targets[name]; ok {
 		t.weight = min(max(weight, 0), 1)
-		t.weigh()
+		t.updateSpeed()
 	}
 }
 
 // SetEntries tells how many entries send to each target, this one included (see
 // [Replicas]); the balancer is taken to spread callers evenly over them.
 func (r *Router) SetEntries(n int) {
-	r.entries = max(n, 1)
+	r.gateways = max(n, 1)
 }
 
 // Report takes in what a target said of itself. A report older than the last
@@ -308,7 +308,7 @@
 	if t.incarnation != "" && t.incarnation != l.Incarnation {
 		r.Forget(name)
 	}
-	t.report(now, l, r.config.BatchSlowdown)
+	t.applyReport(now, l, r.config.BatchSlowdown)
 }
 
 // Call is one call as [Router.Sent] records it.
@@ -330,26 +330,26 @@
 	if !ok {
 		return
 	}
-	t.send(c)
+	t.addCall(c)
 	r.cache.addAll(t.slot, c.Prefix)
-	r.meanPrefill += meanStep * (float64(c.PrefillTokens) - r.meanPrefill)
-	r.meanDecode += meanStep * (float64(c.DecodeTokens) - r.meanDecode)
-	work := t.busyMillis(float64(c.PrefillTokens), float64(c.DecodeTokens), r.config.BatchSlowdown)
-	for _, d := range t.duties {
-		r.pools[d.Kind].add(now, work)
+	r.meanPrefill += meanSizeWeight * (float64(c.PrefillTokens) - r.meanPrefill)
+	r.meanDecode += meanSizeWeight * (float64(c.DecodeTokens) - r.meanDecode)
+	work := t.workMillis(float64(c.PrefillTokens), float64(c.DecodeTokens), r.config.BatchSlowdown)
+	for _, d := range t.assignments {
+		r.pools[d.Kind].addWork(now, work)
 	}
 }
 
 // Progress records that a call has received tokens of output in all.
 func (r *Router) Progress(_ kumquatlug.Millis, name, id string, tokens int) {
 	if t, ok := r.targets[name]; ok {
-		t.progress(id, tokens)
+		t.markStarted(id, tokens)
 	}
 }
 
 // Finished records that a call has ended, in whatever way.
 func (r *Router) Finished(_ kumquatlug.Millis, name, id string) {
 	if t, ok := r.targets[name]; ok {
-		t.finish(id)
+		t.removeCall(id)
 	}
 }
--- a/pkg/kumquatlug/routing/routing_test.go
+++ b/pkg/kumquatlug/routing/routing_test.go
@@ -11,23 +11,23 @@
 
 var chat = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "chat")
 
-// fleet returns a router in data centre a that knows n targets in it.
-func fleet(n int) *Router {
+// routerWithTargets returns a router in data centre a that knows n targets in it.
+func routerWithTargets(n int) *Router {
 	r := New(Config{Source: rand.NewPCG(1, 1), Zone: "a"})
 	for i := range n {
-		r.Set(0, Candidate{Name: target4(i), Zone: "a", Duties: []Duty{{Kind: chat, Role: kumquatlug.RoleBoth}}})
+		r.Set(0, Candidate{Name: targetName(i), Zone: "a", Duties: []Duty{{Kind: chat, Role: kumquatlug.RoleBoth}}})
 	}
 	return r
 }
 
-func target4(i int) string { return fmt.Sprintf("t%04d", i) }
+func targetName(i int) string { return fmt.Sprintf("t%04d", i) }
 
 func query(tokens int, prefix ...uint64) Query {
 	return Query{Kind: chat, Role: kumquatlug.RoleBoth, PrefillTokens: tokens, DecodeTokens: 100, Prefix: prefix}
 }
 
-// send records n calls with prompts of some tokens at one target.
-func send(r *Router, name string, n, tokens int) {
+// sendCalls records n calls with prompts of some tokens at one target.
+func sendCalls(r *Router, name string, n, tokens int) {
 	for i := range n {
 		r.Sent(0, name, Call{ID: fmt.Sprint(name, i, tokens), PrefillTokens: tokens, DecodeTokens: 100})
 	}
@@ -42,47 +42,47 @@
 	return c
 }
 
-func TestTokensCountNotCalls(t *testing.T) {
+func TestQueueIsMeasuredInTokens(t *testing.T) {
 	// One engine has a decree of 40,000 tokens in hand, the other three short
 	// chats. Counting calls, the next chat would wait five seconds for the
 	// decree.
-	r := fleet(2)
-	send(r, target4(0), 1, 40000)
-	send(r, target4(1), 3, 500)
-	if c := pick(t, r, query(500)); c.Target() != target4(1) || c.Wait() > 300 {
+	r := routerWithTargets(2)
+	sendCalls(r, targetName(0), 1, 40000)
+	sendCalls(r, targetName(1), 3, 500)
+	if c := pick(t, r, query(500)); c.Target() != targetName(1) || c.Wait() > 300 {
 		t.Errorf("it goes to %s and waits %d ms", c.Target(), c.Wait())
 	}
 }
 
-func TestOwnCallsAreCountedOnce(t *testing.T) {
+func TestReportedOwnCallsAreNotCountedTwice(t *testing.T) {
 	// A report is old when it arrives. Three calls were sent, two of them had
 	// begun when it was taken and one other entry's was running. If own calls
 	// were added to the report as well, the target would look twice as full.
-	r := fleet(1)
-	own := r.targets[target4(0)]
-	send(r, own.name, 3, 1000)
-	r.Report(300, own.name, Load{Running: 3, TakenAt: 100, Begun: 2, Incarnation: "x"})
-	if got := own.streams(); got != 4 {
+	r := routerWithTargets(1)
+	state := r.targets[targetName(0)]
+	sendCalls(r, state.name, 3, 1000)
+	r.Report(300, state.name, Load{Running: 3, TakenAt: 100, Begun: 2, Incarnation: "x"})
+	if got := state.callCount(); got != 4 {
 		t.Errorf("%v calls are believed to be there, want 4", got)
 	}
-	r.Finished(310, own.name, fmt.Sprint(own.name, 0, 1000))
-	r.Report(320, own.name, Load{Running: 9, TakenAt: 50, Begun: 1, Incarnation: "x"})
-	if got := own.streams(); got != 3 {
+	r.Finished(310, state.name, fmt.Sprint(state.name, 0, 1000))
+	r.Report(320, state.name, Load{Running: 9, TakenAt: 50, Begun: 1, Incarnation: "x"})
+	if got := state.callCount(); got != 3 {
 		t.Errorf("after one has finished and an older report %v, want 3", got)
 	}
 }
 
-func TestRestartForgetsTheCache(t *testing.T) {
+func TestRestartClearsCachedPrefixes(t *testing.T) {
 	// A target restarts with an empty cache and counts calls from zero. Trusted
 	// as before, it would attract the prompts that it held and run them anew.
-	r := fleet(2)
-	r.Report(0, target4(0), Load{Incarnation: "x", Begun: 7})
-	r.Sent(0, target4(0), Call{ID: "a", Prefix: []uint64{1, 2}, PrefillTokens: 512})
-	r.Finished(10, target4(0), "a")
+	r := routerWithTargets(2)
+	r.Report(0, targetName(0), Load{Incarnation: "x", Begun: 7})
+	r.Sent(0, targetName(0), Call{ID: "a", Prefix: []uint64{1, 2}, PrefillTokens: 512})
+	r.Finished(10, targetName(0), "a")
 	if c := pick(t, r, query(512, 1, 2)); c.Cached() != 512 || c.Reason() != ReasonCached {
 		t.Fatalf("before: %d tokens, %s", c.Cached(), c.Reason())
 	}
-	r.Report(20, target4(0), Load{TakenAt: 20, Incarnation: "y"})
+	r.Report(20, targetName(0), Load{TakenAt: 20, Incarnation: "y"})
 	if c := pick(t, r, query(512, 1, 2)); c.Cached() != 0 {
 		t.Errorf("after: %d tokens", c.Cached())
 	}
@@ -92,45 +92,45 @@
 	// Cache events were lost, and with them perhaps the news that the prompt
 	// was evicted. A call that queues there for its sake would run it anyway;
 	// answers show what is true.
-	r := fleet(2)
-	held := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
-	for i, key := range held {
-		r.Cached(target4(0), key, int64(i+1), false)
+	r := routerWithTargets(2)
+	prefix := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
+	for i, key := range prefix {
+		r.Cached(targetName(0), key, int64(i+1), false)
 	}
-	send(r, target4(0), 1, 1500)
-	if c := pick(t, r, query(2048, held...)); c.Target() != target4(0) {
+	sendCalls(r, targetName(0), 1, 1500)
+	if c := pick(t, r, query(2048, prefix...)); c.Target() != targetName(0) {
 		t.Fatalf("before the gap it goes to %s", c.Target())
 	}
-	r.Cached(target4(0), 99, 40, false)
-	if c := pick(t, r, query(2048, held...)); c.Target() != target4(1) {
+	r.Cached(targetName(0), 99, 40, false)
+	if c := pick(t, r, query(2048, prefix...)); c.Target() != targetName(1) {
 		t.Errorf("after the gap it goes to %s", c.Target())
 	}
 	for range 20 {
-		r.Hit(target4(0), 2048, 2048)
+		r.Hit(targetName(0), 2048, 2048)
 	}
-	if c := pick(t, r, query(2048, held...)); c.Target() != target4(0) {
+	if c := pick(t, r, query(2048, prefix...)); c.Target() != targetName(0) {
 		t.Errorf("after answers that prove it, it goes to %s", c.Target())
 	}
 }
 
-func TestEvictedPromptIsNotBelieved(t *testing.T) {
-	r := fleet(3)
+func TestEvictedPrefixIsNotCounted(t *testing.T) {
+	r := routerWithTargets(3)
 	for i, key := range []uint64{1, 2, 3} {
-		r.Cached(target4(2), key, int64(i+1), false)
+		r.Cached(targetName(2), key, int64(i+1), false)
 	}
-	r.Cached(target4(2), 2, 4, true)
+	r.Cached(targetName(2), 2, 4, true)
 	if c := pick(t, r, query(768, 1, 2, 3)); c.Cached() != 256 {
 		t.Errorf("%d tokens are believed to be held, want the first block", c.Cached())
 	}
 }
 
-func TestNewPromptHasOnePlaceForAllEntries(t *testing.T) {
+func TestGatewaysAgreeOnTargetForNewPrompt(t *testing.T) {
 	// Three entries meet the same new document at the same moment. If each sent
 	// it elsewhere, three engines would run it and keep it.
 	var places []string
-	idle := pick(t, fleet(10), query(4096)).Wait()
+	idle := pick(t, routerWithTargets(10), query(4096)).Wait()
 	for seed := range uint64(3) {
-		r := fleet(10)
+		r := routerWithTargets(10)
 		r.random = rand.New(rand.NewPCG(seed, 5))
 		r.SetEntries(3)
 		c := pick(t, r, query(4096, 71, 72, 73))
@@ -142,44 +142,44 @@
 	if places[0] != places[1] || places[1] != places[2] {
 		t.Errorf("it goes to %v", places)
 	}
-	r := fleet(10)
-	send(r, places[0], 12, 100)
+	r := routerWithTargets(10)
+	sendCalls(r, places[0], 12, 100)
 	if c := pick(t, r, query(4096, 71, 72, 73)); c.Target() == places[0] || c.Reason() != ReasonAffinity {
 		t.Errorf("its place is overloaded, yet it goes to %s (%s)", c.Target(), c.Reason())
 	}
 }
 
-func TestHomeFirstThenSpill(t *testing.T) {
+func TestLocalZonePreferredUntilQueued(t *testing.T) {
 	// Equal targets in two data centres: an idle call stays at home, but a
 	// queue there must not hold callers while the other one is idle.
-	r := fleet(1)
+	r := routerWithTargets(1)
 	r.Set(0, Candidate{Name: "far", Zone: "b", Duties: []Duty{{Kind: chat, Role: kumquatlug.RoleBoth}}})
-	if c := pick(t, r, query(500)); c.Target() != target4(0) {
+	if c := pick(t, r, query(500)); c.Target() != targetName(0) {
 		t.Errorf("with both idle it goes to %s", c.Target())
 	}
-	send(r, target4(0), 1, 500)
+	sendCalls(r, targetName(0), 1, 500)
 	if c := pick(t, r, query(500)); c.Target() != "far" {
 		t.Errorf("with a queue at home it goes to %s", c.Target())
 	}
 }
 
-func TestMemoryIsWaitedFor(t *testing.T) {
+func TestFullKVMemoryAddsWait(t *testing.T) {
 	// An engine has the shorter queue, and no KV memory left for a long prompt:
 	// there it would wait until other calls end.
-	r := fleet(2)
-	r.Report(0, target4(0), Load{Running: 10, KVUsed: 99000, KVTotal: 100000})
-	r.Report(0, target4(1), Load{Running: 12, KVUsed: 20000, KVTotal: 100000})
-	if c := pick(t, r, query(8000)); c.Target() != target4(1) {
+	r := routerWithTargets(2)
+	r.Report(0, targetName(0), Load{Running: 10, KVUsed: 99000, KVTotal: 100000})
+	r.Report(0, targetName(1), Load{Running: 12, KVUsed: 20000, KVTotal: 100000})
+	if c := pick(t, r, query(8000)); c.Target() != targetName(1) {
 		t.Errorf("it goes to %s", c.Target())
 	}
 }
 
-// roomFor lets only some targets take a call.
-type roomFor map[string]bool
+// roomAt lets only some targets take a call.
+type roomAt map[string]bool
 
-func (r roomFor) Room(name string) bool { return r[name] }
+func (r roomAt) Room(name string) bool { return r[name] }
 
-func TestOnlyWhoMayTakeIt(t *testing.T) {
+func TestIneligibleTargetsAreNotPicked(t *testing.T) {
 	decode := []Duty{{Kind: chat, Role: kumquatlug.RoleDecode}}
 	cases := map[string]struct {
 		change func(r *Router)
@@ -187,32 +187,32 @@
 		room   Room
 		want   string
 	}{
-		"excluded":         {query: Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{target4(0), target4(1)}}, want: target4(2)},
-		"no room":          {query: query(1), room: roomFor{target4(2): true}, want: target4(2)},
-		"no room anywhere": {query: query(1), room: roomFor{}},
+		"excluded":         {query: Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{targetName(0), targetName(1)}}, want: targetName(2)},
+		"no room":          {query: query(1), room: roomAt{targetName(2): true}, want: targetName(2)},
+		"no room anywhere": {query: query(1), room: roomAt{}},
 		"other kind":       {query: Query{Kind: kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft"), Role: kumquatlug.RoleBoth}},
-		"both may decode":  {query: Query{Kind: chat, Role: kumquatlug.RoleDecode, Exclude: []string{target4(1), target4(2)}}, want: target4(0)},
+		"both may decode":  {query: Query{Kind: chat, Role: kumquatlug.RoleDecode, Exclude: []string{targetName(1), targetName(2)}}, want: targetName(0)},
 		"decode is not both": {
-			change: func(r *Router) { r.Set(0, Candidate{Name: target4(0), Duties: decode}) },
-			query:  Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{target4(1), target4(2)}},
+			change: func(r *Router) { r.Set(0, Candidate{Name: targetName(0), Duties: decode}) },
+			query:  Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{targetName(1), targetName(2)}},
 		},
 		"draining": {
 			change: func(r *Router) {
-				r.Set(0, Candidate{Name: target4(0), State: StateDraining, Duties: r.targets[target4(0)].duties})
+				r.Set(0, Candidate{Name: targetName(0), State: StateDraining, Duties: r.targets[targetName(0)].assignments})
 			},
-			query: Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{target4(1), target4(2)}},
+			query: Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{targetName(1), targetName(2)}},
 		},
 		"ejected": {
-			change: func(r *Router) { r.SetWeight(target4(0), 0) },
-			query:  Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{target4(1), target4(2)}},
+			change: func(r *Router) { r.SetWeight(targetName(0), 0) },
+			query:  Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{targetName(1), targetName(2)}},
 		},
 		"removed": {
-			change: func(r *Router) { r.Remove(target4(0)); r.Remove(target4(1)) },
-			query:  query(1), want: target4(2),
+			change: func(r *Router) { r.Remove(targetName(0)); r.Remove(targetName(1)) },
+			query:  query(1), want: targetName(2),
 		},
 	}
 	for name, c := range cases {
-		r := fleet(3)
+		r := routerWithTargets(3)
 		if c.change != nil {
 			c.change(r)
 		}
@@ -223,39 +223,39 @@
 	}
 }
 
-func TestSlowTargetGetsItsShareOnly(t *testing.T) {
+func TestSlowTargetGetsProportionalShare(t *testing.T) {
 	// A target has half its speed. Given as much as the others it would be the
 	// one where callers wait.
-	r := fleet(1)
+	r := routerWithTargets(1)
 	full := pick(t, r, query(1000))
-	r.SetWeight(target4(0), 0.5)
+	r.SetWeight(targetName(0), 0.5)
 	if half := pick(t, r, query(1000)); half.Stated() != full.Finish() || half.Finish() != 2*full.Finish() {
 		t.Errorf("it is expected after %d ms, stated %d; at full speed %d", half.Finish(), half.Stated(), full.Finish())
 	}
-	r = fleet(4)
-	r.SetWeight(target4(0), 0.5)
+	r = routerWithTargets(4)
+	r.SetWeight(targetName(0), 0.5)
 	sent := map[string]int{}
 	for i := range 700 {
 		c := pick(t, r, query(1000))
 		sent[c.Target()]++
 		r.Sent(0, c.Target(), Call{ID: fmt.Sprint(i), PrefillTokens: 1000, DecodeTokens: 100})
 	}
-	if n := sent[target4(0)]; n < 85 || n > 115 {
+	if n := sent[targetName(0)]; n < 85 || n > 115 {
 		t.Errorf("it gets %d of 700 calls, want about 100", n)
 	}
 }
 
 func TestPickAllocatesNothing(t *testing.T) {
-	r, q := busyFleet(100)
+	r, q := busyRouter(100)
 	if n := testing.AllocsPerRun(100, func() { r.Pick(500, q, nil) }); n != 0 {
 		t.Errorf("a decision allocates %v times", n)
 	}
 }
 
-// busyFleet has calls in hand, old reports, eight entries and a prompt of 16
+// busyRouter has calls in hand, old reports, eight entries and a prompt of 16
 // blocks of which half are known.
-func busyFleet(n int) (*Router, Query) {
-	r := fleet(n)
+func busyRouter(n int) (*Router, Query) {
+	r := routerWithTargets(n)
 	r.SetEntries(8)
 	keys := make([]uint64, 16)
 	for i := range keys {
@@ -263,7 +263,7 @@
 	}
 	for i := range 4 * n {
 		c := Call{ID: fmt.Sprint(i), Prefix: keys[:i%9], PrefillTokens: 100 * (i % 37), DecodeTokens: 100}
-		r.Sent(kumquatlug.Millis(i%500), target4(i%n), c)
+		r.Sent(kumquatlug.Millis(i%500), targetName(i%n), c)
 	}
 	return r, query(4096, keys...)
 }
@@ -271,7 +271,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("candidates=%d", n), func(b *testing.B) {
-			r, q := busyFleet(n)
+			r, q := busyRouter(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, ok := r.Pick(500, q, nil); !ok {
@@ -283,18 +283,18 @@
 }
 
 func BenchmarkReport(b *testing.B) {
-	r, _ := busyFleet(100)
+	r, _ := busyRouter(100)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		r.Report(kumquatlug.Millis(i), target4(i%100), Load{Running: 40, Waiting: 10, Begun: 3, TakenAt: kumquatlug.Millis(i)})
+		r.Report(kumquatlug.Millis(i), targetName(i%100), Load{Running: 40, Waiting: 10, Begun: 3, TakenAt: kumquatlug.Millis(i)})
 	}
 }
 
 func BenchmarkCached(b *testing.B) {
-	r := fleet(100)
+	r := routerWithTargets(100)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		r.Cached(target4(i%100), rendezvous.Mix(uint64(i/3)), int64(i/100+1), false)
+		r.Cached(targetName(i%100), rendezvous.Mix(uint64(i/3)), int64(i/100+1), false)
 	}
 }
 
@@ -310,25 +310,25 @@
 	// Output: engine-2 100
 }
 
-func TestEndedStreamsDoNotMakeAnEngineFast(t *testing.T) {
+func TestEndedStreamsDoNotInflateDecodeRate(t *testing.T) {
 	// Nine of ten streams end just before a report, whose tokens are those of
 	// the second that is over. Divided by the one stream that is left they make
 	// the engine look ten times as fast, every entry chooses it, and its next
 	// callers wait for their first token while other engines stand idle.
-	r := fleet(1)
-	own := r.targets[target4(0)]
+	r := routerWithTargets(1)
+	state := r.targets[targetName(0)]
 	streams := func(n float64) float64 { return n * 50 / (1 + 0.02*(n-1)) }
 	for i := range 20 {
 		at := kumquatlug.Millis(i) * kumquatlug.Second
-		r.Report(at, own.name, Load{Running: 10, DecodeRate: streams(10), TakenAt: at, Incarnation: "x"})
+		r.Report(at, state.name, Load{Running: 10, DecodeRate: streams(10), TakenAt: at, Incarnation: "x"})
 	}
-	if own.decodeRate < 49 || own.decodeRate > 51 {
-		t.Fatalf("ten streams at 50 tokens a second alone count as %.0f", own.decodeRate)
+	if state.decodeRate < 49 || state.decodeRate > 51 {
+		t.Fatalf("ten streams at 50 tokens a second alone count as %.0f", state.decodeRate)
 	}
-	r.Report(20*kumquatlug.Second, own.name, Load{
+	r.Report(20*kumquatlug.Second, state.name, Load{
 		Running: 1, DecodeRate: streams(10), TakenAt: 20 * kumquatlug.Second, Incarnation: "x",
 	})
-	if own.decodeRate > 51 {
-		t.Errorf("after nine have ended a stream alone counts as %.0f tokens a second, want 50", own.decodeRate)
+	if state.decodeRate > 51 {
+		t.Errorf("after nine have ended a stream alone counts as %.0f tokens a second, want 50", state.decodeRate)
 	}
 }
--- a/pkg/kumquatlug/routing/subset.go
+++ b/pkg/kumquatlug/routing/subset.go
@@ -17,7 +17,7 @@
 // target then answers four to five entries.
 //
 // Fewer entries before a target also mean less unseen work: in the simulation of
-// TestSubsetIsEnough the waits at 20 of 100 targets are no longer than at all of
+// TestSubsetDoesNotLengthenWaits the waits at 20 of 100 targets are no longer than at all of
 // them. The price is the cache: a prompt that comes through all entries has a
 // place in each subset. Where many callers share long prompts and the fleet is
 // small, take all.
@@ -29,21 +29,21 @@
 // equally many entries, and the coming or going of one member moves only its
 // own places. An entry that was drawn by fewer than half of size targets
 // adds the first of its own order.
-func Subset(entries []string, me string, targets []string, size int) []string {
-	if len(targets) <= size || len(entries) == 0 {
-		return sorted(targets)
+func Subset(gateways []string, self string, targets []string, size int) []string {
+	if len(targets) <= size || len(gateways) == 0 {
+		return sortedCopy(targets)
 	}
-	replicas := Replicas(len(entries), len(targets), size)
-	hashes := hashAll(entries)
-	mine := xxhash.Sum64String(me)
+	replicas := Replicas(len(gateways), len(targets), size)
+	hashes := hashAll(gateways)
+	selfHash := xxhash.Sum64String(self)
 	subset := make([]string, 0, 2*size)
 	for _, t := range targets {
-		if draws(xxhash.Sum64String(t), hashes, mine, replicas) {
+		if selects(xxhash.Sum64String(t), hashes, selfHash, replicas) {
 			subset = append(subset, t)
 		}
 	}
 	if len(subset) < (size+1)/2 {
-		subset = topUp(subset, targets, mine, (size+1)/2)
+		subset = topUp(subset, targets, selfHash, (size+1)/2)
 	}
 	slices.Sort(subset)
 	return subset
@@ -51,19 +51,19 @@
 
 // Replicas returns how many entries speak to each target when subsets have
 // about size targets; tell [Router.SetEntries].
-func Replicas(entries, targets, size int) int {
+func Replicas(gateways, targets, size int) int {
 	if targets <= size {
-		return entries
+		return gateways
 	}
-	return (size*entries + targets - 1) / targets
+	return (size*gateways + targets - 1) / targets
 }
 
-// draws reports whether mine is among the first replicas of the rendezvous
+// selects reports whether mine is among the first replicas of the rendezvous
 // order of the target.
-func draws(target uint64, entries []uint64, mine uint64, replicas int) bool {
-	own := rendezvous.Mix(target ^ mine)
+func selects(target uint64, gateways []uint64, selfHash uint64, replicas int) bool {
+	own := rendezvous.Mix(target ^ selfHash)
 	higher := 0
-	for _, e := range entries {
+	for _, e := range gateways {
 		if rendezvous.Mix(target^e) > own {
 			higher++
 		}
@@ -74,8 +74,8 @@
 	return true
 }
 
-func topUp(subset, targets []string, mine uint64, size int) []string {
-	for _, t := range order(mine, targets) {
+func topUp(subset, targets []string, selfHash uint64, size int) []string {
+	for _, t := range rendezvousOrder(selfHash, targets) {
 		if len(subset) >= size {
 			break
 		}
@@ -90,10 +90,10 @@
 // Every entry finds the same order from the same targets, so that a call sent
 // again reaches the agent that knows it.
 func ServiceOrder(key string, targets []string) []string {
-	return order(xxhash.Sum64String(key), targets)
+	return rendezvousOrder(xxhash.Sum64String(key), targets)
 }
 
-func order(key uint64, targets []string) []string {
+func rendezvousOrder(key uint64, targets []string) []string {
 	list := slices.Clone(targets)
 	slices.SortFunc(list, func(a, b string) int {
 		ha, hb := rendezvous.Mix(key^xxhash.Sum64String(a)), rendezvous.Mix(key^xxhash.Sum64String(b))
@@ -110,7 +110,7 @@
 	return hashes
 }
 
-func sorted(names []string) []string {
+func sortedCopy(names []string) []string {
 	list := slices.Clone(names)
 	slices.Sort(list)
 	return list
--- a/pkg/kumquatlug/routing/subset_test.go
+++ b/pkg/kumquatlug/routing/subset_test.go
@@ -19,29 +19,29 @@
 }
 
 // subsets returns each entry's subset and how many entries each target has.
-func subsets(entries, targets []string, size int) (map[string][]string, map[string]int) {
-	chosen, known := map[string][]string{}, map[string]int{}
-	for _, e := range entries {
-		chosen[e] = Subset(entries, e, targets, size)
+func subsets(gateways, targets []string, size int) (map[string][]string, map[string]int) {
+	chosen, counts := map[string][]string{}, map[string]int{}
+	for _, e := range gateways {
+		chosen[e] = Subset(gateways, e, targets, size)
 		for _, t := range chosen[e] {
-			known[t]++
+			counts[t]++
 		}
 	}
-	return chosen, known
+	return chosen, counts
 }
 
-func TestEveryTargetHasItsEntries(t *testing.T) {
+func TestSubsetsCoverTargetsEvenly(t *testing.T) {
 	// If entries chose targets each by itself, some targets would be known to
 	// few entries and stand idle while callers of others wait.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(41))
 	properties.Property("targets have alike many entries, entries enough targets", prop.ForAll(
-		func(entries, targets int) bool {
+		func(gateways, targets int) bool {
 			const size = 20
-			chosen, known := subsets(names("e", entries), names("t", targets), size)
-			least := min(Replicas(entries, targets, size), entries)
+			chosen, counts := subsets(names("e", gateways), names("t", targets), size)
+			least := min(Replicas(gateways, targets, size), gateways)
 			for _, target := range names("t", targets) {
 				// An entry that was drawn too seldom adds targets of its own.
-				if known[target] < least || known[target] > least+2 {
+				if counts[target] < least || counts[target] > least+2 {
 					return false
 				}
 			}
@@ -57,17 +57,17 @@
 	properties.TestingRun(t)
 }
 
-func TestOneMemberMovesLittle(t *testing.T) {
+func TestMembershipChangeMovesFewTargets(t *testing.T) {
 	// VMs come and go all day. If each change made all entries choose anew,
 	// caches and connections would be lost everywhere.
-	entries, targets := names("e", 40), names("t", 200)
-	before, _ := subsets(entries, targets, 20)
-	withoutEntry, _ := subsets(entries[1:], targets, 20)
-	withoutTarget, _ := subsets(entries, targets[1:], 20)
+	gateways, targets := names("e", 40), names("t", 200)
+	before, _ := subsets(gateways, targets, 20)
+	withoutGateway, _ := subsets(gateways[1:], targets, 20)
+	withoutTarget, _ := subsets(gateways, targets[1:], 20)
 	moved := 0
-	for _, e := range entries[1:] {
-		moved += lost(before[e], withoutEntry[e])
-		if n := lost(before[e], withoutTarget[e]); n > 1 {
+	for _, e := range gateways[1:] {
+		moved += countMissing(before[e], withoutGateway[e])
+		if n := countMissing(before[e], withoutTarget[e]); n > 1 {
 			t.Errorf("%s loses %d targets when one goes", e, n)
 		}
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// lost counts what of before is not in after.
-func lost(before, after []string) int {
+// countMissing counts what of before is not in after.
+func countMissing(before, after []string) int {
 	n := 0
 	for _, t := range before {
 		if !slices.Contains(after, t) {
@@ -87,7 +87,7 @@
 	return n
 }
 
-func TestServiceOrderKeepsItsPlaces(t *testing.T) {
+func TestServiceOrderIsStableOnRemoval(t *testing.T) {
 	// A posting is sent again after a target has left. Had the order of the
 	// others changed, it would reach an agent that does not know the key.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(42))
@@ -107,8 +107,8 @@
 }
 
 func BenchmarkSubset(b *testing.B) {
-	entries, targets := names("e", 2300), names("t", 10000)
+	gateways, targets := names("e", 2300), names("t", 10000)
 	for b.Loop() {
-		Subset(entries, entries[0], targets, DefaultSubset)
+		Subset(gateways, gateways[0], targets, DefaultSubset)
 	}
 }
--- a/pkg/kumquatlug/said.go
+++ b/pkg/kumquatlug/said.go
@@ -37,24 +37,24 @@
 // RateLimit is what an answer says of the rate of requests that its worker takes from
 // all fronts together. The zero value says nothing.
 type RateLimit struct {
-	said      bool
-	named     bool
+	known     bool
+	limited   bool
 	perSecond float64
 }
 
 // NewRateLimit returns a limit of so many requests a second.
 func NewRateLimit(perSecond float64) RateLimit {
-	return RateLimit{said: true, named: true, perSecond: perSecond}
+	return RateLimit{known: true, limited: true, perSecond: perSecond}
 }
 
 // NoRateLimit says that there is none.
-func NoRateLimit() RateLimit { return RateLimit{said: true} }
+func NoRateLimit() RateLimit { return RateLimit{known: true} }
 
 // Named reports whether the answer names a limit.
-func (l RateLimit) Named() bool { return l.named }
+func (l RateLimit) Named() bool { return l.limited }
 
 // None reports whether the answer says that there is no limit.
-func (l RateLimit) None() bool { return l.said && !l.named }
+func (l RateLimit) None() bool { return l.known && !l.limited }
 
 // PerSecond returns the limit in requests a second.
 func (l RateLimit) PerSecond() float64 { return l.perSecond }
--- a/pkg/kumquatlug/serving.go
+++ b/pkg/kumquatlug/serving.go
@@ -105,9 +105,9 @@
 		}
 		return r.c.Shares[0].Service
 	}
-	at := int(xxhash.Sum64String(id) % uint64(total))
+	remaining := int(xxhash.Sum64String(id) % uint64(total))
 	for _, s := range r.c.Shares {
-		if at -= s.Weight; at < 0 {
+		if remaining -= s.Weight; remaining < 0 {
 			return s.Service
 		}
 	}
