--- a/pkg/kumquatlug/limit/callers.go
+++ b/pkg/kumquatlug/limit/callers.go
@@ -1,22 +1,21 @@
-// Package limit decides how much one caller may ask and how much one target
-// may be given.
+// Package limit bounds the requests of each caller ([Callers]) and the requests sent to
+// each target ([Targets]).
 //
-// Load patterns: a caller whose client runs away sends more in a minute than
-// its account should in a day ([Callers]); and a target is given more than it
-// can hold ([Targets]): the time between its tokens grows for everybody on it,
-// its KV memory overflows, and it throws out half-done answers to start them
-// anew, so that it finishes less the more it is given. Without limits the
-// whole group slides into that state together, and stays there, because
-// entries see its load only some time later and go on sending.
+// [Callers] protects against a runaway client that sends more in a minute than its
+// account should in a day. [Targets] protects against overload of a target: the time
+// between tokens grows for every request in the batch, KV memory overflows, and the
+// engine preempts unfinished requests and restarts them, so that throughput falls as
+// load rises. Without limits the whole group gets into that state together and stays
+// there, because gateways observe the load late and keep sending.
 //
-// What holds a target to its measure: the time that its work takes, set against
-// the time that the callers of that work have; the KV memory by its reports and
-// what this entry began since; and a bound on what it has not begun to answer,
-// so that requests wait where their order can still change.
+// A target is limited in three ways: by latency, relative to the work done and to the
+// time that the callers have; by KV memory, from the target's reports and what this
+// gateway started since; and by a bound on the tokens that the target has not started
+// to answer, so that requests wait where they can still be reordered.
 //
-// Both are owned by one loop and are not safe for concurrent use. Several
-// entries share callers and targets without talking to each other: each takes
-// its part by the number of entries.
+// Callers and Targets belong to one goroutine each and are not safe for concurrent use.
+// Gateways that share callers and targets don't communicate: each takes an equal share,
+// by the number of gateways.
 package limit
 
 import (
@@ -27,43 +26,46 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// CallerTerms are what one account may ask of the whole system.
+// CallerTerms are the limits of one account over the whole system.
 type CallerTerms struct {
-	// Rate is in tokens a second; zero means no limit.
+	// Rate is in tokens per second; zero means no limit.
 	Rate int64
-	// Burst is how many tokens may be asked at once after a quiet time.
-	// Default: ten seconds of Rate, so that a page that opens ten documents at
-	// once is served, and a client that runs away is stopped in ten seconds.
+	// Burst is the bucket size in tokens. Default: ten seconds of Rate, so that a page
+	// that opens ten documents at once is served and a runaway client is stopped within
+	// ten seconds.
 	Burst int64
-	// Concurrency is how many requests may be in hand; zero means no limit.
+	// Concurrency bounds the requests in flight; zero means no limit.
 	Concurrency int
 }
 
 const defaultBurstSeconds = 10
 
-// CallersConfig is what [Callers] is made of.
+// CallersConfig configures [Callers].
 type CallersConfig struct {
-	// Default holds for callers without terms of their own; its zero value
-	// means no limits.
+	// Default applies to callers without limits of their own; its zero value means no
+	// limits.
 	Default CallerTerms
-	// Entries is how many entries the balancer spreads callers over. Default 1.
+	// Entries is the number of gateways over which the load balancer spreads callers.
+	// Default 1.
 	Entries int
-	// MaxRetryAfter bounds the time a refusal names, before its jitter of up
-	// to a half. Default one minute.
+	// MaxRetryAfter bounds the retry delay of a refusal, before a jitter of up to half
+	// of it. Default one minute.
 	MaxRetryAfter kumquatlug.Millis
 	// Random is the seeded source of the jitter. Default: seeds 1 and 1.
 	Random *rand.Rand
 }
 
-// Callers holds each account to its terms.
+// Callers enforces the limits of each account with a token bucket and a bound on
+// concurrency.
 type Callers struct {
 	config CallersConfig
 	limits map[string]CallerTerms
 	usage  map[string]*callerUsage
 }
 
-// callerUsage is what one account has used. level is in thousandths of a token, so
-// that a slow rate loses nothing between two close requests.
+// callerUsage is the current usage of one account. The bucket level is kept in
+// thousandths of a token, so that a low rate loses nothing to rounding between two
+// requests shortly after one another.
 type callerUsage struct {
 	milliTokens    int64
 	refilledAt     kumquatlug.Millis
@@ -73,7 +75,7 @@
 
 const milliTokensPerToken = 1000
 
-// NewCallers returns limits under which nobody has used anything.
+// NewCallers returns a limiter without any usage.
 func NewCallers(c CallersConfig) *Callers {
 	if c.Entries < 1 {
 		c.Entries = 1
@@ -85,39 +87,40 @@
 	return &Callers{config: c, limits: make(map[string]CallerTerms), usage: make(map[string]*callerUsage)}
 }
 
-// SetTerms gives a caller terms of its own.
+// SetTerms sets the limits of one caller in place of the default.
 func (c *Callers) SetTerms(name string, t CallerTerms) { c.limits[name] = t }
 
-// SetEntries says how many entries now share the callers.
+// SetEntries sets the number of gateways that share the callers, at least one.
 func (c *Callers) SetEntries(n int) { c.config.Entries = max(n, 1) }
 
 // Reason is the short stable code of a refusal.
 type Reason string
 
-// Why a caller is refused.
+// The reasons for refusing a caller's request.
 const (
-	// ReasonRate: the caller has used up its tokens for now.
+	// ReasonRate: the caller's token bucket is empty.
 	ReasonRate Reason = "caller_rate"
-	// ReasonConcurrency: the caller has too many requests in hand.
+	// ReasonConcurrency: the caller has too many requests in flight.
 	ReasonConcurrency Reason = "caller_concurrency"
 )
 
-// Verdict is the answer to a caller's request; its zero value lets it pass.
+// Verdict is the decision on a caller's request; the zero value admits it.
 type Verdict struct {
 	reason     Reason
 	retryAfter kumquatlug.Millis
 }
 
-// Passed reports whether the request may go on.
+// Passed reports whether the request is admitted.
 func (v Verdict) Passed() bool { return v.reason == "" }
 
-// Reason returns why the request is refused, empty if it passed.
+// Reason returns why the request is refused, empty if it is admitted.
 func (v Verdict) Reason() Reason { return v.reason }
 
-// RetryAfter returns when coming back helps.
+// RetryAfter returns the delay after which a retry may succeed.
 func (v Verdict) RetryAfter() kumquatlug.Millis { return v.retryAfter }
 
-// Failure returns the refusal as the error for the caller: nothing ran.
+// Failure returns the refusal as an error for the caller with status 429, marked as not
+// run.
 func (v Verdict) Failure() *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: "limit caller", Reason: string(v.reason), Ran: kumquatlug.RanNot,
@@ -125,8 +128,8 @@
 	})
 }
 
-// Begin lets a request of so many estimated tokens pass and counts it, or
-// refuses it. Each request that passed is ended once with [Callers.End].
+// Begin admits and counts a request with an estimated cost in tokens, or refuses it.
+// Every admitted request must be ended once with [Callers.End].
 func (c *Callers) Begin(now kumquatlug.Millis, name string, cost int64) Verdict {
 	t := c.localLimits(name)
 	u := c.refilledUsage(now, name, t)
@@ -143,10 +146,9 @@
 	return Verdict{}
 }
 
-// End ends a request that passed: held is how long it was in hand, estimated
-// the cost given at its start and actual what it used. A caller is charged
-// what it used, so that asking for more output than it needs, or for less,
-// gains it nothing.
+// End ends an admitted request: duration is how long it was in flight, estimated the
+// cost passed to Begin and actual the tokens it used. The caller is charged the actual
+// tokens, so that a wrong estimate, whether high or low, gains it nothing.
 func (c *Callers) End(now kumquatlug.Millis, name string, duration kumquatlug.Millis, estimated, actual int64) {
 	t := c.localLimits(name)
 	u := c.refilledUsage(now, name, t)
@@ -157,7 +159,7 @@
 	}
 }
 
-// Running returns how many requests of a caller are in hand here.
+// Running returns the number of requests of a caller in flight at this gateway.
 func (c *Callers) Running(name string) int {
 	if u, ok := c.usage[name]; ok {
 		return u.running
@@ -165,7 +167,8 @@
 	return 0
 }
 
-// localLimits returns this entry's part of a caller's terms, at least one request.
+// localLimits returns this gateway's share of a caller's limits. Shares are rounded up,
+// so that a limit allows at least one request.
 func (c *Callers) localLimits(name string) CallerTerms {
 	t, ok := c.limits[name]
 	if !ok {
@@ -205,9 +208,9 @@
 	u.milliTokens += elapsed * t.Rate
 }
 
-// wait returns how long until the cost may be asked. A request above the whole
-// burst passes when the bucket is full and is paid off afterwards; else it
-// could never pass.
+// wait returns the time until cost is available, zero if it is now. A request larger
+// than the whole burst is admitted when the bucket is full, and the debt is refilled
+// afterwards; otherwise it could never be admitted.
 func (u *callerUsage) wait(t CallerTerms, cost int64) kumquatlug.Millis {
 	if t.Rate <= 0 {
 		return 0
@@ -219,7 +222,7 @@
 	return kumquatlug.Millis((missing + t.Rate - 1) / t.Rate)
 }
 
-// expectedFreeIn returns when one of the running requests is likely to end.
+// expectedFreeIn estimates when one of the requests in flight ends.
 func (u *callerUsage) expectedFreeIn(t CallerTerms) kumquatlug.Millis {
 	return kumquatlug.Millis(u.meanHeldMillis / float64(t.Concurrency))
 }
@@ -230,8 +233,8 @@
 	return Verdict{reason: reason, retryAfter: wait}
 }
 
-// Forget drops callers that have nothing in hand and a full bucket, so that
-// memory is bounded by who was active lately. Call it now and then.
+// Forget removes callers that have nothing in flight and a full bucket, so that memory
+// is bounded by the recently active callers. Call it periodically.
 func (c *Callers) Forget(now kumquatlug.Millis) {
 	for name, u := range c.usage {
 		t := c.localLimits(name)
--- a/pkg/kumquatlug/limit/concurrency.go
+++ b/pkg/kumquatlug/limit/concurrency.go
@@ -6,14 +6,16 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// targetState is one target's concurrency.
+// targetState is the limiter state of one target.
 type targetState struct {
 	limit   float64
 	running int
-	// pendingTokens are the tokens sent that it has not begun to answer.
+	// pendingTokens are the tokens sent that the target has not started to answer, by
+	// size class.
 	pendingTokens [sizeClassCount]int64
-	// latencySum, work, tolerable work and samples are decayed sums. Latency by work is the recent
-	// slowness, and floor the least of it, rising slowly.
+	// latencySum, workSum, tolerableSum and sampleSum decay exponentially. latencySum
+	// divided by workSum is the recent latency per unit of work; baseline is its
+	// minimum, which rises slowly.
 	latencySum       float64
 	workSum          float64
 	tolerableSum     float64
@@ -32,14 +34,16 @@
 	memory           kvMemory
 }
 
-// latencyDecayMillis is how far back the slowness looks, in milliseconds: some hundred
-// pieces of streams, and short beside the seconds in which a batch turns over.
+// latencyDecayMillis is the time constant of the latency average in milliseconds: about
+// a hundred chunks of streams, and short compared with the seconds in which a batch
+// turns over.
 const latencyDecayMillis = 2000.0
 
-// baselineRiseMillis lets the floor rise slowly, so that a target that got slower for
-// good isn't held to its old floor for ever. It is slow because a target that
-// is always full shows nobody its floor: a floor that follows within minutes
-// makes crowding look normal, and several entries raise it together.
+// baselineRiseMillis is the time in milliseconds over which the baseline doubles, so
+// that a target that got slower for good isn't held to its old baseline for ever. It is
+// long because a target that is always full never shows its baseline: one that follows
+// within minutes makes a crowded batch look normal, and several gateways raise it
+// together.
 const baselineRiseMillis = float64(kumquatlug.Hour)
 
 func (g *targetState) markStarted(k *Ticket) {
@@ -50,7 +54,7 @@
 	g.pendingTokens[k.sizeClass] -= k.cost
 }
 
-// addRunning changes the number in hand and keeps its recent mean.
+// addRunning changes the number of requests in flight and updates its recent mean.
 func (g *targetState) addRunning(now kumquatlug.Millis, delta int) {
 	decay := math.Exp(-float64(now-g.runningUpdatedAt) / max(latencyDecayMillis, g.meanLatency()))
 	g.meanRunning = decay*g.meanRunning + (1-decay)*float64(g.running)
@@ -76,7 +80,7 @@
 	}
 }
 
-// meanLatency is how long a sample takes to come back.
+// meanLatency returns the mean time until a sample arrives.
 func (g *targetState) meanLatency() float64 { return g.latencySum / max(g.sampleSum, 1) }
 
 func (g *targetState) latencyPerWork() float64 {
@@ -84,17 +88,17 @@
 }
 
 const (
-	// overloadBackoff is the cut at a sign of overload, as in congestion control: the
-	// queue inside the target empties within some windows.
+	// overloadBackoff is the multiplicative decrease on a sign of overload, as in
+	// congestion control: the queue inside the target drains within a few windows.
 	overloadBackoff = 0.8
-	// minGradient bounds a cut by latency to a half a window, since one
-	// very long prompt beside the others looks like crowding for a moment.
+	// minGradient bounds the decrease by latency to half per window, since one very
+	// long prompt among the others looks like overload for a moment.
 	minGradient = 0.5
 )
 
-// adjustLimit changes the limit once a window: down by a fixed part at a sign of
-// overload, down by how far the slowness lies above its tolerated floor, or up
-// by a step where the limit was in use.
+// adjustLimit changes the limit at most once per window: down by a fixed factor on a
+// sign of overload, down in proportion to the latency above the tolerated baseline, or
+// up by a step if the limit was in use.
 func (t *Targets) adjustLimit(now kumquatlug.Millis, g *targetState) {
 	window := max(t.config.Window, kumquatlug.Millis(g.meanLatency()))
 	if now-g.limitChangedAt < window || !g.sampled && !g.overloaded {
@@ -112,11 +116,11 @@
 	g.limitInUse = float64(g.running) >= g.limit/2
 }
 
-// increaseStep is the root of the target's whole batch, divided among the entries. It
-// is the same for all of them, however much each has: cuts are in proportion,
-// so with equal steps their parts even out. With steps that grew with an
-// entry's own part the first to have more would keep it, and another one's
-// callers would wait before a full line.
+// increaseStep is the square root of the target's whole batch, divided by the number of
+// gateways. It is the same for all gateways, whatever share each has: decreases are
+// proportional, so equal steps make the shares converge. If the step grew with a
+// gateway's own share, the first to have more would keep it, and callers of another
+// gateway would wait in a full queue.
 func (t *Targets) increaseStep(g *targetState) float64 {
 	gateways := float64(t.config.Entries)
 	batch := max(float64(g.totalRunning), 1)
@@ -126,9 +130,9 @@
 	return math.Sqrt(batch) / gateways
 }
 
-// nextLimit cuts from the number that was in hand while it was slow, not from
-// the limit itself: latency falls only some time after the limit, and cuts on
-// cuts in between would starve the target.
+// nextLimit decreases from the number of requests in flight while latency was high, not
+// from the limit itself: latency falls some time after the limit, and repeated
+// decreases in between would starve the target.
 func (t *Targets) nextLimit(g *targetState) float64 {
 	step := t.increaseStep(g)
 	gradient := g.baseline * g.tolerableSum / max(g.latencySum, 1)
--- a/pkg/kumquatlug/limit/limit_test.go
+++ b/pkg/kumquatlug/limit/limit_test.go
@@ -33,7 +33,7 @@
 
 func TestCallerNeverExceedsItsRate(t *testing.T) {
 	p := properties(t)
-	p.Property("burst plus rate times time bounds what passes", prop.ForAll(func(ops []uint64) string {
+	p.Property("admitted tokens stay within burst plus rate times time", prop.ForAll(func(ops []uint64) string {
 		c := NewCallers(CallersConfig{Default: CallerTerms{Rate: 100, Burst: 1000, Concurrency: 4}})
 		now, passed, running := kumquatlug.Millis(0), int64(0), 0
 		for _, op := range ops {
@@ -42,14 +42,14 @@
 				if v := c.Begin(now, "a", cost); v.Passed() {
 					passed, running = passed+cost, running+1
 				} else if v.RetryAfter() < kumquatlug.Second || v.Failure().Ran() != kumquatlug.RanNot {
-					return "a refusal without a time to come back, or one that claims that something ran"
+					return "refusal without a retry delay, or not marked as not run"
 				}
 			} else if running > 0 {
 				c.End(now, "a", 100, cost, cost)
 				running--
 			}
 			if passed > 1000+int64(now)/10 || running > 4 || running != c.Running("a") {
-				return fmt.Sprintf("%d tokens in %d ms, %d in hand", passed, now, running)
+				return fmt.Sprintf("%d tokens in %d ms, %d in flight", passed, now, running)
 			}
 		}
 		return ""
@@ -58,8 +58,8 @@
 }
 
 func TestRetryAfterIsJittered(t *testing.T) {
-	// A hundred clients of one account are refused in one moment. Told the
-	// same second, they would all come back in it and be refused again.
+	// A hundred clients of one account are refused at the same moment. With the same
+	// retry delay they would all retry at once and be refused again.
 	c := NewCallers(CallersConfig{Default: CallerTerms{Concurrency: 1}})
 	c.Begin(0, "a", 1)
 	seconds := map[kumquatlug.Millis]int{}
@@ -68,26 +68,27 @@
 	}
 	for tenth, n := range seconds {
 		if n > 40 {
-			t.Errorf("%d of 100 come back in the same tenth of a second (%d)", n, tenth)
+			t.Errorf("%d of 100 retry in the same tenth of a second (%d)", n, tenth)
 		}
 	}
 }
 
 func TestCallerIsChargedActualTokens(t *testing.T) {
-	// A client that asks for little output and takes much would else get many
-	// times its rate.
+	// Guards against a client that asks for little output and uses much: charged by its
+	// estimates, it would get many times its rate.
 	c := NewCallers(CallersConfig{Default: CallerTerms{Rate: 100, Burst: 1000}})
 	c.Begin(0, "a", 10)
 	c.End(0, "a", 50, 10, 5000)
 	if c.Begin(30*kumquatlug.Second, "a", 10).Passed() {
-		t.Error("passed while 5,000 tokens used at 100 a second are not paid off")
+		t.Error("admitted before 5,000 used tokens were refilled at 100 per second")
 	}
 	if !c.Begin(41*kumquatlug.Second, "a", 10).Passed() {
-		t.Error("refused after they were")
+		t.Error("refused after they were refilled")
 	}
 }
 
-// simulatedEngine is a target whose time for a token grows with its batch above a size.
+// simulatedEngine is a target whose latency per token grows with its batch above a
+// size.
 type simulatedEngine struct {
 	batch           int
 	saturationBatch int
@@ -101,8 +102,8 @@
 	return kumquatlug.Millis(perToken * float64(tokens))
 }
 
-// runToSteadyState keeps each entry's limit full against one engine and returns the mean
-// batch, and how many times the least entry's part the greatest one is.
+// runToSteadyState keeps each gateway's limit full against one engine and returns the
+// mean batch and the ratio of the largest gateway share to the smallest.
 func runToSteadyState(e simulatedEngine, gateways int, overloadAt int) (batch, imbalance float64) {
 	var all []*Targets
 	for n := range gateways {
@@ -153,28 +154,28 @@
 }
 
 func TestConcurrencyLimitConverges(t *testing.T) {
-	// A target is given whatever comes. Past the size of its batch each request
-	// only makes all others slower, and every answer on it is late at once.
+	// Without a limit, a target is sent whatever arrives. Above its saturation batch
+	// each request only slows down all others, and all its responses are late at once.
 	for _, gateways := range []int{1, 4} {
 		batch, imbalance := runToSteadyState(simulatedEngine{saturationBatch: 20}, gateways, 0)
 		if imbalance > 2 {
-			t.Errorf("one of %d entries has %.1f times as much as another", gateways, imbalance)
+			t.Errorf("of %d gateways, the largest share is %.1f times the smallest", gateways, imbalance)
 		}
-		// 3 times the floor is a batch of 60; the step up holds it the root of
-		// its size above, at 67.
+		// 3 times the baseline is a batch of 60; the increase step keeps it above that
+		// by the square root of its size, at 67.
 		if batch < 60 || batch > 75 {
-			t.Errorf("%d entries settle at a batch of %.1f, want about 67", gateways, batch)
+			t.Errorf("%d gateways converge to a batch of %.1f, want about 67", gateways, batch)
 		}
-		t.Logf("%d entries, knee at 20: batch %.1f", gateways, batch)
+		t.Logf("%d gateways, saturation batch 20: batch %.1f", gateways, batch)
 	}
 	if batch, _ := runToSteadyState(simulatedEngine{saturationBatch: 1000}, 1, 50); batch > 60 {
-		t.Errorf("a target that refuses above 50 is given %.1f", batch)
+		t.Errorf("target that refuses above 50 is sent a batch of %.1f", batch)
 	}
 }
 
 func TestShortPatienceLowersTolerance(t *testing.T) {
-	// A batch that suits documents is too slow for questions. Held to the same
-	// tolerance, the target fills up with answers that come too late.
+	// A batch size that suits documents is too slow for short questions. With the same
+	// tolerance for both, the target fills with responses that arrive too late.
 	l := NewTargets(TargetsConfig{Floor: 1})
 	for _, c := range []struct {
 		patience kumquatlug.Millis
@@ -187,43 +188,43 @@
 		var k Ticket
 		l.Tolerate(&k, c.patience, 1000)
 		if d := k.tolerance - c.want; d > 0.001 || d < -0.001 {
-			t.Errorf("with %d ms for 1000 the tolerance is %.3f, want %.3f", c.patience, k.tolerance, c.want)
+			t.Errorf("patience %d ms for 1000 ms of work: tolerance %.3f, want %.3f", c.patience, k.tolerance, c.want)
 		}
 	}
 }
 
 func TestPendingBoundHoldsBackLongPrompts(t *testing.T) {
-	// Prompts sent ahead of time wait inside the engine: they have left the fair
-	// order, and a question that comes later stands behind them.
+	// Prompts sent early wait inside the engine, out of reach of fair queueing, and a
+	// short question that comes later queues behind them.
 	l := NewTargets(TargetsConfig{MaxPending: 8000})
 	l.Add("x")
 	first := l.Begin(0, "x", 5000)
 	if l.Room("x", 5000) {
-		t.Error("a second long prompt may be sent before the first has begun")
+		t.Error("second long prompt admitted before the first has started")
 	}
 	if !l.Room("x", 500) {
-		t.Error("a question waits for a long prompt that it goes before")
+		t.Error("short request blocked by a long prompt that it takes priority over")
 	}
 	l.Sample(100, &first, 100, 100)
 	if !l.Room("x", 5000) {
-		t.Error("no room though the first has begun")
+		t.Error("long prompt refused although the first has started")
 	}
 }
 
 func TestReportedRequestsAreNotCountedTwice(t *testing.T) {
-	// The report of a second ago doesn't hold the last second's requests. An
-	// entry that ignored them would send a second's work into memory that is
-	// already full; one that added all it has in hand would stop at half.
+	// A report that is a second old does not include the requests of that second. A
+	// gateway that ignored them would send a second's work into memory that is already
+	// full; one that added everything it has in flight would stop at half.
 	l := NewTargets(TargetsConfig{HighWater: 1})
 	l.Add("x")
 	l.Begin(1000, "x", 300)
 	l.Begin(2000, "x", 300)
 	l.Report(2500, "x", Load{Asked: 2500, Age: 1000, Used: 300, Total: 1000})
 	if !l.Room("x", 400) {
-		t.Error("300 reported and 300 begun since leave 400 of 1000")
+		t.Error("refused 400 tokens; 300 reported and 300 begun since leave 400 of 1000")
 	}
 	if l.Room("x", 401) {
-		t.Error("there is no room for 401")
+		t.Error("admitted 401 tokens with 400 free")
 	}
 	l.Report(2600, "x", Load{Asked: 2600, Age: 2600, Used: 0, Total: 1000})
 	if l.Room("x", 401) {
@@ -232,9 +233,9 @@
 }
 
 func TestGatewaysDoNotOverfillMemoryOnOneReport(t *testing.T) {
-	// Ten entries read the same report of a target with some room and send at
-	// once. Each believes that the room is its own; together they overfill the
-	// memory, and the target throws out half-done answers.
+	// Ten gateways read the same report of a target with some free memory and send at
+	// once. If each took all of it, they would overfill the memory together, and the
+	// target would preempt unfinished requests.
 	for _, used := range []int64{0, 4500, 8500} {
 		for _, cost := range []int64{50, 700, 3000} {
 			sum, excessive := 0.0, 0
@@ -246,13 +247,14 @@
 				}
 			}
 			if mean := sum / 1000; mean > 0.1*float64(cost) || excessive > 10 {
-				t.Errorf("used %d, pieces of %d: %.0f too many in the mean, far too many in %d of 1000", used, cost, mean, excessive)
+				t.Errorf("used %d, requests of %d: mean excess %.0f tokens, excess above 4 requests in %d of 1000 runs", used, cost, mean, excessive)
 			}
 		}
 	}
 }
 
-// sentOnOneReport is what ten entries send to one target on the same report.
+// sentOnOneReport returns the tokens that ten gateways send to one target on the same
+// report.
 func sentOnOneReport(used, cost int64, seed uint64) int64 {
 	sent := int64(0)
 	for n := range uint64(10) {
@@ -270,7 +272,7 @@
 func TestUnknownAndRemovedTargets(t *testing.T) {
 	l := NewTargets(TargetsConfig{})
 	if l.Room("x", 1) {
-		t.Error("a target that nobody added has room")
+		t.Error("unknown target has room")
 	}
 	l.Add("x")
 	k := l.Begin(0, "x", 1)
--- a/pkg/kumquatlug/limit/memory.go
+++ b/pkg/kumquatlug/limit/memory.go
@@ -2,15 +2,14 @@
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// maxMemoryChanges bounds what is kept between two reports; above it neighbours are
-// merged, which counts some as younger than they are.
+// maxMemoryChanges bounds the changes kept between two reports; above it neighbours are
+// merged, which dates some of them later than they were.
 const maxMemoryChanges = 256
 
-// kvMemory estimates how full a target's KV memory is: what it reported, plus
-// what this entry began and ended since that report was taken. Counting all
-// that is in hand on top of the report would count what the report holds
-// already twice, and the entry would stop at half of the memory; counting none
-// would send a second's requests on one stale report.
+// kvMemory estimates the use of a target's KV memory: the last report, plus what this
+// gateway began and ended since it was taken. Adding everything in flight to the report
+// would count twice what the report contains, and the gateway would stop at half of the
+// memory; adding nothing would send a second's worth of requests on one stale report.
 type kvMemory struct {
 	known            bool
 	measuredAt       kumquatlug.Millis
@@ -20,7 +19,8 @@
 	changes          []memoryChange
 }
 
-// memoryChange is one begin (positive) or end (negative) of this entry.
+// memoryChange is the begin (positive tokens) or end (negative) of one request of this
+// gateway.
 type memoryChange struct {
 	at     kumquatlug.Millis
 	tokens int64
@@ -43,7 +43,8 @@
 	m.changes = merged
 }
 
-// update takes a load and reports whether it is newer than the last.
+// update applies a load report and reports whether it is at least as new as the last
+// one.
 func (m *kvMemory) update(l Load) bool {
 	measuredAt := l.Asked - l.Age
 	if m.known && measuredAt < m.measuredAt {
@@ -55,7 +56,7 @@
 	return true
 }
 
-// dropReported drops the changes that the report holds.
+// dropReported removes the changes that the report includes.
 func (m *kvMemory) dropReported() {
 	kept := m.changes[:0]
 	m.unreportedTokens = 0
@@ -68,10 +69,10 @@
 	m.changes = kept
 }
 
-// hasRoom reports whether this entry's part of the free memory holds cost more
-// tokens. Where the part is smaller than one request, a coin thrown at each
-// report lets that part of the entries send one: if all did, their number
-// would overfill the target, and if none did, it would stand idle.
+// hasRoom reports whether this gateway's share of the free memory holds cost more
+// tokens. If the share is smaller than one request, a random draw per report lets that
+// fraction of the gateways send one: if all did, they would overfill the target, and if
+// none did, it would stay idle.
 func (m *kvMemory) hasRoom(c TargetsConfig, draw float64, cost int64) bool {
 	if !m.known || m.total == 0 {
 		return true
--- a/pkg/kumquatlug/limit/targets.go
+++ b/pkg/kumquatlug/limit/targets.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// Grounds of the defaults stand at the fields of [TargetsConfig].
+// Default values; the reasons are documented at the fields of [TargetsConfig].
 const (
 	DefaultInitial   = 16
 	DefaultMin       = 1
@@ -19,49 +19,47 @@
 	DefaultPending   = 16_000
 )
 
-// TargetsConfig is what [Targets] is made of. Concurrencies are of a whole
-// target; each entry takes its part.
+// TargetsConfig configures [Targets]. Concurrency values are for a whole target; each
+// gateway takes its share.
 type TargetsConfig struct {
-	// Initial is the concurrency that an unknown target starts with. Default
-	// 16: below what any engine that batches holds, and doubled within a
-	// second or two where there is room.
+	// Initial is the concurrency limit of a target at first. Default 16: below what any
+	// batching engine holds, and doubled within a second or two where there is room.
 	Initial int
-	// Min is the least concurrency of one entry. Default 1: with none the
-	// entry would never learn that the target is fast again.
+	// Min is the minimum concurrency limit of one gateway. Default 1: at zero the
+	// gateway would never notice that the target has recovered.
 	Min int
-	// Max bounds the concurrency. Default 256, the largest batch that engines
-	// are commonly started with.
+	// Max bounds the concurrency. Default 256, the largest batch size that engines are
+	// commonly started with.
 	Max int
-	// Tolerance is how many times its floor a target's time for the same work
-	// may be before it is given less, unless a request's own time is shorter
-	// ([Targets.Tolerate]). Default 3: in a well filled batch, with prompts run
-	// in between, a request takes two to three times as long as alone; what
-	// takes longer than that is queueing.
+	// Tolerance is the factor by which a target's latency for the same work may exceed
+	// its baseline before the limit is decreased, unless a request has a shorter time
+	// limit of its own ([Targets.Tolerate]). Default 3: in a well filled batch, with
+	// prompts run in between, a request takes two to three times as long as alone;
+	// beyond that it is queueing.
 	Tolerance float64
-	// Floor is the least slowness (latency by work) of a target where it is
-	// known: 1 if work is told in the time that it takes on an idle target. By
-	// default it is learned, which takes a quiet time: a target that was full
-	// from the first request on never shows it.
+	// Floor is the baseline latency per unit of work of a target, if known: 1 if work
+	// is given as the time that it takes on an idle target. By default the baseline is
+	// learned, which takes an idle period: a target that is full from the first request
+	// on never shows it.
 	Floor float64
-	// Window is the least time between two changes of a limit; it is longer
-	// where answers (or pieces of streams) take longer, so that a change shows
-	// before the next one. Default 250 ms, some rounds of a batch.
+	// Window is the minimum time between two changes of a limit; it is longer where
+	// responses or chunks of streams take longer, so that a change takes effect before
+	// the next one. Default 250 ms, a few rounds of a batch.
 	Window kumquatlug.Millis
-	// HighWater is the part of the KV memory that may be filled by plan.
-	// Default 0.9: answers grow while they are written, and an engine that runs
-	// out of memory throws out half-done ones.
+	// HighWater is the fraction of the KV memory that may be planned for. Default 0.9:
+	// outputs grow while they are generated, and an engine that runs out of memory
+	// preempts unfinished requests.
 	HighWater float64
-	// MaxPending is how many tokens may be sent to a target before it has
-	// begun to answer them ([Targets.Sample] tells); one request may always be.
-	// Default 16,000: two seconds of prompts for a mid-sized model, enough to
-	// keep the engine busy until the next request. What waits inside the engine
-	// has left the fair order and can no longer be refused in time, so it had
-	// better wait here.
+	// MaxPending bounds the tokens sent to a target that it has not started to answer
+	// (see [Targets.Sample]); one request is always allowed. Default 16,000: two
+	// seconds of prompts for a mid-sized model, enough to keep the engine busy until
+	// the next request. Requests that wait inside the engine can no longer be reordered
+	// fairly or refused in time, so they wait here instead.
 	MaxPending int64
-	// Entries is how many entries send to the same targets. Default 1.
+	// Entries is the number of gateways that send to the same targets. Default 1.
 	Entries int
-	// Random is the seeded source for rounding small parts. Entries need
-	// different seeds. Default: seeds 1 and 1.
+	// Random is the seeded source for rounding shares smaller than one request.
+	// Gateways need different seeds. Default: seeds 1 and 1.
 	Random *rand.Rand
 }
 
@@ -84,42 +82,42 @@
 	return c
 }
 
-// Targets holds each target to what it can take from this entry.
+// Targets limits what this gateway sends to each target.
 type Targets struct {
 	config  TargetsConfig
 	targets map[string]*targetState
 }
 
-// NewTargets returns limits over no targets.
+// NewTargets returns a limiter without targets.
 func NewTargets(c TargetsConfig) *Targets {
 	return &Targets{config: c.withDefaults(), targets: make(map[string]*targetState)}
 }
 
-// Add starts the limits of a target, or of its new incarnation.
+// Add starts tracking a target, or a new incarnation of it.
 func (t *Targets) Add(name string) {
 	share := float64(t.config.Initial) / float64(t.config.Entries)
 	t.targets[name] = &targetState{limit: max(share, float64(t.config.Min)), baseline: t.config.Floor}
 }
 
-// Remove forgets a target that is gone.
+// Remove stops tracking a target.
 func (t *Targets) Remove(name string) { delete(t.targets, name) }
 
-// SetEntries says how many entries now share the targets.
+// SetEntries sets the number of gateways that share the targets, at least one.
 func (t *Targets) SetEntries(n int) { t.config.Entries = max(n, 1) }
 
-// Ticket is one request in hand at a target.
+// Ticket is one request in flight at a target.
 type Ticket struct {
 	target    *targetState
 	cost      int64
 	sizeClass sizeClass
 	started   bool
-	// tolerance is how many times its least time it may take, zero for the
-	// default.
+	// tolerance is the factor by which the request may exceed its minimum time, zero
+	// for the default.
 	tolerance float64
 }
 
-// Begin counts a request of so many tokens (prompt and expected output) that
-// is being sent. Each ticket is ended once.
+// Begin counts a request that is being sent, with its cost in tokens (prompt and
+// expected output). Every ticket must be ended once with [Targets.End].
 func (t *Targets) Begin(now kumquatlug.Millis, name string, cost int64) Ticket {
 	g, ok := t.targets[name]
 	if !ok {
@@ -133,11 +131,11 @@
 	return Ticket{target: g, cost: cost, sizeClass: class}
 }
 
-// Sample tells how long a piece of a request took: from sending to the first
-// token, and from each piece of the stream to the next, or a whole call. work
-// says how much it was, in any unit that is the same for all of a target: the
-// milliseconds it takes on an idle target, or 1 for each call of a service.
-// The first sample says that the target has begun to answer.
+// Sample records the latency of one step of a request: from sending to the first token,
+// between two chunks of the stream, or a whole call. work is the amount of work in any
+// unit that is the same for all samples of a target: the milliseconds that it takes on
+// an idle target, or 1 for each call of a service. The first sample marks the request
+// as started.
 func (t *Targets) Sample(now kumquatlug.Millis, k *Ticket, latency kumquatlug.Millis, work float64) {
 	g := k.target
 	if g == nil {
@@ -159,23 +157,22 @@
 }
 
 const (
-	// maxPatienceShare is the part of a caller's time that its answer may take once
-	// sent; the rest is for waiting and for odd lengths. With 0.7 quiet callers
-	// beside a hot one kept 0.97 of their on-time answers, with 0.6 a fleet at
-	// twice its load 0.947 of its goodput in place of 0.956
+	// maxPatienceShare is the fraction of a caller's time limit that its response may
+	// take once sent; the rest covers queueing and unusual lengths. With 0.7, quiet
+	// callers beside a hot one kept 0.97 of their on-time answers; with 0.6, a fleet at
+	// twice its load had 0.947 of its goodput in place of 0.956
 	// (cmd/kumquatlug-experiment, seeds 1 to 3).
 	maxPatienceShare = 0.65
-	// minTolerance leaves some batching to requests whose time is too short
-	// for any.
+	// minTolerance leaves some batching for requests whose time limit is too short for
+	// any.
 	minTolerance = 1.2
 )
 
-// Tolerate says how long the caller of a request waits and how long the request
-// takes alone on an idle target; from that follows how many times its least
-// time it may take. A batch that suits long documents is too slow for
-// questions; were all held to one tolerance, the target would be full of
-// answers that come too late and the queue before it empty, so that nobody's
-// turn would be kept.
+// Tolerate sets the latency factor of a request from the time that its caller waits
+// (patience) and the time that it takes alone on an idle target. A batch size that
+// suits long documents is too slow for short questions: with one tolerance for all, the
+// target would fill with responses that arrive too late, and the queue before it would
+// be empty, so that its order would have no effect.
 func (t *Targets) Tolerate(k *Ticket, patience, alone kumquatlug.Millis) {
 	allowed := maxPatienceShare * float64(patience) / float64(max(alone, 1))
 	k.tolerance = min(max(allowed, minTolerance), t.config.Tolerance)
@@ -184,16 +181,16 @@
 // Outcome is how a request at a target ended.
 type Outcome string
 
-// The outcomes that the limits tell apart.
+// The outcomes that the limiter distinguishes.
 const (
 	// OutcomeEnded: answered, failed or cancelled.
 	OutcomeEnded Outcome = "ended"
-	// OutcomeOverload: the target refused it for want of room, or its deadline
+	// OutcomeOverload: the target refused it for lack of capacity, or its deadline
 	// passed there.
 	OutcomeOverload Outcome = "overload"
 )
 
-// End gives the ticket back.
+// End releases the ticket.
 func (t *Targets) End(now kumquatlug.Millis, k Ticket, o Outcome) {
 	g := k.target
 	if g == nil {
@@ -206,23 +203,23 @@
 	t.adjustLimit(now, g)
 }
 
-// Load is what a target last said of itself.
+// Load is the last load report of a target.
 type Load struct {
-	// Age is how old the load is, in milliseconds before it was asked for.
+	// Age is how old the load was when it was requested, in milliseconds.
 	Age kumquatlug.Millis
-	// Asked is when this entry asked for it, on this entry's clock. What this
-	// entry began after Asked - Age isn't in the report.
+	// Asked is when this gateway requested it, on this gateway's clock. Requests that
+	// this gateway began after Asked - Age are not in the report.
 	Asked kumquatlug.Millis
-	// Running is how many requests of all entries the target serves; zero: not
-	// told.
+	// Running is the number of requests of all gateways that run at the target; zero
+	// means unknown.
 	Running int64
-	// Waiting is how many requests wait inside the target.
+	// Waiting is the number of requests queued inside the target.
 	Waiting int64
-	// Used and Total are tokens of KV memory; a Total of zero: not told.
+	// Used and Total are tokens of KV memory; a Total of zero means unknown.
 	Used, Total int64
 }
 
-// Report takes a target's load. One that is older than the last is dropped.
+// Report applies a target's load report. A report older than the last one is dropped.
 func (t *Targets) Report(now kumquatlug.Millis, name string, l Load) {
 	g, ok := t.targets[name]
 	if !ok || !g.memory.update(l) {
@@ -236,7 +233,7 @@
 	}
 }
 
-// Room reports whether a target may be given a request of so many tokens now.
+// Room reports whether a target may be sent a request with this cost in tokens now.
 func (t *Targets) Room(name string, cost int64) bool {
 	g, ok := t.targets[name]
 	return ok && t.free(g) > 0 && t.fitsPending(g, cost) && g.memory.hasRoom(t.config, g.reportDraw, cost)
@@ -251,7 +248,7 @@
 	return t.free(g)
 }
 
-// Running returns how many requests of this entry are in hand at a target.
+// Running returns the number of requests of this gateway in flight at a target.
 func (t *Targets) Running(name string) int {
 	if g, ok := t.targets[name]; ok {
 		return g.running
@@ -264,9 +261,9 @@
 	return max(int(math.Round(limit))-g.running, 0)
 }
 
-// fitsPending reports whether the pending bound lets a request through. Small ones
-// have a bound of their own: an engine that honours priorities runs them before
-// a long prompt, and behind a shared bound they would wait for it here.
+// fitsPending reports whether the bound on pending tokens allows a request. Small
+// requests have a bound of their own: an engine that honours priorities runs them
+// before a long prompt, and with a shared bound they would wait for that prompt here.
 func (t *Targets) fitsPending(g *targetState, cost int64) bool {
 	pending := g.pendingTokens[t.sizeClassOf(cost)]
 	return pending == 0 || pending+cost <= t.pendingShare()
@@ -274,7 +271,7 @@
 
 func (t *Targets) pendingShare() int64 { return t.config.MaxPending / int64(t.config.Entries) }
 
-// sizeClass tells small requests from large ones.
+// sizeClass separates small requests from large ones.
 type sizeClass int
 
 const (
@@ -283,8 +280,8 @@
 	sizeClassCount
 )
 
-// smallRequestsPerShare is the part of the pending bound up to which a request is small:
-// four of them fit, so that they fill their bound without a gap.
+// smallRequestsPerShare sets the size up to which a request is small: a fourth of the
+// pending bound. Four of them fit, so that they fill their bound without a gap.
 const smallRequestsPerShare = 4
 
 func (t *Targets) sizeClassOf(cost int64) sizeClass {
