--- a/pkg/kumquatlug/routing/cache.go
+++ b/pkg/kumquatlug/routing/cache.go
@@ -5,15 +5,16 @@
 	"math/bits"
 )
 
-// prefixIndex remembers which targets are believed to hold which prefix, as
-// one bit a target, so that one look-up a key answers for all candidates.
-// When it is full the key that came first gives way.
+// prefixIndex tracks which targets are believed to hold which prefix, as one bit per
+// target, so that one look-up per key covers all candidates. When it is full, the
+// oldest key is evicted.
 type prefixIndex struct {
 	holders      map[uint64][]uint64
 	evictionRing []uint64
 	evictNext    int
 	capacity     int
-	// contiguous is working space of depths.
+	// contiguous is scratch space of matchDepths: the targets that hold every block so
+	// far.
 	contiguous []uint64
 }
 
@@ -40,8 +41,8 @@
 	}
 }
 
-// recordKey keeps the index within its limit. A key dropped by an event stays
-// in the ring until its turn comes.
+// recordKey bounds the number of keys. A key removed by an event stays in the ring
+// until it comes round.
 func (x *prefixIndex) recordKey(key uint64) {
 	if len(x.evictionRing) < x.capacity {
 		x.evictionRing = append(x.evictionRing, key)
@@ -67,22 +68,23 @@
 	}
 }
 
-// A target is taken to hold the prompt up to the deepest block at which
-// matchNumerator of matchDenominator blocks so far are known to be there. Asking for all of
-// them, the loss of one event in five would hide three quarters of what is
-// held; an evicted prompt still drops out, since most of its events arrive.
+// A target counts as holding the prompt up to the deepest block at which at least
+// matchNumerator/matchDenominator of the blocks so far are known to be there. If all
+// were required, the loss of one event in five would hide three quarters of what is
+// held; an evicted prompt is still recognized, since most of its events arrive.
 const (
 	matchNumerator   = 3
 	matchDenominator = 4
 )
 
-// maxMissingBlocks is how many blocks in a row that nobody holds end the search.
+// maxMissingBlocks is the number of consecutive blocks held by no target that ends the
+// search.
 const maxMissingBlocks = 2
 
-// matchDepths writes to each slot how many leading blocks of keys its target is
-// believed to hold, and returns the greatest of them. Most targets hold all
-// blocks up to one and none beyond; they stay in the set holding until then, so
-// that only those with a block missing are counted one by one.
+// matchDepths writes to each slot the number of leading blocks of keys that its target
+// is believed to hold, and returns the greatest of them. Most targets hold all blocks
+// up to some depth and none beyond; they stay in the contiguous set until then, so that
+// only targets with a missing block are counted one by one.
 func (x *prefixIndex) matchDepths(keys []uint64, matches []slotMatch) int {
 	deepest, missing := 0, 0
 	for i, key := range keys {
@@ -105,7 +107,8 @@
 	return deepest
 }
 
-// narrowContiguous takes those out of holding that are not in set, with what they held.
+// narrowContiguous removes the targets that are not in set from the contiguous set and
+// records held as their depth.
 func (x *prefixIndex) narrowContiguous(set []uint64, held int, matches []slotMatch) {
 	for word, before := range x.contiguous {
 		kept := uint64(0)
@@ -120,8 +123,8 @@
 	}
 }
 
-// countAfterGap counts the block at i for those in set that miss one before it, and
-// reports whether it lies within what one of them holds.
+// countAfterGap counts block i for the targets in set that miss an earlier block, and
+// reports whether this extends the depth of any of them.
 func (x *prefixIndex) countAfterGap(set []uint64, i int, matches []slotMatch) bool {
 	extended := false
 	for word, rest := range set {
@@ -148,16 +151,15 @@
 	return false
 }
 
-// eventTrustWeight is the weight of one cache event, heard or lost, in the trust in a
-// target's cache: some hundred events make it.
+// eventTrustWeight is the weight of one cache event, received or lost, in the trust in
+// a target's cache, an average over about a hundred events.
 const eventTrustWeight = 1.0 / 64
 
-// Cached takes in an event of a target's cache: it holds the prefix, or has
-// evicted it. Events come late and with gaps. A gap may hide evictions, after
-// which the router would queue calls at a target for the sake of a prefix that
-// is gone; so the trust in what is believed of that target falls with the part
-// of the events that is lost, down to nothing after a long silence, and answers
-// ([Router.Hit]) earn it back.
+// Cached applies a cache event of a target: it holds the prefix, or has evicted it.
+// Events arrive late and with gaps. A gap may hide evictions, and the router would then
+// queue calls at a target for a prefix that is gone. The trust in the target's cache
+// therefore falls with the fraction of events lost, down to nothing after a long
+// silence, and rises with responses that confirm it ([Router.Hit]).
 func (r *Router) Cached(name string, prefix uint64, sequence int64, evicted bool) {
 	t, ok := r.targets[name]
 	if !ok || (t.hasEvent && sequence <= t.eventSequence) {
@@ -176,7 +178,7 @@
 	r.cache.add(t.slot, prefix)
 }
 
-// Forget drops all beliefs about a target's cache, as after its restart.
+// Forget clears the cached prefixes of a target, for example after its restart.
 func (r *Router) Forget(name string) {
 	t, ok := r.targets[name]
 	if !ok {
@@ -187,11 +189,11 @@
 	t.hasEvent = false
 }
 
-// responseTrustWeight is the weight of one answer in the trust in a target's cache.
+// responseTrustWeight is the weight of one response in the trust in a target's cache.
 const responseTrustWeight = 0.2
 
-// Hit takes in what an answer said: of the tokens that were expected in the
-// target's cache (see [Choice.Cached]) so many were.
+// Hit records that, of the tokens expected in the target's cache (see [Choice.Cached]),
+// the response reported this many as cached.
 func (r *Router) Hit(name string, expected, cached int) {
 	t, ok := r.targets[name]
 	if !ok || expected <= 0 {
--- a/pkg/kumquatlug/routing/herd_test.go
+++ b/pkg/kumquatlug/routing/herd_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Sizes of the simulated engines.
+// Parameters of the simulated engines.
 const (
 	simPrefillRate     = 8000.0
 	simDocumentTokens  = 4096
@@ -18,21 +18,22 @@
 	simReportLagMillis = 200
 )
 
-// policy chooses a target for an entry; the routing under test or a baseline.
+// policy chooses a target for a gateway: the router under test or a baseline. It
+// returns the target's name and the prompt tokens expected in its cache.
 type policy func(s *simulation, gateway int, now kumquatlug.Millis, q Query) (string, int)
 
-// simulation is a few entries before a few engines that run prompts one after the
-// other and remember the documents they saw last. Each entry has one router
-// and hears reports that are 200 ms old once a second.
+// simulation is a few gateways in front of a few engines that run prompts one after the
+// other and cache the documents they saw last. Each gateway has one router and
+// receives, once a second, reports that are 200 ms old.
 type simulation struct {
 	random    *rand.Rand
 	routers   []*Router
 	engines   []*simulatedEngine
 	index     map[string]*simulatedEngine
 	events    map[kumquatlug.Millis][]func(now kumquatlug.Millis)
-	callCount int
+	callsSent int
 	openCalls []map[string]int
-	// eventLoss is the part of cache events that never arrive.
+	// eventLoss is the fraction of cache events that never arrive.
 	eventLoss float64
 
 	waits        []float64
@@ -47,7 +48,8 @@
 	begunCalls    []int64
 	cachedDocs    []uint64
 	cacheCapacity int
-	// eventSequence numbers the cache events; unsent are those since the last report.
+	// eventSequence numbers the cache events; unsentEvents are those since the last
+	// report.
 	eventSequence int64
 	unsentEvents  []simEvent
 }
@@ -91,8 +93,8 @@
 	s.events[t] = append(s.events[t], f)
 }
 
-// run offers calls at a part of the engines' capacity for a time; draw makes
-// each call's query.
+// run sends calls at a fraction of the engines' capacity until a point in time; draw
+// makes each call's query.
 func (s *simulation) run(until kumquatlug.Millis, load float64, draw func(*rand.Rand) Query, choose policy) {
 	mean := 0.0
 	for range 2000 {
@@ -126,8 +128,8 @@
 	r := s.routers[gateway]
 	name, expected := choose(s, gateway, now, q)
 	e := s.index[name]
-	id := fmt.Sprint(s.callCount)
-	s.callCount++
+	id := fmt.Sprint(s.callsSent)
+	s.callsSent++
 	r.Sent(now, name, Call{ID: id, Prefix: q.Prefix, PrefillTokens: q.PrefillTokens, DecodeTokens: q.DecodeTokens})
 	hit := e.lookUpAndCache(q)
 	s.promptTokens += float64(q.PrefillTokens)
@@ -149,7 +151,8 @@
 	})
 }
 
-// lookUpAndCache returns how much of the prompt the engine remembers, and remembers it.
+// lookUpAndCache returns how many prompt tokens the engine has cached, and caches the
+// prompt.
 func (e *simulatedEngine) lookUpAndCache(q Query) int {
 	if len(q.Prefix) == 0 {
 		return 0
@@ -210,20 +213,20 @@
 	}
 }
 
-// waitPercentile returns a percentile of the waits in the second half of the run.
+// waitPercentile returns a quantile of the waits in the second half of the run.
 func (s *simulation) waitPercentile(quantile float64) float64 {
 	late := slices.Clone(s.waits[len(s.waits)/2:])
 	slices.Sort(late)
 	return late[int(quantile*float64(len(late)-1))]
 }
 
-// routerPolicy is the rule under test.
+// routerPolicy is the router under test.
 func routerPolicy(s *simulation, gateway int, now kumquatlug.Millis, q Query) (string, int) {
 	c, _ := s.routers[gateway].Pick(now, q, nil)
 	return c.Target(), c.Cached()
 }
 
-// greedyPolicy is the least expected finish without a thought for other entries.
+// greedyPolicy takes the least expected finish and ignores other gateways.
 func greedyPolicy(s *simulation, gateway int, now kumquatlug.Millis, q Query) (string, int) {
 	s.routers[gateway].SetEntries(1)
 	return routerPolicy(s, gateway, now, q)
@@ -231,10 +234,10 @@
 
 // roundRobinPolicy takes the engines in turn.
 func roundRobinPolicy(s *simulation, _ int, _ kumquatlug.Millis, _ Query) (string, int) {
-	return s.engines[s.callCount%len(s.engines)].name, 0
+	return s.engines[s.callsSent%len(s.engines)].name, 0
 }
 
-// leastConnectionsPolicy takes the engine with the fewest of the entry's own calls.
+// leastConnectionsPolicy takes the engine with the fewest of the gateway's own calls.
 func leastConnectionsPolicy(s *simulation, gateway int, _ kumquatlug.Millis, _ Query) (string, int) {
 	offset := s.random.IntN(len(s.engines))
 	best := s.engines[offset]
@@ -247,7 +250,8 @@
 	return best.name, 0
 }
 
-// documentQueries draws questions about n documents, a part of them about the first.
+// documentQueries draws questions about n documents, with a fraction of hot about the
+// first.
 func documentQueries(n int, hot float64) func(*rand.Rand) Query {
 	return func(random *rand.Rand) Query {
 		d := uint64(random.IntN(n))
@@ -258,7 +262,7 @@
 	}
 }
 
-// mixedQuery draws one long prompt among nine short ones.
+// mixedQuery draws one long prompt for every nine short ones.
 func mixedQuery(random *rand.Rand) Query {
 	if random.IntN(10) == 0 {
 		return query(8000 + random.IntN(8000))
--- a/pkg/kumquatlug/routing/load.go
+++ b/pkg/kumquatlug/routing/load.go
@@ -2,66 +2,67 @@
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// Load is what a target said of itself in one report.
+// Load is one load report of a target.
 type Load struct {
-	// Running and Waiting count the calls of all entries at the target.
+	// Running and Waiting count the calls of all gateways at the target.
 	Running int
 	Waiting int
-	// KVUsed and KVTotal are tokens of KV memory; a total of zero means that
-	// memory does not limit the target.
+	// KVUsed and KVTotal are tokens of KV memory; a total of zero means that memory
+	// does not limit the target.
 	KVUsed  int
 	KVTotal int
-	// PrefillRate is how many prompt tokens a second the target runs when
-	// busy; zero when it does not know.
+	// PrefillRate is the prompt tokens per second that the target processes when busy;
+	// zero if unknown.
 	PrefillRate float64
-	// DecodeRate is how many tokens a second its running streams receive
-	// together; zero when it does not know.
+	// DecodeRate is the tokens per second of all its running streams together; zero if
+	// unknown.
 	DecodeRate float64
-	// TakenAt is when the load was measured, on the entry's clock.
+	// TakenAt is when the load was measured, on the gateway's clock.
 	TakenAt kumquatlug.Millis
-	// Begun is how many of this entry's calls the target had begun by then,
-	// counted since its incarnation.
+	// Begun is the number of this gateway's calls that the target had begun by then,
+	// counted from the start of its incarnation.
 	Begun int64
-	// Incarnation tells lives of the target apart; a new one has an empty
-	// cache and counts Begun from zero.
+	// Incarnation identifies one run of the target; a new one has an empty cache and
+	// counts Begun from zero.
 	Incarnation string
 }
 
-// rateWeight is the weight of one report in a target's rates: four reports make
-// most of a change, so that one odd second does not move the routing.
+// rateWeight is the weight of one report in a target's rates: four reports make up most
+// of a change, so that one unusual second does not move the routing.
 const rateWeight = 0.3
 
-// target is this entry's view of one target. What each decision reads comes
-// first, to lie together in memory.
+// target is this gateway's view of one target. The fields that each decision reads come
+// first, to be adjacent in memory.
 type target struct {
 	slot int
-	// ready says that it may be given work, remote that it is in another data
-	// centre than the entry.
+	// ready is whether it may be given work, otherZone whether it is in another data
+	// centre than the gateway.
 	ready     bool
 	otherZone bool
 	hash      uint64
-	// prefillMillisPerToken and decodeToken are the milliseconds that a token of prompt
-	// takes, and one of output alone in the batch, at the target's weight.
+	// prefillMillisPerToken and decodeMillisPerToken are the milliseconds per prompt
+	// token, and per output token of a stream alone in the batch, at the target's
+	// weight.
 	prefillMillisPerToken float64
 	decodeMillisPerToken  float64
-	// Sums over calls.
+	// Sums over this gateway's calls in flight.
 	ownPrefillTokens float64
 	ownWaiting       float64
 	ownRunning       float64
-	// The load of other entries by the last report.
+	// The load of other gateways by the last report.
 	othersWaiting float64
 	othersRunning float64
 	kvUsed        float64
 	kvTotal       float64
-	// unreportedKV are tokens of calls that the last report does not hold yet.
+	// unreportedKV are tokens of calls that the last report does not include yet.
 	unreportedKV float64
-	// trust is how far beliefs about the cache came true, 0 to 1.
+	// trust is the fraction of cached prefixes that were confirmed, 0 to 1.
 	trust      float64
 	reportedAt kumquatlug.Millis
 	name       string
 
 	reported bool
-	// reportedStreams is the count of streams in the last report.
+	// reportedStreams is the number of running streams in the last report.
 	reportedStreams int
 	state           State
 	assignments     []Duty
@@ -69,19 +70,19 @@
 	prefillRate     float64
 	decodeRate      float64
 	incarnation     string
-	// eventSequence is that of the last cache event, if one was heard.
+	// eventSequence is the sequence number of the last cache event, if hasEvent.
 	eventSequence int64
 	hasEvent      bool
 
 	calls     map[string]ownCall
 	sentCalls int64
-	// begunOffset is what to add to the target's count of begun calls to compare it
-	// with sent.
+	// begunOffset is added to the target's count of begun calls to make it comparable
+	// with sentCalls.
 	begunOffset int64
 	begunCalls  int64
 }
 
-// ownCall is one of this entry's calls in hand at a target.
+// ownCall is one of this gateway's calls in flight at a target.
 type ownCall struct {
 	number        int64
 	prefillTokens float64
@@ -131,10 +132,10 @@
 	}
 }
 
-// applyReport takes in l. A report is old when it arrives, and the calls that this
-// entry sent meanwhile are not in it. Without telling them apart they would be
-// counted twice or not at all: the entry would shun a target for its own calls
-// or flood it until the next report. Begun says which ones the report holds.
+// applyReport applies a load report. A report is old when it arrives and lacks the
+// calls that this gateway sent since; Begun says which calls it includes. Without that,
+// they would be counted twice or not at all: the gateway would avoid a target because
+// of its own calls, or flood it until the next report.
 func (t *target) applyReport(now kumquatlug.Millis, l Load, slowdown float64) {
 	if t.reported && l.TakenAt < t.reportedAt && t.incarnation == l.Incarnation {
 		return
@@ -142,7 +143,7 @@
 	known := t.reported && t.incarnation == l.Incarnation
 	switch {
 	case !t.reported:
-		// The target may count calls from before this entry's start.
+		// The target may count calls from before this gateway's start.
 		t.begunOffset = min(t.sentCalls-l.Begun, 0)
 	case l.Incarnation != t.incarnation, l.Begun+t.begunOffset < t.begunCalls:
 		t.begunOffset = t.sentCalls - min(l.Begun, t.sentCalls)
@@ -157,7 +158,7 @@
 	t.updateRates(l, known, slowdown)
 }
 
-// updateOthersLoad takes this entry's calls out of the report's counts.
+// updateOthersLoad subtracts this gateway's calls from the report's counts.
 func (t *target) updateOthersLoad(l Load) {
 	included := 0.0
 	t.unreportedKV = 0
@@ -178,7 +179,7 @@
 	t.othersRunning = others - t.othersWaiting
 }
 
-// updateSpeed derives what decisions need from state, weight and rates.
+// updateSpeed derives the values that decisions need from state, weight and rates.
 func (t *target) updateSpeed() {
 	t.ready = t.state == StateReady && t.weight > 0
 	if t.ready {
@@ -187,12 +188,11 @@
 	}
 }
 
-// updateRates divides the tokens of the time since the last report by the count
-// of streams at one of its ends, the greater. Divided by those that are left
-// when streams have just ended, an engine looks several times as fast as it is:
-// all entries choose it, and first tokens come late while others stand idle.
-// The error that is left makes an engine look slow for a second, which floods
-// none.
+// updateRates divides the decoded tokens since the last report by the number of streams
+// at its start or end, whichever is greater. Divided by the streams left after many
+// have just ended, an engine looks several times as fast as it is: all gateways choose
+// it, and first tokens come late while other engines are idle. The remaining error
+// makes an engine look slow for a second, which overloads none.
 func (t *target) updateRates(l Load, known bool, slowdown float64) {
 	if l.PrefillRate > 0 {
 		t.prefillRate += rateWeight * (l.PrefillRate - t.prefillRate)
@@ -209,12 +209,13 @@
 	t.updateSpeed()
 }
 
-// callCount is how many calls are believed to be at the target.
+// callCount returns the estimated number of calls at the target.
 func (t *target) callCount() float64 {
 	return t.ownRunning + t.ownWaiting + t.othersRunning + t.othersWaiting
 }
 
-// workMillis is how long a call keeps the target, its stream sharing a batch.
+// workMillis returns the milliseconds of target time that a call takes, its stream
+// sharing a batch.
 func (t *target) workMillis(prefill, decode, slowdown float64) float64 {
 	return 1000 * (prefill/t.prefillRate + decode*slowdown/t.decodeRate)
 }
--- a/pkg/kumquatlug/routing/pick.go
+++ b/pkg/kumquatlug/routing/pick.go
@@ -7,28 +7,27 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/rendezvous"
 )
 
-// Query asks for a target for one call.
+// Query describes one call that needs a target.
 type Query struct {
-	// Kind is the kind of work.
 	Kind kumquatlug.Kind
-	// Role is the part that the target is to do: RoleBoth and RoleServe ask
-	// for targets with just that role; RolePrefill and RoleDecode also take
-	// targets that do both.
+	// Role is the work that the target is to do: RoleBoth and RoleServe match targets
+	// with exactly that role; RolePrefill and RoleDecode also match targets with
+	// RoleBoth.
 	Role kumquatlug.Role
-	// Prefix are the prompt's prefix keys, the first for its first block, each
-	// next one for the prompt up to and with its block. Beyond some 32 keys a
-	// decision passes its 5 microseconds; take longer blocks for long prompts.
+	// Prefix holds the prompt's prefix keys: the first covers the first block, each
+	// next one the prompt up to and including its block. Beyond about 32 keys a
+	// decision takes more than its 5 microseconds; use larger blocks for long prompts.
 	Prefix []uint64
 	// PrefillTokens is the length of the prompt.
 	PrefillTokens int
-	// DecodeTokens is how much output is expected.
+	// DecodeTokens is the expected length of the output.
 	DecodeTokens int
-	// Exclude are targets not to be chosen, as those already tried.
+	// Exclude are targets that must not be chosen, such as those already tried.
 	Exclude []string
 }
 
-// Room tells whether a target may take one more call now, as package limit
-// decides it.
+// Room reports whether a target may take one more call now, as decided by package
+// limit.
 type Room interface {
 	Room(target string) bool
 }
@@ -38,12 +37,12 @@
 
 // The reasons of a choice.
 const (
-	// ReasonFinish: it is among those expected to finish first.
+	// ReasonFinish: it is among the targets expected to finish first.
 	ReasonFinish Reason = "least-finish"
 	// ReasonCached: it is believed to hold more of the prompt than the others.
 	ReasonCached Reason = "cached"
-	// ReasonAffinity: nobody holds the prompt, and it is the place where calls
-	// with this prompt meet.
+	// ReasonAffinity: no target holds the prompt, and rendezvous hashing assigns the
+	// prompt to this one.
 	ReasonAffinity Reason = "affinity"
 )
 
@@ -63,54 +62,52 @@
 // Reason returns why it was chosen.
 func (c Choice) Reason() Reason { return c.reason }
 
-// Wait returns the expected span until the first token of output.
+// Wait returns the expected time to the first token of output.
 func (c Choice) Wait() kumquatlug.Millis { return c.wait }
 
-// Finish returns the expected span until the whole answer.
+// Finish returns the expected time to the end of the response.
 func (c Choice) Finish() kumquatlug.Millis { return c.finish }
 
-// Stated returns the span until the whole answer if the target had the speed
-// that it states, whatever its weight. Judge its health by this one: by Finish,
-// a slow target would look well as soon as its weight is right, and be given
-// its full share again.
+// Stated returns the expected time to the end of the response at the speed that the
+// target reports, ignoring its weight. Judge the target's health by this one: by
+// Finish, a slow target would look healthy as soon as its weight is right, and would
+// get its full share again.
 func (c Choice) Stated() kumquatlug.Millis { return c.stated }
 
-// Cached returns how many tokens of the prompt the target is believed to hold;
-// tell [Router.Hit] when the answer says how many it did.
+// Cached returns how many tokens of the prompt the target is believed to hold; pass it
+// to [Router.Hit] when the response says how many it did.
 func (c Choice) Cached() int { return c.cached }
 
-// slotMatch is the working record of a slot during one decision.
+// slotMatch is the scratch record of a slot during one decision.
 type slotMatch struct {
-	// depth is how many leading blocks of the prompt the target holds, found
-	// how many of the blocks are known to be there.
+	// depth is the number of leading blocks of the prompt that the target holds, found
+	// the number of blocks known to be there.
 	depth    int
 	found    int
 	excluded bool
 }
 
-// scoredTarget is a target that may be chosen in one decision; spans are in
-// milliseconds.
+// scoredTarget is a candidate in one decision; times are in milliseconds.
 type scoredTarget struct {
 	target *target
-	// cost is the expected finish as if nothing of the prompt were held there;
-	// infinite when the target turned out to have no room.
+	// cost is the expected time to finish as if nothing of the prompt were cached;
+	// infinite if the target turned out to have no room.
 	cost float64
-	// savings is what the held part of the prompt saves, with hoped, which is no
-	// part of what is expected.
+	// savings is the time saved by the cached part of the prompt plus affinityBonus,
+	// which is excluded from the expected times.
 	savings       float64
 	affinityBonus float64
-	// wait is the part of the cost until the first output.
+	// wait is the part of cost until the first output.
 	wait  float64
 	depth int
 }
 
-// maxSingleRoomChecks is how many choices are tried against Room one by one before all
-// candidates are asked: rooms are seldom full, and asking all costs a look-up
-// each.
+// maxSingleRoomChecks is how many choices are checked against Room one by one before
+// all candidates are: targets are rarely full, and checking all costs a look-up each.
 const maxSingleRoomChecks = 3
 
-// Pick chooses a target for a call, or reports false when no candidate may
-// take it. Room may be nil. The caller records its use with [Router.Sent].
+// Pick chooses a target for a call, or reports false when no candidate may take it.
+// Room may be nil. The caller records that it sent the call with [Router.Sent].
 func (r *Router) Pick(now kumquatlug.Millis, q Query, room Room) (Choice, bool) {
 	p, ok := r.pools[q.Kind]
 	if !ok {
@@ -141,8 +138,8 @@
 	return r.newChoice(c, q, c == preferred), true
 }
 
-// collectCandidates fills r.candidates with the targets that may take q, and returns how
-// many leading blocks of the prompt any target holds.
+// collectCandidates fills r.candidates with the targets that may take q, and returns
+// the number of leading blocks of the prompt that any target holds.
 func (r *Router) collectCandidates(p *pool, q Query) int {
 	for _, m := range p.members {
 		r.matches[m.target.slot] = slotMatch{}
@@ -174,8 +171,8 @@
 	return has == kumquatlug.RoleBoth && (want == kumquatlug.RolePrefill || want == kumquatlug.RoleDecode)
 }
 
-// scoreCandidates expects the finish of q at each candidate, and returns their mean
-// load in calls and the mean age of their reports.
+// scoreCandidates estimates the finish of q at each candidate, and returns their mean
+// number of calls and the mean age of their reports in milliseconds.
 func (r *Router) scoreCandidates(now kumquatlug.Millis, q Query) (float64, float64) {
 	load, age := 0.0, 0.0
 	for i := range r.candidates {
@@ -203,8 +200,8 @@
 	c.savings = t.prefillMillisPerToken * t.trust * float64(held)
 }
 
-// memoryWait estimates how long a call waits for KV memory: what it lacks,
-// freed at the pace at which the calls of mean length there end.
+// memoryWait estimates how long a call waits for KV memory: the missing tokens, freed
+// at the rate at which calls of mean length end there.
 func (r *Router) memoryWait(t *target, millisPerToken, need float64) float64 {
 	if t.kvTotal <= 0 {
 		return 0
@@ -217,11 +214,10 @@
 	return missing / used * millisPerToken * r.meanDecode
 }
 
-// applyAffinity finds the first block of the prompt that nobody holds and gives a
-// bonus to the first candidate in its rendezvous order whose load is within
-// the bound. Without a common place the same new prompt would be run on every
-// target that it happens to meet; without the bound a popular one would drown
-// its place.
+// applyAffinity finds the first block of the prompt that no target holds and gives a
+// bonus to the first candidate in its rendezvous order whose load is within the bound.
+// Without a common target, the same new prompt would be run on every target that it
+// reaches; without the bound, a popular prompt would overload its target.
 func (r *Router) applyAffinity(q Query, heldBlocks int, load float64) *scoredTarget {
 	if heldBlocks >= len(q.Prefix) {
 		return nil
@@ -244,9 +240,9 @@
 	return preferred
 }
 
-// unreportedWork estimates the work, in milliseconds of target time, that the
-// other entries have sent since the reports were taken: as much each as this
-// entry sends in that time.
+// unreportedWork estimates the work, in milliseconds of target time, that the other
+// gateways have sent since the reports were taken, assuming that each sends as much as
+// this gateway in that time.
 func (r *Router) unreportedWork(now kumquatlug.Millis, p *pool, age float64) float64 {
 	if r.gateways < 2 || age <= 0 {
 		return 0
@@ -254,10 +250,9 @@
 	return float64(r.gateways-1) * p.recentWork(now) / float64(sendRateWindow) * age
 }
 
-// fillLevel returns the cost up to which unseen work has filled the candidates,
-// like water in a vessel with an uneven floor. It starts with all candidates
-// and leaves out those above the level until none is; each round lowers the
-// level, and a few rounds are enough in practice.
+// fillLevel returns the cost up to which unreported work has filled the candidates
+// (water-filling). It starts with all candidates and leaves out those above the level
+// until none is; each round lowers the level, and a few rounds are enough in practice.
 func (r *Router) fillLevel(work float64) float64 {
 	if work <= 0 {
 		return 0
@@ -282,12 +277,12 @@
 	}
 }
 
-// selectCandidate takes the least cost, what is saved taken off and unseen work added.
-// Targets below the level are alike by that: among them it draws, each with the
-// chance in which it would have received that work. By the reports alone, every
-// entry would choose the same target until its next report, and the queue there
-// would grow by what all of them send in that time. What is saved is no part of
-// the level: a prompt has the same place for all entries, and would lose it in
+// selectCandidate takes the lowest cost less savings, with unreported work added.
+// Candidates below the fill level are equal by that: among them it draws at random,
+// each with the probability with which it would have received that work. By the reports
+// alone, every gateway would choose the same target until its next report, and the
+// queue there would grow by everything sent in that time. Savings are not part of the
+// level: a prompt has the same preferred target at all gateways, and would lose it in
 // the draw.
 func (r *Router) selectCandidate(level float64) *scoredTarget {
 	least := r.lowestCost(level)
@@ -309,8 +304,8 @@
 	return least
 }
 
-// headroom returns how far a candidate lies below the level, zero when it saves
-// less than the best does.
+// headroom returns how far a candidate's cost is below the level, zero if its savings
+// are below the best candidate's.
 func (c *scoredTarget) headroom(level, minSavings float64) float64 {
 	if c.cost >= level || c.savings < minSavings {
 		return 0
@@ -330,7 +325,7 @@
 	return least
 }
 
-// filterByRoom leaves out the candidates without room.
+// filterByRoom excludes the candidates without room.
 func (r *Router) filterByRoom(room Room) {
 	for i := range r.candidates {
 		c := &r.candidates[i]
--- a/pkg/kumquatlug/routing/routing.go
+++ b/pkg/kumquatlug/routing/routing.go
@@ -1,28 +1,28 @@
-// Package routing decides to which target a call goes.
+// Package routing chooses the target of each call.
 //
-// It answers a fleet in which prompts and outputs differ by orders of
-// magnitude, engines keep recent prompt prefixes in memory, and many entries
-// decide at once on reports that are already old. Counting requests would put
-// a short chat behind a decree of 30,000 tokens; spreading prompts evenly
-// would run every shared prefix on every engine; and sending to the target
-// that the last report shows idle would make all entries choose the same one
-// until the next report. So a [Router]
+// It is made for a fleet in which the lengths of prompts and outputs differ by orders
+// of magnitude, engines cache recent prompt prefixes, and many gateways decide at once
+// on reports that are already old. Balancing by request count would queue a short chat
+// behind a document of 30,000 tokens; spreading prompts evenly would run every shared
+// prefix on every engine; and sending to the target that the last report shows idle
+// would make all gateways choose the same one until the next report. A [Router]
+// therefore
 //
-//   - estimates when each candidate would finish the call, by tokens: the
-//     prompts before it, its own uncached prompt, its output at the speed that
-//     is left in the batch, and the wait for KV memory;
-//   - adds to the last report what this entry sent since, told apart by the
-//     number of calls that the target had begun when it reported;
-//   - counts a prompt prefix that the candidate is believed to hold as already
-//     run, in the measure in which such beliefs about it came true, and lets
-//     prompts that nobody holds meet at the first target of their rendezvous
-//     order that is not overloaded;
-//   - charges a small price for another data centre;
+//   - estimates when each candidate would finish the call, in tokens: the
+//     prompts queued before it, its own uncached prompt, its output at the
+//     speed left in the batch, and the wait for KV memory;
+//   - adds to the last report the calls that this gateway sent since, identified
+//     by the number of calls that the target had begun when it reported;
+//   - discounts a prompt prefix that the candidate is believed to hold, weighted
+//     by how often such beliefs about it were confirmed, and assigns prompts
+//     that no target holds to the first target of their rendezvous order that is
+//     not overloaded;
+//   - adds a small penalty for another data centre;
 //   - spreads its choices over all targets below the level to which the other
-//     entries are expected to have filled the group since the reports.
+//     gateways are expected to have filled the group since the reports.
 //
-// A Router belongs to one loop and is not safe for concurrent use. A decision
-// allocates nothing.
+// A Router belongs to one goroutine and is not safe for concurrent use. A decision does
+// not allocate.
 package routing
 
 import (
@@ -44,13 +44,13 @@
 const (
 	// StateReady takes new work.
 	StateReady State = "ready"
-	// StateDraining finishes what it has and takes nothing new.
+	// StateDraining finishes the work in flight and takes no new work.
 	StateDraining State = "draining"
 	// StateAway is changing its role or model, or is gone.
 	StateAway State = "away"
 )
 
-// Duty is one kind of work that a target may be given, and its part in it.
+// Duty is one kind of work assigned to a target, and its role in it.
 type Duty struct {
 	Kind kumquatlug.Kind
 	Role kumquatlug.Role
@@ -58,57 +58,56 @@
 
 // Candidate describes a target to [Router.Set].
 type Candidate struct {
-	// Name is the target's name.
 	Name string
 	// Zone is the target's data centre.
 	Zone string
 	// State is whether it takes new work; empty means StateReady.
 	State State
-	// Duties are what the selectors give it.
+	// Duties are the kinds of work that the selectors assign to it.
 	Duties []Duty
-	// PrefillRate is how many prompt tokens a second it runs when busy; zero
-	// means Config.PrefillRate until a report says more.
+	// PrefillRate is the prompt tokens per second that it processes when busy; zero
+	// means Config.PrefillRate until a report says otherwise.
 	PrefillRate float64
-	// DecodeRate is how many tokens a second a stream alone on it receives;
-	// zero means Config.DecodeRate until a report says more.
+	// DecodeRate is the tokens per second of a stream alone on it; zero means
+	// Config.DecodeRate until a report says otherwise.
 	DecodeRate float64
 }
 
-// Config is what a [Router] is made of. The zero value of each field but
-// Source stands for its default.
+// Config configures a [Router]. The zero value of each field but Source stands for its
+// default.
 type Config struct {
-	// Source gives the randomness of the choices; required.
+	// Source is the source of randomness of the choices; required.
 	Source rand.Source
-	// Zone is the data centre of this entry.
+	// Zone is the data centre of this gateway.
 	Zone string
-	// ZonePenalty is the price of a target in another data centre. Default
-	// 5 ms: the data centres lie well under a millisecond apart, and a call
-	// crosses a few times, so 5 ms keeps an idle call at home while any real
-	// queue (a prompt of 1,000 tokens is 100 ms and more) outweighs it.
+	// ZonePenalty is the cost added for a target in another data centre. Default 5 ms:
+	// the data centres are well under a millisecond apart, and a call crosses a few
+	// times, so 5 ms keeps an idle call local while any real queue (a prompt of 1,000
+	// tokens is 100 ms and more) outweighs it.
 	ZonePenalty kumquatlug.Millis
-	// LoadBound is how far above the mean load of the candidates the first
-	// target in a prefix's rendezvous order may be before the next one takes
-	// its place. Default 1.25, the usual choice for consistent hashing with
-	// bounded loads: a quarter more than fair costs little and keeps nearly
-	// every key at its first target.
+	// LoadBound is the factor by which the load of the first target in a prefix's
+	// rendezvous order may exceed the mean load of the candidates before the next one
+	// replaces it. Default 1.25, the usual value for consistent hashing with bounded
+	// loads: a quarter above the fair share costs little and keeps nearly every key at
+	// its first target.
 	LoadBound float64
-	// Affinity is the part of an unknown prompt that counts as saved at the
-	// first target in its rendezvous order. Default 0.25: in simulation with 8
-	// entries it raises the part of tokens found in caches by one to three
-	// points for documents that live for a few seconds; 1 raises it by another
-	// two, but loses twelve where a fifth of the cache events is lost.
+	// Affinity is the fraction of an uncached prompt that counts as saved at the first
+	// target in its rendezvous order. Default 0.25: in simulation with 8 gateways it
+	// raises the fraction of tokens found in caches by one to three points for
+	// documents that are used for a few seconds; 1 raises it by another two, but loses
+	// twelve if a fifth of the cache events is lost.
 	Affinity float64
 	// BlockTokens is how many prompt tokens one prefix key covers. Default 256.
 	BlockTokens int
-	// PrefixKeys bounds the prefix keys that are remembered over all targets.
-	// Default 65,536: 16 million tokens of distinct prompts at 256 a block,
-	// at 105 bytes a key with 100 targets 7 MB.
+	// PrefixKeys bounds the prefix keys remembered over all targets. Default 65,536: 16
+	// million tokens of distinct prompts at 256 per block, 7 MB at 105 bytes per key
+	// with 100 targets.
 	PrefixKeys int
-	// BatchSlowdown is the part by which one more stream slows each of the
-	// others. Default 0.02: at a batch of 50 a stream has half its speed.
+	// BatchSlowdown is the fraction by which one more stream slows down each of the
+	// others. Default 0.02: in a batch of 50, a stream has half its speed.
 	BatchSlowdown float64
-	// PrefillRate and DecodeRate stand for targets that have not said theirs.
-	// Defaults 8,000 and 50 tokens a second, those of a mid-sized model on one
+	// PrefillRate and DecodeRate apply to targets that have not reported theirs.
+	// Defaults 8,000 and 50 tokens per second, those of a mid-sized model on one
 	// accelerator; only their ratio matters while no target has reported.
 	PrefillRate float64
 	DecodeRate  float64
@@ -126,16 +125,16 @@
 	return c
 }
 
-// sendRateWindow is the span over which the entry's own sending is averaged: long
-// enough to hold several calls at 13 a second and entry, short beside the
-// minutes within which the mix shifts.
+// sendRateWindow is the time constant of the gateway's own send rate: long enough to
+// hold several calls at 13 per second and gateway, short compared with the minutes
+// within which the mix shifts.
 const sendRateWindow = 10 * kumquatlug.Second
 
-// meanSizeWeight is the weight of a new call in the mean sizes of calls: some
-// thirty calls make a mean.
+// meanSizeWeight is the weight of a new call in the mean call sizes, an average over
+// about thirty calls.
 const meanSizeWeight = 1.0 / 32
 
-// Router chooses targets for the calls of one entry.
+// Router chooses targets for the calls of one gateway.
 type Router struct {
 	config   Config
 	random   *rand.Rand
@@ -148,22 +147,22 @@
 	meanPrefill float64
 	meanDecode  float64
 
-	// Working space of one decision, so that it allocates nothing.
+	// Scratch space of one decision, so that it does not allocate.
 	matches    []slotMatch
 	candidates []scoredTarget
 }
 
-// pool is what one kind of work has: the targets that take it, in name order,
-// so that decisions do not depend on the order of events, and the work of any
-// kind that this entry sent them lately.
+// pool holds the targets that take one kind of work, in name order so that decisions do
+// not depend on the order of events, and the work of any kind that this gateway
+// recently sent them.
 type pool struct {
 	members []member
 	work    float64
 	workAt  kumquatlug.Millis
 }
 
-// recentWork returns the work sent lately, in milliseconds of target time,
-// weighted down with age over sendRateWindow.
+// recentWork returns the recently sent work, in milliseconds of target time, decaying
+// exponentially over sendRateWindow.
 func (p *pool) recentWork(now kumquatlug.Millis) float64 {
 	age := max(now-p.workAt, 0)
 	return p.work * math.Exp(-float64(age)/float64(sendRateWindow))
@@ -174,7 +173,7 @@
 	p.workAt = now
 }
 
-// member is a target of a pool and its part in the work.
+// member is a target of a pool and its role.
 type member struct {
 	target *target
 	role   kumquatlug.Role
@@ -190,14 +189,14 @@
 		pools:    map[kumquatlug.Kind]*pool{},
 		cache:    newPrefixIndex(c.PrefixKeys),
 		gateways: 1,
-		// The first guess at a call is a page of text and a short answer.
+		// Initial means: a page of text and a short answer.
 		meanPrefill: 1000,
 		meanDecode:  200,
 	}
 }
 
-// Set adds a target or changes what is known of it. What the target holds and
-// has in hand stays known.
+// Set adds a target or updates its description. Its cached prefixes and calls in flight
+// are kept.
 func (r *Router) Set(now kumquatlug.Millis, c Candidate) {
 	t, ok := r.targets[c.Name]
 	if !ok {
@@ -235,7 +234,7 @@
 	return t
 }
 
-// setAssignments puts t into the pools of its kinds.
+// setAssignments adds t to the pools of its kinds.
 func (r *Router) setAssignments(t *target, assignments []Duty) {
 	if slices.Equal(t.assignments, assignments) {
 		return
@@ -255,8 +254,8 @@
 	}
 }
 
-// removeAssignments takes t out of its pools; an empty pool goes, since kinds come and
-// go with labels.
+// removeAssignments removes t from its pools; empty pools are deleted, since kinds come
+// and go with labels.
 func (r *Router) removeAssignments(t *target) {
 	for _, d := range t.assignments {
 		p, ok := r.pools[d.Kind]
@@ -271,7 +270,7 @@
 	t.assignments = nil
 }
 
-// Remove forgets a target; calls in hand there are the entry's to finish.
+// Remove removes a target; its calls in flight are left to the gateway.
 func (r *Router) Remove(name string) {
 	t, ok := r.targets[name]
 	if !ok {
@@ -283,8 +282,8 @@
 	delete(r.targets, name)
 }
 
-// SetWeight sets the part of its stated speed that a target is counted with,
-// from 0 (takes nothing) to 1, as package health judges it.
+// SetWeight sets the fraction of its reported speed at which a target is counted, from
+// 0 (takes no work) to 1, as judged by package health.
 func (r *Router) SetWeight(name string, weight float64) {
 	if t, ok := r.targets[name]; ok {
 		t.weight = min(max(weight, 0), 1)
@@ -292,14 +291,14 @@
 	}
 }
 
-// SetEntries tells how many entries send to each target, this one included (see
-// [Replicas]); the balancer is taken to spread callers evenly over them.
+// SetEntries sets the number of gateways that send to each target, including this one
+// (see [Replicas]); the load balancer is assumed to spread callers evenly over them.
 func (r *Router) SetEntries(n int) {
 	r.gateways = max(n, 1)
 }
 
-// Report takes in what a target said of itself. A report older than the last
-// one is left out; one of a new incarnation forgets the target's cache.
+// Report applies a target's load report. A report older than the last one is ignored;
+// one of a new incarnation clears the target's cached prefixes.
 func (r *Router) Report(now kumquatlug.Millis, name string, l Load) {
 	t, ok := r.targets[name]
 	if !ok {
@@ -311,20 +310,20 @@
 	t.applyReport(now, l, r.config.BatchSlowdown)
 }
 
-// Call is one call as [Router.Sent] records it.
+// Call describes one call to [Router.Sent].
 type Call struct {
-	// ID tells the call from the others in hand at the target.
+	// ID distinguishes the call from others in flight at the target.
 	ID string
-	// Prefix are the prompt's prefix keys; the target is believed to hold
-	// them from now on, until an event or an answer says otherwise.
+	// Prefix holds the prompt's prefix keys; the target is believed to hold them from
+	// now on, until an event or a response says otherwise.
 	Prefix []uint64
-	// PrefillTokens is the part of the prompt that must be run.
+	// PrefillTokens is the part of the prompt that must be run, in tokens.
 	PrefillTokens int
-	// DecodeTokens is how much output is expected.
+	// DecodeTokens is the expected length of the output.
 	DecodeTokens int
 }
 
-// Sent records that a call was given to a target.
+// Sent records that a call was sent to a target.
 func (r *Router) Sent(now kumquatlug.Millis, name string, c Call) {
 	t, ok := r.targets[name]
 	if !ok {
@@ -340,14 +339,14 @@
 	}
 }
 
-// Progress records that a call has received tokens of output in all.
+// Progress records that a call has received this many tokens of output in total.
 func (r *Router) Progress(_ kumquatlug.Millis, name, id string, tokens int) {
 	if t, ok := r.targets[name]; ok {
 		t.markStarted(id, tokens)
 	}
 }
 
-// Finished records that a call has ended, in whatever way.
+// Finished records that a call has ended, with any outcome.
 func (r *Router) Finished(_ kumquatlug.Millis, name, id string) {
 	if t, ok := r.targets[name]; ok {
 		t.removeCall(id)
--- a/pkg/kumquatlug/routing/subset.go
+++ b/pkg/kumquatlug/routing/subset.go
@@ -9,26 +9,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/rendezvous"
 )
 
-// DefaultSubset is how many targets of a group an entry speaks to. The larger
-// size to design for has 2,300 nodes before 10,000 targets and 5 KB a second
-// and node for control. A report is 142 bytes, 242 with four cache events (the
-// size of one marshalled): 20 targets once a second are 2.8 to 4.8 KB beside the
-// framing of HTTP, so that a fleet of that size reports every two seconds. Each
-// target then answers four to five entries.
+// DefaultSubset is the number of targets of a group that a gateway connects to. The
+// larger size to design for has 2,300 nodes in front of 10,000 targets and allows 5 KB
+// per second and node for control traffic. A report is 142 bytes, 242 with four cache
+// events (the size of one marshalled): 20 targets once a second are 2.8 to 4.8 KB, HTTP
+// framing excluded, so that a fleet of that size reports every two seconds. Each target
+// then serves four to five gateways.
 //
-// Fewer entries before a target also mean less unseen work: in the simulation of
-// TestSubsetDoesNotLengthenWaits the waits at 20 of 100 targets are no longer than at all of
-// them. The price is the cache: a prompt that comes through all entries has a
-// place in each subset. Where many callers share long prompts and the fleet is
-// small, take all.
+// Fewer gateways per target also mean less unreported work: in the simulation of
+// TestSubsetDoesNotLengthenWaits the waits with 20 of 100 targets are no longer than
+// with all of them. The cost is cache reuse: a prompt that arrives through all gateways
+// is assigned to one target in each subset. Where many callers share long prompts and
+// the fleet is small, use all targets.
 const DefaultSubset = 20
 
-// Subset returns the targets that the entry me speaks to, in name order. Each
-// target draws the same number of entries, the first of its rendezvous order,
-// such that an entry has about size targets: so every target is known to
-// equally many entries, and the coming or going of one member moves only its
-// own places. An entry that was drawn by fewer than half of size targets
-// adds the first of its own order.
+// Subset returns the targets that gateway self connects to, in name order. Each target
+// selects the same number of gateways, the first of its rendezvous order, such that a
+// gateway has about size targets: every target is known to equally many gateways, and a
+// membership change moves only the changed member's own connections. A gateway selected
+// by fewer than half of size targets adds the first of its own rendezvous order.
 func Subset(gateways []string, self string, targets []string, size int) []string {
 	if len(targets) <= size || len(gateways) == 0 {
 		return sortedCopy(targets)
@@ -49,8 +48,8 @@
 	return subset
 }
 
-// Replicas returns how many entries speak to each target when subsets have
-// about size targets; tell [Router.SetEntries].
+// Replicas returns the number of gateways that connect to each target when subsets have
+// about size targets; pass it to [Router.SetEntries].
 func Replicas(gateways, targets, size int) int {
 	if targets <= size {
 		return gateways
@@ -58,8 +57,8 @@
 	return (size*gateways + targets - 1) / targets
 }
 
-// selects reports whether mine is among the first replicas of the rendezvous
-// order of the target.
+// selects reports whether the gateway with hash selfHash is among the first replicas
+// gateways in the rendezvous order of the target.
 func selects(target uint64, gateways []uint64, selfHash uint64, replicas int) bool {
 	own := rendezvous.Mix(target ^ selfHash)
 	higher := 0
@@ -86,9 +85,9 @@
 	return subset
 }
 
-// ServiceOrder returns the targets in the rendezvous order of a run-once key.
-// Every entry finds the same order from the same targets, so that a call sent
-// again reaches the agent that knows it.
+// ServiceOrder returns the targets in the rendezvous order of a run-once key. All
+// gateways compute the same order from the same targets, so that a retried call reaches
+// the agent that knows the key.
 func ServiceOrder(key string, targets []string) []string {
 	return rendezvousOrder(xxhash.Sum64String(key), targets)
 }
--- a/pkg/kumquatlug/routing/subset_test.go
+++ b/pkg/kumquatlug/routing/subset_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-// subsets returns each entry's subset and how many entries each target has.
+// subsets returns each gateway's subset and the number of gateways of each target.
 func subsets(gateways, targets []string, size int) (map[string][]string, map[string]int) {
 	chosen, counts := map[string][]string{}, map[string]int{}
 	for _, e := range gateways {
@@ -31,16 +31,16 @@
 }
 
 func TestSubsetsCoverTargetsEvenly(t *testing.T) {
-	// If entries chose targets each by itself, some targets would be known to
-	// few entries and stand idle while callers of others wait.
+	// If gateways chose targets independently, some targets would be known to few
+	// gateways and stay idle while callers of others wait.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(41))
-	properties.Property("targets have alike many entries, entries enough targets", prop.ForAll(
+	properties.Property("targets have equally many gateways, gateways have enough targets", prop.ForAll(
 		func(gateways, targets int) bool {
 			const size = 20
 			chosen, counts := subsets(names("e", gateways), names("t", targets), size)
 			least := min(Replicas(gateways, targets, size), gateways)
 			for _, target := range names("t", targets) {
-				// An entry that was drawn too seldom adds targets of its own.
+				// A gateway selected too rarely adds targets of its own.
 				if counts[target] < least || counts[target] > least+2 {
 					return false
 				}
@@ -58,8 +58,8 @@
 }
 
 func TestMembershipChangeMovesFewTargets(t *testing.T) {
-	// VMs come and go all day. If each change made all entries choose anew,
-	// caches and connections would be lost everywhere.
+	// VMs join and leave all day. If each change made all gateways choose anew, caches
+	// and connections would be lost everywhere.
 	gateways, targets := names("e", 40), names("t", 200)
 	before, _ := subsets(gateways, targets, 20)
 	withoutGateway, _ := subsets(gateways[1:], targets, 20)
@@ -68,15 +68,15 @@
 	for _, e := range gateways[1:] {
 		moved += countMissing(before[e], withoutGateway[e])
 		if n := countMissing(before[e], withoutTarget[e]); n > 1 {
-			t.Errorf("%s loses %d targets when one goes", e, n)
+			t.Errorf("%s loses %d targets when one target leaves", e, n)
 		}
 	}
 	if moved != 0 {
-		t.Errorf("when an entry goes, the others lose %d of their targets", moved)
+		t.Errorf("when a gateway leaves, the others lose %d of their targets", moved)
 	}
 }
 
-// countMissing counts what of before is not in after.
+// countMissing counts the elements of before that are not in after.
 func countMissing(before, after []string) int {
 	n := 0
 	for _, t := range before {
@@ -88,10 +88,10 @@
 }
 
 func TestServiceOrderIsStableOnRemoval(t *testing.T) {
-	// A posting is sent again after a target has left. Had the order of the
-	// others changed, it would reach an agent that does not know the key.
+	// A run-once call is retried after a target has left. If the order of the others
+	// changed, the retry would reach an agent that does not know the key.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(42))
-	properties.Property("without one target the others keep their order", prop.ForAll(
+	properties.Property("the other targets keep their order when one is removed", prop.ForAll(
 		func(key string, n, gone int) bool {
 			all := names("t", n)
 			order := ServiceOrder(key, all)
