--- a/pkg/kumquatlug/caller.go
+++ b/pkg/kumquatlug/caller.go
@@ -19,23 +19,23 @@
 	hasPriority     bool
 }
 
-// CallerConfig is what a [Caller] is made of; it is also its stored JSON form.
+// CallerConfig configures a [Caller]; it is also its stored JSON form.
 type CallerConfig struct {
 	Name string `json:"name"`
-	// KeyHash is HashKey of the bearer key; the key itself is kept nowhere.
+	// KeyHash is HashKey of the bearer key; the key itself is never stored.
 	KeyHash string `json:"key_hash"`
-	// Weight is the caller's part when callers compete; zero means one.
+	// Weight is the caller's relative share when callers compete; zero means one.
 	Weight int `json:"weight,omitempty"`
-	// TokensPerSecond bounds the estimated tokens asked for; zero sets no bound.
+	// TokensPerSecond limits the estimated tokens requested; zero means no limit.
 	TokensPerSecond int64 `json:"tokens_per_second,omitempty"`
-	// Concurrency bounds the requests in hand; zero sets no bound.
+	// Concurrency limits the requests in flight; zero means no limit.
 	Concurrency int `json:"concurrency,omitempty"`
-	// Priority ranks the account's work, 0 first, whatever the kind of work has;
-	// nil leaves that to the kind.
+	// Priority ranks the account's work, 0 first, and overrides the priority of the
+	// kind of work; nil keeps that one.
 	Priority *int `json:"priority,omitempty"`
 }
 
-// NewCaller checks c and returns the caller.
+// NewCaller validates c and returns the caller.
 func NewCaller(c CallerConfig) (Caller, error) {
 	if c.Name == "" || len(c.KeyHash) != 2*sha256.Size {
 		return Caller{}, errors.New("a caller needs a name and a hashed key")
@@ -56,7 +56,7 @@
 	return caller, nil
 }
 
-// DecodeCaller reads a caller from its stored JSON form.
+// DecodeCaller decodes a caller from its stored JSON form.
 func DecodeCaller(value []byte) (Caller, error) {
 	var c CallerConfig
 	if err := json.Unmarshal(value, &c); err != nil {
@@ -65,8 +65,8 @@
 	return NewCaller(c)
 }
 
-// HashKey returns the form in which a bearer key is stored and looked up. Keys
-// are long random strings, so a plain hash can't be searched.
+// HashKey returns the hash under which a bearer key is stored and looked up. Keys are
+// long random strings, so an unsalted hash can't be reversed by search.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -78,27 +78,26 @@
 // KeyHash returns the hash of the account's bearer key.
 func (c Caller) KeyHash() string { return c.keyHash }
 
-// Weight returns the caller's part when callers compete, at least one.
+// Weight returns the caller's relative share when callers compete, at least one.
 func (c Caller) Weight() int { return c.weight }
 
-// TokensPerSecond returns the bound on estimated tokens, zero for none.
+// TokensPerSecond returns the limit on estimated tokens, zero for none.
 func (c Caller) TokensPerSecond() int64 { return c.tokensPerSecond }
 
-// Concurrency returns the bound on requests in hand, zero for none.
+// Concurrency returns the limit on requests in flight, zero for none.
 func (c Caller) Concurrency() int { return c.concurrency }
 
-// Priority returns the rank of the account's work, 0 first, and whether it has one.
+// Priority returns the priority of the account's work, 0 first, and whether one is set.
 func (c Caller) Priority() (int, bool) { return c.priority, c.hasPriority }
 
-// Credential is what a request carries to say whose it is. It holds a hash, never
-// a key.
+// Credential identifies the account of a request. It holds a hash, never a key.
 type Credential struct {
 	keyCount int
 	hash     string
 }
 
-// NewCredential returns the credential of a request with these keys; empty ones
-// don't count.
+// NewCredential returns the credential of a request with these keys; empty keys are
+// ignored.
 func NewCredential(keys []string) Credential {
 	var c Credential
 	for _, key := range keys {
@@ -111,8 +110,8 @@
 	return c
 }
 
-// Keys returns how many keys the request carries.
+// Keys returns the number of keys in the request.
 func (c Credential) Keys() int { return c.keyCount }
 
-// Hash returns [HashKey] of the last key, empty without one.
+// Hash returns [HashKey] of the last key, empty if there is none.
 func (c Credential) Hash() string { return c.hash }
--- a/pkg/kumquatlug/configmessage.go
+++ b/pkg/kumquatlug/configmessage.go
@@ -1,25 +1,25 @@
 package kumquatlug
 
-// ConfigAsk asks a front for the text of the operator's config.
+// ConfigAsk requests the text of the operator's config from another gateway.
 type ConfigAsk struct {
-	// Version is the one that is wanted.
+	// Version is the requested version.
 	Version int64
-	// First is the first part that is wanted.
+	// First is the index of the first requested part, from zero.
 	First int
 }
 
 // ConfigPart is one part of the text of a config, as the operator wrote it.
 type ConfigPart struct {
 	Version int64
-	// Part is its number from zero, Parts how many there are.
+	// Part is its index from zero, Parts the number of parts.
 	Part, Parts int
 	Text        []byte
 }
 
-// ConfigState is what a front says of its config with all that it says.
+// ConfigState is the state of a gateway's config, attached to all its messages.
 type ConfigState struct {
-	// Version is the one in force, zero for none.
+	// Version is the version in force, zero for none.
 	Version int64
-	// Age is how long ago the store said that it is the newest.
+	// Age is the time since the store last confirmed that it is the newest.
 	Age Millis
 }
--- a/pkg/kumquatlug/direct.go
+++ b/pkg/kumquatlug/direct.go
@@ -6,48 +6,50 @@
 	"net/http"
 )
 
-// The types of this file are the seam between a front that calls targets by
-// itself, without an agent beside each, and whoever speaks their protocol.
+// The types of this file are the interface between a gateway that calls targets
+// directly, without an agent beside each target, and the code that speaks their
+// protocol.
 
-// Part is one part of a prompt. Requests that share their first parts share
-// what an engine has cached of them.
+// Part is one part of a prompt. Requests with the same leading parts share the cached
+// prefix at an engine.
 type Part struct {
 	id     string
 	tokens int
 }
 
-// NewPart returns the part with this id, which covers so many tokens.
+// NewPart returns the part with this id, which covers this many tokens.
 func NewPart(id string, tokens int) Part { return Part{id: id, tokens: tokens} }
 
 // ID returns the part's id.
 func (p Part) ID() string { return p.id }
 
-// Tokens returns how many tokens of the prompt the part covers.
+// Tokens returns the number of prompt tokens that the part covers.
 func (p Part) Tokens() int { return p.tokens }
 
-// Prompt is what a request says of its prompt and output before it runs.
+// Prompt describes the prompt and the output length of a request before it runs.
 type Prompt struct {
 	parts  []Part
 	input  int
 	output int
 }
 
-// NewPrompt returns a prompt of input tokens in these parts, for which at most
-// output tokens are generated.
+// NewPrompt returns a prompt of input tokens in these parts, for which at most output
+// tokens are generated.
 func NewPrompt(parts []Part, input, output int) Prompt {
 	return Prompt{parts: parts, input: input, output: output}
 }
 
-// Parts returns the parts in order; the last one belongs to the request alone.
+// Parts returns the parts in order; the last one is unique to the request.
 func (p Prompt) Parts() []Part { return p.parts }
 
 // Input returns the length of the prompt in tokens.
 func (p Prompt) Input() int { return p.input }
 
-// Output returns the greatest number of tokens to generate.
+// Output returns the maximum number of tokens to generate.
 func (p Prompt) Output() int { return p.output }
 
-// Shared returns the parts that other requests may have in common with it.
+// Shared returns the parts that other requests may have in common with the prompt, that
+// is all but the last.
 func (p Prompt) Shared() []Part {
 	if len(p.parts) == 0 {
 		return nil
@@ -55,7 +57,7 @@
 	return p.parts[:len(p.parts)-1]
 }
 
-// Ask is one request as a front received it from a client.
+// Ask is one request as a gateway received it from a client.
 type Ask struct {
 	id          string
 	host        string
@@ -67,32 +69,32 @@
 	timeout     Millis
 	lastEventID int64
 	prompt      Prompt
-	// credential says whose request it is, account is the account found by it.
+	// credential identifies the client, account is the account found by it.
 	credential Credential
 	account    string
 }
 
-// AskConfig is what an [Ask] is made of.
+// AskConfig configures an [Ask].
 type AskConfig struct {
-	// ID is unique to this try of the client.
+	// ID is unique to this attempt of the client.
 	ID string
 	// Host and Path select the route.
 	Host, Path string
-	// Method and Target, the path with its query, go on as the client wrote them.
+	// Method and Target, the path with its query, are forwarded unchanged.
 	Method, Target string
-	// Header holds what is passed on.
+	// Header holds the headers to forward.
 	Header http.Header
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
-	// Deadline is how long the client waits, counted from the arrival; zero
-	// when it does not say.
+	// Deadline is how long the client waits, counted from the arrival; zero if it does
+	// not say.
 	Deadline Millis
-	// Resume is the number of the last event that the client already has, zero
-	// for none.
+	// Resume is the number of the last event that the client has received, zero for
+	// none.
 	Resume int64
 	// Prompt describes the work of an engine; zero for plain services.
 	Prompt Prompt
-	// Credential is what the client gave to say who it is.
+	// Credential identifies the client.
 	Credential Credential
 }
 
@@ -104,10 +106,10 @@
 	}
 }
 
-// ID returns the id of this try of the client.
+// ID returns the id of this attempt of the client.
 func (a Ask) ID() string { return a.id }
 
-// Host returns the host that the client asked, without a port.
+// Host returns the requested host, without a port.
 func (a Ask) Host() string { return a.host }
 
 // Method returns the HTTP method.
@@ -116,40 +118,41 @@
 // Path returns the path without its query.
 func (a Ask) Path() string { return a.path }
 
-// Target returns the path and query as the client wrote them.
+// Target returns the path and query as the client sent them.
 func (a Ask) Target() string { return a.target }
 
-// Header returns the headers to pass on; they must not be changed.
+// Header returns the headers to forward; they must not be changed.
 func (a Ask) Header() http.Header { return a.header }
 
-// Body returns the whole body; it must not be changed.
+// Body returns the complete body; it must not be changed.
 func (a Ask) Body() []byte { return a.body }
 
-// Deadline returns how long the client waits, counted from the arrival, zero
-// when it does not say.
+// Deadline returns how long the client waits, counted from the arrival, zero if it does
+// not say.
 func (a Ask) Deadline() Millis { return a.timeout }
 
-// Resume returns the number of the last event that the client has.
+// Resume returns the number of the last event that the client has received, zero for
+// none.
 func (a Ask) Resume() int64 { return a.lastEventID }
 
-// Prompt returns what the request says of its prompt.
+// Prompt returns the description of the prompt.
 func (a Ask) Prompt() Prompt { return a.prompt }
 
-// Credential returns what the client gave to say who it is.
+// Credential returns the credential that identifies the client.
 func (a Ask) Credential() Credential { return a.credential }
 
-// Account returns the name of the account that the request belongs to, empty for
-// none. Workers are told it.
+// Account returns the name of the account that the request belongs to, empty for none.
+// It is sent to the workers.
 func (a Ask) Account() string { return a.account }
 
-// WithAccount returns the request as one of this account.
+// WithAccount returns a copy of the request that belongs to this account.
 func (a Ask) WithAccount(name string) Ask {
 	a.account = name
 	return a
 }
 
-// Worker names one incarnation of a target that is called directly. A call
-// that reaches another incarnation is refused there and does not run.
+// Worker identifies one incarnation of a target that is called directly. A call that
+// reaches another incarnation is refused there and does not run.
 type Worker struct {
 	id      string
 	address string
@@ -158,40 +161,40 @@
 // NewWorker returns the worker with this id at IP:port.
 func NewWorker(id, address string) Worker { return Worker{id: id, address: address} }
 
-// ID returns the worker's own name.
+// ID returns the worker's id.
 func (w Worker) ID() string { return w.id }
 
 // Address returns IP:port.
 func (w Worker) Address() string { return w.address }
 
-// KVCache names a prompt's KV cache that an engine keeps for one use.
+// KVCache refers to a prompt's KV cache that an engine holds for a single use.
 type KVCache struct {
 	engine string
 	handle string
 }
 
-// NewKVCache returns the cache that the engine at an address keeps under handle.
+// NewKVCache returns the cache that the engine at an address holds under handle.
 func NewKVCache(address, handle string) KVCache { return KVCache{engine: address, handle: handle} }
 
-// Engine returns IP:port of the engine that keeps the cache.
+// Engine returns IP:port of the engine that holds the cache.
 func (k KVCache) Engine() string { return k.engine }
 
-// Handle returns the engine's name for the cache; empty means no cache.
+// Handle returns the engine's handle of the cache; empty means no cache.
 func (k KVCache) Handle() string { return k.handle }
 
-// Sending is one attempt to be made at a worker.
+// Sending holds the parameters of one attempt at a worker.
 type Sending struct {
-	// Left is how long the worker may take.
+	// Left is the time that the worker may take.
 	Left Millis
-	// Resume is the number of the last event that the client already has.
+	// Resume is the number of the last event that the client has received.
 	Resume int64
-	// Urgency orders the work at an engine, 0 first, 9 last.
+	// Urgency is the priority of the work at an engine, 0 first, 9 last.
 	Urgency int
-	// Cache is the prompt's KV cache to take over, zero for none.
+	// Cache is the prompt's KV cache to import, zero for none.
 	Cache KVCache
 }
 
-// Reply is a worker's answer to an attempt.
+// Reply is a worker's response to an attempt.
 type Reply struct {
 	status  int
 	header  http.Header
@@ -204,24 +207,24 @@
 	pause   Millis
 }
 
-// ReplyConfig is what a [Reply] is made of.
+// ReplyConfig configures a [Reply].
 type ReplyConfig struct {
 	Status int
-	// Header holds what goes on to the client.
+	// Header holds the headers to forward to the client.
 	Header http.Header
-	// Length is the length of the body, -1 when the worker did not say.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
-	// Body must be closed; closing it early breaks the worker's work off.
+	// Body must be closed; closing it early cancels the worker's work.
 	Body io.ReadCloser
-	// Refused says that the worker did not run the attempt and will not.
+	// Refused says that the worker did not run the attempt and will not run it.
 	Refused bool
-	// Load is what the worker said of its load, if it did.
+	// Load is the load reported by the worker, if any.
 	Load WorkerLoad
-	// Limit is what it said of the rate of requests that it takes.
+	// Limit is the request rate that the worker reports to accept.
 	Limit RateLimit
-	// Leaving says that the worker is about to end.
+	// Leaving says that the worker is shutting down.
 	Leaving bool
-	// Pause is for how long the worker wants no more requests from this front.
+	// Pause is how long the worker wants no more requests from this gateway.
 	Pause Millis
 }
 
@@ -236,117 +239,118 @@
 // Status returns the HTTP status.
 func (r Reply) Status() int { return r.status }
 
-// Header returns what goes on to the client.
+// Header returns the headers to forward to the client.
 func (r Reply) Header() http.Header { return r.header }
 
-// Length returns the length of the body, -1 when it is not known.
+// Length returns the length of the body, -1 if unknown.
 func (r Reply) Length() int64 { return r.length }
 
 // Body returns the body, to be read once and closed.
 func (r Reply) Body() io.ReadCloser { return r.body }
 
-// Refused reports that the attempt did not run and will not.
+// Refused reports that the attempt did not run and will not run.
 func (r Reply) Refused() bool { return r.refused }
 
-// Load returns what the worker said of its load.
+// Load returns the load reported by the worker.
 func (r Reply) Load() WorkerLoad { return r.load }
 
-// Limit returns what the worker said of the rate of requests that it takes.
+// Limit returns the request rate that the worker reports to accept.
 func (r Reply) Limit() RateLimit { return r.limit }
 
-// EngineState is what an engine says of itself when asked.
+// EngineState is the state that an engine reports on request.
 type EngineState struct {
-	// Role is what it does now.
+	// Role is the current role.
 	Role Role
 	// Busy says that an order is being carried out.
 	Busy bool
 	// Orders counts the orders accepted since the engine started.
 	Orders int64
-	// Load is as of some hundred milliseconds ago.
+	// Load is some hundred milliseconds old.
 	Load WorkerLoad
 }
 
-// RoleOrder tells an engine to change its role.
+// RoleOrder is an order to an engine to change its role.
 type RoleOrder struct {
-	// Role is the role to take.
+	// Role is the new role.
 	Role Role
-	// Holder names the machine that gives the order.
+	// Holder is the machine that gives the order.
 	Holder string
-	// Fence is the fencing number of its lease.
+	// Fence is the fencing token of its lease.
 	Fence int64
-	// After is the engine's count of orders that the order presumes; with
-	// another count the engine refuses.
+	// After is the expected number of orders that the engine has accepted; with another
+	// number the engine refuses.
 	After int64
 }
 
-// Workers carries attempts and orders to targets that are called directly. An
-// error says through [RanOf] whether the target may have run the attempt.
+// Workers sends attempts and orders to targets that are called directly. An error says
+// through [RanOf] whether the target may have run the attempt.
 type Workers interface {
-	// Run makes one attempt at a worker; it leaves this process at most once.
+	// Run makes one attempt at a worker; the request leaves this process at most once.
 	Run(ctx context.Context, w Worker, a Ask, s Sending) (Reply, error)
-	// Prefill has an engine read the prompt and keep its KV cache. A reply with
-	// status 200 carries no body.
+	// Prefill makes an engine process the prompt and hold its KV cache. A reply with
+	// status 200 has no body.
 	Prefill(ctx context.Context, w Worker, a Ask, s Sending) (KVCache, Reply, error)
-	// Free drops a KV cache that nobody will take.
+	// Free releases a KV cache that will not be used.
 	Free(ctx context.Context, k KVCache) error
-	// Move copies the memory of a stream that runs for a at one engine to
-	// another, and ends it at the first, whose answer breaks off. The stream
-	// goes on with the cache returned behind the last event that came. An error
-	// that is marked [ErrNotFound] says that it does not run there any more.
+	// Move copies the KV cache of the stream that runs for a at one engine to another,
+	// and ends the stream at the first, whose response breaks off. The stream can
+	// continue with the returned cache after the last event received. An error marked
+	// [ErrNotFound] says that the stream does not run there any more.
 	Move(ctx context.Context, from Worker, a Ask, to Worker) (KVCache, error)
-	// State asks an engine about itself.
+	// State requests the state of an engine.
 	State(ctx context.Context, w Worker) (EngineState, error)
-	// Order gives an engine an order and reports whether it was accepted or
-	// already held.
+	// Order sends an order to an engine and reports whether it was accepted, now or
+	// before.
 	Order(ctx context.Context, w Worker, o RoleOrder) (bool, error)
 }
 
-// Duty names who does something that one holder may do at a time.
+// Duty identifies the holder of a lease that acts on behalf of all gateways.
 type Duty struct {
-	// Holder names the machine, Fence is the fencing number of its lease.
+	// Holder is the machine, Fence the fencing token of its lease.
 	Holder string
 	Fence  int64
 }
 
-// Duties takes what one front at a time does for all.
+// Duties are the platform calls that one gateway at a time makes on behalf of all.
 type Duties interface {
-	// Scale sets how many workers a service has in a data centre.
+	// Scale sets the number of workers of a service in a data centre.
 	Scale(ctx context.Context, d Duty, service, zone string, workers int) error
-	// ReportUsage reports how many requests of each account began in a window. An error
-	// that is marked [ErrDenied] says that this report will never be taken. Exact repeats
-	// change nothing.
+	// ReportUsage reports the number of requests of each account that began in a
+	// window. An error marked [ErrDenied] says that this report will never be accepted.
+	// Exact repeats have no effect.
 	ReportUsage(ctx context.Context, d Duty, window int64, counts map[string]int64) error
 }
 
-// Feed is the part of the platform's store that tells what changed.
+// Feed is the change feed of the platform's store.
 type Feed interface {
-	// Snapshot returns all rows of a table and the version to follow it from.
+	// Snapshot returns all rows of a table and the version from which to follow it.
 	Snapshot(ctx context.Context, table string) ([]Row, int64, error)
-	// Changes returns the rows changed after a version, removed ones without a
-	// value, and the version to go on from. It waits for at most wait. An error
-	// marked [ErrNotFound] means that the history is gone: take a snapshot.
+	// Changes returns the rows changed after a version, removed ones without a value,
+	// and the version from which to continue. It waits for at most wait. An error
+	// marked [ErrNotFound] means that the history is no longer available: take a
+	// snapshot.
 	Changes(ctx context.Context, table string, after int64, wait Millis) ([]Row, int64, error)
-	// Era returns how often the store came back from an older copy of itself, below zero
-	// until it has told.
+	// Era returns how often the store was restored from an older copy, below zero while
+	// unknown.
 	Era() int64
 }
 
-// Directory reads the rows that the operator and the workers write in the
-// platform's store.
+// Directory decodes the rows that the operator and the workers write to the platform's
+// store.
 type Directory interface {
-	// Config reads the operator's config.
+	// Config decodes the operator's config.
 	Config(value []byte) (OperatorConfig, error)
-	// Member reads what a worker says of itself. A row that another writer
-	// spoiled is an error and names no worker.
+	// Member decodes a worker's row. A row that was corrupted by another writer is an
+	// error and identifies no worker.
 	Member(row Row) (Member, error)
 }
 
-// Ingress speaks to clients.
+// Ingress is the protocol spoken with clients.
 type Ingress interface {
 	// Decode reads a request with its whole body of at most maxBody bytes.
 	Decode(r *http.Request, maxBody int64) (Ask, error)
 	// Head writes the status and headers of a worker's reply.
 	Head(w http.ResponseWriter, reply Reply)
-	// Refuse writes a final answer of our own.
+	// Refuse writes a final response that the gateway generates itself.
 	Refuse(w http.ResponseWriter, a Ask, f *Failure)
 }
--- a/pkg/kumquatlug/failure.go
+++ b/pkg/kumquatlug/failure.go
@@ -7,36 +7,36 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Marks that say what kind of failure an error is; test with errors.Is.
+// Marks that classify errors; test with errors.Is.
 var (
 	// ErrUnavailable marks a failure in which nothing took effect.
 	ErrUnavailable = errors.New("unavailable")
-	// ErrLost marks a failure in which the effect is not known.
+	// ErrLost marks a failure in which it is unknown whether there was an effect.
 	ErrLost = errors.New("answer lost")
-	// ErrConflict marks a transaction or change that met another one.
+	// ErrConflict marks a transaction or change that conflicts with another one.
 	ErrConflict = errors.New("conflict")
-	// ErrNotFound marks something that is not there.
+	// ErrNotFound marks something that does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrDenied marks a caller or peer without the right to what it asked.
+	// ErrDenied marks a caller or peer that lacks the permission.
 	ErrDenied = errors.New("denied")
 )
 
 // Ran says whether a refused or failed call ran at its target.
 type Ran string
 
-// What may be known of a call that brought no answer.
+// The execution states of a call without a response.
 const (
 	// RanNot: the call did not run and will not run later.
 	RanNot Ran = "not-run"
 	// RanUnknown: the call may have run or may still run.
 	RanUnknown Ran = "unknown"
-	// RanDone: the call ran; its answer could not be given in full.
+	// RanDone: the call ran; its response could not be delivered in full.
 	RanDone Ran = "done"
 )
 
-// Failure is an error on the way of a request. It carries the step and the
-// peer at which it arose, whether the call ran, the HTTP status for the caller
-// and when coming back helps.
+// Failure is an error in the processing of a request. It holds the step and the peer at
+// which it occurred, whether the call ran, the HTTP status for the caller and the delay
+// after which a retry may succeed.
 type Failure struct {
 	step       string
 	peer       string
@@ -47,25 +47,25 @@
 	cause      error
 }
 
-// FailureConfig is what a [Failure] is made of.
+// FailureConfig configures a [Failure].
 type FailureConfig struct {
-	// Step is what was being done, as in "route" or "send".
+	// Step is the step that failed, such as "route" or "send".
 	Step string
-	// Peer is with whom, empty when it was this process alone.
+	// Peer is the other side of the step, empty for this process alone.
 	Peer string
-	// Reason is a short stable code for callers and metrics, as in "queue_full".
+	// Reason is a short stable code for callers and metrics, such as "queue_full".
 	Reason string
-	// Ran defaults to RanUnknown: nothing is claimed that is not known.
+	// Ran defaults to RanUnknown, which is safe if nothing is known.
 	Ran Ran
 	// Status is the HTTP status for the caller; it defaults to 503.
 	Status int
-	// RetryAfter is when coming back helps; zero says nothing about it.
+	// RetryAfter is the delay after which a retry may succeed; zero means unknown.
 	RetryAfter Millis
-	// Cause is the error below, if any.
+	// Cause is the underlying error, if any.
 	Cause error
 }
 
-// NewFailure returns a failure made from c.
+// NewFailure returns the failure that c describes.
 func NewFailure(c FailureConfig) *Failure {
 	f := &Failure{
 		step: c.Step, peer: c.Peer, reason: c.Reason, ran: c.Ran,
@@ -80,14 +80,14 @@
 	return f
 }
 
-// WithRan returns the same failure with another word on whether the call ran.
+// WithRan returns a copy of the failure with another execution state.
 func (f *Failure) WithRan(ran Ran) *Failure {
 	other := *f
 	other.ran = ran
 	return &other
 }
 
-// Error names the step, the peer, the reason and the cause.
+// Error returns the step, the peer, the reason, the cause and the execution state.
 func (f *Failure) Error() string {
 	text := f.step
 	if f.peer != "" {
@@ -103,7 +103,7 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// CauseText returns the cause in words, empty when there is none.
+// CauseText returns the text of the cause, empty if there is none.
 func (f *Failure) CauseText() string {
 	if f.cause == nil {
 		return ""
@@ -111,10 +111,10 @@
 	return f.cause.Error()
 }
 
-// Step returns what was being done.
+// Step returns the step that failed.
 func (f *Failure) Step() string { return f.step }
 
-// Peer returns with whom, empty for this process alone.
+// Peer returns the other side of the step, empty for this process alone.
 func (f *Failure) Peer() string { return f.peer }
 
 // Reason returns the short stable code.
@@ -126,11 +126,11 @@
 // Status returns the HTTP status for the caller.
 func (f *Failure) Status() int { return f.status }
 
-// RetryAfter returns when coming back helps, zero when nothing is known.
+// RetryAfter returns the delay after which a retry may succeed, zero if unknown.
 func (f *Failure) RetryAfter() Millis { return f.retryAfter }
 
-// FailureOf finds the failure in err's chain, or wraps err in one that claims
-// nothing: RanUnknown and status 500.
+// FailureOf returns the failure in err's chain, or wraps err in one with RanUnknown and
+// status 500.
 func FailureOf(err error) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -141,8 +141,8 @@
 	})
 }
 
-// RanOf returns what err says of the call; an error that says nothing means
-// RanUnknown.
+// RanOf returns whether the call that failed with err ran; RanUnknown if err does not
+// say.
 func RanOf(err error) Ran {
 	return FailureOf(err).Ran()
 }
--- a/pkg/kumquatlug/roles.go
+++ b/pkg/kumquatlug/roles.go
@@ -1,55 +1,56 @@
 package kumquatlug
 
-// RolePlanner decides which engines of a group run prompts and which generate
-// output. Implementations take events and the time in and give orders out; they
-// belong to one loop each.
+// RolePlanner decides which engines of a group run prompts (prefill) and which generate
+// output (decode). Implementations take events and the time as input and return orders;
+// an instance belongs to one goroutine.
 type RolePlanner interface {
-	// Offered records the work that came through one entry.
+	// Offered records the demand that arrived at one gateway.
 	Offered(now Millis, o Offer)
-	// Report records what an engine said of itself.
+	// Report records an engine's report.
 	Report(now Millis, e EngineReport)
-	// Refused records that an order was not taken and the engine keeps its role.
+	// Refused records that an order was refused and the engine keeps its role.
 	Refused(now Millis, target string)
-	// Remove forgets an engine that is withdrawn or lost.
+	// Remove removes an engine that is withdrawn or lost.
 	Remove(now Millis, target string)
-	// Plan returns the changes to order now. An engine that was ordered counts
-	// as away until a report shows it in its new role.
+	// Plan returns the role changes to order now. An engine with a pending order counts
+	// as unavailable until a report shows it in its new role.
 	Plan(now Millis) []RoleChange
 }
 
-// Offer is the work that callers brought to one entry in a span of time, whether
-// it was admitted or not.
+// Offer is the work that callers sent to one gateway in a period, whether it was
+// admitted or not.
 type Offer struct {
-	// Entry is the entry's name.
+	// Entry is the gateway's name.
 	Entry string
-	// Span is how long the offer was counted, up to now.
+	// Span is the length of the period, which ends now.
 	Span Millis
-	// PrefillTokens and DecodeTokens are the tokens to run and to generate.
+	// PrefillTokens and DecodeTokens are the tokens to process and to generate.
 	PrefillTokens float64
 	DecodeTokens  float64
 }
 
-// EngineReport is what an engine of a group said of itself.
+// EngineReport is the report of an engine of a group.
 type EngineReport struct {
 	// Target is the engine's name.
 	Target string
-	// Role is what the engine does now.
+	// Role is the engine's current role.
 	Role Role
-	// Going is the role that it was ordered to take and has not taken yet,
-	// whoever ordered it; empty for none.
+	// Going is the role of an order that is still pending, whoever gave it; empty for
+	// none.
 	Going Role
-	// TakenAt is when this was so, on the reader's clock.
+	// TakenAt is the time of the report, on the reader's clock.
 	TakenAt Millis
-	// InHand and Waiting count its calls.
+	// InHand and Waiting are the numbers of calls in flight and queued.
 	InHand  int
 	Waiting int
-	// PrefillRate and DecodeRate are the tokens a second that it works off.
+	// PrefillRate and DecodeRate are the tokens per second that it processes and
+	// generates.
 	PrefillRate float64
 	DecodeRate  float64
 }
 
-// RoleChange is an order to an engine to change its role. It drains first: new
-// work is refused as not run, work in hand is finished.
+// RoleChange is an order to an engine to change its role. The engine drains first: new
+// work is refused as not run, work in flight is finished.
 type RoleChange struct {
 	target string
 	from   Role
@@ -57,7 +58,7 @@
 	reason string
 }
 
-// NewRoleChange returns the order for target to go from one role to another.
+// NewRoleChange returns the order to target to change from one role to another.
 func NewRoleChange(target string, from, to Role, reason string) RoleChange {
 	return RoleChange{target: target, from: from, to: to, reason: reason}
 }
@@ -65,12 +66,12 @@
 // Target returns the engine's name.
 func (c RoleChange) Target() string { return c.target }
 
-// From returns the role that the engine is believed to have; an engine with
-// another one refuses.
+// From returns the role that the engine is expected to have; an engine with another
+// role refuses.
 func (c RoleChange) From() Role { return c.from }
 
-// To returns the role to take.
+// To returns the new role.
 func (c RoleChange) To() Role { return c.to }
 
-// Reason returns, for a person, why the change pays.
+// Reason returns the reason for the change as text for the operator.
 func (c RoleChange) Reason() string { return c.reason }
--- a/pkg/kumquatlug/said.go
+++ b/pkg/kumquatlug/said.go
@@ -1,8 +1,9 @@
 package kumquatlug
 
-// The types of this file are what workers say of themselves in their answers.
+// The types of this file are the load, rate limit and shutdown notices that workers
+// attach to their responses.
 
-// WorkerLoad is how busy a worker says it is.
+// WorkerLoad is the load reported by a worker.
 type WorkerLoad struct {
 	known   bool
 	running int
@@ -10,51 +11,52 @@
 	slots   int
 }
 
-// NewWorkerLoad returns a load of so many requests running and waiting.
+// NewWorkerLoad returns a load with these numbers of running and waiting requests and
+// of slots.
 func NewWorkerLoad(running, waiting, slots int) WorkerLoad {
 	return WorkerLoad{known: true, running: running, waiting: waiting, slots: slots}
 }
 
-// Known reports whether the worker said anything.
+// Known reports whether the worker reported its load.
 func (l WorkerLoad) Known() bool { return l.known }
 
-// Running returns how many requests run.
+// Running returns the number of running requests.
 func (l WorkerLoad) Running() int { return l.running }
 
-// Waiting returns how many requests wait for a slot.
+// Waiting returns the number of requests that wait for a slot.
 func (l WorkerLoad) Waiting() int { return l.waiting }
 
-// Slots returns how many may run at once.
+// Slots returns how many requests may run at once.
 func (l WorkerLoad) Slots() int { return l.slots }
 
-// Leaving reports that the worker says it is about to end.
+// Leaving reports that the worker is shutting down.
 func (r Reply) Leaving() bool { return r.leaving }
 
-// Pause returns for how long the worker wants no more requests from this front, zero
-// where it says nothing of it.
+// Pause returns how long the worker wants no more requests from this gateway, zero if
+// it does not say.
 func (r Reply) Pause() Millis { return r.pause }
 
-// RateLimit is what an answer says of the rate of requests that its worker takes from
-// all fronts together. The zero value says nothing.
+// RateLimit is the request rate that a worker reports to accept from all gateways
+// together. The zero value means that it reports nothing.
 type RateLimit struct {
 	known     bool
 	limited   bool
 	perSecond float64
 }
 
-// NewRateLimit returns a limit of so many requests a second.
+// NewRateLimit returns a limit in requests per second.
 func NewRateLimit(perSecond float64) RateLimit {
 	return RateLimit{known: true, limited: true, perSecond: perSecond}
 }
 
-// NoRateLimit says that there is none.
+// NoRateLimit returns the report that there is no limit.
 func NoRateLimit() RateLimit { return RateLimit{known: true} }
 
-// Named reports whether the answer names a limit.
+// Named reports whether there is a limit.
 func (l RateLimit) Named() bool { return l.limited }
 
-// None reports whether the answer says that there is no limit.
+// None reports whether the worker said that there is no limit.
 func (l RateLimit) None() bool { return l.known && !l.limited }
 
-// PerSecond returns the limit in requests a second.
+// PerSecond returns the limit in requests per second.
 func (l RateLimit) PerSecond() float64 { return l.perSecond }
--- a/pkg/kumquatlug/serving.go
+++ b/pkg/kumquatlug/serving.go
@@ -2,69 +2,70 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Repeat says what may be done again with a request.
+// Repeat says whether a request may be retried after it may have run.
 type Repeat string
 
-// The kinds of requests by what may be repeated.
+// The retry policies of routes.
 const (
 	// RepeatFree: the request may run more than once.
 	RepeatFree Repeat = "idempotent"
-	// RepeatNever: the request runs at most once for each try of the client.
+	// RepeatNever: the request runs at most once per attempt of the client.
 	RepeatNever Repeat = "once"
 )
 
-// Share is a service and its weight among those of one route.
+// Share is a service and its weight among the services of a route.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// RouteConfig is what a [Route] is made of.
+// RouteConfig configures a [Route].
 type RouteConfig struct {
 	Name   string
 	Host   string
 	Prefix string
 	// Repeat says whether a request may run more than once from its start.
 	Repeat Repeat
-	// Stream says that the answer is a series of events.
+	// Stream says that the response is a stream of events.
 	Stream bool
-	// Resumable says that a stream may go on at another worker.
+	// Resumable says that a stream may continue at another worker.
 	Resumable bool
-	// Prompted says that requests carry prompts whose parts are worth keeping
-	// together.
+	// Prompted says that requests carry prompts whose shared parts are worth routing to
+	// the same engine.
 	Prompted bool
-	// Shares are the services that run the route.
+	// Shares are the services of the route with their weights.
 	Shares []Share
-	// Workers is the greatest number of workers for one try of a client.
+	// Workers is the maximum number of workers tried per attempt of a client.
 	Workers int
 	// Priority ranks routes, 0 first.
 	Priority int
 	// Public says that requests need no key.
 	Public bool
-	// Target is the latency for full worth, Timeout the longest that a client
-	// is kept waiting, Gap the longest pause between events; zero for none.
+	// Target is the latency within which a response has its full value, Timeout the
+	// longest that a client is kept waiting, Gap the longest pause between events; zero
+	// for none.
 	Target, Timeout, Gap Millis
 }
 
-// Route is one rule of the config.
+// Route is one routing rule of the config.
 type Route struct{ c RouteConfig }
 
 // NewRoute returns the route that c describes.
 func NewRoute(c RouteConfig) Route { return Route{c: c} }
 
-// Host returns the host that the route belongs to.
+// Host returns the host that the route matches.
 func (r Route) Host() string { return r.c.Host }
 
-// Prefix returns the beginning of the paths that the route takes.
+// Prefix returns the path prefix that the route matches.
 func (r Route) Prefix() string { return r.c.Prefix }
 
 // Name returns the route's name.
 func (r Route) Name() string { return r.c.Name }
 
-// Stream reports whether answers are series of events.
+// Stream reports whether responses are streams of events.
 func (r Route) Stream() bool { return r.c.Stream }
 
-// Resumable reports whether a stream may go on at another worker.
+// Resumable reports whether a stream may continue at another worker.
 func (r Route) Resumable() bool { return r.c.Resumable }
 
 // Prompted reports whether requests carry prompts.
@@ -73,7 +74,8 @@
 // Repeatable reports whether a request may run more than once.
 func (r Route) Repeatable() bool { return r.c.Repeat == RepeatFree || r.c.Stream && r.c.Resumable }
 
-// Workers returns how many workers one try of a client may reach, at least one.
+// Workers returns the maximum number of workers tried per attempt of a client, at least
+// one.
 func (r Route) Workers() int { return max(r.c.Workers, 1) }
 
 // Public reports whether requests need no key.
@@ -82,18 +84,17 @@
 // Priority returns the route's rank, 0 first.
 func (r Route) Priority() int { return r.c.Priority }
 
-// Target returns the latency for full worth, zero for none.
+// Target returns the latency within which a response has its full value, zero for none.
 func (r Route) Target() Millis { return r.c.Target }
 
-// Timeout returns how long a client is kept waiting at most, zero for no bound.
+// Timeout returns the longest that a client is kept waiting, zero for no limit.
 func (r Route) Timeout() Millis { return r.c.Timeout }
 
 // Gap returns the longest pause between events, zero for none.
 func (r Route) Gap() Millis { return r.c.Gap }
 
-// Service returns the service that runs the request with this id: by weight,
-// and always the same one for the same id, so that a request that is sent again
-// stays where it was.
+// Service returns the service for the request with this id, chosen by weight. The
+// choice depends only on the id, so that a retried request stays with its service.
 func (r Route) Service(id string) string {
 	total := 0
 	for _, s := range r.c.Shares {
@@ -114,26 +115,26 @@
 	return ""
 }
 
-// ServiceConfig is what a [Service] is made of.
+// ServiceConfig configures a [Service].
 type ServiceConfig struct {
 	Name       string
 	HealthPath string
-	// Connections bounds those to one worker, from all machines together.
+	// Connections limits the connections to one worker, from all gateways together.
 	Connections int
 	// Engine says that the workers are language-model engines.
 	Engine bool
-	// Slots is how many requests an engine runs at once, Memory the tokens that
-	// it keeps, Switch how long a change of role takes.
+	// Slots is the number of requests that an engine runs at once, Memory the number of
+	// tokens that its KV cache holds, Switch the time that a role change takes.
 	Slots  int
 	Memory int
 	Switch Millis
-	// Scaling bounds how many workers there are in each data centre, zero where the
-	// operator sets their number.
+	// Scaling bounds the number of workers in each data centre; zero if the operator
+	// sets that number.
 	Scaling Scaling
 }
 
-// Scaling is between how many workers a service may have in one data centre, and how
-// long a new one takes until it serves.
+// Scaling holds the least and the greatest number of workers of a service in one data
+// centre, and the time that a new worker takes until it serves.
 type Scaling struct {
 	Least, Most int
 	Boot        Millis
@@ -151,26 +152,26 @@
 // HealthPath returns the path of the health check.
 func (s Service) HealthPath() string { return s.c.HealthPath }
 
-// Connections returns the bound on connections to one worker.
+// Connections returns the limit on connections to one worker.
 func (s Service) Connections() int { return s.c.Connections }
 
 // Engine reports whether the workers are language-model engines.
 func (s Service) Engine() bool { return s.c.Engine }
 
-// Slots returns how many requests one engine runs at once.
+// Slots returns the number of requests that one engine runs at once.
 func (s Service) Slots() int { return s.c.Slots }
 
-// Memory returns how many tokens one engine keeps.
+// Memory returns the number of tokens that one engine's KV cache holds.
 func (s Service) Memory() int { return s.c.Memory }
 
-// Switch returns how long a change of role takes.
+// Switch returns the time that a role change takes.
 func (s Service) Switch() Millis { return s.c.Switch }
 
-// Scaling returns the bounds on the number of workers; Most is zero where the operator
+// Scaling returns the bounds on the number of workers; Most is zero if the operator
 // sets that number.
 func (s Service) Scaling() Scaling { return s.c.Scaling }
 
-// Limits bound what a client may send; zero means no bound.
+// Limits bound the size and timing of client requests; zero means no bound.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -178,20 +179,20 @@
 	IdleTimeout   Millis
 }
 
-// OperatorConfig is one version of what the operator wants.
+// OperatorConfig is one version of the operator's config.
 type OperatorConfig struct {
-	// Version rises with each config.
+	// Version increases with each config.
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed says that requests carry keys. Accounts are then all that may be used,
-	// one entry for each key.
+	// Keyed says that requests must carry keys. Accounts are then all accounts that may
+	// be used, one entry per key.
 	Keyed    bool
 	Accounts []Caller
 }
 
-// MemberState is whether a worker takes new work.
+// MemberState says whether a worker takes new work.
 type MemberState string
 
 // The states of members.
@@ -200,21 +201,21 @@
 	MemberDraining MemberState = "draining"
 )
 
-// Member is what a worker says of itself in the platform's store.
+// Member is a worker's row in the platform's store.
 type Member struct {
-	// Worker is its incarnation's name and address.
+	// Worker is its incarnation's id and address.
 	Worker Worker
 	// Service is the group that it belongs to, Zone its data centre.
 	Service string
 	Zone    string
 	State   MemberState
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs at once.
 	Slots int
-	// Role is what an engine does, empty for a plain service.
+	// Role is the role of an engine, empty for a plain service.
 	Role Role
-	// Born tells two starts under one name apart, in Unix milliseconds of the
-	// worker's own clock; zero when it does not say.
+	// Born distinguishes two starts under the same name, in Unix milliseconds of the
+	// worker's own clock; zero if unknown.
 	Born int64
-	// Cold is how much longer it is slow after its start.
+	// Cold is the remaining time that it is slow after its start.
 	Cold Millis
 }
--- a/pkg/kumquatlug/table.go
+++ b/pkg/kumquatlug/table.go
@@ -8,20 +8,20 @@
 	era     int64
 }
 
-// NewRow returns a row as the table holds it. A version of zero says that the
-// row is absent; versions rise with each write of the row.
+// NewRow returns a row as stored in the table. Version zero means that the row is
+// absent; versions increase with each write of the row.
 func NewRow(key string, value []byte, version int64) Row {
 	return Row{key: key, value: value, version: version}
 }
 
-// WithEra returns the row as one of an era of the table.
+// WithEra returns a copy of the row that was read in this era of the table.
 func (r Row) WithEra(era int64) Row {
 	r.era = era
 	return r
 }
 
-// Era returns how often the table had come back from an older copy of itself when it
-// told the row. Absent rows have one, too.
+// Era returns how often the table had been restored from an older copy when the row was
+// read. Absent rows have an era, too.
 func (r Row) Era() int64 { return r.era }
 
 // Key returns the row's key.
@@ -36,26 +36,26 @@
 // Exists reports whether the row is in the table.
 func (r Row) Exists() bool { return r.version != 0 }
 
-// MaxTxEntries is how many conditions, writes and removals together one
-// transaction may have: the platform's table refuses more.
+// MaxTxEntries is the maximum number of conditions, writes and removals together in one
+// transaction: the platform's table refuses more.
 const MaxTxEntries = 100
 
-// Tx is a transaction: conditions on row versions and writes that take effect
-// together or not at all.
+// Tx is a transaction: conditions on row versions, and writes that take effect together
+// or not at all.
 type Tx struct {
 	id         string
 	conditions []Condition
 	writes     []Write
 }
 
-// NewTx starts a transaction. The id is unique to this attempt, so that a
-// writer whose answer was lost can tell its own write from another's.
+// NewTx starts a transaction. The id is unique to this attempt, so that a writer whose
+// response was lost can distinguish its own write from another one.
 func NewTx(id string) Tx {
 	return Tx{id: id}
 }
 
-// If returns the transaction with one more condition: the row at key has this
-// version, zero for absent.
+// If returns the transaction with one more condition: the row at key has this version,
+// zero for absent.
 func (t Tx) If(key string, version int64) Tx {
 	t.conditions = append(t.conditions[:len(t.conditions):len(t.conditions)], Condition{key: key, version: version})
 	return t
@@ -76,25 +76,26 @@
 // ID returns the id of the attempt.
 func (t Tx) ID() string { return t.id }
 
-// Conditions returns what must hold for the transaction to take effect.
+// Conditions returns the conditions of the transaction.
 func (t Tx) Conditions() []Condition { return t.conditions }
 
 // Writes returns the rows to write or remove.
 func (t Tx) Writes() []Write { return t.writes }
 
-// Condition demands that a row has a version.
+// Condition requires that a row has a version.
 type Condition struct {
 	key     string
 	version int64
 }
 
-// Key returns the key of the row that is checked.
+// Key returns the key of the checked row.
 func (c Condition) Key() string { return c.key }
 
-// Version returns the version demanded, zero for absent.
+// Version returns the required version, zero for absent.
 func (c Condition) Version() int64 { return c.version }
 
-// Entries returns how many conditions and writes the transaction has.
+// Entries returns the number of conditions, writes and removals of the transaction, see
+// [MaxTxEntries].
 func (t Tx) Entries() int { return len(t.conditions) + len(t.writes) }
 
 // Write puts or removes one row.
--- a/pkg/kumquatlug/turn.go
+++ b/pkg/kumquatlug/turn.go
@@ -2,107 +2,109 @@
 
 import "context"
 
-// The types of this file are the seam between fronts that share engines. For each
-// engine one front, its coordinator, orders the prompts of all fronts; the others ask it
-// for a turn before they send one there. Losing a message costs time, never a
-// request: no promise to a client rests on one.
+// The types of this file are the interface between gateways that share engines. For
+// each engine one gateway, its coordinator, orders the prompts of all gateways; the
+// others request a turn from it before they send a prompt there. A lost message costs
+// time, never a request: no guarantee to a client depends on one.
 
-// TurnStep is what a [Turn] says.
+// TurnStep is the type of a [Turn] message.
 type TurnStep string
 
-// The steps; asked and over go to the coordinator, the others come from it.
+// The steps; TurnAsked and TurnOver go to the coordinator, the others come from it.
 const (
-	// TurnAsked: a prompt waits for its turn. It may be said again.
+	// TurnAsked: a prompt requests its turn. It may be sent repeatedly.
 	TurnAsked TurnStep = "asked"
-	// TurnQueued: the coordinator has it in its queue.
+	// TurnQueued: the prompt is in the coordinator's queue.
 	TurnQueued TurnStep = "queued"
-	// TurnGranted: it may be sent now.
+	// TurnGranted: the prompt may be sent now.
 	TurnGranted TurnStep = "granted"
-	// TurnRefused: it can't be read in time to be of use.
+	// TurnRefused: the prompt can't be processed in time to be of use.
 	TurnRefused TurnStep = "refused"
-	// TurnUnknown: the front does not coordinate this engine.
+	// TurnUnknown: the gateway does not coordinate this engine.
 	TurnUnknown TurnStep = "unknown"
-	// TurnOver: the prompt has been read, or is not wanted any more.
+	// TurnOver: the prompt has been processed, or is not needed any more.
 	TurnOver TurnStep = "over"
 )
 
-// Turn is one message between two fronts about one prompt.
+// Turn is one message between two gateways about one prompt.
 type Turn struct {
 	Step TurnStep
-	// Service and Engine say where the prompt is to be read, Engine by its name.
+	// Service and Engine are where the prompt is to be processed, Engine by name.
 	Service, Engine string
-	// Key tells the asking front's prompts apart.
+	// Key distinguishes the prompts of the requesting gateway.
 	Key uint64
-	// Prompt is what is to be read, Worth what the request is worth beside the mean
-	// one of its route.
+	// Prompt is the prompt to process, Worth the value of the request relative to the
+	// mean of its route.
 	Prompt Prompt
 	Worth  float64
-	// Target is how long until the first output is due for its full worth, Patience
-	// how long until its client gives up. Both are spans, as clocks differ; Timed
+	// Target is the time until the first output is due for full value, Patience the
+	// time until the client gives up. Both are durations, since clocks differ; Timed
 	// says that there is a Target.
 	Target, Patience Millis
 	Timed            bool
-	// Begun says that the client has a part of the answer.
+	// Begun says that the client has received a part of the response.
 	Begun bool
-	// Wait is how long the coordinator expects reading to take from now, Alone says that
-	// the engine has no other prompt in hand, Fresh how many tokens of the prompt it
-	// is believed to read anew.
+	// Wait is how long the coordinator expects processing to take from now, Alone says
+	// that the engine has no other prompt in flight, Fresh is the expected number of
+	// prompt tokens that are not cached.
 	Wait  Millis
 	Alone bool
 	Fresh int
 }
 
-// TurnMessage is a [Turn] with the front that it goes to or comes from.
+// TurnMessage is a [Turn] with the gateway that it is sent to or received from.
 type TurnMessage struct {
 	Front string
 	Turn  Turn
 }
 
-// Coordinators tells which front coordinates an engine.
+// Coordinators maps engines to the gateways that coordinate them.
 type Coordinators interface {
-	// Coordinator returns the name of the front that orders the prompts at an engine;
-	// empty where nobody can be asked, so that each front goes by itself.
+	// Coordinator returns the name of the gateway that orders the prompts at an engine;
+	// empty if none can be reached, so that each gateway proceeds without coordination.
 	Coordinator(now Millis, engine string) string
-	// Coordinates reports whether that is this front.
+	// Coordinates reports whether this gateway is the engine's coordinator.
 	Coordinates(now Millis, engine string) bool
-	// Answered and Missed take whether a front answered in time.
+	// Answered and Missed record whether a gateway responded in time.
 	Answered(front string)
 	Missed(now Millis, front string)
 }
 
-// FrontLink carries messages between fronts. What it sends may be lost.
+// FrontLink carries messages between gateways. Messages may be lost.
 type FrontLink interface {
-	// Row is what this front's row in the platform's store tells the others.
+	// Row returns this gateway's row in the platform's store, which the others read.
 	Row() []byte
-	// Meet takes the rows of all fronts by name. It returns the names of those that
-	// can be reached, this one among them, and which of them started anew since.
+	// Meet updates the peers from the rows of all gateways by name. It returns the
+	// names of those that can be reached, including this one, and those of them that
+	// are new or were restarted since the last call.
 	Meet(rows map[string][]byte) (there, anew []string)
-	// Send sends a message to a front.
+	// Send sends a message to a gateway.
 	Send(m TurnMessage)
-	// Leave tells the others that this front stops.
+	// Leave notifies the others that this gateway stops.
 	Leave()
-	// TellConfig tells a front which config is in force here, one of all where front is
-	// empty.
+	// TellConfig notifies a gateway of the config in force here; if front is empty, a
+	// gateway chosen by the link.
 	TellConfig(front string)
-	// AskConfig asks a front for the text of its config, GiveConfig answers such a
-	// question.
+	// AskConfig requests the text of a gateway's config, GiveConfig responds to such a
+	// request.
 	AskConfig(front string, ask ConfigAsk)
 	GiveConfig(front string, part ConfigPart)
-	// Receive hands on what comes until ctx ends.
+	// Receive passes received messages to h until ctx ends.
 	Receive(ctx context.Context, h FrontHandler) error
 }
 
-// FrontHandler takes what comes from other fronts.
+// FrontHandler handles messages from other gateways.
 type FrontHandler interface {
-	// Turn takes a message.
+	// Turn handles a message about a turn.
 	Turn(m TurnMessage)
-	// Met takes that a front made itself known, Left that it stops.
+	// Met handles the announcement of a gateway, Left its notice that it stops.
 	Met(front string)
 	Left(front string)
-	// ConfigState is told with all that is sent, and ConfigHeard takes that of a front.
+	// ConfigState returns the state that is attached to all messages, ConfigHeard
+	// handles the state received from a gateway.
 	ConfigState() ConfigState
 	ConfigHeard(front string, state ConfigState)
-	// ConfigAsked and ConfigGiven take what fronts say about the text of a config.
+	// ConfigAsked and ConfigGiven handle messages about the text of a config.
 	ConfigAsked(front string, ask ConfigAsk)
 	ConfigGiven(front string, part ConfigPart)
 }
--- a/pkg/kumquatlug/work.go
+++ b/pkg/kumquatlug/work.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// Protocol is how a target is spoken to.
+// Protocol is the protocol spoken with a target.
 type Protocol string
 
 // The protocols of targets.
@@ -16,18 +16,18 @@
 	ProtocolService Protocol = "service"
 )
 
-// Role is what part of the work a target does.
+// Role is the part of the work that a target does.
 type Role string
 
-// The roles that a selector may give.
+// The roles that a selector may assign.
 const (
-	// RoleBoth runs prompts and generates output in one place.
+	// RoleBoth runs prompts and generates output at one target.
 	RoleBoth Role = "both"
 	// RolePrefill runs prompts and exports the KV cache.
 	RolePrefill Role = "prefill"
 	// RoleDecode imports the KV cache and generates output.
 	RoleDecode Role = "decode"
-	// RoleServe answers calls of a plain service.
+	// RoleServe serves calls of a plain service.
 	RoleServe Role = "serve"
 )
 
@@ -37,12 +37,12 @@
 	name     string
 }
 
-// NewKind returns the kind of work that protocol and name stand for.
+// NewKind returns the kind of work with this protocol and name.
 func NewKind(protocol Protocol, name string) Kind {
 	return Kind{protocol: protocol, name: name}
 }
 
-// Protocol returns how targets of this kind are spoken to.
+// Protocol returns the protocol spoken with targets of this kind.
 func (k Kind) Protocol() Protocol { return k.protocol }
 
 // Name returns the model's or service's name.
@@ -51,25 +51,25 @@
 // String returns the kind as "engine/name" or "service/name".
 func (k Kind) String() string { return string(k.protocol) + "/" + k.name }
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM in the platform's list.
 type VMState string
 
-// The states in the platform's list.
+// The states of VMs.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// VMRole is what runs on a VM.
+// VMRole is the kind of process that runs on a VM.
 type VMRole string
 
-// The roles of VMs.
+// The roles of VMs: VMEntry runs a gateway, VMTarget a target with its agent.
 const (
 	VMEntry  VMRole = "entry"
 	VMTarget VMRole = "target"
 )
 
-// VM is one line of the platform's list.
+// VM is one entry of the platform's list.
 type VM struct {
 	name    string
 	role    VMRole
@@ -78,11 +78,11 @@
 	state   VMState
 }
 
-// VMConfig is what a [VM] is made of.
+// VMConfig configures a [VM].
 type VMConfig struct {
 	Name string
 	Role VMRole
-	// Address is IP:port of the process of ours on the VM, for its peers.
+	// Address is IP:port at which peers reach this system's process on the VM.
 	Address string
 	// Zone is the VM's data centre.
 	Zone  string
@@ -97,10 +97,10 @@
 // Name returns the VM's name, which is also its target's.
 func (v VM) Name() string { return v.name }
 
-// Role returns what runs on the VM.
+// Role returns the kind of process that runs on the VM.
 func (v VM) Role() VMRole { return v.role }
 
-// Address returns IP:port of our process on the VM.
+// Address returns IP:port at which peers reach this system's process on the VM.
 func (v VM) Address() string { return v.address }
 
 // Zone returns the VM's data centre.
@@ -109,7 +109,7 @@
 // State returns whether the VM is live or leaving.
 func (v VM) State() VMState { return v.state }
 
-// Call is one call to a target, as the process beside the target makes it.
+// Call is one call to a target, as made by the process beside the target.
 type Call struct {
 	method string
 	path   string
@@ -117,7 +117,7 @@
 	body   io.Reader
 }
 
-// NewCall returns a call; path is the target's own, query included.
+// NewCall returns a call; path is the target's own path, query included.
 func NewCall(method, path string, header http.Header, body io.Reader) Call {
 	return Call{method: method, path: path, header: header, body: body}
 }
@@ -134,14 +134,14 @@
 // Body returns the body to send, nil for none.
 func (c Call) Body() io.Reader { return c.body }
 
-// Answer is what a target returned.
+// Answer is a target's response.
 type Answer struct {
 	status int
 	header http.Header
 	body   io.ReadCloser
 }
 
-// NewAnswer returns an answer whose body the receiver closes.
+// NewAnswer returns a response whose body the receiver closes.
 func NewAnswer(status int, header http.Header, body io.ReadCloser) Answer {
 	return Answer{status: status, header: header, body: body}
 }
