--- a/pkg/kumquatlug/limit/concurrency.go
+++ b/pkg/kumquatlug/limit/concurrency.go
@@ -39,11 +39,11 @@
 // turns over.
 const latencyDecayMillis = 2000.0
 
-// baselineRiseMillis is the time in milliseconds over which the baseline doubles, so
-// that a target that got slower for good isn't held to its old baseline for ever. It is
-// long because a target that is always full never shows its baseline: one that follows
-// within minutes makes a crowded batch look normal, and several gateways raise it
-// together.
+// baselineRiseMillis is the time constant in milliseconds of the slow rise of the
+// baseline, so that a target that got slower for good isn't held to its old baseline
+// for ever. It is long because a target that is always full never shows its baseline:
+// one that follows within minutes makes a crowded batch look normal, and several
+// gateways raise it together.
 const baselineRiseMillis = float64(kumquatlug.Hour)
 
 func (g *targetState) markStarted(k *Ticket) {
--- a/pkg/kumquatlug/peers.go
+++ b/pkg/kumquatlug/peers.go
@@ -4,15 +4,15 @@
 
 // The types of this file are the interface between gateways that share engines. For
 // each engine one gateway, its coordinator, orders the prompts of all gateways; the
-// others request a turn from it before they send a prompt there. A lost message costs
-// time, never a request: no guarantee to a client depends on one.
+// others request permission from it before they send a prompt there. A lost message
+// costs time, never a request: no guarantee to a client depends on one.
 
 // TurnStep is the type of a [Turn] message.
 type TurnStep string
 
 // The steps; TurnAsked and TurnOver go to the coordinator, the others come from it.
 const (
-	// TurnAsked: a prompt requests its turn. It may be sent repeatedly.
+	// TurnAsked: a prompt requests permission to be sent. It may be sent repeatedly.
 	TurnAsked TurnStep = "asked"
 	// TurnQueued: the prompt is in the coordinator's queue.
 	TurnQueued TurnStep = "queued"
@@ -66,8 +66,8 @@
 	// Coordinates reports whether this gateway is the engine's coordinator.
 	Coordinates(now Millis, engine string) bool
 	// Answered and Missed record whether a gateway responded in time.
-	Answered(front string)
-	Missed(now Millis, front string)
+	Answered(gateway string)
+	Missed(now Millis, gateway string)
 }
 
 // FrontLink carries messages between gateways. Messages may be lost.
@@ -75,36 +75,36 @@
 	// Row returns this gateway's row in the platform's store, which the others read.
 	Row() []byte
 	// Meet updates the peers from the rows of all gateways by name. It returns the
-	// names of those that can be reached, including this one, and those of them that
-	// are new or were restarted since the last call.
-	Meet(rows map[string][]byte) (there, anew []string)
+	// names of the reachable gateways, including this one, and those of them that are
+	// new or were restarted since the last call.
+	Meet(rows map[string][]byte) (reachable, restarted []string)
 	// Send sends a message to a gateway.
 	Send(m TurnMessage)
 	// Leave notifies the others that this gateway stops.
 	Leave()
-	// TellConfig notifies a gateway of the config in force here; if front is empty, a
-	// gateway chosen by the link.
-	TellConfig(front string)
+	// TellConfig notifies a gateway of the config in force here; if the name is empty,
+	// a gateway chosen by the link.
+	TellConfig(gateway string)
 	// AskConfig requests the text of a gateway's config, GiveConfig responds to such a
 	// request.
-	AskConfig(front string, ask ConfigAsk)
-	GiveConfig(front string, part ConfigPart)
+	AskConfig(gateway string, ask ConfigAsk)
+	GiveConfig(gateway string, part ConfigPart)
 	// Receive passes received messages to h until ctx ends.
 	Receive(ctx context.Context, h FrontHandler) error
 }
 
 // FrontHandler handles messages from other gateways.
 type FrontHandler interface {
-	// Turn handles a message about a turn.
+	// Turn handles a message about permission to send a prompt.
 	Turn(m TurnMessage)
 	// Met handles the announcement of a gateway, Left its notice that it stops.
-	Met(front string)
-	Left(front string)
+	Met(gateway string)
+	Left(gateway string)
 	// ConfigState returns the state that is attached to all messages, ConfigHeard
 	// handles the state received from a gateway.
 	ConfigState() ConfigState
-	ConfigHeard(front string, state ConfigState)
+	ConfigHeard(gateway string, state ConfigState)
 	// ConfigAsked and ConfigGiven handle messages about the text of a config.
-	ConfigAsked(front string, ask ConfigAsk)
-	ConfigGiven(front string, part ConfigPart)
+	ConfigAsked(gateway string, ask ConfigAsk)
+	ConfigGiven(gateway string, part ConfigPart)
 }
