--- a/pkg/kumquatlug/admission/estimate.go
+++ b/pkg/kumquatlug/admission/estimate.go
@@ -21,24 +21,24 @@
 }
 
 const (
-	// estimateWeight makes the means follow about the last twenty answers.
-	estimateWeight = 0.05
-	// sure is the part of answers that an estimate of the high side covers.
+	// meanWeight makes the means follow about the last twenty answers.
+	meanWeight = 0.05
+	// highQuantile is the part of answers that an estimate of the high side covers.
 	// With the mean alone, an overloaded entry, which serves each request as
 	// late as its deadline allows, would be late with every second.
-	sure = 0.9
-	// highStep is by how much an answer moves an estimate of the high side. It
+	highQuantile = 0.9
+	// quantileStep is by how much an answer moves an estimate of the high side. It
 	// is bounded for one answer, however far off: a few that waited for a lost
 	// target must not make all others look hopeless.
-	highStep = 0.05
-	// silence is how long no answer may come before what was learned begins to
+	quantileStep = 0.05
+	// decayDelay is how long no answer may come before what was learned begins to
 	// be forgotten, and oblivion the time in which most of it then is. Requests
 	// that seem hopeless are refused, and what is refused teaches nothing:
 	// without it one bad minute could refuse a caller's documents for ever. To
 	// forget while answers come would draw each estimate towards what was
 	// assumed, the more the rarer a caller asks.
-	silence  = 30 * kumquatlug.Second
-	oblivion = 20 * kumquatlug.Second
+	decayDelay = 30 * kumquatlug.Second
+	decayTime  = 20 * kumquatlug.Second
 )
 
 // EstimatorConfig is what an [Estimator] is made of: what is taken for true of
@@ -58,64 +58,64 @@
 // how long they take once sent. Short and long prompts are told apart, since
 // one account sends both questions and documents.
 type Estimator struct {
-	config  EstimatorConfig
-	gaps    map[kumquatlug.Kind]*estimate
-	firsts  map[sized]*estimate
-	outputs map[sized]*output
+	config      EstimatorConfig
+	tokenGaps   map[kumquatlug.Kind]*estimate
+	firstTokens map[sizeKey]*estimate
+	outputs     map[sizeKey]*outputEstimate
 }
 
-// output is how much one caller's requests bring.
-type output struct {
+// outputEstimate is how much one caller's requests bring.
+type outputEstimate struct {
 	mean *estimate
 	high *estimate
 }
 
-// sized tells requests apart by their prompts' length, within a factor of four;
+// sizeKey tells requests apart by their prompts' length, within a factor of four;
 // the caller is empty where all callers count together.
-type sized struct {
+type sizeKey struct {
 	caller string
 	kind   kumquatlug.Kind
-	size   int
+	bucket int
 }
 
-func sizedAs(caller string, kind kumquatlug.Kind, prompt int64) sized {
-	return sized{caller: caller, kind: kind, size: bits.Len64(uint64(max(prompt, 0))) / 2}
+func newSizeKey(caller string, kind kumquatlug.Kind, prompt int64) sizeKey {
+	return sizeKey{caller: caller, kind: kind, bucket: bits.Len64(uint64(max(prompt, 0))) / 2}
 }
 
 // estimate is a value learned from answers, which falls back to what was
 // assumed at first.
 type estimate struct {
-	assumed float64
-	value   float64
-	learned kumquatlug.Millis
+	initial   float64
+	value     float64
+	learnedAt kumquatlug.Millis
 }
 
-func newEstimate(assumed float64) *estimate {
-	return &estimate{assumed: assumed, value: assumed}
+func newEstimate(initial float64) *estimate {
+	return &estimate{initial: initial, value: initial}
 }
 
 func (e *estimate) at(now kumquatlug.Millis) float64 {
-	silent := max(now-e.learned-silence, 0)
-	keep := math.Exp(-float64(silent) / float64(oblivion))
-	return e.assumed + keep*(e.value-e.assumed)
+	idle := max(now-e.learnedAt-decayDelay, 0)
+	decay := math.Exp(-float64(idle) / float64(decayTime))
+	return e.initial + decay*(e.value-e.initial)
 }
 
 // learnMean moves e to the mean of the samples.
 func (e *estimate) learnMean(now kumquatlug.Millis, sample float64) {
 	value := e.at(now)
-	e.value = value + estimateWeight*(sample-value)
-	e.learned = now
+	e.value = value + meanWeight*(sample-value)
+	e.learnedAt = now
 }
 
-// learnHigh moves e to where the sure part of the samples lies below it.
-func (e *estimate) learnHigh(now kumquatlug.Millis, sample float64) {
+// learnQuantile moves e to where the sure part of the samples lies below it.
+func (e *estimate) learnQuantile(now kumquatlug.Millis, sample float64) {
 	e.value = e.at(now)
 	if sample > e.value {
-		e.value *= 1 + highStep*sure
+		e.value *= 1 + quantileStep*highQuantile
 	} else {
-		e.value *= 1 - highStep*(1-sure)
+		e.value *= 1 - quantileStep*(1-highQuantile)
 	}
-	e.learned = now
+	e.learnedAt = now
 }
 
 // NewEstimator returns an estimator that has seen no answers.
@@ -124,8 +124,8 @@
 	c.PromptRate = standard.Float(c.PromptRate, 8000)
 	c.TokenGap = standard.Float(c.TokenGap, 29)
 	return &Estimator{
-		config: c, gaps: make(map[kumquatlug.Kind]*estimate),
-		firsts: make(map[sized]*estimate), outputs: make(map[sized]*output),
+		config: c, tokenGaps: make(map[kumquatlug.Kind]*estimate),
+		firstTokens: make(map[sizeKey]*estimate), outputs: make(map[sizeKey]*outputEstimate),
 	}
 }
 
@@ -144,24 +144,24 @@
 // that about nine of ten take less.
 func (e *Estimator) Service(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, prompt int64) kumquatlug.Millis {
 	output := e.output(caller, kind, prompt).high.at(now)
-	return kumquatlug.Millis(e.first(kind, prompt).at(now) + e.gap(kind).at(now)*output)
+	return kumquatlug.Millis(e.firstToken(kind, prompt).at(now) + e.tokenGap(kind).at(now)*output)
 }
 
 // Learn takes in an answer. One that its caller gave up counts too, with what
 // there was of it: left out, only those that were fast enough would be learned
 // from, and the estimate would be right about them alone.
 func (e *Estimator) Learn(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, a Observed) {
-	e.first(kind, a.Prompt).learnHigh(now, float64(a.First))
+	e.firstToken(kind, a.Prompt).learnQuantile(now, float64(a.First))
 	if a.Output > 1 {
-		e.gap(kind).learnMean(now, float64(a.Rest)/float64(a.Output))
+		e.tokenGap(kind).learnMean(now, float64(a.Rest)/float64(a.Output))
 	}
 	o := e.output(caller, kind, a.Prompt)
-	made := float64(a.Output)
-	if a.Whole || made > o.mean.at(now) {
-		o.mean.learnMean(now, made)
+	outputTokens := float64(a.Output)
+	if a.Whole || outputTokens > o.mean.at(now) {
+		o.mean.learnMean(now, outputTokens)
 	}
-	if a.Whole || made > o.high.at(now) {
-		o.high.learnHigh(now, made)
+	if a.Whole || outputTokens > o.high.at(now) {
+		o.high.learnQuantile(now, outputTokens)
 	}
 }
 
@@ -176,30 +176,30 @@
 	Whole bool
 }
 
-func (e *Estimator) gap(kind kumquatlug.Kind) *estimate {
-	g, ok := e.gaps[kind]
+func (e *Estimator) tokenGap(kind kumquatlug.Kind) *estimate {
+	g, ok := e.tokenGaps[kind]
 	if !ok {
 		g = newEstimate(e.config.TokenGap)
-		e.gaps[kind] = g
+		e.tokenGaps[kind] = g
 	}
 	return g
 }
 
-func (e *Estimator) first(kind kumquatlug.Kind, prompt int64) *estimate {
-	key := sizedAs("", kind, prompt)
-	f, ok := e.firsts[key]
+func (e *Estimator) firstToken(kind kumquatlug.Kind, prompt int64) *estimate {
+	key := newSizeKey("", kind, prompt)
+	f, ok := e.firstTokens[key]
 	if !ok {
 		f = newEstimate(1000 * float64(prompt) / e.config.PromptRate)
-		e.firsts[key] = f
+		e.firstTokens[key] = f
 	}
 	return f
 }
 
-func (e *Estimator) output(caller string, kind kumquatlug.Kind, prompt int64) *output {
-	key := sizedAs(caller, kind, prompt)
+func (e *Estimator) output(caller string, kind kumquatlug.Kind, prompt int64) *outputEstimate {
+	key := newSizeKey(caller, kind, prompt)
 	o, ok := e.outputs[key]
 	if !ok {
-		o = &output{mean: newEstimate(e.config.Output), high: newEstimate(e.config.Output * 1.25)}
+		o = &outputEstimate{mean: newEstimate(e.config.Output), high: newEstimate(e.config.Output * 1.25)}
 		e.outputs[key] = o
 	}
 	return o
@@ -209,7 +209,7 @@
 // who was active lately. Call it now and then.
 func (e *Estimator) Forget(now kumquatlug.Millis) {
 	for key, o := range e.outputs {
-		if now-o.mean.learned > 10*oblivion {
+		if now-o.mean.learnedAt > 10*decayTime {
 			delete(e.outputs, key)
 		}
 	}
--- a/pkg/kumquatlug/admission/fair.go
+++ b/pkg/kumquatlug/admission/fair.go
@@ -13,10 +13,10 @@
 const (
 	LowestPriority  = -2
 	HighestPriority = 2
-	classes         = HighestPriority - LowestPriority + 1
-	// classStep keeps an eighth of the drain for the class below: it is noticed
+	classCount      = HighestPriority - LowestPriority + 1
+	// classWeightRatio keeps an eighth of the drain for the class below: it is noticed
 	// (not starved), and a class that asks for less than 8/9 waits for nobody.
-	classStep = 8
+	classWeightRatio = 8
 )
 
 // virtualScale is the resolution of virtual time: one token of the highest
@@ -26,20 +26,20 @@
 
 // item is one waiting request.
 type item struct {
-	request Request
-	arrival uint64
-	line    *line
-	class   *class
-	flow    *flow
-	marked  bool
-	// offered is when it came, predicted the wait that was foreseen then.
-	offered   kumquatlug.Millis
-	predicted kumquatlug.Millis
-}
-
-// entry is an item's place in its caller's share; the values that are compared
+	request   Request
+	arrival   uint64
+	kindQueue *kindQueue
+	class     *class
+	flow      *flow
+	isVictim  bool
+	// offeredAt is when it came, predicted the wait that was foreseen then.
+	offeredAt     kumquatlug.Millis
+	predictedWait kumquatlug.Millis
+}
+
+// flowEntry is an item's place in its caller's share; the values that are compared
 // lie side by side, so that scans of long lines stay in the cache.
-type entry struct {
+type flowEntry struct {
 	deadline kumquatlug.Millis
 	arrival  uint64
 	cost     int64
@@ -49,30 +49,30 @@
 // flow is one caller's waiting work within a class, earliest deadline first.
 // start is the virtual time at which its first request may start.
 type flow struct {
-	caller  string
-	weight  int64
-	start   int64
-	cost    int64
-	share   float64
-	entries []entry
-	slot    int
+	caller    string
+	weight    int64
+	start     int64
+	cost      int64
+	share     float64
+	entries   []flowEntry
+	heapIndex int
 	// marked is what victims has chosen so far and not yet removed.
-	markedCost  int64
-	markedCount int
+	victimCost  int64
+	victimCount int
 }
 
-func (f *flow) busy() bool { return len(f.entries) > 0 }
+func (f *flow) backlogged() bool { return len(f.entries) > 0 }
 
-// position returns where an entry of this deadline and arrival stands.
-func (f *flow) position(deadline kumquatlug.Millis, arrival uint64) int {
+// insertIndex returns where an entry of this deadline and arrival stands.
+func (f *flow) insertIndex(deadline kumquatlug.Millis, arrival uint64) int {
 	n := len(f.entries)
-	for n > 0 && after(f.entries[n-1], deadline, arrival) {
+	for n > 0 && sortsAfter(f.entries[n-1], deadline, arrival) {
 		n--
 	}
 	return n
 }
 
-func after(e entry, deadline kumquatlug.Millis, arrival uint64) bool {
+func sortsAfter(e flowEntry, deadline kumquatlug.Millis, arrival uint64) bool {
 	if e.deadline != deadline {
 		return e.deadline > deadline
 	}
@@ -81,8 +81,8 @@
 
 func (f *flow) add(it *item) {
 	r := it.request
-	n := f.position(r.deadline, it.arrival)
-	f.entries = slices.Insert(f.entries, n, entry{deadline: r.deadline, arrival: it.arrival, cost: r.cost, item: it})
+	n := f.insertIndex(r.deadline, it.arrival)
+	f.entries = slices.Insert(f.entries, n, flowEntry{deadline: r.deadline, arrival: it.arrival, cost: r.cost, item: it})
 	f.cost += r.cost
 }
 
@@ -110,7 +110,7 @@
 	var arrival uint64
 	for n := range f.entries {
 		e := &f.entries[n]
-		if e.arrival > arrival && !e.item.marked {
+		if e.arrival > arrival && !e.item.isVictim {
 			found, arrival = e.item, e.arrival
 		}
 	}
@@ -123,17 +123,17 @@
 func (h flowHeap) Len() int { return len(h) }
 
 func (h flowHeap) Less(i, j int) bool {
-	return before(h[i].start, h[i].caller, h[j].start, h[j].caller)
+	return startsBefore(h[i].start, h[i].caller, h[j].start, h[j].caller)
 }
 
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].slot, h[j].slot = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.slot = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -144,7 +144,7 @@
 	return f
 }
 
-func before(start int64, caller string, otherStart int64, otherCaller string) bool {
+func startsBefore(start int64, caller string, otherStart int64, otherCaller string) bool {
 	if start != otherStart {
 		return start < otherStart
 	}
@@ -154,13 +154,13 @@
 // class is one priority of a line. virtual is the virtual time among its
 // callers; start is its own place among the classes.
 type class struct {
-	weight  int64
-	start   int64
-	virtual int64
-	latest  int64
-	cost    int64
-	flows   map[string]*flow
-	heap    flowHeap
+	weight      int64
+	start       int64
+	virtualTime int64
+	maxStart    int64
+	cost        int64
+	flows       map[string]*flow
+	heap        flowHeap
 }
 
 func (c *class) flow(caller string, weight int64) *flow {
@@ -176,19 +176,19 @@
 // startOf returns f's virtual start: a caller that was idle starts now, with
 // neither credit for the time away nor debt from before a quiet spell.
 func (c *class) startOf(f *flow) int64 {
-	if f.busy() {
+	if f.backlogged() {
 		return f.start
 	}
-	return max(f.start, c.virtual)
+	return max(f.start, c.virtualTime)
 }
 
 func (c *class) add(it *item) {
 	f := it.flow
 	f.start = c.startOf(f)
-	wasBusy := f.busy()
+	wasBacklogged := f.backlogged()
 	f.add(it)
 	c.cost += it.request.cost
-	if !wasBusy {
+	if !wasBacklogged {
 		heap.Push(&c.heap, f)
 	}
 }
@@ -197,27 +197,27 @@
 	f := it.flow
 	f.remove(it)
 	c.cost -= it.request.cost
-	if !f.busy() {
-		heap.Remove(&c.heap, f.slot)
+	if !f.backlogged() {
+		heap.Remove(&c.heap, f.heapIndex)
 	}
 	if len(c.heap) == 0 {
-		c.virtual = max(c.virtual, c.latest)
+		c.virtualTime = max(c.virtualTime, c.maxStart)
 	}
 }
 
 // charge moves f on by what is being served.
 func (c *class) charge(f *flow, cost int64) {
-	c.virtual = max(c.virtual, f.start)
+	c.virtualTime = max(c.virtualTime, f.start)
 	f.start += cost * virtualScale / f.weight
-	c.latest = max(c.latest, f.start)
-	heap.Fix(&c.heap, f.slot)
+	c.maxStart = max(c.maxStart, f.start)
+	heap.Fix(&c.heap, f.heapIndex)
 }
 
-// forgetIdle drops callers that are away and owe nothing, so that memory is
+// removeIdleFlows drops callers that are away and owe nothing, so that memory is
 // bounded by who was served lately.
-func (c *class) forgetIdle() {
+func (c *class) removeIdleFlows() {
 	for caller, f := range c.flows {
-		if !f.busy() && f.start <= c.virtual {
+		if !f.backlogged() && f.start <= c.virtualTime {
 			delete(c.flows, caller)
 		}
 	}
--- a/pkg/kumquatlug/admission/line.go
+++ b/pkg/kumquatlug/admission/line.go
@@ -6,89 +6,89 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// line is the waiting work of one kind.
-type line struct {
-	kind     kumquatlug.Kind
-	maxCount float64
-	maxCost  float64
-	classes  [classes]*class
-	virtual  int64
-	latest   int64
-	cost     int64
-	count    int
-	drain    drain
-	error    forecastError
-	emptyAt  kumquatlug.Millis
-	// tightest is no later than the latest start of anything that waits.
-	tightest kumquatlug.Millis
-	marked   []*item
-}
-
-func newLine(kind kumquatlug.Kind, c Config) *line {
-	l := &line{
+// kindQueue is the waiting work of one kind.
+type kindQueue struct {
+	kind            kumquatlug.Kind
+	maxCount        float64
+	maxCost         float64
+	classes         [classCount]*class
+	virtualTime     int64
+	maxStart        int64
+	cost            int64
+	count           int
+	drain           drainEstimator
+	predictionError waitPredictionError
+	lastEmptyAt     kumquatlug.Millis
+	// minLatestStart is no later than the latest start of anything that waits.
+	minLatestStart kumquatlug.Millis
+	victimList     []*item
+}
+
+func newKindQueue(kind kumquatlug.Kind, c Config) *kindQueue {
+	kq := &kindQueue{
 		kind: kind, maxCount: float64(c.MaxCount), maxCost: float64(c.MaxCost),
-		drain: drain{horizon: float64(c.DrainHorizon)}, tightest: math.MaxInt64,
+		drain: drainEstimator{horizonMillis: float64(c.DrainHorizon)}, minLatestStart: math.MaxInt64,
 	}
 	weight := int64(1)
-	for n := range l.classes {
-		l.classes[n] = &class{weight: weight, flows: make(map[string]*flow)}
-		weight *= classStep
+	for n := range kq.classes {
+		kq.classes[n] = &class{weight: weight, flows: make(map[string]*flow)}
+		weight *= classWeightRatio
 	}
-	return l
+	return kq
 }
 
-func (l *line) advance(now kumquatlug.Millis) {
-	l.drain.advance(now, l.count > 0)
-	if l.count == 0 {
-		l.emptyAt = now
+func (kq *kindQueue) advance(now kumquatlug.Millis) {
+	kq.drain.advance(now, kq.count > 0)
+	if kq.count == 0 {
+		kq.lastEmptyAt = now
 	}
 }
 
-func (l *line) place(r Request) (*class, *flow) {
-	c := l.classes[r.priority-LowestPriority]
+func (kq *kindQueue) flowFor(r Request) (*class, *flow) {
+	c := kq.classes[r.priority-LowestPriority]
 	return c, c.flow(r.caller, r.weight)
 }
 
-func (l *line) startOf(c *class) int64 {
+func (kq *kindQueue) startOf(c *class) int64 {
 	if len(c.heap) > 0 {
 		return c.start
 	}
-	return max(c.start, l.virtual)
+	return max(c.start, kq.virtualTime)
 }
 
-func (l *line) add(it *item) {
-	it.class.start = l.startOf(it.class)
+func (kq *kindQueue) add(it *item) {
+	it.class.start = kq.startOf(it.class)
 	it.class.add(it)
-	l.weigh(it.class, it.flow)
-	l.cost += it.request.cost
-	l.count++
-	l.tightest = min(l.tightest, it.request.deadline-it.request.service)
+	kq.updateShare(it.class, it.flow)
+	kq.cost += it.request.cost
+	kq.count++
+	kq.minLatestStart = min(kq.minLatestStart, it.request.deadline-it.request.service)
 }
 
-func (l *line) remove(it *item) {
+func (kq *kindQueue) remove(it *item) {
 	it.class.remove(it)
-	l.weigh(it.class, it.flow)
-	l.cost -= it.request.cost
-	l.count--
-	if l.count == 0 {
-		l.virtual = max(l.virtual, l.latest)
-		l.tightest = math.MaxInt64
+	kq.updateShare(it.class, it.flow)
+	kq.cost -= it.request.cost
+	kq.count--
+	if kq.count == 0 {
+		kq.virtualTime = max(kq.virtualTime, kq.maxStart)
+		kq.minLatestStart = math.MaxInt64
 	}
 }
 
 // charge moves the class and the caller of it on by its cost.
-func (l *line) charge(it *item) {
+func (kq *kindQueue) charge(it *item) {
 	c := it.class
-	l.virtual = max(l.virtual, c.start)
+	kq.virtualTime = max(kq.virtualTime, c.start)
 	c.start += it.request.cost * virtualScale / c.weight
-	l.latest = max(l.latest, c.start)
+	kq.maxStart = max(kq.maxStart, c.start)
 	c.charge(it.flow, it.request.cost)
 }
 
-// first returns what is served next; something must wait.
-func (l *line) first() *item {
+// head returns what is served next; something must wait.
+func (kq *kindQueue) head() *item {
 	var best *class
-	for _, c := range l.classes {
+	for _, c := range kq.classes {
 		if len(c.heap) > 0 && (best == nil || c.start <= best.start) {
 			best = c
 		}
@@ -96,129 +96,129 @@
 	return best.heap[0].entries[0].item
 }
 
-func (l *line) forgetIdle() {
-	for _, c := range l.classes {
-		c.forgetIdle()
+func (kq *kindQueue) removeIdleFlows() {
+	for _, c := range kq.classes {
+		c.removeIdleFlows()
 	}
 }
 
 // predictWait returns how long r would wait if it stood in f now; zero while
 // the drain rate isn't known.
-func (l *line) predictWait(c *class, f *flow, r Request) kumquatlug.Millis {
-	rate := l.drain.rate()
-	if l.count == 0 || rate == 0 {
+func (kq *kindQueue) predictWait(c *class, f *flow, r Request) kumquatlug.Millis {
+	rate := kq.drain.rate()
+	if kq.count == 0 || rate == 0 {
 		return 0
 	}
-	return spanAt(rate, float64(l.ahead(c, f, r)))
+	return timeAtRate(rate, float64(kq.tokensAhead(c, f, r)))
 }
 
-// ahead returns the tokens that the fair order serves before r: its caller's
+// tokensAhead returns the tokens that the fair order serves before r: its caller's
 // own earlier deadlines, then of every other caller and class what starts
 // before it in virtual time.
-func (l *line) ahead(c *class, f *flow, r Request) int64 {
-	own := f.costBefore(r.deadline)
-	start := c.startOf(f) + own*virtualScale/f.weight
-	ahead := own
-	for _, g := range c.heap {
-		if g != f {
-			ahead += startedBefore(start, g.start, g.weight, g.cost, int64(len(g.entries)))
+func (kq *kindQueue) tokensAhead(c *class, f *flow, r Request) int64 {
+	ownTokens := f.costBefore(r.deadline)
+	start := c.startOf(f) + ownTokens*virtualScale/f.weight
+	ahead := ownTokens
+	for _, other := range c.heap {
+		if other != f {
+			ahead += costStartedBefore(start, other.start, other.weight, other.cost, int64(len(other.entries)))
 		}
 	}
-	start = l.startOf(c) + ahead*virtualScale/c.weight
-	for _, d := range l.classes {
-		if d != c && len(d.heap) > 0 {
-			ahead += startedBefore(start, d.start, d.weight, d.cost, int64(len(d.heap)))
+	start = kq.startOf(c) + ahead*virtualScale/c.weight
+	for _, otherClass := range kq.classes {
+		if otherClass != c && len(otherClass.heap) > 0 {
+			ahead += costStartedBefore(start, otherClass.start, otherClass.weight, otherClass.cost, int64(len(otherClass.heap)))
 		}
 	}
 	return ahead
 }
 
-// startedBefore returns how much of a share's cost starts before a point of
+// costStartedBefore returns how much of a share's cost starts before a point of
 // virtual time: what its weight earns until then, and half a piece more, since
 // the piece under way at that point is served whole.
-func startedBefore(point, start, weight, cost, pieces int64) int64 {
+func costStartedBefore(point, start, weight, cost, requests int64) int64 {
 	if point <= start {
 		return 0
 	}
 	earned := (point - start) / virtualScale * weight
-	return min(cost, earned+cost/pieces/2)
+	return min(cost, earned+cost/requests/2)
 }
 
 // victims returns waiting requests whose removal makes room for r: each time
 // the newest of the caller furthest above its share, as long as that caller
 // stands further above it than r's would. It returns none if that isn't enough.
-func (l *line) victims(c *class, f *flow, r Request, needCount int, needCost int64) []*item {
-	l.marked = l.marked[:0]
-	level := l.share(c, f, len(f.entries)+1, f.cost+r.cost)
+func (kq *kindQueue) victims(c *class, f *flow, r Request, needCount int, needCost int64) []*item {
+	kq.victimList = kq.victimList[:0]
+	threshold := kq.share(c, f, len(f.entries)+1, f.cost+r.cost)
 	for needCount > 0 || needCost > 0 {
-		g := l.furthestAbove(level, f)
-		if g == nil {
+		largest := kq.largestShare(threshold, f)
+		if largest == nil {
 			break
 		}
-		it := l.mark(g)
+		it := kq.markVictim(largest)
 		needCount--
 		needCost -= it.request.cost
 	}
-	l.unmark()
+	kq.unmarkVictims()
 	if needCount > 0 || needCost > 0 {
 		return nil
 	}
-	return l.marked
+	return kq.victimList
 }
 
-// mark chooses the newest of g; until unmark, g counts without it.
-func (l *line) mark(g *flow) *item {
-	it := g.newest()
-	it.marked = true
-	g.markedCount++
-	g.markedCost += it.request.cost
-	l.weigh(it.class, g)
-	l.marked = append(l.marked, it)
+// markVictim chooses the newest of g; until unmark, g counts without it.
+func (kq *kindQueue) markVictim(f *flow) *item {
+	it := f.newest()
+	it.isVictim = true
+	f.victimCount++
+	f.victimCost += it.request.cost
+	kq.updateShare(it.class, f)
+	kq.victimList = append(kq.victimList, it)
 	return it
 }
 
-func (l *line) unmark() {
-	for _, it := range l.marked {
-		it.marked = false
-		it.flow.markedCount, it.flow.markedCost = 0, 0
-		l.weigh(it.class, it.flow)
+func (kq *kindQueue) unmarkVictims() {
+	for _, it := range kq.victimList {
+		it.isVictim = false
+		it.flow.victimCount, it.flow.victimCost = 0, 0
+		kq.updateShare(it.class, it.flow)
 	}
 }
 
-func (l *line) furthestAbove(level float64, except *flow) *flow {
+func (kq *kindQueue) largestShare(threshold float64, except *flow) *flow {
 	var found *flow
-	for _, c := range l.classes {
-		for _, g := range c.heap {
-			if g.share < level || g == except || g.share == level && (found == nil || g.caller > found.caller) {
+	for _, c := range kq.classes {
+		for _, other := range c.heap {
+			if other.share < threshold || other == except || other.share == threshold && (found == nil || other.caller > found.caller) {
 				continue
 			}
-			found, level = g, g.share
+			found, threshold = other, other.share
 		}
 	}
 	return found
 }
 
-// weigh brings f's share up to date; kept, it makes the search for the caller
+// updateShare brings f's share up to date; kept, it makes the search for the caller
 // furthest above its share a plain scan.
-func (l *line) weigh(c *class, f *flow) {
-	f.share = l.share(c, f, len(f.entries)-f.markedCount, f.cost-f.markedCost)
+func (kq *kindQueue) updateShare(c *class, f *flow) {
+	f.share = kq.share(c, f, len(f.entries)-f.victimCount, f.cost-f.victimCost)
 }
 
 // share returns the part of the line that f holds with so many requests and
 // tokens, whichever is more, for each unit of its weight. Counting both keeps a
 // caller of many tiny requests from filling the line unseen.
-func (l *line) share(c *class, f *flow, count int, cost int64) float64 {
-	part := max(float64(count)/l.maxCount, float64(cost)/l.maxCost)
-	return part / float64(f.weight*c.weight)
+func (kq *kindQueue) share(c *class, f *flow, count int, cost int64) float64 {
+	fraction := max(float64(count)/kq.maxCount, float64(cost)/kq.maxCost)
+	return fraction / float64(f.weight*c.weight)
 }
 
 // retryAfter returns when coming back helps a request of this cost that would
 // be late by so much.
-func (l *line) retryAfter(config Config, cost int64, late kumquatlug.Millis) kumquatlug.Millis {
+func (kq *kindQueue) retryAfter(config Config, cost int64, excess kumquatlug.Millis) kumquatlug.Millis {
 	wait := config.MinRetryAfter
-	if rate := l.drain.rate(); rate > 0 {
-		wait = max(wait, late+spanAt(rate, l.drain.returning+float64(cost)))
-		l.drain.returning += float64(cost)
+	if rate := kq.drain.rate(); rate > 0 {
+		wait = max(wait, excess+timeAtRate(rate, kq.drain.retryTokens+float64(cost)))
+		kq.drain.retryTokens += float64(cost)
 	}
 	wait = min(wait, config.MaxRetryAfter)
 	return wait + kumquatlug.Millis(config.Random.Int64N(int64(wait)/2+1))
--- a/pkg/kumquatlug/admission/load_test.go
+++ b/pkg/kumquatlug/admission/load_test.go
@@ -10,201 +10,201 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// tally is what the callers of one run received.
-type tally struct {
+// callerStats is what the callers of one run received.
+type callerStats struct {
 	offered, onTime, late, refused int
 	onTimeTokens                   int64
-	heldLong                       int
-	slowestRefusal                 kumquatlug.Millis
-	longest                        int
+	refusedLate                    int
+	maxRefusalDelay                kumquatlug.Millis
+	maxQueued                      int
 	waited, meanWait               kumquatlug.Millis
 }
 
-// load is a stream of work: a request of cost tokens every gap milliseconds,
+// workload is a stream of work: a request of cost tokens every gap milliseconds,
 // from the account of its name unless another is named.
-type load struct {
+type workload struct {
 	caller   string
 	account  string
-	gap      kumquatlug.Millis
+	interval kumquatlug.Millis
 	cost     int64
-	patience kumquatlug.Millis
+	timeout  kumquatlug.Millis
 }
 
-// bench is a server of ten tokens a millisecond behind a queue.
-type bench struct {
-	q       *Queue
-	tallies map[string]*tally
-	serving Request
-	left    int64
-	now     kumquatlug.Millis
+// simulation is a server of ten tokens a millisecond behind a queue.
+type simulation struct {
+	queue     *Queue
+	stats     map[string]*callerStats
+	serving   Request
+	remaining int64
+	now       kumquatlug.Millis
 }
 
-const serverRate = 10
+const serverTokensPerMilli = 10
 
-func (b *bench) arrive(n int, w load) {
-	t := b.tallies[w.caller]
+func (s *simulation) arrive(n int, w workload) {
+	t := s.stats[w.caller]
 	t.offered++
 	r := NewRequest(RequestConfig{
-		ID: fmt.Sprint(w.caller, "-", n), Caller: cmp.Or(w.account, w.caller), Kind: draft, Cost: w.cost, Arrival: b.now,
-		Deadline: b.now + w.patience, Service: kumquatlug.Millis(w.cost / serverRate),
+		ID: fmt.Sprint(w.caller, "-", n), Caller: cmp.Or(w.account, w.caller), Kind: draftKind, Cost: w.cost, Arrival: s.now,
+		Deadline: s.now + w.timeout, Service: kumquatlug.Millis(w.cost / serverTokensPerMilli),
 	})
-	d := b.q.Offer(b.now, r)
+	d := s.queue.Offer(s.now, r)
 	if d.Verdict() == VerdictRefused {
 		t.refused++
 	}
-	b.refuse(d.Displaced())
+	s.refuse(d.Displaced())
 }
 
-func (b *bench) tally(r Request) *tally {
+func (s *simulation) statsFor(r Request) *callerStats {
 	name, _, _ := strings.Cut(r.ID(), "-")
-	return b.tallies[name]
+	return s.stats[name]
 }
 
-func (b *bench) refuse(refusals []Refusal) {
+func (s *simulation) refuse(refusals []Refusal) {
 	for _, r := range refusals {
-		t := b.tally(r.Request())
+		t := s.statsFor(r.Request())
 		t.refused++
-		held := b.now - r.Request().Arrival()
-		t.slowestRefusal = max(t.slowestRefusal, held)
-		if held > (r.Request().Deadline()-r.Request().Arrival())/2 {
-			t.heldLong++
+		delay := s.now - r.Request().Arrival()
+		t.maxRefusalDelay = max(t.maxRefusalDelay, delay)
+		if delay > (r.Request().Deadline()-r.Request().Arrival())/2 {
+			t.refusedLate++
 		}
 	}
 }
 
-func (b *bench) serve() {
-	if b.left == 0 {
-		r, ok := b.q.Next(draft)
+func (s *simulation) serve() {
+	if s.remaining == 0 {
+		r, ok := s.queue.Next(draftKind)
 		if !ok {
 			return
 		}
-		b.q.Take(b.now, r.ID())
-		b.tally(r).waited += b.now - r.Arrival()
-		b.serving, b.left = r, r.Cost()
+		s.queue.Take(s.now, r.ID())
+		s.statsFor(r).waited += s.now - r.Arrival()
+		s.serving, s.remaining = r, r.Cost()
 	}
-	done := min(b.left, serverRate)
-	b.left -= done
-	b.q.Served(b.now, draft, done)
-	if b.left > 0 {
+	done := min(s.remaining, serverTokensPerMilli)
+	s.remaining -= done
+	s.queue.Served(s.now, draftKind, done)
+	if s.remaining > 0 {
 		return
 	}
-	t := b.tally(b.serving)
-	if b.now > b.serving.Deadline() {
+	t := s.statsFor(s.serving)
+	if s.now > s.serving.Deadline() {
 		t.late++
 		return
 	}
 	t.onTime++
-	t.onTimeTokens += b.serving.Cost()
+	t.onTimeTokens += s.serving.Cost()
 }
 
-// play runs the loads for a span and returns what each caller received.
-func play(c Config, span kumquatlug.Millis, loads ...load) map[string]*tally {
-	b := &bench{q: New(c), tallies: map[string]*tally{}}
-	due := make([]kumquatlug.Millis, len(loads))
+// simulate runs the loads for a span and returns what each caller received.
+func simulate(c Config, duration kumquatlug.Millis, workloads ...workload) map[string]*callerStats {
+	s := &simulation{queue: New(c), stats: map[string]*callerStats{}}
+	nextArrival := make([]kumquatlug.Millis, len(workloads))
 	random := rand.New(rand.NewPCG(3, 3))
-	for _, w := range loads {
-		b.tallies[w.caller] = &tally{}
+	for _, w := range workloads {
+		s.stats[w.caller] = &callerStats{}
 	}
-	for ; b.now < span; b.now++ {
-		for n, w := range loads {
-			for due[n] <= b.now && b.now < span*9/10 {
-				b.arrive(b.tallies[w.caller].offered, w)
-				due[n] += max(1, kumquatlug.Millis(random.Int64N(int64(2*w.gap)+1)))
+	for ; s.now < duration; s.now++ {
+		for n, w := range workloads {
+			for nextArrival[n] <= s.now && s.now < duration*9/10 {
+				s.arrive(s.stats[w.caller].offered, w)
+				nextArrival[n] += max(1, kumquatlug.Millis(random.Int64N(int64(2*w.interval)+1)))
 			}
 		}
-		if wake, ok := b.q.Wake(); ok && wake <= b.now {
-			b.refuse(b.q.Expire(b.now))
+		if wake, ok := s.queue.Wake(); ok && wake <= s.now {
+			s.refuse(s.queue.Expire(s.now))
 		}
-		b.serve()
-		for _, t := range b.tallies {
-			t.longest = max(t.longest, b.q.Len(draft))
+		s.serve()
+		for _, t := range s.stats {
+			t.maxQueued = max(t.maxQueued, s.queue.Len(draftKind))
 		}
 	}
-	for _, t := range b.tallies {
+	for _, t := range s.stats {
 		t.meanWait = t.waited / kumquatlug.Millis(max(t.onTime+t.late, 1))
 	}
-	return b.tallies
+	return s.stats
 }
 
 func TestOverloadKeepsGoodput(t *testing.T) {
 	// More work arrives than the targets finish, for minutes. In one line
 	// without bounds each answer comes later than the one before, until all
 	// are late: the targets are busy and no caller has an answer on time.
-	for _, times := range []int64{2, 5} {
-		w := load{caller: "all", gap: 50 / kumquatlug.Millis(times), cost: 500, patience: 4 * kumquatlug.Second}
-		got := play(Config{}, 3*kumquatlug.Minute, w)["all"]
-		best := int64(serverRate) * int64(162*kumquatlug.Second+w.patience)
-		if part := float64(got.onTimeTokens) / float64(best); part < 0.95 {
-			t.Errorf("%dx: on time %.3f of what the server can do, want 0.95: %+v", times, part, got)
+	for _, factor := range []int64{2, 5} {
+		w := workload{caller: "all", interval: 50 / kumquatlug.Millis(factor), cost: 500, timeout: 4 * kumquatlug.Second}
+		stats := simulate(Config{}, 3*kumquatlug.Minute, w)["all"]
+		maxTokens := int64(serverTokensPerMilli) * int64(162*kumquatlug.Second+w.timeout)
+		if fraction := float64(stats.onTimeTokens) / float64(maxTokens); fraction < 0.95 {
+			t.Errorf("%dx: on time %.3f of what the server can do, want 0.95: %+v", factor, fraction, stats)
 		}
-		if got.late > got.offered/100 {
-			t.Errorf("%dx: %d of %d were late", times, got.late, got.offered)
+		if stats.late > stats.offered/100 {
+			t.Errorf("%dx: %d of %d were late", factor, stats.late, stats.offered)
 		}
-		if got.heldLong > got.offered/100 {
-			t.Errorf("%dx: %d of %d were told late in their time", times, got.heldLong, got.offered)
+		if stats.refusedLate > stats.offered/100 {
+			t.Errorf("%dx: %d of %d were told late in their time", factor, stats.refusedLate, stats.offered)
 		}
-		if got.longest > DefaultMaxCount {
-			t.Errorf("%dx: %d waited", times, got.longest)
+		if stats.maxQueued > DefaultMaxCount {
+			t.Errorf("%dx: %d waited", factor, stats.maxQueued)
 		}
-		t.Logf("%dx: %+v", times, *got)
+		t.Logf("%dx: %+v", factor, *stats)
 	}
 }
 
-func TestQuietCallerBesideHotOne(t *testing.T) {
+func TestLowRateCallerIsServedBesideHotCaller(t *testing.T) {
 	// A script in a loop sends three times what the targets can do. A clerk
 	// who sends one request every two seconds waits behind it and is late.
-	alone := load{caller: "quiet", gap: 2 * kumquatlug.Second, cost: 300, patience: 2 * kumquatlug.Second}
-	hot := load{caller: "hot", gap: 10, cost: 300, patience: 20 * kumquatlug.Second}
-	got := play(Config{MaxCount: 200}, 3*kumquatlug.Minute, alone, hot)
-	quiet := got["quiet"]
+	lowRate := workload{caller: "quiet", interval: 2 * kumquatlug.Second, cost: 300, timeout: 2 * kumquatlug.Second}
+	hot := workload{caller: "hot", interval: 10, cost: 300, timeout: 20 * kumquatlug.Second}
+	stats := simulate(Config{MaxCount: 200}, 3*kumquatlug.Minute, lowRate, hot)
+	quiet := stats["quiet"]
 	if quiet.onTime*100 < quiet.offered*98 || quiet.refused > 0 {
 		t.Errorf("the quiet caller got %+v", *quiet)
 	}
-	t.Logf("quiet %+v, hot %+v", *quiet, *got["hot"])
+	t.Logf("quiet %+v, hot %+v", *quiet, *stats["hot"])
 }
 
-func TestShortJobsAmongLongOnes(t *testing.T) {
+func TestShortRequestsMeetDeadlinesAmongLongOnes(t *testing.T) {
 	// Long documents take seconds each. In arrival order a short question that
 	// comes after three of them is late before it is begun.
-	short := load{caller: "short", gap: 200, cost: 100, patience: 3 * kumquatlug.Second}
-	long := load{caller: "long", gap: 1000, cost: 9000, patience: 30 * kumquatlug.Second}
-	got := play(Config{}, 3*kumquatlug.Minute, short, long)
-	if s := got["short"]; s.onTime*100 < s.offered*98 {
+	short := workload{caller: "short", interval: 200, cost: 100, timeout: 3 * kumquatlug.Second}
+	long := workload{caller: "long", interval: 1000, cost: 9000, timeout: 30 * kumquatlug.Second}
+	stats := simulate(Config{}, 3*kumquatlug.Minute, short, long)
+	if s := stats["short"]; s.onTime*100 < s.offered*98 {
 		t.Errorf("short jobs got %+v", *s)
 	}
-	if l := got["long"]; l.onTime == 0 {
+	if l := stats["long"]; l.onTime == 0 {
 		t.Errorf("long jobs got %+v", *l)
 	}
-	t.Logf("short %+v, long %+v", *got["short"], *got["long"])
+	t.Logf("short %+v, long %+v", *stats["short"], *stats["long"])
 }
 
-func TestOvertakenWorkIsToldAtOnce(t *testing.T) {
+func TestOvertakenRequestsAreRefusedEarly(t *testing.T) {
 	// Callers send documents with a long time and, without end, questions with
 	// a short one, together five times what can be served. The questions go
 	// first; a document is let in by what stands before it now, is overtaken by
 	// what comes later, and its caller learns after half a minute that it was in
 	// vain.
-	var loads []load
+	var workloads []workload
 	for n := range 20 {
-		desk := fmt.Sprint("desk", n)
-		loads = append(loads,
-			load{caller: fmt.Sprint("question", n), account: desk, gap: 240, cost: 300, patience: 3 * kumquatlug.Second},
-			load{caller: fmt.Sprint("document", n), account: desk, gap: 4800, cost: 6000, patience: 40 * kumquatlug.Second})
+		account := fmt.Sprint("desk", n)
+		workloads = append(workloads,
+			workload{caller: fmt.Sprint("question", n), account: account, interval: 240, cost: 300, timeout: 3 * kumquatlug.Second},
+			workload{caller: fmt.Sprint("document", n), account: account, interval: 4800, cost: 6000, timeout: 40 * kumquatlug.Second})
 	}
-	held, offered, served := 0, 0, int64(0)
-	for caller, c := range play(Config{}, 5*kumquatlug.Minute, loads...) {
+	refusedLate, offered, served := 0, 0, int64(0)
+	for caller, c := range simulate(Config{}, 5*kumquatlug.Minute, workloads...) {
 		served += c.onTimeTokens
 		if caller[0] == 'd' {
-			held, offered = held+c.heldLong, offered+c.offered
+			refusedLate, offered = refusedLate+c.refusedLate, offered+c.offered
 		}
 	}
-	if held*100 > offered {
-		t.Errorf("%d of %d documents were told when half of their time was over", held, offered)
+	if refusedLate*100 > offered {
+		t.Errorf("%d of %d documents were told when half of their time was over", refusedLate, offered)
 	}
-	if best := int64(serverRate) * int64(270*kumquatlug.Second); served*100 < best*95 {
-		t.Errorf("%d of %d tokens on time", served, best)
+	if maxTokens := int64(serverTokensPerMilli) * int64(270*kumquatlug.Second); served*100 < maxTokens*95 {
+		t.Errorf("%d of %d tokens on time", served, maxTokens)
 	}
-	t.Logf("%d of %d documents told late, %d tokens on time", held, offered, served)
+	t.Logf("%d of %d documents told late, %d tokens on time", refusedLate, offered, served)
 }
 
 func TestEarliestDeadlineFirstWithinACaller(t *testing.T) {
@@ -219,20 +219,20 @@
 	}
 }
 
-func TestStandingLineIsKeptShort(t *testing.T) {
+func TestStandingQueueKeepsWaitsShort(t *testing.T) {
 	// Work arrives at one and a half times what can be served, for minutes. The
 	// line in front of the targets gives them no more to do than a short one,
 	// yet as long as deadlines allow everybody waits in it to the last second.
-	w := load{caller: "all", gap: 33, cost: 500, patience: 30 * kumquatlug.Second}
-	got := play(Config{}, 3*kumquatlug.Minute, w)["all"]
-	if best := int64(serverRate) * int64(162*kumquatlug.Second); got.onTimeTokens*100 < best*95 {
-		t.Errorf("%d of %d tokens on time", got.onTimeTokens, best)
+	w := workload{caller: "all", interval: 33, cost: 500, timeout: 30 * kumquatlug.Second}
+	stats := simulate(Config{}, 3*kumquatlug.Minute, w)["all"]
+	if maxTokens := int64(serverTokensPerMilli) * int64(162*kumquatlug.Second); stats.onTimeTokens*100 < maxTokens*95 {
+		t.Errorf("%d of %d tokens on time", stats.onTimeTokens, maxTokens)
 	}
 	// The first seconds take in a burst; after that a second's work may wait.
-	if got.meanWait > 3*kumquatlug.Second {
-		t.Errorf("they wait for %d ms in the mean: %+v", got.meanWait, *got)
+	if stats.meanWait > 3*kumquatlug.Second {
+		t.Errorf("they wait for %d ms in the mean: %+v", stats.meanWait, *stats)
 	}
-	t.Logf("%+v", *got)
+	t.Logf("%+v", *stats)
 }
 
 func TestLowPriorityIsNotStarved(t *testing.T) {
@@ -256,7 +256,7 @@
 	}
 }
 
-func TestIdleCallerCannotHoard(t *testing.T) {
+func TestIdleCallerGainsNoCredit(t *testing.T) {
 	// A caller that was away for an hour doesn't own that hour's share: when it
 	// comes back with a thousand requests, the others keep their turns.
 	q := New(Config{})
--- a/pkg/kumquatlug/admission/property_test.go
+++ b/pkg/kumquatlug/admission/property_test.go
@@ -12,128 +12,128 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func properties(t *testing.T) *gopter.Properties {
+func newProperties(t *testing.T) *gopter.Properties {
 	p := gopter.DefaultTestParametersWithSeed(7)
 	p.MinSuccessfulTests = 300
 	p.MaxSize = 400
 	return gopter.NewProperties(p)
 }
 
-// oracle knows which requests wait; each leaves once.
-type oracle struct {
-	q     *Queue
-	now   kumquatlug.Millis
-	next  int
-	waits map[string]int64
-	fault string
+// queueModel knows which requests wait; each leaves once.
+type queueModel struct {
+	q         *Queue
+	now       kumquatlug.Millis
+	nextID    int
+	waiting   map[string]int64
+	violation string
 }
 
-func (o *oracle) leave(id string) {
-	if _, ok := o.waits[id]; !ok {
-		o.fault = id + " left though it didn't wait"
+func (m *queueModel) leave(id string) {
+	if _, ok := m.waiting[id]; !ok {
+		m.violation = id + " left though it didn't wait"
 	}
-	delete(o.waits, id)
+	delete(m.waiting, id)
 }
 
-func (o *oracle) leaveAll(refusals []Refusal) {
+func (m *queueModel) leaveAll(refusals []Refusal) {
 	for _, r := range refusals {
-		o.leave(r.Request().ID())
+		m.leave(r.Request().ID())
 		if r.RetryAfter() <= 0 {
-			o.fault = "no time to come back"
+			m.violation = "no time to come back"
 		}
 	}
 }
 
-func (o *oracle) step(op uint64) {
+func (m *queueModel) step(op uint64) {
 	r := rand.New(rand.NewPCG(op, 1))
-	o.now += kumquatlug.Millis(r.IntN(200))
+	m.now += kumquatlug.Millis(r.IntN(200))
 	switch r.IntN(8) {
 	case 0:
-		o.q.Served(o.now, draft, int64(r.IntN(3000)))
+		m.q.Served(m.now, draftKind, int64(r.IntN(3000)))
 	case 1:
-		o.leaveAll(o.q.Expire(o.now))
+		m.leaveAll(m.q.Expire(m.now))
 	case 2:
-		if first, ok := o.q.Next(draft); ok {
-			o.q.Take(o.now, first.ID())
-			o.leave(first.ID())
+		if first, ok := m.q.Next(draftKind); ok {
+			m.q.Take(m.now, first.ID())
+			m.leave(first.ID())
 		}
 	case 3:
-		if id := fmt.Sprint(r.IntN(o.next + 1)); o.q.Cancel(o.now, id) {
-			o.leave(id)
+		if id := fmt.Sprint(r.IntN(m.nextID + 1)); m.q.Cancel(m.now, id) {
+			m.leave(id)
 		}
 	default:
-		o.offer(r)
+		m.offer(r)
 	}
-	o.check()
+	m.check()
 }
 
-func (o *oracle) offer(r *rand.Rand) {
+func (m *queueModel) offer(r *rand.Rand) {
 	c := RequestConfig{
-		ID: fmt.Sprint(o.next), Caller: fmt.Sprint(r.IntN(6)), Kind: draft,
+		ID: fmt.Sprint(m.nextID), Caller: fmt.Sprint(r.IntN(6)), Kind: draftKind,
 		Cost: 1 + int64(r.IntN(900)), Priority: r.IntN(5) - 2, Weight: 1 + int64(r.IntN(3)),
-		Deadline: o.now + kumquatlug.Millis(r.IntN(20000)), Service: kumquatlug.Millis(r.IntN(2000)),
+		Deadline: m.now + kumquatlug.Millis(r.IntN(20000)), Service: kumquatlug.Millis(r.IntN(2000)),
 	}
-	o.next++
-	d := o.q.Offer(o.now, NewRequest(c))
-	o.leaveAll(d.Displaced())
+	m.nextID++
+	d := m.q.Offer(m.now, NewRequest(c))
+	m.leaveAll(d.Displaced())
 	if d.Verdict() == VerdictQueued {
-		o.waits[c.ID] = c.Cost
+		m.waiting[c.ID] = c.Cost
 	}
 }
 
-func (o *oracle) check() {
+func (m *queueModel) check() {
 	cost := int64(0)
-	for _, c := range o.waits {
+	for _, c := range m.waiting {
 		cost += c
 	}
-	if len(o.waits) != o.q.Len(draft) || cost != o.q.Cost(draft) {
-		o.fault = fmt.Sprintf("%d requests of %d tokens wait, the queue says %d of %d",
-			len(o.waits), cost, o.q.Len(draft), o.q.Cost(draft))
+	if len(m.waiting) != m.q.Len(draftKind) || cost != m.q.Cost(draftKind) {
+		m.violation = fmt.Sprintf("%d requests of %d tokens wait, the queue says %d of %d",
+			len(m.waiting), cost, m.q.Len(draftKind), m.q.Cost(draftKind))
 	}
-	if len(o.waits) > 20 || cost > 5000 {
-		o.fault = "the line is over its bound"
+	if len(m.waiting) > 20 || cost > 5000 {
+		m.violation = "the line is over its bound"
 	}
 }
 
-func TestEachRequestLeavesOnceAndTheLineIsBounded(t *testing.T) {
-	p := properties(t)
+func TestRequestsLeaveOnceAndQueueIsBounded(t *testing.T) {
+	p := newProperties(t)
 	p.Property("offers, services, cancels and expiries in any order", prop.ForAll(func(ops []uint64) string {
-		o := &oracle{q: New(Config{MaxCount: 20, MaxCost: 5000}), waits: map[string]int64{}}
+		m := &queueModel{q: New(Config{MaxCount: 20, MaxCost: 5000}), waiting: map[string]int64{}}
 		for _, op := range ops {
-			if o.step(op); o.fault != "" {
-				return o.fault
+			if m.step(op); m.violation != "" {
+				return m.violation
 			}
 		}
-		for first, ok := o.q.Next(draft); ok; first, ok = o.q.Next(draft) {
-			o.q.Take(o.now, first.ID())
-			o.leave(first.ID())
+		for first, ok := m.q.Next(draftKind); ok; first, ok = m.q.Next(draftKind) {
+			m.q.Take(m.now, first.ID())
+			m.leave(first.ID())
 		}
-		return o.fault
+		return m.violation
 	}, gen.SliceOf(gen.UInt64())))
 	p.TestingRun(t)
 }
 
 func TestBackloggedCallersShareByWeight(t *testing.T) {
-	p := properties(t)
+	p := newProperties(t)
 	p.Property("two callers differ by no more than one piece of each", prop.ForAll(func(costs []int64, weight int64) string {
 		q := New(Config{})
 		weights := map[string]int64{"a": 1, "b": weight}
-		left := map[string]int{}
+		remaining := map[string]int{}
 		for n, cost := range costs {
 			caller := []string{"a", "b"}[n%2]
-			left[caller]++
+			remaining[caller]++
 			q.Offer(0, NewRequest(RequestConfig{
-				ID: fmt.Sprint(n), Caller: caller, Kind: draft, Cost: cost,
+				ID: fmt.Sprint(n), Caller: caller, Kind: draftKind, Cost: cost,
 				Weight: weights[caller], Deadline: kumquatlug.Hour,
 			}))
 		}
 		served := map[string]float64{}
-		for left["a"] > 0 && left["b"] > 0 {
-			r, _ := q.Next(draft)
+		for remaining["a"] > 0 && remaining["b"] > 0 {
+			r, _ := q.Next(draftKind)
 			q.Take(0, r.ID())
-			left[r.Caller()]--
+			remaining[r.Caller()]--
 			served[r.Caller()] += float64(r.Cost()) / float64(r.Weight())
-			if gap := served["a"] - served["b"]; gap > 1001 || -gap > 1001*(1+1/float64(weight)) {
+			if difference := served["a"] - served["b"]; difference > 1001 || -difference > 1001*(1+1/float64(weight)) {
 				return fmt.Sprintf("served %v", served)
 			}
 		}
@@ -142,54 +142,54 @@
 	p.TestingRun(t)
 }
 
-// filled is a queue of requests with random callers, costs and priorities.
-func filled(seed uint64, n int) *Queue {
+// newRandomQueue is a queue of requests with random callers, costs and priorities.
+func newRandomQueue(seed uint64, n int) *Queue {
 	r := rand.New(rand.NewPCG(seed, 2))
 	q := New(Config{})
 	for k := range n {
 		q.Offer(0, NewRequest(RequestConfig{
-			ID: fmt.Sprint(k), Caller: fmt.Sprint(r.IntN(8)), Kind: draft, Cost: 1 + int64(r.IntN(1000)),
+			ID: fmt.Sprint(k), Caller: fmt.Sprint(r.IntN(8)), Kind: draftKind, Cost: 1 + int64(r.IntN(1000)),
 			Priority: r.IntN(3), Deadline: kumquatlug.Minute + kumquatlug.Millis(r.IntN(10000)),
 		}))
 	}
 	for range n / 4 {
-		first, _ := q.Next(draft)
+		first, _ := q.Next(draftKind)
 		q.Take(0, first.ID())
 	}
 	return q
 }
 
-func TestForecastFollowsTheFairOrder(t *testing.T) {
-	p := properties(t)
+func TestPredictionFollowsServiceOrder(t *testing.T) {
+	p := newProperties(t)
 	p.Property("the walk that looks for late work goes in serving order", prop.ForAll(func(seed uint64) string {
-		q := filled(seed, 60)
-		l := q.lines[draft]
-		q.walk.begin(l)
-		var walked []string
-		for n := q.walk.class(); n >= 0; n = q.walk.class() {
-			it := q.walk.step(n)
-			walked = append(walked, it.request.id)
-			q.walk.charge(n, l, it.request.cost)
-			q.walk.settle(n)
+		q := newRandomQueue(seed, 60)
+		kq := q.kindQueues[draftKind]
+		q.order.begin(kq)
+		var predicted []string
+		for n := q.order.nextClass(); n >= 0; n = q.order.nextClass() {
+			it := q.order.next(n)
+			predicted = append(predicted, it.request.id)
+			q.order.charge(n, kq, it.request.cost)
+			q.order.fixTop(n)
 		}
-		if order := serve(q, 0, 60); fmt.Sprint(order) != fmt.Sprint(walked) {
-			return fmt.Sprintf("walked %v, served %v", walked, order)
+		if order := serve(q, 0, 60); fmt.Sprint(order) != fmt.Sprint(predicted) {
+			return fmt.Sprintf("walked %v, served %v", predicted, order)
 		}
 		return ""
 	}, gen.UInt64()))
 	p.Property("the tokens ahead are right to one piece of each caller and class", prop.ForAll(func(seed uint64) string {
-		q := filled(seed, 60)
-		r := NewRequest(RequestConfig{ID: "new", Caller: "3", Kind: draft, Cost: 10, Priority: 1, Deadline: kumquatlug.Minute + 5000})
-		l := q.lines[draft]
-		c, f := l.place(r)
-		predicted := l.ahead(c, f, r)
+		q := newRandomQueue(seed, 60)
+		r := NewRequest(RequestConfig{ID: "new", Caller: "3", Kind: draftKind, Cost: 10, Priority: 1, Deadline: kumquatlug.Minute + 5000})
+		kq := q.kindQueues[draftKind]
+		c, f := kq.flowFor(r)
+		predicted := kq.tokensAhead(c, f, r)
 		q.Offer(0, r)
 		actual := int64(0)
-		for first, _ := q.Next(draft); first.ID() != "new"; first, _ = q.Next(draft) {
+		for first, _ := q.Next(draftKind); first.ID() != "new"; first, _ = q.Next(draftKind) {
 			actual += first.Cost()
 			q.Take(0, first.ID())
 		}
-		if gap := predicted - actual; gap > 10_000 || gap < -10_000 {
+		if difference := predicted - actual; difference > 10_000 || difference < -10_000 {
 			return fmt.Sprintf("predicted %d, actual %d", predicted, actual)
 		}
 		return ""
--- a/pkg/kumquatlug/admission/queue.go
+++ b/pkg/kumquatlug/admission/queue.go
@@ -60,8 +60,8 @@
 )
 
 const (
-	// waitPart leaves a tenth of the spare time for swings of the drain rate.
-	waitPart = 0.9
+	// maxWaitFraction leaves a tenth of the spare time for swings of the drain rate.
+	maxWaitFraction = 0.9
 )
 
 // Config is what a [Queue] is made of.
@@ -117,24 +117,24 @@
 
 // Queue holds the requests of one entry that wait, a line for each kind.
 type Queue struct {
-	config    Config
-	lines     map[kumquatlug.Kind]*line
-	order     []*line
-	items     map[string]*item
-	free      []*item
-	kinds     []kumquatlug.Kind
-	refusals  []Refusal
-	walk      walk
-	arrivals  uint64
-	lastCheck kumquatlug.Millis
+	config     Config
+	kindQueues map[kumquatlug.Kind]*kindQueue
+	sorted     []*kindQueue
+	items      map[string]*item
+	free       []*item
+	kinds      []kumquatlug.Kind
+	refusals   []Refusal
+	order      serviceOrder
+	arrivals   uint64
+	lastCheck  kumquatlug.Millis
 }
 
 // New returns an empty queue.
 func New(c Config) *Queue {
 	return &Queue{
-		config: c.withDefaults(),
-		lines:  make(map[kumquatlug.Kind]*line),
-		items:  make(map[string]*item),
+		config:     c.withDefaults(),
+		kindQueues: make(map[kumquatlug.Kind]*kindQueue),
+		items:      make(map[string]*item),
 	}
 }
 
@@ -142,23 +142,23 @@
 // are valid until the next call of the queue.
 func (q *Queue) Offer(now kumquatlug.Millis, r Request) Decision {
 	q.refusals = q.refusals[:0]
-	l := q.line(r.kind)
-	l.advance(now)
-	if reason := q.unfit(r); reason != "" {
+	kq := q.kindQueue(r.kind)
+	kq.advance(now)
+	if reason := q.invalidReason(r); reason != "" {
 		return q.refuse(r, reason, 0)
 	}
-	c, f := l.place(r)
-	raw := l.predictWait(c, f, r)
-	wait := l.error.correct(raw)
-	if late := wait - q.allowedWait(now, l, r); late > 0 {
-		return q.refuse(r, ReasonDeadline, late)
+	c, f := kq.flowFor(r)
+	predicted := kq.predictWait(c, f, r)
+	wait := kq.predictionError.correct(predicted)
+	if excess := wait - q.allowedWait(now, kq, r); excess > 0 {
+		return q.refuse(r, ReasonDeadline, excess)
 	}
-	if !q.makeRoom(l, c, f, r) {
+	if !q.makeRoom(kq, c, f, r) {
 		return q.refuse(r, ReasonFull, 0)
 	}
-	it := q.enqueue(l, c, f, r)
-	it.offered, it.predicted = now, raw
-	if l.count == 1 {
+	it := q.enqueue(kq, c, f, r)
+	it.offeredAt, it.predictedWait = now, predicted
+	if kq.count == 1 {
 		q.lastCheck = max(q.lastCheck, now)
 	}
 	return Decision{verdict: VerdictQueued, wait: wait, displaced: q.refusals}
@@ -169,19 +169,19 @@
 // empty for seconds isn't taking in a burst any more; it gives the targets no
 // more work than a short one would, and only makes each answer later, until
 // each swing of the drain rate makes the tail late after it has waited.
-func (q *Queue) allowedWait(now kumquatlug.Millis, l *line, r Request) kumquatlug.Millis {
-	spare := r.deadline - now - r.service
-	if spare < 0 {
-		return spare
+func (q *Queue) allowedWait(now kumquatlug.Millis, kq *kindQueue, r Request) kumquatlug.Millis {
+	slack := r.deadline - now - r.service
+	if slack < 0 {
+		return slack
 	}
-	allowed := kumquatlug.Millis(waitPart * float64(spare))
-	if now-l.emptyAt > q.config.StandingAfter {
+	allowed := kumquatlug.Millis(maxWaitFraction * float64(slack))
+	if now-kq.lastEmptyAt > q.config.StandingAfter {
 		return min(allowed, q.config.StandingWait)
 	}
 	return allowed
 }
 
-func (q *Queue) unfit(r Request) Reason {
+func (q *Queue) invalidReason(r Request) Reason {
 	if _, known := q.items[r.id]; known {
 		return ReasonDuplicate
 	}
@@ -191,39 +191,39 @@
 	return ""
 }
 
-func (q *Queue) refuse(r Request, reason Reason, late kumquatlug.Millis) Decision {
-	return Decision{verdict: VerdictRefused, refusal: q.refusal(r, reason, late)}
+func (q *Queue) refuse(r Request, reason Reason, excess kumquatlug.Millis) Decision {
+	return Decision{verdict: VerdictRefused, refusal: q.refusal(r, reason, excess)}
 }
 
-func (q *Queue) refusal(r Request, reason Reason, late kumquatlug.Millis) Refusal {
+func (q *Queue) refusal(r Request, reason Reason, excess kumquatlug.Millis) Refusal {
 	refusal := Refusal{request: r, reason: reason}
 	if reason != ReasonTooLarge && reason != ReasonDuplicate {
-		refusal.retryAfter = q.lines[r.kind].retryAfter(q.config, r.cost, late)
+		refusal.retryAfter = q.kindQueues[r.kind].retryAfter(q.config, r.cost, excess)
 	}
 	return refusal
 }
 
 // makeRoom reports whether r fits, after it has refused the newest work of
 // callers that are further above their share than r's caller would be.
-func (q *Queue) makeRoom(l *line, c *class, f *flow, r Request) bool {
-	needCount := l.count + 1 - q.config.MaxCount
-	needCost := l.cost + r.cost - q.config.MaxCost
+func (q *Queue) makeRoom(kq *kindQueue, c *class, f *flow, r Request) bool {
+	needCount := kq.count + 1 - q.config.MaxCount
+	needCost := kq.cost + r.cost - q.config.MaxCost
 	if needCount <= 0 && needCost <= 0 {
 		return true
 	}
-	for _, victim := range l.victims(c, f, r, needCount, needCost) {
+	for _, victim := range kq.victims(c, f, r, needCount, needCost) {
 		q.refusals = append(q.refusals, q.refusal(victim.request, ReasonShare, 0))
 		q.remove(victim)
 	}
 	return len(q.refusals) > 0
 }
 
-func (q *Queue) enqueue(l *line, c *class, f *flow, r Request) *item {
+func (q *Queue) enqueue(kq *kindQueue, c *class, f *flow, r Request) *item {
 	it := q.newItem()
 	q.arrivals++
-	it.request, it.arrival, it.line, it.class, it.flow = r, q.arrivals, l, c, f
+	it.request, it.arrival, it.kindQueue, it.class, it.flow = r, q.arrivals, kq, c, f
 	q.items[r.id] = it
-	l.add(it)
+	kq.add(it)
 	return it
 }
 
@@ -231,9 +231,9 @@
 // until the next call.
 func (q *Queue) Kinds() []kumquatlug.Kind {
 	q.kinds = q.kinds[:0]
-	for _, l := range q.order {
-		if l.count > 0 {
-			q.kinds = append(q.kinds, l.kind)
+	for _, kq := range q.sorted {
+		if kq.count > 0 {
+			q.kinds = append(q.kinds, kq.kind)
 		}
 	}
 	return q.kinds
@@ -243,11 +243,11 @@
 // removing it: when no target has room for it, it keeps its place. Call
 // [Queue.Expire] first, so that no late request is served.
 func (q *Queue) Next(kind kumquatlug.Kind) (Request, bool) {
-	l, ok := q.lines[kind]
-	if !ok || l.count == 0 {
+	kq, ok := q.kindQueues[kind]
+	if !ok || kq.count == 0 {
 		return Request{}, false
 	}
-	return l.first().request, true
+	return kq.head().request, true
 }
 
 // Take removes a request that is now being served and charges its caller's
@@ -257,9 +257,9 @@
 	if !ok {
 		return false
 	}
-	it.line.advance(now)
-	it.line.charge(it)
-	it.line.error.learn(now-it.offered, it.predicted)
+	it.kindQueue.advance(now)
+	it.kindQueue.charge(it)
+	it.kindQueue.predictionError.learn(now-it.offeredAt, it.predictedWait)
 	q.remove(it)
 	return true
 }
@@ -271,7 +271,7 @@
 	if !ok {
 		return false
 	}
-	it.line.advance(now)
+	it.kindQueue.advance(now)
 	q.remove(it)
 	return true
 }
@@ -281,9 +281,9 @@
 // token, then each piece of output): were a long answer counted only at its
 // end, the rate would fall to nothing in between.
 func (q *Queue) Served(now kumquatlug.Millis, kind kumquatlug.Kind, tokens int64) {
-	l := q.line(kind)
-	l.advance(now)
-	l.drain.served(tokens, l.count > 0)
+	kq := q.kindQueue(kind)
+	kq.advance(now)
+	kq.drain.served(tokens, kq.count > 0)
 }
 
 // Expire removes and returns those that can't make their deadline any more.
@@ -291,22 +291,22 @@
 func (q *Queue) Expire(now kumquatlug.Millis) []Refusal {
 	q.lastCheck = now
 	q.refusals = q.refusals[:0]
-	for _, l := range q.order {
-		l.advance(now)
-		q.expireLine(now, l)
-		l.forgetIdle()
+	for _, kq := range q.sorted {
+		kq.advance(now)
+		q.expireKind(now, kq)
+		kq.removeIdleFlows()
 	}
 	return q.refusals
 }
 
-func (q *Queue) expireLine(now kumquatlug.Millis, l *line) {
-	if !l.mayBeLate(now) {
+func (q *Queue) expireKind(now kumquatlug.Millis, kq *kindQueue) {
+	if !kq.mayBeLate(now) {
 		return
 	}
-	for _, it := range q.walk.late(now, l) {
-		l.error.learn(now-it.offered, it.predicted)
-		late := now + it.request.service - it.request.deadline
-		q.refusals = append(q.refusals, q.refusal(it.request, ReasonDeadline, max(late, 0)))
+	for _, it := range q.order.findLate(now, kq) {
+		kq.predictionError.learn(now-it.offeredAt, it.predictedWait)
+		excess := now + it.request.service - it.request.deadline
+		q.refusals = append(q.refusals, q.refusal(it.request, ReasonDeadline, max(excess, 0)))
 		q.remove(it)
 	}
 }
@@ -315,9 +315,9 @@
 // at the next look, or before it when the first latest start has passed.
 func (q *Queue) Wake() (kumquatlug.Millis, bool) {
 	wake := q.lastCheck + q.config.CheckEvery
-	for _, l := range q.order {
-		if l.count > 0 {
-			wake = min(wake, l.tightest+1)
+	for _, kq := range q.sorted {
+		if kq.count > 0 {
+			wake = min(wake, kq.minLatestStart+1)
 		}
 	}
 	return wake, len(q.items) > 0
@@ -325,16 +325,16 @@
 
 // Len returns how many requests of a kind wait.
 func (q *Queue) Len(kind kumquatlug.Kind) int {
-	if l, ok := q.lines[kind]; ok {
-		return l.count
+	if kq, ok := q.kindQueues[kind]; ok {
+		return kq.count
 	}
 	return 0
 }
 
 // Cost returns the tokens of a kind that wait.
 func (q *Queue) Cost(kind kumquatlug.Kind) int64 {
-	if l, ok := q.lines[kind]; ok {
-		return l.cost
+	if kq, ok := q.kindQueues[kind]; ok {
+		return kq.cost
 	}
 	return 0
 }
@@ -342,25 +342,25 @@
 // DrainRate returns the measured tokens a second of a kind, zero when nothing
 // is known yet.
 func (q *Queue) DrainRate(now kumquatlug.Millis, kind kumquatlug.Kind) float64 {
-	l, ok := q.lines[kind]
+	kq, ok := q.kindQueues[kind]
 	if !ok {
 		return 0
 	}
-	l.advance(now)
-	return l.drain.rate() * float64(kumquatlug.Second)
+	kq.advance(now)
+	return kq.drain.rate() * float64(kumquatlug.Second)
 }
 
-func (q *Queue) line(kind kumquatlug.Kind) *line {
-	if l, ok := q.lines[kind]; ok {
-		return l
+func (q *Queue) kindQueue(kind kumquatlug.Kind) *kindQueue {
+	if kq, ok := q.kindQueues[kind]; ok {
+		return kq
 	}
-	l := newLine(kind, q.config)
-	q.lines[kind] = l
-	q.order = append(q.order, l)
-	slices.SortFunc(q.order, func(a, b *line) int {
+	kq := newKindQueue(kind, q.config)
+	q.kindQueues[kind] = kq
+	q.sorted = append(q.sorted, kq)
+	slices.SortFunc(q.sorted, func(a, b *kindQueue) int {
 		return strings.Compare(a.kind.String(), b.kind.String())
 	})
-	return l
+	return kq
 }
 
 func (q *Queue) newItem() *item {
@@ -373,7 +373,7 @@
 }
 
 func (q *Queue) remove(it *item) {
-	it.line.remove(it)
+	it.kindQueue.remove(it)
 	delete(q.items, it.request.id)
 	*it = item{}
 	q.free = append(q.free, it)
--- a/pkg/kumquatlug/admission/queue_test.go
+++ b/pkg/kumquatlug/admission/queue_test.go
@@ -7,20 +7,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-var draft = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
+var draftKind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
 
 // request is a request of 100 tokens with a minute's time.
 func request(id, caller string) RequestConfig {
-	return RequestConfig{ID: id, Caller: caller, Kind: draft, Cost: 100, Deadline: kumquatlug.Minute}
+	return RequestConfig{ID: id, Caller: caller, Kind: draftKind, Cost: 100, Deadline: kumquatlug.Minute}
 }
 
-// drained returns a queue whose measured drain rate is tokens a second.
-func drained(c Config, tokens int64) (*Queue, kumquatlug.Millis) {
+// newQueueWithDrainRate returns a queue whose measured drain rate is tokens a second.
+func newQueueWithDrainRate(c Config, tokens int64) (*Queue, kumquatlug.Millis) {
 	q := New(c)
-	q.Offer(0, NewRequest(RequestConfig{ID: "warm", Caller: "warm", Kind: draft, Deadline: kumquatlug.Hour}))
+	q.Offer(0, NewRequest(RequestConfig{ID: "warm", Caller: "warm", Kind: draftKind, Deadline: kumquatlug.Hour}))
 	now := kumquatlug.Millis(0)
 	for ; now <= kumquatlug.Minute; now += 100 {
-		q.Served(now, draft, tokens/10)
+		q.Served(now, draftKind, tokens/10)
 	}
 	q.Cancel(now, "warm")
 	return q, now
@@ -30,7 +30,7 @@
 func serve(q *Queue, now kumquatlug.Millis, n int) []string {
 	var ids []string
 	for range n {
-		r, ok := q.Next(draft)
+		r, ok := q.Next(draftKind)
 		if !ok {
 			break
 		}
@@ -50,11 +50,11 @@
 	// Output: [hot-0 quiet-0 hot-1 hot-2]
 }
 
-func TestHotCallerFillsLine(t *testing.T) {
+func TestHotCallerIsDisplacedFromFullQueue(t *testing.T) {
 	// One caller sends a thousand requests in a second and fills the line.
 	// Another one that sends a request now and then would be told "queue
 	// full" all day, or wait behind the thousand.
-	q, now := drained(Config{MaxCount: 100}, 10_000)
+	q, now := newQueueWithDrainRate(Config{MaxCount: 100}, 10_000)
 	for n := range 1000 {
 		c := request(fmt.Sprint("hot-", n), "hot")
 		c.Deadline = now + kumquatlug.Minute
@@ -74,10 +74,10 @@
 	}
 }
 
-func TestWaitPastDeadlineIsRefusedAtOnce(t *testing.T) {
+func TestUnreachableDeadlineIsRefusedOnOffer(t *testing.T) {
 	// Twice as much work arrives as the targets finish. Kept in the line, each
 	// request would be answered late; its caller learns so at the deadline.
-	q, now := drained(Config{}, 1000)
+	q, now := newQueueWithDrainRate(Config{}, 1000)
 	deadline := now + 10*kumquatlug.Second
 	var refused []Refusal
 	for n := range 200 {
@@ -87,7 +87,7 @@
 			refused = append(refused, d.Refusal())
 		}
 	}
-	if n := q.Len(draft); n < 70 || n > 80 {
+	if n := q.Len(draftKind); n < 70 || n > 80 {
 		t.Errorf("%d wait, want the 80 that 8 s at 1000 tokens/s serve, less the margin of a tenth", n)
 	}
 	distinct := map[kumquatlug.Millis]bool{}
@@ -102,24 +102,24 @@
 	}
 }
 
-func TestLostTargetsAreToldBeforeTheDeadline(t *testing.T) {
+func TestWaitingRequestsAreRefusedEarlyWhenTargetsFail(t *testing.T) {
 	// The targets are lost while callers wait. Nothing more is served, and the
 	// callers sit until their deadlines pass though it is known that they are
 	// waiting for nothing.
-	q, now := drained(Config{}, 1000)
+	q, now := newQueueWithDrainRate(Config{}, 1000)
 	deadline := now + 30*kumquatlug.Second
 	for n := range 200 {
 		c := request(fmt.Sprint(n), "caller")
 		c.Deadline = deadline
 		q.Offer(now, NewRequest(c))
 	}
-	told := 0
+	refused := 0
 	for wake, ok := q.Wake(); ok && wake < now+20*kumquatlug.Second; wake, ok = q.Wake() {
-		told += len(q.Expire(wake))
+		refused += len(q.Expire(wake))
 	}
 	// With a horizon of 10 s the rate is e^-2 of what it was by then: of the
 	// 20,000 tokens no more than 1,700 still seem within reach.
-	if told < 180 {
-		t.Errorf("%d of 200 were told within 20 s that 30 s won't do", told)
+	if refused < 180 {
+		t.Errorf("%d of 200 were told within 20 s that 30 s won't do", refused)
 	}
 }
