--- a/pkg/kumquatlug/admission/bench_test.go
+++ b/pkg/kumquatlug/admission/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// BenchmarkOfferAndTake is one request's way: offered, found next and taken, with so
-// many others of so many callers in the line.
+// BenchmarkOfferAndTake measures Offer, Next and Take of one request with other
+// requests waiting.
 func BenchmarkOfferAndTake(b *testing.B) {
 	for _, callers := range []int{1, 10, 100, 740} {
 		for _, waiting := range []int{100, 1000} {
@@ -25,7 +25,8 @@
 	}
 }
 
-// BenchmarkOfferToFullQueue is an offer to a full line: refused, or in another's place.
+// BenchmarkOfferToFullQueue measures an Offer that is refused or displaces another
+// request.
 func BenchmarkOfferToFullQueue(b *testing.B) {
 	for _, callers := range []int{10, 740} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// BenchmarkExpire is one look at all that waits.
+// BenchmarkExpire measures one check of all waiting requests.
 func BenchmarkExpire(b *testing.B) {
 	for _, callers := range []int{10, 740} {
 		b.Run(fmt.Sprintf("callers=%d/waiting=1000", callers), func(b *testing.B) {
@@ -52,6 +53,8 @@
 	}
 }
 
+// newLoadedQueue returns a queue with waiting requests of the given number of
+// callers, the current time and requests to offer.
 func newLoadedQueue(callers, waiting int) (*Queue, kumquatlug.Millis, []Request) {
 	q, now := newQueueWithDrainRate(Config{}, 100_000)
 	makeRequest := func(id string, n int) Request {
--- a/pkg/kumquatlug/admission/drain.go
+++ b/pkg/kumquatlug/admission/drain.go
@@ -6,26 +6,27 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// minDrainSampleMillis is how long work must have waited before the rate is believed,
-// in milliseconds. In the first seconds of the first burst the targets are
-// still running prompts and little has come back; a rate from then would
-// refuse callers in front of targets that are about to deliver.
+// minDrainSampleMillis is the backlogged time, in milliseconds, needed before
+// the drain rate is used. In the first seconds of the first burst the targets
+// are still running prefill and have produced little output, so a rate measured
+// then is too low and would refuse requests that the targets can serve.
 const minDrainSampleMillis = 3000
 
-// drainEstimator measures how fast a line empties, in tokens a millisecond.
+// drainEstimator measures the service rate of a kind's queue in tokens per
+// millisecond.
 //
-// What is finished while nothing waits shows the callers' demand and not what
-// the targets can do; taken for the drain rate it would make the first burst
-// after a quiet hour look hopeless, and callers would be refused in front of
-// idle targets. So the rate is the decayed mean over the time in which work
-// waited. The mean over all time is kept beside it, since what was finished
-// lately can be finished: it counts where it is larger.
+// Throughput while the queue is empty reflects demand and not the capacity of
+// the targets. Used as the drain rate, it would refuse the first burst after a
+// quiet hour although the targets are idle. The rate is therefore the
+// exponentially decayed mean over backlogged time. The mean over all time is a
+// lower bound of the capacity and is used where it is larger.
 type drainEstimator struct {
 	horizonMillis float64
 	updatedAt     kumquatlug.Millis
 	backlogged    decayedRate
 	overall       decayedRate
-	retryTokens   float64
+	// retryTokens is the refused work that is expected to be retried.
+	retryTokens float64
 }
 
 // decayedRate is a decayed sum of tokens over a decayed sum of milliseconds.
@@ -64,7 +65,7 @@
 	}
 }
 
-// rate returns tokens a millisecond, zero while it isn't known.
+// rate returns the drain rate in tokens per millisecond, zero while unknown.
 func (d *drainEstimator) rate() float64 {
 	if d.backlogged.millis < minDrainSampleMillis {
 		return 0
@@ -72,28 +73,31 @@
 	return max(d.backlogged.rate(), d.overall.rate())
 }
 
-// timeAtRate returns how long tokens take at a rate above zero.
+// timeAtRate returns how long tokens take at rate, in tokens per millisecond.
+// The rate must be positive. The result is at most one hour.
 func timeAtRate(rate, tokens float64) kumquatlug.Millis {
 	return kumquatlug.Millis(min(tokens/rate, float64(kumquatlug.Hour)))
 }
 
 const (
-	// errorDecay makes the forecast error that of some fifty requests.
+	// errorDecay averages the prediction error over about 50 requests.
 	errorDecay = 0.98
-	// errorPriorMillis is how much forecast wait, in milliseconds, counts as having
-	// come true, so that a few odd requests don't move the correction.
+	// errorPriorMillis is the weight of the prior that predictions are exact, in
+	// milliseconds of predicted wait. It keeps a few outliers from moving the
+	// correction.
 	errorPriorMillis = 10_000
-	// maxErrorFactor bounds the correction and what one request adds to it: beyond
-	// it the targets were lost for a while, and to count that as overtaking
-	// would refuse what they can serve when they are back.
+	// maxErrorFactor bounds the correction and the contribution of one request.
+	// Larger errors come from an outage of the targets. Counted as overtaking,
+	// they would cause refusals of work that the targets can serve once they
+	// recover.
 	maxErrorFactor = 4
 )
 
-// waitPredictionError learns by how much waits turn out longer than predicted. The
-// prediction knows what stands in the line and not what will come: callers that
-// arrive later take their turns before a large share, and their shorter
-// deadlines go first. Uncorrected, work with distant deadlines is let in and
-// overtaken until it is late.
+// waitPredictionError tracks the ratio of actual to predicted waits. The
+// prediction covers only requests that are already queued. Later arrivals can
+// be served first, either because their caller has used less of its share or
+// because their deadlines are shorter. Without the correction, requests with
+// distant deadlines are admitted and then overtaken until they are late.
 type waitPredictionError struct {
 	actualMillis    float64
 	predictedMillis float64
--- a/pkg/kumquatlug/admission/estimate.go
+++ b/pkg/kumquatlug/admission/estimate.go
@@ -8,55 +8,55 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// decodeWeight is what a token of output costs in tokens of prompt. An engine
-// that runs 8,000 prompt tokens a second makes some 1,300 tokens of output in a
-// full batch, six times fewer. Counted alike, the drain rate would jump
-// by that factor when the mix shifts, and the predicted waits with it.
+// decodeWeight is the cost of one output token in prompt tokens. An engine that
+// prefills 8,000 prompt tokens per second decodes about 1,300 output tokens per
+// second with a full batch, six times fewer. With equal weights the drain rate
+// and the predicted waits would jump by that factor when the mix shifts.
 const decodeWeight = 6
 
-// Cost returns the cost of prompt and output tokens, in tokens of prompt, for
-// [RequestConfig] and for [Queue.Served].
+// Cost returns the cost of prompt and output tokens, in prompt tokens, for
+// [RequestConfig] and [Queue.Served].
 func Cost(prompt, output int64) int64 {
 	return prompt + decodeWeight*output
 }
 
 const (
-	// meanWeight makes the means follow about the last twenty answers.
+	// meanWeight makes a mean cover about the last 20 responses.
 	meanWeight = 0.05
-	// highQuantile is the part of answers that an estimate of the high side covers.
-	// With the mean alone, an overloaded entry, which serves each request as
-	// late as its deadline allows, would be late with every second.
+	// highQuantile is the quantile that high estimates track. An overloaded entry
+	// serves each request as late as its deadline allows, so with means every
+	// second response would be late.
 	highQuantile = 0.9
-	// quantileStep is by how much an answer moves an estimate of the high side. It
-	// is bounded for one answer, however far off: a few that waited for a lost
-	// target must not make all others look hopeless.
+	// quantileStep is the relative change of a high estimate per response. It
+	// doesn't depend on the size of the error, so that a few responses delayed by
+	// a lost target don't cause refusals of all other requests.
 	quantileStep = 0.05
-	// decayDelay is how long no answer may come before what was learned begins to
-	// be forgotten, and oblivion the time in which most of it then is. Requests
-	// that seem hopeless are refused, and what is refused teaches nothing:
-	// without it one bad minute could refuse a caller's documents for ever. To
-	// forget while answers come would draw each estimate towards what was
-	// assumed, the more the rarer a caller asks.
+	// decayDelay is the time without responses after which an estimate starts to
+	// decay to its initial value, decayTime the time constant of the decay.
+	// Refused requests yield no samples, so without the decay one bad minute
+	// could refuse a caller's long requests for ever. Decay while responses
+	// arrive would bias estimates towards the initial value, most of all for
+	// callers with few requests.
 	decayDelay = 30 * kumquatlug.Second
 	decayTime  = 20 * kumquatlug.Second
 )
 
-// EstimatorConfig is what an [Estimator] is made of: what is taken for true of
-// a kind of work before its first answers.
+// EstimatorConfig holds the initial values of an [Estimator], used for a kind of
+// work until responses have been observed.
 type EstimatorConfig struct {
 	// Output is the expected output in tokens. Default 200, a few paragraphs.
 	Output float64
-	// PromptRate is prompt tokens a second of a request that is alone.
-	// Default 8,000, a mid-sized model on one accelerator.
+	// PromptRate is the prefill rate of a request that runs alone, in prompt
+	// tokens per second. Default 8,000, a mid-sized model on one accelerator.
 	PromptRate float64
-	// TokenGap is milliseconds from one token of output to the next. Default
-	// 29, the time that 95 in 100 gaps are to keep at full load.
+	// TokenGap is the time between two output tokens in milliseconds. Default
+	// 29, the target for the 95th percentile at full load.
 	TokenGap float64
 }
 
-// Estimator learns from answers how much output a caller's requests bring and
-// how long they take once sent. Short and long prompts are told apart, since
-// one account sends both questions and documents.
+// Estimator learns from responses how many output tokens a caller's requests
+// produce and how long they take once sent. Estimates are kept per prompt length
+// bucket, since one account sends both short questions and long documents.
 type Estimator struct {
 	config      EstimatorConfig
 	tokenGaps   map[kumquatlug.Kind]*estimate
@@ -64,14 +64,15 @@
 	outputs     map[sizeKey]*outputEstimate
 }
 
-// outputEstimate is how much one caller's requests bring.
+// outputEstimate holds the output tokens of one caller's requests: the mean and
+// the highQuantile.
 type outputEstimate struct {
 	mean *estimate
 	high *estimate
 }
 
-// sizeKey tells requests apart by their prompts' length, within a factor of four;
-// the caller is empty where all callers count together.
+// sizeKey groups requests by prompt length in buckets of a factor of four. The
+// caller is empty for estimates that cover all callers.
 type sizeKey struct {
 	caller string
 	kind   kumquatlug.Kind
@@ -82,8 +83,8 @@
 	return sizeKey{caller: caller, kind: kind, bucket: bits.Len64(uint64(max(prompt, 0))) / 2}
 }
 
-// estimate is a value learned from answers, which falls back to what was
-// assumed at first.
+// estimate is a value learned from responses. It decays to its initial value
+// while no responses arrive.
 type estimate struct {
 	initial   float64
 	value     float64
@@ -100,14 +101,14 @@
 	return e.initial + decay*(e.value-e.initial)
 }
 
-// learnMean moves e to the mean of the samples.
+// learnMean updates e as an exponentially weighted mean of the samples.
 func (e *estimate) learnMean(now kumquatlug.Millis, sample float64) {
 	value := e.at(now)
 	e.value = value + meanWeight*(sample-value)
 	e.learnedAt = now
 }
 
-// learnQuantile moves e to where the sure part of the samples lies below it.
+// learnQuantile moves e towards the highQuantile of the samples.
 func (e *estimate) learnQuantile(now kumquatlug.Millis, sample float64) {
 	e.value = e.at(now)
 	if sample > e.value {
@@ -118,7 +119,8 @@
 	e.learnedAt = now
 }
 
-// NewEstimator returns an estimator that has seen no answers.
+// NewEstimator returns an estimator without samples. Zero fields of c take their
+// defaults.
 func NewEstimator(c EstimatorConfig) *Estimator {
 	c.Output = standard.Float(c.Output, 200)
 	c.PromptRate = standard.Float(c.PromptRate, 8000)
@@ -129,27 +131,28 @@
 	}
 }
 
-// Output returns the expected output of a request with so long a prompt, in
-// tokens.
+// Output returns the expected output, in tokens, of a request whose prompt has
+// the given number of tokens.
 func (e *Estimator) Output(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, prompt int64) int64 {
 	return int64(e.output(caller, kind, prompt).mean.at(now))
 }
 
-// HighOutput returns the output that about nine of ten answers stay below.
+// HighOutput returns the 90th percentile of the output, in tokens, of a request
+// whose prompt has the given number of tokens.
 func (e *Estimator) HighOutput(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, prompt int64) int64 {
 	return int64(e.output(caller, kind, prompt).high.at(now))
 }
 
-// Service returns how long an answer takes from sending to its last token, such
-// that about nine of ten take less.
+// Service returns a service time, from sending to the last token, that about
+// nine of ten responses stay below.
 func (e *Estimator) Service(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, prompt int64) kumquatlug.Millis {
 	output := e.output(caller, kind, prompt).high.at(now)
 	return kumquatlug.Millis(e.firstToken(kind, prompt).at(now) + e.tokenGap(kind).at(now)*output)
 }
 
-// Learn takes in an answer. One that its caller gave up counts too, with what
-// there was of it: left out, only those that were fast enough would be learned
-// from, and the estimate would be right about them alone.
+// Learn updates the estimates with a response. Responses that the caller
+// cancelled count with the part that was produced. Without them only responses
+// that were fast enough would be sampled, which biases the estimates.
 func (e *Estimator) Learn(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, a Observed) {
 	e.firstToken(kind, a.Prompt).learnQuantile(now, float64(a.First))
 	if a.Output > 1 {
@@ -165,14 +168,14 @@
 	}
 }
 
-// Observed is what an answer showed.
+// Observed describes one response, complete or cancelled.
 type Observed struct {
 	// Prompt and Output are in tokens.
 	Prompt, Output int64
-	// First is the time from sending to the first token, Rest from there to
-	// the last, in milliseconds.
+	// First is the time from sending to the first token, Rest the time from the
+	// first to the last token.
 	First, Rest kumquatlug.Millis
-	// Whole is whether the answer came to its end.
+	// Whole reports whether the response completed.
 	Whole bool
 }
 
@@ -205,8 +208,8 @@
 	return o
 }
 
-// Forget drops callers that sent nothing for long, so that memory is bounded by
-// who was active lately. Call it now and then.
+// Forget removes the output estimates of callers without recent responses, so
+// that memory is bounded by the number of active callers. Call it periodically.
 func (e *Estimator) Forget(now kumquatlug.Millis) {
 	for key, o := range e.outputs {
 		if now-o.mean.learnedAt > 10*decayTime {
--- a/pkg/kumquatlug/admission/estimate_test.go
+++ b/pkg/kumquatlug/admission/estimate_test.go
@@ -7,8 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// learnAnswers teaches e answers whose output varies by a factor of two around a
-// mean and that come every gap.
+// learnAnswers feeds e with n responses, one per interval. Their output is
+// uniform between half and one and a half times output tokens.
 func learnAnswers(e *Estimator, now kumquatlug.Millis, n int, interval kumquatlug.Millis, output float64) kumquatlug.Millis {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range n {
@@ -24,25 +24,25 @@
 		e := NewEstimator(EstimatorConfig{})
 		now := learnAnswers(e, 0, 2000, interval, 600)
 		if mean := e.Output(now, "desk", draftKind, 400); mean < 540 || mean > 660 {
-			t.Errorf("every %d ms: mean %d, want 600", interval, mean)
+			t.Errorf("interval %d ms: mean output %d, want 600", interval, mean)
 		}
-		// The output lies evenly between 300 and 900, nine tenths below 840.
+		// The output is uniform between 300 and 900; its 90th percentile is 840.
 		if high := e.HighOutput(now, "desk", draftKind, 400); high < 750 || high > 930 {
-			t.Errorf("every %d ms: high %d, want 840", interval, high)
+			t.Errorf("interval %d ms: high output %d, want 840", interval, high)
 		}
 		if s := e.Service(now, "desk", draftKind, 400); s < 30_000 || s > 39_000 {
-			t.Errorf("every %d ms: service %d, want 840 gaps of 40 and the first token", interval, s)
+			t.Errorf("interval %d ms: service time %d, want the first token and 840 gaps of 40 ms", interval, s)
 		}
 		if other := e.Output(now, "desk", draftKind, 40_000); other != 200 {
-			t.Errorf("documents are taken for questions: %d", other)
+			t.Errorf("long prompts: mean output %d, want the initial 200", other)
 		}
 	}
 }
 
 func TestHighEstimateDecaysWithoutAnswers(t *testing.T) {
-	// For a minute every answer took longer than callers wait. All that asks is
-	// refused as hopeless from then on, nothing new is learned, and the callers
-	// are refused in front of idle engines until somebody restarts the entry.
+	// For a minute every response takes longer than callers wait. Without decay,
+	// all later requests are refused, no new samples arrive, and the refusals go on
+	// with idle engines until the entry restarts.
 	e := NewEstimator(EstimatorConfig{})
 	now := kumquatlug.Millis(0)
 	for range 1000 {
@@ -50,16 +50,16 @@
 		e.Learn(now, "desk", draftKind, Observed{Prompt: 400, Output: 100, First: 30_000, Rest: 30_000})
 	}
 	if s := e.Service(now, "desk", draftKind, 400); s < 30_000 {
-		t.Fatalf("service %d does not show the bad minute", s)
+		t.Fatalf("service time %d after a minute of slow responses, want at least 30000", s)
 	}
 	if s := e.Service(now+3*kumquatlug.Minute, "desk", draftKind, 400); s > 10_000 {
-		t.Errorf("three minutes later service is still %d", s)
+		t.Errorf("service time %d after three minutes without responses, want at most 10000", s)
 	}
 }
 
 func TestFewOutliersBarelyChangeServiceTime(t *testing.T) {
-	// A target is lost, and what it had in hand waits long elsewhere. Nobody
-	// else's request takes longer for that.
+	// After the loss of a target its requests take long on other targets. The
+	// service time of all other requests is unchanged.
 	e := NewEstimator(EstimatorConfig{})
 	now := learnAnswers(e, 0, 500, 100, 150)
 	before := e.Service(now, "desk", draftKind, 400)
@@ -67,6 +67,6 @@
 		e.Learn(now, "desk", draftKind, Observed{Prompt: 400, First: 60_000})
 	}
 	if after := e.Service(now, "desk", draftKind, 400); after > before+200 {
-		t.Errorf("ten outliers move the service time from %d to %d", before, after)
+		t.Errorf("ten outliers change the service time from %d to %d", before, after)
 	}
 }
--- a/pkg/kumquatlug/admission/expire.go
+++ b/pkg/kumquatlug/admission/expire.go
@@ -6,28 +6,29 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// drainRateMargin is how much faster than measured the drain may turn out to be. A
-// request that waits is given up only if it would be late even then: with no
-// allowance the noise of the measurement would throw out work that makes it.
+// drainRateMargin is the factor by which the drain rate may exceed the measured
+// one. A waiting request expires only if it would be late even at that rate.
+// Without the margin, measurement noise would expire requests that can meet
+// their deadlines.
 const drainRateMargin = 1.25
 
-// cursor is one caller's place in a walk through the fair order.
+// cursor is the position within one flow during a traversal in service order.
 type cursor struct {
 	flow  *flow
 	index int
 	start int64
 }
 
-// serviceOrder goes through a line in the order in which it will be served. It keeps
-// its slices from one walk to the next.
+// serviceOrder traverses a kind's queue in service order without changing it. It
+// reuses its slices between traversals.
 type serviceOrder struct {
 	cursors [classCount][]cursor
 	starts  [classCount]int64
 	late    []*item
 }
 
-// mayBeLate reports whether a walk could find anything: if the whole line is
-// done before the tightest deadline, nothing is late.
+// mayBeLate reports whether any waiting request can be late. None is if the
+// whole queue drains before the earliest latest start.
 func (kq *kindQueue) mayBeLate(now kumquatlug.Millis) bool {
 	if kq.count == 0 {
 		return false
@@ -39,8 +40,8 @@
 	return end > kq.minLatestStart
 }
 
-// findLate returns what can't make its deadline. What is given up delays nobody
-// behind it.
+// findLate returns the requests that can't meet their deadlines. They don't
+// count towards the wait of the requests behind them.
 func (o *serviceOrder) findLate(now kumquatlug.Millis, kq *kindQueue) []*item {
 	o.begin(kq)
 	minLatestStart := kumquatlug.Millis(math.MaxInt64)
@@ -77,7 +78,7 @@
 	}
 }
 
-// nextClass returns the class that is served next, -1 at the end.
+// nextClass returns the index of the class that is served next, -1 at the end.
 func (o *serviceOrder) nextClass() int {
 	best := -1
 	for n := range o.cursors {
@@ -88,7 +89,7 @@
 	return best
 }
 
-// next returns the next request of a class and moves past it.
+// next returns the next request of class n and advances the cursor.
 func (o *serviceOrder) next(n int) *item {
 	c := &o.cursors[n][0]
 	it := c.flow.entries[c.index].item
@@ -96,14 +97,16 @@
 	return it
 }
 
-// charge moves the class and the caller at its top on by cost.
+// charge adds cost to the virtual start of class n and of the flow at the top of
+// its heap.
 func (o *serviceOrder) charge(n int, kq *kindQueue, cost int64) {
 	o.starts[n] += cost * virtualScale / kq.classes[n].weight
 	c := &o.cursors[n][0]
 	c.start += cost * virtualScale / c.flow.weight
 }
 
-// fixTop restores the heap order of a class after its top has moved or ended.
+// fixTop restores the heap order of class n after its top was charged or
+// exhausted.
 func (o *serviceOrder) fixTop(n int) {
 	h := o.cursors[n]
 	if h[0].index == len(h[0].flow.entries) {
--- a/pkg/kumquatlug/admission/fair.go
+++ b/pkg/kumquatlug/admission/fair.go
@@ -8,20 +8,23 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// The classes of priority. Five are enough for background work, ordinary work
-// and urgent work with a step between; each goes eight to one before the next.
+// The range of priorities. Each of the five priorities is a class: background,
+// normal and urgent work with a step between them. A class has eight times the
+// weight of the next lower one.
 const (
 	LowestPriority  = -2
 	HighestPriority = 2
 	classCount      = HighestPriority - LowestPriority + 1
-	// classWeightRatio keeps an eighth of the drain for the class below: it is noticed
-	// (not starved), and a class that asks for less than 8/9 waits for nobody.
+	// classWeightRatio is the weight of a class relative to the next lower one.
+	// At 8 the lower class isn't starved, and a class whose demand is below 8/9
+	// of the drain rate isn't delayed by it.
 	classWeightRatio = 8
 )
 
-// virtualScale is the resolution of virtual time: one token of the highest
-// class (weight 4,096) still moves it by 16. At 100,000 tokens a second of the
-// lowest class it takes over forty years to overflow.
+// virtualScale is the virtual time of one token at weight 1. One token of the
+// highest class (weight 4,096) still advances virtual time by 16. At 100,000
+// tokens per second of the lowest class, int64 overflows after more than 40
+// years.
 const virtualScale = 1 << 16
 
 // item is one waiting request.
@@ -32,13 +35,13 @@
 	class     *class
 	flow      *flow
 	isVictim  bool
-	// offeredAt is when it came, predicted the wait that was foreseen then.
-	offeredAt     kumquatlug.Millis
+	offeredAt kumquatlug.Millis
+	// predictedWait is the uncorrected prediction made at offeredAt.
 	predictedWait kumquatlug.Millis
 }
 
-// flowEntry is an item's place in its caller's share; the values that are compared
-// lie side by side, so that scans of long lines stay in the cache.
+// flowEntry is one item of a flow. It holds copies of the compared values so
+// that scans of long flows read contiguous memory.
 type flowEntry struct {
 	deadline kumquatlug.Millis
 	arrival  uint64
@@ -47,7 +50,7 @@
 }
 
 // flow is one caller's waiting work within a class, earliest deadline first.
-// start is the virtual time at which its first request may start.
+// start is the virtual start time of its first request.
 type flow struct {
 	caller    string
 	weight    int64
@@ -56,14 +59,16 @@
 	share     float64
 	entries   []flowEntry
 	heapIndex int
-	// marked is what victims has chosen so far and not yet removed.
+	// victimCost and victimCount total the items that victims has selected but
+	// not yet removed.
 	victimCost  int64
 	victimCount int
 }
 
 func (f *flow) backlogged() bool { return len(f.entries) > 0 }
 
-// insertIndex returns where an entry of this deadline and arrival stands.
+// insertIndex returns the index at which to insert an entry with this deadline
+// and arrival number.
 func (f *flow) insertIndex(deadline kumquatlug.Millis, arrival uint64) int {
 	n := len(f.entries)
 	for n > 0 && sortsAfter(f.entries[n-1], deadline, arrival) {
@@ -95,7 +100,8 @@
 	f.cost -= it.request.cost
 }
 
-// costBefore returns the tokens of the flow with this deadline or an earlier one.
+// costBefore returns the cost of the flow's items with this deadline or an
+// earlier one.
 func (f *flow) costBefore(deadline kumquatlug.Millis) int64 {
 	ahead := f.cost
 	for n := len(f.entries) - 1; n >= 0 && f.entries[n].deadline > deadline; n-- {
@@ -104,7 +110,8 @@
 	return ahead
 }
 
-// newest returns the last arrival that isn't marked, nil if there is none.
+// newest returns the item that arrived last and isn't a victim, nil if there is
+// none.
 func (f *flow) newest() *item {
 	var found *item
 	var arrival uint64
@@ -117,7 +124,7 @@
 	return found
 }
 
-// flowHeap orders the busy flows by virtual start, then by name.
+// flowHeap orders the backlogged flows by virtual start, then by caller name.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
@@ -151,8 +158,9 @@
 	return strings.Compare(caller, otherCaller) < 0
 }
 
-// class is one priority of a line. virtual is the virtual time among its
-// callers; start is its own place among the classes.
+// class is one priority of a kind's queue. virtualTime is the virtual time of
+// its flows, maxStart the largest virtual start among them, and start the
+// class's own virtual start among the classes.
 type class struct {
 	weight      int64
 	start       int64
@@ -173,8 +181,9 @@
 	return f
 }
 
-// startOf returns f's virtual start: a caller that was idle starts now, with
-// neither credit for the time away nor debt from before a quiet spell.
+// startOf returns f's virtual start. A flow that was idle starts no earlier than
+// the current virtual time, so it gets no credit for idle time. It keeps no debt
+// from before the class was last empty, since virtual time has passed that debt.
 func (c *class) startOf(f *flow) int64 {
 	if f.backlogged() {
 		return f.start
@@ -205,7 +214,7 @@
 	}
 }
 
-// charge moves f on by what is being served.
+// charge adds the cost of a request that is being served to f's virtual start.
 func (c *class) charge(f *flow, cost int64) {
 	c.virtualTime = max(c.virtualTime, f.start)
 	f.start += cost * virtualScale / f.weight
@@ -213,8 +222,8 @@
 	heap.Fix(&c.heap, f.heapIndex)
 }
 
-// removeIdleFlows drops callers that are away and owe nothing, so that memory is
-// bounded by who was served lately.
+// removeIdleFlows removes idle flows without debt, so that memory is bounded by
+// the number of recently served callers.
 func (c *class) removeIdleFlows() {
 	for caller, f := range c.flows {
 		if !f.backlogged() && f.start <= c.virtualTime {
--- a/pkg/kumquatlug/admission/line.go
+++ b/pkg/kumquatlug/admission/line.go
@@ -6,7 +6,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// kindQueue is the waiting work of one kind.
+// kindQueue holds the waiting requests of one kind. virtualTime is the virtual
+// time of its classes, maxStart the largest virtual start among them.
 type kindQueue struct {
 	kind            kumquatlug.Kind
 	maxCount        float64
@@ -19,9 +20,11 @@
 	drain           drainEstimator
 	predictionError waitPredictionError
 	lastEmptyAt     kumquatlug.Millis
-	// minLatestStart is no later than the latest start of anything that waits.
+	// minLatestStart is a lower bound of the latest start (deadline minus service
+	// time) of all waiting requests.
 	minLatestStart kumquatlug.Millis
-	victimList     []*item
+	// victimList is the reused result of victims.
+	victimList []*item
 }
 
 func newKindQueue(kind kumquatlug.Kind, c Config) *kindQueue {
@@ -76,7 +79,7 @@
 	}
 }
 
-// charge moves the class and the caller of it on by its cost.
+// charge adds the item's cost to the virtual start of its class and its flow.
 func (kq *kindQueue) charge(it *item) {
 	c := it.class
 	kq.virtualTime = max(kq.virtualTime, c.start)
@@ -85,7 +88,7 @@
 	c.charge(it.flow, it.request.cost)
 }
 
-// head returns what is served next; something must wait.
+// head returns the item that is served next. The queue must not be empty.
 func (kq *kindQueue) head() *item {
 	var best *class
 	for _, c := range kq.classes {
@@ -102,8 +105,8 @@
 	}
 }
 
-// predictWait returns how long r would wait if it stood in f now; zero while
-// the drain rate isn't known.
+// predictWait returns the wait of r if it were added to f now, zero while the
+// drain rate is unknown.
 func (kq *kindQueue) predictWait(c *class, f *flow, r Request) kumquatlug.Millis {
 	rate := kq.drain.rate()
 	if kq.count == 0 || rate == 0 {
@@ -112,9 +115,9 @@
 	return timeAtRate(rate, float64(kq.tokensAhead(c, f, r)))
 }
 
-// tokensAhead returns the tokens that the fair order serves before r: its caller's
-// own earlier deadlines, then of every other caller and class what starts
-// before it in virtual time.
+// tokensAhead returns the cost that is served before r: the earlier deadlines of
+// its own flow, and the part of every other flow and class that starts before it
+// in virtual time.
 func (kq *kindQueue) tokensAhead(c *class, f *flow, r Request) int64 {
 	ownTokens := f.costBefore(r.deadline)
 	start := c.startOf(f) + ownTokens*virtualScale/f.weight
@@ -133,9 +136,10 @@
 	return ahead
 }
 
-// costStartedBefore returns how much of a share's cost starts before a point of
-// virtual time: what its weight earns until then, and half a piece more, since
-// the piece under way at that point is served whole.
+// costStartedBefore returns how much of the cost of a flow or class starts
+// before a point in virtual time. It is the service earned by its weight until
+// then plus half a mean request, since a request in service at that point is
+// served completely.
 func costStartedBefore(point, start, weight, cost, requests int64) int64 {
 	if point <= start {
 		return 0
@@ -144,9 +148,10 @@
 	return min(cost, earned+cost/requests/2)
 }
 
-// victims returns waiting requests whose removal makes room for r: each time
-// the newest of the caller furthest above its share, as long as that caller
-// stands further above it than r's would. It returns none if that isn't enough.
+// victims returns waiting requests whose removal makes room for r. It repeatedly
+// selects the newest request of the flow with the largest weighted share, as
+// long as that share exceeds the share of r's flow with r added. It returns none
+// if that doesn't free enough. The slice is valid until the next call.
 func (kq *kindQueue) victims(c *class, f *flow, r Request, needCount int, needCost int64) []*item {
 	kq.victimList = kq.victimList[:0]
 	threshold := kq.share(c, f, len(f.entries)+1, f.cost+r.cost)
@@ -166,7 +171,8 @@
 	return kq.victimList
 }
 
-// markVictim chooses the newest of g; until unmark, g counts without it.
+// markVictim selects the newest item of f. It doesn't count towards f's share
+// until unmarkVictims.
 func (kq *kindQueue) markVictim(f *flow) *item {
 	it := f.newest()
 	it.isVictim = true
@@ -198,22 +204,23 @@
 	return found
 }
 
-// updateShare brings f's share up to date; kept, it makes the search for the caller
-// furthest above its share a plain scan.
+// updateShare recomputes f's cached share, which keeps the search for the
+// largest share a plain scan.
 func (kq *kindQueue) updateShare(c *class, f *flow) {
 	f.share = kq.share(c, f, len(f.entries)-f.victimCount, f.cost-f.victimCost)
 }
 
-// share returns the part of the line that f holds with so many requests and
-// tokens, whichever is more, for each unit of its weight. Counting both keeps a
-// caller of many tiny requests from filling the line unseen.
+// share returns the fraction of the queue's bounds that f uses with count
+// requests and cost tokens, whichever fraction is larger, divided by its weight.
+// Counting both keeps a caller from filling the queue with many tiny requests.
 func (kq *kindQueue) share(c *class, f *flow, count int, cost int64) float64 {
 	fraction := max(float64(count)/kq.maxCount, float64(cost)/kq.maxCost)
 	return fraction / float64(f.weight*c.weight)
 }
 
-// retryAfter returns when coming back helps a request of this cost that would
-// be late by so much.
+// retryAfter returns the time after which a retry can succeed for a request of
+// this cost that would be late by excess. Refused work is scheduled end to end
+// at the drain rate, with jitter of up to half the time.
 func (kq *kindQueue) retryAfter(config Config, cost int64, excess kumquatlug.Millis) kumquatlug.Millis {
 	wait := config.MinRetryAfter
 	if rate := kq.drain.rate(); rate > 0 {
--- a/pkg/kumquatlug/admission/load_test.go
+++ b/pkg/kumquatlug/admission/load_test.go
@@ -10,7 +10,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// callerStats is what the callers of one run received.
+// callerStats counts the results of one workload. refusedLate counts refusals
+// after more than half of the time to the deadline.
 type callerStats struct {
 	offered, onTime, late, refused int
 	onTimeTokens                   int64
@@ -20,8 +21,8 @@
 	waited, meanWait               kumquatlug.Millis
 }
 
-// workload is a stream of work: a request of cost tokens every gap milliseconds,
-// from the account of its name unless another is named.
+// workload is a stream of requests of cost tokens with a mean interval, sent by
+// account, or by the account named caller if account is empty.
 type workload struct {
 	caller   string
 	account  string
@@ -30,7 +31,7 @@
 	timeout  kumquatlug.Millis
 }
 
-// simulation is a server of ten tokens a millisecond behind a queue.
+// simulation is a queue in front of one server.
 type simulation struct {
 	queue     *Queue
 	stats     map[string]*callerStats
@@ -39,6 +40,7 @@
 	now       kumquatlug.Millis
 }
 
+// serverTokensPerMilli is the capacity of the simulated server.
 const serverTokensPerMilli = 10
 
 func (s *simulation) arrive(n int, w workload) {
@@ -97,7 +99,8 @@
 	t.onTimeTokens += s.serving.Cost()
 }
 
-// simulate runs the loads for a span and returns what each caller received.
+// simulate runs workloads for a duration and returns the stats by caller. No
+// requests arrive in the last tenth.
 func simulate(c Config, duration kumquatlug.Millis, workloads ...workload) map[string]*callerStats {
 	s := &simulation{queue: New(c), stats: map[string]*callerStats{}}
 	nextArrival := make([]kumquatlug.Millis, len(workloads))
@@ -127,63 +130,62 @@
 }
 
 func TestOverloadKeepsGoodput(t *testing.T) {
-	// More work arrives than the targets finish, for minutes. In one line
-	// without bounds each answer comes later than the one before, until all
-	// are late: the targets are busy and no caller has an answer on time.
+	// Work arrives above capacity for minutes. In an unbounded FIFO queue the wait
+	// would grow until every response is late while the targets are busy.
 	for _, factor := range []int64{2, 5} {
 		w := workload{caller: "all", interval: 50 / kumquatlug.Millis(factor), cost: 500, timeout: 4 * kumquatlug.Second}
 		stats := simulate(Config{}, 3*kumquatlug.Minute, w)["all"]
 		maxTokens := int64(serverTokensPerMilli) * int64(162*kumquatlug.Second+w.timeout)
 		if fraction := float64(stats.onTimeTokens) / float64(maxTokens); fraction < 0.95 {
-			t.Errorf("%dx: on time %.3f of what the server can do, want 0.95: %+v", factor, fraction, stats)
+			t.Errorf("%dx: goodput %.3f of the capacity, want 0.95: %+v", factor, fraction, stats)
 		}
 		if stats.late > stats.offered/100 {
-			t.Errorf("%dx: %d of %d were late", factor, stats.late, stats.offered)
+			t.Errorf("%dx: %d of %d responses were late", factor, stats.late, stats.offered)
 		}
 		if stats.refusedLate > stats.offered/100 {
-			t.Errorf("%dx: %d of %d were told late in their time", factor, stats.refusedLate, stats.offered)
+			t.Errorf("%dx: %d of %d requests were refused late", factor, stats.refusedLate, stats.offered)
 		}
 		if stats.maxQueued > DefaultMaxCount {
-			t.Errorf("%dx: %d waited", factor, stats.maxQueued)
+			t.Errorf("%dx: up to %d requests waited", factor, stats.maxQueued)
 		}
 		t.Logf("%dx: %+v", factor, *stats)
 	}
 }
 
 func TestLowRateCallerIsServedBesideHotCaller(t *testing.T) {
-	// A script in a loop sends three times what the targets can do. A clerk
-	// who sends one request every two seconds waits behind it and is late.
+	// One caller sends three times the capacity of the targets. Another caller's
+	// request every two seconds must not wait behind it until it is late.
 	lowRate := workload{caller: "quiet", interval: 2 * kumquatlug.Second, cost: 300, timeout: 2 * kumquatlug.Second}
 	hot := workload{caller: "hot", interval: 10, cost: 300, timeout: 20 * kumquatlug.Second}
 	stats := simulate(Config{MaxCount: 200}, 3*kumquatlug.Minute, lowRate, hot)
 	quiet := stats["quiet"]
 	if quiet.onTime*100 < quiet.offered*98 || quiet.refused > 0 {
-		t.Errorf("the quiet caller got %+v", *quiet)
+		t.Errorf("low-rate caller: %+v", *quiet)
 	}
 	t.Logf("quiet %+v, hot %+v", *quiet, *stats["hot"])
 }
 
 func TestShortRequestsMeetDeadlinesAmongLongOnes(t *testing.T) {
-	// Long documents take seconds each. In arrival order a short question that
-	// comes after three of them is late before it is begun.
+	// Long requests take seconds each. In arrival order a short request behind
+	// three of them would be late before it starts.
 	short := workload{caller: "short", interval: 200, cost: 100, timeout: 3 * kumquatlug.Second}
 	long := workload{caller: "long", interval: 1000, cost: 9000, timeout: 30 * kumquatlug.Second}
 	stats := simulate(Config{}, 3*kumquatlug.Minute, short, long)
 	if s := stats["short"]; s.onTime*100 < s.offered*98 {
-		t.Errorf("short jobs got %+v", *s)
+		t.Errorf("short requests: %+v", *s)
 	}
 	if l := stats["long"]; l.onTime == 0 {
-		t.Errorf("long jobs got %+v", *l)
+		t.Errorf("long requests: %+v", *l)
 	}
 	t.Logf("short %+v, long %+v", *stats["short"], *stats["long"])
 }
 
 func TestOvertakenRequestsAreRefusedEarly(t *testing.T) {
-	// Callers send documents with a long time and, without end, questions with
-	// a short one, together five times what can be served. The questions go
-	// first; a document is let in by what stands before it now, is overtaken by
-	// what comes later, and its caller learns after half a minute that it was in
-	// vain.
+	// Callers send documents with distant deadlines and a steady stream of
+	// questions with near ones, together five times the capacity. Questions are
+	// served first. Without the correction of predictions, documents are admitted
+	// by the work ahead of them, overtaken by later questions, and refused only
+	// after half a minute.
 	var workloads []workload
 	for n := range 20 {
 		account := fmt.Sprint("desk", n)
@@ -199,12 +201,12 @@
 		}
 	}
 	if refusedLate*100 > offered {
-		t.Errorf("%d of %d documents were told when half of their time was over", refusedLate, offered)
+		t.Errorf("%d of %d documents were refused after half of their time", refusedLate, offered)
 	}
 	if maxTokens := int64(serverTokensPerMilli) * int64(270*kumquatlug.Second); served*100 < maxTokens*95 {
 		t.Errorf("%d of %d tokens on time", served, maxTokens)
 	}
-	t.Logf("%d of %d documents told late, %d tokens on time", refusedLate, offered, served)
+	t.Logf("%d of %d documents refused late, %d tokens on time", refusedLate, offered, served)
 }
 
 func TestEarliestDeadlineFirstWithinACaller(t *testing.T) {
@@ -220,24 +222,25 @@
 }
 
 func TestStandingQueueKeepsWaitsShort(t *testing.T) {
-	// Work arrives at one and a half times what can be served, for minutes. The
-	// line in front of the targets gives them no more to do than a short one,
-	// yet as long as deadlines allow everybody waits in it to the last second.
+	// Work arrives at one and a half times the capacity for minutes. A long queue
+	// keeps the targets no busier than a short one, but without a limit every
+	// request would wait as long as its deadline allows.
 	w := workload{caller: "all", interval: 33, cost: 500, timeout: 30 * kumquatlug.Second}
 	stats := simulate(Config{}, 3*kumquatlug.Minute, w)["all"]
 	if maxTokens := int64(serverTokensPerMilli) * int64(162*kumquatlug.Second); stats.onTimeTokens*100 < maxTokens*95 {
 		t.Errorf("%d of %d tokens on time", stats.onTimeTokens, maxTokens)
 	}
-	// The first seconds take in a burst; after that a second's work may wait.
+	// A burst is admitted in the first seconds; after that waits are limited to
+	// one second.
 	if stats.meanWait > 3*kumquatlug.Second {
-		t.Errorf("they wait for %d ms in the mean: %+v", stats.meanWait, *stats)
+		t.Errorf("mean wait %d ms: %+v", stats.meanWait, *stats)
 	}
 	t.Logf("%+v", *stats)
 }
 
 func TestLowPriorityIsNotStarved(t *testing.T) {
-	// Urgent work never ends. With strict priorities a background job would
-	// wait until its deadline without one token.
+	// The queue always holds urgent requests. With strict priorities requests of a
+	// lower class would wait until their deadlines.
 	q := New(Config{})
 	for n := range 90 {
 		urgent := request(fmt.Sprint("urgent-", n), "caller")
@@ -252,13 +255,13 @@
 		}
 	}
 	if plain != 10 {
-		t.Errorf("%d of 90 served were of the lower class, want a ninth", plain)
+		t.Errorf("%d of 90 served requests were of the lower class, want a ninth", plain)
 	}
 }
 
 func TestIdleCallerGainsNoCredit(t *testing.T) {
-	// A caller that was away for an hour doesn't own that hour's share: when it
-	// comes back with a thousand requests, the others keep their turns.
+	// A caller that was idle while others were served must not be served ahead of
+	// them for the time it was idle.
 	q := New(Config{})
 	for n := range 50 {
 		q.Offer(0, NewRequest(request(fmt.Sprint("steady-", n), "steady")))
@@ -274,6 +277,6 @@
 		}
 	}
 	if back > 6 {
-		t.Errorf("the caller that was away got %d of the next 10 turns, want half and one piece at most", back)
+		t.Errorf("the idle caller got %d of the next 10 requests served, want at most half plus one", back)
 	}
 }
--- a/pkg/kumquatlug/admission/property_test.go
+++ b/pkg/kumquatlug/admission/property_test.go
@@ -19,7 +19,7 @@
 	return gopter.NewProperties(p)
 }
 
-// queueModel knows which requests wait; each leaves once.
+// queueModel drives a queue and tracks the cost of each waiting request by id.
 type queueModel struct {
 	q         *Queue
 	now       kumquatlug.Millis
@@ -30,7 +30,7 @@
 
 func (m *queueModel) leave(id string) {
 	if _, ok := m.waiting[id]; !ok {
-		m.violation = id + " left though it didn't wait"
+		m.violation = id + " left the queue but was not waiting"
 	}
 	delete(m.waiting, id)
 }
@@ -39,7 +39,7 @@
 	for _, r := range refusals {
 		m.leave(r.Request().ID())
 		if r.RetryAfter() <= 0 {
-			m.violation = "no time to come back"
+			m.violation = "a refusal has no retry delay"
 		}
 	}
 }
@@ -87,17 +87,17 @@
 		cost += c
 	}
 	if len(m.waiting) != m.q.Len(draftKind) || cost != m.q.Cost(draftKind) {
-		m.violation = fmt.Sprintf("%d requests of %d tokens wait, the queue says %d of %d",
+		m.violation = fmt.Sprintf("%d requests of %d tokens wait, the queue reports %d of %d",
 			len(m.waiting), cost, m.q.Len(draftKind), m.q.Cost(draftKind))
 	}
 	if len(m.waiting) > 20 || cost > 5000 {
-		m.violation = "the line is over its bound"
+		m.violation = "the queue exceeds its bounds"
 	}
 }
 
 func TestRequestsLeaveOnceAndQueueIsBounded(t *testing.T) {
 	p := newProperties(t)
-	p.Property("offers, services, cancels and expiries in any order", prop.ForAll(func(ops []uint64) string {
+	p.Property("offers, service, cancellations and expiry in any order", prop.ForAll(func(ops []uint64) string {
 		m := &queueModel{q: New(Config{MaxCount: 20, MaxCost: 5000}), waiting: map[string]int64{}}
 		for _, op := range ops {
 			if m.step(op); m.violation != "" {
@@ -115,7 +115,7 @@
 
 func TestBackloggedCallersShareByWeight(t *testing.T) {
 	p := newProperties(t)
-	p.Property("two callers differ by no more than one piece of each", prop.ForAll(func(costs []int64, weight int64) string {
+	p.Property("the service of two callers differs by at most one request of each", prop.ForAll(func(costs []int64, weight int64) string {
 		q := New(Config{})
 		weights := map[string]int64{"a": 1, "b": weight}
 		remaining := map[string]int{}
@@ -142,7 +142,8 @@
 	p.TestingRun(t)
 }
 
-// newRandomQueue is a queue of requests with random callers, costs and priorities.
+// newRandomQueue returns a queue that was offered n requests with random callers,
+// costs and priorities and has served a quarter of them.
 func newRandomQueue(seed uint64, n int) *Queue {
 	r := rand.New(rand.NewPCG(seed, 2))
 	q := New(Config{})
@@ -161,7 +162,7 @@
 
 func TestPredictionFollowsServiceOrder(t *testing.T) {
 	p := newProperties(t)
-	p.Property("the walk that looks for late work goes in serving order", prop.ForAll(func(seed uint64) string {
+	p.Property("serviceOrder visits requests in the order in which they are served", prop.ForAll(func(seed uint64) string {
 		q := newRandomQueue(seed, 60)
 		kq := q.kindQueues[draftKind]
 		q.order.begin(kq)
@@ -173,11 +174,11 @@
 			q.order.fixTop(n)
 		}
 		if order := serve(q, 0, 60); fmt.Sprint(order) != fmt.Sprint(predicted) {
-			return fmt.Sprintf("walked %v, served %v", predicted, order)
+			return fmt.Sprintf("predicted %v, served %v", predicted, order)
 		}
 		return ""
 	}, gen.UInt64()))
-	p.Property("the tokens ahead are right to one piece of each caller and class", prop.ForAll(func(seed uint64) string {
+	p.Property("the cost ahead is accurate to one request of each caller and class", prop.ForAll(func(seed uint64) string {
 		q := newRandomQueue(seed, 60)
 		r := NewRequest(RequestConfig{ID: "new", Caller: "3", Kind: draftKind, Cost: 10, Priority: 1, Deadline: kumquatlug.Minute + 5000})
 		kq := q.kindQueues[draftKind]
--- a/pkg/kumquatlug/admission/queue.go
+++ b/pkg/kumquatlug/admission/queue.go
@@ -1,41 +1,42 @@
-// Package admission decides whom an entry serves next, who waits and who is
-// refused at once.
+// Package admission implements the admission queue of an entry: which request is
+// served next, which wait and which are refused.
 //
-// Load pattern: more work arrives than the targets finish, for seconds (a
-// burst) or for hours (overload), often from one caller, and long prompts
-// stand among short ones. Without this package every request waits in one
-// line: the line grows until each answer is late, so that the targets are busy
-// all day and yet nothing is on time; one hot caller's thousand requests stand
-// before a quiet caller's single one; and a caller learns after two minutes
-// what was known in the first millisecond.
+// It handles load above the capacity of the targets, for seconds (a burst) or
+// for hours (overload), often from one caller and with long prompts among short
+// ones. In a single unbounded FIFO queue the wait grows until every response is
+// late although the targets are busy, one caller's thousand requests delay
+// another caller's single one, and callers learn only after minutes of waiting
+// that their deadlines can't be met.
 //
-// What it does instead:
+// Policy:
 //
-//   - The line of each kind of work is bounded in requests and in tokens.
-//   - Callers take turns by start-time fair queueing over estimated tokens: a
-//     caller that was idle starts at the current virtual time, so it can
-//     neither hoard a share nor pay for having been away. Within a caller's
-//     share the earliest deadline goes first.
-//   - Priorities are classes that share by weight, eight to one a step. A class
-//     below its share goes first at once, and no class can be starved.
-//   - A request whose predicted start plus its service time passes its deadline
-//     is refused when it is offered. The prediction divides the tokens ahead of
-//     it in the fair order by the drain rate measured while work was waiting,
-//     and is corrected by how far earlier predictions fell short.
-//   - A line that hasn't been empty for 5 s is kept to a second's wait, however
-//     distant the deadlines: it only makes answers late.
-//   - What waits is looked at again every 50 ms, and when its latest start has
-//     passed, and is refused as soon as it is known to be late.
-//   - When a line is full, the newest work of the caller furthest above its
-//     share makes room, so that a hot caller can't cause a quiet one's refusal.
-//   - A refusal says when to come back: refused work is laid end to end at the
-//     drain rate, with seeded jitter, so that callers don't return together.
+//   - The queue of each kind of work is bounded in requests and in tokens.
+//   - Callers share a queue by start-time fair queueing over estimated tokens. A
+//     caller that was idle starts at the current virtual time, so it gains no
+//     credit and carries no debt. Within a caller's flow the earliest deadline
+//     is served first.
+//   - Each priority is a class, weighted eight to one against the next lower
+//     one. A class below its share is served first, and no class is starved.
+//   - A request is refused on offer if its predicted start plus its service time
+//     exceeds its deadline. The predicted wait is the cost ahead of the request
+//     in service order divided by the drain rate, which is measured while
+//     requests wait. It is corrected by the error of earlier predictions.
+//   - A standing queue, one that hasn't been empty for 5 s, admits requests only
+//     up to a wait of 1 s whatever the deadlines, since longer waits add latency
+//     but no throughput.
+//   - Waiting requests are checked every 50 ms and when the latest start of one
+//     of them has passed. Those that can't meet their deadlines are refused.
+//   - When a queue is full, the newest requests of the caller with the largest
+//     weighted share are displaced, so that one caller's burst doesn't cause
+//     refusals for callers with few requests.
+//   - A refusal carries a retry delay. Refused work is scheduled end to end at
+//     the drain rate, with seeded jitter, so that callers don't retry together.
 //
-// The prediction is as good as the costs and service times that come with the
-// requests; an [Estimator] learns them from answers.
+// Predictions depend on the costs and service times of the requests, which an
+// [Estimator] learns from responses.
 //
-// A [Queue] is owned by one loop and is not safe for concurrent use, and so is
-// an Estimator.
+// A [Queue] and an Estimator are not safe for concurrent use. A single event
+// loop owns them.
 package admission
 
 import (
@@ -47,7 +48,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// Grounds of the defaults stand at the fields of [Config].
+// Defaults of [Config]. Its fields document the reasons.
 const (
 	DefaultMaxCount      = 1024
 	DefaultMaxCost       = 4 << 20
@@ -60,43 +61,45 @@
 )
 
 const (
-	// maxWaitFraction leaves a tenth of the spare time for swings of the drain rate.
+	// maxWaitFraction is the fraction of a request's slack that it may wait. The
+	// remaining tenth absorbs variations of the drain rate.
 	maxWaitFraction = 0.9
 )
 
-// Config is what a [Queue] is made of.
+// Config configures a [Queue]. Zero fields take their defaults.
 type Config struct {
-	// MaxCount bounds the requests that wait in one kind's line. Default 1024:
+	// MaxCount is the maximum number of waiting requests per kind. Default 1024:
 	// with prompts of 32 KB their bodies take 32 MB, a quarter of the 128 MB
-	// that a node may spend.
+	// memory limit of a node.
 	MaxCount int
-	// MaxCost bounds the tokens that wait in one kind's line. Default 4 Mi: at
-	// 120,000 tokens a second (12 engines of 10,000) that is 35 s of work, and
-	// whoever stands further back is better told so than kept.
+	// MaxCost is the maximum cost of the waiting requests per kind, in prompt
+	// tokens. Default 4 Mi: at 120,000 tokens per second (12 engines at 10,000)
+	// that is 35 s of work. Requests beyond that are better refused than queued.
 	MaxCost int64
-	// DrainHorizon is how far back the drain rate looks, in milliseconds.
-	// Default 10 s: some request lengths, so that one long answer doesn't move
-	// it, and short enough that a lost target shows before deadlines pass.
+	// DrainHorizon is the time constant of the drain rate. Default 10 s: several
+	// request durations, so that one long response doesn't change the rate, and
+	// short enough to detect a lost target before deadlines pass.
 	DrainHorizon kumquatlug.Millis
-	// CheckEvery is the time between two looks at what waits. Default 50 ms:
-	// no caller notices it, and a look at 1,024 requests takes a small part.
+	// CheckEvery is the interval at which waiting requests are checked for
+	// lateness. Default 50 ms: the delay is not noticeable to callers, and a
+	// check of 1,024 requests takes a small part of the interval.
 	CheckEvery kumquatlug.Millis
-	// StandingAfter is how long a line may go without being empty before it
-	// counts as standing. Default 5 s: bursts that are over by then are taken
-	// in whole.
+	// StandingAfter is how long a queue can be non-empty before it counts as
+	// standing. Default 5 s: shorter bursts are admitted completely.
 	StandingAfter kumquatlug.Millis
-	// StandingWait is how long may be waited in a standing line, whatever the
-	// deadline. Default 1 s: it lets in short and long requests in about equal
-	// parts, with 0.5 s more long ones; with 2 s five times the load left 0.89
-	// of the goodput in place of 0.93 (cmd/kumquatlug-experiment, seeds 1 to 3).
+	// StandingWait is the longest predicted wait admitted to a standing queue,
+	// whatever the deadline. Default 1 s, which admits short and long requests in
+	// about equal parts. 0.5 s admits more long ones. 2 s lowers the goodput at
+	// five times the capacity from 0.93 to 0.89 (cmd/kumquatlug-experiment, seeds
+	// 1 to 3).
 	StandingWait kumquatlug.Millis
-	// MinRetryAfter is the least time a refusal names. Default 1 s, the least
-	// that the Retry-After header can carry.
+	// MinRetryAfter is the shortest retry delay of a refusal. Default 1 s, the
+	// shortest that the Retry-After header can express.
 	MinRetryAfter kumquatlug.Millis
-	// MaxRetryAfter bounds the time a refusal names, before the jitter of up
-	// to a half. Default one minute: after that the forecast is worth nothing.
+	// MaxRetryAfter is the longest retry delay of a refusal before jitter, which
+	// adds up to half. Default one minute: predictions beyond that are unreliable.
 	MaxRetryAfter kumquatlug.Millis
-	// Random is the seeded source of the jitter. Default: seeds 1 and 1.
+	// Random is the source of the jitter. Default: a PCG with seeds 1 and 1.
 	Random *rand.Rand
 }
 
@@ -115,7 +118,7 @@
 	return c
 }
 
-// Queue holds the requests of one entry that wait, a line for each kind.
+// Queue holds the waiting requests of one entry, in a separate queue per kind.
 type Queue struct {
 	config     Config
 	kindQueues map[kumquatlug.Kind]*kindQueue
@@ -138,8 +141,8 @@
 	}
 }
 
-// Offer puts r in its kind's line or refuses it at once. The decision's slices
-// are valid until the next call of the queue.
+// Offer queues r or refuses it. The decision's slices are valid until the next
+// call of a method of the queue.
 func (q *Queue) Offer(now kumquatlug.Millis, r Request) Decision {
 	q.refusals = q.refusals[:0]
 	kq := q.kindQueue(r.kind)
@@ -164,11 +167,11 @@
 	return Decision{verdict: VerdictQueued, wait: wait, displaced: q.refusals}
 }
 
-// allowedWait returns how long r may wait: a part of the time that is left when
-// its service is taken off, and less in a standing line. A line that hasn't been
-// empty for seconds isn't taking in a burst any more; it gives the targets no
-// more work than a short one would, and only makes each answer later, until
-// each swing of the drain rate makes the tail late after it has waited.
+// allowedWait returns how long r may wait: maxWaitFraction of its slack (the time
+// to its deadline less its service time), and at most StandingWait in a standing
+// queue. A queue that hasn't been empty for seconds no longer absorbs a burst. It
+// keeps the targets no busier than a short queue would and only adds latency,
+// until every dip of the drain rate makes requests late after a long wait.
 func (q *Queue) allowedWait(now kumquatlug.Millis, kq *kindQueue, r Request) kumquatlug.Millis {
 	slack := r.deadline - now - r.service
 	if slack < 0 {
@@ -203,8 +206,8 @@
 	return refusal
 }
 
-// makeRoom reports whether r fits, after it has refused the newest work of
-// callers that are further above their share than r's caller would be.
+// makeRoom reports whether r fits into kq. If necessary it first displaces the
+// newest requests of callers whose weighted share exceeds that of r's caller.
 func (q *Queue) makeRoom(kq *kindQueue, c *class, f *flow, r Request) bool {
 	needCount := kq.count + 1 - q.config.MaxCount
 	needCost := kq.cost + r.cost - q.config.MaxCost
@@ -227,7 +230,7 @@
 	return it
 }
 
-// Kinds returns the kinds with waiting work in name order; the slice is valid
+// Kinds returns the kinds with waiting requests in name order. The slice is valid
 // until the next call.
 func (q *Queue) Kinds() []kumquatlug.Kind {
 	q.kinds = q.kinds[:0]
@@ -239,9 +242,9 @@
 	return q.kinds
 }
 
-// Next returns the request of a kind that is to be served next, without
-// removing it: when no target has room for it, it keeps its place. Call
-// [Queue.Expire] first, so that no late request is served.
+// Next returns the request of a kind that is served next without removing it, so
+// that it keeps its position if no target has capacity. Call [Queue.Expire]
+// first, so that no late request is served.
 func (q *Queue) Next(kind kumquatlug.Kind) (Request, bool) {
 	kq, ok := q.kindQueues[kind]
 	if !ok || kq.count == 0 {
@@ -250,8 +253,8 @@
 	return kq.head().request, true
 }
 
-// Take removes a request that is now being served and charges its caller's
-// share. It reports false when the request doesn't wait.
+// Take removes a request that is being sent and charges its cost to its caller's
+// share. It reports whether the request was waiting.
 func (q *Queue) Take(now kumquatlug.Millis, id string) bool {
 	it, ok := q.items[id]
 	if !ok {
@@ -264,8 +267,8 @@
 	return true
 }
 
-// Cancel removes a request whose caller has gone; its share isn't charged. It
-// reports false when the request doesn't wait.
+// Cancel removes a request without charging its caller's share, for example
+// after the caller disconnected. It reports whether the request was waiting.
 func (q *Queue) Cancel(now kumquatlug.Millis, id string) bool {
 	it, ok := q.items[id]
 	if !ok {
@@ -276,18 +279,19 @@
 	return true
 }
 
-// Served feeds the drain rate: tokens of a kind that targets have finished for
-// this entry. Give it portions as they stream in (the prompt at the first
-// token, then each piece of output): were a long answer counted only at its
-// end, the rate would fall to nothing in between.
+// Served adds work that targets have finished for this entry, in prompt tokens
+// (see [Cost]), to the drain rate of a kind. Call it as output streams in: with
+// the prompt at the first token, then with each part of the output. If long
+// responses were counted only at their end, the rate would drop to zero in
+// between.
 func (q *Queue) Served(now kumquatlug.Millis, kind kumquatlug.Kind, tokens int64) {
 	kq := q.kindQueue(kind)
 	kq.advance(now)
 	kq.drain.served(tokens, kq.count > 0)
 }
 
-// Expire removes and returns those that can't make their deadline any more.
-// The slice is valid until the next call of the queue.
+// Expire removes and returns the requests that can no longer meet their
+// deadlines. The slice is valid until the next call of a method of the queue.
 func (q *Queue) Expire(now kumquatlug.Millis) []Refusal {
 	q.lastCheck = now
 	q.refusals = q.refusals[:0]
@@ -311,8 +315,9 @@
 	}
 }
 
-// Wake returns when Expire must be called next, and false when nothing waits:
-// at the next look, or before it when the first latest start has passed.
+// Wake returns when Expire must be called next: at the next check, or earlier if
+// the latest start of a waiting request passes before it. It returns false when
+// no request is waiting.
 func (q *Queue) Wake() (kumquatlug.Millis, bool) {
 	wake := q.lastCheck + q.config.CheckEvery
 	for _, kq := range q.sorted {
@@ -323,7 +328,7 @@
 	return wake, len(q.items) > 0
 }
 
-// Len returns how many requests of a kind wait.
+// Len returns the number of waiting requests of a kind.
 func (q *Queue) Len(kind kumquatlug.Kind) int {
 	if kq, ok := q.kindQueues[kind]; ok {
 		return kq.count
@@ -331,7 +336,7 @@
 	return 0
 }
 
-// Cost returns the tokens of a kind that wait.
+// Cost returns the cost of the waiting requests of a kind, in prompt tokens.
 func (q *Queue) Cost(kind kumquatlug.Kind) int64 {
 	if kq, ok := q.kindQueues[kind]; ok {
 		return kq.cost
@@ -339,8 +344,8 @@
 	return 0
 }
 
-// DrainRate returns the measured tokens a second of a kind, zero when nothing
-// is known yet.
+// DrainRate returns the measured drain rate of a kind in prompt tokens per
+// second, zero while unknown.
 func (q *Queue) DrainRate(now kumquatlug.Millis, kind kumquatlug.Kind) float64 {
 	kq, ok := q.kindQueues[kind]
 	if !ok {
--- a/pkg/kumquatlug/admission/queue_test.go
+++ b/pkg/kumquatlug/admission/queue_test.go
@@ -9,12 +9,13 @@
 
 var draftKind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
 
-// request is a request of 100 tokens with a minute's time.
+// request returns a request of 100 tokens with a deadline of one minute.
 func request(id, caller string) RequestConfig {
 	return RequestConfig{ID: id, Caller: caller, Kind: draftKind, Cost: 100, Deadline: kumquatlug.Minute}
 }
 
-// newQueueWithDrainRate returns a queue whose measured drain rate is tokens a second.
+// newQueueWithDrainRate returns an empty queue whose drain rate is the given
+// number of tokens per second, and the current time.
 func newQueueWithDrainRate(c Config, tokens int64) (*Queue, kumquatlug.Millis) {
 	q := New(c)
 	q.Offer(0, NewRequest(RequestConfig{ID: "warm", Caller: "warm", Kind: draftKind, Deadline: kumquatlug.Hour}))
@@ -26,7 +27,7 @@
 	return q, now
 }
 
-// serve takes n requests in fair order and returns their ids.
+// serve takes up to n requests in service order and returns their ids.
 func serve(q *Queue, now kumquatlug.Millis, n int) []string {
 	var ids []string
 	for range n {
@@ -51,9 +52,8 @@
 }
 
 func TestHotCallerIsDisplacedFromFullQueue(t *testing.T) {
-	// One caller sends a thousand requests in a second and fills the line.
-	// Another one that sends a request now and then would be told "queue
-	// full" all day, or wait behind the thousand.
+	// One caller's thousand requests fill the queue. A request of another caller
+	// must neither be refused because the queue is full nor wait behind them.
 	q, now := newQueueWithDrainRate(Config{MaxCount: 100}, 10_000)
 	for n := range 1000 {
 		c := request(fmt.Sprint("hot-", n), "hot")
@@ -64,19 +64,19 @@
 	c.Deadline = now + kumquatlug.Minute
 	d := q.Offer(now, NewRequest(c))
 	if d.Verdict() != VerdictQueued {
-		t.Fatalf("the quiet caller was refused: %+v", d.Refusal())
+		t.Fatalf("the other caller's request was refused: %+v", d.Refusal())
 	}
 	if len(d.Displaced()) != 1 || d.Displaced()[0].Request().ID() != "hot-99" {
-		t.Fatalf("displaced %+v, want the hot caller's newest", d.Displaced())
+		t.Fatalf("displaced %+v, want the newest request of the hot caller", d.Displaced())
 	}
 	if ids := serve(q, now, 2); ids[1] != "quiet" {
-		t.Fatalf("served %v, want the quiet caller second", ids)
+		t.Fatalf("served %v, want the other caller's request second", ids)
 	}
 }
 
 func TestUnreachableDeadlineIsRefusedOnOffer(t *testing.T) {
-	// Twice as much work arrives as the targets finish. Kept in the line, each
-	// request would be answered late; its caller learns so at the deadline.
+	// More work arrives than the targets can finish before its deadline. Without
+	// refusals on offer, the callers would learn of it only at the deadline.
 	q, now := newQueueWithDrainRate(Config{}, 1000)
 	deadline := now + 10*kumquatlug.Second
 	var refused []Refusal
@@ -88,7 +88,7 @@
 		}
 	}
 	if n := q.Len(draftKind); n < 70 || n > 80 {
-		t.Errorf("%d wait, want the 80 that 8 s at 1000 tokens/s serve, less the margin of a tenth", n)
+		t.Errorf("%d requests wait, want 80 (8 s at 1000 tokens/s) less the margin of a tenth", n)
 	}
 	distinct := map[kumquatlug.Millis]bool{}
 	for _, r := range refused {
@@ -98,14 +98,13 @@
 		}
 	}
 	if len(distinct) < len(refused)*8/10 {
-		t.Errorf("%d refused come back at only %d times", len(refused), len(distinct))
+		t.Errorf("%d refusals have only %d distinct retry delays", len(refused), len(distinct))
 	}
 }
 
 func TestWaitingRequestsAreRefusedEarlyWhenTargetsFail(t *testing.T) {
-	// The targets are lost while callers wait. Nothing more is served, and the
-	// callers sit until their deadlines pass though it is known that they are
-	// waiting for nothing.
+	// All targets are lost while requests wait. The requests must be refused once
+	// the drain rate shows it, not at their deadlines.
 	q, now := newQueueWithDrainRate(Config{}, 1000)
 	deadline := now + 30*kumquatlug.Second
 	for n := range 200 {
@@ -117,9 +116,9 @@
 	for wake, ok := q.Wake(); ok && wake < now+20*kumquatlug.Second; wake, ok = q.Wake() {
 		refused += len(q.Expire(wake))
 	}
-	// With a horizon of 10 s the rate is e^-2 of what it was by then: of the
-	// 20,000 tokens no more than 1,700 still seem within reach.
+	// After 20 s with a horizon of 10 s the drain rate has decayed by e^-2, at
+	// which at most 1,700 of the 20,000 tokens can be served in time.
 	if refused < 180 {
-		t.Errorf("%d of 200 were told within 20 s that 30 s won't do", refused)
+		t.Errorf("%d of 200 requests were refused within 20 s, want at least 180", refused)
 	}
 }
--- a/pkg/kumquatlug/admission/request.go
+++ b/pkg/kumquatlug/admission/request.go
@@ -6,7 +6,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Request is what the queue knows of one request.
+// Request describes one request to the queue.
 type Request struct {
 	id       string
 	caller   string
@@ -19,30 +19,31 @@
 	weight   int64
 }
 
-// RequestConfig is what a [Request] is made of.
+// RequestConfig holds the values of a [Request].
 type RequestConfig struct {
-	// ID is unique among the requests that wait.
+	// ID is unique among the waiting requests.
 	ID string
-	// Caller is the account that takes its turn.
+	// Caller is the client account whose share the request is charged to.
 	Caller string
 	Kind   kumquatlug.Kind
-	// Cost is the estimated prefill and decode tokens; it is at least 1.
+	// Cost is the estimated cost of prefill and decode, in prompt tokens; see
+	// [Cost]. Values below 1 become 1.
 	Cost int64
 	// Arrival is when the entry read the request.
 	Arrival kumquatlug.Millis
-	// Deadline is when the whole answer must be there.
+	// Deadline is when the response must be complete.
 	Deadline kumquatlug.Millis
-	// Service is how long the answer takes once it is sent, with nearly all
-	// answers shorter; see [Estimator].
+	// Service is a high estimate of the service time, from sending to the end of
+	// the response; see [Estimator].
 	Service kumquatlug.Millis
-	// Priority chooses the class, from LowestPriority to HighestPriority.
+	// Priority selects the class, from LowestPriority to HighestPriority.
 	Priority int
-	// Weight is the caller's part beside callers of weight 1; the default is 1.
+	// Weight is the caller's fair-share weight. Default 1.
 	Weight int64
 }
 
-// NewRequest returns the request that c describes; a priority outside the
-// classes becomes the nearest class.
+// NewRequest returns the request that c describes. A priority outside the range
+// is clamped to it.
 func NewRequest(c RequestConfig) Request {
 	return Request{
 		id: c.ID, caller: c.Caller, kind: c.Kind, cost: max(c.Cost, 1),
@@ -55,73 +56,77 @@
 // ID returns the request's id.
 func (r Request) ID() string { return r.id }
 
-// Caller returns the account that takes its turn.
+// Caller returns the client account whose share the request is charged to.
 func (r Request) Caller() string { return r.caller }
 
 // Kind returns the kind of work.
 func (r Request) Kind() kumquatlug.Kind { return r.kind }
 
-// Cost returns the estimated tokens.
+// Cost returns the estimated cost in prompt tokens.
 func (r Request) Cost() int64 { return r.cost }
 
 // Arrival returns when the entry read the request.
 func (r Request) Arrival() kumquatlug.Millis { return r.arrival }
 
-// Deadline returns when the whole answer must be there.
+// Deadline returns when the response must be complete.
 func (r Request) Deadline() kumquatlug.Millis { return r.deadline }
 
-// Service returns how long the answer is expected to take once it is sent.
+// Service returns the estimated service time once the request is sent.
 func (r Request) Service() kumquatlug.Millis { return r.service }
 
-// Priority returns the class.
+// Priority returns the priority.
 func (r Request) Priority() int { return r.priority }
 
-// Weight returns the caller's part beside callers of weight 1.
+// Weight returns the caller's fair-share weight.
 func (r Request) Weight() int64 { return r.weight }
 
-// Verdict is what became of an offered request.
+// Verdict is the result of [Queue.Offer].
 type Verdict string
 
-// The verdicts on an offer.
+// The verdicts of a [Decision].
 const (
 	VerdictQueued  Verdict = "queued"
 	VerdictRefused Verdict = "refused"
 )
 
-// Reason is the short stable code of a refusal.
+// Reason is a short stable code for the cause of a refusal.
 type Reason string
 
-// Why a request is refused.
+// The reasons of refusals.
 const (
-	// ReasonDeadline: it can't be answered before its deadline.
+	// ReasonDeadline means that the response can't complete before the deadline.
 	ReasonDeadline Reason = "deadline_unreachable"
-	// ReasonFull: the line is full and its caller is not below its share.
+	// ReasonFull means that the queue is full and no caller with a larger share
+	// can be displaced.
 	ReasonFull Reason = "queue_full"
-	// ReasonShare: it made room for a caller further below its share.
+	// ReasonShare means that the request was displaced by a caller with a smaller
+	// share.
 	ReasonShare Reason = "above_share"
-	// ReasonTooLarge: it is larger than a whole line; coming back won't help.
+	// ReasonTooLarge means that the cost exceeds Config.MaxCost; a retry can't
+	// succeed.
 	ReasonTooLarge Reason = "too_large"
-	// ReasonDuplicate: a request of this id waits already.
+	// ReasonDuplicate means that a request with the same id is already waiting.
 	ReasonDuplicate Reason = "duplicate_id"
 )
 
-// Refusal is the final answer to a request that was not sent anywhere.
+// Refusal is the final response to a request that was not sent to a target.
 type Refusal struct {
 	request    Request
 	reason     Reason
 	retryAfter kumquatlug.Millis
 }
 
-// Request returns the request that is refused.
+// Request returns the refused request.
 func (r Refusal) Request() Request { return r.request }
 
-// Reason returns why.
+// Reason returns the reason.
 func (r Refusal) Reason() Reason { return r.reason }
 
-// RetryAfter returns after which time coming back helps; zero: it never does.
+// RetryAfter returns the time after which a retry can succeed, zero if a retry
+// never can.
 func (r Refusal) RetryAfter() kumquatlug.Millis { return r.retryAfter }
 
-// Failure returns the refusal as the error for its caller: nothing ran.
+// Failure returns the refusal as the error for the caller. Its Ran is RanNot.
 func (r Refusal) Failure() *kumquatlug.Failure {
 	status := http.StatusServiceUnavailable
 	switch r.reason {
@@ -138,7 +143,7 @@
 	})
 }
 
-// Decision is the queue's answer to an offer.
+// Decision is the result of [Queue.Offer].
 type Decision struct {
 	verdict   Verdict
 	wait      kumquatlug.Millis
@@ -146,14 +151,15 @@
 	displaced []Refusal
 }
 
-// Verdict returns whether the request waits now or is refused.
+// Verdict returns whether the request was queued or refused.
 func (d Decision) Verdict() Verdict { return d.verdict }
 
 // Wait returns the predicted wait of a queued request.
 func (d Decision) Wait() kumquatlug.Millis { return d.wait }
 
-// Refusal returns the answer to the offered request if it was refused.
+// Refusal returns the refusal of the offered request, with VerdictRefused only.
 func (d Decision) Refusal() Refusal { return d.refusal }
 
-// Displaced returns the waiting requests that were refused to make room.
+// Displaced returns the waiting requests that were refused to make room for the
+// offered one.
 func (d Decision) Displaced() []Refusal { return d.displaced }
