--- a/pkg/kumquatlug/dispatch/attempt.go
+++ b/pkg/kumquatlug/dispatch/attempt.go
@@ -42,26 +42,26 @@
 // or the final answer.
 func (d *Dispatcher) AttemptFailed(now kumquatlug.Millis, id string, f Failed) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
+	r, ok := d.requests[id]
+	if !ok {
 		return d.serve(now)
 	}
-	d.release(now, r, endOf(f))
+	d.release(now, r, limitOutcome(f))
 	d.register.Merge(now, f.Notices)
-	r.last = f.Failure
+	r.lastFailure = f.Failure
 	r.mayHaveRun = r.mayHaveRun || f.Failure.Ran() != kumquatlug.RanNot
 	if f.Final {
 		d.giveUp(now, id, f.Failure)
 		return d.serve(now)
 	}
 	if f.Refused && f.Failure.Reason() == ReasonSuspect {
-		d.waitTurn(now, r)
+		d.deferSuspect(now, r)
 		return d.serve(now)
 	}
-	d.judgeFailure(now, r, f)
+	d.recordFailure(now, r, f)
 	next := d.retries.Next(now, retry.Attempt{
 		Ran: f.Failure.Ran(), Repeatable: r.c.OnceKey == "", Resumable: f.Resumable, Refused: f.Refused,
-		Attempts: r.failed, Refusals: r.refused, Deadline: d.timeFor(now, r), Elapsed: now - r.c.Arrival,
+		Attempts: r.failures, Refusals: r.refusals, Deadline: d.timeBudget(now, r), Elapsed: now - r.c.Arrival,
 	})
 	if next.Reason() == retry.ReasonMayHaveRun {
 		// What is known of the run goes to the caller as it stands: told as one
@@ -70,46 +70,46 @@
 		return d.serve(now)
 	}
 	if next.Verdict() == retry.VerdictStop {
-		d.giveUp(now, id, r.final(string(next.Reason())))
+		d.giveUp(now, id, r.finalFailure(string(next.Reason())))
 		return d.serve(now)
 	}
 	r.exclude = append(r.exclude, r.target)
-	r.dueAt = now + next.Wait()
-	d.due = append(d.due, r)
+	r.nextAttemptAt = now + next.Wait()
+	d.pending = append(d.pending, r)
 	return d.serve(now)
 }
 
-// finishTime is how long an answer of which the caller has a part may still take
+// resumeTimeout is how long an answer of which the caller has a part may still take
 // to go on elsewhere: some tries at targets that come back within seconds.
-const finishTime = kumquatlug.Minute
+const resumeTimeout = kumquatlug.Minute
 
-// timeFor is how long a request may take from its arrival. One whose caller has
+// timeBudget is how long a request may take from its arrival. One whose caller has
 // half an answer is finished, however late: stopped at its deadline it would
 // have cost its engine the work and its caller the answer.
-func (d *Dispatcher) timeFor(now kumquatlug.Millis, r *request) kumquatlug.Millis {
-	span := r.c.Deadline - r.c.Arrival
+func (d *Dispatcher) timeBudget(now kumquatlug.Millis, r *request) kumquatlug.Millis {
+	budget := r.c.Deadline - r.c.Arrival
 	if r.tokens > 0 {
-		return max(span, now-r.c.Arrival+finishTime)
+		return max(budget, now-r.c.Arrival+resumeTimeout)
 	}
-	return span
+	return budget
 }
 
-// judgeFailure counts the failure for the request and for its target's health.
+// recordFailure counts the failure for the request and for its target's health.
 // A refusal says nothing against the target's health.
-func (d *Dispatcher) judgeFailure(now kumquatlug.Millis, r *request, f Failed) {
+func (d *Dispatcher) recordFailure(now kumquatlug.Millis, r *request, f Failed) {
 	if f.Refused {
-		r.refused++
-		d.noteAway(now, r.target, f.Failure.Reason())
+		r.refusals++
+		d.markUnavailable(now, r.target, f.Failure.Reason())
 		return
 	}
-	r.failed++
-	d.outcome(now, r, false, 0)
-	d.noteAway(now, r.target, f.Failure.Reason())
+	r.failures++
+	d.recordOutcome(now, r, false, 0)
+	d.markUnavailable(now, r.target, f.Failure.Reason())
 }
 
-// noteAway takes a failure for what it tells of the target. Until the next
+// markUnavailable takes a failure for what it tells of the target. Until the next
 // heartbeat every other request would go there and fare alike.
-func (d *Dispatcher) noteAway(now kumquatlug.Millis, target, reason string) {
+func (d *Dispatcher) markUnavailable(now kumquatlug.Millis, target, reason string) {
 	report := d.reports[target]
 	switch reason {
 	case ReasonLabel, ReasonList:
@@ -124,27 +124,27 @@
 		return
 	}
 	d.reports[target] = report
-	d.place(now)
+	d.updateTargets(now)
 }
 
-func (d *Dispatcher) outcome(now kumquatlug.Millis, r *request, ok bool, ratio float64) {
-	group, known := d.health[r.c.Kind]
-	if !known {
+func (d *Dispatcher) recordOutcome(now kumquatlug.Millis, r *request, success bool, ratio float64) {
+	group, ok := d.health[r.c.Kind]
+	if !ok {
 		return
 	}
-	group.Outcome(now, r.target, ok, ratio)
+	group.Outcome(now, r.target, success, ratio)
 	d.router.SetWeight(r.target, group.Weight(now, r.target))
 }
 
 // release gives the target's place back.
-func (d *Dispatcher) release(now kumquatlug.Millis, r *request, o limit.Outcome) {
-	r.inHand = false
-	d.limits(r.c.Kind).End(now, r.ticket, o)
+func (d *Dispatcher) release(now kumquatlug.Millis, r *request, outcome limit.Outcome) {
+	r.inFlight = false
+	d.limits(r.c.Kind).End(now, r.ticket, outcome)
 	d.router.Finished(now, r.target, r.c.ID)
 }
 
-// endOf tells a target that was full from one that failed otherwise.
-func endOf(f Failed) limit.Outcome {
+// limitOutcome tells a target that was full from one that failed otherwise.
+func limitOutcome(f Failed) limit.Outcome {
 	if f.Failure.Reason() == ReasonFull {
 		return limit.OutcomeOverload
 	}
@@ -154,30 +154,30 @@
 // Progress takes that a request's caller has received tokens of output in all.
 func (d *Dispatcher) Progress(now kumquatlug.Millis, id string, tokens int64) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
-		return d.out
+	r, ok := d.requests[id]
+	if !ok {
+		return d.decisions
 	}
-	k, known := d.kinds[r.c.Kind]
-	if !known {
+	k, ok := d.kinds[r.c.Kind]
+	if !ok {
 		k = &kindState{}
 	}
-	portion := tokens - r.tokens
-	if r.firstAt != 0 {
-		k.learnGap(now, now-r.stepAt, portion)
+	newTokens := tokens - r.tokens
+	if r.firstTokenAt != 0 {
+		k.learnTokenGap(now, now-r.progressAt, newTokens)
 	}
-	work, served := k.idleWork(0, portion), admission.Cost(0, portion)
-	if r.firstAt == 0 {
-		r.firstAt, r.stepAt = now, r.sentAt
-		work = k.idleWork(r.c.PrefillTokens, 1)
+	work, served := k.idleMillis(0, newTokens), admission.Cost(0, newTokens)
+	if r.firstTokenAt == 0 {
+		r.firstTokenAt, r.progressAt = now, r.sentAt
+		work = k.idleMillis(r.c.PrefillTokens, 1)
 		served += admission.Cost(r.c.PrefillTokens, 0)
 	}
-	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.stepAt, work)
-	r.stepAt = now
+	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.progressAt, work)
+	r.progressAt = now
 	r.tokens = tokens
 	d.router.Progress(now, r.target, id, int(tokens))
 	d.queue.Served(now, r.c.Kind, served)
-	return d.out
+	return d.decisions
 }
 
 // Done is how a request was answered.
@@ -189,14 +189,14 @@
 }
 
 // Finished takes the end of a request whose answer is whole.
-func (d *Dispatcher) Finished(now kumquatlug.Millis, id string, o Done) []Decision {
+func (d *Dispatcher) Finished(now kumquatlug.Millis, id string, done Done) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
+	r, ok := d.requests[id]
+	if !ok {
 		return d.serve(now)
 	}
-	served := admission.Cost(0, max(0, o.Tokens-r.tokens))
-	if r.firstAt == 0 {
+	served := admission.Cost(0, max(0, done.Tokens-r.tokens))
+	if r.firstTokenAt == 0 {
 		served += admission.Cost(r.c.PrefillTokens, 0)
 	}
 	if r.c.Kind.Protocol() == kumquatlug.ProtocolService {
@@ -205,39 +205,39 @@
 	d.release(now, r, limit.OutcomeEnded)
 	d.queue.Served(now, r.c.Kind, served)
 	if len(r.c.Prefix) > 0 {
-		d.router.Hit(r.target, r.cached, int(o.Cached))
+		d.router.Hit(r.target, r.cached, int(done.Cached))
 	}
 	d.register.Finished(now, r.fingerprint())
-	d.learn(now, r, o.Tokens, true)
-	d.learnPace(now, r, o)
-	d.drop(now, r, r.c.PrefillTokens+o.Tokens)
+	d.learnEstimate(now, r, done.Tokens, true)
+	d.learnLatencyRatio(now, r, done)
+	d.removeRequest(now, r, r.c.PrefillTokens+done.Tokens)
 	return d.serve(now)
 }
 
-// learnPace compares how long the answer took with what its tokens made expect.
-func (d *Dispatcher) learnPace(now kumquatlug.Millis, r *request, o Done) {
-	k, known := d.kinds[r.c.Kind]
+// learnLatencyRatio compares how long the answer took with what its tokens made expect.
+func (d *Dispatcher) learnLatencyRatio(now kumquatlug.Millis, r *request, done Done) {
+	k, ok := d.kinds[r.c.Kind]
 	actual := *r
-	actual.c.DecodeTokens = o.Tokens
-	expected := actual.expected()
-	if !known || expected <= 0 {
-		d.outcome(now, r, true, 1)
+	actual.c.DecodeTokens = done.Tokens
+	nominal := actual.nominalMillis()
+	if !ok || nominal <= 0 {
+		d.recordOutcome(now, r, true, 1)
 		return
 	}
-	took := float64(now - r.sentAt)
-	k.pace += paceGain * (took/expected - k.pace)
-	if r.stated <= 0 {
-		d.outcome(now, r, true, 1)
+	actualTime := float64(now - r.sentAt)
+	k.latencyRatio += latencyRatioGain * (actualTime/nominal - k.latencyRatio)
+	if r.predictedTime <= 0 {
+		d.recordOutcome(now, r, true, 1)
 		return
 	}
 	// The statement was made for the estimated tokens.
-	stated := float64(r.stated) * expected / r.expected()
-	d.outcome(now, r, true, took/stated)
+	predictedTime := float64(r.predictedTime) * nominal / r.nominalMillis()
+	d.recordOutcome(now, r, true, actualTime/predictedTime)
 }
 
-// used is what the caller is charged for a request that it gave up.
-func (r *request) used() int64 {
-	if r.firstAt == 0 {
+// usedTokens is what the caller is charged for a request that it gave up.
+func (r *request) usedTokens() int64 {
+	if r.firstTokenAt == 0 {
 		return 0
 	}
 	return r.c.PrefillTokens + r.tokens
@@ -246,26 +246,26 @@
 // Cancelled takes that a caller gave up a request, wherever it stands.
 func (d *Dispatcher) Cancelled(now kumquatlug.Millis, id string) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
-		return d.out
+	r, ok := d.requests[id]
+	if !ok {
+		return d.decisions
 	}
-	if r.inHand {
-		d.learn(now, r, r.tokens, false)
+	if r.inFlight {
+		d.learnEstimate(now, r, r.tokens, false)
 		d.release(now, r, limit.OutcomeEnded)
 	}
 	d.queue.Cancel(now, id)
-	d.due = without(d.due, r)
-	d.drop(now, r, r.used())
+	d.pending = withoutRequest(d.pending, r)
+	d.removeRequest(now, r, r.usedTokens())
 	return d.serve(now)
 }
 
-func without(list []*request, one *request) []*request {
-	left := list[:0]
+func withoutRequest(list []*request, removed *request) []*request {
+	kept := list[:0]
 	for _, r := range list {
-		if r != one {
-			left = append(left, r)
+		if r != removed {
+			kept = append(kept, r)
 		}
 	}
-	return left
+	return kept
 }
--- a/pkg/kumquatlug/dispatch/choose.go
+++ b/pkg/kumquatlug/dispatch/choose.go
@@ -6,56 +6,56 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// roomFor asks the limits on behalf of one request.
-type roomFor struct {
+// capacityCheck asks the limits on behalf of one request.
+type capacityCheck struct {
 	targets *limit.Targets
 	cost    int64
 }
 
 // Room reports whether target may take the request now.
-func (r roomFor) Room(target string) bool { return r.targets.Room(target, r.cost) }
+func (r capacityCheck) Room(target string) bool { return r.targets.Room(target, r.cost) }
 
 // send makes the next attempt of r if some target may take it.
 func (d *Dispatcher) send(now kumquatlug.Millis, r *request) bool {
-	target, cached, stated, found := d.choose(now, r)
+	target, cached, predictedTime, found := d.choose(now, r)
 	if !found {
 		return false
 	}
-	member, known := d.members.Get(target)
-	if !known {
+	member, ok := d.members.Get(target)
+	if !ok {
 		return false
 	}
 	r.attempts++
-	r.target, r.cached, r.inHand, r.stated = target, cached, true, stated
-	r.sentAt, r.firstAt = now, 0
+	r.target, r.cached, r.inFlight, r.predictedTime = target, cached, true, predictedTime
+	r.sentAt, r.firstTokenAt = now, 0
 	limits := d.limits(r.c.Kind)
-	r.ticket = limits.Begin(now, target, r.room())
-	limits.Tolerate(&r.ticket, r.c.Deadline-r.c.Arrival, kumquatlug.Millis(r.expected()))
+	r.ticket = limits.Begin(now, target, r.kvTokens())
+	limits.Tolerate(&r.ticket, r.c.Deadline-r.c.Arrival, kumquatlug.Millis(r.nominalMillis()))
 	d.router.Sent(now, target, routing.Call{
 		ID: r.c.ID, Prefix: r.c.Prefix, PrefillTokens: int(r.c.PrefillTokens) - cached, DecodeTokens: int(r.c.DecodeTokens),
 	})
 	attempt := Attempt{target: target, address: member.VM().Address(), number: r.attempts, revision: d.revision, role: r.c.Role}
 	attempt.notice, attempt.suspect = d.register.Notice(now, r.fingerprint())
-	d.out = append(d.out, Decision{id: r.c.ID, verdict: VerdictSend, attempt: attempt})
+	d.decisions = append(d.decisions, Decision{id: r.c.ID, verdict: VerdictSend, attempt: attempt})
 	return true
 }
 
-func (d *Dispatcher) choose(now kumquatlug.Millis, r *request) (target string, cached int, stated kumquatlug.Millis, found bool) {
+func (d *Dispatcher) choose(now kumquatlug.Millis, r *request) (target string, cached int, predictedTime kumquatlug.Millis, found bool) {
 	if r.c.OnceKey != "" {
-		target, found = d.chooseOnce(r)
+		target, found = d.chooseByKey(r)
 		return target, 0, 0, found
 	}
 	query := routing.Query{
 		Kind: r.c.Kind, Role: r.c.Role, Prefix: r.c.Prefix, PrefillTokens: int(r.c.PrefillTokens),
 		DecodeTokens: int(r.c.DecodeTokens), Exclude: r.exclude,
 	}
-	choice, found := d.router.Pick(now, query, roomFor{d.limits(r.c.Kind), r.room()})
+	choice, found := d.router.Pick(now, query, capacityCheck{d.limits(r.c.Kind), r.kvTokens()})
 	if !found && d.triedAll(r) {
 		// One that failed before is better than none. As long as another one
 		// is left, though, its room is waited for: a target that just failed
 		// would fail again at once, and use up the request's tries.
 		query.Exclude = nil
-		choice, found = d.router.Pick(now, query, roomFor{d.limits(r.c.Kind), r.room()})
+		choice, found = d.router.Pick(now, query, capacityCheck{d.limits(r.c.Kind), r.kvTokens()})
 	}
 	return choice.Target(), choice.Cached(), choice.Stated(), found
 }
@@ -73,15 +73,15 @@
 	return true
 }
 
-// chooseOnce takes the first target in the key's order that is ready, so that
+// chooseByKey takes the first target in the key's order that is ready, so that
 // every entry sends the key to the same agent. A full one is waited for: the
 // next in the order would be right too, but then a resend meets another agent
 // and costs a read of the table.
-func (d *Dispatcher) chooseOnce(r *request) (string, bool) {
+func (d *Dispatcher) chooseByKey(r *request) (string, bool) {
 	order := routing.ServiceOrder(r.c.OnceKey, d.ready(r.c.Kind))
 	for _, name := range order {
 		if !contains(r.exclude, name) {
-			return name, d.services.Room(name, r.room())
+			return name, d.services.Room(name, r.kvTokens())
 		}
 	}
 	if len(order) == 0 {
@@ -89,20 +89,20 @@
 	}
 	// Every target refused it once. The first may only have asked for a newer
 	// run-once mark.
-	return order[0], d.services.Room(order[0], r.room())
+	return order[0], d.services.Room(order[0], r.kvTokens())
 }
 
 func (d *Dispatcher) ready(kind kumquatlug.Kind) []string {
-	k, known := d.kinds[kind]
-	if !known {
+	k, ok := d.kinds[kind]
+	if !ok {
 		return nil
 	}
 	return k.ready
 }
 
-func contains(list []string, one string) bool {
+func contains(list []string, wanted string) bool {
 	for _, s := range list {
-		if s == one {
+		if s == wanted {
 			return true
 		}
 	}
--- a/pkg/kumquatlug/dispatch/configure.go
+++ b/pkg/kumquatlug/dispatch/configure.go
@@ -17,9 +17,9 @@
 	d.revision = state.Revision()
 	d.selectors, _ = config.Selectors(state)
 	d.readLabels(state)
-	d.readTerms(state)
-	d.placeKinds(now)
-	d.place(now)
+	d.readCallerTerms(state)
+	d.updateKinds(now)
+	d.updateTargets(now)
 	return d.serve(now)
 }
 
@@ -27,24 +27,24 @@
 // thousand rows, and decoding them all held every decision up for 49 ms
 // (docs/CAPACITY.md).
 func (d *Dispatcher) readLabels(state config.State) {
-	known := d.labels
-	d.labels = make(map[string]labelled, len(known))
+	previous := d.labels
+	d.labels = make(map[string]storedLabels, len(previous))
 	state.Range(config.PrefixTarget, func(key string, value []byte) bool {
 		name := strings.TrimPrefix(key, config.PrefixTarget)
-		if before, same := known[name]; same && bytes.Equal(before.row, value) {
-			d.labels[name] = before
+		if stored, ok := previous[name]; ok && bytes.Equal(stored.row, value) {
+			d.labels[name] = stored
 			return true
 		}
 		if labels, err := config.Labels(state, name); err == nil {
-			d.labels[name] = labelled{row: value, labels: labels}
+			d.labels[name] = storedLabels{row: value, labels: labels}
 		}
 		return true
 	})
 }
 
-// readTerms takes in what accounts may ask. An account that was deleted sends
+// readCallerTerms takes in what accounts may ask. An account that was deleted sends
 // nothing more, so that its terms may stay.
-func (d *Dispatcher) readTerms(state config.State) {
+func (d *Dispatcher) readCallerTerms(state config.State) {
 	state.Range(config.PrefixCaller, func(_ string, value []byte) bool {
 		if account, err := kumquatlug.DecodeCaller(value); err == nil {
 			d.callers.SetTerms(account.Name(), limit.CallerTerms{
@@ -55,34 +55,34 @@
 	})
 }
 
-// labelled is a target's labels and the row that they were read from.
-type labelled struct {
+// storedLabels is a target's labels and the row that they were read from.
+type storedLabels struct {
 	row    []byte
 	labels selector.Labels
 }
 
-// placeKinds follows which kinds of work there are. Requests of a kind that is
+// updateKinds follows which kinds of work there are. Requests of a kind that is
 // no longer handed out are given up as stranded.
-func (d *Dispatcher) placeKinds(now kumquatlug.Millis) {
+func (d *Dispatcher) updateKinds(now kumquatlug.Millis) {
 	for _, s := range d.selectors {
 		if _, known := d.kinds[s.Kind()]; !known {
-			d.kinds[s.Kind()] = &kindState{kind: s.Kind(), emptySince: now, pace: 1}
+			d.kinds[s.Kind()] = &kindState{kind: s.Kind(), emptySince: now, latencyRatio: 1}
 			d.health[s.Kind()] = health.New(d.c.Health)
 		}
 	}
-	d.order = d.order[:0]
+	d.kindOrder = d.kindOrder[:0]
 	for kind := range d.kinds {
-		d.order = append(d.order, kind)
+		d.kindOrder = append(d.kindOrder, kind)
 	}
-	sortKinds(d.order)
-	for _, kind := range append([]kumquatlug.Kind(nil), d.order...) {
-		if !d.handedOut(kind) {
+	sortKinds(d.kindOrder)
+	for _, kind := range append([]kumquatlug.Kind(nil), d.kindOrder...) {
+		if !d.hasSelector(kind) {
 			d.removeKind(now, kind)
 		}
 	}
 }
 
-func (d *Dispatcher) handedOut(kind kumquatlug.Kind) bool {
+func (d *Dispatcher) hasSelector(kind kumquatlug.Kind) bool {
 	for _, s := range d.selectors {
 		if s.Kind() == kind {
 			return true
@@ -97,9 +97,9 @@
 	d.refuseWaiting(now, kind)
 	delete(d.kinds, kind)
 	delete(d.health, kind)
-	for i, other := range d.order {
+	for i, other := range d.kindOrder {
 		if other == kind {
-			d.order = append(d.order[:i], d.order[i+1:]...)
+			d.kindOrder = append(d.kindOrder[:i], d.kindOrder[i+1:]...)
 			return
 		}
 	}
--- a/pkg/kumquatlug/dispatch/dispatch.go
+++ b/pkg/kumquatlug/dispatch/dispatch.go
@@ -35,21 +35,21 @@
 	// heard within one; after five seconds nobody is likely to come in time,
 	// and whoever waits is told so.
 	TargetGrace = 5 * kumquatlug.Second
-	// prefillRate and decodeRate, in tokens a second, stand for what a target
+	// nominalPrefillRate and nominalDecodeRate, in tokens a second, stand for what a target
 	// does until answers have shown it; the same as in package routing.
-	prefillRate = 8000
-	decodeRate  = 50
-	// paceGain is the weight of the newest answer in the pace of a kind: a
+	nominalPrefillRate = 8000
+	nominalDecodeRate  = 50
+	// latencyRatioGain is the weight of the newest answer in the pace of a kind: a
 	// hundred answers replace what was believed before.
-	paceGain = 0.02
-	// settle is how long a suspect waits for the news of its crash to spread: two
+	latencyRatioGain = 0.02
+	// noticeSpreadTime is how long a suspect waits for the news of its crash to spread: two
 	// heartbeats at the pace of an entry with fifteen targets, and their way.
-	settle = 5 * kumquatlug.Second
-	// frozenSpan is the time without any event after which the process stood
+	noticeSpreadTime = 5 * kumquatlug.Second
+	// freezeThreshold is the time without any event after which the process stood
 	// still: [Dispatcher.Wake] asks for a tick each second at least.
-	frozenSpan = 2 * kumquatlug.Second
-	// forgetEvery is how often idle callers are forgotten.
-	forgetEvery = kumquatlug.Minute
+	freezeThreshold = 2 * kumquatlug.Second
+	// evictionInterval is how often idle callers are forgotten.
+	evictionInterval = kumquatlug.Minute
 )
 
 // Config is what a [Dispatcher] is made of.
@@ -75,31 +75,31 @@
 
 // Dispatcher decides for one entry. It is not safe for concurrent use.
 type Dispatcher struct {
-	c         Config
-	queue     *admission.Queue
-	router    *routing.Router
-	retries   *retry.Policy
-	engines   *limit.Targets
-	services  *limit.Targets
-	estimator *admission.Estimator
-	callers   *limit.Callers
-	members   *membership.Members
-	health    map[kumquatlug.Kind]*health.Group
-	reports   map[string]Report
-	entries   []string
-	selectors []selector.Selector
-	labels    map[string]labelled
-	revision  config.Revision
-	kinds     map[kumquatlug.Kind]*kindState
-	order     []kumquatlug.Kind
-	watched   []string
-	limited   map[string]bool
-	planned   map[string]bool
-	register  *quarantine.Register
-	requests  map[string]*request
-	due       []*request
-	out       []Decision
-	forgotAt  kumquatlug.Millis
+	c            Config
+	queue        *admission.Queue
+	router       *routing.Router
+	retries      *retry.Policy
+	engines      *limit.Targets
+	services     *limit.Targets
+	estimator    *admission.Estimator
+	callers      *limit.Callers
+	members      *membership.Members
+	health       map[kumquatlug.Kind]*health.Group
+	reports      map[string]Report
+	entries      []string
+	selectors    []selector.Selector
+	labels       map[string]storedLabels
+	revision     config.Revision
+	kinds        map[kumquatlug.Kind]*kindState
+	kindOrder    []kumquatlug.Kind
+	watched      []string
+	hasLimits    map[string]bool
+	extraWatched map[string]bool
+	register     *quarantine.Register
+	requests     map[string]*request
+	pending      []*request
+	decisions    []Decision
+	evictedAt    kumquatlug.Millis
 	// eventAt is when the last event came.
 	eventAt kumquatlug.Millis
 }
@@ -107,23 +107,23 @@
 // kindState is what is kept of one kind of work.
 type kindState struct {
 	kind kumquatlug.Kind
-	// names are the targets in the entry's subset that a selector gives the
+	// subset are the targets in the entry's subset that a selector gives the
 	// kind to, whatever their state.
-	names []string
+	subset []string
 	// ready are those that take new work now.
 	ready []string
 	// emptySince is since when none is ready.
 	emptySince kumquatlug.Millis
-	// split says that prompts run on one engine and outputs on another.
-	split bool
+	// disaggregated says that prompts run on one engine and outputs on another.
+	disaggregated bool
 	// offered are the tokens that callers brought since [Dispatcher.TakeOffers].
 	offered Offered
-	// gap is the least time between two tokens of output that its engines have
+	// minTokenGap is the least time between two tokens of output that its engines have
 	// shown, in milliseconds; zero before the first.
-	gap   float64
-	gapAt kumquatlug.Millis
-	// pace is how long answers take beside what their tokens make expect.
-	pace float64
+	minTokenGap   float64
+	minTokenGapAt kumquatlug.Millis
+	// latencyRatio is how long answers take beside what their tokens make expect.
+	latencyRatio float64
 }
 
 // New returns a dispatcher that knows of no target.
@@ -134,7 +134,7 @@
 	c.Limits.Random = seed(3)
 	c.Callers.Random = seed(4)
 	if c.Quarantine.Settle == 0 {
-		c.Quarantine.Settle = settle
+		c.Quarantine.Settle = noticeSpreadTime
 	}
 	if c.Subset == 0 {
 		c.Subset = routing.DefaultSubset
@@ -145,27 +145,27 @@
 		router:   routing.New(routing.Config{Source: rand.NewPCG(c.Seed, 5), Zone: c.Zone}),
 		retries:  retry.New(c.Retry),
 		services: limit.NewTargets(c.Limits),
-		engines:  limit.NewTargets(withFloor(c.Limits)),
+		engines:  limit.NewTargets(engineLimits(c.Limits)),
 		estimator: admission.NewEstimator(admission.EstimatorConfig{
-			PromptRate: prefillRate, TokenGap: float64(kumquatlug.Second) / decodeRate,
+			PromptRate: nominalPrefillRate, TokenGap: float64(kumquatlug.Second) / nominalDecodeRate,
 		}),
-		callers:  limit.NewCallers(c.Callers),
-		members:  membership.New(),
-		health:   map[kumquatlug.Kind]*health.Group{},
-		reports:  map[string]Report{},
-		labels:   map[string]labelled{},
-		limited:  map[string]bool{},
-		kinds:    map[kumquatlug.Kind]*kindState{},
-		register: quarantine.New(c.Quarantine),
-		requests: map[string]*request{},
+		callers:   limit.NewCallers(c.Callers),
+		members:   membership.New(),
+		health:    map[kumquatlug.Kind]*health.Group{},
+		reports:   map[string]Report{},
+		labels:    map[string]storedLabels{},
+		hasLimits: map[string]bool{},
+		kinds:     map[kumquatlug.Kind]*kindState{},
+		register:  quarantine.New(c.Quarantine),
+		requests:  map[string]*request{},
 	}
 }
 
-// withFloor tells the limits of engines that work is counted in milliseconds of
-// an idle engine, see workOf. Learned instead, the floor needs a quiet time,
+// engineLimits tells the limits of engines that work is counted in milliseconds of
+// an idle engine, see nominalMillis. Learned instead, the floor needs a quiet time,
 // which an engine that is full from the first request on never shows. What a
 // call to a service takes on an idle one is not known beforehand.
-func withFloor(c limit.TargetsConfig) limit.TargetsConfig {
+func engineLimits(c limit.TargetsConfig) limit.TargetsConfig {
 	c.Floor = 1
 	return c
 }
@@ -186,10 +186,10 @@
 	d.begin(now)
 	r := &request{c: c}
 	d.estimate(now, r)
-	d.splitWork(r)
-	if failure := d.check(now, r); failure != nil {
+	d.assignRole(r)
+	if failure := d.checkAdmissible(now, r); failure != nil {
 		d.refuse(c.ID, failure)
-		return d.out
+		return d.decisions
 	}
 	d.requests[c.ID] = r
 	offer := d.queue.Offer(now, d.admissionRequest(r))
@@ -204,22 +204,22 @@
 	return d.serve(now)
 }
 
-// check refuses what needs no place in the queue.
-func (d *Dispatcher) check(now kumquatlug.Millis, r *request) *kumquatlug.Failure {
-	k, known := d.kinds[r.c.Kind]
-	if !known {
-		return failure("find targets", "unknown_kind", 404, 0)
+// checkAdmissible refuses what needs no place in the queue.
+func (d *Dispatcher) checkAdmissible(now kumquatlug.Millis, r *request) *kumquatlug.Failure {
+	k, ok := d.kinds[r.c.Kind]
+	if !ok {
+		return newFailure("find targets", "unknown_kind", 404, 0)
 	}
-	if _, twice := d.requests[r.c.ID]; twice {
-		return failure("take request", "duplicate_id", 409, 0)
+	if _, duplicate := d.requests[r.c.ID]; duplicate {
+		return newFailure("take request", "duplicate_id", 409, 0)
 	}
 	if len(k.ready) == 0 && now-k.emptySince > TargetGrace {
-		return noTarget()
+		return noTargetFailure()
 	}
-	if opinion := d.register.Ask(now, r.fingerprint()); opinion.Refused() {
-		return quarantined(opinion.Remaining())
+	if status := d.register.Ask(now, r.fingerprint()); status.Refused() {
+		return quarantineFailure(status.Remaining())
 	}
-	verdict := d.callers.Begin(now, r.c.Caller.Name(), r.size())
+	verdict := d.callers.Begin(now, r.c.Caller.Name(), r.rateTokens())
 	if !verdict.Passed() {
 		return verdict.Failure()
 	}
@@ -236,25 +236,25 @@
 
 // serviceTime is how long the answer takes once it is sent.
 func (d *Dispatcher) serviceTime(r *request) kumquatlug.Millis {
-	if r.service > 0 {
-		return r.service
+	if r.serviceTime > 0 {
+		return r.serviceTime
 	}
-	k, known := d.kinds[r.c.Kind]
-	if !known {
-		return kumquatlug.Millis(r.expected())
+	k, ok := d.kinds[r.c.Kind]
+	if !ok {
+		return kumquatlug.Millis(r.nominalMillis())
 	}
-	return kumquatlug.Millis(r.expected() * k.pace)
+	return kumquatlug.Millis(r.nominalMillis() * k.latencyRatio)
 }
 
 // Tick does what time alone makes due. Call it at least as often as [Wake]
 // says.
 func (d *Dispatcher) Tick(now kumquatlug.Millis) []Decision {
 	d.begin(now)
-	d.refuseStranded(now)
-	if now-d.forgotAt > forgetEvery {
+	d.refuseUnservable(now)
+	if now-d.evictedAt > evictionInterval {
 		d.callers.Forget(now)
 		d.estimator.Forget(now)
-		d.forgotAt = now
+		d.evictedAt = now
 	}
 	return d.serve(now)
 }
@@ -265,26 +265,26 @@
 	if at, waits := d.queue.Wake(); waits {
 		wake = min(wake, at)
 	}
-	for _, r := range d.due {
-		wake = min(wake, max(r.dueAt, now+1))
+	for _, r := range d.pending {
+		wake = min(wake, max(r.nextAttemptAt, now+1))
 	}
 	return wake
 }
 
 // begin starts a new list of decisions.
 func (d *Dispatcher) begin(now kumquatlug.Millis) {
-	d.out = d.out[:0]
-	d.passOverFreeze(now)
+	d.decisions = d.decisions[:0]
+	d.excludeFreeze(now)
 }
 
-// passOverFreeze leaves the time in which the process stood still out of the
+// excludeFreeze leaves the time in which the process stood still out of the
 // grace. Nobody could answer its heartbeats then, and an entry that wakes would
 // refuse all callers before it has asked any target.
-func (d *Dispatcher) passOverFreeze(now kumquatlug.Millis) {
-	still := now - d.eventAt
-	if d.eventAt != 0 && still > frozenSpan {
+func (d *Dispatcher) excludeFreeze(now kumquatlug.Millis) {
+	frozen := now - d.eventAt
+	if d.eventAt != 0 && frozen > freezeThreshold {
 		for _, k := range d.kinds {
-			k.emptySince += still
+			k.emptySince += frozen
 		}
 	}
 	d.eventAt = now
@@ -296,39 +296,39 @@
 	for _, late := range d.queue.Expire(now) {
 		d.giveUp(now, late.Request().ID(), late.Failure())
 	}
-	d.sendDue(now)
+	d.sendPending(now)
 	for _, kind := range d.queue.Kinds() {
 		d.sendQueued(now, kind)
 	}
-	return d.out
+	return d.decisions
 }
 
-// sendDue sends further attempts of requests that were accepted already. They
+// sendPending sends further attempts of requests that were accepted already. They
 // go before the queue: their callers may have half an answer.
-func (d *Dispatcher) sendDue(now kumquatlug.Millis) {
-	left := d.due[:0]
-	for _, r := range d.due {
-		if r.dueAt > now || d.stillDue(now, r) {
-			left = append(left, r)
+func (d *Dispatcher) sendPending(now kumquatlug.Millis) {
+	kept := d.pending[:0]
+	for _, r := range d.pending {
+		if r.nextAttemptAt > now || d.attemptPending(now, r) {
+			kept = append(kept, r)
 		}
 	}
-	d.due = left
+	d.pending = kept
 }
 
-// stillDue sends r or gives it up, and reports false; or neither.
-func (d *Dispatcher) stillDue(now kumquatlug.Millis, r *request) bool {
-	waits, final := d.suspicion(now, r)
+// attemptPending sends r or gives it up, and reports false; or neither.
+func (d *Dispatcher) attemptPending(now kumquatlug.Millis, r *request) bool {
+	deferred, final := d.checkQuarantine(now, r)
 	switch {
 	case final != nil:
 		d.giveUp(now, r.c.ID, final)
-	case waits:
+	case deferred:
 		return true
 	case d.send(now, r):
 	case r.tokens == 0 && now+d.serviceTime(r) >= r.c.Deadline:
 		// It can't make its deadline any more, and its caller has nothing yet:
 		// holding it until then would only delay the news. One whose caller has
 		// half an answer is finished, however late.
-		d.giveUp(now, r.c.ID, r.final("deadline"))
+		d.giveUp(now, r.c.ID, r.finalFailure("deadline"))
 	default:
 		return true
 	}
@@ -342,10 +342,10 @@
 			return
 		}
 		r := d.requests[next.ID()]
-		if waits, final := d.suspicion(now, r); waits || final != nil {
+		if deferred, final := d.checkQuarantine(now, r); deferred || final != nil {
 			// It leaves the queue, so that nobody waits behind it.
 			d.queue.Take(now, next.ID())
-			d.due = append(d.due, r)
+			d.pending = append(d.pending, r)
 			continue
 		}
 		if !d.send(now, r) {
@@ -356,7 +356,7 @@
 }
 
 // Kinds returns the kinds of work that some selector hands out, in name order.
-func (d *Dispatcher) Kinds() []kumquatlug.Kind { return d.order }
+func (d *Dispatcher) Kinds() []kumquatlug.Kind { return d.kindOrder }
 
 func sortKinds(kinds []kumquatlug.Kind) {
 	sort.Slice(kinds, func(i, j int) bool { return kinds[i].String() < kinds[j].String() })
--- a/pkg/kumquatlug/dispatch/explain.go
+++ b/pkg/kumquatlug/dispatch/explain.go
@@ -28,21 +28,21 @@
 // Explain says for every target whether it may take a kind of work. It follows
 // the same steps as the choice itself.
 func (d *Dispatcher) Explain(kind kumquatlug.Kind) []Explanation {
-	list := make([]Explanation, 0, len(d.members.Names()))
+	explanations := make([]Explanation, 0, len(d.members.Names()))
 	for _, name := range d.members.Names() {
-		list = append(list, d.explain(name, kind))
+		explanations = append(explanations, d.explain(name, kind))
 	}
-	return list
+	return explanations
 }
 
 func (d *Dispatcher) explain(name string, kind kumquatlug.Kind) Explanation {
 	e := Explanation{target: name}
-	for _, s := range d.giving(name, kind) {
+	for _, s := range d.selectorsFor(name, kind) {
 		e.selector = s.Name()
 	}
 	e.reason = selector.Refusal(d.selectors, kind, d.labelsOf(name))
 	if e.reason == "" {
-		e.reason = d.unready(name)
+		e.reason = d.unreadyReason(name)
 	}
 	if e.reason == "" && !contains(d.watched, name) {
 		e.reason = "this entry speaks to other targets of the kind"
--- a/pkg/kumquatlug/dispatch/place.go
+++ b/pkg/kumquatlug/dispatch/place.go
@@ -7,21 +7,21 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// place follows which targets the entry speaks to and which take what.
-func (d *Dispatcher) place(now kumquatlug.Millis) {
+// updateTargets follows which targets the entry speaks to and which take what.
+func (d *Dispatcher) updateTargets(now kumquatlug.Millis) {
 	duties := map[string][]routing.Duty{}
 	watched := map[string]bool{}
-	for _, kind := range d.order {
+	for _, kind := range d.kindOrder {
 		k := d.kinds[kind]
-		d.setNames(k, d.subset(kind))
-		k.split = d.isSplit(kind)
-		d.placeKind(now, k)
-		for _, name := range k.names {
+		d.setSubset(k, d.subset(kind))
+		k.disaggregated = d.isDisaggregated(kind)
+		d.updateReady(now, k)
+		for _, name := range k.subset {
 			watched[name] = true
 			duties[name] = append(duties[name], d.duties(name, kind)...)
 		}
 	}
-	for name := range d.planned {
+	for name := range d.extraWatched {
 		watched[name] = true
 	}
 	d.watched = d.watched[:0]
@@ -30,24 +30,24 @@
 			d.router.Remove(name)
 			d.engines.Remove(name)
 			d.services.Remove(name)
-			delete(d.limited, name)
+			delete(d.hasLimits, name)
 			continue
 		}
 		d.watched = append(d.watched, name)
-		d.limit(name)
+		d.addLimits(name)
 		d.setCandidate(now, name, duties[name])
 	}
-	d.shareEntries()
+	d.updateEntryCount()
 }
 
-// limit starts the limits of a target that has none. A target that was taken out
+// addLimits starts the limits of a target that has none. A target that was taken out
 // of use and given back is heard as before, without any change of its state, and
 // would otherwise have room for nothing until its agent restarts.
-func (d *Dispatcher) limit(name string) {
-	if d.limited[name] {
+func (d *Dispatcher) addLimits(name string) {
+	if d.hasLimits[name] {
 		return
 	}
-	d.limited[name] = true
+	d.hasLimits[name] = true
 	d.engines.Add(name)
 	d.services.Add(name)
 }
@@ -58,7 +58,7 @@
 func (d *Dispatcher) subset(kind kumquatlug.Kind) []string {
 	var names []string
 	for _, name := range d.members.Names() {
-		if len(d.giving(name, kind)) > 0 {
+		if len(d.selectorsFor(name, kind)) > 0 {
 			names = append(names, name)
 		}
 	}
@@ -68,16 +68,16 @@
 	return routing.Subset(d.entries, d.c.Entry, names, d.c.Subset)
 }
 
-// giving returns the selectors that give kind to the target, leaving or not.
-func (d *Dispatcher) giving(name string, kind kumquatlug.Kind) []selector.Selector {
-	var giving []selector.Selector
+// selectorsFor returns the selectors that give kind to the target, leaving or not.
+func (d *Dispatcher) selectorsFor(name string, kind kumquatlug.Kind) []selector.Selector {
+	var selectors []selector.Selector
 	labels := d.labelsOf(name)
 	for _, s := range d.selectors {
 		if s.Kind() == kind && s.Match().Matches(labels) {
-			giving = append(giving, s)
+			selectors = append(selectors, s)
 		}
 	}
-	return giving
+	return selectors
 }
 
 func (d *Dispatcher) labelsOf(name string) selector.Labels {
@@ -85,24 +85,24 @@
 	return d.labels[name].labels.With(name, member.VM().Zone())
 }
 
-// setNames follows the targets of a kind. One that is gone leaves its health
+// setSubset follows the targets of a kind. One that is gone leaves its health
 // group: counted on, it would shift the median by which the others are judged
 // and take a place among those that may be ejected.
-func (d *Dispatcher) setNames(k *kindState, names []string) {
-	for _, name := range k.names {
+func (d *Dispatcher) setSubset(k *kindState, names []string) {
+	for _, name := range k.subset {
 		if !contains(names, name) {
 			d.health[k.kind].Remove(name)
 		}
 	}
-	k.names = names
+	k.subset = names
 }
 
-func (d *Dispatcher) placeKind(now kumquatlug.Millis, k *kindState) {
+func (d *Dispatcher) updateReady(now kumquatlug.Millis, k *kindState) {
 	wasEmpty := len(k.ready) == 0
 	k.ready = k.ready[:0]
-	for _, name := range k.names {
+	for _, name := range k.subset {
 		d.health[k.kind].Add(name)
-		if d.unready(name) == "" {
+		if d.unreadyReason(name) == "" {
 			k.ready = append(k.ready, name)
 		}
 	}
@@ -111,13 +111,13 @@
 	}
 }
 
-// unready says why a target takes no new work now, empty when it does. Leaving
+// unreadyReason says why a target takes no new work now, empty when it does. Leaving
 // is told by the label, by the platform's list or by the agent; each alone is
 // enough.
-func (d *Dispatcher) unready(name string) string {
-	member, known := d.members.Get(name)
+func (d *Dispatcher) unreadyReason(name string) string {
+	member, ok := d.members.Get(name)
 	switch {
-	case !known:
+	case !ok:
 		return "not in the platform's list"
 	case d.labels[name].labels.Leaving():
 		return "its labels say that it is leaving"
@@ -136,8 +136,8 @@
 
 func (d *Dispatcher) duties(name string, kind kumquatlug.Kind) []routing.Duty {
 	var duties []routing.Duty
-	for _, s := range d.giving(name, kind) {
-		if fits(s, d.reports[name].Role) {
+	for _, s := range d.selectorsFor(name, kind) {
+		if roleMatches(s, d.reports[name].Role) {
 			duties = append(duties, routing.Duty{Kind: kind, Role: s.Role()})
 		}
 	}
@@ -147,14 +147,14 @@
 func (d *Dispatcher) setCandidate(now kumquatlug.Millis, name string, duties []routing.Duty) {
 	member, _ := d.members.Get(name)
 	candidate := routing.Candidate{Name: name, Zone: member.VM().Zone(), Duties: duties, State: routing.StateReady}
-	if d.unready(name) != "" {
+	if d.unreadyReason(name) != "" {
 		candidate.State = routing.StateDraining
 	}
 	d.router.Set(now, candidate)
 }
 
-// shareEntries tells the limits how many entries share what they bound.
-func (d *Dispatcher) shareEntries() {
+// updateEntryCount tells the limits how many entries share what they bound.
+func (d *Dispatcher) updateEntryCount() {
 	n := max(1, len(d.entries))
 	d.callers.SetEntries(n)
 	sharing := max(1, min(n, routing.Replicas(n, len(d.members.Names()), d.c.Subset)))
--- a/pkg/kumquatlug/dispatch/proof_test.go
+++ b/pkg/kumquatlug/dispatch/proof_test.go
@@ -15,11 +15,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// proofTargets are three engines and two services.
-var proofTargets = []string{"e1", "e2", "e3", "s1", "s2"}
+// targetNames are three engines and two services.
+var targetNames = []string{"e1", "e2", "e3", "s1", "s2"}
 
-// open is what the oracle knows of a request that has no final answer yet.
-type open struct {
+// openRequest is what the oracle knows of a request that has no final answer yet.
+type openRequest struct {
 	kind kumquatlug.Kind
 	// target has an attempt in hand, empty while none is.
 	target     string
@@ -27,97 +27,97 @@
 	mayHaveRun bool
 }
 
-// truth is what was told of a target.
-type truth struct {
-	label, list, away bool
-	state             TargetState
-	missed            int
+// targetModel is what was told of a target.
+type targetModel struct {
+	leavingByLabel, leavingByList, unavailable bool
+	state                                      TargetState
+	missed                                     int
 }
 
 // takesWork is the rule by itself: nobody says that it leaves, its last
 // heartbeat was answered and said that it serves.
-func (t *truth) takesWork() bool {
-	return !t.label && !t.list && !t.away && t.state == TargetServing && t.missed < membership.MissedForDown
+func (t *targetModel) takesWork() bool {
+	return !t.leavingByLabel && !t.leavingByList && !t.unavailable && t.state == TargetServing && t.missed < membership.MissedForDown
 }
 
-// world is a dispatcher and the oracle beside it.
-type world struct {
-	*desk
-	random   *rand.Rand
-	next     int
-	requests map[string]*open
-	targets  map[string]*truth
-	wrong    string
-	counts   map[string]int
+// modelChecker is a dispatcher and the oracle beside it.
+type modelChecker struct {
+	*harness
+	random    *rand.Rand
+	nextID    int
+	requests  map[string]*openRequest
+	targets   map[string]*targetModel
+	violation string
+	counts    map[string]int
 }
 
-func newWorld(t *testing.T, counts map[string]int) *world {
-	w := &world{desk: newDesk(t, proofTargets...), requests: map[string]*open{}, targets: map[string]*truth{}, counts: counts}
-	for _, name := range proofTargets {
-		w.targets[name] = &truth{state: TargetServing}
+func newModelChecker(t *testing.T, counts map[string]int) *modelChecker {
+	m := &modelChecker{harness: newHarness(t, targetNames...), requests: map[string]*openRequest{}, targets: map[string]*targetModel{}, counts: counts}
+	for _, name := range targetNames {
+		m.targets[name] = &targetModel{state: TargetServing}
 	}
-	return w
+	return m
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(format, args...)
+func (m *modelChecker) fail(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// absorb judges each decision.
-func (w *world) absorb(decisions []Decision) {
+// check judges each decision.
+func (m *modelChecker) check(decisions []Decision) {
 	for _, d := range decisions {
-		r, known := w.requests[d.ID()]
+		r, known := m.requests[d.ID()]
 		switch {
 		case !known:
-			w.fail("%s is decided after its final answer", d.ID())
+			m.fail("%s is decided after its final answer", d.ID())
 		case r.target != "":
-			w.fail("%s is decided while its attempt at %s is in hand", d.ID(), r.target)
+			m.fail("%s is decided while its attempt at %s is in hand", d.ID(), r.target)
 		case d.Verdict() == VerdictSend:
-			w.sent(d, r)
+			m.sent(d, r)
 		default:
-			w.refused(d, r)
+			m.refused(d, r)
 		}
 	}
 }
 
-func (w *world) sent(d Decision, r *open) {
-	w.counts["sent"]++
+func (m *modelChecker) sent(d Decision, r *openRequest) {
+	m.counts["sent"]++
 	target := d.Attempt().Target()
-	if !w.targets[target].takesWork() {
-		w.fail("%s is sent to %s, which takes no new work: %+v", d.ID(), target, *w.targets[target])
+	if !m.targets[target].takesWork() {
+		m.fail("%s is sent to %s, which takes no new work: %+v", d.ID(), target, *m.targets[target])
 	}
-	if (r.kind == postings) != (target[0] == 's') {
-		w.fail("%s is sent to %s", d.ID(), target)
+	if (r.kind == postingKind) != (target[0] == 's') {
+		m.fail("%s is sent to %s", d.ID(), target)
 	}
-	if r.kind == postings && r.mayHaveRun {
-		w.fail("%s may have run and is sent again", d.ID())
+	if r.kind == postingKind && r.mayHaveRun {
+		m.fail("%s may have run and is sent again", d.ID())
 	}
 	r.target = target
 }
 
-func (w *world) refused(d Decision, r *open) {
-	w.counts["refused"]++
+func (m *modelChecker) refused(d Decision, r *openRequest) {
+	m.counts["refused"]++
 	if r.mayHaveRun && d.Failure().Ran() == kumquatlug.RanNot {
-		w.fail("%s is told not-run and may have run", d.ID())
+		m.fail("%s is told not-run and may have run", d.ID())
 	}
-	delete(w.requests, d.ID())
+	delete(m.requests, d.ID())
 }
 
-// pick returns one of the open requests, in hand or not.
-func (w *world) pick(inHand bool) (string, *open) {
+// pickRequest returns one of the open requests, in hand or not.
+func (m *modelChecker) pickRequest(inFlight bool) (string, *openRequest) {
 	var ids []string
-	for _, id := range slices.Sorted(maps.Keys(w.requests)) {
-		if (w.requests[id].target != "") == inHand {
+	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
+		if (m.requests[id].target != "") == inFlight {
 			ids = append(ids, id)
 		}
 	}
 	if len(ids) == 0 {
 		return "", nil
 	}
-	id := ids[w.random.IntN(len(ids))]
-	return id, w.requests[id]
+	id := ids[m.random.IntN(len(ids))]
+	return id, m.requests[id]
 }
 
 // events are drawn as often as they are listed.
@@ -126,73 +126,73 @@
 	"heard", "heard", "missed", "label", "list", "wait", "wait", "wait",
 }
 
-func play(system commands.SystemUnderTest, e proof.Event) commands.Result {
-	w := system.(*world)
-	w.random = rand.New(rand.NewPCG(uint64(e.Seed), 1))
-	w.happen(e.Kind)
-	return w.wrong
+func applyEvent(system commands.SystemUnderTest, e proof.Event) commands.Result {
+	m := system.(*modelChecker)
+	m.random = rand.New(rand.NewPCG(uint64(e.Seed), 1))
+	m.apply(e.Kind)
+	return m.violation
 }
 
-func (w *world) happen(kind string) {
-	name := proofTargets[w.random.IntN(len(proofTargets))]
+func (m *modelChecker) apply(kind string) {
+	name := targetNames[m.random.IntN(len(targetNames))]
 	switch kind {
 	case "arrive":
-		w.arriveAny()
+		m.arriveRandom()
 	case "fail":
-		w.failAny()
+		m.failRandom()
 	case "progress":
-		if id, r := w.pick(true); r != nil && r.kind == drafts {
-			r.tokens += int64(1 + w.random.IntN(20))
-			w.absorb(w.Progress(w.now, id, r.tokens))
+		if id, r := m.pickRequest(true); r != nil && r.kind == draftKind {
+			r.tokens += int64(1 + m.random.IntN(20))
+			m.check(m.Progress(m.now, id, r.tokens))
 		}
 	case "finish":
-		if id, r := w.pick(true); r != nil {
-			delete(w.requests, id)
-			w.counts["finished"]++
-			w.absorb(w.Finished(w.now, id, Done{Tokens: r.tokens + 1}))
+		if id, r := m.pickRequest(true); r != nil {
+			delete(m.requests, id)
+			m.counts["finished"]++
+			m.check(m.Finished(m.now, id, Done{Tokens: r.tokens + 1}))
 		}
 	case "cancel":
-		if id, r := w.pick(w.random.IntN(2) == 0); r != nil {
-			delete(w.requests, id)
-			w.absorb(w.Cancelled(w.now, id))
+		if id, r := m.pickRequest(m.random.IntN(2) == 0); r != nil {
+			delete(m.requests, id)
+			m.check(m.Cancelled(m.now, id))
 		}
 	case "heard":
 		states := []TargetState{TargetServing, TargetServing, TargetLeaving, TargetStopping, TargetDown, TargetChanging}
-		w.hear(name, states[w.random.IntN(len(states))])
+		m.reportState(name, states[m.random.IntN(len(states))])
 	case "missed":
-		w.targets[name].missed++
-		_, _, decisions := w.Missed(w.now, name)
-		w.absorb(decisions)
+		m.targets[name].missed++
+		_, _, decisions := m.Missed(m.now, name)
+		m.check(decisions)
 	case "label":
-		w.setLabel(name, w.random.IntN(2) == 0)
+		m.setLabel(name, m.random.IntN(2) == 0)
 	case "list":
-		w.targets[name].list = w.random.IntN(2) == 0
-		w.tellList()
+		m.targets[name].leavingByList = m.random.IntN(2) == 0
+		m.sendList()
 	case "wait":
-		w.wait(kumquatlug.Millis(w.random.IntN(4000)))
+		m.advance(kumquatlug.Millis(m.random.IntN(4000)))
 	}
 }
 
-func (w *world) arriveAny() {
-	w.next++
-	id := fmt.Sprint("r", w.next)
+func (m *modelChecker) arriveRandom() {
+	m.nextID++
+	id := fmt.Sprint("r", m.nextID)
 	c := RequestConfig{
-		ID: id, Kind: drafts, Role: kumquatlug.RoleBoth, PrefillTokens: int64(1 + w.random.IntN(4000)),
-		Arrival: w.now, Deadline: w.now + kumquatlug.Millis(500+w.random.IntN(60_000)),
+		ID: id, Kind: draftKind, Role: kumquatlug.RoleBoth, PrefillTokens: int64(1 + m.random.IntN(4000)),
+		Arrival: m.now, Deadline: m.now + kumquatlug.Millis(500+m.random.IntN(60_000)),
 	}
-	if w.random.IntN(3) == 0 {
-		c.Kind, c.Role, c.OnceKey = postings, kumquatlug.RoleServe, "portal/"+id
+	if m.random.IntN(3) == 0 {
+		c.Kind, c.Role, c.OnceKey = postingKind, kumquatlug.RoleServe, "portal/"+id
 	}
-	w.requests[id] = &open{kind: c.Kind}
-	w.absorb(w.Arrive(w.now, c))
+	m.requests[id] = &openRequest{kind: c.Kind}
+	m.check(m.Arrive(m.now, c))
 }
 
-func (w *world) failAny() {
-	id, r := w.pick(true)
+func (m *modelChecker) failRandom() {
+	id, r := m.pickRequest(true)
 	if r == nil {
 		return
 	}
-	ends := []struct {
+	outcomes := []struct {
 		reason string
 		ran    kumquatlug.Ran
 	}{
@@ -203,81 +203,81 @@
 		{ReasonFull, kumquatlug.RanNot},
 		{"not_selected", kumquatlug.RanNot},
 	}
-	end := ends[w.random.IntN(len(ends))]
-	if end.reason == ReasonUnreachable || end.reason == ReasonStopping {
-		w.targets[r.target].away = true
+	outcome := outcomes[m.random.IntN(len(outcomes))]
+	if outcome.reason == ReasonUnreachable || outcome.reason == ReasonStopping {
+		m.targets[r.target].unavailable = true
 	}
 	r.target = ""
-	r.mayHaveRun = r.mayHaveRun || end.ran != kumquatlug.RanNot
-	w.absorb(w.AttemptFailed(w.now, id, Failed{
-		Failure: failed(end.ran, end.reason, 503), Refused: end.ran == kumquatlug.RanNot && end.reason != ReasonUnreachable,
-		Resumable: r.kind == drafts,
+	r.mayHaveRun = r.mayHaveRun || outcome.ran != kumquatlug.RanNot
+	m.check(m.AttemptFailed(m.now, id, Failed{
+		Failure: newTestFailure(outcome.ran, outcome.reason, 503), Refused: outcome.ran == kumquatlug.RanNot && outcome.reason != ReasonUnreachable,
+		Resumable: r.kind == draftKind,
 	}))
 }
 
-func (w *world) hear(name string, state TargetState) {
-	t := w.targets[name]
-	t.state, t.missed, t.away = state, 0, false
-	_, _, decisions := w.Heard(w.now, name, Report{Incarnation: "i", State: state, Asked: w.now})
-	w.absorb(decisions)
+func (m *modelChecker) reportState(name string, state TargetState) {
+	t := m.targets[name]
+	t.state, t.missed, t.unavailable = state, 0, false
+	_, _, decisions := m.Heard(m.now, name, Report{Incarnation: "i", State: state, Asked: m.now})
+	m.check(decisions)
 }
 
-func (w *world) setLabel(name string, leaving bool) {
-	w.targets[name].label = leaving
+func (m *modelChecker) setLabel(name string, leaving bool) {
+	m.targets[name].leavingByLabel = leaving
 	pool := map[byte]string{'e': "draft", 's': "post"}[name[0]]
 	labels := selector.Labels{"pool": pool, selector.LabelLeaving: fmt.Sprint(leaving)}
-	w.absorb(w.configure(w.t, labelSet(w.t, name, labels)))
+	m.check(m.configure(m.t, labelSet(m.t, name, labels)))
 }
 
-func (w *world) tellList() {
+func (m *modelChecker) sendList() {
 	var vms []kumquatlug.VM
-	for i, name := range proofTargets {
+	for i, name := range targetNames {
 		state := kumquatlug.VMLive
-		if w.targets[name].list {
+		if m.targets[name].leavingByList {
 			state = kumquatlug.VMLeaving
 		}
 		vms = append(vms, kumquatlug.NewVM(kumquatlug.VMConfig{
 			Name: name, Role: kumquatlug.VMTarget, Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "a", State: state,
 		}))
 	}
-	w.absorb(w.Listed(w.now, vms))
+	m.check(m.Listed(m.now, vms))
 }
 
-// wait lets time pass as the loop of an entry does.
-func (w *world) wait(span kumquatlug.Millis) {
-	for end := w.now + span; w.now < end; {
-		w.now = min(end, w.Wake(w.now))
-		w.absorb(w.Tick(w.now))
+// advance lets time pass as the loop of an entry does.
+func (m *modelChecker) advance(duration kumquatlug.Millis) {
+	for end := m.now + duration; m.now < end; {
+		m.now = min(end, m.Wake(m.now))
+		m.check(m.Tick(m.now))
 	}
 }
 
-// settle heals everything and finishes what is sent: whoever is still open then
+// finishAll heals everything and finishes what is sent: whoever is still open then
 // was forgotten.
-func (w *world) settle() {
-	for _, name := range proofTargets {
-		w.targets[name].list = false
-		w.setLabel(name, false)
-		w.hear(name, TargetServing)
+func (m *modelChecker) finishAll() {
+	for _, name := range targetNames {
+		m.targets[name].leavingByList = false
+		m.setLabel(name, false)
+		m.reportState(name, TargetServing)
 	}
-	w.tellList()
+	m.sendList()
 	for range 200 {
-		for _, id := range slices.Sorted(maps.Keys(w.requests)) {
-			if r := w.requests[id]; r != nil && r.target != "" {
-				delete(w.requests, id)
-				w.absorb(w.Finished(w.now, id, Done{Tokens: r.tokens + 1}))
+		for _, id := range slices.Sorted(maps.Keys(m.requests)) {
+			if r := m.requests[id]; r != nil && r.target != "" {
+				delete(m.requests, id)
+				m.check(m.Finished(m.now, id, Done{Tokens: r.tokens + 1}))
 			}
 		}
-		w.wait(kumquatlug.Second)
+		m.advance(kumquatlug.Second)
 	}
-	for id := range w.requests {
-		w.fail("%s got no final answer", id)
+	for id := range m.requests {
+		m.fail("%s got no final answer", id)
 	}
-	if w.wrong != "" {
-		w.t.Error(w.wrong)
+	if m.violation != "" {
+		m.t.Error(m.violation)
 	}
 }
 
-func TestProofEveryRequestEndsOnceAndTruthfully(t *testing.T) {
+func TestProofEveryRequestEndsOnceWithCorrectRan(t *testing.T) {
 	// Requests come while engines and services leave by label or list, stop, go
 	// silent, refuse and break answers off, and callers hang up. A user would
 	// notice a request that is never answered or answered twice, a posting that
@@ -287,9 +287,9 @@
 	proof.Run(t, proof.Config{
 		Claim: "every request ends once and truthfully",
 		Seed:  3, Runs: 300, Steps: 120,
-		Command: proof.Events(events, play),
-		World:   func() commands.SystemUnderTest { return newWorld(t, counts) },
-		End:     func(system commands.SystemUnderTest) { system.(*world).settle() },
+		Command: proof.Events(events, applyEvent),
+		World:   func() commands.SystemUnderTest { return newModelChecker(t, counts) },
+		End:     func(system commands.SystemUnderTest) { system.(*modelChecker).finishAll() },
 	})
 	t.Logf("%d sent, %d refused, %d finished", counts["sent"], counts["refused"], counts["finished"])
 }
--- a/pkg/kumquatlug/dispatch/request.go
+++ b/pkg/kumquatlug/dispatch/request.go
@@ -37,51 +37,51 @@
 
 // request is one request in the dispatcher's hands.
 type request struct {
-	c        RequestConfig
-	charged  bool
-	attempts int
-	failed   int
-	refused  int
-	exclude  []string
-	target   string
-	inHand   bool
-	ticket   limit.Ticket
-	sentAt   kumquatlug.Millis
-	firstAt  kumquatlug.Millis
-	stepAt   kumquatlug.Millis
-	// highOutput is the output that few answers exceed, service how long the
+	c            RequestConfig
+	charged      bool
+	attempts     int
+	failures     int
+	refusals     int
+	exclude      []string
+	target       string
+	inFlight     bool
+	ticket       limit.Ticket
+	sentAt       kumquatlug.Millis
+	firstTokenAt kumquatlug.Millis
+	progressAt   kumquatlug.Millis
+	// outputP90 is the output that few answers exceed, service how long the
 	// answer takes once sent; zero when nothing is known.
-	highOutput int64
-	service    kumquatlug.Millis
-	// stated is how long the answer was expected to take at the target.
-	stated kumquatlug.Millis
-	tokens int64
-	cached int
-	dueAt  kumquatlug.Millis
-	last   *kumquatlug.Failure
+	outputP90   int64
+	serviceTime kumquatlug.Millis
+	// predictedTime is how long the answer was expected to take at the target.
+	predictedTime kumquatlug.Millis
+	tokens        int64
+	cached        int
+	nextAttemptAt kumquatlug.Millis
+	lastFailure   *kumquatlug.Failure
 	// heldUntil is how long a request that was near two crashes still waits.
 	heldUntil kumquatlug.Millis
 	// mayHaveRun says that some attempt may have run.
 	mayHaveRun bool
 }
 
-// final is the answer to a request that is given up after attempts. What the
+// finalFailure is the answer to a request that is given up after attempts. What the
 // last attempt said of the work stands.
-func (r *request) final(reason string) *kumquatlug.Failure {
+func (r *request) finalFailure(reason string) *kumquatlug.Failure {
 	c := kumquatlug.FailureConfig{
 		Step: "send", Peer: r.target, Reason: reason, Ran: kumquatlug.RanNot, Status: http.StatusServiceUnavailable,
 		RetryAfter: kumquatlug.Second,
 	}
-	if r.last != nil {
-		c.Ran, c.Cause = r.last.Ran(), r.last
-		c.RetryAfter = max(c.RetryAfter, r.last.RetryAfter())
+	if r.lastFailure != nil {
+		c.Ran, c.Cause = r.lastFailure.Ran(), r.lastFailure
+		c.RetryAfter = max(c.RetryAfter, r.lastFailure.RetryAfter())
 	}
 	return kumquatlug.NewFailure(c)
 }
 
-// truthful keeps a refusal from saying "not run" for the sake of its last
+// withEarlierRan keeps a refusal from saying "not run" for the sake of its last
 // attempt alone, when an earlier one was cut or lost from sight.
-func (r *request) truthful(f *kumquatlug.Failure) *kumquatlug.Failure {
+func (r *request) withEarlierRan(f *kumquatlug.Failure) *kumquatlug.Failure {
 	if !r.mayHaveRun || f.Ran() != kumquatlug.RanNot {
 		return f
 	}
--- a/pkg/kumquatlug/dispatch/split.go
+++ b/pkg/kumquatlug/dispatch/split.go
@@ -8,11 +8,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// splitFrom is the length of a prompt, in tokens, from which it runs on a
+// minPrefillEngineTokens is the length of a prompt, in tokens, from which it runs on a
 // prefill engine. A shorter one takes a decode engine under 32 ms at the usual
 // 8,000 tokens a second, about what the second link and the transfer cost, and
 // delays the outputs beside it by a single token.
-const splitFrom = 256
+const minPrefillEngineTokens = 256
 
 // Offered is the work that callers brought for one kind, in tokens.
 type Offered struct {
@@ -20,20 +20,20 @@
 	Decode  int64
 }
 
-// splitWork counts what was brought and, for a kind whose prompts and outputs
+// assignRole counts what was brought and, for a kind whose prompts and outputs
 // run on different engines, decides where the request begins.
-func (d *Dispatcher) splitWork(r *request) {
-	k, known := d.kinds[r.c.Kind]
-	if !known {
+func (d *Dispatcher) assignRole(r *request) {
+	k, ok := d.kinds[r.c.Kind]
+	if !ok {
 		return
 	}
 	k.offered.Prefill += r.c.PrefillTokens
 	k.offered.Decode += r.c.DecodeTokens
-	if !k.split {
+	if !k.disaggregated {
 		return
 	}
 	r.c.Role = kumquatlug.RoleDecode
-	if r.c.PrefillTokens >= splitFrom {
+	if r.c.PrefillTokens >= minPrefillEngineTokens {
 		r.c.Role = kumquatlug.RolePrefill
 	}
 }
@@ -41,9 +41,9 @@
 // TakeOffers hands the work that callers brought since the last call to visit,
 // for each kind whose prompts and outputs run on different engines.
 func (d *Dispatcher) TakeOffers(visit func(kind kumquatlug.Kind, o Offered)) {
-	for _, kind := range d.order {
+	for _, kind := range d.kindOrder {
 		k := d.kinds[kind]
-		if k.split {
+		if k.disaggregated {
 			visit(kind, k.offered)
 		}
 		k.offered = Offered{}
@@ -55,25 +55,25 @@
 // request was accepted already and goes before the queue.
 func (d *Dispatcher) Linked(now kumquatlug.Millis, id string) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
+	r, ok := d.requests[id]
+	if !ok {
 		return d.serve(now)
 	}
-	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.sentAt, workOf(r.c.PrefillTokens, 1))
+	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.sentAt, nominalMillis(r.c.PrefillTokens, 1))
 	d.release(now, r, limit.OutcomeEnded)
 	d.queue.Served(now, r.c.Kind, admission.Cost(r.c.PrefillTokens, 0))
-	d.outcome(now, r, true, 1)
+	d.recordOutcome(now, r, true, 1)
 	r.c.Role = kumquatlug.RoleDecode
 	r.c.PrefillTokens, r.c.Prefix = 1, nil
 	r.exclude = nil
-	r.dueAt = now
-	d.due = append(d.due, r)
+	r.nextAttemptAt = now
+	d.pending = append(d.pending, r)
 	return d.serve(now)
 }
 
-// isSplit reports whether selectors give a kind's prompts and outputs to
+// isDisaggregated reports whether selectors give a kind's prompts and outputs to
 // different engines.
-func (d *Dispatcher) isSplit(kind kumquatlug.Kind) bool {
+func (d *Dispatcher) isDisaggregated(kind kumquatlug.Kind) bool {
 	prefill, decode := false, false
 	for _, s := range d.selectors {
 		if s.Kind() == kind {
@@ -110,10 +110,10 @@
 	return kumquatlug.Kind{}, false
 }
 
-// fits reports whether an engine in the role that it reports can take what a
+// roleMatches reports whether an engine in the role that it reports can take what a
 // selector gives it. An engine whose role is not known is taken at the
 // selector's word.
-func fits(s selector.Selector, reported kumquatlug.Role) bool {
+func roleMatches(s selector.Selector, reported kumquatlug.Role) bool {
 	return s.Role() == kumquatlug.RoleBoth || s.Role() == kumquatlug.RoleServe ||
 		reported == "" || reported == kumquatlug.RoleBoth || reported == s.Role()
 }
--- a/pkg/kumquatlug/dispatch/targets.go
+++ b/pkg/kumquatlug/dispatch/targets.go
@@ -68,19 +68,19 @@
 		d.entries = append(d.entries, d.c.Entry)
 	}
 	sort.Strings(d.entries)
-	d.place(now)
+	d.updateTargets(now)
 	return d.serve(now)
 }
 
 // Heard takes an answered heartbeat and returns how it changed the member.
 func (d *Dispatcher) Heard(now kumquatlug.Millis, name string, report Report) (membership.Change, bool, []Decision) {
 	d.begin(now)
-	before, heard := d.reports[name]
+	previous, reported := d.reports[name]
 	change, changed := d.members.Heard(now, name, report.Incarnation)
 	d.reports[name] = report
 	if changed {
-		delete(d.limited, name)
-		d.limit(name)
+		delete(d.hasLimits, name)
+		d.addLimits(name)
 	}
 	if report.State == TargetDown {
 		// An engine that comes back comes back with an empty cache.
@@ -89,10 +89,10 @@
 	for _, group := range d.health {
 		group.Heartbeat(now, name)
 	}
-	if changed || !heard || before.State != report.State || before.Role != report.Role {
-		d.place(now)
+	if changed || !reported || previous.State != report.State || previous.Role != report.Role {
+		d.updateTargets(now)
 	}
-	d.load(now, name, report)
+	d.reportLoad(now, name, report)
 	return change, changed, d.serve(now)
 }
 
@@ -102,11 +102,11 @@
 	d.router.Cached(name, prefix, sequence, evicted)
 }
 
-func (d *Dispatcher) load(now kumquatlug.Millis, name string, report Report) {
-	taken := report.Asked - report.Age
+func (d *Dispatcher) reportLoad(now kumquatlug.Millis, name string, report Report) {
+	takenAt := report.Asked - report.Age
 	d.router.Report(now, name, routing.Load{
 		Running: int(report.Running), Waiting: int(report.Waiting), KVUsed: int(report.KVUsed), KVTotal: int(report.KVTotal),
-		PrefillRate: report.PrefillRate, DecodeRate: report.DecodeRate, TakenAt: taken,
+		PrefillRate: report.PrefillRate, DecodeRate: report.DecodeRate, TakenAt: takenAt,
 		Begun: report.Begun, Incarnation: report.Incarnation,
 	})
 	if report.Protocol != kumquatlug.ProtocolService {
@@ -127,7 +127,7 @@
 		d.router.SetWeight(name, group.Weight(now, name))
 	}
 	if changed {
-		d.place(now)
+		d.updateTargets(now)
 	}
 	return change, changed, d.serve(now)
 }
@@ -135,14 +135,14 @@
 // WatchAlso names targets that the entry speaks to besides its subset, as those
 // of a group whose lease it holds.
 func (d *Dispatcher) WatchAlso(now kumquatlug.Millis, names []string) {
-	if len(names) == 0 && len(d.planned) == 0 {
+	if len(names) == 0 && len(d.extraWatched) == 0 {
 		return
 	}
-	d.planned = map[string]bool{}
+	d.extraWatched = map[string]bool{}
 	for _, name := range names {
-		d.planned[name] = true
+		d.extraWatched[name] = true
 	}
-	d.place(now)
+	d.updateTargets(now)
 }
 
 // Entries returns the names of all entries in the platform's list, in order.
