--- a/pkg/kumquatlug/admission/estimate_test.go
+++ b/pkg/kumquatlug/admission/estimate_test.go
@@ -14,7 +14,7 @@
 	for range n {
 		now += interval
 		outputTokens := int64(output * (0.5 + random.Float64()))
-		e.Learn(now, "desk", draftKind, Observed{Prompt: 400, Output: outputTokens, First: 100, Rest: kumquatlug.Millis(outputTokens) * 40, Whole: true})
+		e.Learn(now, "caller", draftKind, Observed{Prompt: 400, Output: outputTokens, First: 100, Rest: kumquatlug.Millis(outputTokens) * 40, Whole: true})
 	}
 	return now
 }
@@ -23,17 +23,17 @@
 	for _, interval := range []kumquatlug.Millis{10, 10_000} {
 		e := NewEstimator(EstimatorConfig{})
 		now := learnAnswers(e, 0, 2000, interval, 600)
-		if mean := e.Output(now, "desk", draftKind, 400); mean < 540 || mean > 660 {
+		if mean := e.Output(now, "caller", draftKind, 400); mean < 540 || mean > 660 {
 			t.Errorf("interval %d ms: mean output %d, want 600", interval, mean)
 		}
 		// The output is uniform between 300 and 900; its 90th percentile is 840.
-		if high := e.HighOutput(now, "desk", draftKind, 400); high < 750 || high > 930 {
+		if high := e.HighOutput(now, "caller", draftKind, 400); high < 750 || high > 930 {
 			t.Errorf("interval %d ms: high output %d, want 840", interval, high)
 		}
-		if s := e.Service(now, "desk", draftKind, 400); s < 30_000 || s > 39_000 {
+		if s := e.Service(now, "caller", draftKind, 400); s < 30_000 || s > 39_000 {
 			t.Errorf("interval %d ms: service time %d, want the first token and 840 gaps of 40 ms", interval, s)
 		}
-		if other := e.Output(now, "desk", draftKind, 40_000); other != 200 {
+		if other := e.Output(now, "caller", draftKind, 40_000); other != 200 {
 			t.Errorf("long prompts: mean output %d, want the initial 200", other)
 		}
 	}
@@ -47,12 +47,12 @@
 	now := kumquatlug.Millis(0)
 	for range 1000 {
 		now += 60
-		e.Learn(now, "desk", draftKind, Observed{Prompt: 400, Output: 100, First: 30_000, Rest: 30_000})
+		e.Learn(now, "caller", draftKind, Observed{Prompt: 400, Output: 100, First: 30_000, Rest: 30_000})
 	}
-	if s := e.Service(now, "desk", draftKind, 400); s < 30_000 {
+	if s := e.Service(now, "caller", draftKind, 400); s < 30_000 {
 		t.Fatalf("service time %d after a minute of slow responses, want at least 30000", s)
 	}
-	if s := e.Service(now+3*kumquatlug.Minute, "desk", draftKind, 400); s > 10_000 {
+	if s := e.Service(now+3*kumquatlug.Minute, "caller", draftKind, 400); s > 10_000 {
 		t.Errorf("service time %d after three minutes without responses, want at most 10000", s)
 	}
 }
@@ -62,11 +62,11 @@
 	// service time of all other requests is unchanged.
 	e := NewEstimator(EstimatorConfig{})
 	now := learnAnswers(e, 0, 500, 100, 150)
-	before := e.Service(now, "desk", draftKind, 400)
+	before := e.Service(now, "caller", draftKind, 400)
 	for range 10 {
-		e.Learn(now, "desk", draftKind, Observed{Prompt: 400, First: 60_000})
+		e.Learn(now, "caller", draftKind, Observed{Prompt: 400, First: 60_000})
 	}
-	if after := e.Service(now, "desk", draftKind, 400); after > before+200 {
+	if after := e.Service(now, "caller", draftKind, 400); after > before+200 {
 		t.Errorf("ten outliers change the service time from %d to %d", before, after)
 	}
 }
--- a/pkg/kumquatlug/admission/load_test.go
+++ b/pkg/kumquatlug/admission/load_test.go
@@ -188,7 +188,7 @@
 	// after half a minute.
 	var workloads []workload
 	for n := range 20 {
-		account := fmt.Sprint("desk", n)
+		account := fmt.Sprint("account", n)
 		workloads = append(workloads,
 			workload{caller: fmt.Sprint("question", n), account: account, interval: 240, cost: 300, timeout: 3 * kumquatlug.Second},
 			workload{caller: fmt.Sprint("document", n), account: account, interval: 4800, cost: 6000, timeout: 40 * kumquatlug.Second})
--- a/pkg/kumquatlug/dispatch/attempt.go
+++ b/pkg/kumquatlug/dispatch/attempt.go
@@ -9,37 +9,44 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/retry"
 )
 
-// Reasons with which an agent refuses work because its target goes away or has
-// no room.
+// Failure reasons of attempts that could not start because the target was
+// leaving, unreachable or at capacity.
 const (
-	ReasonLabel    = string(drain.ReasonLabel)
-	ReasonList     = string(drain.ReasonList)
+	// ReasonLabel means that the target's labels mark it as leaving.
+	ReasonLabel = string(drain.ReasonLabel)
+	// ReasonList means that the platform's VM list marks the target as leaving.
+	ReasonList = string(drain.ReasonList)
+	// ReasonStopping means that the agent is stopping.
 	ReasonStopping = string(drain.ReasonStop)
-	ReasonOrder    = string(drain.ReasonOrder)
-	ReasonFull     = "engine_refused"
-	// ReasonUnreachable: no connection to the agent could be made.
+	// ReasonOrder means that the target is carrying out an order.
+	ReasonOrder = string(drain.ReasonOrder)
+	// ReasonFull means that the engine refused the work for lack of capacity.
+	ReasonFull = "engine_refused"
+	// ReasonUnreachable means that the connection to the agent failed.
 	ReasonUnreachable = "agent_unreachable"
-	// ReasonSuspect: another request that was in hand at a crash runs there.
+	// ReasonSuspect means that another request that was in flight at a crash is
+	// running at the target.
 	ReasonSuspect = "suspect_in_hand"
 )
 
-// Failed is how an attempt failed.
+// Failed describes a failed attempt.
 type Failed struct {
-	// Failure says what is known; its Ran decides whether there is another.
+	// Failure is the error. Its Ran decides whether the request may be retried.
 	Failure *kumquatlug.Failure
-	// Refused says that the agent refused the work before it began.
+	// Refused reports whether the agent refused the work before it started.
 	Refused bool
-	// Notices are what the agent told of requests in hand at a crash.
+	// Notices are the agent's notices of requests that were in flight at a crash.
 	Notices []quarantine.Notice
-	// Final says that no other attempt can fare better, as when the request
-	// itself is at fault: the failure is the caller's answer as it stands.
+	// Final reports whether a retry can't succeed, for example because the
+	// request is invalid. The failure is then returned to the caller unchanged.
 	Final bool
-	// Resumable says that the answer can go on elsewhere from what was sent.
+	// Resumable reports whether another target can continue the response after
+	// the output that was already sent.
 	Resumable bool
 }
 
-// AttemptFailed takes the failure of the attempt in hand: another one follows,
-// or the final answer.
+// AttemptFailed records that the current attempt of a request failed. It schedules
+// another attempt or returns the final response.
 func (d *Dispatcher) AttemptFailed(now kumquatlug.Millis, id string, f Failed) []Decision {
 	d.begin(now)
 	r, ok := d.requests[id]
@@ -64,8 +71,8 @@
 		Attempts: r.failures, Refusals: r.refusals, Deadline: d.timeBudget(now, r), Elapsed: now - r.c.Arrival,
 	})
 	if next.Reason() == retry.ReasonMayHaveRun {
-		// What is known of the run goes to the caller as it stands: told as one
-		// more 503, some client libraries would send the call again by themselves.
+		// The failure is returned unchanged. A 503 would make some client
+		// libraries retry the call automatically.
 		d.giveUp(now, id, f.Failure)
 		return d.serve(now)
 	}
@@ -79,13 +86,14 @@
 	return d.serve(now)
 }
 
-// resumeTimeout is how long an answer of which the caller has a part may still take
-// to go on elsewhere: some tries at targets that come back within seconds.
+// resumeTimeout is the minimum time in which a partly delivered response can
+// resume on another target. It allows several attempts at targets that recover
+// within seconds.
 const resumeTimeout = kumquatlug.Minute
 
-// timeBudget is how long a request may take from its arrival. One whose caller has
-// half an answer is finished, however late: stopped at its deadline it would
-// have cost its engine the work and its caller the answer.
+// timeBudget returns how long a request may take from its arrival. A partly
+// delivered response may continue after its deadline. Stopping it there would
+// waste the work of its engine and leave the caller without a response.
 func (d *Dispatcher) timeBudget(now kumquatlug.Millis, r *request) kumquatlug.Millis {
 	budget := r.c.Deadline - r.c.Arrival
 	if r.tokens > 0 {
@@ -94,8 +102,8 @@
 	return budget
 }
 
-// recordFailure counts the failure for the request and for its target's health.
-// A refusal says nothing against the target's health.
+// recordFailure counts a failure for the request and, unless it is a refusal, for
+// the health of its target.
 func (d *Dispatcher) recordFailure(now kumquatlug.Millis, r *request, f Failed) {
 	if f.Refused {
 		r.refusals++
@@ -107,8 +115,9 @@
 	d.markUnavailable(now, r.target, f.Failure.Reason())
 }
 
-// markUnavailable takes a failure for what it tells of the target. Until the next
-// heartbeat every other request would go there and fare alike.
+// markUnavailable updates the state of a target from the reason of a failure.
+// Otherwise other requests would be sent to the target and fail in the same way
+// until the next heartbeat.
 func (d *Dispatcher) markUnavailable(now kumquatlug.Millis, target, reason string) {
 	report := d.reports[target]
 	switch reason {
@@ -136,14 +145,15 @@
 	d.router.SetWeight(r.target, group.Weight(now, r.target))
 }
 
-// release gives the target's place back.
+// release removes the attempt from the limits and the load of its target.
 func (d *Dispatcher) release(now kumquatlug.Millis, r *request, outcome limit.Outcome) {
 	r.inFlight = false
 	d.limits(r.c.Kind).End(now, r.ticket, outcome)
 	d.router.Finished(now, r.target, r.c.ID)
 }
 
-// limitOutcome tells a target that was full from one that failed otherwise.
+// limitOutcome returns OutcomeOverload if the target refused the attempt for lack
+// of capacity, else OutcomeEnded.
 func limitOutcome(f Failed) limit.Outcome {
 	if f.Failure.Reason() == ReasonFull {
 		return limit.OutcomeOverload
@@ -151,7 +161,8 @@
 	return limit.OutcomeEnded
 }
 
-// Progress takes that a request's caller has received tokens of output in all.
+// Progress records that the caller of a request has received a total of tokens
+// output tokens.
 func (d *Dispatcher) Progress(now kumquatlug.Millis, id string, tokens int64) []Decision {
 	d.begin(now)
 	r, ok := d.requests[id]
@@ -180,15 +191,15 @@
 	return d.decisions
 }
 
-// Done is how a request was answered.
+// Done describes a completed response.
 type Done struct {
-	// Tokens is the length of the answer; Cached is how many tokens of the
-	// prompt the target had in its cache.
+	// Tokens is the number of output tokens. Cached is the number of prompt tokens
+	// that were in the target's prefix cache.
 	Tokens int64
 	Cached int64
 }
 
-// Finished takes the end of a request whose answer is whole.
+// Finished records that the response to a request is complete.
 func (d *Dispatcher) Finished(now kumquatlug.Millis, id string, done Done) []Decision {
 	d.begin(now)
 	r, ok := d.requests[id]
@@ -214,7 +225,9 @@
 	return d.serve(now)
 }
 
-// learnLatencyRatio compares how long the answer took with what its tokens made expect.
+// learnLatencyRatio updates the latency ratio of the kind with a response and
+// records its outcome for the health of the target: the response time relative
+// to the time that routing predicted.
 func (d *Dispatcher) learnLatencyRatio(now kumquatlug.Millis, r *request, done Done) {
 	k, ok := d.kinds[r.c.Kind]
 	actual := *r
@@ -230,12 +243,14 @@
 		d.recordOutcome(now, r, true, 1)
 		return
 	}
-	// The statement was made for the estimated tokens.
+	// predictedTime was computed for the estimated output; scale it to the actual
+	// output.
 	predictedTime := float64(r.predictedTime) * nominal / r.nominalMillis()
 	d.recordOutcome(now, r, true, actualTime/predictedTime)
 }
 
-// usedTokens is what the caller is charged for a request that it gave up.
+// usedTokens returns the tokens that the caller is charged for a cancelled
+// request.
 func (r *request) usedTokens() int64 {
 	if r.firstTokenAt == 0 {
 		return 0
@@ -243,7 +258,8 @@
 	return r.c.PrefillTokens + r.tokens
 }
 
-// Cancelled takes that a caller gave up a request, wherever it stands.
+// Cancelled records that the caller cancelled a request, whether it is waiting or
+// in flight.
 func (d *Dispatcher) Cancelled(now kumquatlug.Millis, id string) []Decision {
 	d.begin(now)
 	r, ok := d.requests[id]
--- a/pkg/kumquatlug/dispatch/choose.go
+++ b/pkg/kumquatlug/dispatch/choose.go
@@ -6,16 +6,16 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// capacityCheck asks the limits on behalf of one request.
+// capacityCheck checks the limits of targets for one request of cost tokens.
 type capacityCheck struct {
 	targets *limit.Targets
 	cost    int64
 }
 
-// Room reports whether target may take the request now.
+// Room reports whether target has capacity for the request.
 func (r capacityCheck) Room(target string) bool { return r.targets.Room(target, r.cost) }
 
-// send makes the next attempt of r if some target may take it.
+// send starts the next attempt of r. It reports whether a target had capacity.
 func (d *Dispatcher) send(now kumquatlug.Millis, r *request) bool {
 	target, cached, predictedTime, found := d.choose(now, r)
 	if !found {
@@ -51,16 +51,16 @@
 	}
 	choice, found := d.router.Pick(now, query, capacityCheck{d.limits(r.c.Kind), r.kvTokens()})
 	if !found && d.triedAll(r) {
-		// One that failed before is better than none. As long as another one
-		// is left, though, its room is waited for: a target that just failed
-		// would fail again at once, and use up the request's tries.
+		// Retry a target that failed before only if all were tried. Until then
+		// wait for capacity at the others: a target that just failed would fail
+		// again at once and use up the request's attempts.
 		query.Exclude = nil
 		choice, found = d.router.Pick(now, query, capacityCheck{d.limits(r.c.Kind), r.kvTokens()})
 	}
 	return choice.Target(), choice.Cached(), choice.Stated(), found
 }
 
-// triedAll reports whether every target that takes new work was tried.
+// triedAll reports whether r was tried at every ready target of its kind.
 func (d *Dispatcher) triedAll(r *request) bool {
 	if len(r.exclude) == 0 {
 		return false
@@ -73,10 +73,10 @@
 	return true
 }
 
-// chooseByKey takes the first target in the key's order that is ready, so that
-// every entry sends the key to the same agent. A full one is waited for: the
-// next in the order would be right too, but then a resend meets another agent
-// and costs a read of the table.
+// chooseByKey returns the first ready target in the rendezvous order of the
+// run-once key, so that every entry sends a key to the same agent. If that target
+// has no capacity the request waits for it. The next target would be correct too,
+// but a later resend would then reach another agent and cost a read of the table.
 func (d *Dispatcher) chooseByKey(r *request) (string, bool) {
 	order := routing.ServiceOrder(r.c.OnceKey, d.ready(r.c.Kind))
 	for _, name := range order {
@@ -87,8 +87,8 @@
 	if len(order) == 0 {
 		return "", false
 	}
-	// Every target refused it once. The first may only have asked for a newer
-	// run-once mark.
+	// Every target has refused the call. The first one may have refused it only
+	// because its dispatch stamp was stale.
 	return order[0], d.services.Room(order[0], r.kvTokens())
 }
 
--- a/pkg/kumquatlug/dispatch/configure.go
+++ b/pkg/kumquatlug/dispatch/configure.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// Configure takes the config in force.
+// Configure applies a config.
 func (d *Dispatcher) Configure(now kumquatlug.Millis, state config.State) []Decision {
 	d.begin(now)
 	d.revision = state.Revision()
@@ -23,8 +23,8 @@
 	return d.serve(now)
 }
 
-// readLabels takes in the rows that changed. A change touches few of ten
-// thousand rows, and decoding them all held every decision up for 49 ms
+// readLabels decodes the label rows that changed. A change affects few of 10,000
+// rows, and decoding all of them blocked the event loop for 49 ms
 // (docs/CAPACITY.md).
 func (d *Dispatcher) readLabels(state config.State) {
 	previous := d.labels
@@ -42,8 +42,9 @@
 	})
 }
 
-// readCallerTerms takes in what accounts may ask. An account that was deleted sends
-// nothing more, so that its terms may stay.
+// readCallerTerms applies the rate and concurrency limits of the client accounts.
+// The limits of deleted accounts are kept, since these accounts can't send
+// requests.
 func (d *Dispatcher) readCallerTerms(state config.State) {
 	state.Range(config.PrefixCaller, func(_ string, value []byte) bool {
 		if account, err := kumquatlug.DecodeCaller(value); err == nil {
@@ -55,14 +56,13 @@
 	})
 }
 
-// storedLabels is a target's labels and the row that they were read from.
+// storedLabels holds a target's labels and the row that they were decoded from.
 type storedLabels struct {
 	row    []byte
 	labels selector.Labels
 }
 
-// updateKinds follows which kinds of work there are. Requests of a kind that is
-// no longer handed out are given up as stranded.
+// updateKinds adds and removes kinds so that they match the selectors.
 func (d *Dispatcher) updateKinds(now kumquatlug.Millis) {
 	for _, s := range d.selectors {
 		if _, known := d.kinds[s.Kind()]; !known {
@@ -91,8 +91,8 @@
 	return false
 }
 
-// removeKind forgets a kind that no selector hands out any more. What waits is
-// given up; what is in hand is finished.
+// removeKind removes a kind that no selector assigns any more. Its waiting
+// requests are refused; requests in flight continue.
 func (d *Dispatcher) removeKind(now kumquatlug.Millis, kind kumquatlug.Kind) {
 	d.refuseWaiting(now, kind)
 	delete(d.kinds, kind)
--- a/pkg/kumquatlug/dispatch/decision.go
+++ b/pkg/kumquatlug/dispatch/decision.go
@@ -6,18 +6,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// Verdict is what is decided for a request.
+// Verdict is the action of a [Decision].
 type Verdict string
 
 // The verdicts of a [Decision].
 const (
-	// VerdictSend: make the attempt at the target.
+	// VerdictSend means that the attempt must be sent to its target.
 	VerdictSend Verdict = "send"
-	// VerdictRefuse: give the caller its final answer now.
+	// VerdictRefuse means that the failure must be returned to the caller.
 	VerdictRefuse Verdict = "refuse"
 )
 
-// Decision tells what to do about one request.
+// Decision is an action for one request.
 type Decision struct {
 	id      string
 	verdict Verdict
@@ -28,13 +28,13 @@
 // ID returns the request's id.
 func (d Decision) ID() string { return d.id }
 
-// Verdict returns what to do.
+// Verdict returns the action.
 func (d Decision) Verdict() Verdict { return d.verdict }
 
-// Attempt returns what to send where, with VerdictSend alone.
+// Attempt returns the attempt to send, with VerdictSend only.
 func (d Decision) Attempt() Attempt { return d.attempt }
 
-// Attempt is one sending of a request to a target.
+// Attempt describes one attempt to serve a request at a target.
 type Attempt struct {
 	target   string
 	address  string
@@ -45,8 +45,8 @@
 	suspect  bool
 }
 
-// At returns the attempt at another target, for a call whose run-once claim is
-// held there.
+// At returns a copy of the attempt for another target, for a call whose run-once
+// claim is held by that target.
 func (a Attempt) At(target, address string) Attempt {
 	a.target, a.address = target, address
 	return a
@@ -55,18 +55,18 @@
 // Target returns the target's name.
 func (a Attempt) Target() string { return a.target }
 
-// Address returns where the target's agent is reached.
+// Address returns the network address of the target's agent.
 func (a Attempt) Address() string { return a.address }
 
-// Number returns the number of the attempt, from one.
+// Number returns the number of the attempt, starting at 1.
 func (a Attempt) Number() int { return a.number }
 
-// Revision returns the config under which the target was chosen.
+// Revision returns the revision of the config by which the target was chosen.
 func (a Attempt) Revision() config.Revision { return a.revision }
 
-// Role returns the part of the work that the attempt asks of the target.
+// Role returns the part of the work that the target must do.
 func (a Attempt) Role() kumquatlug.Role { return a.role }
 
-// Notice returns what to tell the agent of a request that was in hand at a
-// crash, and false for all others.
+// Notice returns the notice to send to the agent with a request that was in
+// flight at a crash. It returns false for all other requests.
 func (a Attempt) Notice() (quarantine.Notice, bool) { return a.notice, a.suspect }
--- a/pkg/kumquatlug/dispatch/dispatch.go
+++ b/pkg/kumquatlug/dispatch/dispatch.go
@@ -1,15 +1,16 @@
-// Package dispatch puts the decisions of one entry together: who is admitted,
-// who waits, where each attempt goes and what follows when it fails.
+// Package dispatch combines admission, routing, limits, health and retries into
+// the request scheduler of one entry.
 //
-// A [Dispatcher] takes events (a request arrived, an attempt failed, a target
-// reported, the config changed) with the time, and gives [Decision] values out.
-// It holds no goroutine, network or wall clock; one loop of the entry owns it.
+// A [Dispatcher] is a state machine. Its methods take events (a request arrived,
+// an attempt failed, a target reported, the config changed) with the current
+// time and return [Decision] values. It uses no goroutines, network or wall
+// clock. A single event loop of the entry owns it.
 //
-// What happens without one place for this: an entry in which each request
-// chooses for itself sends a burst to the target that looked idle a moment ago,
-// retries crowd out new work, and requests that nobody can serve any more keep
-// waiting. Here every event ends in one step, [Dispatcher] serves what is due
-// in order: attempts of requests that were already accepted, then the queue.
+// All requests are scheduled in one place. If each request chose its target
+// independently, bursts would go to the target that was idle at the last report,
+// retries would crowd out new work, and requests without any usable target would
+// keep waiting. After every event the Dispatcher sends requests in a fixed order:
+// first further attempts of accepted requests, then the queue.
 package dispatch
 
 import (
@@ -28,42 +29,43 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// Figures of the package.
 const (
-	// TargetGrace is how long requests wait while a kind has no target at all.
-	// A role change takes an engine away for seconds and a restarted agent is
-	// heard within one; after five seconds nobody is likely to come in time,
-	// and whoever waits is told so.
+	// TargetGrace is how long requests wait while their kind has no ready target.
+	// A role change makes an engine unavailable for seconds, and a restarted agent
+	// answers a heartbeat within one second. After five seconds a target is
+	// unlikely to become ready in time, and the waiting requests are refused.
 	TargetGrace = 5 * kumquatlug.Second
-	// nominalPrefillRate and nominalDecodeRate, in tokens a second, stand for what a target
-	// does until answers have shown it; the same as in package routing.
+	// nominalPrefillRate and nominalDecodeRate, in tokens per second, are assumed
+	// for a target until responses have been measured. They match the defaults of
+	// package routing.
 	nominalPrefillRate = 8000
 	nominalDecodeRate  = 50
-	// latencyRatioGain is the weight of the newest answer in the pace of a kind: a
-	// hundred answers replace what was believed before.
+	// latencyRatioGain is the weight of a new sample in the latency ratio of a
+	// kind, which then covers about the last 100 responses.
 	latencyRatioGain = 0.02
-	// noticeSpreadTime is how long a suspect waits for the news of its crash to spread: two
-	// heartbeats at the pace of an entry with fifteen targets, and their way.
+	// noticeSpreadTime is how long a suspect request waits for the notice of the
+	// crash to reach other entries and agents: two heartbeats at the interval of an
+	// entry with 15 targets, and their network delay.
 	noticeSpreadTime = 5 * kumquatlug.Second
-	// freezeThreshold is the time without any event after which the process stood
-	// still: [Dispatcher.Wake] asks for a tick each second at least.
+	// freezeThreshold is the time without any event that counts as a freeze of the
+	// process. [Dispatcher.Wake] requests a tick at least every second.
 	freezeThreshold = 2 * kumquatlug.Second
-	// evictionInterval is how often idle callers are forgotten.
+	// evictionInterval is how often the state of idle callers is removed.
 	evictionInterval = kumquatlug.Minute
 )
 
-// Config is what a [Dispatcher] is made of.
+// Config configures a [Dispatcher].
 type Config struct {
-	// Entry is this entry's name, Zone its data centre.
+	// Entry is the name of this entry, Zone its data centre.
 	Entry string
 	Zone  string
-	// Seed gives the randomness of choices, waits and jitter; entries need
-	// different ones, or they decide alike on the same reports.
+	// Seed is the seed of choices, waits and jitter. It must differ between
+	// entries, or they make the same choices from the same reports.
 	Seed uint64
-	// Subset is how many targets of a kind of engine work the entry speaks to;
-	// zero means routing.DefaultSubset.
+	// Subset is the number of targets per engine kind that this entry uses; zero
+	// means routing.DefaultSubset.
 	Subset int
-	// Admission, Health, Retry and Limits tune the parts; the zero values mean
+	// The following configure the packages of the same names; zero values mean
 	// their defaults. Sources of randomness are set from Seed.
 	Admission  admission.Config
 	Quarantine quarantine.Config
@@ -73,7 +75,8 @@
 	Callers    limit.CallersConfig
 }
 
-// Dispatcher decides for one entry. It is not safe for concurrent use.
+// Dispatcher schedules the requests of one entry. It is not safe for concurrent
+// use.
 type Dispatcher struct {
 	c            Config
 	queue        *admission.Queue
@@ -100,33 +103,33 @@
 	pending      []*request
 	decisions    []Decision
 	evictedAt    kumquatlug.Millis
-	// eventAt is when the last event came.
+	// eventAt is the time of the last event.
 	eventAt kumquatlug.Millis
 }
 
-// kindState is what is kept of one kind of work.
+// kindState is the state of one kind of work.
 type kindState struct {
 	kind kumquatlug.Kind
-	// subset are the targets in the entry's subset that a selector gives the
-	// kind to, whatever their state.
+	// subset holds the names of the targets in the entry's subset that a selector
+	// assigns the kind to, whatever their state.
 	subset []string
-	// ready are those that take new work now.
+	// ready holds the names of those that take new work.
 	ready []string
-	// emptySince is since when none is ready.
+	// emptySince is when ready last became empty.
 	emptySince kumquatlug.Millis
-	// disaggregated says that prompts run on one engine and outputs on another.
+	// disaggregated reports whether prefill and decode run on different engines.
 	disaggregated bool
-	// offered are the tokens that callers brought since [Dispatcher.TakeOffers].
+	// offered is the work that arrived since the last [Dispatcher.TakeOffers].
 	offered Offered
-	// minTokenGap is the least time between two tokens of output that its engines have
-	// shown, in milliseconds; zero before the first.
+	// minTokenGap is the shortest time between two output tokens measured at the
+	// kind's engines, in milliseconds; zero before the first sample.
 	minTokenGap   float64
 	minTokenGapAt kumquatlug.Millis
-	// latencyRatio is how long answers take beside what their tokens make expect.
+	// latencyRatio is the mean ratio of response time to nominal time.
 	latencyRatio float64
 }
 
-// New returns a dispatcher that knows of no target.
+// New returns a dispatcher without config and targets.
 func New(c Config) *Dispatcher {
 	seed := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(c.Seed, stream)) }
 	c.Admission.Random = seed(1)
@@ -161,16 +164,17 @@
 	}
 }
 
-// engineLimits tells the limits of engines that work is counted in milliseconds of
-// an idle engine, see nominalMillis. Learned instead, the floor needs a quiet time,
-// which an engine that is full from the first request on never shows. What a
-// call to a service takes on an idle one is not known beforehand.
+// engineLimits returns c with a latency floor of 1 for engines, whose work is
+// measured in milliseconds on an idle engine (see nominalMillis). A learned floor
+// needs idle periods, which an engine that is full from the first request never
+// has. For services the floor is learned, since the time of a call on an idle
+// service is unknown.
 func engineLimits(c limit.TargetsConfig) limit.TargetsConfig {
 	c.Floor = 1
 	return c
 }
 
-// limits returns the limits of the targets of a kind.
+// limits returns the limits of the targets that serve a kind.
 func (d *Dispatcher) limits(kind kumquatlug.Kind) *limit.Targets {
 	if kind.Protocol() == kumquatlug.ProtocolService {
 		return d.services
@@ -178,10 +182,10 @@
 	return d.engines
 }
 
-// Failure returns the final answer, with VerdictRefuse alone.
+// Failure returns the final response, with VerdictRefuse only.
 func (d Decision) Failure() *kumquatlug.Failure { return d.failure }
 
-// Arrive takes a new request: it is refused at once, or waits for its turn.
+// Arrive queues a new request or refuses it.
 func (d *Dispatcher) Arrive(now kumquatlug.Millis, c RequestConfig) []Decision {
 	d.begin(now)
 	r := &request{c: c}
@@ -204,7 +208,9 @@
 	return d.serve(now)
 }
 
-// checkAdmissible refuses what needs no place in the queue.
+// checkAdmissible returns the failure of a request that must be refused before it
+// is offered to the queue, else nil. It charges the request to the limits of its
+// caller.
 func (d *Dispatcher) checkAdmissible(now kumquatlug.Millis, r *request) *kumquatlug.Failure {
 	k, ok := d.kinds[r.c.Kind]
 	if !ok {
@@ -234,7 +240,7 @@
 	})
 }
 
-// serviceTime is how long the answer takes once it is sent.
+// serviceTime returns the expected time from sending r to the end of its response.
 func (d *Dispatcher) serviceTime(r *request) kumquatlug.Millis {
 	if r.serviceTime > 0 {
 		return r.serviceTime
@@ -246,8 +252,8 @@
 	return kumquatlug.Millis(r.nominalMillis() * k.latencyRatio)
 }
 
-// Tick does what time alone makes due. Call it at least as often as [Wake]
-// says.
+// Tick handles timeouts and sends requests that are due. Call it no later than
+// the time returned by [Dispatcher.Wake].
 func (d *Dispatcher) Tick(now kumquatlug.Millis) []Decision {
 	d.begin(now)
 	d.refuseUnservable(now)
@@ -259,7 +265,7 @@
 	return d.serve(now)
 }
 
-// Wake returns when Tick has to be called at the latest.
+// Wake returns the latest time at which Tick must be called.
 func (d *Dispatcher) Wake(now kumquatlug.Millis) kumquatlug.Millis {
 	wake := now + kumquatlug.Second
 	if at, waits := d.queue.Wake(); waits {
@@ -271,15 +277,16 @@
 	return wake
 }
 
-// begin starts a new list of decisions.
+// begin starts the handling of an event with an empty list of decisions.
 func (d *Dispatcher) begin(now kumquatlug.Millis) {
 	d.decisions = d.decisions[:0]
 	d.excludeFreeze(now)
 }
 
-// excludeFreeze leaves the time in which the process stood still out of the
-// grace. Nobody could answer its heartbeats then, and an entry that wakes would
-// refuse all callers before it has asked any target.
+// excludeFreeze excludes the time in which the process was frozen from
+// TargetGrace. Heartbeats can't be answered during a freeze, and without the
+// exclusion an entry that resumes would refuse all requests before its next
+// heartbeats.
 func (d *Dispatcher) excludeFreeze(now kumquatlug.Millis) {
 	frozen := now - d.eventAt
 	if d.eventAt != 0 && frozen > freezeThreshold {
@@ -290,8 +297,8 @@
 	d.eventAt = now
 }
 
-// serve refuses who can't make it any more, then sends what is due and what
-// the queue says as far as targets have room.
+// serve refuses the queued requests that can no longer meet their deadlines, then
+// sends pending and queued requests while targets have capacity.
 func (d *Dispatcher) serve(now kumquatlug.Millis) []Decision {
 	for _, late := range d.queue.Expire(now) {
 		d.giveUp(now, late.Request().ID(), late.Failure())
@@ -303,8 +310,8 @@
 	return d.decisions
 }
 
-// sendPending sends further attempts of requests that were accepted already. They
-// go before the queue: their callers may have half an answer.
+// sendPending sends further attempts of accepted requests. They have precedence
+// over the queue, since some of their responses are partly delivered.
 func (d *Dispatcher) sendPending(now kumquatlug.Millis) {
 	kept := d.pending[:0]
 	for _, r := range d.pending {
@@ -315,7 +322,8 @@
 	d.pending = kept
 }
 
-// attemptPending sends r or gives it up, and reports false; or neither.
+// attemptPending sends or refuses r if possible and reports whether r remains
+// pending.
 func (d *Dispatcher) attemptPending(now kumquatlug.Millis, r *request) bool {
 	deferred, final := d.checkQuarantine(now, r)
 	switch {
@@ -325,9 +333,9 @@
 		return true
 	case d.send(now, r):
 	case r.tokens == 0 && now+d.serviceTime(r) >= r.c.Deadline:
-		// It can't make its deadline any more, and its caller has nothing yet:
-		// holding it until then would only delay the news. One whose caller has
-		// half an answer is finished, however late.
+		// The request can't meet its deadline, and no output was delivered, so it
+		// is refused now and not at the deadline. A partly delivered response
+		// continues after its deadline.
 		d.giveUp(now, r.c.ID, r.finalFailure("deadline"))
 	default:
 		return true
@@ -343,7 +351,7 @@
 		}
 		r := d.requests[next.ID()]
 		if deferred, final := d.checkQuarantine(now, r); deferred || final != nil {
-			// It leaves the queue, so that nobody waits behind it.
+			// Remove it from the queue so that it doesn't block other requests.
 			d.queue.Take(now, next.ID())
 			d.pending = append(d.pending, r)
 			continue
@@ -355,7 +363,7 @@
 	}
 }
 
-// Kinds returns the kinds of work that some selector hands out, in name order.
+// Kinds returns the kinds of work that selectors assign to targets, in name order.
 func (d *Dispatcher) Kinds() []kumquatlug.Kind { return d.kindOrder }
 
 func sortKinds(kinds []kumquatlug.Kind) {
--- a/pkg/kumquatlug/dispatch/dispatch_test.go
+++ b/pkg/kumquatlug/dispatch/dispatch_test.go
@@ -17,7 +17,7 @@
 	postingKind = kumquatlug.NewKind(kumquatlug.ProtocolService, "gazette")
 )
 
-// harness drives a dispatcher by hand.
+// harness drives a dispatcher with a manual clock and config.
 type harness struct {
 	*Dispatcher
 	t      *testing.T
@@ -88,7 +88,7 @@
 	h.Heard(h.now, target, Report{Incarnation: "i", State: state, Asked: h.now})
 }
 
-// arrive offers a request and returns what was decided for it, if anything.
+// arrive offers a request and returns the decision for it, if there is one.
 func (h *harness) arrive(id string, kind kumquatlug.Kind, timeout kumquatlug.Millis) (Decision, bool) {
 	c := RequestConfig{
 		ID: id, Caller: h.caller, Kind: kind, Role: kumquatlug.RoleBoth, PrefillTokens: 100, DecodeTokens: 20, Arrival: h.now, Deadline: h.now + timeout,
@@ -121,7 +121,8 @@
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "test", Reason: reason, Ran: ran, Status: status})
 }
 
-// failAttempt lets an attempt fail and returns what follows, at once or within span.
+// failAttempt reports a failed attempt and returns the next decision for the
+// request, if there is one within duration.
 func (h *harness) failAttempt(id string, f Failed, duration kumquatlug.Millis) (Decision, bool) {
 	if decision, decided := decisionFor(id, h.AttemptFailed(h.now, id, f)); decided {
 		return decision, true
@@ -129,7 +130,7 @@
 	return h.tickUntilDecided(id, duration)
 }
 
-// tickUntilDecided ticks until something is decided for id or the time is over.
+// tickUntilDecided ticks until there is a decision for id or duration has passed.
 func (h *harness) tickUntilDecided(id string, duration kumquatlug.Millis) (Decision, bool) {
 	for end := h.now + duration; h.now < end; {
 		h.now = h.Wake(h.now)
@@ -140,10 +141,9 @@
 	return Decision{}, false
 }
 
-// A caller sends another posting under a key that it has used. The agent
-// refuses it, and no other attempt could fare better. Held until the deadline,
-// as seen on the first path between processes, the caller would wait two
-// minutes for that answer.
+// A caller reuses a run-once key for another call, and the agent refuses it
+// finally. If the request stayed pending until its deadline, the caller would get
+// the refusal only after two minutes.
 func TestFinalRefusalIsReturnedAtOnce(t *testing.T) {
 	h := newHarness(t, "s1")
 	h.mustSend("p", postingKind)
@@ -155,8 +155,8 @@
 	}
 }
 
-// The only agent of a service refuses a posting because its run-once mark is out
-// of date. The same agent must be asked again, although it has refused already.
+// The only agent of a service refuses a call because its dispatch stamp is stale.
+// The call must be sent to the same agent again.
 func TestOnlyTargetIsRetriedAfterRefusal(t *testing.T) {
 	h := newHarness(t, "s1")
 	h.mustSend("p", postingKind)
@@ -166,9 +166,8 @@
 	}
 }
 
-// A posting may have run when its connection broke. Sent to the next service it
-// might stand twice in the gazette, and told as a 503 its sender's library might
-// send it again by itself.
+// A run-once call may have run when its connection broke. A retry at the next
+// service could run it twice, and a 503 could make the client's library retry it.
 func TestCallThatMayHaveRunIsNotRetried(t *testing.T) {
 	h := newHarness(t, "s1", "s2")
 	h.mustSend("p", postingKind)
@@ -177,13 +176,13 @@
 		t.Fatalf("decided %v: %+v", decided, decision)
 	}
 	if f := decision.Failure(); f.Ran() != kumquatlug.RanUnknown || f.Status() != 502 || f.Reason() != "cut" {
-		t.Fatalf("told as %v, status %d", f, f.Status())
+		t.Fatalf("failure %v, status %d", f, f.Status())
 	}
 }
 
-// An operator takes a target's label away and gives it back. Its agent never
-// went away, so nothing announces it anew, and callers waited until their
-// deadlines for room that the limits had forgotten.
+// An operator removes a target's label and sets it again. The agent keeps running,
+// so no heartbeat reports a change. If the limits of the target weren't created
+// again, requests would wait for capacity until their deadlines.
 func TestReselectedTargetTakesWork(t *testing.T) {
 	h := newHarness(t, "e1")
 	h.label("e1", selector.Labels{"pool": "none"})
@@ -192,8 +191,8 @@
 	h.mustSend("g", draftKind)
 }
 
-// An account has terms. An entry that never read them lets a client that runs
-// away ask for as much as it likes.
+// A client account has a concurrency limit. If the entry didn't apply it, a runaway
+// client could send any number of requests.
 func TestCallerConcurrencyIsEnforced(t *testing.T) {
 	h := newHarness(t, "e1")
 	c := kumquatlug.CallerConfig{Name: "portal", KeyHash: kumquatlug.HashKey("k"), Concurrency: 1}
@@ -212,8 +211,8 @@
 	}
 }
 
-// An engine crashes in the middle of an answer. Its caller has half of it and
-// must get the rest from another engine, whatever its deadline says.
+// An engine crashes while it streams a response. The rest must come from another
+// engine, even after the deadline.
 func TestBrokenStreamResumesOnAnotherTarget(t *testing.T) {
 	h := newHarness(t, "e1", "e2")
 	first := h.mustSend("g", draftKind)
@@ -225,8 +224,8 @@
 	}
 }
 
-// Every engine is lost. Requests that wait, and those that come, are told so
-// within the grace and not at their deadlines.
+// All engines are lost. Waiting and new requests must be refused after the grace
+// period and not at their deadlines.
 func TestRequestsWithoutTargetsFailAfterGrace(t *testing.T) {
 	h := newHarness(t, "e1")
 	h.heartbeat("e1", TargetDown)
@@ -239,17 +238,17 @@
 		t.Fatalf("decided %v: %+v", decided, decision)
 	}
 	if took := h.now - start; took > 2*TargetGrace {
-		t.Errorf("told after %d ms", took)
+		t.Errorf("refused after %d ms", took)
 	}
 	if decision, decided := h.arrive("h", draftKind, 10*kumquatlug.Minute); !decided || decision.Failure().RetryAfter() == 0 {
-		t.Errorf("a request without any target: decided %v", decided)
+		t.Errorf("new request without targets: decided %v", decided)
 	}
 }
 
-// An entry has read its config, heard no target yet and is frozen for six
-// seconds. On waking it has been without targets for longer than the grace by
-// the clock alone; refusing at once, it would send every caller away in the
-// moment before its first heartbeats are answered.
+// An entry with a config but no answered heartbeat is frozen for six seconds. By
+// the clock it then has had no targets for longer than the grace period. If the
+// freeze counted, it would refuse all requests just before the first heartbeats
+// are answered.
 func TestGraceExcludesProcessFreeze(t *testing.T) {
 	h := newHarness(t)
 	for range 3 {
@@ -258,19 +257,19 @@
 	}
 	h.now += 6 * kumquatlug.Second
 	if decision, decided := h.arrive("g", draftKind, kumquatlug.Minute); decided {
-		t.Fatalf("decided on waking: %+v", decision)
+		t.Fatalf("decided right after the freeze: %+v", decision)
 	}
 	start := h.now
 	if decision, decided := h.tickUntilDecided("g", kumquatlug.Minute); !decided || decision.Verdict() != VerdictRefuse {
 		t.Fatalf("decided %v: %+v", decided, decision)
 	}
 	if took := h.now - start; took > 2*TargetGrace {
-		t.Errorf("told after %d ms", took)
+		t.Errorf("refused after %d ms", took)
 	}
 }
 
-// An agent is stopping and says so in a refusal. The entry's next heartbeat is
-// seconds away, and until then every other request would go there and back.
+// A refusal says that the agent is stopping. If the entry ignored that, every other
+// request could be sent there and refused until the next heartbeat, seconds later.
 func TestStoppingTargetIsSkippedAfterItsRefusal(t *testing.T) {
 	h := newHarness(t, "e1", "e2")
 	first := h.mustSend("g", draftKind)
@@ -282,10 +281,10 @@
 	}
 }
 
-// An engine's VM is replaced and nothing listens at its address, while the other
-// engine is full for the moment. Tried again and again at the dead address, as
-// seen on a busy machine, a request used up its tries within milliseconds and
-// was refused, though the other engine had room a moment later.
+// An engine's VM is replaced and its address is unreachable, while the other engine
+// is full. If the request were retried at the unreachable address, it would use up
+// its attempts within milliseconds and be refused, although the other engine has
+// capacity a moment later. This occurred on a busy machine.
 func TestUnreachableTargetDoesNotExhaustAttempts(t *testing.T) {
 	h := newHarness(t, "e1", "e2")
 	unreachable := ""
@@ -305,11 +304,12 @@
 		t.Fatalf("refused: %v", decision.Failure())
 	}
 	if decided && decision.Attempt().Target() == unreachable {
-		t.Fatal("sent to the dead address again")
+		t.Fatal("sent to the unreachable target again")
 	}
 }
 
-// Either word of leaving is enough: the label's, the list's or the agent's.
+// A target is leaving if its label, the VM list or its agent says so; each alone
+// must stop new work.
 func TestEachLeavingSourceSuffices(t *testing.T) {
 	sources := map[string]func(*harness){
 		"label": func(h *harness) { h.label("e1", selector.Labels{"pool": "draft", selector.LabelLeaving: "true"}) },
@@ -330,14 +330,14 @@
 			}
 		}
 		if e := h.Explain(draftKind)[0]; e.Eligible() || e.Reason() == "" {
-			t.Errorf("%s: explained as %+v", source, e)
+			t.Errorf("%s: explanation %+v", source, e)
 		}
 	}
 }
 
-// A larger model takes five times as long for a token as the figures that the
-// limits start from. Held to them it would be given a stream or two for ever,
-// and its callers would wait before idle engines.
+// A larger model takes five times the nominal time per token. If the limits used
+// the nominal rates, its engine would be limited to one or two streams for ever,
+// and requests would wait while it is nearly idle.
 func TestSlowerModelIsNotTakenForOverloaded(t *testing.T) {
 	const gap, tokens, wantStreams = 100, 64, 48
 	h := newHarness(t, "e1")
@@ -364,10 +364,10 @@
 		}
 	}
 	if len(running) < wantStreams {
-		t.Errorf("%d streams run at an engine that takes %d", len(running), wantStreams)
+		t.Errorf("%d concurrent streams, want %d", len(running), wantStreams)
 	}
 }
 
-// progressTokens is how many tokens an entry gathers before it tells them, after
-// the first.
+// progressTokens is the number of tokens after the first that an entry batches into
+// one progress event.
 const progressTokens = 16
--- a/pkg/kumquatlug/dispatch/estimate.go
+++ b/pkg/kumquatlug/dispatch/estimate.go
@@ -5,24 +5,24 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/admission"
 )
 
-// cost is what the request counts in the queue, in tokens of prompt.
+// cost returns the cost of r in the admission queue, in prompt tokens.
 func (r *request) cost() int64 {
 	return max(1, admission.Cost(r.c.PrefillTokens, r.c.DecodeTokens))
 }
 
-// rateTokens is what the request counts against its caller's rate, in tokens.
+// rateTokens returns the tokens that r counts against its caller's rate limit.
 func (r *request) rateTokens() int64 {
 	return max(1, r.c.PrefillTokens+r.c.DecodeTokens)
 }
 
-// kvTokens is what the request may take of an engine's KV memory, in tokens.
+// kvTokens returns a high estimate of the KV cache tokens that r uses.
 func (r *request) kvTokens() int64 {
 	return max(1, r.c.PrefillTokens+max(r.c.DecodeTokens, r.outputP90))
 }
 
-// estimate learns from answers what a request will take: callers set bounds far
-// above what they need, and a queue that believed them would refuse work in
-// front of engines with room.
+// estimate sets the expected output and service time of r from earlier responses.
+// Callers set output limits far above what they need. A queue based on these
+// limits would refuse work while engines have capacity.
 func (d *Dispatcher) estimate(now kumquatlug.Millis, r *request) {
 	if r.c.Kind.Protocol() != kumquatlug.ProtocolEngine {
 		return
@@ -40,8 +40,8 @@
 	return min(tokens, bound)
 }
 
-// learnEstimate feeds the estimates with an answer, or with what there was of one that
-// its caller gave up.
+// learnEstimate updates the estimates with a response, or with the part of it that
+// was produced before the caller cancelled the request.
 func (d *Dispatcher) learnEstimate(now kumquatlug.Millis, r *request, output int64, whole bool) {
 	if r.c.Kind.Protocol() != kumquatlug.ProtocolEngine || r.firstTokenAt == 0 {
 		return
@@ -51,31 +51,32 @@
 	})
 }
 
-// nominalMillis is how long the work takes at the usual rates, in milliseconds.
+// nominalMillis returns the time of r at the nominal rates, in milliseconds.
 func (r *request) nominalMillis() float64 {
 	return nominalMillis(r.c.PrefillTokens, r.c.DecodeTokens)
 }
 
-// nominalMillis is how long so many tokens take at the usual rates, in milliseconds.
+// nominalMillis returns the time of prefill and decode tokens at the nominal rates,
+// in milliseconds.
 func nominalMillis(prefill, decode int64) float64 {
 	const millis = float64(kumquatlug.Second)
 	return float64(prefill)*millis/nominalPrefillRate + float64(decode)*millis/nominalDecodeRate
 }
 
-// Figures of what an idle engine does.
 const (
-	// minGapTokens is the least number of tokens whose gap is believed: fewer
-	// arrive together by chance.
+	// minGapTokens is the minimum number of tokens for a sample of the token gap.
+	// Fewer tokens may arrive together by chance.
 	minGapTokens = 8
-	// gapDoublingMillis lets the gap rise slowly, so that a model that got slower for
-	// good is not held to its old pace for ever.
+	// gapDoublingMillis is the time in which the minimum token gap doubles without
+	// lower samples, so that it adapts to a model that has become slower.
 	gapDoublingMillis = float64(kumquatlug.Hour)
 )
 
-// idleMillis is how long so many tokens take on an idle engine of a kind, as its
-// answers have shown. Limits cut an engine that takes several times as long: with
-// one pace taken for granted, a larger model that is merely slower would be held
-// to a stream or two for ever.
+// idleMillis returns the time of prefill and decode tokens on an idle engine of
+// the kind, in milliseconds, scaled by the measured minimum token gap. The limits
+// reduce the concurrency of an engine that takes several times as long. With
+// fixed rates a slower, larger model would be limited to one or two streams for
+// ever.
 func (k *kindState) idleMillis(prefill, decode int64) float64 {
 	work := nominalMillis(prefill, decode)
 	if k.minTokenGap == 0 {
@@ -84,7 +85,8 @@
 	return work * k.minTokenGap * nominalDecodeRate / float64(kumquatlug.Second)
 }
 
-// learnTokenGap takes the span in which a portion of a stream came.
+// learnTokenGap updates the minimum token gap with tokens that arrived within
+// elapsed.
 func (k *kindState) learnTokenGap(now, elapsed kumquatlug.Millis, tokens int64) {
 	if tokens < minGapTokens || elapsed <= 0 {
 		return
--- a/pkg/kumquatlug/dispatch/explain.go
+++ b/pkg/kumquatlug/dispatch/explain.go
@@ -5,7 +5,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// Explanation says whether a target may take a kind of work, and why not.
+// Explanation reports whether a target can take a kind of work, and the reason if
+// it can't.
 type Explanation struct {
 	target   string
 	eligible bool
@@ -16,17 +17,17 @@
 // Target returns the target's name.
 func (e Explanation) Target() string { return e.target }
 
-// Eligible reports whether the target may take the work now.
+// Eligible reports whether the target can take the work now.
 func (e Explanation) Eligible() bool { return e.eligible }
 
-// Selector returns the name of the selector that gives the work to the target.
+// Selector returns the name of the selector that assigns the work to the target.
 func (e Explanation) Selector() string { return e.selector }
 
-// Reason says why the target may not take the work.
+// Reason returns why the target can't take the work, empty if it can.
 func (e Explanation) Reason() string { return e.reason }
 
-// Explain says for every target whether it may take a kind of work. It follows
-// the same steps as the choice itself.
+// Explain reports for every target whether it can take a kind of work. It applies
+// the same checks as the choice of a target.
 func (d *Dispatcher) Explain(kind kumquatlug.Kind) []Explanation {
 	explanations := make([]Explanation, 0, len(d.members.Names()))
 	for _, name := range d.members.Names() {
--- a/pkg/kumquatlug/dispatch/place.go
+++ b/pkg/kumquatlug/dispatch/place.go
@@ -7,7 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// updateTargets follows which targets the entry speaks to and which take what.
+// updateTargets updates the subsets of all kinds, the watched targets and the
+// router's candidates.
 func (d *Dispatcher) updateTargets(now kumquatlug.Millis) {
 	duties := map[string][]routing.Duty{}
 	watched := map[string]bool{}
@@ -40,9 +41,10 @@
 	d.updateEntryCount()
 }
 
-// addLimits starts the limits of a target that has none. A target that was taken out
-// of use and given back is heard as before, without any change of its state, and
-// would otherwise have room for nothing until its agent restarts.
+// addLimits creates the limits of a target that has none. A target that is removed
+// from all selectors and added again answers heartbeats all the time, without a
+// change of state. Without limits it would have no capacity until its agent
+// restarts.
 func (d *Dispatcher) addLimits(name string) {
 	if d.hasLimits[name] {
 		return
@@ -52,9 +54,9 @@
 	d.services.Add(name)
 }
 
-// subset returns the targets of a kind that this entry speaks to: of engines a
-// part, of services all, since every entry must find the same order for a
-// run-once key.
+// subset returns the targets of a kind that this entry uses: a subset of the
+// engines, but all services, since every entry must compute the same rendezvous
+// order for a run-once key.
 func (d *Dispatcher) subset(kind kumquatlug.Kind) []string {
 	var names []string
 	for _, name := range d.members.Names() {
@@ -68,7 +70,8 @@
 	return routing.Subset(d.entries, d.c.Entry, names, d.c.Subset)
 }
 
-// selectorsFor returns the selectors that give kind to the target, leaving or not.
+// selectorsFor returns the selectors that assign kind to the target, whether or not
+// the target is leaving.
 func (d *Dispatcher) selectorsFor(name string, kind kumquatlug.Kind) []selector.Selector {
 	var selectors []selector.Selector
 	labels := d.labelsOf(name)
@@ -85,9 +88,9 @@
 	return d.labels[name].labels.With(name, member.VM().Zone())
 }
 
-// setSubset follows the targets of a kind. One that is gone leaves its health
-// group: counted on, it would shift the median by which the others are judged
-// and take a place among those that may be ejected.
+// setSubset sets the targets of a kind and removes the others from its health
+// group. A removed target would otherwise shift the median that the others are
+// compared with and count towards the maximum number of ejected targets.
 func (d *Dispatcher) setSubset(k *kindState, names []string) {
 	for _, name := range k.subset {
 		if !contains(names, name) {
@@ -111,9 +114,8 @@
 	}
 }
 
-// unreadyReason says why a target takes no new work now, empty when it does. Leaving
-// is told by the label, by the platform's list or by the agent; each alone is
-// enough.
+// unreadyReason returns why a target takes no new work, empty if it does. A target
+// is leaving if its label, the platform's VM list or its agent says so.
 func (d *Dispatcher) unreadyReason(name string) string {
 	member, ok := d.members.Get(name)
 	switch {
@@ -153,7 +155,7 @@
 	d.router.Set(now, candidate)
 }
 
-// updateEntryCount tells the limits how many entries share what they bound.
+// updateEntryCount sets how many entries share the limits of callers and targets.
 func (d *Dispatcher) updateEntryCount() {
 	n := max(1, len(d.entries))
 	d.callers.SetEntries(n)
--- a/pkg/kumquatlug/dispatch/proof_test.go
+++ b/pkg/kumquatlug/dispatch/proof_test.go
@@ -15,32 +15,33 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// targetNames are three engines and two services.
+// targetNames holds three engines (e) and two services (s).
 var targetNames = []string{"e1", "e2", "e3", "s1", "s2"}
 
-// openRequest is what the oracle knows of a request that has no final answer yet.
+// openRequest is the model of a request without a final response.
 type openRequest struct {
 	kind kumquatlug.Kind
-	// target has an attempt in hand, empty while none is.
+	// target is the target of the attempt in flight, empty if there is none.
 	target     string
 	tokens     int64
 	mayHaveRun bool
 }
 
-// targetModel is what was told of a target.
+// targetModel is the model of a target, with all that was reported of it.
 type targetModel struct {
 	leavingByLabel, leavingByList, unavailable bool
 	state                                      TargetState
 	missed                                     int
 }
 
-// takesWork is the rule by itself: nobody says that it leaves, its last
-// heartbeat was answered and said that it serves.
+// takesWork reports whether the target may be sent new work: no source says that it
+// is leaving, it isn't down, and its last report says that it is serving.
 func (t *targetModel) takesWork() bool {
 	return !t.leavingByLabel && !t.leavingByList && !t.unavailable && t.state == TargetServing && t.missed < membership.MissedForDown
 }
 
-// modelChecker is a dispatcher and the oracle beside it.
+// modelChecker applies random events to a dispatcher and checks its decisions
+// against a model.
 type modelChecker struct {
 	*harness
 	random    *rand.Rand
@@ -65,15 +66,15 @@
 	}
 }
 
-// check judges each decision.
+// check checks decisions against the model and applies them to it.
 func (m *modelChecker) check(decisions []Decision) {
 	for _, d := range decisions {
 		r, known := m.requests[d.ID()]
 		switch {
 		case !known:
-			m.fail("%s is decided after its final answer", d.ID())
+			m.fail("%s: decision after the final response", d.ID())
 		case r.target != "":
-			m.fail("%s is decided while its attempt at %s is in hand", d.ID(), r.target)
+			m.fail("%s: decision while its attempt at %s is in flight", d.ID(), r.target)
 		case d.Verdict() == VerdictSend:
 			m.sent(d, r)
 		default:
@@ -86,13 +87,13 @@
 	m.counts["sent"]++
 	target := d.Attempt().Target()
 	if !m.targets[target].takesWork() {
-		m.fail("%s is sent to %s, which takes no new work: %+v", d.ID(), target, *m.targets[target])
+		m.fail("%s: sent to %s, which takes no new work: %+v", d.ID(), target, *m.targets[target])
 	}
 	if (r.kind == postingKind) != (target[0] == 's') {
-		m.fail("%s is sent to %s", d.ID(), target)
+		m.fail("%s: sent to %s, which has another kind", d.ID(), target)
 	}
 	if r.kind == postingKind && r.mayHaveRun {
-		m.fail("%s may have run and is sent again", d.ID())
+		m.fail("%s: sent again although it may have run", d.ID())
 	}
 	r.target = target
 }
@@ -100,12 +101,13 @@
 func (m *modelChecker) refused(d Decision, r *openRequest) {
 	m.counts["refused"]++
 	if r.mayHaveRun && d.Failure().Ran() == kumquatlug.RanNot {
-		m.fail("%s is told not-run and may have run", d.ID())
+		m.fail("%s: refused as not run although it may have run", d.ID())
 	}
 	delete(m.requests, d.ID())
 }
 
-// pickRequest returns one of the open requests, in hand or not.
+// pickRequest returns a random open request that is in flight or not, as asked. It
+// returns nil if there is none.
 func (m *modelChecker) pickRequest(inFlight bool) (string, *openRequest) {
 	var ids []string
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
@@ -120,7 +122,7 @@
 	return id, m.requests[id]
 }
 
-// events are drawn as often as they are listed.
+// events lists the kinds of events, each repeated according to its weight.
 var events = []string{
 	"arrive", "arrive", "arrive", "arrive", "fail", "fail", "progress", "finish", "finish", "cancel",
 	"heard", "heard", "missed", "label", "list", "wait", "wait", "wait",
@@ -243,7 +245,7 @@
 	m.check(m.Listed(m.now, vms))
 }
 
-// advance lets time pass as the loop of an entry does.
+// advance advances the clock and ticks as the event loop of an entry does.
 func (m *modelChecker) advance(duration kumquatlug.Millis) {
 	for end := m.now + duration; m.now < end; {
 		m.now = min(end, m.Wake(m.now))
@@ -251,8 +253,8 @@
 	}
 }
 
-// finishAll heals everything and finishes what is sent: whoever is still open then
-// was forgotten.
+// finishAll makes all targets available and finishes all attempts. A request that
+// is still open afterwards was lost.
 func (m *modelChecker) finishAll() {
 	for _, name := range targetNames {
 		m.targets[name].leavingByList = false
@@ -270,7 +272,7 @@
 		m.advance(kumquatlug.Second)
 	}
 	for id := range m.requests {
-		m.fail("%s got no final answer", id)
+		m.fail("%s: no final response", id)
 	}
 	if m.violation != "" {
 		m.t.Error(m.violation)
@@ -278,14 +280,14 @@
 }
 
 func TestProofEveryRequestEndsOnceWithCorrectRan(t *testing.T) {
-	// Requests come while engines and services leave by label or list, stop, go
-	// silent, refuse and break answers off, and callers hang up. A user would
-	// notice a request that is never answered or answered twice, a posting that
-	// is sent again though it may have run, a "not run" that is false, or work
-	// at a target that takes none.
+	// Requests arrive while targets leave by label or list, stop, miss heartbeats,
+	// refuse work and break off responses, and callers cancel. Violations are a
+	// request without exactly one final response, a run-once call that is retried
+	// although it may have run, a false "not run", and work sent to a target that
+	// takes none.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
-		Claim: "every request ends once and truthfully",
+		Claim: "every request ends exactly once, with the correct run status",
 		Seed:  3, Runs: 300, Steps: 120,
 		Command: proof.Events(events, applyEvent),
 		World:   func() commands.SystemUnderTest { return newModelChecker(t, counts) },
--- a/pkg/kumquatlug/dispatch/refuse.go
+++ b/pkg/kumquatlug/dispatch/refuse.go
@@ -14,8 +14,9 @@
 	return newFailure("find targets", "no_target", 503, TargetGrace)
 }
 
-// refuseUnservable gives up the requests of kinds that have had no target for
-// longer than the grace. Waiting for their deadlines would only delay the news.
+// refuseUnservable refuses the waiting requests of kinds that have had no ready
+// target for longer than TargetGrace. Waiting until their deadlines would only
+// delay the failure.
 func (d *Dispatcher) refuseUnservable(now kumquatlug.Millis) {
 	for _, kind := range d.kindOrder {
 		k := d.kinds[kind]
@@ -26,7 +27,7 @@
 	}
 }
 
-// refuseWaiting gives up every request of a kind that is not in hand.
+// refuseWaiting refuses every request of a kind that is not in flight.
 func (d *Dispatcher) refuseWaiting(now kumquatlug.Millis, kind kumquatlug.Kind) {
 	for next, waits := d.queue.Next(kind); waits; next, waits = d.queue.Next(kind) {
 		d.queue.Cancel(now, next.ID())
@@ -43,12 +44,12 @@
 	d.pending = kept
 }
 
-// refuse decides the final answer of a request that is not kept.
+// refuse appends the final response of a request that is no longer tracked.
 func (d *Dispatcher) refuse(id string, f *kumquatlug.Failure) {
 	d.decisions = append(d.decisions, Decision{id: id, verdict: VerdictRefuse, failure: f})
 }
 
-// giveUp ends a request that is kept and not in hand at a target.
+// giveUp refuses a request that is tracked and not in flight.
 func (d *Dispatcher) giveUp(now kumquatlug.Millis, id string, f *kumquatlug.Failure) {
 	r, ok := d.requests[id]
 	if !ok {
@@ -58,7 +59,7 @@
 	d.refuse(id, r.withEarlierRan(f))
 }
 
-// withoutRequest forgets a request; used is what its caller is charged, in tokens.
+// removeRequest removes a request and charges its caller used tokens.
 func (d *Dispatcher) removeRequest(now kumquatlug.Millis, r *request, used int64) {
 	delete(d.requests, r.c.ID)
 	if r.charged {
--- a/pkg/kumquatlug/dispatch/request.go
+++ b/pkg/kumquatlug/dispatch/request.go
@@ -8,34 +8,34 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// RequestConfig describes a request that arrived.
+// RequestConfig describes a new request.
 type RequestConfig struct {
 	ID     string
 	Caller kumquatlug.Caller
 	Kind   kumquatlug.Kind
-	// Role is the part of the work asked for: RoleBoth of engines, RoleServe
-	// of services.
+	// Role is the requested part of the work: RoleBoth for engines, RoleServe for
+	// services.
 	Role kumquatlug.Role
-	// Prefix are the prompt's prefix keys; see routing.Query.
+	// Prefix holds the prefix keys of the prompt; see routing.Query.
 	Prefix []uint64
-	// PrefillTokens is the length of the prompt. DecodeTokens bounds the output
-	// of an engine, zero when the caller set no bound.
+	// PrefillTokens is the number of prompt tokens. DecodeTokens is the maximum
+	// number of output tokens, zero if the caller set none.
 	PrefillTokens int64
 	DecodeTokens  int64
 	// Arrival and Deadline are points in time.
 	Arrival  kumquatlug.Millis
 	Deadline kumquatlug.Millis
+	// Priority is the admission priority; see admission.RequestConfig.
 	Priority int
-	// OnceKey names a call that may not be repeated, empty for all others. It
-	// decides the target, so that a call sent again meets the agent that knows
-	// of it.
+	// OnceKey is the run-once key of a call that must not be executed twice, empty
+	// for all others. The target is chosen by the key, so that a resent call
+	// reaches the agent that has its record.
 	OnceKey string
-	// Fingerprint is equal for equal requests of one caller; see package
-	// quarantine.
+	// Fingerprint identifies equal requests of one caller; see package quarantine.
 	Fingerprint quarantine.Fingerprint
 }
 
-// request is one request in the dispatcher's hands.
+// request is the state of a request from arrival to its final response.
 type request struct {
 	c            RequestConfig
 	charged      bool
@@ -49,24 +49,26 @@
 	sentAt       kumquatlug.Millis
 	firstTokenAt kumquatlug.Millis
 	progressAt   kumquatlug.Millis
-	// outputP90 is the output that few answers exceed, service how long the
-	// answer takes once sent; zero when nothing is known.
+	// outputP90 is the 90th percentile of the output in tokens, serviceTime a high
+	// estimate of the time from sending to the end of the response. Both are zero
+	// if unknown.
 	outputP90   int64
 	serviceTime kumquatlug.Millis
-	// predictedTime is how long the answer was expected to take at the target.
+	// predictedTime is the response time that routing predicted for the target.
 	predictedTime kumquatlug.Millis
 	tokens        int64
 	cached        int
 	nextAttemptAt kumquatlug.Millis
 	lastFailure   *kumquatlug.Failure
-	// heldUntil is how long a request that was near two crashes still waits.
+	// heldUntil is when a request that was in flight at two crashes is refused,
+	// unless it is cleared before.
 	heldUntil kumquatlug.Millis
-	// mayHaveRun says that some attempt may have run.
+	// mayHaveRun reports whether any attempt may have run.
 	mayHaveRun bool
 }
 
-// finalFailure is the answer to a request that is given up after attempts. What the
-// last attempt said of the work stands.
+// finalFailure returns the final response to a request that is refused after
+// attempts. It keeps the Ran of the last failure.
 func (r *request) finalFailure(reason string) *kumquatlug.Failure {
 	c := kumquatlug.FailureConfig{
 		Step: "send", Peer: r.target, Reason: reason, Ran: kumquatlug.RanNot, Status: http.StatusServiceUnavailable,
@@ -79,8 +81,8 @@
 	return kumquatlug.NewFailure(c)
 }
 
-// withEarlierRan keeps a refusal from saying "not run" for the sake of its last
-// attempt alone, when an earlier one was cut or lost from sight.
+// withEarlierRan returns f with RanUnknown if f says RanNot but an earlier attempt
+// may have run. RanNot would then hold for the last attempt only.
 func (r *request) withEarlierRan(f *kumquatlug.Failure) *kumquatlug.Failure {
 	if !r.mayHaveRun || f.Ran() != kumquatlug.RanNot {
 		return f
--- a/pkg/kumquatlug/dispatch/split.go
+++ b/pkg/kumquatlug/dispatch/split.go
@@ -8,20 +8,21 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// minPrefillEngineTokens is the length of a prompt, in tokens, from which it runs on a
-// prefill engine. A shorter one takes a decode engine under 32 ms at the usual
-// 8,000 tokens a second, about what the second link and the transfer cost, and
-// delays the outputs beside it by a single token.
+// minPrefillEngineTokens is the minimum prompt length, in tokens, for a prefill
+// engine. A decode engine prefills a shorter prompt in less than 32 ms at the
+// nominal 8,000 tokens per second. That is about the cost of the second connection
+// and the KV cache transfer, and delays the other streams of that engine by a
+// single token.
 const minPrefillEngineTokens = 256
 
-// Offered is the work that callers brought for one kind, in tokens.
+// Offered is the work of one kind that arrived in an interval, in tokens.
 type Offered struct {
 	Prefill int64
 	Decode  int64
 }
 
-// assignRole counts what was brought and, for a kind whose prompts and outputs
-// run on different engines, decides where the request begins.
+// assignRole adds r to the offered work of its kind. If the kind is disaggregated
+// it also chooses whether r starts on a prefill or a decode engine.
 func (d *Dispatcher) assignRole(r *request) {
 	k, ok := d.kinds[r.c.Kind]
 	if !ok {
@@ -38,8 +39,8 @@
 	}
 }
 
-// TakeOffers hands the work that callers brought since the last call to visit,
-// for each kind whose prompts and outputs run on different engines.
+// TakeOffers calls visit for each disaggregated kind with the work that arrived
+// since the last call, and resets the counts of all kinds.
 func (d *Dispatcher) TakeOffers(visit func(kind kumquatlug.Kind, o Offered)) {
 	for _, kind := range d.kindOrder {
 		k := d.kinds[kind]
@@ -50,9 +51,9 @@
 	}
 }
 
-// Linked takes that the prompt of a request has run: its output follows on
-// another engine, to which the KV cache goes without passing any entry. The
-// request was accepted already and goes before the queue.
+// Linked records that the prefill of a request is done. Its decode runs on another
+// engine, which receives the KV cache directly from the prefill engine. The
+// request was already accepted and has precedence over the queue.
 func (d *Dispatcher) Linked(now kumquatlug.Millis, id string) []Decision {
 	d.begin(now)
 	r, ok := d.requests[id]
@@ -71,7 +72,7 @@
 	return d.serve(now)
 }
 
-// isDisaggregated reports whether selectors give a kind's prompts and outputs to
+// isDisaggregated reports whether selectors assign prefill and decode of a kind to
 // different engines.
 func (d *Dispatcher) isDisaggregated(kind kumquatlug.Kind) bool {
 	prefill, decode := false, false
@@ -84,14 +85,14 @@
 	return prefill && decode
 }
 
-// Group returns the group whose lease holder gives a target its orders.
+// Group returns the group of a target. The holder of the group's lease sends the
+// target its orders.
 func (d *Dispatcher) Group(target string) string {
 	return config.GroupAmong(d.selectors, d.labelsOf(target))
 }
 
-// Flexible reports whether selectors give a target both the prompts and the
-// outputs of some kind, so that its role may be changed between the two, and
-// which kind it is.
+// Flexible reports whether selectors assign both prefill and decode of a kind to a
+// target, so that its role can be switched between the two, and returns the kind.
 func (d *Dispatcher) Flexible(target string) (kumquatlug.Kind, bool) {
 	labels := d.labelsOf(target)
 	roles := map[kumquatlug.Kind]map[kumquatlug.Role]bool{}
@@ -110,9 +111,8 @@
 	return kumquatlug.Kind{}, false
 }
 
-// roleMatches reports whether an engine in the role that it reports can take what a
-// selector gives it. An engine whose role is not known is taken at the
-// selector's word.
+// roleMatches reports whether an engine in its reported role can take the work of a
+// selector. An engine without a reported role can take it.
 func roleMatches(s selector.Selector, reported kumquatlug.Role) bool {
 	return s.Role() == kumquatlug.RoleBoth || s.Role() == kumquatlug.RoleServe ||
 		reported == "" || reported == kumquatlug.RoleBoth || reported == s.Role()
--- a/pkg/kumquatlug/dispatch/suspect.go
+++ b/pkg/kumquatlug/dispatch/suspect.go
@@ -7,13 +7,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// suspectPollInterval is how often a request that waits for news of a crash is looked
-// at. The news comes with heartbeats, a second apart.
+// suspectPollInterval is how often a request that waits for notices of a crash is
+// checked. Notices arrive with heartbeats, one second apart.
 const suspectPollInterval = 200 * kumquatlug.Millis(1)
 
 func (r *request) fingerprint() quarantine.Fingerprint { return r.c.Fingerprint }
 
-// quarantineFailure is the final answer to a request that crashes targets.
+// quarantineFailure returns the final response to a quarantined request.
 func quarantineFailure(remaining kumquatlug.Millis) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: "take request", Reason: "quarantined", Ran: kumquatlug.RanNot,
@@ -21,12 +21,11 @@
 	})
 }
 
-// checkQuarantine asks what is thought of r's request. A final answer comes for one
-// that is proven to crash targets, or was near two crashes and nobody else's
-// guilt has explained one of them in time. Waits says that r is put off while the
-// news of its crash spreads, or while it is held: sent at once to the next
-// target, a request that crashes what runs it would meet an agent that does not
-// know of it yet.
+// checkQuarantine checks the quarantine status of r. It returns a final response if
+// r is proven to crash targets, or if r was in flight at two crashes and neither
+// was attributed to another request in time. It returns deferred while the notice
+// of the crash spreads and while r is held: if a request that crashes targets were
+// sent to the next one at once, it would reach an agent without the notice.
 func (d *Dispatcher) checkQuarantine(now kumquatlug.Millis, r *request) (deferred bool, final *kumquatlug.Failure) {
 	status := d.register.Ask(now, r.fingerprint())
 	if status.Standing() != quarantine.StandingHeld {
@@ -57,19 +56,19 @@
 	return true, nil
 }
 
-// Merge takes notices that an agent told.
+// Merge adds notices received from an agent.
 func (d *Dispatcher) Merge(now kumquatlug.Millis, notices []quarantine.Notice) {
 	d.register.Merge(now, notices)
 }
 
-// Known returns the notices after a version for an agent, and the version to
-// ask with next.
+// Known returns the notices that changed after a version, to send to an agent, and
+// the version for the next call.
 func (d *Dispatcher) Known(now kumquatlug.Millis, after int64) ([]quarantine.Notice, int64) {
 	return d.register.Known(now, after)
 }
 
-// deferSuspect puts r off that met another suspect at its target. Waiting its turn
-// among suspects uses up none of its tries, and all targets stay open to it.
+// deferSuspect defers r after its target refused it because of another suspect.
+// The wait doesn't count as an attempt and excludes no target.
 func (d *Dispatcher) deferSuspect(now kumquatlug.Millis, r *request) {
 	r.nextAttemptAt = now + suspectPollInterval
 	d.pending = append(d.pending, r)
--- a/pkg/kumquatlug/dispatch/targets.go
+++ b/pkg/kumquatlug/dispatch/targets.go
@@ -11,50 +11,52 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// TargetState is what an agent says of its target.
+// TargetState is the state of a target as reported by its agent.
 type TargetState string
 
 // The states of targets.
 const (
-	// TargetServing takes work.
+	// TargetServing means that the target takes new work.
 	TargetServing TargetState = "serving"
-	// TargetLeaving and TargetStopping finish what they have.
+	// TargetLeaving and TargetStopping mean that the target only finishes the work
+	// in flight.
 	TargetLeaving  TargetState = "leaving"
 	TargetStopping TargetState = "stopping"
-	// TargetStarting knows no config yet.
+	// TargetStarting means that the agent has no config yet.
 	TargetStarting TargetState = "starting"
-	// TargetDown does not answer its agent.
+	// TargetDown means that the target does not respond to its agent.
 	TargetDown TargetState = "down"
-	// TargetChanging carries out an order.
+	// TargetChanging means that the target is carrying out an order.
 	TargetChanging TargetState = "changing"
 )
 
-// Report is an agent's answer to a heartbeat.
+// Report is an agent's response to a heartbeat.
 type Report struct {
-	// Incarnation is the id of the agent's process.
+	// Incarnation identifies the agent's process.
 	Incarnation string
 	State       TargetState
 	Protocol    kumquatlug.Protocol
-	// Role is the role that the engine is in, empty when it has none.
+	// Role is the current role of the engine, empty if it has none.
 	Role kumquatlug.Role
-	// Revision is the config in force at the agent.
+	// Revision is the revision of the agent's config.
 	Revision config.Revision
-	// Asked is when the entry asked, and Age how old the load was then.
+	// Asked is when the entry sent the heartbeat, Age the age of the load values at
+	// that time.
 	Asked kumquatlug.Millis
 	Age   kumquatlug.Millis
-	// Load of the target; see routing.Load.
+	// The following are the load of the target; see routing.Load.
 	Running, Waiting        int64
 	KVUsed, KVTotal         int64
 	PrefillRate, DecodeRate float64
 	Begun                   int64
-	// Starts counts the agent's starts, Fence is the highest fencing number
-	// that it has seen and Phase where the target is between orders.
+	// Starts is the number of starts of the agent, Fence the highest fencing token
+	// that it has seen, and Phase the target's phase in handling orders.
 	Starts int64
 	Fence  int64
 	Phase  string
 }
 
-// Listed takes the platform's list of VMs.
+// Listed applies the platform's list of VMs.
 func (d *Dispatcher) Listed(now kumquatlug.Millis, vms []kumquatlug.VM) []Decision {
 	d.begin(now)
 	d.members.Listed(vms)
@@ -72,7 +74,8 @@
 	return d.serve(now)
 }
 
-// Heard takes an answered heartbeat and returns how it changed the member.
+// Heard applies the report of an answered heartbeat. It returns the change of the
+// member's state and whether there was one.
 func (d *Dispatcher) Heard(now kumquatlug.Millis, name string, report Report) (membership.Change, bool, []Decision) {
 	d.begin(now)
 	previous, reported := d.reports[name]
@@ -83,7 +86,7 @@
 		d.addLimits(name)
 	}
 	if report.State == TargetDown {
-		// An engine that comes back comes back with an empty cache.
+		// An engine restarts with an empty prefix cache.
 		d.router.Forget(name)
 	}
 	for _, group := range d.health {
@@ -96,8 +99,8 @@
 	return change, changed, d.serve(now)
 }
 
-// Cached takes that a target holds a prompt prefix, or has evicted it. Events
-// come late and with gaps in their sequence.
+// Cached records that a target has cached or evicted a prompt prefix. Events can
+// be late, and their sequence can have gaps.
 func (d *Dispatcher) Cached(name string, prefix uint64, sequence int64, evicted bool) {
 	d.router.Cached(name, prefix, sequence, evicted)
 }
@@ -117,8 +120,8 @@
 	}
 }
 
-// Missed takes a heartbeat without an answer and returns how it changed the
-// member.
+// Missed records a heartbeat without a response. It returns the change of the
+// member's state and whether there was one.
 func (d *Dispatcher) Missed(now kumquatlug.Millis, name string) (membership.Change, bool, []Decision) {
 	d.begin(now)
 	change, changed := d.members.Missed(name)
@@ -132,8 +135,8 @@
 	return change, changed, d.serve(now)
 }
 
-// WatchAlso names targets that the entry speaks to besides its subset, as those
-// of a group whose lease it holds.
+// WatchAlso sets the targets outside its subset that the entry sends heartbeats
+// to, such as those of a group whose lease it holds.
 func (d *Dispatcher) WatchAlso(now kumquatlug.Millis, names []string) {
 	if len(names) == 0 && len(d.extraWatched) == 0 {
 		return
@@ -148,18 +151,19 @@
 // Entries returns the names of all entries in the platform's list, in order.
 func (d *Dispatcher) Entries() []string { return d.entries }
 
-// Watched returns the targets that the entry speaks to, in name order; the
-// slice is valid until the next event.
+// Watched returns the targets that the entry sends heartbeats to, in name order.
+// The slice is valid until the next event.
 func (d *Dispatcher) Watched() []string { return d.watched }
 
-// Member returns what is known of a target.
+// Member returns the membership state of a target.
 func (d *Dispatcher) Member(name string) (membership.Member, bool) { return d.members.Get(name) }
 
-// LastReport returns what the agent of a target last said.
+// LastReport returns the last report of a target's agent.
 func (d *Dispatcher) LastReport(name string) Report { return d.reports[name] }
 
 // Members returns the names of all targets, in order.
 func (d *Dispatcher) Members() []string { return d.members.Names() }
 
-// Labels returns a target's labels, with what the platform says of it.
+// Labels returns a target's labels, including its name and its zone from the
+// platform's VM list.
 func (d *Dispatcher) Labels(name string) selector.Labels { return d.labelsOf(name) }
