--- a/pkg/kumquatlug/dispatch/attempt.go
+++ b/pkg/kumquatlug/dispatch/attempt.go
@@ -9,107 +9,116 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/retry"
 )
 
-// Reasons with which an agent refuses work because its target goes away or has
-// no room.
+// Failure reasons of attempts that could not start because the target was
+// leaving, unreachable or at capacity.
 const (
-	ReasonLabel    = string(drain.ReasonLabel)
-	ReasonList     = string(drain.ReasonList)
+	// ReasonLabel means that the target's labels mark it as leaving.
+	ReasonLabel = string(drain.ReasonLabel)
+	// ReasonList means that the platform's VM list marks the target as leaving.
+	ReasonList = string(drain.ReasonList)
+	// ReasonStopping means that the agent is stopping.
 	ReasonStopping = string(drain.ReasonStop)
-	ReasonOrder    = string(drain.ReasonOrder)
-	ReasonFull     = "engine_refused"
-	// ReasonUnreachable: no connection to the agent could be made.
+	// ReasonOrder means that the target is carrying out an order.
+	ReasonOrder = string(drain.ReasonOrder)
+	// ReasonFull means that the engine refused the work for lack of capacity.
+	ReasonFull = "engine_refused"
+	// ReasonUnreachable means that the connection to the agent failed.
 	ReasonUnreachable = "agent_unreachable"
-	// ReasonSuspect: another request that was in hand at a crash runs there.
+	// ReasonSuspect means that another request that was in flight at a crash is
+	// running at the target.
 	ReasonSuspect = "suspect_in_hand"
 )
 
-// Failed is how an attempt failed.
+// Failed describes a failed attempt.
 type Failed struct {
-	// Failure says what is known; its Ran decides whether there is another.
+	// Failure is the error. Its Ran decides whether the request may be retried.
 	Failure *kumquatlug.Failure
-	// Refused says that the agent refused the work before it began.
+	// Refused reports whether the agent refused the work before it started.
 	Refused bool
-	// Notices are what the agent told of requests in hand at a crash.
+	// Notices are the agent's notices of requests that were in flight at a crash.
 	Notices []quarantine.Notice
-	// Final says that no other attempt can fare better, as when the request
-	// itself is at fault: the failure is the caller's answer as it stands.
+	// Final reports whether a retry can't succeed, for example because the
+	// request is invalid. The failure is then returned to the caller unchanged.
 	Final bool
-	// Resumable says that the answer can go on elsewhere from what was sent.
+	// Resumable reports whether another target can continue the response after
+	// the output that was already sent.
 	Resumable bool
 }
 
-// AttemptFailed takes the failure of the attempt in hand: another one follows,
-// or the final answer.
+// AttemptFailed records that the current attempt of a request failed. It schedules
+// another attempt or returns the final response.
 func (d *Dispatcher) AttemptFailed(now kumquatlug.Millis, id string, f Failed) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
+	r, ok := d.requests[id]
+	if !ok {
 		return d.serve(now)
 	}
-	d.release(now, r, endOf(f))
+	d.release(now, r, limitOutcome(f))
 	d.register.Merge(now, f.Notices)
-	r.last = f.Failure
+	r.lastFailure = f.Failure
 	r.mayHaveRun = r.mayHaveRun || f.Failure.Ran() != kumquatlug.RanNot
 	if f.Final {
 		d.giveUp(now, id, f.Failure)
 		return d.serve(now)
 	}
 	if f.Refused && f.Failure.Reason() == ReasonSuspect {
-		d.waitTurn(now, r)
+		d.deferSuspect(now, r)
 		return d.serve(now)
 	}
-	d.judgeFailure(now, r, f)
+	d.recordFailure(now, r, f)
 	next := d.retries.Next(now, retry.Attempt{
 		Ran: f.Failure.Ran(), Repeatable: r.c.OnceKey == "", Resumable: f.Resumable, Refused: f.Refused,
-		Attempts: r.failed, Refusals: r.refused, Deadline: d.timeFor(now, r), Elapsed: now - r.c.Arrival,
+		Attempts: r.failures, Refusals: r.refusals, Deadline: d.timeBudget(now, r), Elapsed: now - r.c.Arrival,
 	})
 	if next.Reason() == retry.ReasonMayHaveRun {
-		// What is known of the run goes to the caller as it stands: told as one
-		// more 503, some client libraries would send the call again by themselves.
+		// The failure is returned unchanged. A 503 would make some client
+		// libraries retry the call automatically.
 		d.giveUp(now, id, f.Failure)
 		return d.serve(now)
 	}
 	if next.Verdict() == retry.VerdictStop {
-		d.giveUp(now, id, r.final(string(next.Reason())))
+		d.giveUp(now, id, r.finalFailure(string(next.Reason())))
 		return d.serve(now)
 	}
 	r.exclude = append(r.exclude, r.target)
-	r.dueAt = now + next.Wait()
-	d.due = append(d.due, r)
+	r.nextAttemptAt = now + next.Wait()
+	d.pending = append(d.pending, r)
 	return d.serve(now)
 }
 
-// finishTime is how long an answer of which the caller has a part may still take
-// to go on elsewhere: some tries at targets that come back within seconds.
-const finishTime = kumquatlug.Minute
+// resumeTimeout is the minimum time in which a partly delivered response can
+// resume on another target. It allows several attempts at targets that recover
+// within seconds.
+const resumeTimeout = kumquatlug.Minute
 
-// timeFor is how long a request may take from its arrival. One whose caller has
-// half an answer is finished, however late: stopped at its deadline it would
-// have cost its engine the work and its caller the answer.
-func (d *Dispatcher) timeFor(now kumquatlug.Millis, r *request) kumquatlug.Millis {
-	span := r.c.Deadline - r.c.Arrival
+// timeBudget returns how long a request may take from its arrival. A partly
+// delivered response may continue after its deadline. Stopping it there would
+// waste the work of its engine and leave the caller without a response.
+func (d *Dispatcher) timeBudget(now kumquatlug.Millis, r *request) kumquatlug.Millis {
+	budget := r.c.Deadline - r.c.Arrival
 	if r.tokens > 0 {
-		return max(span, now-r.c.Arrival+finishTime)
+		return max(budget, now-r.c.Arrival+resumeTimeout)
 	}
-	return span
+	return budget
 }
 
-// judgeFailure counts the failure for the request and for its target's health.
-// A refusal says nothing against the target's health.
-func (d *Dispatcher) judgeFailure(now kumquatlug.Millis, r *request, f Failed) {
+// recordFailure counts a failure for the request and, unless it is a refusal, for
+// the health of its target.
+func (d *Dispatcher) recordFailure(now kumquatlug.Millis, r *request, f Failed) {
 	if f.Refused {
-		r.refused++
-		d.noteAway(now, r.target, f.Failure.Reason())
+		r.refusals++
+		d.markUnavailable(now, r.target, f.Failure.Reason())
 		return
 	}
-	r.failed++
-	d.outcome(now, r, false, 0)
-	d.noteAway(now, r.target, f.Failure.Reason())
+	r.failures++
+	d.recordOutcome(now, r, false, 0)
+	d.markUnavailable(now, r.target, f.Failure.Reason())
 }
 
-// noteAway takes a failure for what it tells of the target. Until the next
-// heartbeat every other request would go there and fare alike.
-func (d *Dispatcher) noteAway(now kumquatlug.Millis, target, reason string) {
+// markUnavailable updates the state of a target from the reason of a failure.
+// Otherwise other requests would be sent to the target and fail in the same way
+// until the next heartbeat.
+func (d *Dispatcher) markUnavailable(now kumquatlug.Millis, target, reason string) {
 	report := d.reports[target]
 	switch reason {
 	case ReasonLabel, ReasonList:
@@ -124,79 +133,81 @@
 		return
 	}
 	d.reports[target] = report
-	d.place(now)
+	d.updateTargets(now)
 }
 
-func (d *Dispatcher) outcome(now kumquatlug.Millis, r *request, ok bool, ratio float64) {
-	group, known := d.health[r.c.Kind]
-	if !known {
+func (d *Dispatcher) recordOutcome(now kumquatlug.Millis, r *request, success bool, ratio float64) {
+	group, ok := d.health[r.c.Kind]
+	if !ok {
 		return
 	}
-	group.Outcome(now, r.target, ok, ratio)
+	group.Outcome(now, r.target, success, ratio)
 	d.router.SetWeight(r.target, group.Weight(now, r.target))
 }
 
-// release gives the target's place back.
-func (d *Dispatcher) release(now kumquatlug.Millis, r *request, o limit.Outcome) {
-	r.inHand = false
-	d.limits(r.c.Kind).End(now, r.ticket, o)
+// release removes the attempt from the limits and the load of its target.
+func (d *Dispatcher) release(now kumquatlug.Millis, r *request, outcome limit.Outcome) {
+	r.inFlight = false
+	d.limits(r.c.Kind).End(now, r.ticket, outcome)
 	d.router.Finished(now, r.target, r.c.ID)
 }
 
-// endOf tells a target that was full from one that failed otherwise.
-func endOf(f Failed) limit.Outcome {
+// limitOutcome returns OutcomeOverload if the target refused the attempt for lack
+// of capacity, else OutcomeEnded.
+func limitOutcome(f Failed) limit.Outcome {
 	if f.Failure.Reason() == ReasonFull {
 		return limit.OutcomeOverload
 	}
 	return limit.OutcomeEnded
 }
 
-// Progress takes that a request's caller has received tokens of output in all.
+// Progress records that the caller of a request has received a total of tokens
+// output tokens.
 func (d *Dispatcher) Progress(now kumquatlug.Millis, id string, tokens int64) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
-		return d.out
+	r, ok := d.requests[id]
+	if !ok {
+		return d.decisions
 	}
-	k, known := d.kinds[r.c.Kind]
-	if !known {
+	k, ok := d.kinds[r.c.Kind]
+	if !ok {
 		k = &kindState{}
 	}
-	portion := tokens - r.tokens
-	if r.firstAt != 0 {
-		k.learnGap(now, now-r.stepAt, portion)
+	newTokens := tokens - r.tokens
+	if r.firstTokenAt != 0 {
+		k.learnTokenGap(now, now-r.progressAt, newTokens)
 	}
-	work, served := k.idleWork(0, portion), admission.Cost(0, portion)
-	if r.firstAt == 0 {
-		r.firstAt, r.stepAt = now, r.sentAt
-		work = k.idleWork(r.c.PrefillTokens, 1)
+	work, served := k.idleMillis(0, newTokens), admission.Cost(0, newTokens)
+	if r.firstTokenAt == 0 {
+		r.firstTokenAt, r.progressAt = now, r.sentAt
+		work = k.idleMillis(r.c.PrefillTokens, 1)
 		served += admission.Cost(r.c.PrefillTokens, 0)
 	}
-	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.stepAt, work)
-	r.stepAt = now
+	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.progressAt, work)
+	r.progressAt = now
 	r.tokens = tokens
 	d.router.Progress(now, r.target, id, int(tokens))
 	d.queue.Served(now, r.c.Kind, served)
-	return d.out
+	return d.decisions
 }
 
-// Done is how a request was answered.
+// Done describes a completed response.
 type Done struct {
-	// Tokens is the length of the answer; Cached is how many tokens of the
-	// prompt the target had in its cache.
+	// Tokens is the number of output tokens. Cached is the number of prompt tokens
+	// that were in the target's prefix cache.
 	Tokens int64
 	Cached int64
 }
 
-// Finished takes the end of a request whose answer is whole.
-func (d *Dispatcher) Finished(now kumquatlug.Millis, id string, o Done) []Decision {
+// Finished records that the response to a request is complete.
+func (d *Dispatcher) Finished(now kumquatlug.Millis, id string, done Done) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
+	r, ok := d.requests[id]
+	if !ok {
 		return d.serve(now)
 	}
-	served := admission.Cost(0, max(0, o.Tokens-r.tokens))
-	if r.firstAt == 0 {
+	served := admission.Cost(0, max(0, done.Tokens-r.tokens))
+	if r.firstTokenAt == 0 {
 		served += admission.Cost(r.c.PrefillTokens, 0)
 	}
 	if r.c.Kind.Protocol() == kumquatlug.ProtocolService {
@@ -205,67 +216,72 @@
 	d.release(now, r, limit.OutcomeEnded)
 	d.queue.Served(now, r.c.Kind, served)
 	if len(r.c.Prefix) > 0 {
-		d.router.Hit(r.target, r.cached, int(o.Cached))
+		d.router.Hit(r.target, r.cached, int(done.Cached))
 	}
 	d.register.Finished(now, r.fingerprint())
-	d.learn(now, r, o.Tokens, true)
-	d.learnPace(now, r, o)
-	d.drop(now, r, r.c.PrefillTokens+o.Tokens)
+	d.learnEstimate(now, r, done.Tokens, true)
+	d.learnLatencyRatio(now, r, done)
+	d.removeRequest(now, r, r.c.PrefillTokens+done.Tokens)
 	return d.serve(now)
 }
 
-// learnPace compares how long the answer took with what its tokens made expect.
-func (d *Dispatcher) learnPace(now kumquatlug.Millis, r *request, o Done) {
-	k, known := d.kinds[r.c.Kind]
+// learnLatencyRatio updates the latency ratio of the kind with a response and
+// records its outcome for the health of the target: the response time relative
+// to the time that routing predicted.
+func (d *Dispatcher) learnLatencyRatio(now kumquatlug.Millis, r *request, done Done) {
+	k, ok := d.kinds[r.c.Kind]
 	actual := *r
-	actual.c.DecodeTokens = o.Tokens
-	expected := actual.expected()
-	if !known || expected <= 0 {
-		d.outcome(now, r, true, 1)
+	actual.c.DecodeTokens = done.Tokens
+	nominal := actual.nominalMillis()
+	if !ok || nominal <= 0 {
+		d.recordOutcome(now, r, true, 1)
 		return
 	}
-	took := float64(now - r.sentAt)
-	k.pace += paceGain * (took/expected - k.pace)
-	if r.stated <= 0 {
-		d.outcome(now, r, true, 1)
+	actualTime := float64(now - r.sentAt)
+	k.latencyRatio += latencyRatioGain * (actualTime/nominal - k.latencyRatio)
+	if r.predictedTime <= 0 {
+		d.recordOutcome(now, r, true, 1)
 		return
 	}
-	// The statement was made for the estimated tokens.
-	stated := float64(r.stated) * expected / r.expected()
-	d.outcome(now, r, true, took/stated)
+	// predictedTime was computed for the estimated output; scale it to the actual
+	// output.
+	predictedTime := float64(r.predictedTime) * nominal / r.nominalMillis()
+	d.recordOutcome(now, r, true, actualTime/predictedTime)
 }
 
-// used is what the caller is charged for a request that it gave up.
-func (r *request) used() int64 {
-	if r.firstAt == 0 {
+// usedTokens returns the tokens that the caller is charged for a cancelled
+// request.
+func (r *request) usedTokens() int64 {
+	if r.firstTokenAt == 0 {
 		return 0
 	}
 	return r.c.PrefillTokens + r.tokens
 }
 
-// Cancelled takes that a caller gave up a request, wherever it stands.
+// Cancelled records that the caller cancelled a request, whether it is waiting or
+// in flight.
 func (d *Dispatcher) Cancelled(now kumquatlug.Millis, id string) []Decision {
 	d.begin(now)
-	r, kept := d.requests[id]
-	if !kept {
-		return d.out
+	r, ok := d.requests[id]
+	if !ok {
+		return d.decisions
 	}
-	if r.inHand {
-		d.learn(now, r, r.tokens, false)
+	if r.inFlight {
+		d.learnEstimate(now, r, r.tokens, false)
 		d.release(now, r, limit.OutcomeEnded)
 	}
 	d.queue.Cancel(now, id)
-	d.due = without(d.due, r)
-	d.drop(now, r, r.used())
+	d.pending = withoutRequest(d.pending, r)
+	d.removeRequest(now, r, r.usedTokens())
 	return d.serve(now)
 }
 
-func without(list []*request, one *request) []*request {
-	left := list[:0]
+func withoutRequest(list []*request, removed *request) []*request {
+	kept := list[:0]
 	for _, r := range list {
-		if r != one {
-			left = append(left, r)
+		if r != removed {
+			kept = append(kept, r)
 		}
 	}
-	return left
+	return kept
 }
--- a/pkg/kumquatlug/dispatch/configure.go
+++ b/pkg/kumquatlug/dispatch/configure.go
@@ -11,40 +11,41 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// Configure takes the config in force.
+// Configure applies a config.
 func (d *Dispatcher) Configure(now kumquatlug.Millis, state config.State) []Decision {
 	d.begin(now)
 	d.revision = state.Revision()
 	d.selectors, _ = config.Selectors(state)
 	d.readLabels(state)
-	d.readTerms(state)
-	d.placeKinds(now)
-	d.place(now)
+	d.readCallerTerms(state)
+	d.updateKinds(now)
+	d.updateTargets(now)
 	return d.serve(now)
 }
 
-// readLabels takes in the rows that changed. A change touches few of ten
-// thousand rows, and decoding them all held every decision up for 49 ms
+// readLabels decodes the label rows that changed. A change affects few of 10,000
+// rows, and decoding all of them blocked the event loop for 49 ms
 // (docs/CAPACITY.md).
 func (d *Dispatcher) readLabels(state config.State) {
-	known := d.labels
-	d.labels = make(map[string]labelled, len(known))
+	previous := d.labels
+	d.labels = make(map[string]storedLabels, len(previous))
 	state.Range(config.PrefixTarget, func(key string, value []byte) bool {
 		name := strings.TrimPrefix(key, config.PrefixTarget)
-		if before, same := known[name]; same && bytes.Equal(before.row, value) {
-			d.labels[name] = before
+		if stored, ok := previous[name]; ok && bytes.Equal(stored.row, value) {
+			d.labels[name] = stored
 			return true
 		}
 		if labels, err := config.Labels(state, name); err == nil {
-			d.labels[name] = labelled{row: value, labels: labels}
+			d.labels[name] = storedLabels{row: value, labels: labels}
 		}
 		return true
 	})
 }
 
-// readTerms takes in what accounts may ask. An account that was deleted sends
-// nothing more, so that its terms may stay.
-func (d *Dispatcher) readTerms(state config.State) {
+// readCallerTerms applies the rate and concurrency limits of the client accounts.
+// The limits of deleted accounts are kept, since these accounts can't send
+// requests.
+func (d *Dispatcher) readCallerTerms(state config.State) {
 	state.Range(config.PrefixCaller, func(_ string, value []byte) bool {
 		if account, err := kumquatlug.DecodeCaller(value); err == nil {
 			d.callers.SetTerms(account.Name(), limit.CallerTerms{
@@ -55,34 +56,33 @@
 	})
 }
 
-// labelled is a target's labels and the row that they were read from.
-type labelled struct {
+// storedLabels holds a target's labels and the row that they were decoded from.
+type storedLabels struct {
 	row    []byte
 	labels selector.Labels
 }
 
-// placeKinds follows which kinds of work there are. Requests of a kind that is
-// no longer handed out are given up as stranded.
-func (d *Dispatcher) placeKinds(now kumquatlug.Millis) {
+// updateKinds adds and removes kinds so that they match the selectors.
+func (d *Dispatcher) updateKinds(now kumquatlug.Millis) {
 	for _, s := range d.selectors {
 		if _, known := d.kinds[s.Kind()]; !known {
-			d.kinds[s.Kind()] = &kindState{kind: s.Kind(), emptySince: now, pace: 1}
+			d.kinds[s.Kind()] = &kindState{kind: s.Kind(), emptySince: now, latencyRatio: 1}
 			d.health[s.Kind()] = health.New(d.c.Health)
 		}
 	}
-	d.order = d.order[:0]
+	d.kindOrder = d.kindOrder[:0]
 	for kind := range d.kinds {
-		d.order = append(d.order, kind)
+		d.kindOrder = append(d.kindOrder, kind)
 	}
-	sortKinds(d.order)
-	for _, kind := range append([]kumquatlug.Kind(nil), d.order...) {
-		if !d.handedOut(kind) {
+	sortKinds(d.kindOrder)
+	for _, kind := range append([]kumquatlug.Kind(nil), d.kindOrder...) {
+		if !d.hasSelector(kind) {
 			d.removeKind(now, kind)
 		}
 	}
 }
 
-func (d *Dispatcher) handedOut(kind kumquatlug.Kind) bool {
+func (d *Dispatcher) hasSelector(kind kumquatlug.Kind) bool {
 	for _, s := range d.selectors {
 		if s.Kind() == kind {
 			return true
@@ -91,15 +91,15 @@
 	return false
 }
 
-// removeKind forgets a kind that no selector hands out any more. What waits is
-// given up; what is in hand is finished.
+// removeKind removes a kind that no selector assigns any more. Its waiting
+// requests are refused; requests in flight continue.
 func (d *Dispatcher) removeKind(now kumquatlug.Millis, kind kumquatlug.Kind) {
 	d.refuseWaiting(now, kind)
 	delete(d.kinds, kind)
 	delete(d.health, kind)
-	for i, other := range d.order {
+	for i, other := range d.kindOrder {
 		if other == kind {
-			d.order = append(d.order[:i], d.order[i+1:]...)
+			d.kindOrder = append(d.kindOrder[:i], d.kindOrder[i+1:]...)
 			return
 		}
 	}
