--- a/pkg/kumquatlug/order/engine_test.go
+++ b/pkg/kumquatlug/order/engine_test.go
@@ -3,7 +3,7 @@
 // step does what the gate asks of its engine and the table. Late answers tell
 // what was true when they left.
 func (w *world) step(fails, late bool) {
-	defer w.check()
+	defer w.checkFinished()
 	gate, s := w.gate, w.gate.Next(w.now)
 	var answer, failure func()
 	switch s.Action() {
@@ -12,12 +12,12 @@
 		answer = func() { gate.Read(s, state) }
 		failure = func() { gate.ReadFailed(s) }
 	case StepFence:
-		number := w.number
+		number := w.leaseNumber
 		answer = func() { gate.Fenced(s, number) }
 		failure = func() { gate.FenceFailed(s) }
 	case StepRun:
-		w.check()
-		w.run(s)
+		w.checkFinished()
+		w.startOrder(s)
 		return
 	default:
 		return
@@ -26,24 +26,24 @@
 	case fails:
 		failure()
 	case late:
-		w.messages = append(w.messages, message{run: answer, lost: failure})
+		w.messages = append(w.messages, message{deliver: answer, onLoss: failure})
 	default:
 		answer()
 	}
 }
 
-// run is the engine getting an order: here the oracle looks at everything that
+// startOrder is the engine getting an order: here the oracle looks at everything that
 // must hold.
-func (w *world) run(s Step) {
+func (w *world) startOrder(s Step) {
 	o := s.Order()
 	id := o.ID()
 	if w.engine.changing != nil {
 		w.fail("order %s reached the engine in the middle of %s", id, w.engine.changing.ID())
 	}
-	if w.engine.reloading && !w.unnoticed {
+	if w.engine.reloading && !w.crashUnnoticed {
 		w.fail("order %s reached an engine that was not back", id)
 	}
-	if lost, gone := w.lostAt[id.Number()]; gone && w.now-lost > defaultFenceAge {
+	if lost, gone := w.leaseLostAt[id.Number()]; gone && w.now-lost > defaultMaxNumberAge {
 		w.fail("order %s ran %d ms after its sender lost the lease", id, w.now-lost)
 	}
 	if w.ran[id] {
@@ -55,35 +55,35 @@
 	if id.Incarnation() != w.incarnation {
 		w.fail("order %s ran at incarnation %d", id, w.incarnation)
 	}
-	if o.Verb().Away() && w.engine.work > 0 {
-		w.fail("order %s cut %d calls", id, w.engine.work)
+	if o.Verb().Away() && w.engine.calls > 0 {
+		w.fail("order %s cut %d calls", id, w.engine.calls)
 	}
 	w.ran[id], w.lastRan = true, id
-	w.engine.changing, w.running = &o, &s
+	w.engine.changing, w.runningStep = &o, &s
 }
 
-func (w *world) begin() {
+func (w *world) beginCall() {
 	if !w.gate.Begin() {
 		return
 	}
 	if w.engine.changing != nil && w.engine.changing.Verb().Away() {
 		w.fail("a call began in the middle of %s", w.engine.changing.ID())
 	}
-	if w.engine.reloading && !w.unnoticed {
+	if w.engine.reloading && !w.crashUnnoticed {
 		w.fail("a call began at an engine that was not back")
 	}
-	w.engine.work++
+	w.engine.calls++
 }
 
-func (w *world) end() {
-	if w.engine.work > 0 {
-		w.engine.work--
+func (w *world) endCall() {
+	if w.engine.calls > 0 {
+		w.engine.calls--
 		w.gate.End()
 	}
 }
 
-// finish lets the engine complete its change; the answer may come late.
-func (w *world) finish(late bool) {
+// finishChange lets the engine complete its change; the answer may come late.
+func (w *world) finishChange(late bool) {
 	w.engine.reloading = false
 	if w.engine.changing == nil {
 		return
@@ -92,15 +92,15 @@
 		w.engine.role = w.engine.changing.Argument()
 	}
 	w.engine.changing = nil
-	if w.running == nil {
+	if w.runningStep == nil {
 		return
 	}
-	gate, s := w.gate, *w.running
-	w.running = nil
+	gate, s := w.gate, *w.runningStep
+	w.runningStep = nil
 	if late {
 		w.messages = append(w.messages, message{
-			run:  func() { gate.Ran(s, OutcomeApplied) },
-			lost: func() { gate.Ran(s, OutcomeUnknown) },
+			deliver: func() { gate.Ran(s, OutcomeApplied) },
+			onLoss:  func() { gate.Ran(s, OutcomeUnknown) },
 		})
 		return
 	}
@@ -115,23 +115,23 @@
 		w.engine.role = o.Argument()
 	}
 	w.engine.changing, w.engine.reloading = nil, reloads
-	for w.engine.work > 0 {
-		w.end()
+	for w.engine.calls > 0 {
+		w.endCall()
 	}
-	w.unnoticed = true
+	w.crashUnnoticed = true
 }
 
-func (w *world) notice() {
-	if w.unnoticed {
+func (w *world) noticeCrash() {
+	if w.crashUnnoticed {
 		w.gate.Crashed()
-		w.unnoticed, w.running = false, nil
+		w.crashUnnoticed, w.runningStep = false, nil
 	}
 }
 
-// restart is another start of the agent: it remembers nothing, and the calls
+// restartAgent is another start of the agent: it remembers nothing, and the calls
 // that went through it are gone.
-func (w *world) restart() {
+func (w *world) restartAgent() {
 	w.incarnation++
 	w.gate = NewGate(GateConfig{Incarnation: w.incarnation})
-	w.engine.work, w.running, w.unnoticed = 0, nil, false
+	w.engine.calls, w.runningStep, w.crashUnnoticed = 0, nil, false
 }
--- a/pkg/kumquatlug/order/gate.go
+++ b/pkg/kumquatlug/order/gate.go
@@ -6,13 +6,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultFenceAge is how old a reading of the number may be when an order runs.
-const defaultFenceAge = kumquatlug.Second
+// defaultMaxNumberAge is how old a reading of the number may be when an order runs.
+const defaultMaxNumberAge = kumquatlug.Second
 
-// defaultRemember is how many ended orders a gate can answer again. Only a
+// defaultMaxRemembered is how many ended orders a gate can answer again. Only a
 // resend of the last one is likely, since a sender gives one at a time; 64 are
 // a few kilobytes.
-const defaultRemember = 64
+const defaultMaxRemembered = 64
 
 // GateConfig is what a [Gate] is made of.
 type GateConfig struct {
@@ -29,8 +29,8 @@
 	FenceAge kumquatlug.Millis
 }
 
-// ended is an order that has settled.
-type ended struct {
+// finishedOrder is an order that has settled.
+type finishedOrder struct {
 	id      ID
 	outcome Outcome
 }
@@ -55,7 +55,7 @@
 	action   StepAction
 	sequence int64
 	order    Order
-	asked    kumquatlug.Millis
+	issuedAt kumquatlug.Millis
 }
 
 // Action returns what is to be done.
@@ -67,27 +67,27 @@
 // Gate is the agent's check in front of its engine: for engines that ignore
 // fencing numbers it is the only one. It is not safe for concurrent use.
 type Gate struct {
-	c        GateConfig
-	fenced   bool
-	fencedAt kumquatlug.Millis
-	number   lease.Number
-	last     ID
-	known    bool
-	shut     bool
-	order    *Order
-	sent     bool
-	pending  Step
-	sequence int64
-	inHand   int
-	memory   []ended
+	config        GateConfig
+	numberRead    bool
+	numberReadAt  kumquatlug.Millis
+	highestNumber lease.Number
+	lastID        ID
+	stateKnown    bool
+	blocked       bool
+	current       *Order
+	sent          bool
+	pending       Step
+	sequence      int64
+	inFlight      int
+	finished      []finishedOrder
 }
 
 // NewGate returns a gate that knows neither the number nor the engine's state:
 // it takes no order and no work yet.
 func NewGate(c GateConfig) *Gate {
-	c.Remember = standard.Int(c.Remember, defaultRemember)
-	c.FenceAge = standard.Millis(c.FenceAge, defaultFenceAge)
-	return &Gate{c: c, shut: true, pending: Step{action: StepNone}}
+	c.Remember = standard.Int(c.Remember, defaultMaxRemembered)
+	c.FenceAge = standard.Millis(c.FenceAge, defaultMaxNumberAge)
+	return &Gate{config: c, blocked: true, pending: Step{action: StepNone}}
 }
 
 // Fenced takes the table's answer to a StepFence: [lease.Record.Fence] of the
@@ -100,38 +100,38 @@
 // next holder has the lease for a while before its first message arrives here,
 // and an order of the former one may have waited long for work in hand.
 func (g *Gate) Fenced(s Step, number lease.Number) {
-	if !g.answered(s) {
+	if !g.completePending(s) {
 		return
 	}
-	g.fenced, g.fencedAt = true, s.asked
+	g.numberRead, g.numberReadAt = true, s.issuedAt
 	g.Raise(number)
 }
 
 // FenceFailed takes that the table did not answer; it is asked again.
-func (g *Gate) FenceFailed(s Step) { g.answered(s) }
+func (g *Gate) FenceFailed(s Step) { g.completePending(s) }
 
 // Raise takes a number heard from elsewhere, as in a new holder's report. An
 // order under a lower one that the engine has not got yet is dropped: by now
 // its sender may give none.
 func (g *Gate) Raise(number lease.Number) {
-	if number <= g.number {
+	if number <= g.highestNumber {
 		return
 	}
-	g.number = number
-	if g.order != nil && !g.sent {
-		g.end(OutcomeSuperseded)
+	g.highestNumber = number
+	if g.current != nil && !g.sent {
+		g.finishCurrent(OutcomeSuperseded)
 	}
 }
 
 // Number returns the highest fencing number seen.
-func (g *Gate) Number() lease.Number { return g.number }
+func (g *Gate) Number() lease.Number { return g.highestNumber }
 
 // Phase returns where the target is between orders.
 func (g *Gate) Phase() Phase {
 	switch {
-	case !g.known:
+	case !g.stateKnown:
 		return PhaseUnknown
-	case g.order == nil:
+	case g.current == nil:
 		return PhaseSettled
 	case g.sent:
 		return PhaseRunning
@@ -142,15 +142,15 @@
 
 // Offer takes an order from a sender and says what becomes of it.
 func (g *Gate) Offer(o Order) Reply {
-	verdict, outcome := g.judge(o)
-	if verdict == VerdictAccepted && g.order == nil {
-		g.order, g.sent, g.last = &o, false, o.id
+	verdict, outcome := g.evaluate(o)
+	if verdict == VerdictAccepted && g.current == nil {
+		g.current, g.sent, g.lastID = &o, false, o.id
 	}
-	return Reply{verdict: verdict, outcome: outcome, number: g.number}
+	return Reply{verdict: verdict, outcome: outcome, number: g.highestNumber}
 }
 
-func (g *Gate) judge(o Order) (Verdict, Outcome) {
-	if o.id.incarnation != g.c.Incarnation {
+func (g *Gate) evaluate(o Order) (Verdict, Outcome) {
+	if o.id.incarnation != g.config.Incarnation {
 		// A message that was on its way over a restart. What this start has
 		// forgotten, as a later order that already ran, the incarnation tells.
 		return VerdictOtherIncarnation, ""
@@ -158,32 +158,32 @@
 	// What was taken before is answered before the numbers are compared, also
 	// to a sender that lost its lease: it has no further effect, and "old"
 	// would tell the sender that it never had one.
-	if outcome, ok := g.remembered(o.id); ok {
+	if outcome, ok := g.recordedOutcome(o.id); ok {
 		return VerdictSettled, outcome
 	}
-	if g.order != nil && g.order.id == o.id {
+	if g.current != nil && g.current.id == o.id {
 		return VerdictAccepted, ""
 	}
-	if !g.fenced {
+	if !g.numberRead {
 		return VerdictNotReady, ""
 	}
-	if o.id.number < g.number {
+	if o.id.number < g.highestNumber {
 		return VerdictOld, ""
 	}
 	g.Raise(o.id.number)
 	switch {
-	case !o.id.after(g.last):
+	case !o.id.after(g.lastID):
 		return VerdictOld, ""
-	case g.order != nil:
+	case g.current != nil:
 		return VerdictBusy, ""
-	case !g.known:
+	case !g.stateKnown:
 		return VerdictNotReady, ""
 	}
 	return VerdictAccepted, ""
 }
 
-func (g *Gate) remembered(id ID) (Outcome, bool) {
-	for _, e := range g.memory {
+func (g *Gate) recordedOutcome(id ID) (Outcome, bool) {
+	for _, e := range g.finished {
 		if e.id == id {
 			return e.outcome, true
 		}
@@ -199,34 +199,34 @@
 	switch {
 	case g.pending.action != StepNone:
 		return Step{action: StepNone}
-	case !g.known:
-		return g.send(Step{action: StepRead}, now)
-	case !g.fenced:
-		return g.send(Step{action: StepFence}, now)
-	case g.order == nil || g.sent:
+	case !g.stateKnown:
+		return g.issue(Step{action: StepRead}, now)
+	case !g.numberRead:
+		return g.issue(Step{action: StepFence}, now)
+	case g.current == nil || g.sent:
 		return Step{action: StepNone}
-	case g.order.verb.Away() && g.inHand > 0:
+	case g.current.verb.Away() && g.inFlight > 0:
 		// No time limit: a caller whose long answer is cut by a planned change
 		// would have to start again. Work in hand only shrinks, since no new
 		// work begins.
 		return Step{action: StepNone}
-	case now-g.fencedAt > g.c.FenceAge:
-		return g.send(Step{action: StepFence}, now)
+	case now-g.numberReadAt > g.config.FenceAge:
+		return g.issue(Step{action: StepFence}, now)
 	}
 	g.sent = true
-	return g.send(Step{action: StepRun, order: *g.order}, now)
+	return g.issue(Step{action: StepRun, order: *g.current}, now)
 }
 
-func (g *Gate) send(s Step, now kumquatlug.Millis) Step {
+func (g *Gate) issue(s Step, now kumquatlug.Millis) Step {
 	g.sequence++
-	s.sequence, s.asked = g.sequence, now
+	s.sequence, s.issuedAt = g.sequence, now
 	g.pending = s
 	return s
 }
 
-// answered reports whether s is the step awaited, and no longer awaits it. An
+// completePending reports whether s is the step awaited, and no longer awaits it. An
 // answer that comes after a crash or a lost answer tells nothing any more.
-func (g *Gate) answered(s Step) bool {
+func (g *Gate) completePending(s Step) bool {
 	if g.pending.action == StepNone || g.pending.sequence != s.sequence {
 		return false
 	}
@@ -239,73 +239,73 @@
 // The caller sets no time limit of its own: an engine that was paused may not
 // have read the order yet, and would run it after its state was asked for.
 func (g *Gate) Ran(s Step, outcome Outcome) {
-	if !g.answered(s) {
+	if !g.completePending(s) {
 		return
 	}
 	if outcome == OutcomeUnknown {
-		g.doubt(s.order.verb.Away())
+		g.invalidateState(s.order.verb.Away())
 		return
 	}
-	g.end(outcome)
+	g.finishCurrent(outcome)
 }
 
 // Read takes the engine's answer to a StepRead. An engine in the middle of a
 // change is asked again.
 func (g *Gate) Read(s Step, state State) {
-	if !g.answered(s) || !state.settled {
+	if !g.completePending(s) || !state.settled {
 		return
 	}
-	g.known, g.shut = true, false
-	if g.order == nil || !g.sent {
+	g.stateKnown, g.blocked = true, false
+	if g.current == nil || !g.sent {
 		return
 	}
-	if state.Holds(*g.order) {
-		g.end(OutcomeApplied)
+	if state.Holds(*g.current) {
+		g.finishCurrent(OutcomeApplied)
 	} else {
-		g.end(OutcomeNotApplied)
+		g.finishCurrent(OutcomeNotApplied)
 	}
 }
 
 // ReadFailed takes that the engine did not tell its state; it is asked again.
-func (g *Gate) ReadFailed(s Step) { g.answered(s) }
+func (g *Gate) ReadFailed(s Step) { g.completePending(s) }
 
 // Crashed takes that the engine went away or came back by itself. Whether an
 // order in the middle of which it did took effect is asked, never assumed.
 func (g *Gate) Crashed() {
 	g.pending = Step{action: StepNone}
-	g.doubt(true)
+	g.invalidateState(true)
 }
 
-func (g *Gate) doubt(shut bool) {
-	g.known = false
-	g.shut = g.shut || shut
+func (g *Gate) invalidateState(block bool) {
+	g.stateKnown = false
+	g.blocked = g.blocked || block
 }
 
-func (g *Gate) end(outcome Outcome) {
-	g.memory = append(g.memory, ended{id: g.order.id, outcome: outcome})
-	if len(g.memory) > g.c.Remember {
-		g.memory = append([]ended(nil), g.memory[1:]...)
+func (g *Gate) finishCurrent(outcome Outcome) {
+	g.finished = append(g.finished, finishedOrder{id: g.current.id, outcome: outcome})
+	if len(g.finished) > g.config.Remember {
+		g.finished = append([]finishedOrder(nil), g.finished[1:]...)
 	}
-	g.order, g.sent = nil, false
+	g.current, g.sent = nil, false
 }
 
 // Begin reports whether a call may start at the engine, and counts it. False
 // means that the call did not run: an order takes the engine away, or its
 // state is unknown after one.
 func (g *Gate) Begin() bool {
-	if g.shut || (g.order != nil && g.order.verb.Away()) {
+	if g.blocked || (g.current != nil && g.current.verb.Away()) {
 		return false
 	}
-	g.inHand++
+	g.inFlight++
 	return true
 }
 
 // End takes that a call has ended, however it did.
 func (g *Gate) End() {
-	if g.inHand > 0 {
-		g.inHand--
+	if g.inFlight > 0 {
+		g.inFlight--
 	}
 }
 
 // InHand returns the number of calls that run now.
-func (g *Gate) InHand() int { return g.inHand }
+func (g *Gate) InHand() int { return g.inFlight }
--- a/pkg/kumquatlug/order/order.go
+++ b/pkg/kumquatlug/order/order.go
@@ -71,11 +71,11 @@
 func (i ID) Sequence() int64 { return i.sequence }
 
 // after reports whether the order was given later than the one named o.
-func (i ID) after(o ID) bool {
-	if i.number != o.number {
-		return i.number > o.number
+func (i ID) after(other ID) bool {
+	if i.number != other.number {
+		return i.number > other.number
 	}
-	return i.sequence > o.sequence
+	return i.sequence > other.sequence
 }
 
 // Verb is what an order changes.
--- a/pkg/kumquatlug/order/order_test.go
+++ b/pkg/kumquatlug/order/order_test.go
@@ -8,8 +8,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/lease"
 )
 
-// opened returns a gate that is ready for orders under number.
-func opened(number lease.Number) *Gate {
+// newReadyGate returns a gate that is ready for orders under number.
+func newReadyGate(number lease.Number) *Gate {
 	g := NewGate(GateConfig{Incarnation: 1})
 	g.Read(g.Next(0), NewState(true))
 	g.Fenced(g.Next(0), number)
@@ -20,7 +20,7 @@
 // Were the engine taken away after some limit, the whole work would be lost and
 // done again by another engine, which may be ordered away in its turn.
 func TestDrainHasNoTimeLimit(t *testing.T) {
-	g := opened(1)
+	g := newReadyGate(1)
 	if !g.Begin() {
 		t.Fatal("a call was refused at a settled engine")
 	}
@@ -42,8 +42,8 @@
 // The engine crashes in the middle of a role change and comes back with the old
 // role. Were the change taken for done, decode work would be sent to an engine
 // that runs prompts, and every call there would fail.
-func TestCrashInMidOrderIsAsked(t *testing.T) {
-	g := opened(1)
+func TestCrashDuringOrderRereadsEngineState(t *testing.T) {
+	g := newReadyGate(1)
 	o := NewOrder(NewID(1, 1, 1), VerbRole, "decode")
 	g.Offer(o)
 	run := g.Next(0)
@@ -98,7 +98,7 @@
 }
 
 func BenchmarkBegin(b *testing.B) {
-	g := opened(1)
+	g := newReadyGate(1)
 	b.ReportAllocs()
 	for b.Loop() {
 		g.Begin()
@@ -107,7 +107,7 @@
 }
 
 func BenchmarkOrder(b *testing.B) {
-	g := opened(1)
+	g := newReadyGate(1)
 	b.ReportAllocs()
 	sequence := int64(0)
 	for b.Loop() {
--- a/pkg/kumquatlug/order/proof_test.go
+++ b/pkg/kumquatlug/order/proof_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	worldSenders = 2
-	target       = "vm-1"
+	senderCount = 2
+	target      = "vm-1"
 )
 
-// moves lists each kind of step as often as it is to come up among the others.
-var moves = []string{
+// moveKinds lists each kind of step as often as it is to come up among the others.
+var moveKinds = []string{
 	"elect", "give", "give", "send", "send", "ghost", "ghost", "push", "push", "push", "deliver", "deliver", "deliver", "deliver", "duplicate", "duplicate", "duplicate", "drop",
 	"step", "step", "step", "step", "step", "step", "late", "report", "report", "begin", "begin", "end", "end",
 	"finish", "finish", "give-up", "crash", "notice", "restart", "tick", "quiet", "quiet", "heal",
@@ -33,7 +33,7 @@
 	proof.Run(t, proof.Config{
 		Claim: "orders have authority, come one at a time and cut no work",
 		Seed:  1, Runs: 300, Steps: 100,
-		Command: proof.Moves(moves, worldSenders, play),
+		Command: proof.Moves(moveKinds, senderCount, play),
 		World:   func() commands.SystemUnderTest { return newWorld() },
 	})
 }
@@ -43,53 +43,53 @@
 	role      string
 	changing  *Order
 	reloading bool
-	work      int
+	calls     int
 }
 
 // message is something on its way: run hands it over, lost tells whoever waits
 // for it that it won't come.
 type message struct {
-	run  func()
-	lost func()
+	deliver func()
+	onLoss  func()
 }
 
 // world is the gate and the senders over one engine, with the oracle's notes.
 type world struct {
-	now         kumquatlug.Millis
-	number      lease.Number
-	lostAt      map[lease.Number]kumquatlug.Millis
-	senders     []*Sender
-	numbers     []lease.Number
-	gate        *Gate
-	incarnation Incarnation
-	engine      engine
-	running     *Step
-	unnoticed   bool
-	messages    []message
-	ran         map[ID]bool
-	given       map[ID]Order
-	judged      map[ID]Outcome
-	learned     map[ID]bool
-	lastRan     ID
-	wrong       error
+	now            kumquatlug.Millis
+	leaseNumber    lease.Number
+	leaseLostAt    map[lease.Number]kumquatlug.Millis
+	senders        []*Sender
+	senderNumbers  []lease.Number
+	gate           *Gate
+	incarnation    Incarnation
+	engine         engine
+	runningStep    *Step
+	crashUnnoticed bool
+	messages       []message
+	ran            map[ID]bool
+	issued         map[ID]Order
+	outcomes       map[ID]Outcome
+	confirmed      map[ID]bool
+	lastRan        ID
+	err            error
 }
 
 func newWorld() *world {
 	w := &world{
-		lostAt: map[lease.Number]kumquatlug.Millis{}, numbers: make([]lease.Number, worldSenders),
-		engine: engine{role: "both"}, ran: map[ID]bool{}, given: map[ID]Order{}, judged: map[ID]Outcome{}, learned: map[ID]bool{},
+		leaseLostAt: map[lease.Number]kumquatlug.Millis{}, senderNumbers: make([]lease.Number, senderCount),
+		engine: engine{role: "both"}, ran: map[ID]bool{}, issued: map[ID]Order{}, outcomes: map[ID]Outcome{}, confirmed: map[ID]bool{},
 	}
-	for range worldSenders {
+	for range senderCount {
 		w.senders = append(w.senders, NewSender(SenderConfig{}))
 	}
-	w.restart()
-	w.elect(0)
+	w.restartAgent()
+	w.grantLease(0)
 	return w
 }
 
 func (w *world) fail(format string, args ...any) {
-	if w.wrong == nil {
-		w.wrong = errors.Newf(format, args...)
+	if w.err == nil {
+		w.err = errors.Newf(format, args...)
 	}
 }
 
@@ -97,13 +97,13 @@
 	w := sut.(*world)
 	switch m.Kind {
 	case "elect":
-		w.elect(m.Actor)
+		w.grantLease(m.Actor)
 	case "give":
-		w.give(m.Actor, m.Choice)
+		w.issueOrder(m.Actor, m.Choice)
 	case "ghost":
-		w.ghost(m.Choice)
+		w.sendStaleOrder(m.Choice)
 	case "push":
-		w.push(m)
+		w.runOrder(m)
 	case "send":
 		w.send(m.Actor)
 	case "deliver":
@@ -112,8 +112,8 @@
 		w.deliver(m.Choice, true)
 	case "drop":
 		if len(w.messages) > 0 {
-			if m := w.take(m.Choice); m.lost != nil {
-				m.lost()
+			if m := w.takeMessage(m.Choice); m.onLoss != nil {
+				m.onLoss()
 			}
 		}
 	case "report":
@@ -121,54 +121,54 @@
 	case "tick":
 		w.now += kumquatlug.Millis(m.Choice / 4)
 	case "heal":
-		w.heal()
+		w.checkRecovery()
 	case "quiet":
-		w.quiet(m.Choice % 8)
+		w.runUndisturbed(m.Choice % 8)
 	default:
-		w.playTarget(m)
+		w.playTargetMove(m)
 	}
-	w.check()
-	if w.wrong != nil {
-		return w.wrong
+	w.checkFinished()
+	if w.err != nil {
+		return w.err
 	}
 	return nil
 }
 
-func (w *world) playTarget(m proof.Move) {
+func (w *world) playTargetMove(m proof.Move) {
 	switch m.Kind {
 	case "step":
 		w.step(m.Choice%4 == 0, false)
 	case "late":
 		w.step(false, true)
 	case "begin":
-		w.begin()
+		w.beginCall()
 	case "end":
-		w.end()
+		w.endCall()
 	case "finish":
-		w.finish(m.Choice%3 == 0)
+		w.finishChange(m.Choice%3 == 0)
 	case "give-up":
-		if w.running != nil {
-			w.gate.Ran(*w.running, OutcomeUnknown)
-			w.running = nil
+		if w.runningStep != nil {
+			w.gate.Ran(*w.runningStep, OutcomeUnknown)
+			w.runningStep = nil
 		}
 	case "crash":
 		w.crash(m.Choice%2 == 0, m.Choice%3 == 0)
 	case "notice":
-		w.notice()
+		w.noticeCrash()
 	case "restart":
-		w.restart()
+		w.restartAgent()
 	}
 }
 
-// elect gives the lease to a sender; the other one is told nothing.
-func (w *world) elect(i int) {
-	w.lostAt[w.number] = w.now
-	w.number++
-	w.numbers[i] = w.number
-	w.senders[i].Granted(w.number)
+// grantLease gives the lease to a sender; the other one is told nothing.
+func (w *world) grantLease(i int) {
+	w.leaseLostAt[w.leaseNumber] = w.now
+	w.leaseNumber++
+	w.senderNumbers[i] = w.leaseNumber
+	w.senders[i].Granted(w.leaseNumber)
 }
 
-func (w *world) give(i, choice int) {
+func (w *world) issueOrder(i, choice int) {
 	roles := []string{"both", "prefill", "decode"}
 	verb, argument := VerbRole, roles[choice%3]
 	if choice%7 == 0 {
@@ -179,30 +179,30 @@
 	if err != nil {
 		return
 	}
-	if _, twice := w.given[o.ID()]; outstanding || twice {
+	if _, twice := w.issued[o.ID()]; outstanding || twice {
 		w.fail("order %s was given before the last was settled, or under an id used before", o.ID())
 	}
-	w.given[o.ID()] = o
+	w.issued[o.ID()] = o
 }
 
-// ghost is an order of any earlier holder, or of one that keeps to no rule. It
+// sendStaleOrder is an order of any earlier holder, or of one that keeps to no rule. It
 // takes sequences that no sender reaches.
-func (w *world) ghost(choice int) {
-	number := lease.Number(choice)%w.number + 1
-	o := NewOrder(NewID(w.incarnation, number, int64(1000+len(w.given))), VerbRole, "prefill")
-	w.given[o.ID()] = o
-	w.messages = append(w.messages, message{run: func() { w.gate.Offer(o) }})
+func (w *world) sendStaleOrder(choice int) {
+	number := lease.Number(choice)%w.leaseNumber + 1
+	o := NewOrder(NewID(w.incarnation, number, int64(1000+len(w.issued))), VerbRole, "prefill")
+	w.issued[o.ID()] = o
+	w.messages = append(w.messages, message{deliver: func() { w.gate.Offer(o) }})
 }
 
-// push brings an order of the holder up to the engine, if nothing is in its
+// runOrder brings an order of the holder up to the engine, if nothing is in its
 // way, and leaves it there.
-func (w *world) push(m proof.Move) {
+func (w *world) runOrder(m proof.Move) {
 	i := w.holder()
 	w.step(false, false)
 	w.step(false, false)
 	w.report(i)
 	w.deliver(len(w.messages)-1, false)
-	w.give(i, m.Choice)
+	w.issueOrder(i, m.Choice)
 	before := len(w.messages)
 	w.send(i)
 	if len(w.messages) > before {
@@ -214,8 +214,8 @@
 
 // holder returns the sender that has the lease.
 func (w *world) holder() int {
-	for i, n := range w.numbers {
-		if n == w.number {
+	for i, n := range w.senderNumbers {
+		if n == w.leaseNumber {
 			return i
 		}
 	}
@@ -224,34 +224,34 @@
 
 // send puts a sender's orders on their way; it believes to hold its lease.
 func (w *world) send(i int) {
-	for _, out := range w.senders[i].Due(w.now, w.numbers[i], true) {
+	for _, out := range w.senders[i].Due(w.now, w.senderNumbers[i], true) {
 		o := out.Order()
-		w.messages = append(w.messages, message{run: func() {
+		w.messages = append(w.messages, message{deliver: func() {
 			reply := w.gate.Offer(o)
-			w.messages = append(w.messages, message{run: func() { w.answered(i, o.ID(), reply) }})
+			w.messages = append(w.messages, message{deliver: func() { w.handleReply(i, o.ID(), reply) }})
 		}})
 	}
 }
 
-// answered holds what a sender makes of a reply against the gate.
-func (w *world) answered(i int, id ID, reply Reply) {
-	w.check()
+// handleReply holds what a sender makes of a reply against the gate.
+func (w *world) handleReply(i int, id ID, reply Reply) {
+	w.checkFinished()
 	ended, ok := w.senders[i].Answered(target, id, reply)
 	if !ok || ended.Outcome() == OutcomeUnknown {
 		return
 	}
-	if w.judged[ended.Order().ID()] != ended.Outcome() {
-		w.fail("order %s was %s, its sender takes it for %s", ended.Order().ID(), w.judged[ended.Order().ID()], ended.Outcome())
+	if w.outcomes[ended.Order().ID()] != ended.Outcome() {
+		w.fail("order %s was %s, its sender takes it for %s", ended.Order().ID(), w.outcomes[ended.Order().ID()], ended.Outcome())
 	}
-	w.learned[ended.Order().ID()] = true
+	w.confirmed[ended.Order().ID()] = true
 }
 
 func (w *world) report(i int) {
 	r := Report{Target: target, Incarnation: w.incarnation, Number: w.gate.Number(), Phase: w.gate.Phase()}
-	w.messages = append(w.messages, message{run: func() { w.senders[i].Heard(r) }})
+	w.messages = append(w.messages, message{deliver: func() { w.senders[i].Heard(r) }})
 }
 
-func (w *world) take(choice int) message {
+func (w *world) takeMessage(choice int) message {
 	k := choice % len(w.messages)
 	m := w.messages[k]
 	w.messages = append(w.messages[:k:k], w.messages[k+1:]...)
@@ -259,41 +259,41 @@
 }
 
 func (w *world) deliver(choice int, keep bool) {
-	defer w.check()
+	defer w.checkFinished()
 	if len(w.messages) == 0 {
 		return
 	}
 	if keep {
-		w.messages[choice%len(w.messages)].run()
+		w.messages[choice%len(w.messages)].deliver()
 		return
 	}
-	w.take(choice).run()
+	w.takeMessage(choice).deliver()
 }
 
-// check holds what the gate tells of ended orders against the engine.
-func (w *world) check() {
-	for _, e := range w.gate.memory {
-		before, known := w.judged[e.id]
+// checkFinished holds what the gate tells of ended orders against the engine.
+func (w *world) checkFinished() {
+	for _, e := range w.gate.finished {
+		before, known := w.outcomes[e.id]
 		if known && before != e.outcome {
 			w.fail("order %s was %s and is %s", e.id, before, e.outcome)
 		}
 		if !known {
-			w.judged[e.id] = e.outcome
-			w.judge(e)
+			w.outcomes[e.id] = e.outcome
+			w.checkOutcome(e)
 		}
 	}
 	for id := range w.ran {
-		if w.judged[id] == OutcomeSuperseded {
+		if w.outcomes[id] == OutcomeSuperseded {
 			w.fail("order %s was called superseded and ran", id)
 		}
 	}
 }
 
-// judge looks at an order that has ended just now. An engine that crashed
+// checkOutcome looks at an order that has ended just now. An engine that crashed
 // unnoticed may have lost it since.
-func (w *world) judge(e ended) {
-	o := w.given[e.id]
-	if o.Verb() != VerbRole || e.outcome == OutcomeSuperseded || w.unnoticed {
+func (w *world) checkOutcome(e finishedOrder) {
+	o := w.issued[e.id]
+	if o.Verb() != VerbRole || e.outcome == OutcomeSuperseded || w.crashUnnoticed {
 		return
 	}
 	if w.engine.changing != nil {
@@ -304,17 +304,17 @@
 	}
 }
 
-// quiet lets everything work for some rounds of a second each.
-func (w *world) quiet(rounds int) {
+// runUndisturbed lets everything work for some rounds of a second each.
+func (w *world) runUndisturbed(rounds int) {
 	for range rounds {
 		w.now += kumquatlug.Second
-		w.notice()
-		w.end()
+		w.noticeCrash()
+		w.endCall()
 		for range 3 {
 			w.step(false, false)
 		}
-		w.check()
-		w.finish(false)
+		w.checkFinished()
+		w.finishChange(false)
 		for i := range w.senders {
 			w.report(i)
 			w.send(i)
@@ -325,24 +325,24 @@
 	}
 }
 
-// heal ends the trouble: once the work in hand is finished, whoever has the
+// checkRecovery ends the trouble: once the work in hand is finished, whoever has the
 // lease can give an order, and it is applied.
-func (w *world) heal() {
+func (w *world) checkRecovery() {
 	for len(w.messages) > 0 {
 		w.deliver(0, false)
 	}
 	holder := w.holder()
-	w.elect(holder)
-	w.quiet(w.engine.work + 8)
+	w.grantLease(holder)
+	w.runUndisturbed(w.engine.calls + 8)
 	s := w.senders[holder]
 	o, err := s.Give(target, VerbRole, "decode")
 	if err != nil {
 		w.fail("no order can be given: %v, the gate is %s", err, w.gate.Phase())
 		return
 	}
-	w.given[o.ID()] = o
-	w.quiet(6)
-	if !w.learned[o.ID()] || w.engine.role != "decode" || !w.gate.Begin() {
+	w.issued[o.ID()] = o
+	w.runUndisturbed(6)
+	if !w.confirmed[o.ID()] || w.engine.role != "decode" || !w.gate.Begin() {
 		w.fail("order %s is not applied: the engine is %s, the gate %s", o.ID(), w.engine.role, w.gate.Phase())
 		return
 	}
--- a/pkg/kumquatlug/order/sender.go
+++ b/pkg/kumquatlug/order/sender.go
@@ -10,10 +10,10 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultResend is how long a sender waits for an answer before it sends the
+// defaultResendInterval is how long a sender waits for an answer before it sends the
 // same order again. It is twice an agent's report interval, so that a drain,
 // which the reports show, is rarely asked about in between.
-const defaultResend = 2 * kumquatlug.Second
+const defaultResendInterval = 2 * kumquatlug.Second
 
 // Why a sender gives no order to a target now.
 var (
@@ -70,12 +70,12 @@
 // Order returns the order.
 func (o Outgoing) Order() Order { return o.order }
 
-// peer is what a sender knows of one target.
-type peer struct {
+// targetState is what a sender knows of one target.
+type targetState struct {
 	incarnation Incarnation
 	phase       Phase
 	sequence    int64
-	order       *Order
+	outstanding *Order
 	sentAt      kumquatlug.Millis
 	sent        bool
 }
@@ -84,16 +84,16 @@
 // target, sent under the same id until it is settled. It is not safe for
 // concurrent use.
 type Sender struct {
-	c      SenderConfig
-	number lease.Number
-	valid  bool
-	peers  map[string]*peer
+	config    SenderConfig
+	number    lease.Number
+	leaseHeld bool
+	targets   map[string]*targetState
 }
 
 // NewSender returns a sender without a lease.
 func NewSender(c SenderConfig) *Sender {
-	c.Resend = standard.Millis(c.Resend, defaultResend)
-	return &Sender{c: c, peers: make(map[string]*peer)}
+	c.Resend = standard.Millis(c.Resend, defaultResendInterval)
+	return &Sender{config: c, targets: make(map[string]*targetState)}
 }
 
 // Granted takes the number of a lease just acquired. What was outstanding
@@ -103,10 +103,10 @@
 	if number <= s.number {
 		return
 	}
-	s.number, s.valid = number, true
-	for _, p := range s.peers {
-		p.sequence, p.order = 0, nil
-		p.phase = PhaseUnknown
+	s.number, s.leaseHeld = number, true
+	for _, t := range s.targets {
+		t.sequence, t.outstanding = 0, nil
+		t.phase = PhaseUnknown
 	}
 }
 
@@ -114,28 +114,28 @@
 // with OutcomeUnknown: the old process is gone and can start nothing, the new
 // one takes no order meant for the old, and asks the engine for its state.
 func (s *Sender) Heard(r Report) (Settlement, bool) {
-	s.met(r.Number)
-	p := s.peers[r.Target]
-	if p == nil {
-		p = &peer{}
-		s.peers[r.Target] = p
+	s.observeNumber(r.Number)
+	t := s.targets[r.Target]
+	if t == nil {
+		t = &targetState{}
+		s.targets[r.Target] = t
 	}
-	if r.Incarnation < p.incarnation {
+	if r.Incarnation < t.incarnation {
 		return Settlement{}, false
 	}
-	p.phase = r.Phase
-	if r.Incarnation == p.incarnation {
+	t.phase = r.Phase
+	if r.Incarnation == t.incarnation {
 		return Settlement{}, false
 	}
-	p.incarnation, p.sequence = r.Incarnation, 0
-	return s.settle(r.Target, OutcomeUnknown)
+	t.incarnation, t.sequence = r.Incarnation, 0
+	return s.finish(r.Target, OutcomeUnknown)
 }
 
-// met takes a number seen elsewhere. A higher one than ours says that the
+// observeNumber takes a number seen elsewhere. A higher one than ours says that the
 // lease was lost, even if our own clock does not say so yet.
-func (s *Sender) met(number lease.Number) {
+func (s *Sender) observeNumber(number lease.Number) {
 	if number > s.number {
-		s.valid = false
+		s.leaseHeld = false
 	}
 }
 
@@ -143,42 +143,42 @@
 // ErrNoLease or ErrUnsettled; nothing is queued then, since what is right may
 // have changed once the target is settled.
 func (s *Sender) Give(target string, verb Verb, argument string) (Order, error) {
-	if !s.valid {
+	if !s.leaseHeld {
 		return Order{}, ErrNoLease
 	}
-	p := s.peers[target]
-	if p == nil || p.order != nil || p.phase != PhaseSettled {
+	t := s.targets[target]
+	if t == nil || t.outstanding != nil || t.phase != PhaseSettled {
 		return Order{}, ErrUnsettled
 	}
-	p.sequence++
-	o := NewOrder(NewID(p.incarnation, s.number, p.sequence), verb, argument)
-	p.order, p.sent = &o, false
+	t.sequence++
+	o := NewOrder(NewID(t.incarnation, s.number, t.sequence), verb, argument)
+	t.outstanding, t.sent = &o, false
 	return o, nil
 }
 
 // Outstanding returns the order of target that is not settled.
 func (s *Sender) Outstanding(target string) (Order, bool) {
-	p := s.peers[target]
-	if p == nil || p.order == nil {
+	t := s.targets[target]
+	if t == nil || t.outstanding == nil {
 		return Order{}, false
 	}
-	return *p.order, true
+	return *t.outstanding, true
 }
 
 // Due returns the orders to send now, in target order, and counts them as
 // sent. Pass what [lease.Holder.Held] says at this very moment: without the
 // lease under the same number nothing is sent.
 func (s *Sender) Due(now kumquatlug.Millis, number lease.Number, held bool) []Outgoing {
-	if !held || !s.valid || number != s.number {
+	if !held || !s.leaseHeld || number != s.number {
 		return nil
 	}
 	var due []Outgoing
-	for target, p := range s.peers {
-		if p.order == nil || (p.sent && now-p.sentAt < s.c.Resend) {
+	for target, t := range s.targets {
+		if t.outstanding == nil || (t.sent && now-t.sentAt < s.config.Resend) {
 			continue
 		}
-		p.sent, p.sentAt = true, now
-		due = append(due, Outgoing{target: target, order: *p.order})
+		t.sent, t.sentAt = true, now
+		due = append(due, Outgoing{target: target, order: *t.outstanding})
 	}
 	sort.Slice(due, func(i, j int) bool { return due[i].target < due[j].target })
 	return due
@@ -188,31 +188,31 @@
 // if it did. A reply to another order than the outstanding one, come late,
 // changes nothing.
 func (s *Sender) Answered(target string, id ID, r Reply) (Settlement, bool) {
-	s.met(r.number)
-	p := s.peers[target]
-	if p == nil || p.order == nil || p.order.id != id {
+	s.observeNumber(r.number)
+	t := s.targets[target]
+	if t == nil || t.outstanding == nil || t.outstanding.id != id {
 		return Settlement{}, false
 	}
 	switch r.verdict {
 	case VerdictSettled:
-		return s.settle(target, r.outcome)
+		return s.finish(target, r.outcome)
 	case VerdictOld:
 		// The gate has not taken it, or long forgotten that it did.
-		return s.settle(target, OutcomeUnknown)
+		return s.finish(target, OutcomeUnknown)
 	default:
 		// Accepted, busy or not ready: it is sent again until it is settled.
 		return Settlement{}, false
 	}
 }
 
-func (s *Sender) settle(target string, outcome Outcome) (Settlement, bool) {
-	p := s.peers[target]
-	if p.order == nil {
+func (s *Sender) finish(target string, outcome Outcome) (Settlement, bool) {
+	t := s.targets[target]
+	if t.outstanding == nil {
 		return Settlement{}, false
 	}
-	ended := Settlement{target: target, order: *p.order, outcome: outcome}
-	p.order = nil
+	ended := Settlement{target: target, order: *t.outstanding, outcome: outcome}
+	t.outstanding = nil
 	// The last report may be from before the order; the next one tells.
-	p.phase = PhaseUnknown
+	t.phase = PhaseUnknown
 	return ended, true
 }
