--- a/pkg/kumquatlug/lease/lease.go
+++ b/pkg/kumquatlug/lease/lease.go
@@ -55,11 +55,11 @@
 // and never falls.
 type Number int64
 
-// prefix starts the keys of the leases' rows.
-const prefix = "lease/"
+// keyPrefix starts the keys of the leases' rows.
+const keyPrefix = "lease/"
 
 // Key returns the key of a group's row in the table.
-func Key(group string) string { return prefix + group }
+func Key(group string) string { return keyPrefix + group }
 
 // KeyIn returns the key in an era of the table, zero for the first. Each has a row of its
 // own: a write of an earlier one that takes effect late would else meet a row that
@@ -97,7 +97,7 @@
 	key      string
 	tx       kumquatlug.Tx
 	record   Record
-	sent     kumquatlug.Millis
+	sentAt   kumquatlug.Millis
 }
 
 // Action returns what is to be done.
@@ -156,28 +156,28 @@
 // Holder decides for one group whether this process holds the lease and what
 // to ask of the table. It is not safe for concurrent use.
 type Holder struct {
-	c        Config
-	wanted   bool
-	held     bool
-	owes     bool
-	number   Number
-	until    kumquatlug.Millis
-	pending  Intent
-	doubt    Intent
-	sequence int64
-	due      kumquatlug.Millis
-	seen     int64
-	seenAt   kumquatlug.Millis
-	// watch is how often the row is looked at while another process holds it.
-	watch kumquatlug.Millis
-	// turnAt is from when on orders of other holders lie a turn back.
-	turnAt kumquatlug.Millis
+	config        Config
+	wanted        bool
+	held          bool
+	releaseDue    bool
+	number        Number
+	expiresAt     kumquatlug.Millis
+	pending       Intent
+	unconfirmed   Intent
+	sequence      int64
+	nextRequestAt kumquatlug.Millis
+	rowVersion    int64
+	rowSeenAt     kumquatlug.Millis
+	// pollInterval is how often the row is looked at while another process holds it.
+	pollInterval kumquatlug.Millis
+	// ordersFrom is from when on orders of other holders lie a turn back.
+	ordersFrom kumquatlug.Millis
 	// era is that of the table; until quietUntil a holder that the table forgot with
 	// its last era may believe in its lease.
-	era        int64
-	quietUntil kumquatlug.Millis
-	// highest is the highest number seen.
-	highest Number
+	era           int64
+	priorEraUntil kumquatlug.Millis
+	// highestNumber is the highest number seen.
+	highestNumber Number
 }
 
 // New returns a holder that holds nothing and wants the lease.
@@ -193,7 +193,7 @@
 	if c.Renew+c.Margin >= c.TTL {
 		return nil, errors.Newf("a renewal each %d ms comes too late for %d ms less %d ms", c.Renew, c.TTL, c.Margin)
 	}
-	return &Holder{c: c, wanted: true, watch: c.Renew, pending: Intent{action: ActionNone}, doubt: Intent{action: ActionNone}}, nil
+	return &Holder{config: c, wanted: true, pollInterval: c.Renew, pending: Intent{action: ActionNone}, unconfirmed: Intent{action: ActionNone}}, nil
 }
 
 // Held returns the fencing number for orders given now, and false when this
@@ -201,55 +201,55 @@
 func (h *Holder) Held(now kumquatlug.Millis) (Number, bool) {
 	// Judged anew at each call: a process that was paused wakes at any line,
 	// and what it believed before says nothing.
-	return h.number, h.held && h.wanted && now < h.until
+	return h.number, h.held && h.wanted && now < h.expiresAt
 }
 
 // MayOrder reports that this process holds the lease and that the last order of
 // another holder lies a turn back.
 func (h *Holder) MayOrder(now kumquatlug.Millis) bool {
 	_, held := h.Held(now)
-	return held && now >= h.turnAt
+	return held && now >= h.ordersFrom
 }
 
 // Until returns when the lease ends unless it is renewed.
-func (h *Holder) Until() kumquatlug.Millis { return h.until }
+func (h *Holder) Until() kumquatlug.Millis { return h.expiresAt }
 
 // Want says whether this process is to hold the lease. When it no longer is,
 // Held is false from now on and the lease is given back, so that the next
 // holder need not wait.
 func (h *Holder) Want(wanted bool) {
 	if wanted != h.wanted {
-		h.due = 0
+		h.nextRequestAt = 0
 	}
 	h.wanted = wanted
-	h.owes = !wanted && (h.held || h.owes || h.pending.action != ActionNone || h.doubt.action != ActionNone)
+	h.releaseDue = !wanted && (h.held || h.releaseDue || h.pending.action != ActionNone || h.unconfirmed.action != ActionNone)
 }
 
 // Released reports that the lease is not wanted and was given back or is over,
 // so that a planned stop may go on.
 func (h *Holder) Released(now kumquatlug.Millis) bool {
-	return !h.wanted && (!h.owes || now >= h.until)
+	return !h.wanted && (!h.releaseDue || now >= h.expiresAt)
 }
 
 // Next returns what to ask of the table now. Hand the answer to
 // [Holder.Answered]; while one is awaited, Next returns ActionNone.
 func (h *Holder) Next(now kumquatlug.Millis) Intent {
 	if h.pending.action != ActionNone {
-		if now-h.pending.sent < h.c.Timeout {
+		if now-h.pending.sentAt < h.config.Timeout {
 			return Intent{action: ActionNone}
 		}
-		h.lost(now)
+		h.requestLost(now)
 	}
-	if now < h.due || (!h.wanted && !h.owes) {
+	if now < h.nextRequestAt || (!h.wanted && !h.releaseDue) {
 		return Intent{action: ActionNone}
 	}
-	return h.send(Intent{action: ActionRead, key: KeyIn(h.c.Group, h.era)}, now)
+	return h.issue(Intent{action: ActionRead, key: KeyIn(h.config.Group, h.era)}, now)
 }
 
-func (h *Holder) send(i Intent, now kumquatlug.Millis) Intent {
+func (h *Holder) issue(i Intent, now kumquatlug.Millis) Intent {
 	h.sequence++
 	i.sequence = h.sequence
-	i.sent = now
+	i.sentAt = now
 	h.pending = i
 	return i
 }
@@ -266,78 +266,78 @@
 	}
 	if err == nil && i.action == ActionRead {
 		h.pending = none
-		return h.decide(now, row)
+		return h.handleRow(now, row)
 	}
 	if err == nil {
 		h.pending = none
-		h.won(now, i)
+		h.writeCommitted(now, i)
 		return none
 	}
 	switch {
 	case errors.Is(err, kumquatlug.ErrLost):
-		h.lost(now)
+		h.requestLost(now)
 	case errors.Is(err, kumquatlug.ErrConflict):
 		h.pending = none
-		h.due = now
+		h.nextRequestAt = now
 	default:
 		h.pending = none
-		h.due = now + h.retry()
+		h.nextRequestAt = now + h.retryDelay()
 	}
 	return none
 }
 
-// lost notes a request without an answer. A write may have taken effect, so it
+// requestLost notes a request without an answer. A write may have taken effect, so it
 // is looked for in the row before anything else is done.
-func (h *Holder) lost(now kumquatlug.Millis) {
+func (h *Holder) requestLost(now kumquatlug.Millis) {
 	if h.pending.action != ActionRead {
-		h.doubt = h.pending
+		h.unconfirmed = h.pending
 	}
 	h.pending = Intent{action: ActionNone}
-	h.due = now + h.retry()
+	h.nextRequestAt = now + h.retryDelay()
 }
 
-// retry spreads the wait by a quarter, by the group's and holder's name, so
+// retryDelay spreads the wait by a quarter, by the group's and holder's name, so
 // that the holders of all groups don't come back in one moment.
-func (h *Holder) retry() kumquatlug.Millis {
-	spread := max(h.c.Retry/4, 1)
-	word := fmt.Sprintf("%s/%s/%d", h.c.Group, h.c.Me, h.sequence)
-	return h.c.Retry + kumquatlug.Millis(xxhash.Sum64String(word)%uint64(spread))
+func (h *Holder) retryDelay() kumquatlug.Millis {
+	jitter := max(h.config.Retry/4, 1)
+	seed := fmt.Sprintf("%s/%s/%d", h.config.Group, h.config.Me, h.sequence)
+	return h.config.Retry + kumquatlug.Millis(xxhash.Sum64String(seed)%uint64(jitter))
 }
 
-// won takes a write that took effect. The lease counts from before the write
+// writeCommitted takes a write that took effect. The lease counts from before the write
 // was sent: counted from its answer it would seem to last longer than others
 // wait.
 //
 // A renewal of which the holder learns only after its lease ended here does not
 // revive it: a number that this process stopped using does not come back.
-func (h *Holder) won(now kumquatlug.Millis, i Intent) {
-	h.doubt = Intent{action: ActionNone}
-	h.due = i.sent + h.c.Renew
-	if i.action == ActionRenew && now >= h.until {
+func (h *Holder) writeCommitted(now kumquatlug.Millis, i Intent) {
+	h.unconfirmed = Intent{action: ActionNone}
+	h.nextRequestAt = i.sentAt + h.config.Renew
+	if i.action == ActionRenew && now >= h.expiresAt {
 		h.held = false
-		h.due = now
+		h.nextRequestAt = now
 		return
 	}
 	if i.action == ActionRelease {
-		h.owes = false
+		h.releaseDue = false
 		return
 	}
 	if !h.wanted {
-		h.due = 0
+		h.nextRequestAt = 0
 	}
 	if i.action == ActionAcquire {
-		h.turnAt = now
-		if !i.record.settled {
-			h.turnAt = now + h.c.Turn
+		h.ordersFrom = now
+		if !i.record.handoverDone {
+			h.ordersFrom = now + h.config.Turn
 		}
 	}
 	h.held = true
 	h.number = i.record.number
-	h.highest = max(h.highest, h.number)
-	h.until = i.sent + h.c.TTL - h.c.Margin
+	h.highestNumber = max(h.highestNumber, h.number)
+	h.expiresAt = i.sentAt + h.config.TTL - h.config.Margin
 }
 
 // Watch sets how often this process looks at the row of another holder, at least
 // as long as a renewal. Where many processes watch, each may look seldom: the
 // first that finds the row unchanged for its time to live takes over.
-func (h *Holder) Watch(span kumquatlug.Millis) { h.watch = max(span, h.c.Renew) }
+func (h *Holder) Watch(span kumquatlug.Millis) { h.pollInterval = max(span, h.config.Renew) }
--- a/pkg/kumquatlug/lease/lease_test.go
+++ b/pkg/kumquatlug/lease/lease_test.go
@@ -10,17 +10,17 @@
 // A planner is paused for half a minute in the middle of its work, as by a
 // debugger or a frozen VM. When it wakes it must not send the role change that
 // it had decided: another planner may have the group by then.
-func TestPausedHolderWakesWithoutLease(t *testing.T) {
+func TestPausedHolderLosesLease(t *testing.T) {
 	w := newWorld()
-	w.turn(0, "taken", "taken")
+	w.pollTable(0, "taken", "taken")
 	if number, held := w.holders[0].Held(w.clock(0)); !held || number != 1 {
 		t.Fatalf("held %v under %d after acquiring", held, number)
 	}
-	w.time += 30 * kumquatlug.Second
+	w.now += 30 * kumquatlug.Second
 	if _, held := w.holders[0].Held(w.clock(0)); held {
 		t.Fatal("a holder believes in a lease that ended 15 s ago")
 	}
-	w.turn(0, "taken", "taken")
+	w.pollTable(0, "taken", "taken")
 	if number, held := w.holders[0].Held(w.clock(0)); !held || number != 2 {
 		t.Fatalf("held %v under %d after acquiring anew", held, number)
 	}
@@ -30,18 +30,18 @@
 // would go without a planner for a quarter of a minute at each planned stop.
 func TestProofReleaseHandsOver(t *testing.T) {
 	w := newWorld()
-	w.pass(-1, 2*kumquatlug.Second)
+	w.advance(-1, 2*kumquatlug.Second)
 	w.holders[0].Want(false)
-	w.turn(0, "taken", "taken")
+	w.pollTable(0, "taken", "taken")
 	if fence := w.record.Fence(); fence != 2 {
 		t.Errorf("orders under %d still pass after the lease was given back, want 2 and above", fence)
 	}
-	w.pass(-1, 6*kumquatlug.Second)
-	_, first := w.holders[1].Held(w.clock(1))
-	_, second := w.holders[2].Held(w.clock(2))
-	if !w.holders[0].Released(w.clock(0)) || first == second || w.wrong != nil {
+	w.advance(-1, 6*kumquatlug.Second)
+	_, held1 := w.holders[1].Held(w.clock(1))
+	_, held2 := w.holders[2].Held(w.clock(2))
+	if !w.holders[0].Released(w.clock(0)) || held1 == held2 || w.err != nil {
 		t.Fatalf("released %v, held by the others %v and %v: %v",
-			w.holders[0].Released(w.clock(0)), first, second, w.wrong)
+			w.holders[0].Released(w.clock(0)), held1, held2, w.err)
 	}
 }
 
@@ -49,23 +49,23 @@
 // holder to wait for its own lease to run out, and then for its own orders to
 // lie far back, engines would stay in the wrong roles for ten seconds, just when
 // all callers come back.
-func TestARestartedHolderGoesOnAtOnce(t *testing.T) {
+func TestRestartedHolderOrdersAtOnce(t *testing.T) {
 	w := newWorld()
-	w.turn(0, "taken", "taken")
-	w.pass(-1, 6*kumquatlug.Second)
+	w.pollTable(0, "taken", "taken")
+	w.advance(-1, 6*kumquatlug.Second)
 	if !w.holders[0].MayOrder(w.clock(0)) {
 		t.Fatal("the first holder may give no orders")
 	}
 	for i := range w.holders {
-		w.restart(i)
+		w.restartHolder(i)
 	}
-	w.time += kumquatlug.Second
-	w.turn(0, "taken", "taken")
+	w.now += kumquatlug.Second
+	w.pollTable(0, "taken", "taken")
 	if !w.holders[0].MayOrder(w.clock(0)) {
 		t.Error("the restarted holder may give no orders")
 	}
-	w.pass(0, 30*kumquatlug.Second)
-	for i := 1; i < worldHolders; i++ {
+	w.advance(0, 30*kumquatlug.Second)
+	for i := 1; i < holderCount; i++ {
 		if w.holders[i].MayOrder(w.clock(i)) {
 			return
 		}
@@ -75,22 +75,22 @@
 
 // A site has many fronts, and each look at the lease is a call that is paid. They
 // look seldom then, and still one of them takes over soon after the holder is gone.
-func TestManyWatchersLookSeldom(t *testing.T) {
-	const fronts, renew, watch = 12, 1500, 6000
+func TestManyProcessesPollSlowly(t *testing.T) {
+	const gatewayCount, renew, pollInterval = 12, 1500, 6000
 	var holders []*Holder
-	for i := range fronts {
+	for i := range gatewayCount {
 		h, err := New(Config{Group: "g", Me: fmt.Sprintf("f%d/a", i), TTL: 4500, Margin: 700, Renew: renew, Retry: 500})
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Watch(watch)
+		h.Watch(pollInterval)
 		holders = append(holders, h)
 	}
-	row, reads, diedAt := kumquatlug.NewRow(Key("g"), nil, 0), 0, kumquatlug.Millis(30_000)
+	row, reads, stoppedAt := kumquatlug.NewRow(Key("g"), nil, 0), 0, kumquatlug.Millis(30_000)
 	tookOver := kumquatlug.Millis(0)
 	for now := kumquatlug.Millis(1); now < 60_000 && tookOver == 0; now++ {
 		for i, h := range holders {
-			if i == 0 && now > diedAt || now < kumquatlug.Millis(i)*500 {
+			if i == 0 && now > stoppedAt || now < kumquatlug.Millis(i)*500 {
 				continue
 			}
 			for in := h.Next(now); in.Action() != ActionNone; {
@@ -107,41 +107,41 @@
 			}
 		}
 	}
-	if tookOver == 0 || tookOver-diedAt > 9000 {
-		t.Errorf("taken over %d ms after the holder was gone", tookOver-diedAt)
+	if tookOver == 0 || tookOver-stoppedAt > 9000 {
+		t.Errorf("taken over %d ms after the holder was gone", tookOver-stoppedAt)
 	}
 	if perSecond := float64(reads) / (float64(tookOver) / 1000); perSecond > 3.5 {
-		t.Errorf("%.1f looks a second by %d fronts", perSecond, fronts)
+		t.Errorf("%.1f looks a second by %d fronts", perSecond, gatewayCount)
 	}
 }
 
 // A holder dies, and another process looks at the row a little more often than it takes
 // to run out. By usual looks alone it would take over as late again as that, with
 // nobody to give orders meanwhile.
-func TestARowFoundUnchangedIsLookedAtWhenItRunsOut(t *testing.T) {
+func TestUnchangedRowIsReadAtExpiry(t *testing.T) {
 	h, err := New(Config{Group: "g", Me: "b/1", TTL: 4500, Margin: 700, Renew: 1500, Retry: 500, Timeout: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.Watch(5000)
 	row := kumquatlug.NewRow(Key("g"), Record{holder: "a/1", number: 3, ttl: 4500}.encode(), 7)
-	var looks []kumquatlug.Millis
+	var readTimes []kumquatlug.Millis
 	for now := kumquatlug.Millis(0); now < 12_000; now += 100 {
 		i := h.Next(now)
 		if i.Action() == ActionNone {
 			continue
 		}
-		looks = append(looks, now)
+		readTimes = append(readTimes, now)
 		if i = h.Answered(now, i, row, nil); i.Action() == ActionAcquire {
 			break
 		}
 	}
-	if fmt.Sprint(looks) != "[0 5000 5200]" {
-		t.Errorf("looks at %v", looks)
+	if fmt.Sprint(readTimes) != "[0 5000 5200]" {
+		t.Errorf("looks at %v", readTimes)
 	}
 }
 
-func TestNewRefusesWhatCannotHold(t *testing.T) {
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	for _, c := range []Config{
 		{Group: "g"}, {Me: "a"}, {Group: "g", Me: "a", TTL: 5000, Renew: 4500, Margin: 500},
 	} {
--- a/pkg/kumquatlug/lease/proof_test.go
+++ b/pkg/kumquatlug/lease/proof_test.go
@@ -12,20 +12,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// worldHolders is how many processes want the lease.
-const worldHolders = 3
+// holderCount is how many processes want the lease.
+const holderCount = 3
 
-// moves lists each kind of step as often as it is to come up among the others.
-var moves = []string{
+// moveKinds lists each kind of step as often as it is to come up among the others.
+var moveKinds = []string{
 	"turn", "turn", "turn", "turn", "turn", "turn", "turn", "turn",
 	"tick", "tick", "pause", "pause", "stall", "stall", "arrive", "answer", "answer", "want", "bounce", "restart", "calm", "heal",
 }
 
-// worldTurn is the least span between orders of two VMs.
-const worldTurn = 4 * kumquatlug.Second
+// handoverDelay is the least span between orders of two VMs.
+const handoverDelay = 4 * kumquatlug.Second
 
-// fates lists what becomes of a request, as often as it is to come up.
-var fates = []string{
+// requestOutcomes lists what becomes of a request, as often as it is to come up.
+var requestOutcomes = []string{
 	"taken", "taken", "taken", "taken", "taken", "taken", "out", "lost", "dropped", "late", "answered-late",
 }
 
@@ -38,7 +38,7 @@
 	proof.Run(t, proof.Config{
 		Claim: "one holder at a time, under a number of its own",
 		Seed:  1, Runs: 200, Steps: 60,
-		Command: proof.Moves(moves, worldHolders, play),
+		Command: proof.Moves(moveKinds, holderCount, play),
 		World:   func() commands.SystemUnderTest { return newWorld() },
 	})
 }
@@ -50,7 +50,7 @@
 	proof.Run(t, proof.Config{
 		Claim: "one holder at a time, under rising numbers, through restores",
 		Seed:  2, Runs: 400, Steps: 60,
-		Command: proof.Moves(append([]string{"restore", "restore"}, moves...), worldHolders, play),
+		Command: proof.Moves(append([]string{"restore", "restore"}, moveKinds...), holderCount, play),
 		World:   func() commands.SystemUnderTest { return newWorld() },
 	})
 }
@@ -66,51 +66,51 @@
 
 // world is three holders over one row, with the oracle's notes beside them.
 type world struct {
-	time     kumquatlug.Millis
-	holders  []*Holder
-	wanted   []bool
-	starts   int
-	table    map[string]kumquatlug.Row
-	record   Record
-	requests []message
-	answers  []message
-	number   Number
-	lapsed   map[*Holder]Number
-	wrong    error
+	now             kumquatlug.Millis
+	holders         []*Holder
+	wanted          []bool
+	startCount      int
+	table           map[string]kumquatlug.Row
+	record          Record
+	delayedRequests []message
+	delayedAnswers  []message
+	highestNumber   Number
+	lapsedNumbers   map[*Holder]Number
+	err             error
 	// orderedAt is when some VM might last have given an order, orderedBy which.
 	orderedAt kumquatlug.Millis
 	orderedBy int
-	// copies are the table as it was after each write, for one that comes back from an
+	// backups are the table as it was after each write, for one that comes back from an
 	// older copy; written is its newest version.
-	copies  []map[string]kumquatlug.Row
-	era     int64
-	written int64
+	backups     []map[string]kumquatlug.Row
+	era         int64
+	lastVersion int64
 }
 
 func newWorld() *world {
-	w := &world{orderedAt: -worldTurn, holders: make([]*Holder, worldHolders), wanted: make([]bool, worldHolders), table: map[string]kumquatlug.Row{}, lapsed: map[*Holder]Number{}}
+	w := &world{orderedAt: -handoverDelay, holders: make([]*Holder, holderCount), wanted: make([]bool, holderCount), table: map[string]kumquatlug.Row{}, lapsedNumbers: map[*Holder]Number{}}
 	for i := range w.holders {
-		w.restart(i)
+		w.restartHolder(i)
 	}
 	return w
 }
 
 func (w *world) fail(format string, args ...any) {
-	if w.wrong == nil {
-		w.wrong = errors.Newf(format, args...)
+	if w.err == nil {
+		w.err = errors.Newf(format, args...)
 	}
 }
 
 // clock is what holder i's clock shows: each has an origin and a rate of its
 // own, 500 ppm from the slowest to the fastest.
 func (w *world) clock(i int) kumquatlug.Millis {
-	return kumquatlug.Millis(1000000*(i+1)) + w.time + w.time*kumquatlug.Millis(250*(i-1))/1000000
+	return kumquatlug.Millis(1000000*(i+1)) + w.now + w.now*kumquatlug.Millis(250*(i-1))/1000000
 }
 
-func (w *world) restart(i int) {
-	w.starts++
+func (w *world) restartHolder(i int) {
+	w.startCount++
 	h, err := New(Config{
-		Group: "g", Me: fmt.Sprintf("entry-%d/%d", i, w.starts), Predecessors: fmt.Sprintf("entry-%d/", i), Turn: worldTurn,
+		Group: "g", Me: fmt.Sprintf("entry-%d/%d", i, w.startCount), Predecessors: fmt.Sprintf("entry-%d/", i), Turn: handoverDelay,
 	})
 	if err != nil {
 		w.fail("%v", err)
@@ -122,50 +122,50 @@
 	w := sut.(*world)
 	switch m.Kind {
 	case "turn":
-		w.turn(m.Actor, fates[m.Choice%len(fates)], fates[m.Choice/100%len(fates)])
+		w.pollTable(m.Actor, requestOutcomes[m.Choice%len(requestOutcomes)], requestOutcomes[m.Choice/100%len(requestOutcomes)])
 	case "tick":
-		w.time += kumquatlug.Millis(m.Choice)
+		w.now += kumquatlug.Millis(m.Choice)
 	case "pause":
-		w.pass(m.Actor, kumquatlug.Millis(m.Choice*3))
+		w.advance(m.Actor, kumquatlug.Millis(m.Choice*3))
 	case "stall":
-		w.stall(m)
+		w.pauseAroundAnswer(m)
 	case "arrive":
-		if len(w.requests) > 0 {
-			k := m.Choice % len(w.requests)
-			r := w.requests[k]
-			w.requests = append(w.requests[:k:k], w.requests[k+1:]...)
-			w.reach(&r)
+		if len(w.delayedRequests) > 0 {
+			k := m.Choice % len(w.delayedRequests)
+			r := w.delayedRequests[k]
+			w.delayedRequests = append(w.delayedRequests[:k:k], w.delayedRequests[k+1:]...)
+			w.execute(&r)
 		}
 	case "answer":
-		if len(w.answers) > 0 {
-			k := m.Choice % len(w.answers)
-			a := w.answers[k]
-			w.answers = append(w.answers[:k:k], w.answers[k+1:]...)
-			w.hand(a)
+		if len(w.delayedAnswers) > 0 {
+			k := m.Choice % len(w.delayedAnswers)
+			a := w.delayedAnswers[k]
+			w.delayedAnswers = append(w.delayedAnswers[:k:k], w.delayedAnswers[k+1:]...)
+			w.deliverAnswer(a)
 		}
 	case "want":
 		w.wanted[m.Actor] = m.Choice%2 == 0
 		w.holders[m.Actor].Want(w.wanted[m.Actor])
 	case "bounce":
-		w.bounce(m)
+		w.reacquire(m)
 	case "restart":
-		w.restart(m.Actor)
+		w.restartHolder(m.Actor)
 	case "calm":
-		w.pass(-1, kumquatlug.Millis(m.Choice*3))
+		w.advance(-1, kumquatlug.Millis(m.Choice*3))
 	case "restore":
-		w.restore(m.Choice)
+		w.restoreTable(m.Choice)
 	case "heal":
-		w.heal()
+		w.checkRecovery()
 	}
-	w.check()
-	if w.wrong != nil {
-		return w.wrong
+	w.checkHolders()
+	if w.err != nil {
+		return w.err
 	}
 	return nil
 }
 
-// turn lets a holder ask, and gives its one or two requests their fates.
-func (w *world) turn(i int, fates ...string) {
+// pollTable lets a holder ask, and gives its one or two requests their fates.
+func (w *world) pollTable(i int, fates ...string) {
 	h := w.holders[i]
 	intent := h.Next(w.clock(i))
 	for _, fate := range fates {
@@ -181,34 +181,34 @@
 	lost := errors.Mark(errors.New("no answer"), kumquatlug.ErrLost)
 	switch fate {
 	case "taken":
-		w.reach(&m)
+		w.execute(&m)
 	case "out":
 		m.err = errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
 	case "lost":
-		w.reach(&m)
+		w.execute(&m)
 		m.err = lost
 	case "dropped":
 		m.err = lost
 	case "late":
-		w.requests = append(w.requests, m)
+		w.delayedRequests = append(w.delayedRequests, m)
 		return Intent{action: ActionNone}
 	case "answered-late":
-		w.reach(&m)
-		w.answers = append(w.answers, m)
+		w.execute(&m)
+		w.delayedAnswers = append(w.delayedAnswers, m)
 		return Intent{action: ActionNone}
 	}
-	return w.hand(m)
+	return w.deliverAnswer(m)
 }
 
-func (w *world) hand(m message) Intent {
+func (w *world) deliverAnswer(m message) Intent {
 	if w.holders[m.to] != m.holder {
 		return Intent{action: ActionNone}
 	}
 	return m.holder.Answered(w.clock(m.to), m.intent, m.row, m.err)
 }
 
-// reach is the table: it takes the request and notes what the oracle needs.
-func (w *world) reach(m *message) {
+// execute is the table: it takes the request and notes what the oracle needs.
+func (w *world) execute(m *message) {
 	if m.intent.Action() == ActionRead {
 		m.row = w.table[m.intent.Key()].WithEra(w.era)
 		return
@@ -222,9 +222,9 @@
 	if err != nil {
 		w.fail("%v", err)
 	}
-	w.written++
-	w.table[key] = kumquatlug.NewRow(key, tx.Writes()[0].Value(), w.written)
-	w.copies = append(w.copies, maps.Clone(w.table))
+	w.lastVersion++
+	w.table[key] = kumquatlug.NewRow(key, tx.Writes()[0].Value(), w.lastVersion)
+	w.backups = append(w.backups, maps.Clone(w.table))
 	after, err := Decode(w.table[key])
 	if err != nil {
 		w.fail("%v", err)
@@ -237,118 +237,118 @@
 		// Nobody looks at it any more.
 		return
 	case after.Number() == before.Number() && after.Holder() == before.Holder():
-	case after.Number() <= w.number:
-		w.fail("%s acquired under %d after %d", after.Holder(), after.Number(), w.number)
+	case after.Number() <= w.highestNumber:
+		w.fail("%s acquired under %d after %d", after.Holder(), after.Number(), w.highestNumber)
 	}
-	w.number = max(w.number, after.Number())
+	w.highestNumber = max(w.highestNumber, after.Number())
 }
 
-// check asks each holder, as though it woke this moment, whether it holds.
-func (w *world) check() {
+// checkHolders asks each holder, as though it woke this moment, whether it holds.
+func (w *world) checkHolders() {
 	record, holders := w.record, 0
 	for i, h := range w.holders {
 		number, held := h.Held(w.clock(i))
 		if !held {
 			if w.clock(i) >= h.Until() {
-				w.lapsed[h] = number
+				w.lapsedNumbers[h] = number
 			}
 			continue
 		}
-		if number == w.lapsed[h] {
-			w.fail("%s uses %d again after its lease lapsed", h.c.Me, number)
+		if number == w.lapsedNumbers[h] {
+			w.fail("%s uses %d again after its lease lapsed", h.config.Me, number)
 		}
-		if w.era == 0 && (number != record.Number() || record.Holder() != h.c.Me || record.Released()) {
+		if w.era == 0 && (number != record.Number() || record.Holder() != h.config.Me || record.Released()) {
 			w.fail("%s believes in %d, the table says %d of %s, released %v",
-				h.c.Me, number, record.Number(), record.Holder(), record.Released())
+				h.config.Me, number, record.Number(), record.Holder(), record.Released())
 		}
 		holders++
 		if holders > 1 {
-			w.fail("%s and another one hold at once", h.c.Me)
+			w.fail("%s and another one hold at once", h.config.Me)
 		}
 		if h.Released(w.clock(i)) {
-			w.fail("%s holds and says that it gave back", h.c.Me)
+			w.fail("%s holds and says that it gave back", h.config.Me)
 		}
 		if h.MayOrder(w.clock(i)) {
-			w.ordered(i)
+			w.checkOrder(i)
 		}
 	}
 }
 
-// ordered takes that VM i may give an order now. Two VMs that take turns too
+// checkOrder takes that VM i may give an order now. Two VMs that take turns too
 // quickly undo each other's work.
-func (w *world) ordered(i int) {
+func (w *world) checkOrder(i int) {
 	const drift = 10
-	if i != w.orderedBy && w.time-w.orderedAt < worldTurn-drift {
-		w.fail("VM %d may give orders %d ms after VM %d", i, w.time-w.orderedAt, w.orderedBy)
+	if i != w.orderedBy && w.now-w.orderedAt < handoverDelay-drift {
+		w.fail("VM %d may give orders %d ms after VM %d", i, w.now-w.orderedAt, w.orderedBy)
 	}
-	w.orderedAt, w.orderedBy = w.time, i
+	w.orderedAt, w.orderedBy = w.now, i
 }
 
-// bounce lets a holder give its lease back and want it again at once.
-func (w *world) bounce(m proof.Move) {
+// reacquire lets a holder give its lease back and want it again at once.
+func (w *world) reacquire(m proof.Move) {
 	w.holders[m.Actor].Want(false)
-	w.turn(m.Actor, "taken", fates[m.Choice%len(fates)])
+	w.pollTable(m.Actor, "taken", requestOutcomes[m.Choice%len(requestOutcomes)])
 	w.wanted[m.Actor] = true
 	w.holders[m.Actor].Want(true)
 }
 
-// restore has the table come back from one of its last copies, or empty. Its versions are
+// restoreTable has the table come back from one of its last copies, or empty. Its versions are
 // given out again.
-func (w *world) restore(choice int) {
+func (w *world) restoreTable(choice int) {
 	w.era++
-	back := choice % 6
-	w.copies = w.copies[:max(len(w.copies)-back, 0)]
-	w.table, w.written = map[string]kumquatlug.Row{}, 0
-	if last := len(w.copies) - 1; last >= 0 {
-		w.table = maps.Clone(w.copies[last])
+	discarded := choice % 6
+	w.backups = w.backups[:max(len(w.backups)-discarded, 0)]
+	w.table, w.lastVersion = map[string]kumquatlug.Row{}, 0
+	if last := len(w.backups) - 1; last >= 0 {
+		w.table = maps.Clone(w.backups[last])
 	}
 	for _, row := range w.table {
-		w.written = max(w.written, row.Version())
+		w.lastVersion = max(w.lastVersion, row.Version())
 	}
 	w.record = Record{}
 }
 
-// stall pauses a holder between its write and the answer to it, hands it the
+// pauseAroundAnswer pauses a holder between its write and the answer to it, hands it the
 // answer, and pauses it again. Every other time it changed its mind in between.
-func (w *world) stall(m proof.Move) {
-	w.turn(m.Actor, "taken", "answered-late")
-	w.pass(m.Actor, kumquatlug.Millis(m.Choice))
+func (w *world) pauseAroundAnswer(m proof.Move) {
+	w.pollTable(m.Actor, "taken", "answered-late")
+	w.advance(m.Actor, kumquatlug.Millis(m.Choice))
 	if m.Choice%2 == 0 {
-		w.turn(m.Actor, "dropped")
-		w.bounce(m)
+		w.pollTable(m.Actor, "dropped")
+		w.reacquire(m)
 	}
-	if last := len(w.answers) - 1; last >= 0 {
-		w.hand(w.answers[last])
-		w.answers = w.answers[:last]
+	if last := len(w.delayedAnswers) - 1; last >= 0 {
+		w.deliverAnswer(w.delayedAnswers[last])
+		w.delayedAnswers = w.delayedAnswers[:last]
 	}
-	w.pass(m.Actor, 16*kumquatlug.Second)
+	w.advance(m.Actor, 16*kumquatlug.Second)
 }
 
-// pass lets everything work for a span, except that one holder is paused. It
+// advance lets everything work for a span, except that one holder is paused. It
 // stops right before each lease ends, where a millisecond too much shows.
-func (w *world) pass(paused int, span kumquatlug.Millis) {
-	for end := w.time + span; w.time < end; {
+func (w *world) advance(paused int, span kumquatlug.Millis) {
+	for end := w.now + span; w.now < end; {
 		step := kumquatlug.Millis(250)
 		for i, h := range w.holders {
 			if left := h.Until() - w.clock(i) - 1; left > 0 {
 				step = min(step, left)
 			}
 		}
-		w.time += step
+		w.now += step
 		for i := range w.holders {
 			if i != paused {
-				w.turn(i, "taken", "taken")
+				w.pollTable(i, "taken", "taken")
 			}
-			w.check()
+			w.checkHolders()
 		}
 	}
 }
 
-// heal ends the trouble: within a time to live, a margin, a look and a timeout
+// checkRecovery ends the trouble: within a time to live, a margin, a look and a timeout
 // one that wants the lease has it, and those that don't have given it back.
-func (w *world) heal() {
-	w.requests, w.answers = nil, nil
-	w.pass(-1, 25*kumquatlug.Second)
+func (w *world) checkRecovery() {
+	w.delayedRequests, w.delayedAnswers = nil, nil
+	w.advance(-1, 25*kumquatlug.Second)
 	holders, wanting := 0, 0
 	for i, h := range w.holders {
 		if _, held := h.Held(w.clock(i)); held {
@@ -357,7 +357,7 @@
 		if w.wanted[i] {
 			wanting++
 		} else if !h.Released(w.clock(i)) {
-			w.fail("%s has not given back", h.c.Me)
+			w.fail("%s has not given back", h.config.Me)
 		}
 	}
 	if holders != min(wanting, 1) {
--- a/pkg/kumquatlug/lease/record.go
+++ b/pkg/kumquatlug/lease/record.go
@@ -10,16 +10,16 @@
 
 // Record is a group's row.
 type Record struct {
-	holder   string
-	number   Number
-	ttl      kumquatlug.Millis
-	attempt  string
-	released bool
-	settled  bool
+	holder       string
+	number       Number
+	ttl          kumquatlug.Millis
+	attempt      string
+	released     bool
+	handoverDone bool
 }
 
-// stored is the JSON form of a record.
-type stored struct {
+// recordJSON is the JSON form of a record.
+type recordJSON struct {
 	Holder   string            `json:"holder"`
 	Number   Number            `json:"number"`
 	TTL      kumquatlug.Millis `json:"ttl_ms"`
@@ -34,19 +34,19 @@
 	if !row.Exists() {
 		return Record{}, nil
 	}
-	var s stored
+	var s recordJSON
 	if err := json.Unmarshal(row.Value(), &s); err != nil {
 		return Record{}, errors.Wrapf(err, "decode %s", row.Key())
 	}
-	return Record{holder: s.Holder, number: s.Number, ttl: s.TTL, attempt: s.Attempt, released: s.Released, settled: s.Settled}, nil
+	return Record{holder: s.Holder, number: s.Number, ttl: s.TTL, attempt: s.Attempt, released: s.Released, handoverDone: s.Settled}, nil
 }
 
 func (r Record) encode() []byte {
 	// Strings and numbers always encode.
-	text, _ := json.Marshal(stored{
-		Holder: r.holder, Number: r.number, TTL: r.ttl, Attempt: r.attempt, Released: r.released, Settled: r.settled,
+	value, _ := json.Marshal(recordJSON{
+		Holder: r.holder, Number: r.number, TTL: r.ttl, Attempt: r.attempt, Released: r.released, Settled: r.handoverDone,
 	})
-	return text
+	return value
 }
 
 // Holder returns the process that wrote the row last.
