--- a/pkg/kumquatlug/planner/baseline.go
+++ b/pkg/kumquatlug/planner/baseline.go
@@ -89,13 +89,13 @@
 		return nil
 	}
 	offered := t.demand.estimate()
-	busyPrefill := offered.prefill / (float64(prefill) * t.group.prefillRate)
-	busyDecode := offered.decode / (float64(decode) * t.group.decodeRate)
-	reason := fmt.Sprintf("prefill at %.2f, decode at %.2f", busyPrefill, busyDecode)
+	prefillLoad := offered.prefill / (float64(prefill) * t.group.prefillRate)
+	decodeLoad := offered.decode / (float64(decode) * t.group.decodeRate)
+	reason := fmt.Sprintf("prefill at %.2f, decode at %.2f", prefillLoad, decodeLoad)
 	switch {
-	case busyPrefill > t.config.High && busyDecode < t.config.Low && decode > 1:
+	case prefillLoad > t.config.High && decodeLoad < t.config.Low && decode > 1:
 		return t.move(now, kumquatlug.RoleDecode, kumquatlug.RolePrefill, reason)
-	case busyDecode > t.config.High && busyPrefill < t.config.Low && prefill > 1:
+	case decodeLoad > t.config.High && prefillLoad < t.config.Low && prefill > 1:
 		return t.move(now, kumquatlug.RolePrefill, kumquatlug.RoleDecode, reason)
 	default:
 		return nil
@@ -104,5 +104,5 @@
 
 func (t *Threshold) move(now kumquatlug.Millis, from, to kumquatlug.Role, reason string) []kumquatlug.RoleChange {
 	t.moved, t.movedAt = true, now
-	return t.group.change(now, from, to, 1, bound(t.config.AwayPart, t.group.size()), 0, reason)
+	return t.group.orderChanges(now, from, to, 1, maxConcurrentChanges(t.config.AwayPart, t.group.size()), 0, reason)
 }
--- a/pkg/kumquatlug/planner/demand.go
+++ b/pkg/kumquatlug/planner/demand.go
@@ -14,37 +14,37 @@
 	decode  float64
 }
 
-// average is a moving average over a span that counts only what it has seen:
+// movingAverage is a moving average over a span that counts only what it has seen:
 // before the span has passed it is the plain mean.
-type average struct {
+type movingAverage struct {
 	span   float64
 	sum    rates
 	weight float64
 }
 
 // add takes in a rate that held for some milliseconds.
-func (a *average) add(r rates, millis float64) {
-	keep := math.Exp(-millis / a.span)
-	a.sum.prefill = a.sum.prefill*keep + r.prefill*(1-keep)
-	a.sum.decode = a.sum.decode*keep + r.decode*(1-keep)
-	a.weight = a.weight*keep + 1 - keep
+func (a *movingAverage) add(r rates, millis float64) {
+	decay := math.Exp(-millis / a.span)
+	a.sum.prefill = a.sum.prefill*decay + r.prefill*(1-decay)
+	a.sum.decode = a.sum.decode*decay + r.decode*(1-decay)
+	a.weight = a.weight*decay + 1 - decay
 }
 
-func (a *average) mean() rates {
+func (a *movingAverage) mean() rates {
 	if a.weight == 0 {
 		return rates{}
 	}
 	return rates{prefill: a.sum.prefill / a.weight, decode: a.sum.decode / a.weight}
 }
 
-// source is the demand through one entry.
-type source struct {
+// frontendDemand is the demand through one entry.
+type frontendDemand struct {
 	entry string
-	fast  average
-	// smooth is the average of the fast one.
-	smooth  average
-	slow    average
-	heardAt kumquatlug.Millis
+	fast  movingAverage
+	// fastSmoothed is the average of the fast one.
+	fastSmoothed movingAverage
+	slow         movingAverage
+	reportedAt   kumquatlug.Millis
 }
 
 // demand adds up the sources. Each has its own averages: if they were averaged
@@ -52,7 +52,7 @@
 type demand struct {
 	fast    kumquatlug.Millis
 	slow    kumquatlug.Millis
-	sources []*source
+	sources []*frontendDemand
 	since   kumquatlug.Millis
 }
 
@@ -65,16 +65,16 @@
 		return
 	}
 	s := d.source(now, o.Entry)
-	s.heardAt = now
+	s.reportedAt = now
 	seconds := float64(o.Span) / float64(kumquatlug.Second)
 	r := rates{prefill: o.PrefillTokens / seconds, decode: o.DecodeTokens / seconds}
 	s.fast.add(r, float64(o.Span))
-	s.smooth.add(s.fast.mean(), float64(o.Span))
+	s.fastSmoothed.add(s.fast.mean(), float64(o.Span))
 	s.slow.add(r, float64(o.Span))
 }
 
-func (d *demand) source(now kumquatlug.Millis, entry string) *source {
-	at, ok := slices.BinarySearchFunc(d.sources, entry, func(s *source, entry string) int {
+func (d *demand) source(now kumquatlug.Millis, entry string) *frontendDemand {
+	at, ok := slices.BinarySearchFunc(d.sources, entry, func(s *frontendDemand, entry string) int {
 		return strings.Compare(s.entry, entry)
 	})
 	if ok {
@@ -83,20 +83,20 @@
 	if len(d.sources) == 0 {
 		d.since = now
 	}
-	s := &source{entry: entry, fast: average{span: float64(d.fast)}, smooth: average{span: float64(d.fast)}, slow: average{span: float64(d.slow)}}
+	s := &frontendDemand{entry: entry, fast: movingAverage{span: float64(d.fast)}, fastSmoothed: movingAverage{span: float64(d.fast)}, slow: movingAverage{span: float64(d.slow)}}
 	d.sources = slices.Insert(d.sources, at, s)
 	return s
 }
 
-// forget drops the entries that have not been heard for a span.
-func (d *demand) forget(now, gone kumquatlug.Millis) {
-	d.sources = slices.DeleteFunc(d.sources, func(s *source) bool { return now-s.heardAt > gone })
+// dropSilent drops the entries that have not been heard for a span.
+func (d *demand) dropSilent(now, limit kumquatlug.Millis) {
+	d.sources = slices.DeleteFunc(d.sources, func(s *frontendDemand) bool { return now-s.reportedAt > limit })
 }
 
-// silent reports whether an entry has not been heard for a span, or none ever.
-func (d *demand) silent(now, stale kumquatlug.Millis) bool {
+// anySilent reports whether an entry has not been heard for a span, or none ever.
+func (d *demand) anySilent(now, limit kumquatlug.Millis) bool {
 	for _, s := range d.sources {
-		if now-s.heardAt > stale {
+		if now-s.reportedAt > limit {
 			return true
 		}
 	}
@@ -112,25 +112,25 @@
 }
 
 // The fast average takes over from the slow one as their distance grows from
-// departBegin to departEnd, as a part of the slow one. Demand that varies by a
+// blendStart to blendEnd, as a part of the slow one. Demand that varies by a
 // fifth from report to report moves the fast average by 4%: 15% is no noise.
 const (
-	departBegin = 0.15
-	departEnd   = 0.30
+	blendStart = 0.15
+	blendEnd   = 0.30
 )
 
 // estimate returns the demand of all entries.
 func (d *demand) estimate() rates {
 	var fast, slow, smooth rates
 	for _, s := range d.sources {
-		f, l := s.fast.mean(), s.slow.mean()
-		fast.prefill += f.prefill
-		fast.decode += f.decode
-		m := s.smooth.mean()
-		smooth.prefill += m.prefill
-		smooth.decode += m.decode
-		slow.prefill += l.prefill
-		slow.decode += l.decode
+		fastMean, slowMean := s.fast.mean(), s.slow.mean()
+		fast.prefill += fastMean.prefill
+		fast.decode += fastMean.decode
+		smoothMean := s.fastSmoothed.mean()
+		smooth.prefill += smoothMean.prefill
+		smooth.decode += smoothMean.decode
+		slow.prefill += slowMean.prefill
+		slow.decode += slowMean.decode
 	}
 	return rates{prefill: blend(fast.prefill, smooth.prefill, slow.prefill), decode: blend(fast.decode, smooth.decode, slow.decode)}
 }
@@ -146,7 +146,7 @@
 	if slow <= 0 {
 		return current
 	}
-	departed := math.Abs(fast-slow) / slow
-	share := (departed - departBegin) / (departEnd - departBegin)
+	deviation := math.Abs(fast-slow) / slow
+	share := (deviation - blendStart) / (blendEnd - blendStart)
 	return slow + min(max(share, 0), 1)*(current-slow)
 }
--- a/pkg/kumquatlug/planner/first.go
+++ b/pkg/kumquatlug/planner/first.go
@@ -2,11 +2,11 @@
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// firstPart is the part of a group, one in five, whose engines are given their
+// firstRolesDivisor is the part of a group, one in five, whose engines are given their
 // first role at once; the others go on doing both meanwhile. It is the part that
 // a planner may have away (Config.AwayPart). One engine at a time took over a
 // minute for twelve.
-const firstPart = 5
+const firstRolesDivisor = 5
 
 // FirstRoles returns the orders that give engines which do both, or lost their
 // role in a crash, the role that fewer have. A planner compares splits and needs
@@ -16,10 +16,10 @@
 // Engines are to come in an order that does not change from call to call.
 func FirstRoles(engines []kumquatlug.EngineReport) []kumquatlug.RoleChange {
 	counts := map[kumquatlug.Role]int{}
-	away := 0
+	changing := 0
 	for _, e := range engines {
 		if e.Going != "" {
-			away++
+			changing++
 			counts[e.Going]++
 			continue
 		}
@@ -27,7 +27,7 @@
 	}
 	var changes []kumquatlug.RoleChange
 	for _, e := range engines {
-		if away >= max(1, len(engines)/firstPart) {
+		if changing >= max(1, len(engines)/firstRolesDivisor) {
 			break
 		}
 		if e.Going != "" || e.Role == kumquatlug.RolePrefill || e.Role == kumquatlug.RoleDecode {
@@ -38,7 +38,7 @@
 			to = kumquatlug.RolePrefill
 		}
 		counts[to]++
-		away++
+		changing++
 		changes = append(changes, kumquatlug.NewRoleChange(e.Target, e.Role, to, "first role"))
 	}
 	return changes
--- a/pkg/kumquatlug/planner/first_test.go
+++ b/pkg/kumquatlug/planner/first_test.go
@@ -9,7 +9,7 @@
 
 // Twelve engines start without roles. One at a time leaves the group half done
 // for a minute; all at once leaves nobody to serve while they change.
-func TestFirstRolesComeInParts(t *testing.T) {
+func TestFirstRolesAreAssignedInBatches(t *testing.T) {
 	engines := make([]kumquatlug.EngineReport, 12)
 	for i := range engines {
 		engines[i] = kumquatlug.EngineReport{Target: fmt.Sprint("e", i), Role: kumquatlug.RoleBoth}
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestFirstRolesWaitForThoseOnTheirWay(t *testing.T) {
+func TestFirstRolesWaitForPendingChanges(t *testing.T) {
 	engines := []kumquatlug.EngineReport{
 		{Target: "e1", Role: kumquatlug.RoleBoth, Going: kumquatlug.RoleDecode},
 		{Target: "e2", Role: kumquatlug.RoleBoth},
--- a/pkg/kumquatlug/planner/group.go
+++ b/pkg/kumquatlug/planner/group.go
@@ -9,19 +9,19 @@
 
 // engine is what the planner knows of one engine.
 type engine struct {
-	name    string
-	role    kumquatlug.Role
-	takenAt kumquatlug.Millis
-	inHand  int
-	// waited says that the last report showed a queue.
-	waited bool
-	// going is the role that it was ordered to take; empty when it was not.
-	going     kumquatlug.Role
-	orderedAt kumquatlug.Millis
-	// inherited says that another planner ordered it.
-	inherited bool
-	// since is when it took its role, as far as is known.
-	since kumquatlug.Millis
+	name       string
+	role       kumquatlug.Role
+	reportedAt kumquatlug.Millis
+	inFlight   int
+	// hadQueue says that the last report showed a queue.
+	hadQueue bool
+	// pendingRole is the role that it was ordered to take; empty when it was not.
+	pendingRole kumquatlug.Role
+	orderedAt   kumquatlug.Millis
+	// orderedElsewhere says that another planner ordered it.
+	orderedElsewhere bool
+	// roleSince is when it took its role, as far as is known.
+	roleSince kumquatlug.Millis
 }
 
 // group is the engines in name order, and what they can do in each role.
@@ -52,44 +52,44 @@
 	}
 	at, ok := g.find(e.Target)
 	if !ok {
-		g.engines = slices.Insert(g.engines, at, &engine{name: e.Target, role: e.Role, takenAt: e.TakenAt, since: now})
+		g.engines = slices.Insert(g.engines, at, &engine{name: e.Target, role: e.Role, reportedAt: e.TakenAt, roleSince: now})
 	}
 	known := g.engines[at]
-	if e.TakenAt < known.takenAt {
+	if e.TakenAt < known.reportedAt {
 		return 0
 	}
 	g.observe(known, e)
-	known.takenAt = e.TakenAt
-	known.inHand = e.InHand
-	known.inherit(now, e.Going)
-	return known.take(now, e.Role)
+	known.reportedAt = e.TakenAt
+	known.inFlight = e.InHand
+	known.adoptOrder(now, e.Going)
+	return known.setRole(now, e.Role)
 }
 
-// inherit takes over an order of another planner. When the lease on the group
+// adoptOrder takes over an order of another planner. When the lease on the group
 // changes hands, engines may be on their way; a planner that did not count them
 // would send the next ones away on top.
-func (e *engine) inherit(now kumquatlug.Millis, going kumquatlug.Role) {
-	if e.inherited || (e.going == "" && going != "") {
-		e.inherited = going != ""
-		e.going = going
+func (e *engine) adoptOrder(now kumquatlug.Millis, role kumquatlug.Role) {
+	if e.orderedElsewhere || (e.pendingRole == "" && role != "") {
+		e.orderedElsewhere = role != ""
+		e.pendingRole = role
 		e.orderedAt = now
 	}
 }
 
-// take records the role that the engine says it has. A report from before the
+// setRole records the role that the engine says it has. A report from before the
 // order still shows the old one, which says nothing about the order.
-func (e *engine) take(now kumquatlug.Millis, role kumquatlug.Role) kumquatlug.Millis {
+func (e *engine) setRole(now kumquatlug.Millis, role kumquatlug.Role) kumquatlug.Millis {
 	if e.role == role {
 		return 0
 	}
 	e.role = role
-	e.since = now
-	if e.going != role {
+	e.roleSince = now
+	if e.pendingRole != role {
 		return 0
 	}
-	e.going = ""
-	if e.inherited {
-		e.inherited = false
+	e.pendingRole = ""
+	if e.orderedElsewhere {
+		e.orderedElsewhere = false
 		return 0
 	}
 	return max(now-e.orderedAt, 1)
@@ -98,37 +98,37 @@
 // observe learns from a report that was not seen yet; the holder of the group
 // shows the last one again until there is a newer.
 func (g *group) observe(known *engine, e kumquatlug.EngineReport) {
-	if e.TakenAt == known.takenAt {
+	if e.TakenAt == known.reportedAt {
 		return
 	}
-	if known.waited && e.Waiting > 0 && known.role == e.Role {
-		g.learn(e)
+	if known.hadQueue && e.Waiting > 0 && known.role == e.Role {
+		g.updateRates(e)
 	}
-	known.waited = e.Waiting > 0
+	known.hadQueue = e.Waiting > 0
 }
 
-// rateStep is the weight of one report in the rates of the group.
-const rateStep = 0.05
+// rateWeight is the weight of one report in the rates of the group.
+const rateWeight = 0.05
 
-// learn takes the rates of an engine that had a queue in this report and in the
+// updateRates takes the rates of an engine that had a queue in this report and in the
 // one before: the rate of an idle engine tells how little it was given. A queue
 // in one report may be a call that has just arrived, and the rate is that of
 // the time before. Learned from such calls, the rate of prompts falls to what
 // is asked for, that side seems to need ever more engines, and the split runs
 // away; one sees it by a few engines left on the other side with all the queue.
-func (g *group) learn(e kumquatlug.EngineReport) {
+func (g *group) updateRates(e kumquatlug.EngineReport) {
 	if e.Role == kumquatlug.RolePrefill && e.PrefillRate > 0 {
-		g.prefillRate += rateStep * (e.PrefillRate - g.prefillRate)
+		g.prefillRate += rateWeight * (e.PrefillRate - g.prefillRate)
 	}
 	if e.Role == kumquatlug.RoleDecode && e.DecodeRate > 0 {
-		g.decodeRate += rateStep * (e.DecodeRate - g.decodeRate)
+		g.decodeRate += rateWeight * (e.DecodeRate - g.decodeRate)
 	}
 }
 
 func (g *group) refused(name string) {
 	if at, ok := g.find(name); ok {
-		g.engines[at].going = ""
-		g.engines[at].inherited = false
+		g.engines[at].pendingRole = ""
+		g.engines[at].orderedElsewhere = false
 	}
 }
 
@@ -138,27 +138,27 @@
 	}
 }
 
-// fresh reports whether at least a part of the engines has reported lately.
+// enoughReports reports whether at least a part of the engines has reported lately.
 // Engines that are away need not: a change may keep them silent.
-func (g *group) fresh(now, stale kumquatlug.Millis, part float64) bool {
-	heard, asked := 0, 0
+func (g *group) enoughReports(now, stale kumquatlug.Millis, share float64) bool {
+	fresh, expected := 0, 0
 	for _, e := range g.engines {
-		if e.going != "" {
+		if e.pendingRole != "" {
 			continue
 		}
-		asked++
-		if now-e.takenAt <= stale {
-			heard++
+		expected++
+		if now-e.reportedAt <= stale {
+			fresh++
 		}
 	}
-	return asked > 0 && float64(heard) >= part*float64(asked)
+	return expected > 0 && float64(fresh) >= share*float64(expected)
 }
 
 // split counts the engines by the role that they have or are going to.
 func (g *group) split() (int, int) {
 	prefill, decode := 0, 0
 	for _, e := range g.engines {
-		if cmp.Or(e.going, e.role) == kumquatlug.RolePrefill {
+		if cmp.Or(e.pendingRole, e.role) == kumquatlug.RolePrefill {
 			prefill++
 		} else {
 			decode++
@@ -167,29 +167,29 @@
 	return prefill, decode
 }
 
-// away counts the engines that were ordered and have not arrived.
-func (g *group) away() int {
+// changing counts the engines that were ordered and have not arrived.
+func (g *group) changing() int {
 	n := 0
 	for _, e := range g.engines {
-		if e.going != "" {
+		if e.pendingRole != "" {
 			n++
 		}
 	}
 	return n
 }
 
-// change orders up to count engines from one role to another, those with the
+// orderChanges orders up to count engines from one role to another, those with the
 // least in hand first, with no more than limit away at once.
-func (g *group) change(
+func (g *group) orderChanges(
 	now kumquatlug.Millis, from, to kumquatlug.Role, count, limit int, dwell kumquatlug.Millis, reason string,
 ) []kumquatlug.RoleChange {
-	count = min(count, limit-g.away())
+	count = min(count, limit-g.changing())
 	var changes []kumquatlug.RoleChange
 	for _, e := range g.movable(now, from, dwell) {
 		if len(changes) >= count {
 			break
 		}
-		e.going = to
+		e.pendingRole = to
 		e.orderedAt = now
 		changes = append(changes, kumquatlug.NewRoleChange(e.name, from, to, reason))
 	}
@@ -198,12 +198,12 @@
 
 // movable returns the engines that may leave a role, the least busy first.
 func (g *group) movable(now kumquatlug.Millis, from kumquatlug.Role, dwell kumquatlug.Millis) []*engine {
-	var list []*engine
+	var movable []*engine
 	for _, e := range g.engines {
-		if e.role == from && e.going == "" && now-e.since >= dwell {
-			list = append(list, e)
+		if e.role == from && e.pendingRole == "" && now-e.roleSince >= dwell {
+			movable = append(movable, e)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *engine) int { return cmp.Compare(a.inHand, b.inHand) })
-	return list
+	slices.SortStableFunc(movable, func(a, b *engine) int { return cmp.Compare(a.inFlight, b.inFlight) })
+	return movable
 }
--- a/pkg/kumquatlug/planner/planner.go
+++ b/pkg/kumquatlug/planner/planner.go
@@ -134,10 +134,10 @@
 	group  *group
 	demand *demand
 	state  State
-	// turnedAt and turnedTo are the last change's time and new role.
-	turnedAt kumquatlug.Millis
-	turnedTo kumquatlug.Role
-	away     float64
+	// changedAt and turnedTo are the last change's time and new role.
+	changedAt    kumquatlug.Millis
+	changedTo    kumquatlug.Role
+	changeMillis float64
 }
 
 var _ kumquatlug.RolePlanner = (*Goodput)(nil)
@@ -147,7 +147,7 @@
 	c = c.withDefaults()
 	return &Goodput{
 		config: c, group: newGroup(c.PrefillRate, c.DecodeRate), demand: newDemand(c.Fast, c.Slow),
-		state: StateWarming, away: float64(c.Away),
+		state: StateWarming, changeMillis: float64(c.Away),
 	}
 }
 
@@ -157,13 +157,13 @@
 // Report implements [kumquatlug.RolePlanner]. An engine seen in its new role
 // tells how long a change takes.
 func (g *Goodput) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
-	if took := g.group.report(now, e); took > 0 {
-		g.away += awayStep * (float64(took) - g.away)
+	if duration := g.group.report(now, e); duration > 0 {
+		g.changeMillis += changeMillisWeight * (float64(duration) - g.changeMillis)
 	}
 }
 
-// awayStep is the weight of one change in the mean time that a change takes.
-const awayStep = 0.25
+// changeMillisWeight is the weight of one change in the mean time that a change takes.
+const changeMillisWeight = 0.25
 
 // Refused implements [kumquatlug.RolePlanner].
 func (g *Goodput) Refused(_ kumquatlug.Millis, target string) { g.group.refused(target) }
@@ -176,26 +176,26 @@
 
 // Plan implements [kumquatlug.RolePlanner].
 func (g *Goodput) Plan(now kumquatlug.Millis) []kumquatlug.RoleChange {
-	if g.state = g.ready(now); g.state != StateSteady {
+	if g.state = g.readiness(now); g.state != StateSteady {
 		return nil
 	}
-	move, gain := g.best()
-	if g.group.away() > 0 {
+	move, gain := g.bestMove()
+	if g.group.changing() > 0 {
 		g.state = StateChanging
 	}
 	if move == 0 {
 		return nil
 	}
-	return g.order(now, move, gain)
+	return g.orderMove(now, move, gain)
 }
 
-// ready returns StateSteady when what is known suffices to decide.
-func (g *Goodput) ready(now kumquatlug.Millis) State {
-	g.demand.forget(now, g.config.Gone)
+// readiness returns StateSteady when what is known suffices to decide.
+func (g *Goodput) readiness(now kumquatlug.Millis) State {
+	g.demand.dropSilent(now, g.config.Gone)
 	switch {
-	case !g.group.fresh(now, g.config.Stale, g.config.Quorum):
+	case !g.group.enoughReports(now, g.config.Stale, g.config.Quorum):
 		return StateFrozenEngines
-	case g.demand.silent(now, g.config.Stale):
+	case g.demand.anySilent(now, g.config.Stale):
 		return StateFrozenEntries
 	case g.demand.age(now) < g.config.Fast*2:
 		return StateWarming
@@ -204,27 +204,27 @@
 	}
 }
 
-// best returns by how many engines the prefill side should grow, negative for
+// bestMove returns by how many engines the prefill side should grow, negative for
 // the decode side, and the part of the demand won. Engines on their way count
 // where they are going: they would otherwise be ordered twice.
-func (g *Goodput) best() (int, float64) {
+func (g *Goodput) bestMove() (int, float64) {
 	prefill, decode := g.group.split()
 	offered := g.demand.estimate()
 	load := g.load(offered)
-	now := g.goodput(prefill, decode, load)
-	enough := g.config.Enough * g.highest(prefill+decode, load)
+	current := g.goodput(prefill, decode, load)
+	sufficient := g.config.Enough * g.bestGoodput(prefill+decode, load)
 	best, bestGain, bestNet := 0, 0.0, 0.0
-	for move := 1; move < max(prefill, decode) && now < enough; move++ {
+	for move := 1; move < max(prefill, decode) && current < sufficient; move++ {
 		reached := false
-		for _, m := range [...]int{move, -move} {
-			if prefill+m < 1 || decode-m < 1 {
+		for _, signed := range [...]int{move, -move} {
+			if prefill+signed < 1 || decode-signed < 1 {
 				continue
 			}
-			next := g.goodput(prefill+m, decode-m, load)
-			reached = reached || next >= enough
-			net := (next-now)*load.sum()*float64(g.config.Horizon) - g.price(move)
-			if next-now >= g.config.LeastGain && net > bestNet {
-				best, bestGain, bestNet = m, next-now, net
+			next := g.goodput(prefill+signed, decode-signed, load)
+			reached = reached || next >= sufficient
+			net := (next-current)*load.sum()*float64(g.config.Horizon) - g.moveCost(move)
+			if next-current >= g.config.LeastGain && net > bestNet {
+				best, bestGain, bestNet = signed, next-current, net
 			}
 		}
 		if reached {
@@ -234,18 +234,18 @@
 	return best, bestGain
 }
 
-// highest returns the goodput of the best split of some engines.
-func (g *Goodput) highest(engines int, l load) float64 {
-	most := 0.0
+// bestGoodput returns the goodput of the best split of some engines.
+func (g *Goodput) bestGoodput(engines int, l load) float64 {
+	best := 0.0
 	for prefill := 1; prefill < engines; prefill++ {
-		most = max(most, g.goodput(prefill, engines-prefill, l))
+		best = max(best, g.goodput(prefill, engines-prefill, l))
 	}
-	return most
+	return best
 }
 
-// price returns what moving engines costs, in milliseconds of an engine's work.
-func (g *Goodput) price(move int) float64 {
-	return g.config.Price * g.away * float64(move)
+// moveCost returns what moving engines costs, in milliseconds of an engine's work.
+func (g *Goodput) moveCost(move int) float64 {
+	return g.config.Price * g.changeMillis * float64(move)
 }
 
 // load is the demand in engines' worth.
@@ -266,31 +266,31 @@
 // goodput returns the part of the demand that a split serves. A call needs both
 // sides, so the scarcer one sets it.
 func (g *Goodput) goodput(prefill, decode int, l load) float64 {
-	return min(g.side(prefill, l.prefill), g.side(decode, l.decode))
+	return min(g.sideGoodput(prefill, l.prefill), g.sideGoodput(decode, l.decode))
 }
 
-// side returns the part of a side's load that some engines serve: nearly all
+// sideGoodput returns the part of a side's load that some engines serve: nearly all
 // when they have room, nearly their capacity when they have none.
-func (g *Goodput) side(engines int, load float64) float64 {
+func (g *Goodput) sideGoodput(engines int, load float64) float64 {
 	if load <= 0 {
 		return 1
 	}
-	room := float64(engines) / load
-	return room / math.Pow(1+math.Pow(room, g.config.Knee), 1/g.config.Knee)
+	headroom := float64(engines) / load
+	return headroom / math.Pow(1+math.Pow(headroom, g.config.Knee), 1/g.config.Knee)
 }
 
-// order picks the engines to change, as far as dwell and bound allow.
-func (g *Goodput) order(now kumquatlug.Millis, move int, gain float64) []kumquatlug.RoleChange {
+// orderMove picks the engines to change, as far as dwell and bound allow.
+func (g *Goodput) orderMove(now kumquatlug.Millis, move int, gain float64) []kumquatlug.RoleChange {
 	from, to := kumquatlug.RoleDecode, kumquatlug.RolePrefill
 	if move < 0 {
 		from, to, move = to, from, -move
 	}
-	if g.turnedTo != "" && g.turnedTo != to && now-g.turnedAt < g.config.Dwell {
+	if g.changedTo != "" && g.changedTo != to && now-g.changedAt < g.config.Dwell {
 		g.state = StateDwelling
 		return nil
 	}
 	reason := fmt.Sprintf("%d to %s wins %.1f%% of the demand", move, to, 100*gain)
-	changes := g.group.change(now, from, to, move, bound(g.config.AwayPart, g.group.size()), g.config.Dwell, reason)
+	changes := g.group.orderChanges(now, from, to, move, maxConcurrentChanges(g.config.AwayPart, g.group.size()), g.config.Dwell, reason)
 	if len(changes) == 0 {
 		if g.state == StateSteady {
 			g.state = StateDwelling
@@ -298,11 +298,11 @@
 		return nil
 	}
 	g.state = StateChanging
-	g.turnedAt, g.turnedTo = now, to
+	g.changedAt, g.changedTo = now, to
 	return changes
 }
 
-// bound returns how many of size engines may be away at once.
-func bound(part float64, size int) int {
-	return max(int(part*float64(size)), 1)
+// maxConcurrentChanges returns how many of size engines may be away at once.
+func maxConcurrentChanges(share float64, size int) int {
+	return max(int(share*float64(size)), 1)
 }
--- a/pkg/kumquatlug/planner/planner_test.go
+++ b/pkg/kumquatlug/planner/planner_test.go
@@ -15,77 +15,77 @@
 // Settings of two sites: the first pays dearly for each change, the second for
 // each call that waits.
 var (
-	carefulSite = Config{Price: 4, Enough: 0.9, Dwell: 2 * kumquatlug.Minute}
-	eagerSite   = Config{}
+	highCostConfig = Config{Price: 4, Enough: 0.9, Dwell: 2 * kumquatlug.Minute}
+	defaultConfig  = Config{}
 )
 
-// swings plays an hour in which the mix turns over within two minutes, stays
+// runMixShifts plays an hour in which the mix turns over within two minutes, stays
 // five, and turns back, at a load that twelve engines can just serve.
-func swings(s *site) *site {
+func runMixShifts(s *simGroup) *simGroup {
 	s.run(300, 3, 7.2)
 	for range 4 {
-		s.turn(3, 7.2)
+		s.shiftMix(3, 7.2)
 		s.run(300, 7.2, 3)
-		s.turn(7.2, 3)
+		s.shiftMix(7.2, 3)
 		s.run(300, 3, 7.2)
 	}
 	return s
 }
 
-func (s *site) turn(from, to float64) {
+func (s *simGroup) shiftMix(from, to float64) {
 	for i := range 4 {
-		moved := float64(i+1) / 4 * (to - from)
-		s.run(30, from+moved, to-moved)
+		shifted := float64(i+1) / 4 * (to - from)
+		s.run(30, from+shifted, to-shifted)
 	}
 }
 
-func TestShiftIsFollowed(t *testing.T) {
+func TestGoodputBeatsStaticSplitAcrossMixShifts(t *testing.T) {
 	// Within two minutes long prompts give way to long outputs. With a static
 	// split half of the engines idle while callers queue for the other half.
 	for seed := range uint64(5) {
-		eager := swings(newSite(New(eagerSite), seed, 12, 4))
-		static := swings(newSite(Static{}, seed, 12, 4))
-		if gain := eager.goodput() / static.goodput(); gain < 1.15 {
-			t.Errorf("seed %d: goodput %.3f beside %.3f of a static split", seed, eager.goodput(), static.goodput())
+		adaptive := runMixShifts(newSimGroup(New(defaultConfig), seed, 12, 4))
+		static := runMixShifts(newSimGroup(Static{}, seed, 12, 4))
+		if gain := adaptive.goodput() / static.goodput(); gain < 1.15 {
+			t.Errorf("seed %d: goodput %.3f beside %.3f of a static split", seed, adaptive.goodput(), static.goodput())
 		}
 	}
 }
 
-func TestCarefulSiteChangesHalfAsMuch(t *testing.T) {
+func TestHighChangeCostHalvesRoleChanges(t *testing.T) {
 	// Where each change exposes calls that may not be repeated, a planner that
 	// follows every swing to its end doubles that risk for a few per cent.
 	for seed := range uint64(5) {
-		eager := swings(newSite(New(eagerSite), seed, 12, 5))
-		careful := swings(newSite(New(carefulSite), seed, 12, 5))
-		if 2*careful.changes > eager.changes || careful.goodput() < 0.95*eager.goodput() {
+		cheap := runMixShifts(newSimGroup(New(defaultConfig), seed, 12, 5))
+		costly := runMixShifts(newSimGroup(New(highCostConfig), seed, 12, 5))
+		if 2*costly.changes > cheap.changes || costly.goodput() < 0.95*cheap.goodput() {
 			t.Errorf("seed %d: %d changes and goodput %.3f beside %d and %.3f",
-				seed, careful.changes, careful.goodput(), eager.changes, eager.goodput())
+				seed, costly.changes, costly.goodput(), cheap.changes, cheap.goodput())
 		}
 	}
 }
 
-func TestNoiseDoesNotFlap(t *testing.T) {
+func TestDemandNoiseDoesNotCauseFlapping(t *testing.T) {
 	// The demand keeps its mean and varies by a fifth from second to second.
 	// Each change for that would take an engine away for nothing.
 	for prefill := 3.0; prefill <= 7; prefill += 0.25 {
-		s := newSite(New(eagerSite), uint64(prefill*100), 12, 6)
+		s := newSimGroup(New(defaultConfig), uint64(prefill*100), 12, 6)
 		s.run(600, prefill, 10.2-prefill)
-		settled := s.changes
+		warmupChanges := s.changes
 		s.run(3600, prefill, 10.2-prefill)
-		if n := s.changes - settled; n > 1 {
+		if n := s.changes - warmupChanges; n > 1 {
 			t.Errorf("at a prefill load of %.2f it changes %d times in an hour", prefill, n)
 		}
 	}
 }
 
-func TestNeverMoreAwayThanBound(t *testing.T) {
+func TestConcurrentChangesStayWithinLimit(t *testing.T) {
 	// Reports are lost and late, and the mix jumps. If engines on their way
 	// were forgotten, more and more would be sent away until none is left.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(31))
 	properties.Property("the bound holds and both sides stay staffed", prop.ForAll(
 		func(seed uint64, size int, loss float64, loads []float64) bool {
-			s := newSite(New(Config{Dwell: 5 * kumquatlug.Second}), seed, size, size/2)
-			s.loss = loss
+			s := newSimGroup(New(Config{Dwell: 5 * kumquatlug.Second}), seed, size, size/2)
+			s.reportLoss = loss
 			for _, l := range loads {
 				s.run(60, l*float64(size), (1-l)*float64(size))
 				prefill, decode := s.planner.(*Goodput).group.split()
@@ -93,14 +93,14 @@
 					return false
 				}
 			}
-			return s.mostAway <= max(1, size/5)
+			return s.maxChanging <= max(1, size/5)
 		},
 		gen.UInt64(), gen.IntRange(2, 24), gen.Float64Range(0, 0.5), gen.SliceOfN(10, gen.Float64Range(0.05, 0.95)),
 	))
 	properties.TestingRun(t)
 }
 
-func TestMissingReportsFreeze(t *testing.T) {
+func TestMissingReportsFreezePlanner(t *testing.T) {
 	// An entry or some engines are not heard for a while, and what is heard
 	// looks like a great shift. Engines moved for that are missing where the
 	// work still is.
@@ -115,9 +115,9 @@
 		"two silent":      {silentEngines: 2},
 	}
 	for name, c := range cases {
-		g := New(eagerSite)
-		newSite(g, 1, 12, 6).run(120, 4, 4)
-		s := newSite(&muted{Goodput: g, entry: c.silentEntry, engines: c.silentEngines}, 2, 12, 6)
+		g := New(defaultConfig)
+		newSimGroup(g, 1, 12, 6).run(120, 4, 4)
+		s := newSimGroup(&lossyPlanner{Goodput: g, entry: c.silentEntry, engines: c.silentEngines}, 2, 12, 6)
 		s.now = 120 * kumquatlug.Second
 		s.run(15, 4, 4)
 		s.run(40, 9, 1)
@@ -130,102 +130,102 @@
 	}
 }
 
-// muted loses the offers of one entry and the reports of some engines.
-type muted struct {
+// lossyPlanner loses the offers of one entry and the reports of some engines.
+type lossyPlanner struct {
 	*Goodput
 	entry   bool
 	engines int
 }
 
-func (m *muted) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
+func (m *lossyPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
 	if !m.entry || o.Entry != "entry0" {
 		m.Goodput.Offered(now, o)
 	}
 }
 
-func (m *muted) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
+func (m *lossyPlanner) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
 	if e.Target >= fmt.Sprintf("e%02d", m.engines) {
 		m.Goodput.Report(now, e)
 	}
 }
 
-func TestEntryWhoseReportsAreLateIsNoDrop(t *testing.T) {
+func TestLateDemandReportsAreNoDemandDrop(t *testing.T) {
 	// The callers with long prompts come through one entry, whose reports of
 	// demand arrive only every eight seconds. If the demand fell in between,
 	// the planner would move engines away from prompts and back.
-	g := New(eagerSite)
-	s := newSite(&lumpy{Goodput: g}, 3, 12, 6)
+	g := New(defaultConfig)
+	s := newSimGroup(&batchingPlanner{Goodput: g}, 3, 12, 6)
 	s.run(1800, 5.1, 5.1)
 	if s.changes != 0 {
 		t.Errorf("%d changes at a steady mix", s.changes)
 	}
 }
 
-// lumpy gives all prompts to one entry, holds back its offers and sends eight
+// batchingPlanner gives all prompts to one entry, holds back its offers and sends eight
 // as one.
-type lumpy struct {
+type batchingPlanner struct {
 	*Goodput
-	held kumquatlug.Offer
+	batch kumquatlug.Offer
 }
 
-func (l *lumpy) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
+func (l *batchingPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
 	if o.Entry != "entry0" {
 		o.PrefillTokens = 0
 		l.Goodput.Offered(now, o)
 		return
 	}
-	l.held.Entry = o.Entry
-	l.held.Span += o.Span
-	l.held.PrefillTokens += 3 * o.PrefillTokens
-	l.held.DecodeTokens += o.DecodeTokens
-	if l.held.Span >= 8*kumquatlug.Second {
-		l.Goodput.Offered(now, l.held)
-		l.held = kumquatlug.Offer{}
+	l.batch.Entry = o.Entry
+	l.batch.Span += o.Span
+	l.batch.PrefillTokens += 3 * o.PrefillTokens
+	l.batch.DecodeTokens += o.DecodeTokens
+	if l.batch.Span >= 8*kumquatlug.Second {
+		l.Goodput.Offered(now, l.batch)
+		l.batch = kumquatlug.Offer{}
 	}
 }
 
-func TestNextHolderCountsEnginesOnTheirWay(t *testing.T) {
+func TestNextHolderCountsPendingChanges(t *testing.T) {
 	// The planner dies with two engines on their way, and another one takes
 	// over. If it did not count them, it would send two more away on top.
 	for seed := range uint64(10) {
-		s := newSite(New(eagerSite), seed, 12, 2)
-		for s.mostAway < 2 {
+		s := newSimGroup(New(defaultConfig), seed, 12, 2)
+		for s.maxChanging < 2 {
 			s.run(1, 9, 1)
 		}
 		for _, e := range s.engines {
-			e.back += kumquatlug.Hour
+			e.changeDoneAt += kumquatlug.Hour
 		}
-		s.planner = New(eagerSite)
+		s.planner = New(defaultConfig)
 		s.run(300, 9, 1)
-		if s.mostAway > 2 {
-			t.Errorf("seed %d: %d engines away at once", seed, s.mostAway)
+		if s.maxChanging > 2 {
+			t.Errorf("seed %d: %d engines away at once", seed, s.maxChanging)
 		}
 	}
 }
 
-func TestDearChangeIsNotMade(t *testing.T) {
+func TestCostlyChangeIsNotMade(t *testing.T) {
 	// A site says that a change costs more than half a day of an engine's work.
 	// A gain that lasts minutes must not buy it.
-	s := swings(newSite(New(Config{Price: 5000}), 7, 12, 4))
+	s := runMixShifts(newSimGroup(New(Config{Price: 5000}), 7, 12, 4))
 	if s.changes != 0 {
 		t.Errorf("%d changes", s.changes)
 	}
 }
 
-func TestRefusedOrderIsForgotten(t *testing.T) {
+func TestRefusedOrderIsNoLongerPending(t *testing.T) {
 	// An engine refuses its order because a newer holder of the group's lease
 	// has spoken. Counted as away for ever, it would block all later changes.
-	s := newSite(New(eagerSite), 5, 12, 2)
+	s := newSimGroup(New(defaultConfig), 5, 12, 2)
 	for s.changes == 0 {
 		s.run(1, 9, 1)
 	}
 	for _, e := range s.engines {
-		if e.going != "" {
-			e.going = ""
+		if e.pendingRole != "" {
+			e.pendingRole = ""
 			s.planner.Refused(s.now, e.name)
 		}
 	}
-	if n := s.planner.(*Goodput).group.away(); n != 0 {
+	if n := s.planner.(*Goodput).group.changing(); n != 0 {
 		t.Fatalf("%d engines count as away", n)
 	}
 	before := s.changes
@@ -238,8 +238,8 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []int{12, 100, 1000} {
 		b.Run(fmt.Sprintf("engines=%d", size), func(b *testing.B) {
-			g := New(eagerSite)
-			s := newSite(g, 6, size, size/2)
+			g := New(defaultConfig)
+			s := newSimGroup(g, 6, size, size/2)
 			s.run(90, 0.45*float64(size), 0.45*float64(size))
 			b.ReportAllocs()
 			for b.Loop() {
@@ -255,7 +255,7 @@
 	// Output: [] frozen-engines
 }
 
-func TestMomentaryWaitIsNoQueue(t *testing.T) {
+func TestRatesAreLearnedOnlyFromLastingQueues(t *testing.T) {
 	// A call that has just arrived shows as waiting at an engine that was
 	// nearly idle for the second before. If that second were taken for what the
 	// engine can do, prompts would seem to need ever more engines, and the
@@ -289,7 +289,7 @@
 	}
 }
 
-func TestMovingMixIsNotSeenLate(t *testing.T) {
+func TestDemandEstimateTracksSteadyShift(t *testing.T) {
 	// Prompts give way to outputs steadily over two minutes. An average alone
 	// shows the demand of twenty seconds ago, engines need as long to drain and
 	// change on top, and callers queue behind a split that fits the past. A jump
--- a/pkg/kumquatlug/planner/site_test.go
+++ b/pkg/kumquatlug/planner/site_test.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	sitePrefill = 8000.0
-	siteDecode  = 1500.0
-	// siteAway is how long an engine of the site drains and changes.
-	siteAway = 8 * kumquatlug.Second
+	simPrefillRate = 8000.0
+	simDecodeRate  = 1500.0
+	// simChangeMillis is how long an engine of the site drains and changes.
+	simChangeMillis = 8 * kumquatlug.Second
 )
 
-// site is a small fluid model of a group: what is served in a second is what
+// simGroup is a small fluid model of a group: what is served in a second is what
 // the scarcer side can serve.
-type site struct {
+type simGroup struct {
 	planner kumquatlug.RolePlanner
 	random  *rand.Rand
-	engines []*siteEngine
+	engines []*simEngine
 	// noise is the part by which demand varies from second to second, loss the
 	// part of reports that never arrive.
-	noise float64
-	loss  float64
+	noise      float64
+	reportLoss float64
 
-	now      kumquatlug.Millis
-	served   float64
-	offered  float64
-	changes  int
-	mostAway int
+	now         kumquatlug.Millis
+	served      float64
+	offered     float64
+	changes     int
+	maxChanging int
 }
 
-type siteEngine struct {
-	name  string
-	role  kumquatlug.Role
-	going kumquatlug.Role
-	back  kumquatlug.Millis
+type simEngine struct {
+	name         string
+	role         kumquatlug.Role
+	pendingRole  kumquatlug.Role
+	changeDoneAt kumquatlug.Millis
 }
 
-func newSite(p kumquatlug.RolePlanner, seed uint64, size, prefill int) *site {
-	s := &site{planner: p, random: rand.New(rand.NewPCG(seed, 3)), noise: 0.2}
+func newSimGroup(p kumquatlug.RolePlanner, seed uint64, size, prefill int) *simGroup {
+	s := &simGroup{planner: p, random: rand.New(rand.NewPCG(seed, 3)), noise: 0.2}
 	for i := range size {
-		e := &siteEngine{name: fmt.Sprintf("e%02d", i), role: kumquatlug.RoleDecode}
+		e := &simEngine{name: fmt.Sprintf("e%02d", i), role: kumquatlug.RoleDecode}
 		if i < prefill {
 			e.role = kumquatlug.RolePrefill
 		}
@@ -52,75 +52,75 @@
 }
 
 // run plays seconds of a demand given in engines' worth a side.
-func (s *site) run(seconds int, prefill, decode float64) {
+func (s *simGroup) run(seconds int, prefill, decode float64) {
 	for range seconds {
 		s.now += kumquatlug.Second
-		s.arrive()
-		s.serve(s.vary(prefill), s.vary(decode))
+		s.finishChanges()
+		s.serve(s.addNoise(prefill), s.addNoise(decode))
 		s.report()
 		for _, c := range s.planner.Plan(s.now) {
-			s.obey(c)
+			s.startChange(c)
 		}
 	}
 }
 
-func (s *site) vary(mean float64) float64 {
+func (s *simGroup) addNoise(mean float64) float64 {
 	return mean * (1 + s.noise*(2*s.random.Float64()-1))
 }
 
-func (s *site) arrive() {
+func (s *simGroup) finishChanges() {
 	for _, e := range s.engines {
-		if e.going != "" && s.now >= e.back {
-			e.role, e.going = e.going, ""
+		if e.pendingRole != "" && s.now >= e.changeDoneAt {
+			e.role, e.pendingRole = e.pendingRole, ""
 		}
 	}
 }
 
-func (s *site) serve(prefill, decode float64) {
-	runs, generates, away := 0.0, 0.0, 0
+func (s *simGroup) serve(prefill, decode float64) {
+	prefillEngines, decodeEngines, changing := 0.0, 0.0, 0
 	for _, e := range s.engines {
 		switch {
-		case e.going != "":
-			away++
+		case e.pendingRole != "":
+			changing++
 		case e.role == kumquatlug.RolePrefill:
-			runs++
+			prefillEngines++
 		default:
-			generates++
+			decodeEngines++
 		}
 	}
-	s.mostAway = max(s.mostAway, away)
+	s.maxChanging = max(s.maxChanging, changing)
 	s.offered += prefill + decode
-	s.served += min(1, runs/prefill, generates/decode) * (prefill + decode)
+	s.served += min(1, prefillEngines/prefill, decodeEngines/decode) * (prefill + decode)
 	for i := range 3 {
-		if s.random.Float64() < s.loss {
+		if s.random.Float64() < s.reportLoss {
 			continue
 		}
 		s.planner.Offered(s.now, kumquatlug.Offer{
 			Entry: fmt.Sprint("entry", i), Span: kumquatlug.Second,
-			PrefillTokens: prefill * sitePrefill / 3, DecodeTokens: decode * siteDecode / 3,
+			PrefillTokens: prefill * simPrefillRate / 3, DecodeTokens: decode * simDecodeRate / 3,
 		})
 	}
 }
 
-func (s *site) report() {
+func (s *simGroup) report() {
 	for _, e := range s.engines {
-		if s.random.Float64() < s.loss {
+		if s.random.Float64() < s.reportLoss {
 			continue
 		}
 		s.planner.Report(s.now, kumquatlug.EngineReport{
-			Target: e.name, Role: e.role, Going: e.going, TakenAt: s.now - kumquatlug.Second, InHand: s.random.IntN(40),
+			Target: e.name, Role: e.role, Going: e.pendingRole, TakenAt: s.now - kumquatlug.Second, InHand: s.random.IntN(40),
 		})
 	}
 }
 
-func (s *site) obey(c kumquatlug.RoleChange) {
+func (s *simGroup) startChange(c kumquatlug.RoleChange) {
 	for _, e := range s.engines {
-		if e.name == c.Target() && e.going == "" {
-			e.going, e.back = c.To(), s.now+siteAway
+		if e.name == c.Target() && e.pendingRole == "" {
+			e.pendingRole, e.changeDoneAt = c.To(), s.now+simChangeMillis
 			s.changes++
 		}
 	}
 }
 
 // goodput returns the part of the offered work that was served.
-func (s *site) goodput() float64 { return s.served / s.offered }
+func (s *simGroup) goodput() float64 { return s.served / s.offered }
--- a/pkg/kumquatlug/planner/split.go
+++ b/pkg/kumquatlug/planner/split.go
@@ -29,21 +29,21 @@
 // that is lost or comes back in another role leaves the wrong side short.
 // Generating engines are spread over the data centres, so that fronts find one
 // near; at least one engine stays on each side.
-func KeepSplit(engines []SplitEngine, part float64) []kumquatlug.RoleChange {
+func KeepSplit(engines []SplitEngine, share float64) []kumquatlug.RoleChange {
 	if len(engines) < 2 {
 		return nil
 	}
 	sorted := append([]SplitEngine(nil), engines...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Target < sorted[j].Target })
-	want := int(math.Round(part * float64(len(sorted))))
+	want := int(math.Round(share * float64(len(sorted))))
 	want = min(max(want, 1), len(sorted)-1)
 	var changes []kumquatlug.RoleChange
-	for excess := count(sorted, kumquatlug.RolePrefill) - want; excess != 0 && len(changes) < mostChanges; {
+	for excess := countRole(sorted, kumquatlug.RolePrefill) - want; excess != 0 && len(changes) < maxChangesPerPlan; {
 		from, to, step := kumquatlug.RolePrefill, kumquatlug.RoleDecode, 1
 		if excess < 0 {
 			from, to, step = kumquatlug.RoleDecode, kumquatlug.RolePrefill, -1
 		}
-		at := crowded(sorted, from)
+		at := pickFromLargestZone(sorted, from)
 		if at < 0 {
 			break
 		}
@@ -54,12 +54,12 @@
 	return changes
 }
 
-// mostChanges is how many changes one plan holds. Orders are given one after the
+// maxChangesPerPlan is how many changes one plan holds. Orders are given one after the
 // other, some milliseconds each; a longer list would be out of date at its end,
 // and working it out for thousands of engines holds its owner up.
-const mostChanges = 16
+const maxChangesPerPlan = 16
 
-func count(engines []SplitEngine, role kumquatlug.Role) int {
+func countRole(engines []SplitEngine, role kumquatlug.Role) int {
 	n := 0
 	for _, e := range engines {
 		if e.Role == role {
@@ -69,9 +69,9 @@
 	return n
 }
 
-// crowded returns the index of an engine with this role, an idle one if there is
+// pickFromLargestZone returns the index of an engine with this role, an idle one if there is
 // any, in the data centre that has most of them; -1 when none may be changed.
-func crowded(engines []SplitEngine, role kumquatlug.Role) int {
+func pickFromLargestZone(engines []SplitEngine, role kumquatlug.Role) int {
 	zones := map[string]int{}
 	for _, e := range engines {
 		if e.Role == role {
--- a/pkg/kumquatlug/planner/split_test.go
+++ b/pkg/kumquatlug/planner/split_test.go
@@ -19,8 +19,8 @@
 	return engines
 }
 
-// apply carries the changes out.
-func apply(engines []SplitEngine, changes []kumquatlug.RoleChange) {
+// applyChanges carries the changes out.
+func applyChanges(engines []SplitEngine, changes []kumquatlug.RoleChange) {
 	for _, c := range changes {
 		for i := range engines {
 			if engines[i].Target == c.Target() {
@@ -32,12 +32,12 @@
 
 // A third of the engines is lost, all on one side. Left so, the other side would
 // have every engine that is left and nobody to hand its work to.
-func TestTheSplitIsKeptAsEnginesGo(t *testing.T) {
+func TestSplitIsKeptAfterEngineLoss(t *testing.T) {
 	for _, have := range [][2]int{{4, 8}, {8, 4}, {8, 0}, {0, 8}, {1, 1}, {0, 2}, {12, 0}} {
 		engines := splitEngines(have[0], have[1])
-		apply(engines, KeepSplit(engines, 0.667))
+		applyChanges(engines, KeepSplit(engines, 0.667))
 		n := len(engines)
-		prefill := count(engines, kumquatlug.RolePrefill)
+		prefill := countRole(engines, kumquatlug.RolePrefill)
 		if prefill < 1 || prefill == n || n >= 6 && (prefill < n*6/10 || prefill > n*7/10) {
 			t.Errorf("%v: %d of %d engines read", have, prefill, n)
 		}
@@ -52,9 +52,9 @@
 
 // Generating engines in one data centre only make every other front's stream
 // cross to it.
-func TestTheSplitIsSpreadOverDataCentres(t *testing.T) {
+func TestDecodeEnginesAreSpreadOverDataCentres(t *testing.T) {
 	engines := splitEngines(0, 12)
-	apply(engines, KeepSplit(engines, 0.75))
+	applyChanges(engines, KeepSplit(engines, 0.75))
 	zones := map[string]int{}
 	for _, e := range engines {
 		if e.Role == kumquatlug.RoleDecode {
@@ -69,7 +69,7 @@
 // An engine that has just started generates, as its settings say, and the group
 // wants one more reader. Were a busy engine taken for it, its streams would have
 // to move beside an engine that has nothing to do.
-func TestAnIdleEngineIsChangedFirst(t *testing.T) {
+func TestIdleEngineIsChangedFirst(t *testing.T) {
 	engines := splitEngines(7, 6)
 	engines[12].Idle = true
 	changes := KeepSplit(engines, 0.667)
--- a/pkg/kumquatlug/planner/swing.go
+++ b/pkg/kumquatlug/planner/swing.go
@@ -76,72 +76,72 @@
 //
 // A Swing belongs to one owner and is not safe for concurrent use.
 type Swing struct {
-	c    SwingConfig
-	part float64
+	config SwingConfig
+	share  float64
 	// wrongSince is when the number of writers began to be wrong in one way,
 	// wrong in which: 1 for too few, -1 for too many.
-	wrong      int
-	wrongSince kumquatlug.Millis
-	changedAt  kumquatlug.Millis
+	imbalance      int
+	imbalanceSince kumquatlug.Millis
+	changedAt      kumquatlug.Millis
 }
 
 // NewSwing returns a swing that begins with the config's part.
 func NewSwing(c SwingConfig) *Swing {
 	c = c.withDefaults()
-	return &Swing{c: c, part: c.Part}
+	return &Swing{config: c, share: c.Part}
 }
 
 // Part returns the part of the engines that should read.
-func (s *Swing) Part() float64 { return s.part }
+func (s *Swing) Part() float64 { return s.share }
 
 // Look takes what is seen now and reports whether the part changed.
 func (s *Swing) Look(now kumquatlug.Millis, v SwingView) bool {
 	total := v.Readers + v.Writers
-	want := s.want(v)
-	wrong := cmp.Compare(want, v.Writers)
-	if wrong != s.wrong {
-		s.wrong, s.wrongSince = wrong, now
+	wanted := s.wantedDecode(v)
+	imbalance := cmp.Compare(wanted, v.Writers)
+	if imbalance != s.imbalance {
+		s.imbalance, s.imbalanceSince = imbalance, now
 	}
-	lasting := s.c.Short
+	holdTime := s.config.Short
 	switch {
-	case wrong < 0:
-		lasting = s.c.Spare
-	case s.need(v) <= v.Writers:
-		lasting = s.c.Back
+	case imbalance < 0:
+		holdTime = s.config.Spare
+	case s.neededDecode(v) <= v.Writers:
+		holdTime = s.config.Back
 	}
-	settled := s.changedAt == 0 || now-s.changedAt >= s.c.Settle
-	if wrong == 0 || !settled || now-s.wrongSince < lasting {
+	settled := s.changedAt == 0 || now-s.changedAt >= s.config.Settle
+	if imbalance == 0 || !settled || now-s.imbalanceSince < holdTime {
 		return false
 	}
-	s.part, s.changedAt = float64(total-want)/float64(total), now
-	if want == s.usual(total) {
-		s.part = s.c.Part
+	s.share, s.changedAt = float64(total-wanted)/float64(total), now
+	if wanted == s.baseDecode(total) {
+		s.share = s.config.Part
 	}
 	return true
 }
 
-// usual is how many engines write when nothing presses.
-func (s *Swing) usual(total int) int {
-	return total - int(math.Round(s.c.Part*float64(total)))
+// baseDecode is how many engines write when nothing presses.
+func (s *Swing) baseDecode(total int) int {
+	return total - int(math.Round(s.config.Part*float64(total)))
 }
 
-// want is how many engines should write.
-func (s *Swing) want(v SwingView) int {
+// wantedDecode is how many engines should write.
+func (s *Swing) wantedDecode(v SwingView) int {
 	total := v.Readers + v.Writers
-	usual := s.usual(total)
-	least := usual
-	readers := int(math.Ceil(v.Reading * float64(v.Readers) / s.c.Busy))
-	most := min(usual+int(math.Round(s.c.More*float64(total))), total-readers)
-	return max(min(s.need(v), most), least)
+	base := s.baseDecode(total)
+	minimum := base
+	busyPrefill := int(math.Ceil(v.Reading * float64(v.Readers) / s.config.Busy))
+	maximum := min(base+int(math.Round(s.config.More*float64(total))), total-busyPrefill)
+	return max(min(s.neededDecode(v), maximum), minimum)
 }
 
-// need is how many engines have slots enough. A trend alone is not believed: at
+// neededDecode is how many engines have slots enough. A trend alone is not believed: at
 // the begin of each burst it points far up.
-func (s *Swing) need(v SwingView) int {
-	coming := min(v.Coming, s.c.Rise*v.Taken)
-	need := int(math.Ceil(coming / s.c.Full))
-	if need < v.Writers {
-		need = min(int(math.Ceil(coming/s.c.Settled)), v.Writers)
+func (s *Swing) neededDecode(v SwingView) int {
+	expected := min(v.Coming, s.config.Rise*v.Taken)
+	needed := int(math.Ceil(expected / s.config.Full))
+	if needed < v.Writers {
+		needed = min(int(math.Ceil(expected/s.config.Settled)), v.Writers)
 	}
-	return need
+	return needed
 }
--- a/pkg/kumquatlug/planner/swing_test.go
+++ b/pkg/kumquatlug/planner/swing_test.go
@@ -7,63 +7,63 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// swingDay replays load on twelve engines: streams as engines' slots asked for,
+// loadReplay replays load on twelve engines: streams as engines' slots asked for,
 // reading as engines' time asked for. An engine that changes its role is away
 // for three seconds; streams that find no slot wait, and their time is summed.
-type swingDay struct {
-	streams, reading func(now kumquatlug.Millis) float64
+type loadReplay struct {
+	streams, prefill func(now kumquatlug.Millis) float64
 }
 
-// swingResult is what a replay came to, in engine-seconds.
-type swingResult struct {
-	waited, unread float64
-	changes        int
-	readers        int
+// replayResult is what a replay came to, in engine-seconds.
+type replayResult struct {
+	waited, unserved float64
+	changes          int
+	prefillEngines   int
 }
 
-func (d swingDay) play(s *Swing, span kumquatlug.Millis) swingResult {
+func (d loadReplay) play(s *Swing, span kumquatlug.Millis) replayResult {
 	const step = 50 * kumquatlug.Millis(1)
-	const away = 3 * kumquatlug.Second
-	r := swingResult{readers: 8}
-	writers := 4
-	backAt := kumquatlug.Millis(0)
+	const changeTime = 3 * kumquatlug.Second
+	r := replayResult{prefillEngines: 8}
+	decodeEngines := 4
+	changeDoneAt := kumquatlug.Millis(0)
 	arriving := [2]int{}
-	taken, slow := 0.0, 0.0
+	taken, slowTaken := 0.0, 0.0
 	for now := kumquatlug.Millis(0); now < span; now += step {
-		if arriving != [2]int{} && now >= backAt {
-			r.readers += arriving[0]
-			writers += arriving[1]
+		if arriving != [2]int{} && now >= changeDoneAt {
+			r.prefillEngines += arriving[0]
+			decodeEngines += arriving[1]
 			arriving = [2]int{}
 		}
-		asked, read := d.streams(now), d.reading(now)
+		slotDemand, prefillDemand := d.streams(now), d.prefill(now)
 		keep := math.Exp(-float64(step) / 700)
-		taken = keep*taken + (1-keep)*asked
+		taken = keep*taken + (1-keep)*slotDemand
 		keep = math.Exp(-float64(step) / 2000)
-		slow = keep*slow + (1-keep)*asked
-		r.waited += max(0, asked-float64(writers)) * float64(step) / 1000
-		r.unread += max(0, read-float64(r.readers)) * float64(step) / 1000
+		slowTaken = keep*slowTaken + (1-keep)*slotDemand
+		r.waited += max(0, slotDemand-float64(decodeEngines)) * float64(step) / 1000
+		r.unserved += max(0, prefillDemand-float64(r.prefillEngines)) * float64(step) / 1000
 		view := SwingView{
-			Readers: r.readers + arriving[0], Writers: writers + arriving[1],
-			Reading: min(1, read/float64(r.readers)), Taken: taken, Coming: max(0, taken+(taken-slow)/1300*3000),
+			Readers: r.prefillEngines + arriving[0], Writers: decodeEngines + arriving[1],
+			Reading: min(1, prefillDemand/float64(r.prefillEngines)), Taken: taken, Coming: max(0, taken+(taken-slowTaken)/1300*3000),
 		}
 		if s.Look(now, view) && arriving == [2]int{} {
 			want := int(math.Round(s.Part() * 12))
-			moved := want - r.readers
+			moved := want - r.prefillEngines
 			r.changes++
-			backAt = now + away
+			changeDoneAt = now + changeTime
 			if moved < 0 {
-				r.readers, arriving = want, [2]int{0, -moved}
+				r.prefillEngines, arriving = want, [2]int{0, -moved}
 			} else {
-				writers, arriving = writers-moved, [2]int{moved, 0}
+				decodeEngines, arriving = decodeEngines-moved, [2]int{moved, 0}
 			}
 		}
 	}
-	r.readers += arriving[0]
+	r.prefillEngines += arriving[0]
 	return r
 }
 
-// halves is a load that is high in the first half of each 28 seconds.
-func halves(high, low float64) func(kumquatlug.Millis) float64 {
+// squareWave is a load that is high in the first half of each 28 seconds.
+func squareWave(high, low float64) func(kumquatlug.Millis) float64 {
 	return func(now kumquatlug.Millis) float64 {
 		if now%28000 < 14000 {
 			return high
@@ -91,29 +91,29 @@
 // For fourteen seconds users ask for long answers, for fourteen they send long
 // prompts. With a fixed split their streams wait for slots beside engines that
 // have nothing to read. The split must follow, and be back for the prompts.
-func TestTheSplitFollowsAHalfMinutesSwing(t *testing.T) {
-	day := swingDay{streams: ramp(4.9, 1), reading: halves(2, 7)}
-	fixed := day.play(NewSwing(SwingConfig{Part: 0.667, More: 0.001}), 112_000)
-	swung := day.play(NewSwing(SwingConfig{Part: 0.667}), 112_000)
-	t.Logf("fixed %+v, swung %+v", fixed, swung)
-	if swung.waited > 0.4*fixed.waited {
-		t.Errorf("streams waited %.1f engine-seconds, %.1f with a fixed split", swung.waited, fixed.waited)
+func TestSplitFollowsLoadSwing(t *testing.T) {
+	replay := loadReplay{streams: ramp(4.9, 1), prefill: squareWave(2, 7)}
+	fixed := replay.play(NewSwing(SwingConfig{Part: 0.667, More: 0.001}), 112_000)
+	adaptive := replay.play(NewSwing(SwingConfig{Part: 0.667}), 112_000)
+	t.Logf("fixed %+v, swung %+v", fixed, adaptive)
+	if adaptive.waited > 0.4*fixed.waited {
+		t.Errorf("streams waited %.1f engine-seconds, %.1f with a fixed split", adaptive.waited, fixed.waited)
 	}
-	if swung.unread > 0 || swung.readers != 8 {
-		t.Errorf("%.1f engine-seconds of prompts not read, %d readers at the end", swung.unread, swung.readers)
+	if adaptive.unserved > 0 || adaptive.prefillEngines != 8 {
+		t.Errorf("%.1f engine-seconds of prompts not read, %d readers at the end", adaptive.unserved, adaptive.prefillEngines)
 	}
-	if swung.changes != 8 {
-		t.Errorf("%d changes in four swings, want one each way", swung.changes)
+	if adaptive.changes != 8 {
+		t.Errorf("%d changes in four swings, want one each way", adaptive.changes)
 	}
 }
 
 // On a quiet day streams come in bursts of three seconds that the slots bear.
 // Each change would take an engine away for three seconds, for nothing.
-func TestTheSplitStaysOnAQuietDay(t *testing.T) {
+func TestSplitIgnoresShortBursts(t *testing.T) {
 	wave := func(now kumquatlug.Millis) float64 {
 		return 1.9 + math.Sin(2*math.Pi*float64(now)/5600)
 	}
-	r := swingDay{streams: wave, reading: halves(3, 6)}.play(NewSwing(SwingConfig{Part: 0.667}), 120_000)
+	r := loadReplay{streams: wave, prefill: squareWave(3, 6)}.play(NewSwing(SwingConfig{Part: 0.667}), 120_000)
 	if r.changes != 0 {
 		t.Errorf("%d changes", r.changes)
 	}
@@ -121,9 +121,9 @@
 
 // Streams want more slots while all readers are at work. Taking one of them would
 // make prompts late, which are worth more.
-func TestReadersAtWorkAreNotTaken(t *testing.T) {
-	day := swingDay{streams: ramp(5, 1), reading: func(kumquatlug.Millis) float64 { return 7.5 }}
-	if r := day.play(NewSwing(SwingConfig{Part: 0.667}), 56_000); r.changes != 0 {
+func TestBusyPrefillEnginesAreNotTaken(t *testing.T) {
+	replay := loadReplay{streams: ramp(5, 1), prefill: func(kumquatlug.Millis) float64 { return 7.5 }}
+	if r := replay.play(NewSwing(SwingConfig{Part: 0.667}), 56_000); r.changes != 0 {
 		t.Errorf("%d changes", r.changes)
 	}
 }
