--- a/pkg/kumquatlug/order/engine_test.go
+++ b/pkg/kumquatlug/order/engine_test.go
@@ -1,7 +1,7 @@
 package order
 
-// step does what the gate asks of its engine and the table. Late answers tell
-// what was true when they left.
+// step executes the gate's next request to the engine or the table. A late answer
+// carries the state at the time it was sent.
 func (w *world) step(fails, late bool) {
 	defer w.checkFinished()
 	gate, s := w.gate, w.gate.Next(w.now)
@@ -32,16 +32,15 @@
 	}
 }
 
-// startOrder is the engine getting an order: here the oracle looks at everything that
-// must hold.
+// startOrder delivers an order to the engine and checks the invariants.
 func (w *world) startOrder(s Step) {
 	o := s.Order()
 	id := o.ID()
 	if w.engine.changing != nil {
-		w.fail("order %s reached the engine in the middle of %s", id, w.engine.changing.ID())
+		w.fail("order %s reached the engine during %s", id, w.engine.changing.ID())
 	}
 	if w.engine.reloading && !w.crashUnnoticed {
-		w.fail("order %s reached an engine that was not back", id)
+		w.fail("order %s reached an engine that was still restarting", id)
 	}
 	if lost, gone := w.leaseLostAt[id.Number()]; gone && w.now-lost > defaultMaxNumberAge {
 		w.fail("order %s ran %d ms after its sender lost the lease", id, w.now-lost)
@@ -56,7 +55,7 @@
 		w.fail("order %s ran at incarnation %d", id, w.incarnation)
 	}
 	if o.Verb().Away() && w.engine.calls > 0 {
-		w.fail("order %s cut %d calls", id, w.engine.calls)
+		w.fail("order %s interrupted %d calls", id, w.engine.calls)
 	}
 	w.ran[id], w.lastRan = true, id
 	w.engine.changing, w.runningStep = &o, &s
@@ -67,10 +66,10 @@
 		return
 	}
 	if w.engine.changing != nil && w.engine.changing.Verb().Away() {
-		w.fail("a call began in the middle of %s", w.engine.changing.ID())
+		w.fail("a call started during %s", w.engine.changing.ID())
 	}
 	if w.engine.reloading && !w.crashUnnoticed {
-		w.fail("a call began at an engine that was not back")
+		w.fail("a call started at an engine that was still restarting")
 	}
 	w.engine.calls++
 }
@@ -82,7 +81,7 @@
 	}
 }
 
-// finishChange lets the engine complete its change; the answer may come late.
+// finishChange completes the engine's change; the answer may be delayed.
 func (w *world) finishChange(late bool) {
 	w.engine.reloading = false
 	if w.engine.changing == nil {
@@ -107,9 +106,9 @@
 	gate.Ran(s, OutcomeApplied)
 }
 
-// crash ends the engine and all its work; it comes back with the old role or,
-// in the middle of a change, perhaps with the new one, at once or after a while.
-// The agent notices later.
+// crash stops the engine and all its calls. The engine restarts at once or after a
+// while, with the old role or, if it crashed during a change, possibly the new one.
+// The agent detects the crash later.
 func (w *world) crash(changed, reloads bool) {
 	if o := w.engine.changing; o != nil && changed && o.Verb() == VerbRole {
 		w.engine.role = o.Argument()
@@ -128,8 +127,8 @@
 	}
 }
 
-// restartAgent is another start of the agent: it remembers nothing, and the calls
-// that went through it are gone.
+// restartAgent starts a new incarnation of the agent. It has no state, and the calls
+// that went through the previous one have ended.
 func (w *world) restartAgent() {
 	w.incarnation++
 	w.gate = NewGate(GateConfig{Incarnation: w.incarnation})
--- a/pkg/kumquatlug/order/gate.go
+++ b/pkg/kumquatlug/order/gate.go
@@ -6,47 +6,48 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultMaxNumberAge is how old a reading of the number may be when an order runs.
+// defaultMaxNumberAge is the default of [GateConfig.FenceAge].
 const defaultMaxNumberAge = kumquatlug.Second
 
-// defaultMaxRemembered is how many ended orders a gate can answer again. Only a
-// resend of the last one is likely, since a sender gives one at a time; 64 are
+// defaultMaxRemembered is the default of [GateConfig.Remember]. Only a resend of
+// the last order is likely, since a sender issues one at a time; 64 entries take
 // a few kilobytes.
 const defaultMaxRemembered = 64
 
-// GateConfig is what a [Gate] is made of.
+// GateConfig configures a [Gate].
 type GateConfig struct {
-	// Incarnation is this start of the agent, from the table. Required, 1 or
-	// higher.
+	// Incarnation is the agent's current incarnation, from the table. Required,
+	// at least 1.
 	Incarnation Incarnation
-	// Remember is how many ended orders are answered from memory, 64 by default.
+	// Remember is the number of completed orders whose outcomes are kept to answer
+	// resends. Default 64.
 	Remember int
-	// FenceAge is how old the table's number may be when an order is sent to
-	// the engine, counted from before it was asked for; 1 s by default. It is
-	// above a slow read and far below a lease's time to live. The price is one
-	// read of the table an order; while the table is out there are no orders,
-	// nor any lease to give them under.
+	// FenceAge is the maximum age of the fencing number read from the table when
+	// an order is sent to the engine, measured from before the read was issued.
+	// Default 1 s: above the duration of a slow read and far below a lease's time
+	// to live. It costs one table read per order. While the table is unavailable
+	// no order runs, but no lease can be renewed then either.
 	FenceAge kumquatlug.Millis
 }
 
-// finishedOrder is an order that has settled.
+// finishedOrder is the record of a completed order.
 type finishedOrder struct {
 	id      ID
 	outcome Outcome
 }
 
-// StepAction is what a gate asks of its engine.
+// StepAction is the kind of request that a [Step] makes.
 type StepAction string
 
-// The steps of a gate.
+// Step actions.
 const (
-	// StepNone: nothing to do now.
+	// StepNone: there is nothing to do now.
 	StepNone StepAction = "none"
-	// StepRead: ask the engine for its state; see [Gate.Read].
+	// StepRead: read the engine's state; see [Gate.Read].
 	StepRead StepAction = "read"
-	// StepFence: read the group's number from the table; see [Gate.Fenced].
+	// StepFence: read the group's fencing number from the table; see [Gate.Fenced].
 	StepFence StepAction = "fence"
-	// StepRun: send the engine the order; see [Gate.Ran].
+	// StepRun: send the order to the engine; see [Gate.Ran].
 	StepRun StepAction = "run"
 )
 
@@ -58,14 +59,15 @@
 	issuedAt kumquatlug.Millis
 }
 
-// Action returns what is to be done.
+// Action returns the kind of request.
 func (s Step) Action() StepAction { return s.action }
 
-// Order returns the order to run.
+// Order returns the order to send, for a StepRun.
 func (s Step) Order() Order { return s.order }
 
-// Gate is the agent's check in front of its engine: for engines that ignore
-// fencing numbers it is the only one. It is not safe for concurrent use.
+// Gate is an agent's admission check for the orders and calls to its engine. For
+// engines that ignore fencing numbers it is the only check. It is not safe for
+// concurrent use.
 type Gate struct {
 	config        GateConfig
 	numberRead    bool
@@ -82,23 +84,23 @@
 	finished      []finishedOrder
 }
 
-// NewGate returns a gate that knows neither the number nor the engine's state:
-// it takes no order and no work yet.
+// NewGate returns a gate that accepts no orders and no calls until the fencing
+// number and the engine's state have been read.
 func NewGate(c GateConfig) *Gate {
 	c.Remember = standard.Int(c.Remember, defaultMaxRemembered)
 	c.FenceAge = standard.Millis(c.FenceAge, defaultMaxNumberAge)
 	return &Gate{config: c, blocked: true, pending: Step{action: StepNone}}
 }
 
-// Fenced takes the table's answer to a StepFence: [lease.Record.Fence] of the
-// row. No order is taken before the
-// first one.
+// Fenced handles the result of a StepFence: [lease.Record.Fence] of the group's
+// row. No order is accepted before the first result.
 //
-// An agent that restarted has forgotten the numbers it saw. If it took the
-// first order that came, one from a holder that lost its lease long ago would
-// run; so it asks the table first. It asks again before each order runs: the
-// next holder has the lease for a while before its first message arrives here,
-// and an order of the former one may have waited long for work in hand.
+// An agent that restarted has lost the numbers it had seen. If it accepted the
+// first order that arrived, an order of a holder that lost its lease long ago could
+// run, so the number is read from the table first. It is read again before each
+// order runs: the next holder owns the lease for a while before its first message
+// arrives, and an order of the previous holder may have waited long for calls in
+// flight.
 func (g *Gate) Fenced(s Step, number lease.Number) {
 	if !g.completePending(s) {
 		return
@@ -107,12 +109,12 @@
 	g.Raise(number)
 }
 
-// FenceFailed takes that the table did not answer; it is asked again.
+// FenceFailed handles a failed StepFence. [Gate.Next] repeats the read.
 func (g *Gate) FenceFailed(s Step) { g.completePending(s) }
 
-// Raise takes a number heard from elsewhere, as in a new holder's report. An
-// order under a lower one that the engine has not got yet is dropped: by now
-// its sender may give none.
+// Raise records a fencing number learned from another source, such as a new
+// holder's report. An order with a lower number that has not been sent to the
+// engine is superseded, since its sender no longer holds the lease.
 func (g *Gate) Raise(number lease.Number) {
 	if number <= g.highestNumber {
 		return
@@ -126,7 +128,7 @@
 // Number returns the highest fencing number seen.
 func (g *Gate) Number() lease.Number { return g.highestNumber }
 
-// Phase returns where the target is between orders.
+// Phase returns the target's current phase.
 func (g *Gate) Phase() Phase {
 	switch {
 	case !g.stateKnown:
@@ -140,7 +142,8 @@
 	}
 }
 
-// Offer takes an order from a sender and says what becomes of it.
+// Offer submits a sender's order and returns the gate's decision. A resend of an
+// order that is in progress or remembered starts nothing and returns its state.
 func (g *Gate) Offer(o Order) Reply {
 	verdict, outcome := g.evaluate(o)
 	if verdict == VerdictAccepted && g.current == nil {
@@ -151,13 +154,13 @@
 
 func (g *Gate) evaluate(o Order) (Verdict, Outcome) {
 	if o.id.incarnation != g.config.Incarnation {
-		// A message that was on its way over a restart. What this start has
-		// forgotten, as a later order that already ran, the incarnation tells.
+		// The message was in transit across a restart. The agent may have lost the
+		// record of a later order that already ran; the incarnation excludes that.
 		return VerdictOtherIncarnation, ""
 	}
-	// What was taken before is answered before the numbers are compared, also
-	// to a sender that lost its lease: it has no further effect, and "old"
-	// would tell the sender that it never had one.
+	// An order accepted earlier is answered before the numbers are compared, even
+	// if its sender has lost the lease: the answer has no further effect, and
+	// VerdictOld would mean that the order never took effect.
 	if outcome, ok := g.recordedOutcome(o.id); ok {
 		return VerdictSettled, outcome
 	}
@@ -191,10 +194,10 @@
 	return "", false
 }
 
-// Next returns what to ask of the engine or the table now. Hand the answer to
-// the method that the step names; while one is awaited, Next returns StepNone.
-// After a failure or an engine in mid change it returns the same step again:
-// the caller spaces them.
+// Next returns the next request to the engine or the table. Pass the result to
+// the method that the step's action names; until then Next returns StepNone.
+// After a failure, or while the engine is applying a change, Next returns the same
+// step again. The caller is responsible for the delay between retries.
 func (g *Gate) Next(now kumquatlug.Millis) Step {
 	switch {
 	case g.pending.action != StepNone:
@@ -206,9 +209,9 @@
 	case g.current == nil || g.sent:
 		return Step{action: StepNone}
 	case g.current.verb.Away() && g.inFlight > 0:
-		// No time limit: a caller whose long answer is cut by a planned change
-		// would have to start again. Work in hand only shrinks, since no new
-		// work begins.
+		// There is no time limit: a caller whose long response is cut by a planned
+		// change would have to start again. The number of calls in flight only
+		// falls, since no new call starts.
 		return Step{action: StepNone}
 	case now-g.numberReadAt > g.config.FenceAge:
 		return g.issue(Step{action: StepFence}, now)
@@ -224,8 +227,8 @@
 	return s
 }
 
-// completePending reports whether s is the step awaited, and no longer awaits it. An
-// answer that comes after a crash or a lost answer tells nothing any more.
+// completePending clears the pending step and returns true if it is s. A result
+// that arrives after a crash or after its step was given up is stale and ignored.
 func (g *Gate) completePending(s Step) bool {
 	if g.pending.action == StepNone || g.pending.sequence != s.sequence {
 		return false
@@ -234,10 +237,10 @@
 	return true
 }
 
-// Ran takes the engine's answer to a StepRun: OutcomeApplied,
-// OutcomeNotApplied, or OutcomeUnknown when the connection ended without one.
-// The caller sets no time limit of its own: an engine that was paused may not
-// have read the order yet, and would run it after its state was asked for.
+// Ran handles the result of a StepRun: OutcomeApplied, OutcomeNotApplied, or
+// OutcomeUnknown if the connection closed without a response. The caller must not
+// set a timeout: a paused engine may not have read the order yet, and would run it
+// after its state was read.
 func (g *Gate) Ran(s Step, outcome Outcome) {
 	if !g.completePending(s) {
 		return
@@ -249,8 +252,8 @@
 	g.finishCurrent(outcome)
 }
 
-// Read takes the engine's answer to a StepRead. An engine in the middle of a
-// change is asked again.
+// Read handles the result of a StepRead. If the engine is applying a change,
+// [Gate.Next] repeats the read.
 func (g *Gate) Read(s Step, state State) {
 	if !g.completePending(s) || !state.settled {
 		return
@@ -266,11 +269,11 @@
 	}
 }
 
-// ReadFailed takes that the engine did not tell its state; it is asked again.
+// ReadFailed handles a failed StepRead. [Gate.Next] repeats the read.
 func (g *Gate) ReadFailed(s Step) { g.completePending(s) }
 
-// Crashed takes that the engine went away or came back by itself. Whether an
-// order in the middle of which it did took effect is asked, never assumed.
+// Crashed records that the engine stopped or restarted by itself. Whether an order
+// in progress took effect is then read from the engine, never assumed.
 func (g *Gate) Crashed() {
 	g.pending = Step{action: StepNone}
 	g.invalidateState(true)
@@ -289,9 +292,9 @@
 	g.current, g.sent = nil, false
 }
 
-// Begin reports whether a call may start at the engine, and counts it. False
-// means that the call did not run: an order takes the engine away, or its
-// state is unknown after one.
+// Begin reports whether a call may start at the engine, and counts it as in
+// flight. False means that the call was not run, because an order takes the engine
+// offline or the engine's state has not been read since.
 func (g *Gate) Begin() bool {
 	if g.blocked || (g.current != nil && g.current.verb.Away()) {
 		return false
@@ -300,12 +303,12 @@
 	return true
 }
 
-// End takes that a call has ended, however it did.
+// End records that a call has ended, successfully or not.
 func (g *Gate) End() {
 	if g.inFlight > 0 {
 		g.inFlight--
 	}
 }
 
-// InHand returns the number of calls that run now.
+// InHand returns the number of calls in flight.
 func (g *Gate) InHand() int { return g.inFlight }
--- a/pkg/kumquatlug/order/order.go
+++ b/pkg/kumquatlug/order/order.go
@@ -1,24 +1,25 @@
-// Package order decides about orders that change a target: an agent's [Gate]
-// says which may reach the engine and when, and a lease holder's [Sender] says
-// which is outstanding.
+// Package order implements the protocol for orders that reconfigure a target,
+// such as a role change. An agent's [Gate] decides which orders reach the engine
+// and when; a lease holder's [Sender] tracks the outstanding order of each target.
 //
-// The failures that it answers: a planner that was paused past its lease wakes
-// and sends what it had decided; two planners send at once; an answer is lost;
-// the engine crashes in the middle of a role change or a load; the agent
-// restarts and has forgotten everything; an order takes away an engine that
-// still writes a long answer. Without it an engine would get orders from two
-// sides, or the next before the last has settled, and callers would see their
-// answers cut by a change that was planned.
+// It handles these failures: a planner that was paused past its lease resumes
+// and sends what it had decided; two planners send concurrently; a reply is lost;
+// the engine crashes during a role change or a model load; the agent restarts
+// without its state; an order takes an engine offline while it still generates a
+// long response. Without the protocol an engine could receive orders from two
+// planners, or a second order before the first has completed, and planned changes
+// would cut callers' responses.
 //
-// The rules. An order carries a fencing number, a sequence under that number
-// and the incarnation of the agent it is for. A gate takes no order before it
-// has read the number from the table, none with a lower number than the
-// highest it has seen, none that is not later than the last, none meant for an
-// earlier incarnation, and one at a time. Right before an order runs it reads
-// the number once more. After a start, a lost answer or a
-// crash the engine's state is unknown until the engine itself has told it, and
-// no order runs before. An order that takes the engine away waits until all
-// work in hand is finished, with no time limit; new work is refused meanwhile.
+// An order carries a fencing number, a sequence number under that fencing number
+// and the incarnation of the agent that it is for. A gate rejects every order
+// until it has read the fencing number from the table. It then rejects orders with
+// a lower fencing number than the highest one seen, orders that are not later than
+// the last one, and orders for another incarnation. It accepts one order at a
+// time, and reads the fencing number again right before an order runs. After a
+// start, a lost reply or a crash the engine's state is unknown until it has been
+// read from the engine, and no order runs before that. An order that takes the
+// engine offline waits, without a time limit, until all calls in flight have
+// ended; new calls are refused meanwhile.
 package order
 
 import (
@@ -29,24 +30,24 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/lease"
 )
 
-// Incarnation counts the starts of the agent beside one target. It rises with
-// each start and is kept in the table.
+// Incarnation counts the starts of a target's agent. It increases with each
+// start and is stored in the table.
 type Incarnation int64
 
-// ID names one order: for which start of the agent, under which fencing
-// number, and which one under that number. No two orders to a target share it.
+// ID identifies an order by the incarnation of the agent, the fencing number and
+// a sequence number. It is unique among the orders to a target.
 type ID struct {
 	incarnation Incarnation
 	number      lease.Number
 	sequence    int64
 }
 
-// NewID returns the id of an order; sequence counts from 1 under each number.
+// NewID returns an order ID. The sequence starts at 1 for each fencing number.
 func NewID(incarnation Incarnation, number lease.Number, sequence int64) ID {
 	return ID{incarnation: incarnation, number: number, sequence: sequence}
 }
 
-// ParseID reads what [ID.String] wrote.
+// ParseID parses the format of [ID.String]. It returns an error for any other text.
 func ParseID(text string) (ID, error) {
 	var id ID
 	n, err := fmt.Sscanf(text, "%d/%d.%d", &id.incarnation, &id.number, &id.sequence)
@@ -56,21 +57,21 @@
 	return id, nil
 }
 
-// String returns the id as "incarnation/number.sequence".
+// String returns the ID as "incarnation/number.sequence".
 func (i ID) String() string {
 	return fmt.Sprintf("%d/%d.%d", i.incarnation, i.number, i.sequence)
 }
 
-// Incarnation returns the start of the agent that the order is for.
+// Incarnation returns the agent incarnation that the order is for.
 func (i ID) Incarnation() Incarnation { return i.incarnation }
 
 // Number returns the fencing number.
 func (i ID) Number() lease.Number { return i.number }
 
-// Sequence returns which order it is under its number.
+// Sequence returns the order's sequence number under its fencing number.
 func (i ID) Sequence() int64 { return i.sequence }
 
-// after reports whether the order was given later than the one named o.
+// after reports whether the order was issued later than other.
 func (i ID) after(other ID) bool {
 	if i.number != other.number {
 		return i.number > other.number
@@ -78,24 +79,24 @@
 	return i.sequence > other.sequence
 }
 
-// Verb is what an order changes.
+// Verb is the property of the target that an order changes.
 type Verb string
 
-// The verbs of orders.
+// Verbs.
 const (
-	// VerbRole gives an engine a role.
+	// VerbRole sets the engine's role.
 	VerbRole Verb = "role"
-	// VerbModel and VerbVersion load other weights.
+	// VerbModel and VerbVersion load different weights.
 	VerbModel   Verb = "model"
 	VerbVersion Verb = "version"
-	// VerbAdapter loads an adapter beside the running model.
+	// VerbAdapter loads an adapter alongside the running model.
 	VerbAdapter Verb = "adapter"
 )
 
-// Away reports whether the engine does no work while it carries the order out.
+// Away reports whether the engine serves no calls while it applies the order.
 func (v Verb) Away() bool { return v != VerbAdapter }
 
-// Order is one change of a target.
+// Order is a request to change one property of a target.
 type Order struct {
 	id       ID
 	verb     Verb
@@ -107,38 +108,38 @@
 	return Order{id: id, verb: verb, argument: argument}
 }
 
-// ID returns the id, the same each time the order is sent.
+// ID returns the order's ID, which is the same for every resend.
 func (o Order) ID() ID { return o.id }
 
-// Verb returns what is changed.
+// Verb returns the property to change.
 func (o Order) Verb() Verb { return o.verb }
 
-// Argument returns to what it is changed: a role, model, version or adapter.
+// Argument returns the new value: a role, model, version or adapter.
 func (o Order) Argument() string { return o.argument }
 
-// Fact is one thing that holds at an engine, as in verb "role", argument
-// "decode". Several may share a verb.
+// Fact is one property of an engine's state, such as verb "role" with argument
+// "decode". A state may hold several facts with the same verb.
 type Fact struct {
 	Verb     Verb
 	Argument string
 }
 
-// State is what an engine tells of itself.
+// State is an engine's state as the engine reports it.
 type State struct {
 	settled bool
 	facts   []Fact
 }
 
-// NewState returns a state; settled is false while the engine is still busy
-// with a change, also one that nobody here remembers.
+// NewState returns a state. settled is false while the engine is applying a
+// change, including one that the agent has no record of.
 func NewState(settled bool, facts ...Fact) State {
 	return State{settled: settled, facts: facts}
 }
 
-// Settled reports that the engine is not in the middle of a change.
+// Settled reports whether the engine is not applying a change.
 func (s State) Settled() bool { return s.settled }
 
-// Holds reports whether what o asks for is so.
+// Holds reports whether the state matches what o requests.
 func (s State) Holds(o Order) bool {
 	for _, f := range s.facts {
 		if f.Verb == o.verb && f.Argument == o.argument {
@@ -151,73 +152,74 @@
 // Outcome is how an order ended.
 type Outcome string
 
-// The outcomes of orders.
+// Outcomes.
 const (
-	// OutcomeApplied: what the order asks for holds at the engine.
+	// OutcomeApplied: the engine's state matches the order.
 	OutcomeApplied Outcome = "applied"
-	// OutcomeNotApplied: the engine refused it, or settled without it.
+	// OutcomeNotApplied: the engine refused the order, or its state does not match it.
 	OutcomeNotApplied Outcome = "not-applied"
-	// OutcomeSuperseded: a higher number came before the engine got it.
+	// OutcomeSuperseded: a higher fencing number was seen before the order was
+	// sent to the engine.
 	OutcomeSuperseded Outcome = "superseded"
-	// OutcomeUnknown: the agent restarted, or knows nothing of the order; the
-	// engine's state tells.
+	// OutcomeUnknown: the agent restarted or has no record of the order. Only the
+	// engine's state shows whether it was applied.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Verdict is a gate's answer to an order.
+// Verdict is a gate's decision on an order.
 type Verdict string
 
-// The verdicts of a gate.
+// Verdicts.
 const (
-	// VerdictAccepted: the order is taken, or was before and is not settled.
+	// VerdictAccepted: the order is accepted now, or was before and is in progress.
 	VerdictAccepted Verdict = "accepted"
-	// VerdictSettled: the order has ended; the outcome tells how.
+	// VerdictSettled: the order has completed; see [Reply.Outcome].
 	VerdictSettled Verdict = "settled"
-	// VerdictOld: the order comes from a process that lost its authority, or
-	// was overtaken by a later one. Sending it again is of no use.
+	// VerdictOld: the order comes from a process that has lost the lease, or a
+	// later order has been accepted. A resend cannot succeed.
 	VerdictOld Verdict = "old"
-	// VerdictOtherIncarnation: the order is for another start of the agent.
+	// VerdictOtherIncarnation: the order is for another incarnation of the agent.
 	VerdictOtherIncarnation Verdict = "other-incarnation"
-	// VerdictBusy: another order is not settled yet.
+	// VerdictBusy: another order is in progress.
 	VerdictBusy Verdict = "busy"
-	// VerdictNotReady: the number has not been read from the table or the
-	// engine's state is unknown.
+	// VerdictNotReady: the fencing number has not been read from the table, or
+	// the engine's state is unknown.
 	VerdictNotReady Verdict = "not-ready"
 )
 
-// Reply is what a gate answers to an order.
+// Reply is a gate's response to an order.
 type Reply struct {
 	verdict Verdict
 	outcome Outcome
 	number  lease.Number
 }
 
-// NewReply returns a reply, as it is read from a message.
+// NewReply returns a reply decoded from a message.
 func NewReply(verdict Verdict, outcome Outcome, number lease.Number) Reply {
 	return Reply{verdict: verdict, outcome: outcome, number: number}
 }
 
-// Verdict returns what became of the order.
+// Verdict returns the gate's decision.
 func (r Reply) Verdict() Verdict { return r.verdict }
 
-// Outcome returns how the order ended, empty unless it is settled.
+// Outcome returns how the order ended, empty unless the verdict is VerdictSettled.
 func (r Reply) Outcome() Outcome { return r.outcome }
 
 // Number returns the highest fencing number that the gate has seen.
 func (r Reply) Number() lease.Number { return r.number }
 
-// Phase is where a target is between orders.
+// Phase is a target's progress on its current order.
 type Phase string
 
-// The phases of a target.
+// Phases.
 const (
-	// PhaseUnknown: the engine has not told its state since the last doubt.
+	// PhaseUnknown: the engine's state has not been read since it became uncertain.
 	PhaseUnknown Phase = "unknown"
-	// PhaseSettled: nothing is in hand; an order may come.
+	// PhaseSettled: no order is in progress; the target can accept one.
 	PhaseSettled Phase = "settled"
-	// PhaseDraining: an order waits for work in hand; the engine knows nothing
-	// of it yet.
+	// PhaseDraining: an order waits for calls in flight and has not been sent to
+	// the engine.
 	PhaseDraining Phase = "draining"
-	// PhaseRunning: the engine has the order.
+	// PhaseRunning: the order has been sent to the engine.
 	PhaseRunning Phase = "running"
 )
--- a/pkg/kumquatlug/order/order_test.go
+++ b/pkg/kumquatlug/order/order_test.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/lease"
 )
 
-// newReadyGate returns a gate that is ready for orders under number.
+// newReadyGate returns a gate that accepts orders under number.
 func newReadyGate(number lease.Number) *Gate {
 	g := NewGate(GateConfig{Incarnation: 1})
 	g.Read(g.Next(0), NewState(true))
@@ -16,32 +16,32 @@
 	return g
 }
 
-// A role change is ordered while a decree of several hours is being classified.
-// Were the engine taken away after some limit, the whole work would be lost and
-// done again by another engine, which may be ordered away in its turn.
+// A role change is ordered while the engine runs a call that takes several hours. A
+// time limit on the drain would lose the whole call, and repeating it on another
+// engine could meet the next role change.
 func TestDrainHasNoTimeLimit(t *testing.T) {
 	g := newReadyGate(1)
 	if !g.Begin() {
-		t.Fatal("a call was refused at a settled engine")
+		t.Fatal("an idle engine refused a call")
 	}
 	o := NewOrder(NewID(1, 1, 1), VerbRole, "decode")
 	if v := g.Offer(o).Verdict(); v != VerdictAccepted {
-		t.Fatalf("the order is %s", v)
+		t.Fatalf("verdict %s, want accepted", v)
 	}
 	now := 8 * kumquatlug.Hour
 	if s := g.Next(now); s.Action() != StepNone || g.Begin() {
-		t.Fatalf("with a call in hand the gate asks for %s, or takes another call", s.Action())
+		t.Fatalf("with a call in flight the next step is %s or another call is accepted", s.Action())
 	}
 	g.End()
 	g.Fenced(g.Next(now), 1)
 	if s := g.Next(now); s.Action() != StepRun || s.Order().ID() != o.ID() {
-		t.Fatalf("drained, the gate asks for %s", s.Action())
+		t.Fatalf("after the drain the next step is %s", s.Action())
 	}
 }
 
-// The engine crashes in the middle of a role change and comes back with the old
-// role. Were the change taken for done, decode work would be sent to an engine
-// that runs prompts, and every call there would fail.
+// The engine crashes during a role change and restarts with the old role. If the
+// change counted as applied, decode calls would be sent to an engine that runs
+// prefill, and every one of them would fail.
 func TestCrashDuringOrderRereadsEngineState(t *testing.T) {
 	g := newReadyGate(1)
 	o := NewOrder(NewID(1, 1, 1), VerbRole, "decode")
@@ -50,15 +50,15 @@
 	g.Crashed()
 	g.Ran(run, OutcomeApplied)
 	if g.Phase() != PhaseUnknown || g.Begin() {
-		t.Fatalf("the gate is %s after a crash, or takes calls", g.Phase())
+		t.Fatalf("phase %s after a crash, or calls are accepted", g.Phase())
 	}
 	g.Read(g.Next(0), NewState(false))
 	if g.Phase() != PhaseUnknown {
-		t.Fatalf("the gate is %s while the engine is not back", g.Phase())
+		t.Fatalf("phase %s while the engine is still restarting", g.Phase())
 	}
 	g.Read(g.Next(0), NewState(true, Fact{VerbRole, "both"}))
 	if r := g.Offer(o); r.Verdict() != VerdictSettled || r.Outcome() != OutcomeNotApplied {
-		t.Fatalf("the order is %s %s", r.Verdict(), r.Outcome())
+		t.Fatalf("verdict %s, outcome %q, want settled and not-applied", r.Verdict(), r.Outcome())
 	}
 }
 
@@ -67,7 +67,7 @@
 	f.Add("1/2.3 ")
 	f.Fuzz(func(t *testing.T, text string) {
 		if id, err := ParseID(text); err == nil && id.String() != text {
-			t.Fatalf("%q was read as %s", text, id)
+			t.Fatalf("%q was parsed as %s", text, id)
 		}
 	})
 }
--- a/pkg/kumquatlug/order/proof_test.go
+++ b/pkg/kumquatlug/order/proof_test.go
@@ -16,19 +16,19 @@
 	target      = "vm-1"
 )
 
-// moveKinds lists each kind of step as often as it is to come up among the others.
+// moveKinds lists the kinds of moves, each repeated according to its weight.
 var moveKinds = []string{
-	"elect", "give", "give", "send", "send", "ghost", "ghost", "push", "push", "push", "deliver", "deliver", "deliver", "deliver", "duplicate", "duplicate", "duplicate", "drop",
+	"grant", "issue", "issue", "send", "send", "stale", "stale", "run", "run", "run", "deliver", "deliver", "deliver", "deliver", "duplicate", "duplicate", "duplicate", "drop",
 	"step", "step", "step", "step", "step", "step", "late", "report", "report", "begin", "begin", "end", "end",
-	"finish", "finish", "give-up", "crash", "notice", "restart", "tick", "quiet", "quiet", "heal",
+	"finish", "finish", "disconnect", "crash", "notice", "restart", "tick", "undisturbed", "undisturbed", "recover",
 }
 
-// Two planners give orders to one engine that ignores fencing numbers. Each may
-// have lost the lease long ago without knowing it; messages are lost, doubled
-// and overtake one another; the agent restarts, the table is out, the engine
-// crashes in the middle of a change and comes back with the old role or the new
-// one. An operator would notice an engine that is moved to and fro or stuck, and
-// a caller an answer that was cut by a planned change.
+// Two planners send orders to one engine that ignores fencing numbers. Each may
+// have lost the lease long ago without having detected it; messages are lost,
+// duplicated and reordered; the agent restarts, the table is unavailable, the
+// engine crashes during a change and restarts with the old or the new role. A
+// fault shows as an engine that is moved back and forth or is stuck, or as a
+// response that a planned change cut off.
 func TestProofOrdersNeverConflict(t *testing.T) {
 	proof.Run(t, proof.Config{
 		Claim: "orders have authority, come one at a time and cut no work",
@@ -38,7 +38,7 @@
 	})
 }
 
-// engine is a target that takes every order and asks no questions.
+// engine simulates a target that executes every order without checks.
 type engine struct {
 	role      string
 	changing  *Order
@@ -46,14 +46,15 @@
 	calls     int
 }
 
-// message is something on its way: run hands it over, lost tells whoever waits
-// for it that it won't come.
+// message is a message in transit. deliver delivers it; onLoss notifies the side that
+// waits for it that it was lost.
 type message struct {
 	deliver func()
 	onLoss  func()
 }
 
-// world is the gate and the senders over one engine, with the oracle's notes.
+// world simulates the gate and the senders of one engine, and records what the
+// invariants need.
 type world struct {
 	now            kumquatlug.Millis
 	leaseNumber    lease.Number
@@ -96,13 +97,13 @@
 func play(sut commands.SystemUnderTest, m proof.Move) commands.Result {
 	w := sut.(*world)
 	switch m.Kind {
-	case "elect":
+	case "grant":
 		w.grantLease(m.Actor)
-	case "give":
+	case "issue":
 		w.issueOrder(m.Actor, m.Choice)
-	case "ghost":
+	case "stale":
 		w.sendStaleOrder(m.Choice)
-	case "push":
+	case "run":
 		w.runOrder(m)
 	case "send":
 		w.send(m.Actor)
@@ -120,9 +121,9 @@
 		w.report(m.Actor)
 	case "tick":
 		w.now += kumquatlug.Millis(m.Choice / 4)
-	case "heal":
+	case "recover":
 		w.checkRecovery()
-	case "quiet":
+	case "undisturbed":
 		w.runUndisturbed(m.Choice % 8)
 	default:
 		w.playTargetMove(m)
@@ -146,7 +147,7 @@
 		w.endCall()
 	case "finish":
 		w.finishChange(m.Choice%3 == 0)
-	case "give-up":
+	case "disconnect":
 		if w.runningStep != nil {
 			w.gate.Ran(*w.runningStep, OutcomeUnknown)
 			w.runningStep = nil
@@ -160,7 +161,7 @@
 	}
 }
 
-// grantLease gives the lease to a sender; the other one is told nothing.
+// grantLease grants the lease to a sender without notifying the other one.
 func (w *world) grantLease(i int) {
 	w.leaseLostAt[w.leaseNumber] = w.now
 	w.leaseNumber++
@@ -180,13 +181,13 @@
 		return
 	}
 	if _, twice := w.issued[o.ID()]; outstanding || twice {
-		w.fail("order %s was given before the last was settled, or under an id used before", o.ID())
+		w.fail("order %s was issued while another was outstanding, or its ID was used before", o.ID())
 	}
 	w.issued[o.ID()] = o
 }
 
-// sendStaleOrder is an order of any earlier holder, or of one that keeps to no rule. It
-// takes sequences that no sender reaches.
+// sendStaleOrder sends an order of an earlier holder or of a sender that ignores the
+// protocol. Its sequence numbers are above those that the senders reach.
 func (w *world) sendStaleOrder(choice int) {
 	number := lease.Number(choice)%w.leaseNumber + 1
 	o := NewOrder(NewID(w.incarnation, number, int64(1000+len(w.issued))), VerbRole, "prefill")
@@ -194,8 +195,8 @@
 	w.messages = append(w.messages, message{deliver: func() { w.gate.Offer(o) }})
 }
 
-// runOrder brings an order of the holder up to the engine, if nothing is in its
-// way, and leaves it there.
+// runOrder issues an order of the lease holder and, unless something blocks it,
+// leaves it running at the engine.
 func (w *world) runOrder(m proof.Move) {
 	i := w.holder()
 	w.step(false, false)
@@ -212,7 +213,7 @@
 	w.step(false, false)
 }
 
-// holder returns the sender that has the lease.
+// holder returns the index of the sender that holds the lease.
 func (w *world) holder() int {
 	for i, n := range w.senderNumbers {
 		if n == w.leaseNumber {
@@ -222,7 +223,8 @@
 	return 0
 }
 
-// send puts a sender's orders on their way; it believes to hold its lease.
+// send sends a sender's due orders, as if the sender still believed that it holds
+// the lease.
 func (w *world) send(i int) {
 	for _, out := range w.senders[i].Due(w.now, w.senderNumbers[i], true) {
 		o := out.Order()
@@ -233,7 +235,7 @@
 	}
 }
 
-// handleReply holds what a sender makes of a reply against the gate.
+// handleReply passes a reply to its sender and compares the result with the gate's.
 func (w *world) handleReply(i int, id ID, reply Reply) {
 	w.checkFinished()
 	ended, ok := w.senders[i].Answered(target, id, reply)
@@ -241,7 +243,7 @@
 		return
 	}
 	if w.outcomes[ended.Order().ID()] != ended.Outcome() {
-		w.fail("order %s was %s, its sender takes it for %s", ended.Order().ID(), w.outcomes[ended.Order().ID()], ended.Outcome())
+		w.fail("order %s was %s, but its sender recorded %s", ended.Order().ID(), w.outcomes[ended.Order().ID()], ended.Outcome())
 	}
 	w.confirmed[ended.Order().ID()] = true
 }
@@ -270,12 +272,12 @@
 	w.takeMessage(choice).deliver()
 }
 
-// checkFinished holds what the gate tells of ended orders against the engine.
+// checkFinished compares the gate's records of completed orders with the engine.
 func (w *world) checkFinished() {
 	for _, e := range w.gate.finished {
 		before, known := w.outcomes[e.id]
 		if known && before != e.outcome {
-			w.fail("order %s was %s and is %s", e.id, before, e.outcome)
+			w.fail("outcome of order %s changed from %s to %s", e.id, before, e.outcome)
 		}
 		if !known {
 			w.outcomes[e.id] = e.outcome
@@ -284,27 +286,29 @@
 	}
 	for id := range w.ran {
 		if w.outcomes[id] == OutcomeSuperseded {
-			w.fail("order %s was called superseded and ran", id)
+			w.fail("order %s was recorded as superseded but ran", id)
 		}
 	}
 }
 
-// checkOutcome looks at an order that has ended just now. An engine that crashed
-// unnoticed may have lost it since.
+// checkOutcome compares the outcome of an order that has just completed with the
+// engine's role. It skips an engine with an undetected crash, which may have lost
+// the change since.
 func (w *world) checkOutcome(e finishedOrder) {
 	o := w.issued[e.id]
 	if o.Verb() != VerbRole || e.outcome == OutcomeSuperseded || w.crashUnnoticed {
 		return
 	}
 	if w.engine.changing != nil {
-		w.fail("order %s was called %s in the middle of the change", e.id, e.outcome)
+		w.fail("order %s was recorded as %s during the change", e.id, e.outcome)
 	}
 	if applied := w.engine.role == o.Argument(); applied != (e.outcome == OutcomeApplied) {
-		w.fail("order %s to %s was called %s, the engine is %s", e.id, o.Argument(), e.outcome, w.engine.role)
+		w.fail("order %s to %s was recorded as %s, but the engine is %s", e.id, o.Argument(), e.outcome, w.engine.role)
 	}
 }
 
-// runUndisturbed lets everything work for some rounds of a second each.
+// runUndisturbed runs the system without faults for a number of rounds of one
+// second each.
 func (w *world) runUndisturbed(rounds int) {
 	for range rounds {
 		w.now += kumquatlug.Second
@@ -325,8 +329,8 @@
 	}
 }
 
-// checkRecovery ends the trouble: once the work in hand is finished, whoever has the
-// lease can give an order, and it is applied.
+// checkRecovery ends all faults and checks that, once the calls in flight have ended,
+// the lease holder can issue an order and the order is applied.
 func (w *world) checkRecovery() {
 	for len(w.messages) > 0 {
 		w.deliver(0, false)
@@ -337,13 +341,13 @@
 	s := w.senders[holder]
 	o, err := s.Give(target, VerbRole, "decode")
 	if err != nil {
-		w.fail("no order can be given: %v, the gate is %s", err, w.gate.Phase())
+		w.fail("no order can be issued: %v, phase %s", err, w.gate.Phase())
 		return
 	}
 	w.issued[o.ID()] = o
 	w.runUndisturbed(6)
 	if !w.confirmed[o.ID()] || w.engine.role != "decode" || !w.gate.Begin() {
-		w.fail("order %s is not applied: the engine is %s, the gate %s", o.ID(), w.engine.role, w.gate.Phase())
+		w.fail("order %s is not applied: the engine is %s, phase %s", o.ID(), w.engine.role, w.gate.Phase())
 		return
 	}
 	w.gate.End()
--- a/pkg/kumquatlug/order/sender.go
+++ b/pkg/kumquatlug/order/sender.go
@@ -10,39 +10,40 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultResendInterval is how long a sender waits for an answer before it sends the
-// same order again. It is twice an agent's report interval, so that a drain,
-// which the reports show, is rarely asked about in between.
+// defaultResendInterval is the default of [SenderConfig.Resend]. It is twice an
+// agent's report interval: the reports show a drain, so resends during it are rare.
 const defaultResendInterval = 2 * kumquatlug.Second
 
-// Why a sender gives no order to a target now.
+// Errors of [Sender.Give].
 var (
-	// ErrNoLease: the sender has no fencing number, or lost it.
-	ErrNoLease = errors.New("no lease on the group")
-	// ErrUnsettled: an order is outstanding, or the target's state is unknown.
-	ErrUnsettled = errors.New("target is not settled")
+	// ErrNoLease is returned when the sender has no fencing number or has lost the
+	// lease.
+	ErrNoLease = errors.New("lease on the group is not held")
+	// ErrUnsettled is returned when an order to the target is outstanding or the
+	// target's state is unknown.
+	ErrUnsettled = errors.New("target has an order in progress or its state is unknown")
 )
 
-// SenderConfig is what a [Sender] is made of.
+// SenderConfig configures a [Sender].
 type SenderConfig struct {
-	// Resend is the wait before an order without a final answer is sent again,
-	// 2 s by default.
+	// Resend is the interval at which an order without a final reply is sent
+	// again. Default 2 s.
 	Resend kumquatlug.Millis
 }
 
-// Report is what an agent tells of its gate in each load report.
+// Report is the state of a gate, as an agent includes it in each load report.
 type Report struct {
-	// Target is the agent's target.
+	// Target is the name of the agent's target.
 	Target string
-	// Incarnation is the start of the agent.
+	// Incarnation is the agent's current incarnation.
 	Incarnation Incarnation
 	// Number is the highest fencing number that the gate has seen.
 	Number lease.Number
-	// Phase is where the target is between orders.
+	// Phase is the target's current phase.
 	Phase Phase
 }
 
-// Settlement is an order that has ended.
+// Settlement is the final result of an order, as its sender knows it.
 type Settlement struct {
 	target  string
 	order   Order
@@ -55,10 +56,10 @@
 // Order returns the order.
 func (s Settlement) Order() Order { return s.order }
 
-// Outcome returns how it ended.
+// Outcome returns how the order ended.
 func (s Settlement) Outcome() Outcome { return s.outcome }
 
-// Outgoing is an order on its way to a target.
+// Outgoing is an order to be sent to a target.
 type Outgoing struct {
 	target string
 	order  Order
@@ -80,9 +81,9 @@
 	sent        bool
 }
 
-// Sender is a lease holder's side of orders to its group: one outstanding a
-// target, sent under the same id until it is settled. It is not safe for
-// concurrent use.
+// Sender issues a lease holder's orders to the targets of its group. Each target
+// has at most one outstanding order, which is sent under the same ID until it has
+// completed. It is not safe for concurrent use.
 type Sender struct {
 	config    SenderConfig
 	number    lease.Number
@@ -90,15 +91,15 @@
 	targets   map[string]*targetState
 }
 
-// NewSender returns a sender without a lease.
+// NewSender returns a sender that holds no lease.
 func NewSender(c SenderConfig) *Sender {
 	c.Resend = standard.Millis(c.Resend, defaultResendInterval)
 	return &Sender{config: c, targets: make(map[string]*targetState)}
 }
 
-// Granted takes the number of a lease just acquired. What was outstanding
-// under an earlier number is dropped: the gates see to that it has settled
-// before they take another.
+// Granted records the fencing number of a newly acquired lease. Outstanding orders
+// under earlier numbers are dropped. The gates let them complete before they accept
+// another.
 func (s *Sender) Granted(number lease.Number) {
 	if number <= s.number {
 		return
@@ -110,9 +111,10 @@
 	}
 }
 
-// Heard takes an agent's report. A new incarnation ends an outstanding order
-// with OutcomeUnknown: the old process is gone and can start nothing, the new
-// one takes no order meant for the old, and asks the engine for its state.
+// Heard handles an agent's report. A new incarnation ends an outstanding order with
+// OutcomeUnknown, returned with true: the previous process has ended and can start
+// nothing, and the new one rejects orders for the previous one and reads the
+// engine's state.
 func (s *Sender) Heard(r Report) (Settlement, bool) {
 	s.observeNumber(r.Number)
 	t := s.targets[r.Target]
@@ -131,17 +133,18 @@
 	return s.finish(r.Target, OutcomeUnknown)
 }
 
-// observeNumber takes a number seen elsewhere. A higher one than ours says that the
-// lease was lost, even if our own clock does not say so yet.
+// observeNumber handles a fencing number seen in a message. A number higher than
+// the sender's own means that the lease was lost, even if it has not yet expired by
+// the local clock.
 func (s *Sender) observeNumber(number lease.Number) {
 	if number > s.number {
 		s.leaseHeld = false
 	}
 }
 
-// Give makes an order for target, to be sent by [Sender.Due]. The error is
-// ErrNoLease or ErrUnsettled; nothing is queued then, since what is right may
-// have changed once the target is settled.
+// Give creates an order for target, to be sent through [Sender.Due]. The error is
+// ErrNoLease or ErrUnsettled. A refused order is not queued, since it may be
+// outdated when the target can accept one.
 func (s *Sender) Give(target string, verb Verb, argument string) (Order, error) {
 	if !s.leaseHeld {
 		return Order{}, ErrNoLease
@@ -156,7 +159,7 @@
 	return o, nil
 }
 
-// Outstanding returns the order of target that is not settled.
+// Outstanding returns the order to target that has not completed, if any.
 func (s *Sender) Outstanding(target string) (Order, bool) {
 	t := s.targets[target]
 	if t == nil || t.outstanding == nil {
@@ -165,9 +168,9 @@
 	return *t.outstanding, true
 }
 
-// Due returns the orders to send now, in target order, and counts them as
-// sent. Pass what [lease.Holder.Held] says at this very moment: without the
-// lease under the same number nothing is sent.
+// Due returns the orders to send now, sorted by target name, and marks them as
+// sent. number and held are the current result of [lease.Holder.Held]; if the lease
+// is not held under the sender's number, Due returns nothing.
 func (s *Sender) Due(now kumquatlug.Millis, number lease.Number, held bool) []Outgoing {
 	if !held || !s.leaseHeld || number != s.number {
 		return nil
@@ -184,9 +187,8 @@
 	return due
 }
 
-// Answered takes a gate's reply to an order and returns how the order ended,
-// if it did. A reply to another order than the outstanding one, come late,
-// changes nothing.
+// Answered handles a gate's reply to an order and returns the order's result if it
+// has completed. A late reply to an order that is no longer outstanding is ignored.
 func (s *Sender) Answered(target string, id ID, r Reply) (Settlement, bool) {
 	s.observeNumber(r.number)
 	t := s.targets[target]
@@ -197,10 +199,10 @@
 	case VerdictSettled:
 		return s.finish(target, r.outcome)
 	case VerdictOld:
-		// The gate has not taken it, or long forgotten that it did.
+		// The gate never accepted the order, or no longer has its record.
 		return s.finish(target, OutcomeUnknown)
 	default:
-		// Accepted, busy or not ready: it is sent again until it is settled.
+		// Accepted, busy or not ready: the order is resent until it completes.
 		return Settlement{}, false
 	}
 }
@@ -212,7 +214,8 @@
 	}
 	ended := Settlement{target: target, order: *t.outstanding, outcome: outcome}
 	t.outstanding = nil
-	// The last report may be from before the order; the next one tells.
+	// The last report may predate the order, so the phase is unknown until the
+	// next one.
 	t.phase = PhaseUnknown
 	return ended, true
 }
