--- a/pkg/kumquatlug/lease/decide.go
+++ b/pkg/kumquatlug/lease/decide.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// handleRow takes the row as it stands and returns the write that follows.
+// handleRow handles the current row and returns the write that follows.
 func (h *Holder) handleRow(now kumquatlug.Millis, row kumquatlug.Row) Intent {
 	record, err := Decode(row)
 	if err != nil {
@@ -33,33 +33,35 @@
 	return h.nextWrite(now, record)
 }
 
-// eraBits is how many bits of a number count the acquisitions of one era.
+// eraBits is the number of low bits of a fencing number that count the acquisitions
+// of one era.
 const eraBits = 32
 
-// noVersion is no row's version.
+// noVersion differs from the version of every row.
 const noVersion = -1
 
-// enterEra takes a new era of the table. What was asked of the last one is over: its row
-// counts no more.
+// enterEra switches to a new era of the table. Requests and the row of the previous era
+// are no longer relevant.
 func (h *Holder) enterEra(now kumquatlug.Millis, era int64) {
 	h.era, h.priorEraUntil = era, now+h.config.TTL+h.config.Margin
 	h.held, h.unconfirmed, h.nextRequestAt = false, Intent{action: ActionNone}, now
 	h.rowVersion, h.rowSeenAt = noVersion, now
 }
 
-// unacquiredInEra reports that nobody has acquired the lease in this era of the table.
+// unacquiredInEra reports whether the table was restored and no process has acquired
+// the lease in its current era.
 func (h *Holder) unacquiredInEra(record Record) bool { return h.era > 0 && record.number == 0 }
 
-// nextNumber returns the number of the next acquisition. A table that forgot some numbers
-// must not have them given out again.
+// nextNumber returns the number of the next acquisition. Numbers that a restored table
+// has lost must not be assigned again.
 func (h *Holder) nextNumber(record Record) Number {
 	return max(record.number, h.highestNumber, h.config.Floor, Least(h.era)) + 1
 }
 
-// resolveUnconfirmed looks for the write in doubt. One that is not there and never will be
-// needs no note: it demands a version that has passed. One that may still
-// arrive is met as a row of this process's that it does not hold, and the
-// lease is acquired anew.
+// resolveUnconfirmed checks whether the row contains the unconfirmed write. A write that
+// is absent and can no longer take effect needs no handling: its version condition
+// fails. One that takes effect later appears as a row of this process whose lease it
+// does not hold, and the lease is then acquired again.
 func (h *Holder) resolveUnconfirmed(now kumquatlug.Millis, record Record) {
 	if h.unconfirmed.action == ActionNone || record.attempt != h.unconfirmed.record.attempt {
 		return
@@ -67,13 +69,13 @@
 	h.writeCommitted(now, h.unconfirmed)
 }
 
-// nextWrite returns the transaction that the row asks for.
+// nextWrite returns the transaction to commit for the given record, or ActionNone.
 func (h *Holder) nextWrite(now kumquatlug.Millis, record Record) Intent {
 	record.attempt = fmt.Sprintf("%s/%d", h.config.Me, h.sequence+1)
 	switch {
 	case !h.wanted && record.holder == h.config.Me && !record.released:
-		// From here on another process may take the lease at any moment, also
-		// when the answer is lost and the lease is wanted again.
+		// From here on another process may acquire the lease at any time, even if
+		// the response is lost and this process wants the lease again.
 		h.held = false
 		record.released = true
 		return h.commit(now, ActionRelease, record)
@@ -101,9 +103,9 @@
 	}
 }
 
-// acquirable reports that nobody can believe to hold the lease: the row was given
-// back, is this process's own, or has stood unchanged for its time to live
-// and a margin.
+// acquirable reports whether no other process can be acting under the lease: it was
+// released, the row was written by this process or an earlier start of it, or the row
+// has stayed unchanged for its time to live plus the margin.
 func (h *Holder) acquirable(now kumquatlug.Millis, record Record) bool {
 	if h.unacquiredInEra(record) && now < h.priorEraUntil {
 		return false
@@ -114,20 +116,22 @@
 	return now >= h.rowExpiresAt(record)
 }
 
-// rowExpiresAt returns from when on a row that stands unchanged is free. One that was found
-// unchanged is looked at again then: the next usual look may come much later.
+// rowExpiresAt returns when the lease can be acquired if the row stays unchanged. A row
+// that was found unchanged is read again at that time, since the next regular poll may
+// come much later.
 func (h *Holder) rowExpiresAt(record Record) kumquatlug.Millis {
 	return h.rowSeenAt + record.ttl + h.config.Margin
 }
 
-// writtenBySelf reports that the row was written by this process or an earlier start of it.
+// writtenBySelf reports whether the row was written by this process or an earlier start
+// of it.
 func (h *Holder) writtenBySelf(record Record) bool {
 	return record.holder == h.config.Me || h.config.Predecessors != "" && strings.HasPrefix(record.holder, h.config.Predecessors)
 }
 
-// mayOrderAtOnce reports that no other holder can have given an order within a turn:
-// there was none yet, or the last one was this process, a turn after the one
-// before it.
+// mayOrderAtOnce reports whether no other holder can have sent an order within the
+// handover delay: there was no holder yet, or the last one was this process and its
+// own handover delay had passed.
 func (h *Holder) mayOrderAtOnce(record Record) bool {
 	if h.unacquiredInEra(record) {
 		return false
--- a/pkg/kumquatlug/lease/lease.go
+++ b/pkg/kumquatlug/lease/lease.go
@@ -1,43 +1,47 @@
-// Package lease decides who may give orders to a group of targets: one row a
-// group in the platform's table names the holder and a fencing number that
-// rises at each acquisition.
+// Package lease implements leader election for the planner of a group of targets.
+// Each group has one row in the platform's table, which names the lease holder and
+// a fencing number that increases with each acquisition. Only the holder may send
+// orders to the group.
 //
-// The failures that it answers: a holder is paused past its lease and wakes
-// still believing in it; the answer to a write is lost after the write took
-// effect; the table is out; holders' clocks run apart. Without it two planners
-// would move the same engines between roles, each undoing the other's work.
+// It handles these failures: a holder is paused past the end of its lease and
+// resumes as if it still held it; the response to a write is lost after the write
+// took effect; the table is unavailable; the holders' clocks drift. Without a lease
+// two planners could move the same engines between roles, each undoing the other's
+// changes.
 //
-// No wall clock is compared between processes. A holder counts its lease from
-// before it sent the write that won it, minus a margin. Another process counts
-// from after it first saw that write, and takes over only when the same row
-// has stood for the whole time to live. The write lies between the two, so the
-// holder has stopped before the other one starts, however long messages take.
-// A table that comes back from an older copy of itself has forgotten writes that it
-// acknowledged. Who holds the lease by such a write may go on until it lapses, or until
-// it meets the new era; everybody waits as long from when it first met that, and then
-// acquires a new row under a number above all of earlier eras.
+// Wall clocks are never compared between processes. A holder measures its lease
+// from before it sent the write that acquired or renewed it, minus a margin.
+// Another process measures from after it first read that write, and takes over only
+// once the row has stayed unchanged for the whole time to live. The write takes
+// effect between the two, so the holder stops before the other process starts,
+// regardless of message delays.
 //
-// What the time can't close is the moment between checking the lease and an
-// order's arrival: the agent closes that by refusing lower fencing numbers
-// (see package order).
+// A table that was restored from an older copy has lost writes that it
+// acknowledged. The era counts these restores. A process that holds the lease by a
+// lost write may continue until the lease expires or until it sees the new era.
+// Every process therefore waits that long from when it first saw the new era,
+// and then acquires a new row under a number above all numbers of earlier eras.
 //
-// A lease that lapsed is not renewed but acquired anew, under a higher number:
-// orders sent before the lapse may still be on their way, and must not mix
-// with those given after it.
+// Timing does not cover the interval between checking the lease and the arrival of
+// an order. The agent covers it by rejecting lower fencing numbers (see package
+// order).
 //
-// Figures. Time to live 15 s: no role is changed for at most 15 s, a look of
-// 5 s and the margin when a holder dies; requests flow meanwhile, and a role
-// change takes seconds itself. Renewal each 5 s: two may fail before the lease
-// lapses. Margin 1 s: two clocks that are 500 ppm off differ by 15 ms in 15 s,
-// the rest is for a slow step between the check and the send.
+// An expired lease is not renewed but acquired again, under a higher number: orders
+// sent before it expired may still be in transit, and must not mix with later ones.
 //
-// Size of a group: a node may spend 5 KB a second on control. A planner needs
-// of each target some 150 bytes a second (a load report of 300 bytes each 2 s),
-// so 32 targets make 4.8 KB/s at the one process that holds one group.
-// 10,000 workers are 313 groups, and N groups cost the table N/5 writes a
-// second, N/5 reads by holders and, with two others watching each, 2N/5 reads:
-// at 313 groups 63 writes and 188 reads a second, a fifth of a table that takes
-// 300 writes and a tenth of 2,000 reads.
+// Time to live of 15 s: when a holder fails, no role changes for at most 15 s plus a
+// poll interval of 5 s and the margin; requests are served meanwhile, and a role
+// change itself takes seconds. Renewal every 5 s: two renewals may fail before the
+// lease expires. Margin of 1 s: clocks with a drift of 500 ppm differ by 15 ms in
+// 15 s; the rest covers a slow step between the check and the send.
+//
+// Group size: a node may use 5 KB/s for control traffic. A planner receives about
+// 150 bytes/s from each target (a load report of 300 bytes every 2 s), so 32 targets
+// make 4.8 KB/s at the one process that holds one group. 10,000 workers make 313
+// groups. N groups cost the table N/5 writes per second, N/5 reads by holders and,
+// with two other processes polling each row, 2N/5 reads. For 313 groups that is 63
+// writes and 188 reads per second: a fifth of the capacity of a table that serves
+// 300 writes per second, and a tenth of one that serves 2,000 reads.
 package lease
 
 import (
@@ -51,19 +55,19 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// Number is a fencing number. It rises at each acquisition of a group's lease
-// and never falls.
+// Number is a fencing number. It increases with each acquisition of a group's lease
+// and never decreases.
 type Number int64
 
-// keyPrefix starts the keys of the leases' rows.
+// keyPrefix is the prefix of the keys of lease rows.
 const keyPrefix = "lease/"
 
-// Key returns the key of a group's row in the table.
+// Key returns the key of a group's row in the table's first era.
 func Key(group string) string { return keyPrefix + group }
 
-// KeyIn returns the key in an era of the table, zero for the first. Each has a row of its
-// own: a write of an earlier one that takes effect late would else meet a row that
-// looks as it did then, as versions are given out again.
+// KeyIn returns the key of a group's row in an era of the table, zero for the first.
+// Each era has its own row. Versions are reused after a restore, so a delayed write of
+// an earlier era could otherwise match the version of a current row.
 func KeyIn(group string, era int64) string {
 	if era <= 0 {
 		return Key(group)
@@ -71,17 +75,17 @@
 	return Key(group) + "@" + strconv.FormatInt(era, 10)
 }
 
-// Least returns the number below all that are given in an era.
+// Least returns a number below all that are assigned in an era.
 func Least(era int64) Number { return Number(max(era, 0)) << eraBits }
 
-// Action is what an intent asks of the table.
+// Action is the kind of request that an [Intent] makes.
 type Action string
 
-// The actions of intents.
+// Actions.
 const (
-	// ActionNone: nothing to do now.
+	// ActionNone: there is nothing to do now.
 	ActionNone Action = "none"
-	// ActionRead: get the row at the intent's key.
+	// ActionRead: read the row at the intent's key.
 	ActionRead Action = "read"
 	// ActionAcquire, ActionRenew and ActionRelease: commit the intent's
 	// transaction.
@@ -90,7 +94,7 @@
 	ActionRelease Action = "release"
 )
 
-// Intent is one request to the table.
+// Intent is a request to the table.
 type Intent struct {
 	action   Action
 	sequence int64
@@ -100,13 +104,13 @@
 	sentAt   kumquatlug.Millis
 }
 
-// Action returns what is to be done.
+// Action returns the kind of request.
 func (i Intent) Action() Action { return i.action }
 
-// Key returns the row to read.
+// Key returns the key of the row.
 func (i Intent) Key() string { return i.key }
 
-// Tx returns the transaction to commit.
+// Tx returns the transaction to commit, for actions other than ActionRead.
 func (i Intent) Tx() kumquatlug.Tx { return i.tx }
 
 // Defaults of [Config].
@@ -118,43 +122,46 @@
 	defaultTimeout = 2 * kumquatlug.Second
 )
 
-// Config is what a [Holder] is made of.
+// Config configures a [Holder].
 type Config struct {
-	// Group is the group of targets. Required.
+	// Group is the name of the group of targets. Required.
 	Group string
-	// Me is unique to this start of the process, as in "entry-7/01J9...": a
-	// process that restarted must not take its predecessor's row for its own.
+	// Me identifies this process and its current start, as in "entry-7/01J9...": a
+	// restarted process must not mistake the row of its previous start for its own.
 	// Required.
 	Me string
-	// Predecessors starts the names of earlier starts of this process, as in
-	// "entry-7/". They have ended, so that their row is free at once: without it
-	// a process that is killed and back within a second leaves its group without
-	// a holder until its own lease has run out. Empty for none.
+	// Predecessors is the common prefix of the identities of this process's earlier
+	// starts, as in "entry-7/". Those starts have ended, so their row can be acquired
+	// at once. Without it, a process that is killed and restarts within a second
+	// leaves its group without a holder until its own lease has expired. Empty for
+	// none.
 	Predecessors string
-	// Turn is the least span between orders of two holders, zero for none: a
-	// holder gives no order before the last one of another lies so far back.
+	// Turn is the handover delay: the least time between the last order of one
+	// holder and the first order of another. Zero for none.
 	Turn kumquatlug.Millis
-	// TTL is how long the row is good for after it was written, 15 s by default.
+	// TTL is how long a row is valid after it was written. Default 15 s.
 	TTL kumquatlug.Millis
-	// Margin is how much earlier the holder stops and how much longer others
-	// wait, 1 s by default.
+	// Margin is how much earlier than the TTL the holder stops, and how much longer
+	// other processes wait. Default 1 s.
 	Margin kumquatlug.Millis
-	// Renew is how often the holder writes and others look, 5 s by default.
+	// Renew is the interval at which the holder renews and other processes poll the
+	// row. Default 5 s.
 	Renew kumquatlug.Millis
-	// Retry is the wait after the table was out, 1 s by default, spread by a
-	// quarter: at 313 groups some 300 reads a second while it is out.
+	// Retry is the delay after a failed request, with a jitter of up to a quarter.
+	// Default 1 s: 313 groups then make about 300 reads per second while the table is
+	// unavailable.
 	Retry kumquatlug.Millis
-	// Timeout is after which an answer counts as lost, 2 s by default: two of
-	// them and a retry fit between a renewal and the end of the lease.
+	// Timeout is the time after which a response counts as lost. Default 2 s: two
+	// timeouts and a retry fit between a renewal and the end of the lease.
 	Timeout kumquatlug.Millis
-	// Floor is a number below which none is given. Raise it when targets move
-	// between groups, above every number given so far: a target would else meet
-	// a new holder with a lower number than its old one's, and refuse it.
+	// Floor is a lower bound of the numbers to assign. When targets move between
+	// groups, set it above every number assigned so far: a target would otherwise
+	// reject a new holder whose number is lower than its previous holder's.
 	Floor Number
 }
 
-// Holder decides for one group whether this process holds the lease and what
-// to ask of the table. It is not safe for concurrent use.
+// Holder tracks for one group whether this process holds the lease, and decides
+// which requests to make to the table. It is not safe for concurrent use.
 type Holder struct {
 	config        Config
 	wanted        bool
@@ -168,19 +175,21 @@
 	nextRequestAt kumquatlug.Millis
 	rowVersion    int64
 	rowSeenAt     kumquatlug.Millis
-	// pollInterval is how often the row is looked at while another process holds it.
+	// pollInterval is the interval at which the row is read while another process
+	// holds the lease.
 	pollInterval kumquatlug.Millis
-	// ordersFrom is from when on orders of other holders lie a turn back.
+	// ordersFrom is when the handover delay ends.
 	ordersFrom kumquatlug.Millis
-	// era is that of the table; until quietUntil a holder that the table forgot with
-	// its last era may believe in its lease.
+	// era is the era of the table. A holder of the previous era, which the restored
+	// table has no record of, may act under its lease until priorEraUntil.
 	era           int64
 	priorEraUntil kumquatlug.Millis
-	// highestNumber is the highest number seen.
+	// highestNumber is the highest fencing number seen.
 	highestNumber Number
 }
 
-// New returns a holder that holds nothing and wants the lease.
+// New returns a holder that wants the lease and does not hold it. It returns an error
+// if Group or Me is empty, or if a renewal would come after the lease has expired.
 func New(c Config) (*Holder, error) {
 	c.TTL = standard.Millis(c.TTL, defaultTTL)
 	c.Margin = standard.Millis(c.Margin, defaultMargin)
@@ -188,35 +197,35 @@
 	c.Retry = standard.Millis(c.Retry, defaultRetry)
 	c.Timeout = standard.Millis(c.Timeout, defaultTimeout)
 	if c.Group == "" || c.Me == "" {
-		return nil, errors.New("a lease needs a group and a holder")
+		return nil, errors.New("lease config requires Group and Me")
 	}
 	if c.Renew+c.Margin >= c.TTL {
-		return nil, errors.Newf("a renewal each %d ms comes too late for %d ms less %d ms", c.Renew, c.TTL, c.Margin)
+		return nil, errors.Newf("lease renewal interval of %d ms is too long for a TTL of %d ms and a margin of %d ms", c.Renew, c.TTL, c.Margin)
 	}
 	return &Holder{config: c, wanted: true, pollInterval: c.Renew, pending: Intent{action: ActionNone}, unconfirmed: Intent{action: ActionNone}}, nil
 }
 
-// Held returns the fencing number for orders given now, and false when this
-// process may give none. Ask right before each order is sent.
+// Held returns the fencing number for orders sent now, and whether this process
+// holds the lease. Call it right before each order is sent.
 func (h *Holder) Held(now kumquatlug.Millis) (Number, bool) {
-	// Judged anew at each call: a process that was paused wakes at any line,
-	// and what it believed before says nothing.
+	// The time is checked on every call: a process may be paused at any point, so
+	// an earlier result may be outdated.
 	return h.number, h.held && h.wanted && now < h.expiresAt
 }
 
-// MayOrder reports that this process holds the lease and that the last order of
-// another holder lies a turn back.
+// MayOrder reports whether this process holds the lease and the handover delay since
+// the last possible order of another holder has passed.
 func (h *Holder) MayOrder(now kumquatlug.Millis) bool {
 	_, held := h.Held(now)
 	return held && now >= h.ordersFrom
 }
 
-// Until returns when the lease ends unless it is renewed.
+// Until returns when the lease expires unless it is renewed.
 func (h *Holder) Until() kumquatlug.Millis { return h.expiresAt }
 
-// Want says whether this process is to hold the lease. When it no longer is,
-// Held is false from now on and the lease is given back, so that the next
-// holder need not wait.
+// Want sets whether this process should hold the lease. If it should not, Held
+// returns false from now on and the lease is released, so that the next holder need
+// not wait for it to expire.
 func (h *Holder) Want(wanted bool) {
 	if wanted != h.wanted {
 		h.nextRequestAt = 0
@@ -225,14 +234,14 @@
 	h.releaseDue = !wanted && (h.held || h.releaseDue || h.pending.action != ActionNone || h.unconfirmed.action != ActionNone)
 }
 
-// Released reports that the lease is not wanted and was given back or is over,
-// so that a planned stop may go on.
+// Released reports whether the lease is not wanted and has been released or has
+// expired, so that a planned shutdown may proceed.
 func (h *Holder) Released(now kumquatlug.Millis) bool {
 	return !h.wanted && (!h.releaseDue || now >= h.expiresAt)
 }
 
-// Next returns what to ask of the table now. Hand the answer to
-// [Holder.Answered]; while one is awaited, Next returns ActionNone.
+// Next returns the next request to the table. Pass the response to
+// [Holder.Answered]; until then, or until the timeout, Next returns ActionNone.
 func (h *Holder) Next(now kumquatlug.Millis) Intent {
 	if h.pending.action != ActionNone {
 		if now-h.pending.sentAt < h.config.Timeout {
@@ -254,14 +263,14 @@
 	return i
 }
 
-// Answered takes the table's answer to an intent: the row of a read, or the
-// error of either. It returns what to ask next, ActionNone when nothing
-// follows at once.
+// Answered handles the table's response to an intent: the row of a read, or the
+// error of a read or a commit. It returns the request to make next, ActionNone if
+// none follows immediately.
 func (h *Holder) Answered(now kumquatlug.Millis, i Intent, row kumquatlug.Row, err error) Intent {
 	none := Intent{action: ActionNone}
 	if i.sequence != h.pending.sequence || h.pending.action == ActionNone {
-		// An answer that comes after it counted as lost: what it told is read
-		// from the row instead.
+		// The response arrived after its timeout. Its content is read from the row
+		// instead.
 		return none
 	}
 	if err == nil && i.action == ActionRead {
@@ -286,8 +295,8 @@
 	return none
 }
 
-// requestLost notes a request without an answer. A write may have taken effect, so it
-// is looked for in the row before anything else is done.
+// requestLost handles a request without a response. A write may have taken effect, so
+// the row is checked for it before anything else is done.
 func (h *Holder) requestLost(now kumquatlug.Millis) {
 	if h.pending.action != ActionRead {
 		h.unconfirmed = h.pending
@@ -296,20 +305,21 @@
 	h.nextRequestAt = now + h.retryDelay()
 }
 
-// retryDelay spreads the wait by a quarter, by the group's and holder's name, so
-// that the holders of all groups don't come back in one moment.
+// retryDelay returns the retry interval plus a jitter of up to a quarter, derived from
+// the group's and holder's names, so that the holders of all groups don't retry at the
+// same time.
 func (h *Holder) retryDelay() kumquatlug.Millis {
 	jitter := max(h.config.Retry/4, 1)
 	seed := fmt.Sprintf("%s/%s/%d", h.config.Group, h.config.Me, h.sequence)
 	return h.config.Retry + kumquatlug.Millis(xxhash.Sum64String(seed)%uint64(jitter))
 }
 
-// writeCommitted takes a write that took effect. The lease counts from before the write
-// was sent: counted from its answer it would seem to last longer than others
-// wait.
+// writeCommitted handles a write that took effect. The lease is measured from before
+// the write was sent: measured from the response, it would appear to last longer than
+// other processes wait.
 //
-// A renewal of which the holder learns only after its lease ended here does not
-// revive it: a number that this process stopped using does not come back.
+// A renewal that is confirmed only after the lease has expired locally does not extend
+// it: a number that this process stopped using is not used again.
 func (h *Holder) writeCommitted(now kumquatlug.Millis, i Intent) {
 	h.unconfirmed = Intent{action: ActionNone}
 	h.nextRequestAt = i.sentAt + h.config.Renew
@@ -337,7 +347,8 @@
 	h.expiresAt = i.sentAt + h.config.TTL - h.config.Margin
 }
 
-// Watch sets how often this process looks at the row of another holder, at least
-// as long as a renewal. Where many processes watch, each may look seldom: the
-// first that finds the row unchanged for its time to live takes over.
+// Watch sets the interval at which this process reads the row while another process
+// holds the lease; it is at least the renewal interval. Where many processes poll, a
+// long interval suffices: the first that finds the row unchanged for its time to live
+// takes over.
 func (h *Holder) Watch(span kumquatlug.Millis) { h.pollInterval = max(span, h.config.Renew) }
--- a/pkg/kumquatlug/lease/lease_test.go
+++ b/pkg/kumquatlug/lease/lease_test.go
@@ -7,34 +7,34 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// A planner is paused for half a minute in the middle of its work, as by a
-// debugger or a frozen VM. When it wakes it must not send the role change that
-// it had decided: another planner may have the group by then.
+// A planner is paused for half a minute, as by a debugger or a frozen VM. When it
+// resumes it must not send the role change that it had decided, since another planner
+// may hold the lease by then.
 func TestPausedHolderLosesLease(t *testing.T) {
 	w := newWorld()
-	w.pollTable(0, "taken", "taken")
+	w.pollTable(0, "ok", "ok")
 	if number, held := w.holders[0].Held(w.clock(0)); !held || number != 1 {
 		t.Fatalf("held %v under %d after acquiring", held, number)
 	}
 	w.now += 30 * kumquatlug.Second
 	if _, held := w.holders[0].Held(w.clock(0)); held {
-		t.Fatal("a holder believes in a lease that ended 15 s ago")
+		t.Fatal("a lease whose TTL ended 15 s ago still counts as held")
 	}
-	w.pollTable(0, "taken", "taken")
+	w.pollTable(0, "ok", "ok")
 	if number, held := w.holders[0].Held(w.clock(0)); !held || number != 2 {
 		t.Fatalf("held %v under %d after acquiring anew", held, number)
 	}
 }
 
-// A planner's VM is stopped on purpose. Were its lease left to lapse, the group
-// would go without a planner for a quarter of a minute at each planned stop.
+// A planner's VM is shut down as planned. If its lease were left to expire, the group
+// would have no planner for a quarter of a minute at each planned shutdown.
 func TestProofReleaseHandsOver(t *testing.T) {
 	w := newWorld()
 	w.advance(-1, 2*kumquatlug.Second)
 	w.holders[0].Want(false)
-	w.pollTable(0, "taken", "taken")
+	w.pollTable(0, "ok", "ok")
 	if fence := w.record.Fence(); fence != 2 {
-		t.Errorf("orders under %d still pass after the lease was given back, want 2 and above", fence)
+		t.Errorf("after the release the fence is %d, want 2", fence)
 	}
 	w.advance(-1, 6*kumquatlug.Second)
 	_, held1 := w.holders[1].Held(w.clock(1))
@@ -45,24 +45,24 @@
 	}
 }
 
-// All processes are killed at one moment and are back a second later. Were the
-// holder to wait for its own lease to run out, and then for its own orders to
-// lie far back, engines would stay in the wrong roles for ten seconds, just when
-// all callers come back.
+// All processes are killed at the same time and restart a second later. If the holder
+// waited for its own lease to expire, and then for the handover delay after its own
+// orders, engines would stay in the wrong roles for ten seconds, just when all callers
+// reconnect.
 func TestRestartedHolderOrdersAtOnce(t *testing.T) {
 	w := newWorld()
-	w.pollTable(0, "taken", "taken")
+	w.pollTable(0, "ok", "ok")
 	w.advance(-1, 6*kumquatlug.Second)
 	if !w.holders[0].MayOrder(w.clock(0)) {
-		t.Fatal("the first holder may give no orders")
+		t.Fatal("the first holder may not send orders")
 	}
 	for i := range w.holders {
 		w.restartHolder(i)
 	}
 	w.now += kumquatlug.Second
-	w.pollTable(0, "taken", "taken")
+	w.pollTable(0, "ok", "ok")
 	if !w.holders[0].MayOrder(w.clock(0)) {
-		t.Error("the restarted holder may give no orders")
+		t.Error("the restarted holder may not send orders")
 	}
 	w.advance(0, 30*kumquatlug.Second)
 	for i := 1; i < holderCount; i++ {
@@ -70,11 +70,11 @@
 			return
 		}
 	}
-	t.Error("nobody takes over from a holder that is gone")
+	t.Error("no process takes over from a stopped holder")
 }
 
-// A site has many fronts, and each look at the lease is a call that is paid. They
-// look seldom then, and still one of them takes over soon after the holder is gone.
+// A deployment has many gateways, and each read of the lease is a billed call. With a
+// long poll interval one of them still takes over soon after the holder has stopped.
 func TestManyProcessesPollSlowly(t *testing.T) {
 	const gatewayCount, renew, pollInterval = 12, 1500, 6000
 	var holders []*Holder
@@ -108,16 +108,16 @@
 		}
 	}
 	if tookOver == 0 || tookOver-stoppedAt > 9000 {
-		t.Errorf("taken over %d ms after the holder was gone", tookOver-stoppedAt)
+		t.Errorf("taken over %d ms after the holder stopped", tookOver-stoppedAt)
 	}
 	if perSecond := float64(reads) / (float64(tookOver) / 1000); perSecond > 3.5 {
-		t.Errorf("%.1f looks a second by %d fronts", perSecond, gatewayCount)
+		t.Errorf("%.1f reads per second by %d gateways", perSecond, gatewayCount)
 	}
 }
 
-// A holder dies, and another process looks at the row a little more often than it takes
-// to run out. By usual looks alone it would take over as late again as that, with
-// nobody to give orders meanwhile.
+// A holder stops, and another process polls the row at an interval slightly shorter
+// than the row's time to expire. With regular polls alone it would take over only
+// after two intervals, and the group would have no holder meanwhile.
 func TestUnchangedRowIsReadAtExpiry(t *testing.T) {
 	h, err := New(Config{Group: "g", Me: "b/1", TTL: 4500, Margin: 700, Renew: 1500, Retry: 500, Timeout: 1000})
 	if err != nil {
@@ -137,7 +137,7 @@
 		}
 	}
 	if fmt.Sprint(readTimes) != "[0 5000 5200]" {
-		t.Errorf("looks at %v", readTimes)
+		t.Errorf("rows read at %v ms", readTimes)
 	}
 }
 
--- a/pkg/kumquatlug/lease/proof_test.go
+++ b/pkg/kumquatlug/lease/proof_test.go
@@ -12,28 +12,28 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// holderCount is how many processes want the lease.
+// holderCount is the number of processes that compete for the lease.
 const holderCount = 3
 
-// moveKinds lists each kind of step as often as it is to come up among the others.
+// moveKinds lists the kinds of moves, each repeated according to its weight.
 var moveKinds = []string{
-	"turn", "turn", "turn", "turn", "turn", "turn", "turn", "turn",
-	"tick", "tick", "pause", "pause", "stall", "stall", "arrive", "answer", "answer", "want", "bounce", "restart", "calm", "heal",
+	"poll", "poll", "poll", "poll", "poll", "poll", "poll", "poll",
+	"tick", "tick", "pause", "pause", "pause-around-answer", "pause-around-answer", "deliver-request", "deliver-answer", "deliver-answer", "want", "reacquire", "restart", "undisturbed", "recover",
 }
 
-// handoverDelay is the least span between orders of two VMs.
+// handoverDelay is the least time between orders of two VMs.
 const handoverDelay = 4 * kumquatlug.Second
 
-// requestOutcomes lists what becomes of a request, as often as it is to come up.
+// requestOutcomes lists the outcomes of requests, each repeated according to its weight.
 var requestOutcomes = []string{
-	"taken", "taken", "taken", "taken", "taken", "taken", "out", "lost", "dropped", "late", "answered-late",
+	"ok", "ok", "ok", "ok", "ok", "ok", "unavailable", "response-lost", "request-lost", "request-delayed", "response-delayed",
 }
 
-// Three processes want one group's lease. They are paused for any time and wake
-// at any moment, their clocks run 500 ppm apart, requests and answers are lost
-// or come late, the table is out, processes restart, stop on purpose and change
-// their mind. An operator would notice two planners that move the same engine
-// to and fro, or a group that nobody plans after the trouble has ended.
+// Three processes compete for one group's lease. They are paused and resumed at any
+// time, their clocks drift by 500 ppm, requests and responses are lost or delayed, the
+// table is unavailable, processes restart, shut down as planned and cancel the
+// shutdown. A fault shows as two planners that move the same engine back and forth, or
+// as a group without a planner after the faults have ended.
 func TestProofOneHolder(t *testing.T) {
 	proof.Run(t, proof.Config{
 		Claim: "one holder at a time, under a number of its own",
@@ -43,9 +43,9 @@
 	})
 }
 
-// The same, while the table comes back from older copies again and again. Two planners of
-// two histories would give orders at once, and the next one under a number that engines
-// have seen before.
+// The same faults, while the table is repeatedly restored from older copies. Two planners
+// could each hold the lease by a different history of the table and send orders at the
+// same time, and the next holder could reuse a number that engines have already seen.
 func TestProofOneHolderThroughRestores(t *testing.T) {
 	proof.Run(t, proof.Config{
 		Claim: "one holder at a time, under rising numbers, through restores",
@@ -55,7 +55,7 @@
 	})
 }
 
-// message is a request or an answer on its way.
+// message is a request or response in transit.
 type message struct {
 	to     int
 	holder *Holder
@@ -64,7 +64,8 @@
 	err    error
 }
 
-// world is three holders over one row, with the oracle's notes beside them.
+// world simulates three holders that share one row, and records what the invariants
+// need.
 type world struct {
 	now             kumquatlug.Millis
 	holders         []*Holder
@@ -77,11 +78,11 @@
 	highestNumber   Number
 	lapsedNumbers   map[*Holder]Number
 	err             error
-	// orderedAt is when some VM might last have given an order, orderedBy which.
+	// orderedAt is when a VM could last have sent an order, orderedBy the VM's index.
 	orderedAt kumquatlug.Millis
 	orderedBy int
-	// backups are the table as it was after each write, for one that comes back from an
-	// older copy; written is its newest version.
+	// backups are copies of the table after each write, to restore from; lastVersion is
+	// the highest row version.
 	backups     []map[string]kumquatlug.Row
 	era         int64
 	lastVersion int64
@@ -101,8 +102,8 @@
 	}
 }
 
-// clock is what holder i's clock shows: each has an origin and a rate of its
-// own, 500 ppm from the slowest to the fastest.
+// clock returns the reading of holder i's clock. Each clock has its own origin and
+// rate, with 500 ppm between the slowest and the fastest.
 func (w *world) clock(i int) kumquatlug.Millis {
 	return kumquatlug.Millis(1000000*(i+1)) + w.now + w.now*kumquatlug.Millis(250*(i-1))/1000000
 }
@@ -121,22 +122,22 @@
 func play(sut commands.SystemUnderTest, m proof.Move) commands.Result {
 	w := sut.(*world)
 	switch m.Kind {
-	case "turn":
+	case "poll":
 		w.pollTable(m.Actor, requestOutcomes[m.Choice%len(requestOutcomes)], requestOutcomes[m.Choice/100%len(requestOutcomes)])
 	case "tick":
 		w.now += kumquatlug.Millis(m.Choice)
 	case "pause":
 		w.advance(m.Actor, kumquatlug.Millis(m.Choice*3))
-	case "stall":
+	case "pause-around-answer":
 		w.pauseAroundAnswer(m)
-	case "arrive":
+	case "deliver-request":
 		if len(w.delayedRequests) > 0 {
 			k := m.Choice % len(w.delayedRequests)
 			r := w.delayedRequests[k]
 			w.delayedRequests = append(w.delayedRequests[:k:k], w.delayedRequests[k+1:]...)
 			w.execute(&r)
 		}
-	case "answer":
+	case "deliver-answer":
 		if len(w.delayedAnswers) > 0 {
 			k := m.Choice % len(w.delayedAnswers)
 			a := w.delayedAnswers[k]
@@ -146,15 +147,15 @@
 	case "want":
 		w.wanted[m.Actor] = m.Choice%2 == 0
 		w.holders[m.Actor].Want(w.wanted[m.Actor])
-	case "bounce":
+	case "reacquire":
 		w.reacquire(m)
 	case "restart":
 		w.restartHolder(m.Actor)
-	case "calm":
+	case "undisturbed":
 		w.advance(-1, kumquatlug.Millis(m.Choice*3))
 	case "restore":
 		w.restoreTable(m.Choice)
-	case "heal":
+	case "recover":
 		w.checkRecovery()
 	}
 	w.checkHolders()
@@ -164,7 +165,8 @@
 	return nil
 }
 
-// pollTable lets a holder ask, and gives its one or two requests their fates.
+// pollTable runs a holder's next request and the one that follows it, with the given
+// outcomes.
 func (w *world) pollTable(i int, fates ...string) {
 	h := w.holders[i]
 	intent := h.Next(w.clock(i))
@@ -174,25 +176,25 @@
 		}
 		intent = w.send(message{to: i, holder: h, intent: intent}, fate)
 	}
-	// A second request that never leaves is as good as dropped.
+	// A request that is never sent has the same effect as a lost one.
 }
 
 func (w *world) send(m message, fate string) Intent {
 	lost := errors.Mark(errors.New("no answer"), kumquatlug.ErrLost)
 	switch fate {
-	case "taken":
+	case "ok":
 		w.execute(&m)
-	case "out":
+	case "unavailable":
 		m.err = errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
-	case "lost":
+	case "response-lost":
 		w.execute(&m)
 		m.err = lost
-	case "dropped":
+	case "request-lost":
 		m.err = lost
-	case "late":
+	case "request-delayed":
 		w.delayedRequests = append(w.delayedRequests, m)
 		return Intent{action: ActionNone}
-	case "answered-late":
+	case "response-delayed":
 		w.execute(&m)
 		w.delayedAnswers = append(w.delayedAnswers, m)
 		return Intent{action: ActionNone}
@@ -207,7 +209,7 @@
 	return m.holder.Answered(w.clock(m.to), m.intent, m.row, m.err)
 }
 
-// execute is the table: it takes the request and notes what the oracle needs.
+// execute runs a request against the table and records what the invariants need.
 func (w *world) execute(m *message) {
 	if m.intent.Action() == ActionRead {
 		m.row = w.table[m.intent.Key()].WithEra(w.era)
@@ -234,16 +236,16 @@
 	}
 	switch {
 	case key != KeyIn("g", w.era):
-		// Nobody looks at it any more.
+		// The row belongs to an earlier era and is no longer read.
 		return
 	case after.Number() == before.Number() && after.Holder() == before.Holder():
 	case after.Number() <= w.highestNumber:
-		w.fail("%s acquired under %d after %d", after.Holder(), after.Number(), w.highestNumber)
+		w.fail("%s acquired number %d after %d", after.Holder(), after.Number(), w.highestNumber)
 	}
 	w.highestNumber = max(w.highestNumber, after.Number())
 }
 
-// checkHolders asks each holder, as though it woke this moment, whether it holds.
+// checkHolders checks the invariants for each holder, as if it resumed right now.
 func (w *world) checkHolders() {
 	record, holders := w.record, 0
 	for i, h := range w.holders {
@@ -255,18 +257,18 @@
 			continue
 		}
 		if number == w.lapsedNumbers[h] {
-			w.fail("%s uses %d again after its lease lapsed", h.config.Me, number)
+			w.fail("%s uses number %d again after its lease expired", h.config.Me, number)
 		}
 		if w.era == 0 && (number != record.Number() || record.Holder() != h.config.Me || record.Released()) {
-			w.fail("%s believes in %d, the table says %d of %s, released %v",
+			w.fail("%s holds number %d, but the table has number %d of %s, released %v",
 				h.config.Me, number, record.Number(), record.Holder(), record.Released())
 		}
 		holders++
 		if holders > 1 {
-			w.fail("%s and another one hold at once", h.config.Me)
+			w.fail("%s and another process hold the lease at the same time", h.config.Me)
 		}
 		if h.Released(w.clock(i)) {
-			w.fail("%s holds and says that it gave back", h.config.Me)
+			w.fail("%s holds the lease and reports it as released", h.config.Me)
 		}
 		if h.MayOrder(w.clock(i)) {
 			w.checkOrder(i)
@@ -274,26 +276,26 @@
 	}
 }
 
-// checkOrder takes that VM i may give an order now. Two VMs that take turns too
-// quickly undo each other's work.
+// checkOrder records that VM i may send an order now, and checks the handover delay:
+// two VMs that alternate too quickly undo each other's changes.
 func (w *world) checkOrder(i int) {
 	const drift = 10
 	if i != w.orderedBy && w.now-w.orderedAt < handoverDelay-drift {
-		w.fail("VM %d may give orders %d ms after VM %d", i, w.now-w.orderedAt, w.orderedBy)
+		w.fail("VM %d may send orders %d ms after VM %d", i, w.now-w.orderedAt, w.orderedBy)
 	}
 	w.orderedAt, w.orderedBy = w.now, i
 }
 
-// reacquire lets a holder give its lease back and want it again at once.
+// reacquire makes a holder release its lease and request it again immediately.
 func (w *world) reacquire(m proof.Move) {
 	w.holders[m.Actor].Want(false)
-	w.pollTable(m.Actor, "taken", requestOutcomes[m.Choice%len(requestOutcomes)])
+	w.pollTable(m.Actor, "ok", requestOutcomes[m.Choice%len(requestOutcomes)])
 	w.wanted[m.Actor] = true
 	w.holders[m.Actor].Want(true)
 }
 
-// restoreTable has the table come back from one of its last copies, or empty. Its versions are
-// given out again.
+// restoreTable restores the table from one of its latest backups, or empty. Later writes
+// reuse versions.
 func (w *world) restoreTable(choice int) {
 	w.era++
 	discarded := choice % 6
@@ -308,13 +310,14 @@
 	w.record = Record{}
 }
 
-// pauseAroundAnswer pauses a holder between its write and the answer to it, hands it the
-// answer, and pauses it again. Every other time it changed its mind in between.
+// pauseAroundAnswer pauses a holder between its write and the response, delivers the
+// response and pauses it again. In half of the cases it cancels and requests the lease
+// again in between.
 func (w *world) pauseAroundAnswer(m proof.Move) {
-	w.pollTable(m.Actor, "taken", "answered-late")
+	w.pollTable(m.Actor, "ok", "response-delayed")
 	w.advance(m.Actor, kumquatlug.Millis(m.Choice))
 	if m.Choice%2 == 0 {
-		w.pollTable(m.Actor, "dropped")
+		w.pollTable(m.Actor, "request-lost")
 		w.reacquire(m)
 	}
 	if last := len(w.delayedAnswers) - 1; last >= 0 {
@@ -324,8 +327,8 @@
 	w.advance(m.Actor, 16*kumquatlug.Second)
 }
 
-// advance lets everything work for a span, except that one holder is paused. It
-// stops right before each lease ends, where a millisecond too much shows.
+// advance runs the system without faults for a span, with at most one holder paused. It
+// also checks right before each lease expires, to detect an error of one millisecond.
 func (w *world) advance(paused int, span kumquatlug.Millis) {
 	for end := w.now + span; w.now < end; {
 		step := kumquatlug.Millis(250)
@@ -337,15 +340,16 @@
 		w.now += step
 		for i := range w.holders {
 			if i != paused {
-				w.pollTable(i, "taken", "taken")
+				w.pollTable(i, "ok", "ok")
 			}
 			w.checkHolders()
 		}
 	}
 }
 
-// checkRecovery ends the trouble: within a time to live, a margin, a look and a timeout
-// one that wants the lease has it, and those that don't have given it back.
+// checkRecovery ends all faults. Within a time to live, a margin, a poll interval and a
+// timeout, one process that wants the lease must hold it, and those that don't must have
+// released it.
 func (w *world) checkRecovery() {
 	w.delayedRequests, w.delayedAnswers = nil, nil
 	w.advance(-1, 25*kumquatlug.Second)
@@ -357,10 +361,10 @@
 		if w.wanted[i] {
 			wanting++
 		} else if !h.Released(w.clock(i)) {
-			w.fail("%s has not given back", h.config.Me)
+			w.fail("%s has not released the lease", h.config.Me)
 		}
 	}
 	if holders != min(wanting, 1) {
-		w.fail("%d hold and %d want, 25 s after the trouble ended", holders, wanting)
+		w.fail("%d processes hold the lease and %d want it, 25 s after the faults ended", holders, wanting)
 	}
 }
--- a/pkg/kumquatlug/lease/record.go
+++ b/pkg/kumquatlug/lease/record.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Record is a group's row.
+// Record is the content of a group's row.
 type Record struct {
 	holder       string
 	number       Number
@@ -18,7 +18,7 @@
 	handoverDone bool
 }
 
-// recordJSON is the JSON form of a record.
+// recordJSON is the stored JSON form of a [Record].
 type recordJSON struct {
 	Holder   string            `json:"holder"`
 	Number   Number            `json:"number"`
@@ -28,8 +28,8 @@
 	Settled  bool              `json:"settled,omitempty"`
 }
 
-// Decode reads a group's row; an absent row is the zero record. An agent reads
-// the number from it before it accepts orders.
+// Decode decodes a group's row. An absent row yields the zero record. An agent reads
+// the fencing number from it before it accepts orders.
 func Decode(row kumquatlug.Row) (Record, error) {
 	if !row.Exists() {
 		return Record{}, nil
@@ -42,21 +42,21 @@
 }
 
 func (r Record) encode() []byte {
-	// Strings and numbers always encode.
+	// Marshalling strings and numbers cannot fail.
 	value, _ := json.Marshal(recordJSON{
 		Holder: r.holder, Number: r.number, TTL: r.ttl, Attempt: r.attempt, Released: r.released, Settled: r.handoverDone,
 	})
 	return value
 }
 
-// Holder returns the process that wrote the row last.
+// Holder returns the identity of the process that acquired the lease last.
 func (r Record) Holder() string { return r.holder }
 
 // Number returns the fencing number, zero before the first acquisition.
 func (r Record) Number() Number { return r.number }
 
-// Fence returns the lowest number that orders may carry: once the lease was
-// given back, the number after it, which is the next holder's or below it.
+// Fence returns the lowest number that orders may carry. Once the lease is released
+// this is the number after it, which is at most the next holder's.
 func (r Record) Fence() Number {
 	if r.released {
 		return r.number + 1
@@ -64,5 +64,5 @@
 	return r.number
 }
 
-// Released reports that the holder gave the lease back.
+// Released reports whether the holder released the lease.
 func (r Record) Released() bool { return r.released }
--- a/pkg/kumquatlug/lease/term.go
+++ b/pkg/kumquatlug/lease/term.go
@@ -2,8 +2,8 @@
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// Term is a lease as it was when it was asked for, for those that act by it beside
-// the owner of the [Holder].
+// Term is a snapshot of a held lease, for goroutines other than the one that owns the
+// [Holder].
 type Term struct {
 	number                Number
 	ordersFrom, expiresAt kumquatlug.Millis
@@ -12,16 +12,17 @@
 // Number returns the fencing number.
 func (t Term) Number() Number { return t.number }
 
-// MayHold reports that the lease lasts.
+// MayHold reports whether the lease has not expired. It may have been released or lost
+// since the snapshot was taken.
 func (t Term) MayHold(now kumquatlug.Millis) bool { return t.number != 0 && now < t.expiresAt }
 
-// MayAct reports that an action that ends within span lies within the lease, and that
-// the last one of another holder lies a turn back. Ask right before each.
+// MayAct reports whether an action that takes at most span ends before the lease
+// expires, and whether the handover delay has passed. Call it right before each action.
 func (t Term) MayAct(now, span kumquatlug.Millis) bool {
 	return t.number != 0 && now >= t.ordersFrom && now+span < t.expiresAt
 }
 
-// Term returns the lease that this process holds, the zero term for none.
+// Term returns a snapshot of the lease if this process holds it, else the zero term.
 func (h *Holder) Term(now kumquatlug.Millis) Term {
 	number, held := h.Held(now)
 	if !held {
