--- a/pkg/kumquatlug/planner/baseline.go
+++ b/pkg/kumquatlug/planner/baseline.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Static keeps the split as it is.
+// Static is a planner that never changes the split.
 type Static struct{}
 
 var _ kumquatlug.RolePlanner = Static{}
@@ -24,21 +24,21 @@
 // Remove implements [kumquatlug.RolePlanner].
 func (Static) Remove(kumquatlug.Millis, string) {}
 
-// Plan implements [kumquatlug.RolePlanner]; it never changes anything.
+// Plan implements [kumquatlug.RolePlanner]. It returns no changes.
 func (Static) Plan(kumquatlug.Millis) []kumquatlug.RoleChange { return nil }
 
-// ThresholdConfig is what a [Threshold] is made of. The zero value of each
-// field stands for its default.
+// ThresholdConfig configures a [Threshold] planner. A zero field selects its default.
 type ThresholdConfig struct {
-	// High and Low are the loads beyond which one side takes an engine from
-	// the other: it is above High and the other below Low. Defaults 0.9, 0.7.
+	// High and Low are utilization thresholds: an engine moves to a side whose
+	// utilization is above High if that of the other side is below Low. Defaults 0.9
+	// and 0.7.
 	High float64
 	Low  float64
-	// Every is the least time between two changes. Default 10 s.
+	// Every is the minimum time between two changes. Default 10 s.
 	Every kumquatlug.Millis
-	// Span is the span of the moving average of the demand. Default 10 s.
+	// Span is the time constant of the moving average of the demand. Default 10 s.
 	Span kumquatlug.Millis
-	// AwayPart is the greatest part of the group that is away at once.
+	// AwayPart is the maximum share of the group that changes roles concurrently.
 	// Default 0.2.
 	AwayPart float64
 	// PrefillRate and DecodeRate are as in [Config].
@@ -46,8 +46,8 @@
 	DecodeRate  float64
 }
 
-// Threshold moves one engine whenever one side is busy and the other is not, as
-// a plain autoscaler would.
+// Threshold is a planner that moves one engine whenever one side is busy and the other
+// is not, like a plain autoscaler.
 type Threshold struct {
 	config  ThresholdConfig
 	group   *group
@@ -58,7 +58,7 @@
 
 var _ kumquatlug.RolePlanner = (*Threshold)(nil)
 
-// NewThreshold returns a planner that knows no engine and no demand.
+// NewThreshold returns a planner without engines or demand.
 func NewThreshold(c ThresholdConfig) *Threshold {
 	c.High = cmp.Or(c.High, 0.9)
 	c.Low = cmp.Or(c.Low, 0.7)
--- a/pkg/kumquatlug/planner/demand.go
+++ b/pkg/kumquatlug/planner/demand.go
@@ -8,21 +8,22 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// rates are tokens a second.
+// rates are demand rates in tokens per second.
 type rates struct {
 	prefill float64
 	decode  float64
 }
 
-// movingAverage is a moving average over a span that counts only what it has seen:
-// before the span has passed it is the plain mean.
+// movingAverage is an exponentially weighted moving average, normalized by the weight
+// of the samples so far: until its time constant has passed it is close to the plain
+// mean.
 type movingAverage struct {
 	span   float64
 	sum    rates
 	weight float64
 }
 
-// add takes in a rate that held for some milliseconds.
+// add adds a rate that was observed for the given number of milliseconds.
 func (a *movingAverage) add(r rates, millis float64) {
 	decay := math.Exp(-millis / a.span)
 	a.sum.prefill = a.sum.prefill*decay + r.prefill*(1-decay)
@@ -37,18 +38,18 @@
 	return rates{prefill: a.sum.prefill / a.weight, decode: a.sum.decode / a.weight}
 }
 
-// frontendDemand is the demand through one entry.
+// frontendDemand is the demand through one frontend.
 type frontendDemand struct {
 	entry string
 	fast  movingAverage
-	// fastSmoothed is the average of the fast one.
+	// fastSmoothed is the moving average of the fast average.
 	fastSmoothed movingAverage
 	slow         movingAverage
 	reportedAt   kumquatlug.Millis
 }
 
-// demand adds up the sources. Each has its own averages: if they were averaged
-// together, an entry whose report is late would look like a drop in demand.
+// demand is the total demand of all frontends. Each frontend has its own averages: with
+// a common average a late report would look like a drop in demand.
 type demand struct {
 	fast    kumquatlug.Millis
 	slow    kumquatlug.Millis
@@ -88,12 +89,13 @@
 	return s
 }
 
-// dropSilent drops the entries that have not been heard for a span.
+// dropSilent removes the frontends whose last report is older than limit.
 func (d *demand) dropSilent(now, limit kumquatlug.Millis) {
 	d.sources = slices.DeleteFunc(d.sources, func(s *frontendDemand) bool { return now-s.reportedAt > limit })
 }
 
-// anySilent reports whether an entry has not been heard for a span, or none ever.
+// anySilent reports whether the last report of any frontend is older than limit, or no
+// frontend has reported.
 func (d *demand) anySilent(now, limit kumquatlug.Millis) bool {
 	for _, s := range d.sources {
 		if now-s.reportedAt > limit {
@@ -103,7 +105,7 @@
 	return len(d.sources) == 0
 }
 
-// age returns how long demand has been seen.
+// age returns the time since the first demand report.
 func (d *demand) age(now kumquatlug.Millis) kumquatlug.Millis {
 	if len(d.sources) == 0 {
 		return 0
@@ -111,15 +113,15 @@
 	return now - d.since
 }
 
-// The fast average takes over from the slow one as their distance grows from
-// blendStart to blendEnd, as a part of the slow one. Demand that varies by a
-// fifth from report to report moves the fast average by 4%: 15% is no noise.
+// The estimate shifts from the slow to the fast average as their relative deviation
+// grows from blendStart to blendEnd. Demand that varies by 20% between reports moves
+// the fast average by 4%, so a deviation of 15% is not noise.
 const (
 	blendStart = 0.15
 	blendEnd   = 0.30
 )
 
-// estimate returns the demand of all entries.
+// estimate returns the estimated demand of all frontends.
 func (d *demand) estimate() rates {
 	var fast, slow, smooth rates
 	for _, s := range d.sources {
@@ -135,12 +137,13 @@
 	return rates{prefill: blend(fast.prefill, smooth.prefill, slow.prefill), decode: blend(fast.decode, smooth.decode, slow.decode)}
 }
 
-// blend returns the slow average, or the demand as it is now as far as the fast
-// one departs from it. An average shows a demand that moves steadily as it was
-// a span ago, and engines that set out for that arrive later still: the split
-// fits the past throughout a turn of the mix. Its own average lags behind it by
-// as much, so their distance is added. After a jump that passes the new demand
-// by up to 14% of the jump, for some two spans.
+// blend returns the slow average if the fast one is close to it, and otherwise shifts
+// towards an estimate of the current demand. While the demand changes steadily, the
+// fast average lags by its time constant, and engines that change roles for it are
+// ready later still, so the split would fit the past throughout a mix shift. The
+// average of the fast average lags behind it by the same amount, so their difference
+// is added as a correction. After a jump this overshoots the new demand by up to 14% of
+// the jump, for about two time constants.
 func blend(fast, smooth, slow float64) float64 {
 	current := max(2*fast-smooth, 0)
 	if slow <= 0 {
--- a/pkg/kumquatlug/planner/first.go
+++ b/pkg/kumquatlug/planner/first.go
@@ -2,18 +2,18 @@
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// firstRolesDivisor is the part of a group, one in five, whose engines are given their
-// first role at once; the others go on doing both meanwhile. It is the part that
-// a planner may have away (Config.AwayPart). One engine at a time took over a
-// minute for twelve.
+// firstRolesDivisor sets how many engines are assigned their first role concurrently:
+// one in five, while the others continue to run both phases. It is the same share as
+// the default of Config.AwayPart. Assigning one engine at a time took more than a
+// minute for twelve engines.
 const firstRolesDivisor = 5
 
-// FirstRoles returns the orders that give engines which do both, or lost their
-// role in a crash, the role that fewer have. A planner compares splits and needs
-// one to begin with: without this, engines that start without a role would do
-// both for ever, and nobody's prompts would run apart from the outputs.
+// FirstRoles returns the changes that assign a role to engines that run both phases or
+// lost their role in a crash. Each gets the role with fewer engines. A planner compares
+// splits and needs an initial one: without it, engines that start without a role would
+// run both phases forever, and prefill would never be separated from decode.
 //
-// Engines are to come in an order that does not change from call to call.
+// Callers must pass the engines in the same order on every call.
 func FirstRoles(engines []kumquatlug.EngineReport) []kumquatlug.RoleChange {
 	counts := map[kumquatlug.Role]int{}
 	changing := 0
--- a/pkg/kumquatlug/planner/first_test.go
+++ b/pkg/kumquatlug/planner/first_test.go
@@ -7,8 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Twelve engines start without roles. One at a time leaves the group half done
-// for a minute; all at once leaves nobody to serve while they change.
+// Twelve engines start without roles. Assigning one at a time leaves the group partly
+// assigned for a minute; assigning all at once leaves no engine to serve meanwhile.
 func TestFirstRolesAreAssignedInBatches(t *testing.T) {
 	engines := make([]kumquatlug.EngineReport, 12)
 	for i := range engines {
@@ -17,7 +17,7 @@
 	rounds := 0
 	for changes := FirstRoles(engines); len(changes) > 0; changes = FirstRoles(engines) {
 		if rounds++; len(changes) > 2 || rounds > 6 {
-			t.Fatalf("round %d orders %d engines", rounds, len(changes))
+			t.Fatalf("round %d changes %d engines", rounds, len(changes))
 		}
 		for _, change := range changes {
 			for i := range engines {
@@ -42,6 +42,6 @@
 		{Target: "e2", Role: kumquatlug.RoleBoth},
 	}
 	if changes := FirstRoles(engines); len(changes) != 0 {
-		t.Errorf("ordered %d more", len(changes))
+		t.Errorf("%d more changes ordered", len(changes))
 	}
 }
--- a/pkg/kumquatlug/planner/group.go
+++ b/pkg/kumquatlug/planner/group.go
@@ -7,24 +7,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// engine is what the planner knows of one engine.
+// engine is the planner's state of one engine.
 type engine struct {
 	name       string
 	role       kumquatlug.Role
 	reportedAt kumquatlug.Millis
 	inFlight   int
-	// hadQueue says that the last report showed a queue.
+	// hadQueue is set if the last report showed a queue.
 	hadQueue bool
-	// pendingRole is the role that it was ordered to take; empty when it was not.
+	// pendingRole is the new role while a change is in progress, otherwise empty.
 	pendingRole kumquatlug.Role
 	orderedAt   kumquatlug.Millis
-	// orderedElsewhere says that another planner ordered it.
+	// orderedElsewhere is set if another planner ordered the pending change.
 	orderedElsewhere bool
-	// roleSince is when it took its role, as far as is known.
+	// roleSince is when the engine was first seen in its role.
 	roleSince kumquatlug.Millis
 }
 
-// group is the engines in name order, and what they can do in each role.
+// group holds the engines, sorted by name, and the estimated token rates of one engine
+// in each role.
 type group struct {
 	engines     []*engine
 	prefillRate float64
@@ -43,9 +44,9 @@
 	})
 }
 
-// report takes in e and returns how long a change took that it shows as done,
-// else zero. Engines with another role than prefill or decode are not the
-// planner's.
+// report records e. If it shows that a change has completed, report returns the duration
+// of the change, else zero. Engines with a role other than prefill or decode are
+// ignored.
 func (g *group) report(now kumquatlug.Millis, e kumquatlug.EngineReport) kumquatlug.Millis {
 	if e.Role != kumquatlug.RolePrefill && e.Role != kumquatlug.RoleDecode {
 		return 0
@@ -65,9 +66,9 @@
 	return known.setRole(now, e.Role)
 }
 
-// adoptOrder takes over an order of another planner. When the lease on the group
-// changes hands, engines may be on their way; a planner that did not count them
-// would send the next ones away on top.
+// adoptOrder records a change that another planner ordered. Changes may be in progress
+// when the lease on the group passes to another holder; a planner that ignored them
+// would exceed the limit on concurrent changes.
 func (e *engine) adoptOrder(now kumquatlug.Millis, role kumquatlug.Role) {
 	if e.orderedElsewhere || (e.pendingRole == "" && role != "") {
 		e.orderedElsewhere = role != ""
@@ -76,8 +77,9 @@
 	}
 }
 
-// setRole records the role that the engine says it has. A report from before the
-// order still shows the old one, which says nothing about the order.
+// setRole records the role that the engine reports, and returns the duration of the
+// change that it completes, else zero. A report from before the order still shows the
+// old role and does not affect the pending change.
 func (e *engine) setRole(now kumquatlug.Millis, role kumquatlug.Role) kumquatlug.Millis {
 	if e.role == role {
 		return 0
@@ -95,8 +97,8 @@
 	return max(now-e.orderedAt, 1)
 }
 
-// observe learns from a report that was not seen yet; the holder of the group
-// shows the last one again until there is a newer.
+// observe updates the queue state and the rates from a new report. The lease holder
+// passes the last report repeatedly until there is a newer one.
 func (g *group) observe(known *engine, e kumquatlug.EngineReport) {
 	if e.TakenAt == known.reportedAt {
 		return
@@ -110,12 +112,12 @@
 // rateWeight is the weight of one report in the rates of the group.
 const rateWeight = 0.05
 
-// updateRates takes the rates of an engine that had a queue in this report and in the
-// one before: the rate of an idle engine tells how little it was given. A queue
-// in one report may be a call that has just arrived, and the rate is that of
-// the time before. Learned from such calls, the rate of prompts falls to what
-// is asked for, that side seems to need ever more engines, and the split runs
-// away; one sees it by a few engines left on the other side with all the queue.
+// updateRates learns the rates of an engine that had a queue in this report and in the
+// previous one: the rate of an idle engine reflects its load, not its capacity. A queue
+// in a single report may be a call that has just arrived, while the rate covers the time
+// before. Learning from such reports lowers the prefill rate to the current load, so that
+// prefill appears to need ever more engines and the split runs away: the few engines
+// left for decode then have the whole queue.
 func (g *group) updateRates(e kumquatlug.EngineReport) {
 	if e.Role == kumquatlug.RolePrefill && e.PrefillRate > 0 {
 		g.prefillRate += rateWeight * (e.PrefillRate - g.prefillRate)
@@ -138,8 +140,9 @@
 	}
 }
 
-// enoughReports reports whether at least a part of the engines has reported lately.
-// Engines that are away need not: a change may keep them silent.
+// enoughReports reports whether at least the given share of engines has reported
+// recently. Engines with a pending change are not counted, since the change may prevent
+// their reports.
 func (g *group) enoughReports(now, stale kumquatlug.Millis, share float64) bool {
 	fresh, expected := 0, 0
 	for _, e := range g.engines {
@@ -154,7 +157,8 @@
 	return expected > 0 && float64(fresh) >= share*float64(expected)
 }
 
-// split counts the engines by the role that they have or are going to.
+// split returns the numbers of prefill and decode engines. Engines with a pending change
+// count in their new role.
 func (g *group) split() (int, int) {
 	prefill, decode := 0, 0
 	for _, e := range g.engines {
@@ -167,7 +171,7 @@
 	return prefill, decode
 }
 
-// changing counts the engines that were ordered and have not arrived.
+// changing returns the number of engines with a pending change.
 func (g *group) changing() int {
 	n := 0
 	for _, e := range g.engines {
@@ -178,8 +182,8 @@
 	return n
 }
 
-// orderChanges orders up to count engines from one role to another, those with the
-// least in hand first, with no more than limit away at once.
+// orderChanges orders up to count engines from one role to another, those with the fewest
+// calls in flight first. At most limit changes are pending at the same time.
 func (g *group) orderChanges(
 	now kumquatlug.Millis, from, to kumquatlug.Role, count, limit int, dwell kumquatlug.Millis, reason string,
 ) []kumquatlug.RoleChange {
@@ -196,7 +200,7 @@
 	return changes
 }
 
-// movable returns the engines that may leave a role, the least busy first.
+// movable returns the engines that may leave a role, sorted by calls in flight.
 func (g *group) movable(now kumquatlug.Millis, from kumquatlug.Role, dwell kumquatlug.Millis) []*engine {
 	var movable []*engine
 	for _, e := range g.engines {
--- a/pkg/kumquatlug/planner/planner.go
+++ b/pkg/kumquatlug/planner/planner.go
@@ -1,26 +1,26 @@
-// Package planner decides how a group of engines is split between running
-// prompts (prefill) and generating output (decode).
+// Package planner decides how the engines of a group are split between prefill
+// (processing prompts) and decode (generating output).
 //
-// It answers a mix that swings within minutes between long prompts with short
-// outputs and short prompts with long ones, on a fleet that can't grow. With a
-// static split one side queues while the other stands idle. With a plain
-// threshold the split follows every wave of noise, each change takes an engine
-// away for seconds, and the waves are served worse than without. So a [Goodput]
-// planner
+// It handles workloads whose mix shifts within minutes between long prompts with
+// short outputs and short prompts with long outputs, on a fleet that cannot grow.
+// With a static split one side queues while the other is idle. A plain threshold
+// follows noise: each change takes an engine offline for seconds, and fluctuations
+// are served worse than without changes. A [Goodput] planner therefore
 //
-//   - estimates the demand by two moving averages: a slow one that noise does
-//     not move, and a fast one, freed of its lag, that takes over as far as the
-//     two depart;
-//   - compares the goodput expected of the present split with that of the
-//     others over a horizon, and changes only when the gain exceeds the price;
-//   - keeps engines in a role for a least time, and does not turn back within it;
-//   - has at most a part of the group away at once, those with the least work in
-//     hand first, as they are drained soonest;
-//   - freezes when reports of engines or entries are missing: an entry that is
-//     not heard looks like callers who have left, and acting on it would move
-//     engines away from work that is still there.
+//   - estimates the demand by two moving averages: a slow one that is robust to
+//     noise, and a fast one, corrected for its lag, that takes over as the two
+//     diverge;
+//   - compares the expected goodput of the current split with that of other splits
+//     over a horizon, and changes roles only if the gain exceeds the cost;
+//   - keeps engines in a role for a minimum dwell time, and does not reverse the
+//     direction of changes within it;
+//   - limits the share of the group that changes roles concurrently, and picks the
+//     engines with the fewest calls in flight, which drain soonest;
+//   - freezes when reports of engines or frontends are missing: a silent frontend
+//     looks like a drop in demand, and acting on it would move engines away from
+//     work that still exists.
 //
-// [Static] and [Threshold] are the planners to compare with.
+// [Static] and [Threshold] are baselines for comparison.
 package planner
 
 import (
@@ -31,61 +31,59 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Config is what a [Goodput] planner is made of. The zero value of each field
-// stands for its default.
+// Config configures a [Goodput] planner. A zero field selects its default.
 type Config struct {
-	// Price is what a change costs beside the time in which the engine is
-	// away, as a multiple of the work that the engine would have done then.
-	// Default 1: only the work itself. A site where every change is a risk
-	// sets it higher.
+	// Price is the cost of a role change, as a multiple of the work that the engine
+	// would have done while it is offline. Default 1: the lost work alone. A
+	// deployment where every change is a risk sets it higher.
 	Price float64
-	// Enough is the part of the best split's goodput beyond which nothing more
-	// is changed. Default 1. A site where every change is a risk sets it lower:
-	// near its best a split wins little for the last engines, and one that is
-	// good enough for both ends of a swing saves the way to each end.
+	// Enough is the share of the best split's goodput above which nothing more is
+	// changed. Default 1. A deployment where every change is a risk sets it lower:
+	// close to the best split the last engines gain little, and a split that is good
+	// enough for both extremes of a shifting mix avoids the changes to each.
 	Enough float64
-	// Away is how long an engine is away for a change until changes have been
-	// measured. Default 10 s: seconds for the change and some to drain.
+	// Away is the initial estimate of how long a role change takes an engine offline,
+	// used until changes have been measured. Default 10 s, for the drain and the
+	// change.
 	Away kumquatlug.Millis
-	// Horizon is the span over which a change must pay. Default 3 min: the mix
-	// swings within minutes, so a longer promise is not kept.
+	// Horizon is the time over which the gain of a change must exceed its cost.
+	// Default 3 min: the mix shifts within minutes, so a gain does not last longer.
 	Horizon kumquatlug.Millis
-	// Dwell is the least time between two changes of an engine, and between
-	// two changes of the group in opposite directions. Default 1 min.
+	// Dwell is the minimum time between two changes of an engine, and between two
+	// changes of the group in opposite directions. Default 1 min.
 	Dwell kumquatlug.Millis
-	// LeastGain is the least part of the demand that a change must win,
-	// whatever the price. Default 0.02: the averages of demand that varies by
-	// a fifth from report to report are uncertain by one to two per cent.
+	// LeastGain is the minimum gain of a change, as a share of the demand, whatever
+	// its cost. Default 0.02: the averages of demand that varies by 20% between
+	// reports have an error of 1 to 2%.
 	LeastGain float64
-	// AwayPart is the greatest part of the group that is away at once; one
-	// engine always may be. Default 0.2: two of twelve.
+	// AwayPart is the maximum share of the group that changes roles concurrently. One
+	// engine is always allowed. Default 0.2: two of twelve.
 	AwayPart float64
-	// Knee is how sharply the goodput of a side bends where its capacity meets
-	// its load: at that point a side serves 2^(-1/Knee) of its load. Default 8,
-	// thus 92%: some calls then wait past their deadlines, and the last engine
-	// moved to a side wins less than the first. A planner that took a side for
-	// whole at its capacity would stop short of it, and one that counted on a
-	// part of the capacity would pay for the last engine what the first is
-	// worth.
+	// Knee is the sharpness of the goodput curve of a side where its load reaches its
+	// capacity: at that point the side serves 2^(-1/Knee) of its load. Default 8,
+	// which is 92%: some calls then miss their deadlines, and the last engine moved
+	// to a side gains less than the first. A planner that expected a side to serve its
+	// full load at capacity would stop before reaching it, and one that counted on a
+	// fixed share of the capacity would value the last engine as highly as the first.
 	Knee float64
-	// Fast and Slow are the spans of the averages. Defaults 20 s and 3 min:
-	// the fast one sees a shift within half a minute, the slow one holds
-	// against demand that varies by a fifth from report to report.
+	// Fast and Slow are the time constants of the moving averages. Defaults 20 s and
+	// 3 min: the fast one detects a shift within half a minute, the slow one is stable
+	// for demand that varies by 20% between reports.
 	Fast kumquatlug.Millis
 	Slow kumquatlug.Millis
-	// Stale is the age beyond which a report counts as missing. Default 10 s:
-	// ten reports in a row.
+	// Stale is the age above which a report counts as missing. Default 10 s: ten
+	// reports in a row.
 	Stale kumquatlug.Millis
-	// Gone is when an entry that is not heard is taken for gone, its callers
-	// now with the others. Default 1 min: the balancer has moved them long
-	// before.
+	// Gone is the time after which a silent frontend is dropped, because its callers
+	// use other frontends by then. Default 1 min: the load balancer has moved them
+	// long before.
 	Gone kumquatlug.Millis
-	// Quorum is the least part of the engines whose reports are fresh.
-	// Default 0.75: one data centre in three may not be missing.
+	// Quorum is the minimum share of engines with fresh reports. Default 0.75: the
+	// planner freezes if one data centre of three is missing.
 	Quorum float64
-	// PrefillRate and DecodeRate are the tokens a second that an engine works
-	// off in each role, until engines with a queue have shown theirs. Defaults
-	// 8,000 and 1,500.
+	// PrefillRate and DecodeRate are the initial estimates of the tokens per second
+	// that an engine processes in each role, used until they have been learned from
+	// engines with a queue. Defaults 8,000 and 1,500.
 	PrefillRate float64
 	DecodeRate  float64
 }
@@ -109,32 +107,33 @@
 	return c
 }
 
-// State says what a planner is doing.
+// State is the state of a [Goodput] planner after its last plan.
 type State string
 
-// The states of a planner.
+// States.
 const (
-	// StateSteady: no change pays.
+	// StateSteady: no change is worth its cost.
 	StateSteady State = "steady"
-	// StateChanging: engines are away, or were ordered just now.
+	// StateChanging: role changes are in progress or were just ordered.
 	StateChanging State = "changing"
-	// StateDwelling: a change would pay, but the last one is too recent.
+	// StateDwelling: a change is worth its cost, but the dwell time has not passed.
 	StateDwelling State = "dwelling"
-	// StateWarming: the averages do not reach back far enough yet.
+	// StateWarming: the moving averages do not cover enough time yet.
 	StateWarming State = "warming"
-	// StateFrozenEngines: too few engines have reported lately.
+	// StateFrozenEngines: too few engines have reported recently.
 	StateFrozenEngines State = "frozen-engines"
-	// StateFrozenEntries: an entry has not told its demand lately.
+	// StateFrozenEntries: a frontend has not reported its demand recently.
 	StateFrozenEntries State = "frozen-entries"
 )
 
-// Goodput changes the split when the goodput gained exceeds the price.
+// Goodput is a planner that changes the split when the gain in goodput exceeds the
+// cost. It is not safe for concurrent use.
 type Goodput struct {
 	config Config
 	group  *group
 	demand *demand
 	state  State
-	// changedAt and turnedTo are the last change's time and new role.
+	// changedAt and changedTo are the time and the new role of the last change.
 	changedAt    kumquatlug.Millis
 	changedTo    kumquatlug.Role
 	changeMillis float64
@@ -142,7 +141,7 @@
 
 var _ kumquatlug.RolePlanner = (*Goodput)(nil)
 
-// New returns a planner that knows no engine and no demand.
+// New returns a planner without engines or demand.
 func New(c Config) *Goodput {
 	c = c.withDefaults()
 	return &Goodput{
@@ -154,15 +153,15 @@
 // Offered implements [kumquatlug.RolePlanner].
 func (g *Goodput) Offered(now kumquatlug.Millis, o kumquatlug.Offer) { g.demand.offered(now, o) }
 
-// Report implements [kumquatlug.RolePlanner]. An engine seen in its new role
-// tells how long a change takes.
+// Report implements [kumquatlug.RolePlanner]. A report that shows an engine in its
+// new role updates the mean duration of a change.
 func (g *Goodput) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
 	if duration := g.group.report(now, e); duration > 0 {
 		g.changeMillis += changeMillisWeight * (float64(duration) - g.changeMillis)
 	}
 }
 
-// changeMillisWeight is the weight of one change in the mean time that a change takes.
+// changeMillisWeight is the weight of one change in the mean duration of changes.
 const changeMillisWeight = 0.25
 
 // Refused implements [kumquatlug.RolePlanner].
@@ -171,7 +170,7 @@
 // Remove implements [kumquatlug.RolePlanner].
 func (g *Goodput) Remove(_ kumquatlug.Millis, target string) { g.group.remove(target) }
 
-// State returns what the planner decided at the last [Goodput.Plan].
+// State returns the planner's state after the last [Goodput.Plan].
 func (g *Goodput) State() State { return g.state }
 
 // Plan implements [kumquatlug.RolePlanner].
@@ -189,7 +188,8 @@
 	return g.orderMove(now, move, gain)
 }
 
-// readiness returns StateSteady when what is known suffices to decide.
+// readiness returns StateSteady if the available reports suffice for a decision, else
+// the state that prevents one.
 func (g *Goodput) readiness(now kumquatlug.Millis) State {
 	g.demand.dropSilent(now, g.config.Gone)
 	switch {
@@ -204,9 +204,9 @@
 	}
 }
 
-// bestMove returns by how many engines the prefill side should grow, negative for
-// the decode side, and the part of the demand won. Engines on their way count
-// where they are going: they would otherwise be ordered twice.
+// bestMove returns the number of engines to move to prefill, negative for decode, and
+// the gain as a share of the demand. Engines with a pending change count in their new
+// role, since they would otherwise be ordered twice.
 func (g *Goodput) bestMove() (int, float64) {
 	prefill, decode := g.group.split()
 	offered := g.demand.estimate()
@@ -234,7 +234,7 @@
 	return best, bestGain
 }
 
-// bestGoodput returns the goodput of the best split of some engines.
+// bestGoodput returns the goodput of the best split of the given number of engines.
 func (g *Goodput) bestGoodput(engines int, l load) float64 {
 	best := 0.0
 	for prefill := 1; prefill < engines; prefill++ {
@@ -243,12 +243,12 @@
 	return best
 }
 
-// moveCost returns what moving engines costs, in milliseconds of an engine's work.
+// moveCost returns the cost of moving engines, in milliseconds of one engine's work.
 func (g *Goodput) moveCost(move int) float64 {
 	return g.config.Price * g.changeMillis * float64(move)
 }
 
-// load is the demand in engines' worth.
+// load is the demand on each side, in units of one engine's capacity.
 type load struct {
 	prefill float64
 	decode  float64
@@ -263,14 +263,14 @@
 	}
 }
 
-// goodput returns the part of the demand that a split serves. A call needs both
-// sides, so the scarcer one sets it.
+// goodput returns the share of the demand that a split serves. A call needs both
+// sides, so the scarcer side determines it.
 func (g *Goodput) goodput(prefill, decode int, l load) float64 {
 	return min(g.sideGoodput(prefill, l.prefill), g.sideGoodput(decode, l.decode))
 }
 
-// sideGoodput returns the part of a side's load that some engines serve: nearly all
-// when they have room, nearly their capacity when they have none.
+// sideGoodput returns the share of a side's load that the given engines serve: nearly
+// all of it below capacity, nearly the full capacity above it.
 func (g *Goodput) sideGoodput(engines int, load float64) float64 {
 	if load <= 0 {
 		return 1
@@ -279,7 +279,8 @@
 	return headroom / math.Pow(1+math.Pow(headroom, g.config.Knee), 1/g.config.Knee)
 }
 
-// orderMove picks the engines to change, as far as dwell and bound allow.
+// orderMove selects the engines to change, subject to the dwell time and the limit on
+// concurrent changes.
 func (g *Goodput) orderMove(now kumquatlug.Millis, move int, gain float64) []kumquatlug.RoleChange {
 	from, to := kumquatlug.RoleDecode, kumquatlug.RolePrefill
 	if move < 0 {
@@ -302,7 +303,7 @@
 	return changes
 }
 
-// maxConcurrentChanges returns how many of size engines may be away at once.
+// maxConcurrentChanges returns how many of size engines may change roles concurrently.
 func maxConcurrentChanges(share float64, size int) int {
 	return max(int(share*float64(size)), 1)
 }
--- a/pkg/kumquatlug/planner/planner_test.go
+++ b/pkg/kumquatlug/planner/planner_test.go
@@ -12,15 +12,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Settings of two sites: the first pays dearly for each change, the second for
-// each call that waits.
+// highCostConfig is for a deployment where role changes are expensive, defaultConfig for
+// one where queueing calls are.
 var (
 	highCostConfig = Config{Price: 4, Enough: 0.9, Dwell: 2 * kumquatlug.Minute}
 	defaultConfig  = Config{}
 )
 
-// runMixShifts plays an hour in which the mix turns over within two minutes, stays
-// five, and turns back, at a load that twelve engines can just serve.
+// runMixShifts simulates about an hour in which the mix shifts within two minutes, stays
+// for five minutes and shifts back, at a load that twelve engines can just serve.
 func runMixShifts(s *simGroup) *simGroup {
 	s.run(300, 3, 7.2)
 	for range 4 {
@@ -40,49 +40,49 @@
 }
 
 func TestGoodputBeatsStaticSplitAcrossMixShifts(t *testing.T) {
-	// Within two minutes long prompts give way to long outputs. With a static
-	// split half of the engines idle while callers queue for the other half.
+	// Within two minutes the mix shifts from long prompts to long outputs. With a
+	// static split half of the engines are idle while callers queue for the others.
 	for seed := range uint64(5) {
 		adaptive := runMixShifts(newSimGroup(New(defaultConfig), seed, 12, 4))
 		static := runMixShifts(newSimGroup(Static{}, seed, 12, 4))
 		if gain := adaptive.goodput() / static.goodput(); gain < 1.15 {
-			t.Errorf("seed %d: goodput %.3f beside %.3f of a static split", seed, adaptive.goodput(), static.goodput())
+			t.Errorf("seed %d: goodput %.3f, %.3f with a static split", seed, adaptive.goodput(), static.goodput())
 		}
 	}
 }
 
 func TestHighChangeCostHalvesRoleChanges(t *testing.T) {
-	// Where each change exposes calls that may not be repeated, a planner that
-	// follows every swing to its end doubles that risk for a few per cent.
+	// If calls cannot be retried safely, each role change is a risk. A planner that
+	// follows every shift completely doubles that risk for a few per cent of goodput.
 	for seed := range uint64(5) {
 		cheap := runMixShifts(newSimGroup(New(defaultConfig), seed, 12, 5))
 		costly := runMixShifts(newSimGroup(New(highCostConfig), seed, 12, 5))
 		if 2*costly.changes > cheap.changes || costly.goodput() < 0.95*cheap.goodput() {
-			t.Errorf("seed %d: %d changes and goodput %.3f beside %d and %.3f",
+			t.Errorf("seed %d: %d changes and goodput %.3f, %d and %.3f by default",
 				seed, costly.changes, costly.goodput(), cheap.changes, cheap.goodput())
 		}
 	}
 }
 
 func TestDemandNoiseDoesNotCauseFlapping(t *testing.T) {
-	// The demand keeps its mean and varies by a fifth from second to second.
-	// Each change for that would take an engine away for nothing.
+	// The demand has a constant mean and varies by 20% from second to second. A role
+	// change in response would take an engine offline without any gain.
 	for prefill := 3.0; prefill <= 7; prefill += 0.25 {
 		s := newSimGroup(New(defaultConfig), uint64(prefill*100), 12, 6)
 		s.run(600, prefill, 10.2-prefill)
 		warmupChanges := s.changes
 		s.run(3600, prefill, 10.2-prefill)
 		if n := s.changes - warmupChanges; n > 1 {
-			t.Errorf("at a prefill load of %.2f it changes %d times in an hour", prefill, n)
+			t.Errorf("prefill load %.2f: %d changes in an hour", prefill, n)
 		}
 	}
 }
 
 func TestConcurrentChangesStayWithinLimit(t *testing.T) {
-	// Reports are lost and late, and the mix jumps. If engines on their way
-	// were forgotten, more and more would be sent away until none is left.
+	// Reports are lost and delayed, and the mix jumps. If pending changes were
+	// forgotten, more and more engines would be changed until none serves.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(31))
-	properties.Property("the bound holds and both sides stay staffed", prop.ForAll(
+	properties.Property("the limit holds and both sides keep an engine", prop.ForAll(
 		func(seed uint64, size int, loss float64, loads []float64) bool {
 			s := newSimGroup(New(Config{Dwell: 5 * kumquatlug.Second}), seed, size, size/2)
 			s.reportLoss = loss
@@ -101,18 +101,18 @@
 }
 
 func TestMissingReportsFreezePlanner(t *testing.T) {
-	// An entry or some engines are not heard for a while, and what is heard
-	// looks like a great shift. Engines moved for that are missing where the
-	// work still is.
+	// The reports of a frontend or of some engines are missing for a while, and the
+	// remaining ones look like a large shift. Acting on it would remove engines from
+	// work that still exists.
 	cases := map[string]struct {
 		silentEntry   bool
 		silentEngines int
 		frozen        State
 	}{
-		"all heard":       {},
-		"an entry silent": {silentEntry: true, frozen: StateFrozenEntries},
-		"engines silent":  {silentEngines: 4, frozen: StateFrozenEngines},
-		"two silent":      {silentEngines: 2},
+		"all reporting":       {},
+		"one frontend silent": {silentEntry: true, frozen: StateFrozenEntries},
+		"four engines silent": {silentEngines: 4, frozen: StateFrozenEngines},
+		"two engines silent":  {silentEngines: 2},
 	}
 	for name, c := range cases {
 		g := New(defaultConfig)
@@ -130,7 +130,7 @@
 	}
 }
 
-// lossyPlanner loses the offers of one entry and the reports of some engines.
+// lossyPlanner drops the offers of one frontend and the reports of some engines.
 type lossyPlanner struct {
 	*Goodput
 	entry   bool
@@ -150,19 +150,19 @@
 }
 
 func TestLateDemandReportsAreNoDemandDrop(t *testing.T) {
-	// The callers with long prompts come through one entry, whose reports of
-	// demand arrive only every eight seconds. If the demand fell in between,
-	// the planner would move engines away from prompts and back.
+	// The callers with long prompts use one frontend, whose demand reports arrive only
+	// every eight seconds. If the estimate dropped in between, the planner would move
+	// engines away from prefill and back.
 	g := New(defaultConfig)
 	s := newSimGroup(&batchingPlanner{Goodput: g}, 3, 12, 6)
 	s.run(1800, 5.1, 5.1)
 	if s.changes != 0 {
-		t.Errorf("%d changes at a steady mix", s.changes)
+		t.Errorf("%d changes at a constant mix", s.changes)
 	}
 }
 
-// batchingPlanner gives all prompts to one entry, holds back its offers and sends eight
-// as one.
+// batchingPlanner attributes all prompts to one frontend and merges eight of its offers
+// into one.
 type batchingPlanner struct {
 	*Goodput
 	batch kumquatlug.Offer
@@ -185,8 +185,8 @@
 }
 
 func TestNextHolderCountsPendingChanges(t *testing.T) {
-	// The planner dies with two engines on their way, and another one takes
-	// over. If it did not count them, it would send two more away on top.
+	// The planner fails with two changes pending, and another one takes over. If it did
+	// not count them, it would order two more at the same time.
 	for seed := range uint64(10) {
 		s := newSimGroup(New(defaultConfig), seed, 12, 2)
 		for s.maxChanging < 2 {
@@ -198,14 +198,14 @@
 		s.planner = New(defaultConfig)
 		s.run(300, 9, 1)
 		if s.maxChanging > 2 {
-			t.Errorf("seed %d: %d engines away at once", seed, s.maxChanging)
+			t.Errorf("seed %d: %d engines changing at once", seed, s.maxChanging)
 		}
 	}
 }
 
 func TestCostlyChangeIsNotMade(t *testing.T) {
-	// A site says that a change costs more than half a day of an engine's work.
-	// A gain that lasts minutes must not buy it.
+	// The configured cost of a change is more than half a day of an engine's work. A
+	// gain that lasts minutes must not outweigh it.
 	s := runMixShifts(newSimGroup(New(Config{Price: 5000}), 7, 12, 4))
 	if s.changes != 0 {
 		t.Errorf("%d changes", s.changes)
@@ -213,8 +213,8 @@
 }
 
 func TestRefusedOrderIsNoLongerPending(t *testing.T) {
-	// An engine refuses its order because a newer holder of the group's lease
-	// has spoken. Counted as away for ever, it would block all later changes.
+	// An engine refuses its order because it has seen a newer holder of the group's
+	// lease. If the change stayed pending forever, it would block all later changes.
 	s := newSimGroup(New(defaultConfig), 5, 12, 2)
 	for s.changes == 0 {
 		s.run(1, 9, 1)
@@ -226,12 +226,12 @@
 		}
 	}
 	if n := s.planner.(*Goodput).group.changing(); n != 0 {
-		t.Fatalf("%d engines count as away", n)
+		t.Fatalf("%d changes still pending", n)
 	}
 	before := s.changes
 	s.run(120, 9, 1)
 	if s.changes == before {
-		t.Error("nothing is ordered any more")
+		t.Error("no more changes are ordered")
 	}
 }
 
@@ -256,20 +256,20 @@
 }
 
 func TestRatesAreLearnedOnlyFromLastingQueues(t *testing.T) {
-	// A call that has just arrived shows as waiting at an engine that was
-	// nearly idle for the second before. If that second were taken for what the
-	// engine can do, prompts would seem to need ever more engines, and the
-	// callers of long outputs would queue at the few that are left.
+	// A call that has just arrived is reported as waiting at an engine that was nearly
+	// idle for the second before. If the rate of that second counted as the engine's
+	// capacity, prefill would appear to need ever more engines, and callers with long
+	// outputs would queue at the few decode engines left.
 	cases := map[string]struct {
 		waiting []int
 		shown   int
 		learned bool
 	}{
-		"call just arrived":         {waiting: []int{0, 1}, shown: 1},
-		"the same, shown again":     {waiting: []int{0, 1}, shown: 3},
-		"queue that was":            {waiting: []int{4, 0}, shown: 1},
-		"queue that stays":          {waiting: []int{4, 4}, shown: 1, learned: true},
-		"queue that stays, by then": {waiting: []int{0, 4, 4}, shown: 2, learned: true},
+		"call just arrived":             {waiting: []int{0, 1}, shown: 1},
+		"same report repeated":          {waiting: []int{0, 1}, shown: 3},
+		"queue gone in the next report": {waiting: []int{4, 0}, shown: 1},
+		"lasting queue":                 {waiting: []int{4, 4}, shown: 1, learned: true},
+		"queue lasting two of three":    {waiting: []int{0, 4, 4}, shown: 2, learned: true},
 	}
 	for name, c := range cases {
 		for _, role := range []kumquatlug.Role{kumquatlug.RolePrefill, kumquatlug.RoleDecode} {
@@ -283,17 +283,17 @@
 			}
 			rate := map[kumquatlug.Role]float64{kumquatlug.RolePrefill: g.prefillRate / 8000, kumquatlug.RoleDecode: g.decodeRate / 1500}[role]
 			if c.learned != (rate < 1) {
-				t.Errorf("%s at %s: %.2f of the rate at the start", name, role, rate)
+				t.Errorf("%s, role %s: %.2f of the initial rate", name, role, rate)
 			}
 		}
 	}
 }
 
 func TestDemandEstimateTracksSteadyShift(t *testing.T) {
-	// Prompts give way to outputs steadily over two minutes. An average alone
-	// shows the demand of twenty seconds ago, engines need as long to drain and
-	// change on top, and callers queue behind a split that fits the past. A jump
-	// must not be overshot by so much that engines are moved there and back.
+	// The mix shifts steadily from prompts to outputs over two minutes. A plain average
+	// shows the demand of 20 s ago, and engines need as long again to drain and change,
+	// so callers queue behind a split that fits the past. After a jump the estimate must
+	// not overshoot by so much that engines are moved back and forth.
 	d := newDemand(20*kumquatlug.Second, 3*kumquatlug.Minute)
 	now := kumquatlug.Millis(0)
 	offer := func(prefill, decode float64) {
@@ -308,7 +308,7 @@
 		offer(prefill, decode)
 		got := d.estimate()
 		if s >= 90 && (math.Abs(got.prefill/prefill-1) > 0.06 || math.Abs(got.decode/decode-1) > 0.06) {
-			t.Fatalf("%d s into the turn it sees %.0f and %.0f of %.0f and %.0f", s, got.prefill, got.decode, prefill, decode)
+			t.Fatalf("%d s into the shift: estimated %.0f and %.0f, actual %.0f and %.0f", s, got.prefill, got.decode, prefill, decode)
 		}
 	}
 	for range 600 {
@@ -317,7 +317,7 @@
 	for s := range 120 {
 		offer(6000, 0)
 		if got := d.estimate(); got.prefill > 6000+0.14*3000 || got.decode < 0 {
-			t.Fatalf("%d s after the jump it sees %.0f and %.0f", s, got.prefill, got.decode)
+			t.Fatalf("%d s after the jump: estimated %.0f and %.0f", s, got.prefill, got.decode)
 		}
 	}
 }
--- a/pkg/kumquatlug/planner/site_test.go
+++ b/pkg/kumquatlug/planner/site_test.go
@@ -10,18 +10,18 @@
 const (
 	simPrefillRate = 8000.0
 	simDecodeRate  = 1500.0
-	// simChangeMillis is how long an engine of the site drains and changes.
+	// simChangeMillis is how long a simulated engine takes to drain and change its role.
 	simChangeMillis = 8 * kumquatlug.Second
 )
 
-// simGroup is a small fluid model of a group: what is served in a second is what
-// the scarcer side can serve.
+// simGroup is a fluid-flow simulation of a group: in each second it serves what the
+// scarcer side can serve.
 type simGroup struct {
 	planner kumquatlug.RolePlanner
 	random  *rand.Rand
 	engines []*simEngine
-	// noise is the part by which demand varies from second to second, loss the
-	// part of reports that never arrive.
+	// noise is the relative variation of the demand from second to second, reportLoss
+	// the share of reports that are lost.
 	noise      float64
 	reportLoss float64
 
@@ -51,7 +51,7 @@
 	return s
 }
 
-// run plays seconds of a demand given in engines' worth a side.
+// run simulates seconds of a demand in units of one engine's capacity on each side.
 func (s *simGroup) run(seconds int, prefill, decode float64) {
 	for range seconds {
 		s.now += kumquatlug.Second
@@ -122,5 +122,5 @@
 	}
 }
 
-// goodput returns the part of the offered work that was served.
+// goodput returns the share of the offered work that was served.
 func (s *simGroup) goodput() float64 { return s.served / s.offered }
--- a/pkg/kumquatlug/planner/split.go
+++ b/pkg/kumquatlug/planner/split.go
@@ -7,28 +7,30 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// SplitEngine is an engine as [KeepSplit] sees it.
+// SplitEngine is the input of [KeepSplit] for one engine.
 type SplitEngine struct {
-	// Target is its name, Zone its data centre.
+	// Target is the engine's name, Zone its data centre.
 	Target string
 	Zone   string
-	// Role is what it does, or what it was ordered to do.
+	// Role is the engine's role or, while a change is pending, its new role.
 	Role kumquatlug.Role
-	// Idle says that it has nothing in hand, as one that has just started: it is
-	// changed before others, which would have to part from their work.
+	// Idle is set if the engine has no calls in flight, for example because it has
+	// just started. Idle engines are changed first, since others would have to hand
+	// over their calls.
 	Idle bool
-	// Fixed says that it took no order a moment ago; another one is asked.
+	// Fixed is set if the engine recently refused an order. It is not changed.
 	Fixed bool
 }
 
-// KeepSplit returns the orders that bring a group to a fixed part of engines
-// that read prompts, and keeps it there as engines come and go.
+// KeepSplit returns the changes that bring a group to a fixed share of prefill engines,
+// between 0 and 1, and maintain it as engines join and leave. It returns at most
+// maxChangesPerPlan changes.
 //
-// It answers prompts of thousands of tokens with outputs of a few: reading is
-// then what is scarce, generating needs places more than time, and an engine
-// that is lost or comes back in another role leaves the wrong side short.
-// Generating engines are spread over the data centres, so that fronts find one
-// near; at least one engine stays on each side.
+// It is meant for prompts of thousands of tokens with outputs of a few tokens. Prefill
+// capacity is then scarce, decode needs slots more than compute, and an engine that
+// fails or restarts in another role leaves one side short. Decode engines are spread
+// over the data centres, so that gateways find one nearby. At least one engine remains on
+// each side.
 func KeepSplit(engines []SplitEngine, share float64) []kumquatlug.RoleChange {
 	if len(engines) < 2 {
 		return nil
@@ -54,9 +56,9 @@
 	return changes
 }
 
-// maxChangesPerPlan is how many changes one plan holds. Orders are given one after the
-// other, some milliseconds each; a longer list would be out of date at its end,
-// and working it out for thousands of engines holds its owner up.
+// maxChangesPerPlan limits the changes in one plan. Orders are sent one after the other,
+// a few milliseconds each, so the end of a longer list would be outdated; computing it
+// for thousands of engines would block the calling loop.
 const maxChangesPerPlan = 16
 
 func countRole(engines []SplitEngine, role kumquatlug.Role) int {
@@ -69,8 +71,9 @@
 	return n
 }
 
-// pickFromLargestZone returns the index of an engine with this role, an idle one if there is
-// any, in the data centre that has most of them; -1 when none may be changed.
+// pickFromLargestZone returns the index of an engine with the given role, preferring idle
+// engines and then the data centre with the most engines in that role, or -1 if none may
+// be changed.
 func pickFromLargestZone(engines []SplitEngine, role kumquatlug.Role) int {
 	zones := map[string]int{}
 	for _, e := range engines {
--- a/pkg/kumquatlug/planner/split_test.go
+++ b/pkg/kumquatlug/planner/split_test.go
@@ -19,7 +19,7 @@
 	return engines
 }
 
-// applyChanges carries the changes out.
+// applyChanges applies changes to engines.
 func applyChanges(engines []SplitEngine, changes []kumquatlug.RoleChange) {
 	for _, c := range changes {
 		for i := range engines {
@@ -30,8 +30,8 @@
 	}
 }
 
-// A third of the engines is lost, all on one side. Left so, the other side would
-// have every engine that is left and nobody to hand its work to.
+// A third of the engines fails, all on one side. Without changes all remaining engines
+// would be on the other side, with none to hand their work to.
 func TestSplitIsKeptAfterEngineLoss(t *testing.T) {
 	for _, have := range [][2]int{{4, 8}, {8, 4}, {8, 0}, {0, 8}, {1, 1}, {0, 2}, {12, 0}} {
 		engines := splitEngines(have[0], have[1])
@@ -39,19 +39,19 @@
 		n := len(engines)
 		prefill := countRole(engines, kumquatlug.RolePrefill)
 		if prefill < 1 || prefill == n || n >= 6 && (prefill < n*6/10 || prefill > n*7/10) {
-			t.Errorf("%v: %d of %d engines read", have, prefill, n)
+			t.Errorf("%v: %d of %d engines run prefill", have, prefill, n)
 		}
 		if again := KeepSplit(engines, 0.667); len(again) != 0 {
-			t.Errorf("%v: %d more changes of a split that holds", have, len(again))
+			t.Errorf("%v: %d more changes of a balanced split", have, len(again))
 		}
 	}
 	if changes := KeepSplit(splitEngines(0, 1), 0.667); changes != nil {
-		t.Error("the last engine is moved")
+		t.Error("the only engine is changed")
 	}
 }
 
-// Generating engines in one data centre only make every other front's stream
-// cross to it.
+// If all decode engines are in one data centre, the streams of gateways in the other data
+// centres cross to it.
 func TestDecodeEnginesAreSpreadOverDataCentres(t *testing.T) {
 	engines := splitEngines(0, 12)
 	applyChanges(engines, KeepSplit(engines, 0.75))
@@ -62,13 +62,13 @@
 		}
 	}
 	if len(zones) != 3 {
-		t.Errorf("generating engines by data centre: %v", zones)
+		t.Errorf("decode engines by data centre: %v", zones)
 	}
 }
 
-// An engine that has just started generates, as its settings say, and the group
-// wants one more reader. Were a busy engine taken for it, its streams would have
-// to move beside an engine that has nothing to do.
+// An engine has just started in the decode role, as configured, and the group needs one
+// more prefill engine. Changing a busy engine instead would move its streams while the
+// new engine is idle.
 func TestIdleEngineIsChangedFirst(t *testing.T) {
 	engines := splitEngines(7, 6)
 	engines[12].Idle = true
@@ -80,6 +80,6 @@
 		engines[i].Fixed = true
 	}
 	if changes := KeepSplit(engines, 0.667); len(changes) != 0 {
-		t.Errorf("engines that take no order are asked: %v", changes)
+		t.Errorf("engines that refuse orders are changed: %v", changes)
 	}
 }
--- a/pkg/kumquatlug/planner/swing.go
+++ b/pkg/kumquatlug/planner/swing.go
@@ -7,35 +7,37 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// SwingConfig is what a [Swing] is made of. The zero value of each field stands
-// for its default.
+// SwingConfig configures a [Swing]. A zero field selects its default, except Part, which
+// has none.
 type SwingConfig struct {
-	// Part is the part of the engines that read prompts when nothing presses.
+	// Part is the base split: the share of engines that run prefill while decode is
+	// not short of slots.
 	Part float64
-	// Full is the part of the slots that may be taken before more engines write,
-	// Settled the part below which fewer do. Defaults 0.9 and 0.7: between
-	// these nothing is won by a change.
+	// Full is the slot utilization above which decode gets more engines, Settled the
+	// utilization below which it gets fewer. Defaults 0.9 and 0.7: a change between
+	// these gains nothing.
 	Full, Settled float64
-	// Rise bounds what the trend is believed to make of the slots taken now, as a
-	// multiple. Default 1.4.
+	// Rise limits the expected number of occupied slots, as a multiple of the number
+	// occupied now. Default 1.4.
 	Rise float64
-	// Busy is the part of the readers that may be at work after one was taken
-	// from them. Default 0.85.
+	// Busy is the maximum utilization of the remaining prefill engines after one was
+	// moved to decode. Default 0.85.
 	Busy float64
-	// Short and Spare are how long writers must be short of slots, or have more
-	// than they need, before a change. Defaults 1 s and 1 s: bursts of three
-	// seconds that the slots bear look like a shortage for less.
+	// Short and Spare are how long decode must have too few slots, or more than it
+	// needs, before a change. Defaults 1 s and 1 s: bursts of three seconds that the
+	// slots can absorb look like a shortage for less than that.
 	Short, Spare kumquatlug.Millis
-	// Back is how long no prompt must be late before an engine that went over to
-	// reading goes back without being needed. Default 3.5 s: longer than a pause
-	// between two bursts, which come each three seconds.
+	// Back is how long no prompt must be late before an engine that was moved to
+	// prefill returns to decode without being needed there. Default 3.5 s: longer than
+	// the pause between two bursts, which arrive every three seconds.
 	Back kumquatlug.Millis
-	// Settle is the span after a change in which nothing more is changed.
-	// Default 3.5 s: a change takes three, and shows then.
+	// Settle is the time after a change during which no other change is made. Default
+	// 3.5 s: a change takes three seconds, and its effect is visible then.
 	Settle kumquatlug.Millis
-	// More is how many engines more than without pressure may write, as a part
-	// of all. Default 0.085: one of twelve. With two the prompts of the bursts in
-	// between are late, and a holder that is lost meanwhile leaves it so.
+	// More is the maximum number of additional decode engines relative to the base
+	// split, as a share of all engines. Default 0.085: one of twelve. With two, the
+	// prompts of bursts in between are late, and the split stays that way if the lease
+	// holder fails meanwhile.
 	More float64
 }
 
@@ -52,49 +54,49 @@
 	return c
 }
 
-// SwingView is what a [Swing] decides by.
+// SwingView is the load that a [Swing] bases its decision on.
 type SwingView struct {
-	// Readers and Writers are the engines on each side, those on their way to
-	// it counted.
+	// Readers and Writers are the numbers of prefill and decode engines. Engines with
+	// a pending change count in their new role.
 	Readers, Writers int
-	// Reading is the part of the readers at work.
+	// Reading is the share of prefill engines that are busy.
 	Reading float64
-	// Taken is how many engines' slots are taken now, Coming how many will be
-	// when a change has effect.
+	// Taken is the number of occupied decode slots and Coming the number expected when
+	// a change takes effect, both in units of one engine's slots.
 	Taken, Coming float64
 }
 
-// Swing says how many engines of a group should read prompts while the load
-// swings each ten to twenty seconds between long prompts and long outputs.
+// Swing decides which share of a group's engines should run prefill while the load
+// alternates every ten to twenty seconds between long prompts and long outputs.
 //
-// With a fixed split one side overflows for half of the time: streams wait for
-// slots beside idle readers, then prompts are refused beside idle slots. By
-// demand averaged over seconds the split follows each wave and comes late.
-// So it leaves the fixed split only where streams will be short of slots by the
-// time a change has effect, takes as many readers as they need and the prompts
-// can spare, and gives them back as soon as the slots are not needed.
+// With a fixed split one side overflows for half of the time: streams wait for slots
+// while prefill engines are idle, then prompts are refused while slots are idle. A split
+// based on demand averaged over seconds follows each fluctuation and is late. A Swing
+// therefore departs from the fixed split only if streams will be short of slots by the
+// time a change takes effect. It moves as many prefill engines to decode as the streams
+// need and the prompts can spare, and returns them as soon as the slots are not needed.
 //
-// A Swing belongs to one owner and is not safe for concurrent use.
+// A Swing is not safe for concurrent use.
 type Swing struct {
 	config SwingConfig
 	share  float64
-	// wrongSince is when the number of writers began to be wrong in one way,
-	// wrong in which: 1 for too few, -1 for too many.
+	// imbalance is 1 if there are too few decode engines, -1 if there are too many;
+	// imbalanceSince is when it took this value.
 	imbalance      int
 	imbalanceSince kumquatlug.Millis
 	changedAt      kumquatlug.Millis
 }
 
-// NewSwing returns a swing that begins with the config's part.
+// NewSwing returns a Swing that starts with the base split.
 func NewSwing(c SwingConfig) *Swing {
 	c = c.withDefaults()
 	return &Swing{config: c, share: c.Part}
 }
 
-// Part returns the part of the engines that should read.
+// Part returns the share of engines that should run prefill, between 0 and 1.
 func (s *Swing) Part() float64 { return s.share }
 
-// Look takes what is seen now and reports whether the part changed.
+// Look updates the split for the current load and reports whether it changed.
 func (s *Swing) Look(now kumquatlug.Millis, v SwingView) bool {
 	total := v.Readers + v.Writers
 	wanted := s.wantedDecode(v)
@@ -120,12 +122,12 @@
 	return true
 }
 
-// baseDecode is how many engines write when nothing presses.
+// baseDecode returns the number of decode engines in the base split.
 func (s *Swing) baseDecode(total int) int {
 	return total - int(math.Round(s.config.Part*float64(total)))
 }
 
-// wantedDecode is how many engines should write.
+// wantedDecode returns the number of engines that should run decode.
 func (s *Swing) wantedDecode(v SwingView) int {
 	total := v.Readers + v.Writers
 	base := s.baseDecode(total)
@@ -135,8 +137,8 @@
 	return max(min(s.neededDecode(v), maximum), minimum)
 }
 
-// neededDecode is how many engines have slots enough. A trend alone is not believed: at
-// the begin of each burst it points far up.
+// neededDecode returns the number of decode engines that provide enough slots. The trend
+// is limited by Rise, since it overshoots at the start of each burst.
 func (s *Swing) neededDecode(v SwingView) int {
 	expected := min(v.Coming, s.config.Rise*v.Taken)
 	needed := int(math.Ceil(expected / s.config.Full))
--- a/pkg/kumquatlug/planner/swing_test.go
+++ b/pkg/kumquatlug/planner/swing_test.go
@@ -7,14 +7,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// loadReplay replays load on twelve engines: streams as engines' slots asked for,
-// reading as engines' time asked for. An engine that changes its role is away
-// for three seconds; streams that find no slot wait, and their time is summed.
+// loadReplay replays a load on twelve engines. streams is the demand for decode slots and
+// prefill the demand for prefill time, both in units of one engine. A role change takes
+// an engine offline for three seconds. Streams without a slot wait, and their waiting
+// time is summed.
 type loadReplay struct {
 	streams, prefill func(now kumquatlug.Millis) float64
 }
 
-// replayResult is what a replay came to, in engine-seconds.
+// replayResult is the result of a replay. waited and unserved are in engine-seconds.
 type replayResult struct {
 	waited, unserved float64
 	changes          int
@@ -62,7 +63,7 @@
 	return r
 }
 
-// squareWave is a load that is high in the first half of each 28 seconds.
+// squareWave returns a load that is high in the first half of each 28 seconds.
 func squareWave(high, low float64) func(kumquatlug.Millis) float64 {
 	return func(now kumquatlug.Millis) float64 {
 		if now%28000 < 14000 {
@@ -72,7 +73,8 @@
 	}
 }
 
-// ramp is streams that pile up over seven seconds, as long ones do, and end.
+// ramp returns a load with a period of 28 seconds that rises over seven seconds, as long
+// streams accumulate, stays high for seven and falls over seven.
 func ramp(high, low float64) func(kumquatlug.Millis) float64 {
 	return func(now kumquatlug.Millis) float64 {
 		at := now % 28000
@@ -88,27 +90,27 @@
 	}
 }
 
-// For fourteen seconds users ask for long answers, for fourteen they send long
-// prompts. With a fixed split their streams wait for slots beside engines that
-// have nothing to read. The split must follow, and be back for the prompts.
+// Users request long outputs for fourteen seconds, then send long prompts for fourteen.
+// With a fixed split the streams wait for slots while prefill engines are idle. The split
+// must follow, and return in time for the prompts.
 func TestSplitFollowsLoadSwing(t *testing.T) {
 	replay := loadReplay{streams: ramp(4.9, 1), prefill: squareWave(2, 7)}
 	fixed := replay.play(NewSwing(SwingConfig{Part: 0.667, More: 0.001}), 112_000)
 	adaptive := replay.play(NewSwing(SwingConfig{Part: 0.667}), 112_000)
-	t.Logf("fixed %+v, swung %+v", fixed, adaptive)
+	t.Logf("fixed %+v, adaptive %+v", fixed, adaptive)
 	if adaptive.waited > 0.4*fixed.waited {
 		t.Errorf("streams waited %.1f engine-seconds, %.1f with a fixed split", adaptive.waited, fixed.waited)
 	}
 	if adaptive.unserved > 0 || adaptive.prefillEngines != 8 {
-		t.Errorf("%.1f engine-seconds of prompts not read, %d readers at the end", adaptive.unserved, adaptive.prefillEngines)
+		t.Errorf("%.1f engine-seconds of prompts not served, %d prefill engines at the end", adaptive.unserved, adaptive.prefillEngines)
 	}
 	if adaptive.changes != 8 {
 		t.Errorf("%d changes in four swings, want one each way", adaptive.changes)
 	}
 }
 
-// On a quiet day streams come in bursts of three seconds that the slots bear.
-// Each change would take an engine away for three seconds, for nothing.
+// At low load streams arrive in bursts of three seconds that the slots can absorb. Each
+// change would take an engine offline for three seconds without any gain.
 func TestSplitIgnoresShortBursts(t *testing.T) {
 	wave := func(now kumquatlug.Millis) float64 {
 		return 1.9 + math.Sin(2*math.Pi*float64(now)/5600)
@@ -119,8 +121,8 @@
 	}
 }
 
-// Streams want more slots while all readers are at work. Taking one of them would
-// make prompts late, which are worth more.
+// Streams need more slots while all prefill engines are busy. Moving one of them would
+// delay prompts, which have a higher value.
 func TestBusyPrefillEnginesAreNotTaken(t *testing.T) {
 	replay := loadReplay{streams: ramp(5, 1), prefill: func(kumquatlug.Millis) float64 { return 7.5 }}
 	if r := replay.play(NewSwing(SwingConfig{Part: 0.667}), 56_000); r.changes != 0 {
