--- a/pkg/kumquatlug/lease/proof_test.go
+++ b/pkg/kumquatlug/lease/proof_test.go
@@ -18,7 +18,7 @@
 // moveKinds lists the kinds of moves, each repeated according to its weight.
 var moveKinds = []string{
 	"poll", "poll", "poll", "poll", "poll", "poll", "poll", "poll",
-	"tick", "tick", "pause", "pause", "pause-around-answer", "pause-around-answer", "deliver-request", "deliver-answer", "deliver-answer", "want", "reacquire", "restart", "undisturbed", "recover",
+	"tick", "tick", "pause", "pause", "pause-around-response", "pause-around-response", "deliver-request", "deliver-response", "deliver-response", "want", "reacquire", "restart", "undisturbed", "recover",
 }
 
 // handoverDelay is the least time between orders of two VMs.
@@ -67,17 +67,17 @@
 // world simulates three holders that share one row, and records what the invariants
 // need.
 type world struct {
-	now             kumquatlug.Millis
-	holders         []*Holder
-	wanted          []bool
-	startCount      int
-	table           map[string]kumquatlug.Row
-	record          Record
-	delayedRequests []message
-	delayedAnswers  []message
-	highestNumber   Number
-	lapsedNumbers   map[*Holder]Number
-	err             error
+	now              kumquatlug.Millis
+	holders          []*Holder
+	wanted           []bool
+	startCount       int
+	table            map[string]kumquatlug.Row
+	record           Record
+	delayedRequests  []message
+	delayedResponses []message
+	highestNumber    Number
+	expiredNumbers   map[*Holder]Number
+	err              error
 	// orderedAt is when a VM could last have sent an order, orderedBy the VM's index.
 	orderedAt kumquatlug.Millis
 	orderedBy int
@@ -89,7 +89,7 @@
 }
 
 func newWorld() *world {
-	w := &world{orderedAt: -handoverDelay, holders: make([]*Holder, holderCount), wanted: make([]bool, holderCount), table: map[string]kumquatlug.Row{}, lapsedNumbers: map[*Holder]Number{}}
+	w := &world{orderedAt: -handoverDelay, holders: make([]*Holder, holderCount), wanted: make([]bool, holderCount), table: map[string]kumquatlug.Row{}, expiredNumbers: map[*Holder]Number{}}
 	for i := range w.holders {
 		w.restartHolder(i)
 	}
@@ -128,8 +128,8 @@
 		w.now += kumquatlug.Millis(m.Choice)
 	case "pause":
 		w.advance(m.Actor, kumquatlug.Millis(m.Choice*3))
-	case "pause-around-answer":
-		w.pauseAroundAnswer(m)
+	case "pause-around-response":
+		w.pauseAroundResponse(m)
 	case "deliver-request":
 		if len(w.delayedRequests) > 0 {
 			k := m.Choice % len(w.delayedRequests)
@@ -137,12 +137,12 @@
 			w.delayedRequests = append(w.delayedRequests[:k:k], w.delayedRequests[k+1:]...)
 			w.execute(&r)
 		}
-	case "deliver-answer":
-		if len(w.delayedAnswers) > 0 {
-			k := m.Choice % len(w.delayedAnswers)
-			a := w.delayedAnswers[k]
-			w.delayedAnswers = append(w.delayedAnswers[:k:k], w.delayedAnswers[k+1:]...)
-			w.deliverAnswer(a)
+	case "deliver-response":
+		if len(w.delayedResponses) > 0 {
+			k := m.Choice % len(w.delayedResponses)
+			a := w.delayedResponses[k]
+			w.delayedResponses = append(w.delayedResponses[:k:k], w.delayedResponses[k+1:]...)
+			w.deliverResponse(a)
 		}
 	case "want":
 		w.wanted[m.Actor] = m.Choice%2 == 0
@@ -167,25 +167,25 @@
 
 // pollTable runs a holder's next request and the one that follows it, with the given
 // outcomes.
-func (w *world) pollTable(i int, fates ...string) {
+func (w *world) pollTable(i int, outcomes ...string) {
 	h := w.holders[i]
 	intent := h.Next(w.clock(i))
-	for _, fate := range fates {
+	for _, outcome := range outcomes {
 		if intent.Action() == ActionNone {
 			return
 		}
-		intent = w.send(message{to: i, holder: h, intent: intent}, fate)
+		intent = w.send(message{to: i, holder: h, intent: intent}, outcome)
 	}
 	// A request that is never sent has the same effect as a lost one.
 }
 
-func (w *world) send(m message, fate string) Intent {
-	lost := errors.Mark(errors.New("no answer"), kumquatlug.ErrLost)
-	switch fate {
+func (w *world) send(m message, outcome string) Intent {
+	lost := errors.Mark(errors.New("no response"), kumquatlug.ErrLost)
+	switch outcome {
 	case "ok":
 		w.execute(&m)
 	case "unavailable":
-		m.err = errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
+		m.err = errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
 	case "response-lost":
 		w.execute(&m)
 		m.err = lost
@@ -196,13 +196,13 @@
 		return Intent{action: ActionNone}
 	case "response-delayed":
 		w.execute(&m)
-		w.delayedAnswers = append(w.delayedAnswers, m)
+		w.delayedResponses = append(w.delayedResponses, m)
 		return Intent{action: ActionNone}
 	}
-	return w.deliverAnswer(m)
+	return w.deliverResponse(m)
 }
 
-func (w *world) deliverAnswer(m message) Intent {
+func (w *world) deliverResponse(m message) Intent {
 	if w.holders[m.to] != m.holder {
 		return Intent{action: ActionNone}
 	}
@@ -252,11 +252,11 @@
 		number, held := h.Held(w.clock(i))
 		if !held {
 			if w.clock(i) >= h.Until() {
-				w.lapsedNumbers[h] = number
+				w.expiredNumbers[h] = number
 			}
 			continue
 		}
-		if number == w.lapsedNumbers[h] {
+		if number == w.expiredNumbers[h] {
 			w.fail("%s uses number %d again after its lease expired", h.config.Me, number)
 		}
 		if w.era == 0 && (number != record.Number() || record.Holder() != h.config.Me || record.Released()) {
@@ -310,19 +310,19 @@
 	w.record = Record{}
 }
 
-// pauseAroundAnswer pauses a holder between its write and the response, delivers the
+// pauseAroundResponse pauses a holder between its write and the response, delivers the
 // response and pauses it again. In half of the cases it cancels and requests the lease
 // again in between.
-func (w *world) pauseAroundAnswer(m proof.Move) {
+func (w *world) pauseAroundResponse(m proof.Move) {
 	w.pollTable(m.Actor, "ok", "response-delayed")
 	w.advance(m.Actor, kumquatlug.Millis(m.Choice))
 	if m.Choice%2 == 0 {
 		w.pollTable(m.Actor, "request-lost")
 		w.reacquire(m)
 	}
-	if last := len(w.delayedAnswers) - 1; last >= 0 {
-		w.deliverAnswer(w.delayedAnswers[last])
-		w.delayedAnswers = w.delayedAnswers[:last]
+	if last := len(w.delayedResponses) - 1; last >= 0 {
+		w.deliverResponse(w.delayedResponses[last])
+		w.delayedResponses = w.delayedResponses[:last]
 	}
 	w.advance(m.Actor, 16*kumquatlug.Second)
 }
@@ -351,7 +351,7 @@
 // timeout, one process that wants the lease must hold it, and those that don't must have
 // released it.
 func (w *world) checkRecovery() {
-	w.delayedRequests, w.delayedAnswers = nil, nil
+	w.delayedRequests, w.delayedResponses = nil, nil
 	w.advance(-1, 25*kumquatlug.Second)
 	holders, wanting := 0, 0
 	for i, h := range w.holders {
