--- a/pkg/kumquatlug/planner/planner_test.go
+++ b/pkg/kumquatlug/planner/planner_test.go
@@ -105,19 +105,19 @@
 	// remaining ones look like a large shift. Acting on it would remove engines from
 	// work that still exists.
 	cases := map[string]struct {
-		silentEntry   bool
-		silentEngines int
-		frozen        State
+		silentFrontend bool
+		silentEngines  int
+		frozen         State
 	}{
 		"all reporting":       {},
-		"one frontend silent": {silentEntry: true, frozen: StateFrozenEntries},
+		"one frontend silent": {silentFrontend: true, frozen: StateFrozenEntries},
 		"four engines silent": {silentEngines: 4, frozen: StateFrozenEngines},
 		"two engines silent":  {silentEngines: 2},
 	}
 	for name, c := range cases {
 		g := New(defaultConfig)
 		newSimGroup(g, 1, 12, 6).run(120, 4, 4)
-		s := newSimGroup(&lossyPlanner{Goodput: g, entry: c.silentEntry, engines: c.silentEngines}, 2, 12, 6)
+		s := newSimGroup(&lossyPlanner{Goodput: g, dropOffers: c.silentFrontend, silentEngines: c.silentEngines}, 2, 12, 6)
 		s.now = 120 * kumquatlug.Second
 		s.run(15, 4, 4)
 		s.run(40, 9, 1)
@@ -133,19 +133,19 @@
 // lossyPlanner drops the offers of one frontend and the reports of some engines.
 type lossyPlanner struct {
 	*Goodput
-	entry   bool
-	engines int
+	dropOffers    bool
+	silentEngines int
 }
 
-func (m *lossyPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
-	if !m.entry || o.Entry != "entry0" {
-		m.Goodput.Offered(now, o)
+func (p *lossyPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
+	if !p.dropOffers || o.Entry != "entry0" {
+		p.Goodput.Offered(now, o)
 	}
 }
 
-func (m *lossyPlanner) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
-	if e.Target >= fmt.Sprintf("e%02d", m.engines) {
-		m.Goodput.Report(now, e)
+func (p *lossyPlanner) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
+	if e.Target >= fmt.Sprintf("e%02d", p.silentEngines) {
+		p.Goodput.Report(now, e)
 	}
 }
 
@@ -168,19 +168,19 @@
 	batch kumquatlug.Offer
 }
 
-func (l *batchingPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
+func (p *batchingPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
 	if o.Entry != "entry0" {
 		o.PrefillTokens = 0
-		l.Goodput.Offered(now, o)
+		p.Goodput.Offered(now, o)
 		return
 	}
-	l.batch.Entry = o.Entry
-	l.batch.Span += o.Span
-	l.batch.PrefillTokens += 3 * o.PrefillTokens
-	l.batch.DecodeTokens += o.DecodeTokens
-	if l.batch.Span >= 8*kumquatlug.Second {
-		l.Goodput.Offered(now, l.batch)
-		l.batch = kumquatlug.Offer{}
+	p.batch.Entry = o.Entry
+	p.batch.Span += o.Span
+	p.batch.PrefillTokens += 3 * o.PrefillTokens
+	p.batch.DecodeTokens += o.DecodeTokens
+	if p.batch.Span >= 8*kumquatlug.Second {
+		p.Goodput.Offered(now, p.batch)
+		p.batch = kumquatlug.Offer{}
 	}
 }
 
--- a/pkg/kumquatlug/planner/split.go
+++ b/pkg/kumquatlug/planner/split.go
@@ -23,8 +23,8 @@
 }
 
 // KeepSplit returns the changes that bring a group to a fixed share of prefill engines,
-// between 0 and 1, and maintain it as engines join and leave. It returns at most
-// maxChangesPerPlan changes.
+// between 0 and 1, and maintain it as engines join and leave. It returns at most 16
+// changes.
 //
 // It is meant for prompts of thousands of tokens with outputs of a few tokens. Prefill
 // capacity is then scarce, decode needs slots more than compute, and an engine that
--- a/pkg/kumquatlug/planner/swing_test.go
+++ b/pkg/kumquatlug/planner/swing_test.go
@@ -28,38 +28,38 @@
 	r := replayResult{prefillEngines: 8}
 	decodeEngines := 4
 	changeDoneAt := kumquatlug.Millis(0)
-	arriving := [2]int{}
-	taken, slowTaken := 0.0, 0.0
+	pending := [2]int{}
+	occupied, slowOccupied := 0.0, 0.0
 	for now := kumquatlug.Millis(0); now < span; now += step {
-		if arriving != [2]int{} && now >= changeDoneAt {
-			r.prefillEngines += arriving[0]
-			decodeEngines += arriving[1]
-			arriving = [2]int{}
+		if pending != [2]int{} && now >= changeDoneAt {
+			r.prefillEngines += pending[0]
+			decodeEngines += pending[1]
+			pending = [2]int{}
 		}
 		slotDemand, prefillDemand := d.streams(now), d.prefill(now)
-		keep := math.Exp(-float64(step) / 700)
-		taken = keep*taken + (1-keep)*slotDemand
-		keep = math.Exp(-float64(step) / 2000)
-		slowTaken = keep*slowTaken + (1-keep)*slotDemand
+		decay := math.Exp(-float64(step) / 700)
+		occupied = decay*occupied + (1-decay)*slotDemand
+		decay = math.Exp(-float64(step) / 2000)
+		slowOccupied = decay*slowOccupied + (1-decay)*slotDemand
 		r.waited += max(0, slotDemand-float64(decodeEngines)) * float64(step) / 1000
 		r.unserved += max(0, prefillDemand-float64(r.prefillEngines)) * float64(step) / 1000
 		view := SwingView{
-			Readers: r.prefillEngines + arriving[0], Writers: decodeEngines + arriving[1],
-			Reading: min(1, prefillDemand/float64(r.prefillEngines)), Taken: taken, Coming: max(0, taken+(taken-slowTaken)/1300*3000),
+			Readers: r.prefillEngines + pending[0], Writers: decodeEngines + pending[1],
+			Reading: min(1, prefillDemand/float64(r.prefillEngines)), Taken: occupied, Coming: max(0, occupied+(occupied-slowOccupied)/1300*3000),
 		}
-		if s.Look(now, view) && arriving == [2]int{} {
-			want := int(math.Round(s.Part() * 12))
-			moved := want - r.prefillEngines
+		if s.Look(now, view) && pending == [2]int{} {
+			wanted := int(math.Round(s.Part() * 12))
+			moved := wanted - r.prefillEngines
 			r.changes++
 			changeDoneAt = now + changeTime
 			if moved < 0 {
-				r.prefillEngines, arriving = want, [2]int{0, -moved}
+				r.prefillEngines, pending = wanted, [2]int{0, -moved}
 			} else {
-				decodeEngines, arriving = decodeEngines-moved, [2]int{moved, 0}
+				decodeEngines, pending = decodeEngines-moved, [2]int{moved, 0}
 			}
 		}
 	}
-	r.prefillEngines += arriving[0]
+	r.prefillEngines += pending[0]
 	return r
 }
 
