--- a/pkg/kumquatlug/lease/proof_test.go
+++ b/pkg/kumquatlug/lease/proof_test.go
@@ -12,50 +12,50 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// worldHolders is how many processes want the lease.
-const worldHolders = 3
+// holderCount is the number of processes that compete for the lease.
+const holderCount = 3
 
-// moves lists each kind of step as often as it is to come up among the others.
-var moves = []string{
-	"turn", "turn", "turn", "turn", "turn", "turn", "turn", "turn",
-	"tick", "tick", "pause", "pause", "stall", "stall", "arrive", "answer", "answer", "want", "bounce", "restart", "calm", "heal",
+// moveKinds lists the kinds of moves, each repeated according to its weight.
+var moveKinds = []string{
+	"poll", "poll", "poll", "poll", "poll", "poll", "poll", "poll",
+	"tick", "tick", "pause", "pause", "pause-around-response", "pause-around-response", "deliver-request", "deliver-response", "deliver-response", "want", "reacquire", "restart", "undisturbed", "recover",
 }
 
-// worldTurn is the least span between orders of two VMs.
-const worldTurn = 4 * kumquatlug.Second
+// handoverDelay is the least time between orders of two VMs.
+const handoverDelay = 4 * kumquatlug.Second
 
-// fates lists what becomes of a request, as often as it is to come up.
-var fates = []string{
-	"taken", "taken", "taken", "taken", "taken", "taken", "out", "lost", "dropped", "late", "answered-late",
+// requestOutcomes lists the outcomes of requests, each repeated according to its weight.
+var requestOutcomes = []string{
+	"ok", "ok", "ok", "ok", "ok", "ok", "unavailable", "response-lost", "request-lost", "request-delayed", "response-delayed",
 }
 
-// Three processes want one group's lease. They are paused for any time and wake
-// at any moment, their clocks run 500 ppm apart, requests and answers are lost
-// or come late, the table is out, processes restart, stop on purpose and change
-// their mind. An operator would notice two planners that move the same engine
-// to and fro, or a group that nobody plans after the trouble has ended.
+// Three processes compete for one group's lease. They are paused and resumed at any
+// time, their clocks drift by 500 ppm, requests and responses are lost or delayed, the
+// table is unavailable, processes restart, shut down as planned and cancel the
+// shutdown. A fault shows as two planners that move the same engine back and forth, or
+// as a group without a planner after the faults have ended.
 func TestProofOneHolder(t *testing.T) {
 	proof.Run(t, proof.Config{
 		Claim: "one holder at a time, under a number of its own",
 		Seed:  1, Runs: 200, Steps: 60,
-		Command: proof.Moves(moves, worldHolders, play),
+		Command: proof.Moves(moveKinds, holderCount, play),
 		World:   func() commands.SystemUnderTest { return newWorld() },
 	})
 }
 
-// The same, while the table comes back from older copies again and again. Two planners of
-// two histories would give orders at once, and the next one under a number that engines
-// have seen before.
+// The same faults, while the table is repeatedly restored from older copies. Two planners
+// could each hold the lease by a different history of the table and send orders at the
+// same time, and the next holder could reuse a number that engines have already seen.
 func TestProofOneHolderThroughRestores(t *testing.T) {
 	proof.Run(t, proof.Config{
 		Claim: "one holder at a time, under rising numbers, through restores",
 		Seed:  2, Runs: 400, Steps: 60,
-		Command: proof.Moves(append([]string{"restore", "restore"}, moves...), worldHolders, play),
+		Command: proof.Moves(append([]string{"restore", "restore"}, moveKinds...), holderCount, play),
 		World:   func() commands.SystemUnderTest { return newWorld() },
 	})
 }
 
-// message is a request or an answer on its way.
+// message is a request or response in transit.
 type message struct {
 	to     int
 	holder *Holder
@@ -64,53 +64,54 @@
 	err    error
 }
 
-// world is three holders over one row, with the oracle's notes beside them.
+// world simulates three holders that share one row, and records what the invariants
+// need.
 type world struct {
-	time     kumquatlug.Millis
-	holders  []*Holder
-	wanted   []bool
-	starts   int
-	table    map[string]kumquatlug.Row
-	record   Record
-	requests []message
-	answers  []message
-	number   Number
-	lapsed   map[*Holder]Number
-	wrong    error
-	// orderedAt is when some VM might last have given an order, orderedBy which.
+	now              kumquatlug.Millis
+	holders          []*Holder
+	wanted           []bool
+	startCount       int
+	table            map[string]kumquatlug.Row
+	record           Record
+	delayedRequests  []message
+	delayedResponses []message
+	highestNumber    Number
+	expiredNumbers   map[*Holder]Number
+	err              error
+	// orderedAt is when a VM could last have sent an order, orderedBy the VM's index.
 	orderedAt kumquatlug.Millis
 	orderedBy int
-	// copies are the table as it was after each write, for one that comes back from an
-	// older copy; written is its newest version.
-	copies  []map[string]kumquatlug.Row
-	era     int64
-	written int64
+	// backups are copies of the table after each write, to restore from; lastVersion is
+	// the highest row version.
+	backups     []map[string]kumquatlug.Row
+	era         int64
+	lastVersion int64
 }
 
 func newWorld() *world {
-	w := &world{orderedAt: -worldTurn, holders: make([]*Holder, worldHolders), wanted: make([]bool, worldHolders), table: map[string]kumquatlug.Row{}, lapsed: map[*Holder]Number{}}
+	w := &world{orderedAt: -handoverDelay, holders: make([]*Holder, holderCount), wanted: make([]bool, holderCount), table: map[string]kumquatlug.Row{}, expiredNumbers: map[*Holder]Number{}}
 	for i := range w.holders {
-		w.restart(i)
+		w.restartHolder(i)
 	}
 	return w
 }
 
 func (w *world) fail(format string, args ...any) {
-	if w.wrong == nil {
-		w.wrong = errors.Newf(format, args...)
+	if w.err == nil {
+		w.err = errors.Newf(format, args...)
 	}
 }
 
-// clock is what holder i's clock shows: each has an origin and a rate of its
-// own, 500 ppm from the slowest to the fastest.
+// clock returns the reading of holder i's clock. Each clock has its own origin and
+// rate, with 500 ppm between the slowest and the fastest.
 func (w *world) clock(i int) kumquatlug.Millis {
-	return kumquatlug.Millis(1000000*(i+1)) + w.time + w.time*kumquatlug.Millis(250*(i-1))/1000000
+	return kumquatlug.Millis(1000000*(i+1)) + w.now + w.now*kumquatlug.Millis(250*(i-1))/1000000
 }
 
-func (w *world) restart(i int) {
-	w.starts++
+func (w *world) restartHolder(i int) {
+	w.startCount++
 	h, err := New(Config{
-		Group: "g", Me: fmt.Sprintf("entry-%d/%d", i, w.starts), Predecessors: fmt.Sprintf("entry-%d/", i), Turn: worldTurn,
+		Group: "g", Me: fmt.Sprintf("entry-%d/%d", i, w.startCount), Predecessors: fmt.Sprintf("entry-%d/", i), Turn: handoverDelay,
 	})
 	if err != nil {
 		w.fail("%v", err)
@@ -121,94 +122,95 @@
 func play(sut commands.SystemUnderTest, m proof.Move) commands.Result {
 	w := sut.(*world)
 	switch m.Kind {
-	case "turn":
-		w.turn(m.Actor, fates[m.Choice%len(fates)], fates[m.Choice/100%len(fates)])
+	case "poll":
+		w.pollTable(m.Actor, requestOutcomes[m.Choice%len(requestOutcomes)], requestOutcomes[m.Choice/100%len(requestOutcomes)])
 	case "tick":
-		w.time += kumquatlug.Millis(m.Choice)
+		w.now += kumquatlug.Millis(m.Choice)
 	case "pause":
-		w.pass(m.Actor, kumquatlug.Millis(m.Choice*3))
-	case "stall":
-		w.stall(m)
-	case "arrive":
-		if len(w.requests) > 0 {
-			k := m.Choice % len(w.requests)
-			r := w.requests[k]
-			w.requests = append(w.requests[:k:k], w.requests[k+1:]...)
-			w.reach(&r)
+		w.advance(m.Actor, kumquatlug.Millis(m.Choice*3))
+	case "pause-around-response":
+		w.pauseAroundResponse(m)
+	case "deliver-request":
+		if len(w.delayedRequests) > 0 {
+			k := m.Choice % len(w.delayedRequests)
+			r := w.delayedRequests[k]
+			w.delayedRequests = append(w.delayedRequests[:k:k], w.delayedRequests[k+1:]...)
+			w.execute(&r)
 		}
-	case "answer":
-		if len(w.answers) > 0 {
-			k := m.Choice % len(w.answers)
-			a := w.answers[k]
-			w.answers = append(w.answers[:k:k], w.answers[k+1:]...)
-			w.hand(a)
+	case "deliver-response":
+		if len(w.delayedResponses) > 0 {
+			k := m.Choice % len(w.delayedResponses)
+			a := w.delayedResponses[k]
+			w.delayedResponses = append(w.delayedResponses[:k:k], w.delayedResponses[k+1:]...)
+			w.deliverResponse(a)
 		}
 	case "want":
 		w.wanted[m.Actor] = m.Choice%2 == 0
 		w.holders[m.Actor].Want(w.wanted[m.Actor])
-	case "bounce":
-		w.bounce(m)
+	case "reacquire":
+		w.reacquire(m)
 	case "restart":
-		w.restart(m.Actor)
-	case "calm":
-		w.pass(-1, kumquatlug.Millis(m.Choice*3))
+		w.restartHolder(m.Actor)
+	case "undisturbed":
+		w.advance(-1, kumquatlug.Millis(m.Choice*3))
 	case "restore":
-		w.restore(m.Choice)
-	case "heal":
-		w.heal()
+		w.restoreTable(m.Choice)
+	case "recover":
+		w.checkRecovery()
 	}
-	w.check()
-	if w.wrong != nil {
-		return w.wrong
+	w.checkHolders()
+	if w.err != nil {
+		return w.err
 	}
 	return nil
 }
 
-// turn lets a holder ask, and gives its one or two requests their fates.
-func (w *world) turn(i int, fates ...string) {
+// pollTable runs a holder's next request and the one that follows it, with the given
+// outcomes.
+func (w *world) pollTable(i int, outcomes ...string) {
 	h := w.holders[i]
 	intent := h.Next(w.clock(i))
-	for _, fate := range fates {
+	for _, outcome := range outcomes {
 		if intent.Action() == ActionNone {
 			return
 		}
-		intent = w.send(message{to: i, holder: h, intent: intent}, fate)
+		intent = w.send(message{to: i, holder: h, intent: intent}, outcome)
 	}
-	// A second request that never leaves is as good as dropped.
+	// A request that is never sent has the same effect as a lost one.
 }
 
-func (w *world) send(m message, fate string) Intent {
-	lost := errors.Mark(errors.New("no answer"), kumquatlug.ErrLost)
-	switch fate {
-	case "taken":
-		w.reach(&m)
-	case "out":
-		m.err = errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
-	case "lost":
-		w.reach(&m)
+func (w *world) send(m message, outcome string) Intent {
+	lost := errors.Mark(errors.New("no response"), kumquatlug.ErrLost)
+	switch outcome {
+	case "ok":
+		w.execute(&m)
+	case "unavailable":
+		m.err = errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
+	case "response-lost":
+		w.execute(&m)
 		m.err = lost
-	case "dropped":
+	case "request-lost":
 		m.err = lost
-	case "late":
-		w.requests = append(w.requests, m)
+	case "request-delayed":
+		w.delayedRequests = append(w.delayedRequests, m)
 		return Intent{action: ActionNone}
-	case "answered-late":
-		w.reach(&m)
-		w.answers = append(w.answers, m)
+	case "response-delayed":
+		w.execute(&m)
+		w.delayedResponses = append(w.delayedResponses, m)
 		return Intent{action: ActionNone}
 	}
-	return w.hand(m)
+	return w.deliverResponse(m)
 }
 
-func (w *world) hand(m message) Intent {
+func (w *world) deliverResponse(m message) Intent {
 	if w.holders[m.to] != m.holder {
 		return Intent{action: ActionNone}
 	}
 	return m.holder.Answered(w.clock(m.to), m.intent, m.row, m.err)
 }
 
-// reach is the table: it takes the request and notes what the oracle needs.
-func (w *world) reach(m *message) {
+// execute runs a request against the table and records what the invariants need.
+func (w *world) execute(m *message) {
 	if m.intent.Action() == ActionRead {
 		m.row = w.table[m.intent.Key()].WithEra(w.era)
 		return
@@ -222,9 +224,9 @@
 	if err != nil {
 		w.fail("%v", err)
 	}
-	w.written++
-	w.table[key] = kumquatlug.NewRow(key, tx.Writes()[0].Value(), w.written)
-	w.copies = append(w.copies, maps.Clone(w.table))
+	w.lastVersion++
+	w.table[key] = kumquatlug.NewRow(key, tx.Writes()[0].Value(), w.lastVersion)
+	w.backups = append(w.backups, maps.Clone(w.table))
 	after, err := Decode(w.table[key])
 	if err != nil {
 		w.fail("%v", err)
@@ -234,121 +236,123 @@
 	}
 	switch {
 	case key != KeyIn("g", w.era):
-		// Nobody looks at it any more.
+		// The row belongs to an earlier era and is no longer read.
 		return
 	case after.Number() == before.Number() && after.Holder() == before.Holder():
-	case after.Number() <= w.number:
-		w.fail("%s acquired under %d after %d", after.Holder(), after.Number(), w.number)
+	case after.Number() <= w.highestNumber:
+		w.fail("%s acquired number %d after %d", after.Holder(), after.Number(), w.highestNumber)
 	}
-	w.number = max(w.number, after.Number())
+	w.highestNumber = max(w.highestNumber, after.Number())
 }
 
-// check asks each holder, as though it woke this moment, whether it holds.
-func (w *world) check() {
+// checkHolders checks the invariants for each holder, as if it resumed right now.
+func (w *world) checkHolders() {
 	record, holders := w.record, 0
 	for i, h := range w.holders {
 		number, held := h.Held(w.clock(i))
 		if !held {
 			if w.clock(i) >= h.Until() {
-				w.lapsed[h] = number
+				w.expiredNumbers[h] = number
 			}
 			continue
 		}
-		if number == w.lapsed[h] {
-			w.fail("%s uses %d again after its lease lapsed", h.c.Me, number)
+		if number == w.expiredNumbers[h] {
+			w.fail("%s uses number %d again after its lease expired", h.config.Me, number)
 		}
-		if w.era == 0 && (number != record.Number() || record.Holder() != h.c.Me || record.Released()) {
-			w.fail("%s believes in %d, the table says %d of %s, released %v",
-				h.c.Me, number, record.Number(), record.Holder(), record.Released())
+		if w.era == 0 && (number != record.Number() || record.Holder() != h.config.Me || record.Released()) {
+			w.fail("%s holds number %d, but the table has number %d of %s, released %v",
+				h.config.Me, number, record.Number(), record.Holder(), record.Released())
 		}
 		holders++
 		if holders > 1 {
-			w.fail("%s and another one hold at once", h.c.Me)
+			w.fail("%s and another process hold the lease at the same time", h.config.Me)
 		}
 		if h.Released(w.clock(i)) {
-			w.fail("%s holds and says that it gave back", h.c.Me)
+			w.fail("%s holds the lease and reports it as released", h.config.Me)
 		}
 		if h.MayOrder(w.clock(i)) {
-			w.ordered(i)
+			w.checkOrder(i)
 		}
 	}
 }
 
-// ordered takes that VM i may give an order now. Two VMs that take turns too
-// quickly undo each other's work.
-func (w *world) ordered(i int) {
+// checkOrder records that VM i may send an order now, and checks the handover delay:
+// two VMs that alternate too quickly undo each other's changes.
+func (w *world) checkOrder(i int) {
 	const drift = 10
-	if i != w.orderedBy && w.time-w.orderedAt < worldTurn-drift {
-		w.fail("VM %d may give orders %d ms after VM %d", i, w.time-w.orderedAt, w.orderedBy)
+	if i != w.orderedBy && w.now-w.orderedAt < handoverDelay-drift {
+		w.fail("VM %d may send orders %d ms after VM %d", i, w.now-w.orderedAt, w.orderedBy)
 	}
-	w.orderedAt, w.orderedBy = w.time, i
+	w.orderedAt, w.orderedBy = w.now, i
 }
 
-// bounce lets a holder give its lease back and want it again at once.
-func (w *world) bounce(m proof.Move) {
+// reacquire makes a holder release its lease and request it again immediately.
+func (w *world) reacquire(m proof.Move) {
 	w.holders[m.Actor].Want(false)
-	w.turn(m.Actor, "taken", fates[m.Choice%len(fates)])
+	w.pollTable(m.Actor, "ok", requestOutcomes[m.Choice%len(requestOutcomes)])
 	w.wanted[m.Actor] = true
 	w.holders[m.Actor].Want(true)
 }
 
-// restore has the table come back from one of its last copies, or empty. Its versions are
-// given out again.
-func (w *world) restore(choice int) {
+// restoreTable restores the table from one of its latest backups, or empty. Later writes
+// reuse versions.
+func (w *world) restoreTable(choice int) {
 	w.era++
-	back := choice % 6
-	w.copies = w.copies[:max(len(w.copies)-back, 0)]
-	w.table, w.written = map[string]kumquatlug.Row{}, 0
-	if last := len(w.copies) - 1; last >= 0 {
-		w.table = maps.Clone(w.copies[last])
+	discarded := choice % 6
+	w.backups = w.backups[:max(len(w.backups)-discarded, 0)]
+	w.table, w.lastVersion = map[string]kumquatlug.Row{}, 0
+	if last := len(w.backups) - 1; last >= 0 {
+		w.table = maps.Clone(w.backups[last])
 	}
 	for _, row := range w.table {
-		w.written = max(w.written, row.Version())
+		w.lastVersion = max(w.lastVersion, row.Version())
 	}
 	w.record = Record{}
 }
 
-// stall pauses a holder between its write and the answer to it, hands it the
-// answer, and pauses it again. Every other time it changed its mind in between.
-func (w *world) stall(m proof.Move) {
-	w.turn(m.Actor, "taken", "answered-late")
-	w.pass(m.Actor, kumquatlug.Millis(m.Choice))
+// pauseAroundResponse pauses a holder between its write and the response, delivers the
+// response and pauses it again. In half of the cases it cancels and requests the lease
+// again in between.
+func (w *world) pauseAroundResponse(m proof.Move) {
+	w.pollTable(m.Actor, "ok", "response-delayed")
+	w.advance(m.Actor, kumquatlug.Millis(m.Choice))
 	if m.Choice%2 == 0 {
-		w.turn(m.Actor, "dropped")
-		w.bounce(m)
+		w.pollTable(m.Actor, "request-lost")
+		w.reacquire(m)
 	}
-	if last := len(w.answers) - 1; last >= 0 {
-		w.hand(w.answers[last])
-		w.answers = w.answers[:last]
+	if last := len(w.delayedResponses) - 1; last >= 0 {
+		w.deliverResponse(w.delayedResponses[last])
+		w.delayedResponses = w.delayedResponses[:last]
 	}
-	w.pass(m.Actor, 16*kumquatlug.Second)
+	w.advance(m.Actor, 16*kumquatlug.Second)
 }
 
-// pass lets everything work for a span, except that one holder is paused. It
-// stops right before each lease ends, where a millisecond too much shows.
-func (w *world) pass(paused int, span kumquatlug.Millis) {
-	for end := w.time + span; w.time < end; {
+// advance runs the system without faults for a span, with at most one holder paused. It
+// also checks right before each lease expires, to detect an error of one millisecond.
+func (w *world) advance(paused int, span kumquatlug.Millis) {
+	for end := w.now + span; w.now < end; {
 		step := kumquatlug.Millis(250)
 		for i, h := range w.holders {
 			if left := h.Until() - w.clock(i) - 1; left > 0 {
 				step = min(step, left)
 			}
 		}
-		w.time += step
+		w.now += step
 		for i := range w.holders {
 			if i != paused {
-				w.turn(i, "taken", "taken")
+				w.pollTable(i, "ok", "ok")
 			}
-			w.check()
+			w.checkHolders()
 		}
 	}
 }
 
-// heal ends the trouble: within a time to live, a margin, a look and a timeout
-// one that wants the lease has it, and those that don't have given it back.
-func (w *world) heal() {
-	w.requests, w.answers = nil, nil
-	w.pass(-1, 25*kumquatlug.Second)
+// checkRecovery ends all faults. Within a time to live, a margin, a poll interval and a
+// timeout, one process that wants the lease must hold it, and those that don't must have
+// released it.
+func (w *world) checkRecovery() {
+	w.delayedRequests, w.delayedResponses = nil, nil
+	w.advance(-1, 25*kumquatlug.Second)
 	holders, wanting := 0, 0
 	for i, h := range w.holders {
 		if _, held := h.Held(w.clock(i)); held {
@@ -357,10 +361,10 @@
 		if w.wanted[i] {
 			wanting++
 		} else if !h.Released(w.clock(i)) {
-			w.fail("%s has not given back", h.c.Me)
+			w.fail("%s has not released the lease", h.config.Me)
 		}
 	}
 	if holders != min(wanting, 1) {
-		w.fail("%d hold and %d want, 25 s after the trouble ended", holders, wanting)
+		w.fail("%d processes hold the lease and %d want it, 25 s after the faults ended", holders, wanting)
 	}
 }
--- a/pkg/kumquatlug/lease/record.go
+++ b/pkg/kumquatlug/lease/record.go
@@ -8,18 +8,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Record is a group's row.
+// Record is the content of a group's row.
 type Record struct {
-	holder   string
-	number   Number
-	ttl      kumquatlug.Millis
-	attempt  string
-	released bool
-	settled  bool
+	holder       string
+	number       Number
+	ttl          kumquatlug.Millis
+	attempt      string
+	released     bool
+	handoverDone bool
 }
 
-// stored is the JSON form of a record.
-type stored struct {
+// recordJSON is the stored JSON form of a [Record].
+type recordJSON struct {
 	Holder   string            `json:"holder"`
 	Number   Number            `json:"number"`
 	TTL      kumquatlug.Millis `json:"ttl_ms"`
@@ -28,35 +28,35 @@
 	Settled  bool              `json:"settled,omitempty"`
 }
 
-// Decode reads a group's row; an absent row is the zero record. An agent reads
-// the number from it before it accepts orders.
+// Decode decodes a group's row. An absent row yields the zero record. An agent reads
+// the fencing number from it before it accepts orders.
 func Decode(row kumquatlug.Row) (Record, error) {
 	if !row.Exists() {
 		return Record{}, nil
 	}
-	var s stored
+	var s recordJSON
 	if err := json.Unmarshal(row.Value(), &s); err != nil {
 		return Record{}, errors.Wrapf(err, "decode %s", row.Key())
 	}
-	return Record{holder: s.Holder, number: s.Number, ttl: s.TTL, attempt: s.Attempt, released: s.Released, settled: s.Settled}, nil
+	return Record{holder: s.Holder, number: s.Number, ttl: s.TTL, attempt: s.Attempt, released: s.Released, handoverDone: s.Settled}, nil
 }
 
 func (r Record) encode() []byte {
-	// Strings and numbers always encode.
-	text, _ := json.Marshal(stored{
-		Holder: r.holder, Number: r.number, TTL: r.ttl, Attempt: r.attempt, Released: r.released, Settled: r.settled,
+	// Marshalling strings and numbers cannot fail.
+	value, _ := json.Marshal(recordJSON{
+		Holder: r.holder, Number: r.number, TTL: r.ttl, Attempt: r.attempt, Released: r.released, Settled: r.handoverDone,
 	})
-	return text
+	return value
 }
 
-// Holder returns the process that wrote the row last.
+// Holder returns the identity of the process that acquired the lease last.
 func (r Record) Holder() string { return r.holder }
 
 // Number returns the fencing number, zero before the first acquisition.
 func (r Record) Number() Number { return r.number }
 
-// Fence returns the lowest number that orders may carry: once the lease was
-// given back, the number after it, which is the next holder's or below it.
+// Fence returns the lowest number that orders may carry. Once the lease is released
+// this is the number after it, which is at most the next holder's.
 func (r Record) Fence() Number {
 	if r.released {
 		return r.number + 1
@@ -64,5 +64,5 @@
 	return r.number
 }
 
-// Released reports that the holder gave the lease back.
+// Released reports whether the holder released the lease.
 func (r Record) Released() bool { return r.released }
--- a/pkg/kumquatlug/order/gate.go
+++ b/pkg/kumquatlug/order/gate.go
@@ -6,47 +6,48 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultFenceAge is how old a reading of the number may be when an order runs.
-const defaultFenceAge = kumquatlug.Second
+// defaultMaxNumberAge is the default of [GateConfig.FenceAge].
+const defaultMaxNumberAge = kumquatlug.Second
 
-// defaultRemember is how many ended orders a gate can answer again. Only a
-// resend of the last one is likely, since a sender gives one at a time; 64 are
+// defaultMaxRemembered is the default of [GateConfig.Remember]. Only a resend of
+// the last order is likely, since a sender issues one at a time; 64 entries take
 // a few kilobytes.
-const defaultRemember = 64
+const defaultMaxRemembered = 64
 
-// GateConfig is what a [Gate] is made of.
+// GateConfig configures a [Gate].
 type GateConfig struct {
-	// Incarnation is this start of the agent, from the table. Required, 1 or
-	// higher.
+	// Incarnation is the agent's current incarnation, from the table. Required,
+	// at least 1.
 	Incarnation Incarnation
-	// Remember is how many ended orders are answered from memory, 64 by default.
+	// Remember is the number of completed orders whose outcomes are kept to answer
+	// resends. Default 64.
 	Remember int
-	// FenceAge is how old the table's number may be when an order is sent to
-	// the engine, counted from before it was asked for; 1 s by default. It is
-	// above a slow read and far below a lease's time to live. The price is one
-	// read of the table an order; while the table is out there are no orders,
-	// nor any lease to give them under.
+	// FenceAge is the maximum age of the fencing number read from the table when
+	// an order is sent to the engine, measured from before the read was issued.
+	// Default 1 s: above the duration of a slow read and far below a lease's time
+	// to live. It costs one table read per order. While the table is unavailable
+	// no order runs, but no lease can be renewed then either.
 	FenceAge kumquatlug.Millis
 }
 
-// ended is an order that has settled.
-type ended struct {
+// finishedOrder is the record of a completed order.
+type finishedOrder struct {
 	id      ID
 	outcome Outcome
 }
 
-// StepAction is what a gate asks of its engine.
+// StepAction is the kind of request that a [Step] makes.
 type StepAction string
 
-// The steps of a gate.
+// Step actions.
 const (
-	// StepNone: nothing to do now.
+	// StepNone: there is nothing to do now.
 	StepNone StepAction = "none"
-	// StepRead: ask the engine for its state; see [Gate.Read].
+	// StepRead: read the engine's state; see [Gate.Read].
 	StepRead StepAction = "read"
-	// StepFence: read the group's number from the table; see [Gate.Fenced].
+	// StepFence: read the group's fencing number from the table; see [Gate.Fenced].
 	StepFence StepAction = "fence"
-	// StepRun: send the engine the order; see [Gate.Ran].
+	// StepRun: send the order to the engine; see [Gate.Ran].
 	StepRun StepAction = "run"
 )
 
@@ -55,83 +56,84 @@
 	action   StepAction
 	sequence int64
 	order    Order
-	asked    kumquatlug.Millis
+	issuedAt kumquatlug.Millis
 }
 
-// Action returns what is to be done.
+// Action returns the kind of request.
 func (s Step) Action() StepAction { return s.action }
 
-// Order returns the order to run.
+// Order returns the order to send, for a StepRun.
 func (s Step) Order() Order { return s.order }
 
-// Gate is the agent's check in front of its engine: for engines that ignore
-// fencing numbers it is the only one. It is not safe for concurrent use.
+// Gate is an agent's admission check for the orders and calls to its engine. For
+// engines that ignore fencing numbers it is the only check. It is not safe for
+// concurrent use.
 type Gate struct {
-	c        GateConfig
-	fenced   bool
-	fencedAt kumquatlug.Millis
-	number   lease.Number
-	last     ID
-	known    bool
-	shut     bool
-	order    *Order
-	sent     bool
-	pending  Step
-	sequence int64
-	inHand   int
-	memory   []ended
+	config        GateConfig
+	numberRead    bool
+	numberReadAt  kumquatlug.Millis
+	highestNumber lease.Number
+	lastID        ID
+	stateKnown    bool
+	blocked       bool
+	current       *Order
+	sent          bool
+	pending       Step
+	sequence      int64
+	inFlight      int
+	finished      []finishedOrder
 }
 
-// NewGate returns a gate that knows neither the number nor the engine's state:
-// it takes no order and no work yet.
+// NewGate returns a gate that accepts no orders and no calls until the fencing
+// number and the engine's state have been read.
 func NewGate(c GateConfig) *Gate {
-	c.Remember = standard.Int(c.Remember, defaultRemember)
-	c.FenceAge = standard.Millis(c.FenceAge, defaultFenceAge)
-	return &Gate{c: c, shut: true, pending: Step{action: StepNone}}
+	c.Remember = standard.Int(c.Remember, defaultMaxRemembered)
+	c.FenceAge = standard.Millis(c.FenceAge, defaultMaxNumberAge)
+	return &Gate{config: c, blocked: true, pending: Step{action: StepNone}}
 }
 
-// Fenced takes the table's answer to a StepFence: [lease.Record.Fence] of the
-// row. No order is taken before the
-// first one.
+// Fenced handles the result of a StepFence: [lease.Record.Fence] of the group's
+// row. No order is accepted before the first result.
 //
-// An agent that restarted has forgotten the numbers it saw. If it took the
-// first order that came, one from a holder that lost its lease long ago would
-// run; so it asks the table first. It asks again before each order runs: the
-// next holder has the lease for a while before its first message arrives here,
-// and an order of the former one may have waited long for work in hand.
+// An agent that restarted has lost the numbers it had seen. If it accepted the
+// first order that arrived, an order of a holder that lost its lease long ago could
+// run, so the number is read from the table first. It is read again before each
+// order runs: the next holder owns the lease for a while before its first message
+// arrives, and an order of the previous holder may have waited long for calls in
+// flight.
 func (g *Gate) Fenced(s Step, number lease.Number) {
-	if !g.answered(s) {
+	if !g.completePending(s) {
 		return
 	}
-	g.fenced, g.fencedAt = true, s.asked
+	g.numberRead, g.numberReadAt = true, s.issuedAt
 	g.Raise(number)
 }
 
-// FenceFailed takes that the table did not answer; it is asked again.
-func (g *Gate) FenceFailed(s Step) { g.answered(s) }
+// FenceFailed handles a failed StepFence. [Gate.Next] repeats the read.
+func (g *Gate) FenceFailed(s Step) { g.completePending(s) }
 
-// Raise takes a number heard from elsewhere, as in a new holder's report. An
-// order under a lower one that the engine has not got yet is dropped: by now
-// its sender may give none.
+// Raise records a fencing number learned from another source, such as a new
+// holder's report. An order with a lower number that has not been sent to the
+// engine is superseded, since its sender no longer holds the lease.
 func (g *Gate) Raise(number lease.Number) {
-	if number <= g.number {
+	if number <= g.highestNumber {
 		return
 	}
-	g.number = number
-	if g.order != nil && !g.sent {
-		g.end(OutcomeSuperseded)
+	g.highestNumber = number
+	if g.current != nil && !g.sent {
+		g.finishCurrent(OutcomeSuperseded)
 	}
 }
 
 // Number returns the highest fencing number seen.
-func (g *Gate) Number() lease.Number { return g.number }
+func (g *Gate) Number() lease.Number { return g.highestNumber }
 
-// Phase returns where the target is between orders.
+// Phase returns the target's current phase.
 func (g *Gate) Phase() Phase {
 	switch {
-	case !g.known:
+	case !g.stateKnown:
 		return PhaseUnknown
-	case g.order == nil:
+	case g.current == nil:
 		return PhaseSettled
 	case g.sent:
 		return PhaseRunning
@@ -140,50 +142,51 @@
 	}
 }
 
-// Offer takes an order from a sender and says what becomes of it.
+// Offer submits a sender's order and returns the gate's decision. A resend of an
+// order that is in progress or remembered starts nothing and returns its state.
 func (g *Gate) Offer(o Order) Reply {
-	verdict, outcome := g.judge(o)
-	if verdict == VerdictAccepted && g.order == nil {
-		g.order, g.sent, g.last = &o, false, o.id
+	verdict, outcome := g.evaluate(o)
+	if verdict == VerdictAccepted && g.current == nil {
+		g.current, g.sent, g.lastID = &o, false, o.id
 	}
-	return Reply{verdict: verdict, outcome: outcome, number: g.number}
+	return Reply{verdict: verdict, outcome: outcome, number: g.highestNumber}
 }
 
-func (g *Gate) judge(o Order) (Verdict, Outcome) {
-	if o.id.incarnation != g.c.Incarnation {
-		// A message that was on its way over a restart. What this start has
-		// forgotten, as a later order that already ran, the incarnation tells.
+func (g *Gate) evaluate(o Order) (Verdict, Outcome) {
+	if o.id.incarnation != g.config.Incarnation {
+		// The message was in transit across a restart. The agent may have lost the
+		// record of a later order that already ran; the incarnation excludes that.
 		return VerdictOtherIncarnation, ""
 	}
-	// What was taken before is answered before the numbers are compared, also
-	// to a sender that lost its lease: it has no further effect, and "old"
-	// would tell the sender that it never had one.
-	if outcome, ok := g.remembered(o.id); ok {
+	// An order accepted earlier is answered before the numbers are compared, even
+	// if its sender has lost the lease: the answer has no further effect, and
+	// VerdictOld would mean that the order never took effect.
+	if outcome, ok := g.recordedOutcome(o.id); ok {
 		return VerdictSettled, outcome
 	}
-	if g.order != nil && g.order.id == o.id {
+	if g.current != nil && g.current.id == o.id {
 		return VerdictAccepted, ""
 	}
-	if !g.fenced {
+	if !g.numberRead {
 		return VerdictNotReady, ""
 	}
-	if o.id.number < g.number {
+	if o.id.number < g.highestNumber {
 		return VerdictOld, ""
 	}
 	g.Raise(o.id.number)
 	switch {
-	case !o.id.after(g.last):
+	case !o.id.after(g.lastID):
 		return VerdictOld, ""
-	case g.order != nil:
+	case g.current != nil:
 		return VerdictBusy, ""
-	case !g.known:
+	case !g.stateKnown:
 		return VerdictNotReady, ""
 	}
 	return VerdictAccepted, ""
 }
 
-func (g *Gate) remembered(id ID) (Outcome, bool) {
-	for _, e := range g.memory {
+func (g *Gate) recordedOutcome(id ID) (Outcome, bool) {
+	for _, e := range g.finished {
 		if e.id == id {
 			return e.outcome, true
 		}
@@ -191,42 +194,42 @@
 	return "", false
 }
 
-// Next returns what to ask of the engine or the table now. Hand the answer to
-// the method that the step names; while one is awaited, Next returns StepNone.
-// After a failure or an engine in mid change it returns the same step again:
-// the caller spaces them.
+// Next returns the next request to the engine or the table. Pass the result to
+// the method that the step's action names; until then Next returns StepNone.
+// After a failure, or while the engine is applying a change, Next returns the same
+// step again. The caller is responsible for the delay between retries.
 func (g *Gate) Next(now kumquatlug.Millis) Step {
 	switch {
 	case g.pending.action != StepNone:
 		return Step{action: StepNone}
-	case !g.known:
-		return g.send(Step{action: StepRead}, now)
-	case !g.fenced:
-		return g.send(Step{action: StepFence}, now)
-	case g.order == nil || g.sent:
+	case !g.stateKnown:
+		return g.issue(Step{action: StepRead}, now)
+	case !g.numberRead:
+		return g.issue(Step{action: StepFence}, now)
+	case g.current == nil || g.sent:
 		return Step{action: StepNone}
-	case g.order.verb.Away() && g.inHand > 0:
-		// No time limit: a caller whose long answer is cut by a planned change
-		// would have to start again. Work in hand only shrinks, since no new
-		// work begins.
+	case g.current.verb.Away() && g.inFlight > 0:
+		// There is no time limit: a caller whose long response is cut by a planned
+		// change would have to start again. The number of calls in flight only
+		// falls, since no new call starts.
 		return Step{action: StepNone}
-	case now-g.fencedAt > g.c.FenceAge:
-		return g.send(Step{action: StepFence}, now)
+	case now-g.numberReadAt > g.config.FenceAge:
+		return g.issue(Step{action: StepFence}, now)
 	}
 	g.sent = true
-	return g.send(Step{action: StepRun, order: *g.order}, now)
+	return g.issue(Step{action: StepRun, order: *g.current}, now)
 }
 
-func (g *Gate) send(s Step, now kumquatlug.Millis) Step {
+func (g *Gate) issue(s Step, now kumquatlug.Millis) Step {
 	g.sequence++
-	s.sequence, s.asked = g.sequence, now
+	s.sequence, s.issuedAt = g.sequence, now
 	g.pending = s
 	return s
 }
 
-// answered reports whether s is the step awaited, and no longer awaits it. An
-// answer that comes after a crash or a lost answer tells nothing any more.
-func (g *Gate) answered(s Step) bool {
+// completePending clears the pending step and returns true if it is s. A result
+// that arrives after a crash or after its step was given up is stale and ignored.
+func (g *Gate) completePending(s Step) bool {
 	if g.pending.action == StepNone || g.pending.sequence != s.sequence {
 		return false
 	}
@@ -234,78 +237,78 @@
 	return true
 }
 
-// Ran takes the engine's answer to a StepRun: OutcomeApplied,
-// OutcomeNotApplied, or OutcomeUnknown when the connection ended without one.
-// The caller sets no time limit of its own: an engine that was paused may not
-// have read the order yet, and would run it after its state was asked for.
+// Ran handles the result of a StepRun: OutcomeApplied, OutcomeNotApplied, or
+// OutcomeUnknown if the connection closed without a response. The caller must not
+// set a timeout: a paused engine may not have read the order yet, and would run it
+// after its state was read.
 func (g *Gate) Ran(s Step, outcome Outcome) {
-	if !g.answered(s) {
+	if !g.completePending(s) {
 		return
 	}
 	if outcome == OutcomeUnknown {
-		g.doubt(s.order.verb.Away())
+		g.invalidateState(s.order.verb.Away())
 		return
 	}
-	g.end(outcome)
+	g.finishCurrent(outcome)
 }
 
-// Read takes the engine's answer to a StepRead. An engine in the middle of a
-// change is asked again.
+// Read handles the result of a StepRead. If the engine is applying a change,
+// [Gate.Next] repeats the read.
 func (g *Gate) Read(s Step, state State) {
-	if !g.answered(s) || !state.settled {
+	if !g.completePending(s) || !state.settled {
 		return
 	}
-	g.known, g.shut = true, false
-	if g.order == nil || !g.sent {
+	g.stateKnown, g.blocked = true, false
+	if g.current == nil || !g.sent {
 		return
 	}
-	if state.Holds(*g.order) {
-		g.end(OutcomeApplied)
+	if state.Holds(*g.current) {
+		g.finishCurrent(OutcomeApplied)
 	} else {
-		g.end(OutcomeNotApplied)
+		g.finishCurrent(OutcomeNotApplied)
 	}
 }
 
-// ReadFailed takes that the engine did not tell its state; it is asked again.
-func (g *Gate) ReadFailed(s Step) { g.answered(s) }
+// ReadFailed handles a failed StepRead. [Gate.Next] repeats the read.
+func (g *Gate) ReadFailed(s Step) { g.completePending(s) }
 
-// Crashed takes that the engine went away or came back by itself. Whether an
-// order in the middle of which it did took effect is asked, never assumed.
+// Crashed records that the engine stopped or restarted by itself. Whether an order
+// in progress took effect is then read from the engine, never assumed.
 func (g *Gate) Crashed() {
 	g.pending = Step{action: StepNone}
-	g.doubt(true)
+	g.invalidateState(true)
 }
 
-func (g *Gate) doubt(shut bool) {
-	g.known = false
-	g.shut = g.shut || shut
+func (g *Gate) invalidateState(block bool) {
+	g.stateKnown = false
+	g.blocked = g.blocked || block
 }
 
-func (g *Gate) end(outcome Outcome) {
-	g.memory = append(g.memory, ended{id: g.order.id, outcome: outcome})
-	if len(g.memory) > g.c.Remember {
-		g.memory = append([]ended(nil), g.memory[1:]...)
+func (g *Gate) finishCurrent(outcome Outcome) {
+	g.finished = append(g.finished, finishedOrder{id: g.current.id, outcome: outcome})
+	if len(g.finished) > g.config.Remember {
+		g.finished = append([]finishedOrder(nil), g.finished[1:]...)
 	}
-	g.order, g.sent = nil, false
+	g.current, g.sent = nil, false
 }
 
-// Begin reports whether a call may start at the engine, and counts it. False
-// means that the call did not run: an order takes the engine away, or its
-// state is unknown after one.
+// Begin reports whether a call may start at the engine, and counts it as in
+// flight. False means that the call was not run, because an order takes the engine
+// offline or the engine's state has not been read since.
 func (g *Gate) Begin() bool {
-	if g.shut || (g.order != nil && g.order.verb.Away()) {
+	if g.blocked || (g.current != nil && g.current.verb.Away()) {
 		return false
 	}
-	g.inHand++
+	g.inFlight++
 	return true
 }
 
-// End takes that a call has ended, however it did.
+// End records that a call has ended, successfully or not.
 func (g *Gate) End() {
-	if g.inHand > 0 {
-		g.inHand--
+	if g.inFlight > 0 {
+		g.inFlight--
 	}
 }
 
-// InHand returns the number of calls that run now.
-func (g *Gate) InHand() int { return g.inHand }
+// InHand returns the number of calls in flight.
+func (g *Gate) InHand() int { return g.inFlight }
--- a/pkg/kumquatlug/order/proof_test.go
+++ b/pkg/kumquatlug/order/proof_test.go
@@ -12,98 +12,99 @@
 )
 
 const (
-	worldSenders = 2
-	target       = "vm-1"
+	senderCount = 2
+	target      = "vm-1"
 )
 
-// moves lists each kind of step as often as it is to come up among the others.
-var moves = []string{
-	"elect", "give", "give", "send", "send", "ghost", "ghost", "push", "push", "push", "deliver", "deliver", "deliver", "deliver", "duplicate", "duplicate", "duplicate", "drop",
+// moveKinds lists the kinds of moves, each repeated according to its weight.
+var moveKinds = []string{
+	"grant", "issue", "issue", "send", "send", "stale", "stale", "run", "run", "run", "deliver", "deliver", "deliver", "deliver", "duplicate", "duplicate", "duplicate", "drop",
 	"step", "step", "step", "step", "step", "step", "late", "report", "report", "begin", "begin", "end", "end",
-	"finish", "finish", "give-up", "crash", "notice", "restart", "tick", "quiet", "quiet", "heal",
+	"finish", "finish", "disconnect", "crash", "notice", "restart", "tick", "undisturbed", "undisturbed", "recover",
 }
 
-// Two planners give orders to one engine that ignores fencing numbers. Each may
-// have lost the lease long ago without knowing it; messages are lost, doubled
-// and overtake one another; the agent restarts, the table is out, the engine
-// crashes in the middle of a change and comes back with the old role or the new
-// one. An operator would notice an engine that is moved to and fro or stuck, and
-// a caller an answer that was cut by a planned change.
+// Two planners send orders to one engine that ignores fencing numbers. Each may
+// have lost the lease long ago without having detected it; messages are lost,
+// duplicated and reordered; the agent restarts, the table is unavailable, the
+// engine crashes during a change and restarts with the old or the new role. A
+// fault shows as an engine that is moved back and forth or is stuck, or as a
+// response that a planned change cut off.
 func TestProofOrdersNeverConflict(t *testing.T) {
 	proof.Run(t, proof.Config{
 		Claim: "orders have authority, come one at a time and cut no work",
 		Seed:  1, Runs: 300, Steps: 100,
-		Command: proof.Moves(moves, worldSenders, play),
+		Command: proof.Moves(moveKinds, senderCount, play),
 		World:   func() commands.SystemUnderTest { return newWorld() },
 	})
 }
 
-// engine is a target that takes every order and asks no questions.
+// engine simulates a target that executes every order without checks.
 type engine struct {
 	role      string
 	changing  *Order
 	reloading bool
-	work      int
+	calls     int
 }
 
-// message is something on its way: run hands it over, lost tells whoever waits
-// for it that it won't come.
+// message is a message in transit. deliver delivers it; onLoss notifies the side that
+// waits for it that it was lost.
 type message struct {
-	run  func()
-	lost func()
+	deliver func()
+	onLoss  func()
 }
 
-// world is the gate and the senders over one engine, with the oracle's notes.
+// world simulates the gate and the senders of one engine, and records what the
+// invariants need.
 type world struct {
-	now         kumquatlug.Millis
-	number      lease.Number
-	lostAt      map[lease.Number]kumquatlug.Millis
-	senders     []*Sender
-	numbers     []lease.Number
-	gate        *Gate
-	incarnation Incarnation
-	engine      engine
-	running     *Step
-	unnoticed   bool
-	messages    []message
-	ran         map[ID]bool
-	given       map[ID]Order
-	judged      map[ID]Outcome
-	learned     map[ID]bool
-	lastRan     ID
-	wrong       error
+	now            kumquatlug.Millis
+	leaseNumber    lease.Number
+	leaseLostAt    map[lease.Number]kumquatlug.Millis
+	senders        []*Sender
+	senderNumbers  []lease.Number
+	gate           *Gate
+	incarnation    Incarnation
+	engine         engine
+	runningStep    *Step
+	crashUnnoticed bool
+	messages       []message
+	ran            map[ID]bool
+	issued         map[ID]Order
+	outcomes       map[ID]Outcome
+	confirmed      map[ID]bool
+	lastRan        ID
+	err            error
 }
 
 func newWorld() *world {
 	w := &world{
-		lostAt: map[lease.Number]kumquatlug.Millis{}, numbers: make([]lease.Number, worldSenders),
-		engine: engine{role: "both"}, ran: map[ID]bool{}, given: map[ID]Order{}, judged: map[ID]Outcome{}, learned: map[ID]bool{},
+		leaseLostAt: map[lease.Number]kumquatlug.Millis{}, senderNumbers: make([]lease.Number, senderCount),
+		engine: engine{role: "both"}, ran: map[ID]bool{}, issued: map[ID]Order{}, outcomes: map[ID]Outcome{}, confirmed: map[ID]bool{},
 	}
-	for range worldSenders {
+	for range senderCount {
 		w.senders = append(w.senders, NewSender(SenderConfig{}))
 	}
-	w.restart()
-	w.elect(0)
+	w.restartAgent()
+	w.grantLease(0)
 	return w
 }
 
 func (w *world) fail(format string, args ...any) {
-	if w.wrong == nil {
-		w.wrong = errors.Newf(format, args...)
+	if w.err == nil {
+		w.err = errors.Newf(format, args...)
 	}
 }
 
 func play(sut commands.SystemUnderTest, m proof.Move) commands.Result {
 	w := sut.(*world)
 	switch m.Kind {
-	case "elect":
-		w.elect(m.Actor)
-	case "give":
-		w.give(m.Actor, m.Choice)
-	case "ghost":
-		w.ghost(m.Choice)
-	case "push":
-		w.push(m)
+	case "grant":
+		w.grantLease(m.Actor)
+	case "issue":
+		w.issueOrder(m.Actor, m.Choice)
+	case "stale":
+		w.sendStaleOrder(m.Choice)
+	case "run":
+		w.runOrder(m)
 	case "send":
 		w.send(m.Actor)
 	case "deliver":
@@ -112,63 +113,63 @@
 		w.deliver(m.Choice, true)
 	case "drop":
 		if len(w.messages) > 0 {
-			if m := w.take(m.Choice); m.lost != nil {
-				m.lost()
+			if m := w.takeMessage(m.Choice); m.onLoss != nil {
+				m.onLoss()
 			}
 		}
 	case "report":
 		w.report(m.Actor)
 	case "tick":
 		w.now += kumquatlug.Millis(m.Choice / 4)
-	case "heal":
-		w.heal()
-	case "quiet":
-		w.quiet(m.Choice % 8)
+	case "recover":
+		w.checkRecovery()
+	case "undisturbed":
+		w.runUndisturbed(m.Choice % 8)
 	default:
-		w.playTarget(m)
+		w.playTargetMove(m)
 	}
-	w.check()
-	if w.wrong != nil {
-		return w.wrong
+	w.checkFinished()
+	if w.err != nil {
+		return w.err
 	}
 	return nil
 }
 
-func (w *world) playTarget(m proof.Move) {
+func (w *world) playTargetMove(m proof.Move) {
 	switch m.Kind {
 	case "step":
 		w.step(m.Choice%4 == 0, false)
 	case "late":
 		w.step(false, true)
 	case "begin":
-		w.begin()
+		w.beginCall()
 	case "end":
-		w.end()
+		w.endCall()
 	case "finish":
-		w.finish(m.Choice%3 == 0)
-	case "give-up":
-		if w.running != nil {
-			w.gate.Ran(*w.running, OutcomeUnknown)
-			w.running = nil
+		w.finishChange(m.Choice%3 == 0)
+	case "disconnect":
+		if w.runningStep != nil {
+			w.gate.Ran(*w.runningStep, OutcomeUnknown)
+			w.runningStep = nil
 		}
 	case "crash":
 		w.crash(m.Choice%2 == 0, m.Choice%3 == 0)
 	case "notice":
-		w.notice()
+		w.noticeCrash()
 	case "restart":
-		w.restart()
+		w.restartAgent()
 	}
 }
 
-// elect gives the lease to a sender; the other one is told nothing.
-func (w *world) elect(i int) {
-	w.lostAt[w.number] = w.now
-	w.number++
-	w.numbers[i] = w.number
-	w.senders[i].Granted(w.number)
+// grantLease grants the lease to a sender without notifying the other one.
+func (w *world) grantLease(i int) {
+	w.leaseLostAt[w.leaseNumber] = w.now
+	w.leaseNumber++
+	w.senderNumbers[i] = w.leaseNumber
+	w.senders[i].Granted(w.leaseNumber)
 }
 
-func (w *world) give(i, choice int) {
+func (w *world) issueOrder(i, choice int) {
 	roles := []string{"both", "prefill", "decode"}
 	verb, argument := VerbRole, roles[choice%3]
 	if choice%7 == 0 {
@@ -179,30 +180,30 @@
 	if err != nil {
 		return
 	}
-	if _, twice := w.given[o.ID()]; outstanding || twice {
-		w.fail("order %s was given before the last was settled, or under an id used before", o.ID())
+	if _, twice := w.issued[o.ID()]; outstanding || twice {
+		w.fail("order %s was issued while another was outstanding, or its ID was used before", o.ID())
 	}
-	w.given[o.ID()] = o
+	w.issued[o.ID()] = o
 }
 
-// ghost is an order of any earlier holder, or of one that keeps to no rule. It
-// takes sequences that no sender reaches.
-func (w *world) ghost(choice int) {
-	number := lease.Number(choice)%w.number + 1
-	o := NewOrder(NewID(w.incarnation, number, int64(1000+len(w.given))), VerbRole, "prefill")
-	w.given[o.ID()] = o
-	w.messages = append(w.messages, message{run: func() { w.gate.Offer(o) }})
+// sendStaleOrder sends an order of an earlier holder or of a sender that ignores the
+// protocol. Its sequence numbers are above those that the senders reach.
+func (w *world) sendStaleOrder(choice int) {
+	number := lease.Number(choice)%w.leaseNumber + 1
+	o := NewOrder(NewID(w.incarnation, number, int64(1000+len(w.issued))), VerbRole, "prefill")
+	w.issued[o.ID()] = o
+	w.messages = append(w.messages, message{deliver: func() { w.gate.Offer(o) }})
 }
 
-// push brings an order of the holder up to the engine, if nothing is in its
-// way, and leaves it there.
-func (w *world) push(m proof.Move) {
+// runOrder issues an order of the lease holder and, unless something blocks it,
+// leaves it running at the engine.
+func (w *world) runOrder(m proof.Move) {
 	i := w.holder()
 	w.step(false, false)
 	w.step(false, false)
 	w.report(i)
 	w.deliver(len(w.messages)-1, false)
-	w.give(i, m.Choice)
+	w.issueOrder(i, m.Choice)
 	before := len(w.messages)
 	w.send(i)
 	if len(w.messages) > before {
@@ -212,46 +213,47 @@
 	w.step(false, false)
 }
 
-// holder returns the sender that has the lease.
+// holder returns the index of the sender that holds the lease.
 func (w *world) holder() int {
-	for i, n := range w.numbers {
-		if n == w.number {
+	for i, n := range w.senderNumbers {
+		if n == w.leaseNumber {
 			return i
 		}
 	}
 	return 0
 }
 
-// send puts a sender's orders on their way; it believes to hold its lease.
+// send sends a sender's due orders, as if the sender still believed that it holds
+// the lease.
 func (w *world) send(i int) {
-	for _, out := range w.senders[i].Due(w.now, w.numbers[i], true) {
+	for _, out := range w.senders[i].Due(w.now, w.senderNumbers[i], true) {
 		o := out.Order()
-		w.messages = append(w.messages, message{run: func() {
+		w.messages = append(w.messages, message{deliver: func() {
 			reply := w.gate.Offer(o)
-			w.messages = append(w.messages, message{run: func() { w.answered(i, o.ID(), reply) }})
+			w.messages = append(w.messages, message{deliver: func() { w.handleReply(i, o.ID(), reply) }})
 		}})
 	}
 }
 
-// answered holds what a sender makes of a reply against the gate.
-func (w *world) answered(i int, id ID, reply Reply) {
-	w.check()
+// handleReply passes a reply to its sender and compares the result with the gate's.
+func (w *world) handleReply(i int, id ID, reply Reply) {
+	w.checkFinished()
 	ended, ok := w.senders[i].Answered(target, id, reply)
 	if !ok || ended.Outcome() == OutcomeUnknown {
 		return
 	}
-	if w.judged[ended.Order().ID()] != ended.Outcome() {
-		w.fail("order %s was %s, its sender takes it for %s", ended.Order().ID(), w.judged[ended.Order().ID()], ended.Outcome())
+	if w.outcomes[ended.Order().ID()] != ended.Outcome() {
+		w.fail("order %s was %s, but its sender recorded %s", ended.Order().ID(), w.outcomes[ended.Order().ID()], ended.Outcome())
 	}
-	w.learned[ended.Order().ID()] = true
+	w.confirmed[ended.Order().ID()] = true
 }
 
 func (w *world) report(i int) {
 	r := Report{Target: target, Incarnation: w.incarnation, Number: w.gate.Number(), Phase: w.gate.Phase()}
-	w.messages = append(w.messages, message{run: func() { w.senders[i].Heard(r) }})
+	w.messages = append(w.messages, message{deliver: func() { w.senders[i].Heard(r) }})
 }
 
-func (w *world) take(choice int) message {
+func (w *world) takeMessage(choice int) message {
 	k := choice % len(w.messages)
 	m := w.messages[k]
 	w.messages = append(w.messages[:k:k], w.messages[k+1:]...)
@@ -259,62 +261,64 @@
 }
 
 func (w *world) deliver(choice int, keep bool) {
-	defer w.check()
+	defer w.checkFinished()
 	if len(w.messages) == 0 {
 		return
 	}
 	if keep {
-		w.messages[choice%len(w.messages)].run()
+		w.messages[choice%len(w.messages)].deliver()
 		return
 	}
-	w.take(choice).run()
+	w.takeMessage(choice).deliver()
 }
 
-// check holds what the gate tells of ended orders against the engine.
-func (w *world) check() {
-	for _, e := range w.gate.memory {
-		before, known := w.judged[e.id]
+// checkFinished compares the gate's records of completed orders with the engine.
+func (w *world) checkFinished() {
+	for _, e := range w.gate.finished {
+		before, known := w.outcomes[e.id]
 		if known && before != e.outcome {
-			w.fail("order %s was %s and is %s", e.id, before, e.outcome)
+			w.fail("outcome of order %s changed from %s to %s", e.id, before, e.outcome)
 		}
 		if !known {
-			w.judged[e.id] = e.outcome
-			w.judge(e)
+			w.outcomes[e.id] = e.outcome
+			w.checkOutcome(e)
 		}
 	}
 	for id := range w.ran {
-		if w.judged[id] == OutcomeSuperseded {
-			w.fail("order %s was called superseded and ran", id)
+		if w.outcomes[id] == OutcomeSuperseded {
+			w.fail("order %s was recorded as superseded but ran", id)
 		}
 	}
 }
 
-// judge looks at an order that has ended just now. An engine that crashed
-// unnoticed may have lost it since.
-func (w *world) judge(e ended) {
-	o := w.given[e.id]
-	if o.Verb() != VerbRole || e.outcome == OutcomeSuperseded || w.unnoticed {
+// checkOutcome compares the outcome of an order that has just completed with the
+// engine's role. It skips an engine with an undetected crash, which may have lost
+// the change since.
+func (w *world) checkOutcome(e finishedOrder) {
+	o := w.issued[e.id]
+	if o.Verb() != VerbRole || e.outcome == OutcomeSuperseded || w.crashUnnoticed {
 		return
 	}
 	if w.engine.changing != nil {
-		w.fail("order %s was called %s in the middle of the change", e.id, e.outcome)
+		w.fail("order %s was recorded as %s during the change", e.id, e.outcome)
 	}
 	if applied := w.engine.role == o.Argument(); applied != (e.outcome == OutcomeApplied) {
-		w.fail("order %s to %s was called %s, the engine is %s", e.id, o.Argument(), e.outcome, w.engine.role)
+		w.fail("order %s to %s was recorded as %s, but the engine is %s", e.id, o.Argument(), e.outcome, w.engine.role)
 	}
 }
 
-// quiet lets everything work for some rounds of a second each.
-func (w *world) quiet(rounds int) {
+// runUndisturbed runs the system without faults for a number of rounds of one
+// second each.
+func (w *world) runUndisturbed(rounds int) {
 	for range rounds {
 		w.now += kumquatlug.Second
-		w.notice()
-		w.end()
+		w.noticeCrash()
+		w.endCall()
 		for range 3 {
 			w.step(false, false)
 		}
-		w.check()
-		w.finish(false)
+		w.checkFinished()
+		w.finishChange(false)
 		for i := range w.senders {
 			w.report(i)
 			w.send(i)
@@ -325,25 +329,25 @@
 	}
 }
 
-// heal ends the trouble: once the work in hand is finished, whoever has the
-// lease can give an order, and it is applied.
-func (w *world) heal() {
+// checkRecovery ends all faults and checks that, once the calls in flight have ended,
+// the lease holder can issue an order and the order is applied.
+func (w *world) checkRecovery() {
 	for len(w.messages) > 0 {
 		w.deliver(0, false)
 	}
 	holder := w.holder()
-	w.elect(holder)
-	w.quiet(w.engine.work + 8)
+	w.grantLease(holder)
+	w.runUndisturbed(w.engine.calls + 8)
 	s := w.senders[holder]
 	o, err := s.Give(target, VerbRole, "decode")
 	if err != nil {
-		w.fail("no order can be given: %v, the gate is %s", err, w.gate.Phase())
+		w.fail("no order can be issued: %v, phase %s", err, w.gate.Phase())
 		return
 	}
-	w.given[o.ID()] = o
-	w.quiet(6)
-	if !w.learned[o.ID()] || w.engine.role != "decode" || !w.gate.Begin() {
-		w.fail("order %s is not applied: the engine is %s, the gate %s", o.ID(), w.engine.role, w.gate.Phase())
+	w.issued[o.ID()] = o
+	w.runUndisturbed(6)
+	if !w.confirmed[o.ID()] || w.engine.role != "decode" || !w.gate.Begin() {
+		w.fail("order %s is not applied: the engine is %s, phase %s", o.ID(), w.engine.role, w.gate.Phase())
 		return
 	}
 	w.gate.End()
--- a/pkg/kumquatlug/order/sender.go
+++ b/pkg/kumquatlug/order/sender.go
@@ -10,39 +10,40 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultResend is how long a sender waits for an answer before it sends the
-// same order again. It is twice an agent's report interval, so that a drain,
-// which the reports show, is rarely asked about in between.
-const defaultResend = 2 * kumquatlug.Second
+// defaultResendInterval is the default of [SenderConfig.Resend]. It is twice an
+// agent's report interval: the reports show a drain, so resends during it are rare.
+const defaultResendInterval = 2 * kumquatlug.Second
 
-// Why a sender gives no order to a target now.
+// Errors of [Sender.Give].
 var (
-	// ErrNoLease: the sender has no fencing number, or lost it.
-	ErrNoLease = errors.New("no lease on the group")
-	// ErrUnsettled: an order is outstanding, or the target's state is unknown.
-	ErrUnsettled = errors.New("target is not settled")
+	// ErrNoLease is returned when the sender has no fencing number or has lost the
+	// lease.
+	ErrNoLease = errors.New("lease on the group is not held")
+	// ErrUnsettled is returned when an order to the target is outstanding or the
+	// target's state is unknown.
+	ErrUnsettled = errors.New("target has an order in progress or its state is unknown")
 )
 
-// SenderConfig is what a [Sender] is made of.
+// SenderConfig configures a [Sender].
 type SenderConfig struct {
-	// Resend is the wait before an order without a final answer is sent again,
-	// 2 s by default.
+	// Resend is the interval at which an order without a final reply is sent
+	// again. Default 2 s.
 	Resend kumquatlug.Millis
 }
 
-// Report is what an agent tells of its gate in each load report.
+// Report is the state of a gate, as an agent includes it in each load report.
 type Report struct {
-	// Target is the agent's target.
+	// Target is the name of the agent's target.
 	Target string
-	// Incarnation is the start of the agent.
+	// Incarnation is the agent's current incarnation.
 	Incarnation Incarnation
 	// Number is the highest fencing number that the gate has seen.
 	Number lease.Number
-	// Phase is where the target is between orders.
+	// Phase is the target's current phase.
 	Phase Phase
 }
 
-// Settlement is an order that has ended.
+// Settlement is the final result of an order, as its sender knows it.
 type Settlement struct {
 	target  string
 	order   Order
@@ -55,10 +56,10 @@
 // Order returns the order.
 func (s Settlement) Order() Order { return s.order }
 
-// Outcome returns how it ended.
+// Outcome returns how the order ended.
 func (s Settlement) Outcome() Outcome { return s.outcome }
 
-// Outgoing is an order on its way to a target.
+// Outgoing is an order to be sent to a target.
 type Outgoing struct {
 	target string
 	order  Order
@@ -70,149 +71,151 @@
 // Order returns the order.
 func (o Outgoing) Order() Order { return o.order }
 
-// peer is what a sender knows of one target.
-type peer struct {
+// targetState is what a sender knows of one target.
+type targetState struct {
 	incarnation Incarnation
 	phase       Phase
 	sequence    int64
-	order       *Order
+	outstanding *Order
 	sentAt      kumquatlug.Millis
 	sent        bool
 }
 
-// Sender is a lease holder's side of orders to its group: one outstanding a
-// target, sent under the same id until it is settled. It is not safe for
-// concurrent use.
+// Sender issues a lease holder's orders to the targets of its group. Each target
+// has at most one outstanding order, which is sent under the same ID until it has
+// completed. It is not safe for concurrent use.
 type Sender struct {
-	c      SenderConfig
-	number lease.Number
-	valid  bool
-	peers  map[string]*peer
+	config    SenderConfig
+	number    lease.Number
+	leaseHeld bool
+	targets   map[string]*targetState
 }
 
-// NewSender returns a sender without a lease.
+// NewSender returns a sender that holds no lease.
 func NewSender(c SenderConfig) *Sender {
-	c.Resend = standard.Millis(c.Resend, defaultResend)
-	return &Sender{c: c, peers: make(map[string]*peer)}
+	c.Resend = standard.Millis(c.Resend, defaultResendInterval)
+	return &Sender{config: c, targets: make(map[string]*targetState)}
 }
 
-// Granted takes the number of a lease just acquired. What was outstanding
-// under an earlier number is dropped: the gates see to that it has settled
-// before they take another.
+// Granted records the fencing number of a newly acquired lease. Outstanding orders
+// under earlier numbers are dropped. The gates let them complete before they accept
+// another.
 func (s *Sender) Granted(number lease.Number) {
 	if number <= s.number {
 		return
 	}
-	s.number, s.valid = number, true
-	for _, p := range s.peers {
-		p.sequence, p.order = 0, nil
-		p.phase = PhaseUnknown
+	s.number, s.leaseHeld = number, true
+	for _, t := range s.targets {
+		t.sequence, t.outstanding = 0, nil
+		t.phase = PhaseUnknown
 	}
 }
 
-// Heard takes an agent's report. A new incarnation ends an outstanding order
-// with OutcomeUnknown: the old process is gone and can start nothing, the new
-// one takes no order meant for the old, and asks the engine for its state.
+// Heard handles an agent's report. A new incarnation ends an outstanding order with
+// OutcomeUnknown, returned with true: the previous process has ended and can start
+// nothing, and the new one rejects orders for the previous one and reads the
+// engine's state.
 func (s *Sender) Heard(r Report) (Settlement, bool) {
-	s.met(r.Number)
-	p := s.peers[r.Target]
-	if p == nil {
-		p = &peer{}
-		s.peers[r.Target] = p
+	s.observeNumber(r.Number)
+	t := s.targets[r.Target]
+	if t == nil {
+		t = &targetState{}
+		s.targets[r.Target] = t
 	}
-	if r.Incarnation < p.incarnation {
+	if r.Incarnation < t.incarnation {
 		return Settlement{}, false
 	}
-	p.phase = r.Phase
-	if r.Incarnation == p.incarnation {
+	t.phase = r.Phase
+	if r.Incarnation == t.incarnation {
 		return Settlement{}, false
 	}
-	p.incarnation, p.sequence = r.Incarnation, 0
-	return s.settle(r.Target, OutcomeUnknown)
+	t.incarnation, t.sequence = r.Incarnation, 0
+	return s.finish(r.Target, OutcomeUnknown)
 }
 
-// met takes a number seen elsewhere. A higher one than ours says that the
-// lease was lost, even if our own clock does not say so yet.
-func (s *Sender) met(number lease.Number) {
+// observeNumber handles a fencing number seen in a message. A number higher than
+// the sender's own means that the lease was lost, even if it has not yet expired by
+// the local clock.
+func (s *Sender) observeNumber(number lease.Number) {
 	if number > s.number {
-		s.valid = false
+		s.leaseHeld = false
 	}
 }
 
-// Give makes an order for target, to be sent by [Sender.Due]. The error is
-// ErrNoLease or ErrUnsettled; nothing is queued then, since what is right may
-// have changed once the target is settled.
+// Give creates an order for target, to be sent through [Sender.Due]. The error is
+// ErrNoLease or ErrUnsettled. A refused order is not queued, since it may be
+// outdated when the target can accept one.
 func (s *Sender) Give(target string, verb Verb, argument string) (Order, error) {
-	if !s.valid {
+	if !s.leaseHeld {
 		return Order{}, ErrNoLease
 	}
-	p := s.peers[target]
-	if p == nil || p.order != nil || p.phase != PhaseSettled {
+	t := s.targets[target]
+	if t == nil || t.outstanding != nil || t.phase != PhaseSettled {
 		return Order{}, ErrUnsettled
 	}
-	p.sequence++
-	o := NewOrder(NewID(p.incarnation, s.number, p.sequence), verb, argument)
-	p.order, p.sent = &o, false
+	t.sequence++
+	o := NewOrder(NewID(t.incarnation, s.number, t.sequence), verb, argument)
+	t.outstanding, t.sent = &o, false
 	return o, nil
 }
 
-// Outstanding returns the order of target that is not settled.
+// Outstanding returns the order to target that has not completed, if any.
 func (s *Sender) Outstanding(target string) (Order, bool) {
-	p := s.peers[target]
-	if p == nil || p.order == nil {
+	t := s.targets[target]
+	if t == nil || t.outstanding == nil {
 		return Order{}, false
 	}
-	return *p.order, true
+	return *t.outstanding, true
 }
 
-// Due returns the orders to send now, in target order, and counts them as
-// sent. Pass what [lease.Holder.Held] says at this very moment: without the
-// lease under the same number nothing is sent.
+// Due returns the orders to send now, sorted by target name, and marks them as
+// sent. number and held are the current result of [lease.Holder.Held]; if the lease
+// is not held under the sender's number, Due returns nothing.
 func (s *Sender) Due(now kumquatlug.Millis, number lease.Number, held bool) []Outgoing {
-	if !held || !s.valid || number != s.number {
+	if !held || !s.leaseHeld || number != s.number {
 		return nil
 	}
 	var due []Outgoing
-	for target, p := range s.peers {
-		if p.order == nil || (p.sent && now-p.sentAt < s.c.Resend) {
+	for target, t := range s.targets {
+		if t.outstanding == nil || (t.sent && now-t.sentAt < s.config.Resend) {
 			continue
 		}
-		p.sent, p.sentAt = true, now
-		due = append(due, Outgoing{target: target, order: *p.order})
+		t.sent, t.sentAt = true, now
+		due = append(due, Outgoing{target: target, order: *t.outstanding})
 	}
 	sort.Slice(due, func(i, j int) bool { return due[i].target < due[j].target })
 	return due
 }
 
-// Answered takes a gate's reply to an order and returns how the order ended,
-// if it did. A reply to another order than the outstanding one, come late,
-// changes nothing.
+// Answered handles a gate's reply to an order and returns the order's result if it
+// has completed. A late reply to an order that is no longer outstanding is ignored.
 func (s *Sender) Answered(target string, id ID, r Reply) (Settlement, bool) {
-	s.met(r.number)
-	p := s.peers[target]
-	if p == nil || p.order == nil || p.order.id != id {
+	s.observeNumber(r.number)
+	t := s.targets[target]
+	if t == nil || t.outstanding == nil || t.outstanding.id != id {
 		return Settlement{}, false
 	}
 	switch r.verdict {
 	case VerdictSettled:
-		return s.settle(target, r.outcome)
+		return s.finish(target, r.outcome)
 	case VerdictOld:
-		// The gate has not taken it, or long forgotten that it did.
-		return s.settle(target, OutcomeUnknown)
+		// The gate never accepted the order, or no longer has its record.
+		return s.finish(target, OutcomeUnknown)
 	default:
-		// Accepted, busy or not ready: it is sent again until it is settled.
+		// Accepted, busy or not ready: the order is resent until it completes.
 		return Settlement{}, false
 	}
 }
 
-func (s *Sender) settle(target string, outcome Outcome) (Settlement, bool) {
-	p := s.peers[target]
-	if p.order == nil {
+func (s *Sender) finish(target string, outcome Outcome) (Settlement, bool) {
+	t := s.targets[target]
+	if t.outstanding == nil {
 		return Settlement{}, false
 	}
-	ended := Settlement{target: target, order: *p.order, outcome: outcome}
-	p.order = nil
-	// The last report may be from before the order; the next one tells.
-	p.phase = PhaseUnknown
+	ended := Settlement{target: target, order: *t.outstanding, outcome: outcome}
+	t.outstanding = nil
+	// The last report may predate the order, so the phase is unknown until the
+	// next one.
+	t.phase = PhaseUnknown
 	return ended, true
 }
--- a/pkg/kumquatlug/planner/demand.go
+++ b/pkg/kumquatlug/planner/demand.go
@@ -8,51 +8,52 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// rates are tokens a second.
+// rates are demand rates in tokens per second.
 type rates struct {
 	prefill float64
 	decode  float64
 }
 
-// average is a moving average over a span that counts only what it has seen:
-// before the span has passed it is the plain mean.
-type average struct {
+// movingAverage is an exponentially weighted moving average, normalized by the weight
+// of the samples so far: until its time constant has passed it is close to the plain
+// mean.
+type movingAverage struct {
 	span   float64
 	sum    rates
 	weight float64
 }
 
-// add takes in a rate that held for some milliseconds.
-func (a *average) add(r rates, millis float64) {
-	keep := math.Exp(-millis / a.span)
-	a.sum.prefill = a.sum.prefill*keep + r.prefill*(1-keep)
-	a.sum.decode = a.sum.decode*keep + r.decode*(1-keep)
-	a.weight = a.weight*keep + 1 - keep
+// add adds a rate that was observed for the given number of milliseconds.
+func (a *movingAverage) add(r rates, millis float64) {
+	decay := math.Exp(-millis / a.span)
+	a.sum.prefill = a.sum.prefill*decay + r.prefill*(1-decay)
+	a.sum.decode = a.sum.decode*decay + r.decode*(1-decay)
+	a.weight = a.weight*decay + 1 - decay
 }
 
-func (a *average) mean() rates {
+func (a *movingAverage) mean() rates {
 	if a.weight == 0 {
 		return rates{}
 	}
 	return rates{prefill: a.sum.prefill / a.weight, decode: a.sum.decode / a.weight}
 }
 
-// source is the demand through one entry.
-type source struct {
+// frontendDemand is the demand through one frontend.
+type frontendDemand struct {
 	entry string
-	fast  average
-	// smooth is the average of the fast one.
-	smooth  average
-	slow    average
-	heardAt kumquatlug.Millis
+	fast  movingAverage
+	// fastSmoothed is the moving average of the fast average.
+	fastSmoothed movingAverage
+	slow         movingAverage
+	reportedAt   kumquatlug.Millis
 }
 
-// demand adds up the sources. Each has its own averages: if they were averaged
-// together, an entry whose report is late would look like a drop in demand.
+// demand is the total demand of all frontends. Each frontend has its own averages: with
+// a common average a late report would look like a drop in demand.
 type demand struct {
 	fast    kumquatlug.Millis
 	slow    kumquatlug.Millis
-	sources []*source
+	sources []*frontendDemand
 	since   kumquatlug.Millis
 }
 
@@ -65,16 +66,16 @@
 		return
 	}
 	s := d.source(now, o.Entry)
-	s.heardAt = now
+	s.reportedAt = now
 	seconds := float64(o.Span) / float64(kumquatlug.Second)
 	r := rates{prefill: o.PrefillTokens / seconds, decode: o.DecodeTokens / seconds}
 	s.fast.add(r, float64(o.Span))
-	s.smooth.add(s.fast.mean(), float64(o.Span))
+	s.fastSmoothed.add(s.fast.mean(), float64(o.Span))
 	s.slow.add(r, float64(o.Span))
 }
 
-func (d *demand) source(now kumquatlug.Millis, entry string) *source {
-	at, ok := slices.BinarySearchFunc(d.sources, entry, func(s *source, entry string) int {
+func (d *demand) source(now kumquatlug.Millis, entry string) *frontendDemand {
+	at, ok := slices.BinarySearchFunc(d.sources, entry, func(s *frontendDemand, entry string) int {
 		return strings.Compare(s.entry, entry)
 	})
 	if ok {
@@ -83,27 +84,28 @@
 	if len(d.sources) == 0 {
 		d.since = now
 	}
-	s := &source{entry: entry, fast: average{span: float64(d.fast)}, smooth: average{span: float64(d.fast)}, slow: average{span: float64(d.slow)}}
+	s := &frontendDemand{entry: entry, fast: movingAverage{span: float64(d.fast)}, fastSmoothed: movingAverage{span: float64(d.fast)}, slow: movingAverage{span: float64(d.slow)}}
 	d.sources = slices.Insert(d.sources, at, s)
 	return s
 }
 
-// forget drops the entries that have not been heard for a span.
-func (d *demand) forget(now, gone kumquatlug.Millis) {
-	d.sources = slices.DeleteFunc(d.sources, func(s *source) bool { return now-s.heardAt > gone })
+// dropSilent removes the frontends whose last report is older than limit.
+func (d *demand) dropSilent(now, limit kumquatlug.Millis) {
+	d.sources = slices.DeleteFunc(d.sources, func(s *frontendDemand) bool { return now-s.reportedAt > limit })
 }
 
-// silent reports whether an entry has not been heard for a span, or none ever.
-func (d *demand) silent(now, stale kumquatlug.Millis) bool {
+// anySilent reports whether the last report of any frontend is older than limit, or no
+// frontend has reported.
+func (d *demand) anySilent(now, limit kumquatlug.Millis) bool {
 	for _, s := range d.sources {
-		if now-s.heardAt > stale {
+		if now-s.reportedAt > limit {
 			return true
 		}
 	}
 	return len(d.sources) == 0
 }
 
-// age returns how long demand has been seen.
+// age returns the time since the first demand report.
 func (d *demand) age(now kumquatlug.Millis) kumquatlug.Millis {
 	if len(d.sources) == 0 {
 		return 0
@@ -111,42 +113,43 @@
 	return now - d.since
 }
 
-// The fast average takes over from the slow one as their distance grows from
-// departBegin to departEnd, as a part of the slow one. Demand that varies by a
-// fifth from report to report moves the fast average by 4%: 15% is no noise.
+// The estimate shifts from the slow to the fast average as their relative deviation
+// grows from blendStart to blendEnd. Demand that varies by 20% between reports moves
+// the fast average by 4%, so a deviation of 15% is not noise.
 const (
-	departBegin = 0.15
-	departEnd   = 0.30
+	blendStart = 0.15
+	blendEnd   = 0.30
 )
 
-// estimate returns the demand of all entries.
+// estimate returns the estimated demand of all frontends.
 func (d *demand) estimate() rates {
 	var fast, slow, smooth rates
 	for _, s := range d.sources {
-		f, l := s.fast.mean(), s.slow.mean()
-		fast.prefill += f.prefill
-		fast.decode += f.decode
-		m := s.smooth.mean()
-		smooth.prefill += m.prefill
-		smooth.decode += m.decode
-		slow.prefill += l.prefill
-		slow.decode += l.decode
+		fastMean, slowMean := s.fast.mean(), s.slow.mean()
+		fast.prefill += fastMean.prefill
+		fast.decode += fastMean.decode
+		smoothMean := s.fastSmoothed.mean()
+		smooth.prefill += smoothMean.prefill
+		smooth.decode += smoothMean.decode
+		slow.prefill += slowMean.prefill
+		slow.decode += slowMean.decode
 	}
 	return rates{prefill: blend(fast.prefill, smooth.prefill, slow.prefill), decode: blend(fast.decode, smooth.decode, slow.decode)}
 }
 
-// blend returns the slow average, or the demand as it is now as far as the fast
-// one departs from it. An average shows a demand that moves steadily as it was
-// a span ago, and engines that set out for that arrive later still: the split
-// fits the past throughout a turn of the mix. Its own average lags behind it by
-// as much, so their distance is added. After a jump that passes the new demand
-// by up to 14% of the jump, for some two spans.
+// blend returns the slow average if the fast one is close to it, and otherwise shifts
+// towards an estimate of the current demand. While the demand changes steadily, the
+// fast average lags by its time constant, and engines that change roles for it are
+// ready later still, so the split would fit the past throughout a mix shift. The
+// average of the fast average lags behind it by the same amount, so their difference
+// is added as a correction. After a jump this overshoots the new demand by up to 14% of
+// the jump, for about two time constants.
 func blend(fast, smooth, slow float64) float64 {
 	current := max(2*fast-smooth, 0)
 	if slow <= 0 {
 		return current
 	}
-	departed := math.Abs(fast-slow) / slow
-	share := (departed - departBegin) / (departEnd - departBegin)
+	deviation := math.Abs(fast-slow) / slow
+	share := (deviation - blendStart) / (blendEnd - blendStart)
 	return slow + min(max(share, 0), 1)*(current-slow)
 }
--- a/pkg/kumquatlug/planner/first_test.go
+++ b/pkg/kumquatlug/planner/first_roles_test.go
@@ -7,9 +7,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Twelve engines start without roles. One at a time leaves the group half done
-// for a minute; all at once leaves nobody to serve while they change.
-func TestFirstRolesComeInParts(t *testing.T) {
+// Twelve engines start without roles. Assigning one at a time leaves the group partly
+// assigned for a minute; assigning all at once leaves no engine to serve meanwhile.
+func TestFirstRolesAreAssignedInBatches(t *testing.T) {
 	engines := make([]kumquatlug.EngineReport, 12)
 	for i := range engines {
 		engines[i] = kumquatlug.EngineReport{Target: fmt.Sprint("e", i), Role: kumquatlug.RoleBoth}
@@ -17,7 +17,7 @@
 	rounds := 0
 	for changes := FirstRoles(engines); len(changes) > 0; changes = FirstRoles(engines) {
 		if rounds++; len(changes) > 2 || rounds > 6 {
-			t.Fatalf("round %d orders %d engines", rounds, len(changes))
+			t.Fatalf("round %d changes %d engines", rounds, len(changes))
 		}
 		for _, change := range changes {
 			for i := range engines {
@@ -36,12 +36,12 @@
 	}
 }
 
-func TestFirstRolesWaitForThoseOnTheirWay(t *testing.T) {
+func TestFirstRolesWaitForPendingChanges(t *testing.T) {
 	engines := []kumquatlug.EngineReport{
 		{Target: "e1", Role: kumquatlug.RoleBoth, Going: kumquatlug.RoleDecode},
 		{Target: "e2", Role: kumquatlug.RoleBoth},
 	}
 	if changes := FirstRoles(engines); len(changes) != 0 {
-		t.Errorf("ordered %d more", len(changes))
+		t.Errorf("%d more changes ordered", len(changes))
 	}
 }
--- a/pkg/kumquatlug/planner/group.go
+++ b/pkg/kumquatlug/planner/group.go
@@ -7,24 +7,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// engine is what the planner knows of one engine.
+// engine is the planner's state of one engine.
 type engine struct {
-	name    string
-	role    kumquatlug.Role
-	takenAt kumquatlug.Millis
-	inHand  int
-	// waited says that the last report showed a queue.
-	waited bool
-	// going is the role that it was ordered to take; empty when it was not.
-	going     kumquatlug.Role
-	orderedAt kumquatlug.Millis
-	// inherited says that another planner ordered it.
-	inherited bool
-	// since is when it took its role, as far as is known.
-	since kumquatlug.Millis
-}
-
-// group is the engines in name order, and what they can do in each role.
+	name       string
+	role       kumquatlug.Role
+	reportedAt kumquatlug.Millis
+	inFlight   int
+	// hadQueue is set if the last report showed a queue.
+	hadQueue bool
+	// pendingRole is the new role while a change is in progress, otherwise empty.
+	pendingRole kumquatlug.Role
+	orderedAt   kumquatlug.Millis
+	// orderedElsewhere is set if another planner ordered the pending change.
+	orderedElsewhere bool
+	// roleSince is when the engine was first seen in its role.
+	roleSince kumquatlug.Millis
+}
+
+// group holds the engines, sorted by name, and the estimated token rates of one engine
+// in each role.
 type group struct {
 	engines     []*engine
 	prefillRate float64
@@ -43,92 +44,93 @@
 	})
 }
 
-// report takes in e and returns how long a change took that it shows as done,
-// else zero. Engines with another role than prefill or decode are not the
-// planner's.
+// report records e. If it shows that a change has completed, report returns the duration
+// of the change, else zero. Engines with a role other than prefill or decode are
+// ignored.
 func (g *group) report(now kumquatlug.Millis, e kumquatlug.EngineReport) kumquatlug.Millis {
 	if e.Role != kumquatlug.RolePrefill && e.Role != kumquatlug.RoleDecode {
 		return 0
 	}
 	at, ok := g.find(e.Target)
 	if !ok {
-		g.engines = slices.Insert(g.engines, at, &engine{name: e.Target, role: e.Role, takenAt: e.TakenAt, since: now})
+		g.engines = slices.Insert(g.engines, at, &engine{name: e.Target, role: e.Role, reportedAt: e.TakenAt, roleSince: now})
 	}
 	known := g.engines[at]
-	if e.TakenAt < known.takenAt {
+	if e.TakenAt < known.reportedAt {
 		return 0
 	}
 	g.observe(known, e)
-	known.takenAt = e.TakenAt
-	known.inHand = e.InHand
-	known.inherit(now, e.Going)
-	return known.take(now, e.Role)
-}
-
-// inherit takes over an order of another planner. When the lease on the group
-// changes hands, engines may be on their way; a planner that did not count them
-// would send the next ones away on top.
-func (e *engine) inherit(now kumquatlug.Millis, going kumquatlug.Role) {
-	if e.inherited || (e.going == "" && going != "") {
-		e.inherited = going != ""
-		e.going = going
+	known.reportedAt = e.TakenAt
+	known.inFlight = e.InHand
+	known.adoptOrder(now, e.Going)
+	return known.setRole(now, e.Role)
+}
+
+// adoptOrder records a change that another planner ordered. Changes may be in progress
+// when the lease on the group passes to another holder; a planner that ignored them
+// would exceed the limit on concurrent changes.
+func (e *engine) adoptOrder(now kumquatlug.Millis, role kumquatlug.Role) {
+	if e.orderedElsewhere || (e.pendingRole == "" && role != "") {
+		e.orderedElsewhere = role != ""
+		e.pendingRole = role
 		e.orderedAt = now
 	}
 }
 
-// take records the role that the engine says it has. A report from before the
-// order still shows the old one, which says nothing about the order.
-func (e *engine) take(now kumquatlug.Millis, role kumquatlug.Role) kumquatlug.Millis {
+// setRole records the role that the engine reports, and returns the duration of the
+// change that it completes, else zero. A report from before the order still shows the
+// old role and does not affect the pending change.
+func (e *engine) setRole(now kumquatlug.Millis, role kumquatlug.Role) kumquatlug.Millis {
 	if e.role == role {
 		return 0
 	}
 	e.role = role
-	e.since = now
-	if e.going != role {
+	e.roleSince = now
+	if e.pendingRole != role {
 		return 0
 	}
-	e.going = ""
-	if e.inherited {
-		e.inherited = false
+	e.pendingRole = ""
+	if e.orderedElsewhere {
+		e.orderedElsewhere = false
 		return 0
 	}
 	return max(now-e.orderedAt, 1)
 }
 
-// observe learns from a report that was not seen yet; the holder of the group
-// shows the last one again until there is a newer.
+// observe updates the queue state and the rates from a new report. The lease holder
+// passes the last report repeatedly until there is a newer one.
 func (g *group) observe(known *engine, e kumquatlug.EngineReport) {
-	if e.TakenAt == known.takenAt {
+	if e.TakenAt == known.reportedAt {
 		return
 	}
-	if known.waited && e.Waiting > 0 && known.role == e.Role {
-		g.learn(e)
+	if known.hadQueue && e.Waiting > 0 && known.role == e.Role {
+		g.updateRates(e)
 	}
-	known.waited = e.Waiting > 0
+	known.hadQueue = e.Waiting > 0
 }
 
-// rateStep is the weight of one report in the rates of the group.
-const rateStep = 0.05
+// rateWeight is the weight of one report in the rates of the group.
+const rateWeight = 0.05
 
-// learn takes the rates of an engine that had a queue in this report and in the
-// one before: the rate of an idle engine tells how little it was given. A queue
-// in one report may be a call that has just arrived, and the rate is that of
-// the time before. Learned from such calls, the rate of prompts falls to what
-// is asked for, that side seems to need ever more engines, and the split runs
-// away; one sees it by a few engines left on the other side with all the queue.
-func (g *group) learn(e kumquatlug.EngineReport) {
+// updateRates learns the rates of an engine that had a queue in this report and in the
+// previous one: the rate of an idle engine reflects its load, not its capacity. A queue
+// in a single report may be a call that has just arrived, while the rate covers the time
+// before. Learning from such reports lowers the prefill rate to the current load, so that
+// prefill appears to need ever more engines and the split runs away: the few engines
+// left for decode then have the whole queue.
+func (g *group) updateRates(e kumquatlug.EngineReport) {
 	if e.Role == kumquatlug.RolePrefill && e.PrefillRate > 0 {
-		g.prefillRate += rateStep * (e.PrefillRate - g.prefillRate)
+		g.prefillRate += rateWeight * (e.PrefillRate - g.prefillRate)
 	}
 	if e.Role == kumquatlug.RoleDecode && e.DecodeRate > 0 {
-		g.decodeRate += rateStep * (e.DecodeRate - g.decodeRate)
+		g.decodeRate += rateWeight * (e.DecodeRate - g.decodeRate)
 	}
 }
 
 func (g *group) refused(name string) {
 	if at, ok := g.find(name); ok {
-		g.engines[at].going = ""
-		g.engines[at].inherited = false
+		g.engines[at].pendingRole = ""
+		g.engines[at].orderedElsewhere = false
 	}
 }
 
@@ -138,27 +140,29 @@
 	}
 }
 
-// fresh reports whether at least a part of the engines has reported lately.
-// Engines that are away need not: a change may keep them silent.
-func (g *group) fresh(now, stale kumquatlug.Millis, part float64) bool {
-	heard, asked := 0, 0
+// enoughReports reports whether at least the given share of engines has reported
+// recently. Engines with a pending change are not counted, since the change may prevent
+// their reports.
+func (g *group) enoughReports(now, stale kumquatlug.Millis, share float64) bool {
+	fresh, expected := 0, 0
 	for _, e := range g.engines {
-		if e.going != "" {
+		if e.pendingRole != "" {
 			continue
 		}
-		asked++
-		if now-e.takenAt <= stale {
-			heard++
+		expected++
+		if now-e.reportedAt <= stale {
+			fresh++
 		}
 	}
-	return asked > 0 && float64(heard) >= part*float64(asked)
+	return expected > 0 && float64(fresh) >= share*float64(expected)
 }
 
-// split counts the engines by the role that they have or are going to.
+// split returns the numbers of prefill and decode engines. Engines with a pending change
+// count in their new role.
 func (g *group) split() (int, int) {
 	prefill, decode := 0, 0
 	for _, e := range g.engines {
-		if cmp.Or(e.going, e.role) == kumquatlug.RolePrefill {
+		if cmp.Or(e.pendingRole, e.role) == kumquatlug.RolePrefill {
 			prefill++
 		} else {
 			decode++
@@ -167,43 +171,43 @@
 	return prefill, decode
 }
 
-// away counts the engines that were ordered and have not arrived.
-func (g *group) away() int {
+// changing returns the number of engines with a pending change.
+func (g *group) changing() int {
 	n := 0
 	for _, e := range g.engines {
-		if e.going != "" {
+		if e.pendingRole != "" {
 			n++
 		}
 	}
 	return n
 }
 
-// change orders up to count engines from one role to another, those with the
-// least in hand first, with no more than limit away at once.
-func (g *group) change(
+// orderChanges orders up to count engines from one role to another, those with the fewest
+// calls in flight first. At most limit changes are pending at the same time.
+func (g *group) orderChanges(
 	now kumquatlug.Millis, from, to kumquatlug.Role, count, limit int, dwell kumquatlug.Millis, reason string,
 ) []kumquatlug.RoleChange {
-	count = min(count, limit-g.away())
+	count = min(count, limit-g.changing())
 	var changes []kumquatlug.RoleChange
 	for _, e := range g.movable(now, from, dwell) {
 		if len(changes) >= count {
 			break
 		}
-		e.going = to
+		e.pendingRole = to
 		e.orderedAt = now
 		changes = append(changes, kumquatlug.NewRoleChange(e.name, from, to, reason))
 	}
 	return changes
 }
 
-// movable returns the engines that may leave a role, the least busy first.
+// movable returns the engines that may leave a role, sorted by calls in flight.
 func (g *group) movable(now kumquatlug.Millis, from kumquatlug.Role, dwell kumquatlug.Millis) []*engine {
-	var list []*engine
+	var movable []*engine
 	for _, e := range g.engines {
-		if e.role == from && e.going == "" && now-e.since >= dwell {
-			list = append(list, e)
+		if e.role == from && e.pendingRole == "" && now-e.roleSince >= dwell {
+			movable = append(movable, e)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *engine) int { return cmp.Compare(a.inHand, b.inHand) })
-	return list
+	slices.SortStableFunc(movable, func(a, b *engine) int { return cmp.Compare(a.inFlight, b.inFlight) })
+	return movable
 }
