--- a/internal/front/config.go
+++ b/internal/front/config.go
@@ -7,63 +7,63 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// mostParts bounds the numbers of the parts of a config.
-const mostParts = 1 << 20
+// maxConfigParts bounds the numbers of the parts of a config.
+const maxConfigParts = 1 << 20
 
 // TellConfig implements [kumquatlug.FrontLink].
-func (l *Link) TellConfig(front string) {
-	if front == "" {
-		front = l.anyPeer()
+func (l *Link) TellConfig(gateway string) {
+	if gateway == "" {
+		gateway = l.randomPeer()
 	}
-	if front != "" {
-		l.sendTo(front, &frontv1.Datagram{})
+	if gateway != "" {
+		l.sendTo(gateway, &frontv1.Datagram{})
 	}
 }
 
-// anyPeer returns the name of some other front, empty where none is known.
-func (l *Link) anyPeer() string {
+// randomPeer returns the name of some other front, empty where none is known.
+func (l *Link) randomPeer() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.peers) == 0 {
 		return ""
 	}
-	at := rand.IntN(len(l.peers))
+	skip := rand.IntN(len(l.peers))
 	for name := range l.peers {
-		if at == 0 {
+		if skip == 0 {
 			return name
 		}
-		at--
+		skip--
 	}
 	return ""
 }
 
 // AskConfig implements [kumquatlug.FrontLink].
-func (l *Link) AskConfig(front string, ask kumquatlug.ConfigAsk) {
-	l.sendTo(front, &frontv1.Datagram{ConfigAsk: &frontv1.ConfigAsk{Version: ask.Version, First: uint32(max(ask.First, 0))}})
+func (l *Link) AskConfig(gateway string, request kumquatlug.ConfigAsk) {
+	l.sendTo(gateway, &frontv1.Datagram{ConfigAsk: &frontv1.ConfigAsk{Version: request.Version, First: uint32(max(request.First, 0))}})
 }
 
 // GiveConfig implements [kumquatlug.FrontLink].
-func (l *Link) GiveConfig(front string, part kumquatlug.ConfigPart) {
-	l.sendTo(front, &frontv1.Datagram{ConfigPart: &frontv1.ConfigPart{
-		Version: part.Version, Part: uint32(part.Part), Parts: uint32(part.Parts), Text: part.Text,
+func (l *Link) GiveConfig(gateway string, p kumquatlug.ConfigPart) {
+	l.sendTo(gateway, &frontv1.Datagram{ConfigPart: &frontv1.ConfigPart{
+		Version: p.Version, Part: uint32(p.Part), Parts: uint32(p.Parts), Text: p.Text,
 	}})
 }
 
-// encodeState returns nil for a front that has no config.
-func encodeState(s kumquatlug.ConfigState) *frontv1.ConfigState {
+// encodeConfigState returns nil for a front that has no config.
+func encodeConfigState(s kumquatlug.ConfigState) *frontv1.ConfigState {
 	if s.Version == 0 {
 		return nil
 	}
 	return &frontv1.ConfigState{Version: s.Version, AgeMs: int64(s.Age)}
 }
 
-// decodeState reads a state. An age below zero would make a config look newer than it is.
-func decodeState(s *frontv1.ConfigState) kumquatlug.ConfigState {
+// decodeConfigState reads a state. An age below zero would make a config look newer than it is.
+func decodeConfigState(s *frontv1.ConfigState) kumquatlug.ConfigState {
 	return kumquatlug.ConfigState{Version: s.GetVersion(), Age: max(kumquatlug.Millis(s.GetAgeMs()), 0)}
 }
 
-func decodePart(p *frontv1.ConfigPart) kumquatlug.ConfigPart {
+func decodeConfigPart(p *frontv1.ConfigPart) kumquatlug.ConfigPart {
 	return kumquatlug.ConfigPart{
-		Version: p.GetVersion(), Part: int(min(p.GetPart(), mostParts)), Parts: int(min(p.GetParts(), mostParts)), Text: p.GetText(),
+		Version: p.GetVersion(), Part: int(min(p.GetPart(), maxConfigParts)), Parts: int(min(p.GetParts(), maxConfigParts)), Text: p.GetText(),
 	}
 }
--- a/internal/front/link.go
+++ b/internal/front/link.go
@@ -34,12 +34,12 @@
 
 // Figures of datagrams, in bytes.
 const (
-	// keySize is the length of a front's key.
-	keySize = 16
-	// mostDatagram is the longest that is taken; a turn has some 150.
-	mostDatagram = 1400
-	// mostName bounds names in them.
-	mostName = 200
+	// keyBytes is the length of a front's key.
+	keyBytes = 16
+	// maxDatagramBytes is the longest that is taken; a turn has some 150.
+	maxDatagramBytes = 1400
+	// maxNameBytes bounds names in them.
+	maxNameBytes = 200
 )
 
 // Config is what a [Link] is made of.
@@ -55,9 +55,9 @@
 // Link sends to the other fronts and receives from them. It is safe for concurrent
 // use.
 type Link struct {
-	c         Config
+	config    Config
 	key       []byte
-	open      cipher.AEAD
+	aead      cipher.AEAD
 	datagrams *prometheus.CounterVec
 	mu        sync.Mutex
 	peers     map[string]*peer
@@ -71,13 +71,13 @@
 type peer struct {
 	address *net.UDPAddr
 	key     []byte
-	seal    cipher.AEAD
-	// knowsMe says that it has sent something that this front could open.
-	knowsMe bool
+	aead    cipher.AEAD
+	// hasOurKey says that it has sent something that this front could open.
+	hasOurKey bool
 }
 
-// row is what a front's row tells the others.
-type row struct {
+// peerRow is what a front's row tells the others.
+type peerRow struct {
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 	Key         []byte `json:"key"`
@@ -85,16 +85,16 @@
 
 // New returns a link that knows nobody yet.
 func New(c Config) (*Link, error) {
-	key := make([]byte, keySize)
+	key := make([]byte, keyBytes)
 	if _, err := rand.Read(key); err != nil {
 		return nil, errors.Wrap(err, "make this front's key")
 	}
-	open, err := sealer(key)
+	aead, err := newAEAD(key)
 	if err != nil {
 		return nil, err
 	}
 	l := &Link{
-		c: c, key: key, open: open, peers: map[string]*peer{},
+		config: c, key: key, aead: aead, peers: map[string]*peer{},
 		datagrams: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_front_datagrams_total", Help: "Datagrams between fronts by what became of them.",
 		}, []string{"outcome"}),
@@ -102,7 +102,7 @@
 	return l, errors.Wrap(c.Registry.Register(l.datagrams), "register the metrics of datagrams")
 }
 
-func sealer(key []byte) (cipher.AEAD, error) {
+func newAEAD(key []byte) (cipher.AEAD, error) {
 	block, err := aes.NewCipher(key)
 	if err != nil {
 		return nil, errors.Wrap(err, "a front's key")
@@ -113,104 +113,104 @@
 
 // Row implements [kumquatlug.FrontLink].
 func (l *Link) Row() []byte {
-	text, err := json.Marshal(row{Incarnation: l.c.Incarnation, Address: l.c.Conn.LocalAddr().String(), Key: l.key})
+	data, err := json.Marshal(peerRow{Incarnation: l.config.Incarnation, Address: l.config.Conn.LocalAddr().String(), Key: l.key})
 	if err != nil {
 		// Texts and bytes can always be written.
-		l.c.Logger.Error("row of this front can't be written", logs.Error(err))
+		l.config.Logger.Error("row of this front can't be written", logs.Error(err))
 	}
-	return text
+	return data
 }
 
 // Meet implements [kumquatlug.FrontLink]. A row that can't be read, as one of a
 // release without turns, names nobody to ask.
-func (l *Link) Meet(rows map[string][]byte) (there, anew []string) {
-	there = []string{l.c.Name}
+func (l *Link) Meet(rows map[string][]byte) (reachable, restarted []string) {
+	reachable = []string{l.config.Name}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, text := range rows {
-		if name == l.c.Name {
+	for name, data := range rows {
+		if name == l.config.Name {
 			continue
 		}
-		var r row
+		var r peerRow
 		changed := false
-		err := json.Unmarshal(text, &r)
+		err := json.Unmarshal(data, &r)
 		if err == nil {
-			changed, err = l.add(name, r.Address, r.Key)
+			changed, err = l.updatePeer(name, r.Address, r.Key)
 		}
 		if err != nil {
-			l.c.Logger.Warn("row of a front passed over", zap.String("front", name), logs.Error(err))
+			l.config.Logger.Warn("row of a front passed over", zap.String("front", name), logs.Error(err))
 			continue
 		}
-		there = append(there, name)
+		reachable = append(reachable, name)
 		if changed {
-			anew = append(anew, name)
+			restarted = append(restarted, name)
 		}
 	}
-	return there, anew
+	return reachable, restarted
 }
 
-// add takes where a front is and what seals datagrams to it, and reports whether that
+// updatePeer takes where a front is and what seals datagrams to it, and reports whether that
 // is new; the lock must be held.
-func (l *Link) add(name, address string, key []byte) (bool, error) {
-	at, err := net.ResolveUDPAddr("udp4", address)
+func (l *Link) updatePeer(name, address string, key []byte) (bool, error) {
+	resolved, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return false, errors.Wrap(err, "address of a front")
 	}
-	if at.IP == nil || name == "" || len(name) > mostName {
+	if resolved.IP == nil || name == "" || len(name) > maxNameBytes {
 		return false, errors.Newf("front %q at %q can't be reached", name, address)
 	}
-	if before, known := l.peers[name]; known && before.is(at, key) {
+	if current, known := l.peers[name]; known && current.matches(resolved, key) {
 		return false, nil
 	}
-	seal, err := sealer(key)
+	aead, err := newAEAD(key)
 	if err != nil {
 		return false, err
 	}
-	l.peers[name] = &peer{address: at, key: key, seal: seal}
+	l.peers[name] = &peer{address: resolved, key: key, aead: aead}
 	return true, nil
 }
 
-// is reports whether a peer has this address and key.
-func (p *peer) is(at *net.UDPAddr, key []byte) bool {
-	return p.address.IP.Equal(at.IP) && p.address.Port == at.Port && string(p.key) == string(key)
+// matches reports whether a peer has this address and key.
+func (p *peer) matches(address *net.UDPAddr, key []byte) bool {
+	return p.address.IP.Equal(address.IP) && p.address.Port == address.Port && string(p.key) == string(key)
 }
 
 // Send implements [kumquatlug.FrontLink].
 func (l *Link) Send(m kumquatlug.TurnMessage) {
-	l.sendTo(m.Front, &frontv1.Datagram{Turn: encode(m.Turn)})
+	l.sendTo(m.Front, &frontv1.Datagram{Turn: encodePermit(m.Turn)})
 }
 
 // sendTo sends to the front with this name.
 func (l *Link) sendTo(name string, d *frontv1.Datagram) {
 	l.mu.Lock()
-	to, known := l.peers[name]
+	receiver, known := l.peers[name]
 	l.mu.Unlock()
 	if !known {
 		l.datagrams.WithLabelValues("unknown_receiver").Inc()
 		return
 	}
-	l.send(name, to, d)
+	l.send(name, receiver, d)
 }
 
 // send seals a datagram and sends it.
-func (l *Link) send(name string, to *peer, d *frontv1.Datagram) {
-	d.From = l.c.Name
+func (l *Link) send(name string, receiver *peer, d *frontv1.Datagram) {
+	d.From = l.config.Name
 	if h := l.handler.Load(); h != nil {
-		d.Config = encodeState((*h).ConfigState())
+		d.Config = encodeConfigState((*h).ConfigState())
 	}
 	l.mu.Lock()
-	if !to.knowsMe {
-		d.Hello = &frontv1.Hello{Address: l.c.Conn.LocalAddr().String(), Key: l.key}
+	if !receiver.hasOurKey {
+		d.Hello = &frontv1.Hello{Address: l.config.Conn.LocalAddr().String(), Key: l.key}
 	}
 	l.mu.Unlock()
-	text, err := proto.Marshal(d)
+	data, err := proto.Marshal(d)
 	if err == nil {
-		_, err = l.c.Conn.WriteTo(to.seal.Seal(nil, nil, text, nil), to.address)
+		_, err = l.config.Conn.WriteTo(receiver.aead.Seal(nil, nil, data, nil), receiver.address)
 	}
 	if err != nil {
 		// Whoever waits for an answer asks again.
 		l.datagrams.WithLabelValues("not_sent").Inc()
-		l.c.Logger.Debug("datagram not sent", zap.String("front", name), logs.Error(err))
+		l.config.Logger.Debug("datagram not sent", zap.String("front", name), logs.Error(err))
 		return
 	}
 	l.datagrams.WithLabelValues("sent").Inc()
@@ -221,7 +221,7 @@
 	l.mu.Lock()
 	peers := make(map[string]*peer, len(l.peers))
 	for name, p := range l.peers {
-		if p.knowsMe {
+		if p.hasOurKey {
 			peers[name] = p
 		}
 	}
@@ -234,11 +234,11 @@
 // Receive implements [kumquatlug.FrontLink].
 func (l *Link) Receive(ctx context.Context, h kumquatlug.FrontHandler) error {
 	l.handler.Store(&h)
-	stop := context.AfterFunc(ctx, func() { _ = l.c.Conn.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = l.config.Conn.Close() })
 	defer stop()
-	buffer := make([]byte, mostDatagram+1)
+	buffer := make([]byte, maxDatagramBytes+1)
 	for {
-		n, from, err := l.c.Conn.ReadFrom(buffer)
+		n, from, err := l.config.Conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -247,23 +247,23 @@
 		}
 		if err != nil {
 			// A receiver that is not there is told by an error of the next read.
-			l.c.Logger.Debug("datagram not received", logs.Error(err))
+			l.config.Logger.Debug("datagram not received", logs.Error(err))
 			continue
 		}
-		l.take(buffer[:n], from, h)
+		l.handleDatagram(buffer[:n], from, h)
 	}
 }
 
-// take opens one datagram and hands it on. Only who has read this front's row, or
+// handleDatagram opens one datagram and hands it on. Only who has read this front's row, or
 // was told its key by a sealed hello, can have made it.
-func (l *Link) take(sealed []byte, at net.Addr, h kumquatlug.FrontHandler) {
-	d, err := l.unseal(sealed)
+func (l *Link) handleDatagram(sealed []byte, source net.Addr, h kumquatlug.FrontHandler) {
+	d, err := l.decrypt(sealed)
 	if err == nil {
-		err = l.admit(d, at, h)
+		err = l.authenticate(d, source, h)
 	}
 	if err != nil {
 		l.datagrams.WithLabelValues("refused").Inc()
-		l.c.Logger.Debug("datagram refused", zap.Stringer("from", at), logs.Error(err))
+		l.config.Logger.Debug("datagram refused", zap.Stringer("from", source), logs.Error(err))
 		return
 	}
 	l.datagrams.WithLabelValues("received").Inc()
@@ -271,50 +271,50 @@
 		h.Left(d.GetFrom())
 	}
 	if d.GetConfig() != nil {
-		h.ConfigHeard(d.GetFrom(), decodeState(d.GetConfig()))
+		h.ConfigHeard(d.GetFrom(), decodeConfigState(d.GetConfig()))
 	}
 	if ask := d.GetConfigAsk(); ask != nil {
-		h.ConfigAsked(d.GetFrom(), kumquatlug.ConfigAsk{Version: ask.GetVersion(), First: int(min(ask.GetFirst(), mostParts))})
+		h.ConfigAsked(d.GetFrom(), kumquatlug.ConfigAsk{Version: ask.GetVersion(), First: int(min(ask.GetFirst(), maxConfigParts))})
 	}
 	if d.GetConfigPart() != nil {
-		h.ConfigGiven(d.GetFrom(), decodePart(d.GetConfigPart()))
+		h.ConfigGiven(d.GetFrom(), decodeConfigPart(d.GetConfigPart()))
 	}
 	if d.GetTurn() != nil {
-		h.Turn(kumquatlug.TurnMessage{Front: d.GetFrom(), Turn: decode(d.GetTurn())})
+		h.Turn(kumquatlug.TurnMessage{Front: d.GetFrom(), Turn: decodePermit(d.GetTurn())})
 	}
 }
 
-func (l *Link) unseal(sealed []byte) (*frontv1.Datagram, error) {
-	if len(sealed) > mostDatagram {
+func (l *Link) decrypt(sealed []byte) (*frontv1.Datagram, error) {
+	if len(sealed) > maxDatagramBytes {
 		return nil, errors.New("datagram is too long")
 	}
-	text, err := l.open.Open(nil, nil, sealed, nil)
+	data, err := l.aead.Open(nil, nil, sealed, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "open a datagram")
 	}
 	d := &frontv1.Datagram{}
-	return d, errors.Wrap(proto.Unmarshal(text, d), "read a datagram")
+	return d, errors.Wrap(proto.Unmarshal(data, d), "read a datagram")
 }
 
-// admit checks who sent a datagram, and takes a hello in it.
-func (l *Link) admit(d *frontv1.Datagram, at net.Addr, h kumquatlug.FrontHandler) error {
-	if d.GetFrom() == l.c.Name {
+// authenticate checks who sent a datagram, and takes a hello in it.
+func (l *Link) authenticate(d *frontv1.Datagram, source net.Addr, h kumquatlug.FrontHandler) error {
+	if d.GetFrom() == l.config.Name {
 		return errors.New("datagram bears this front's name")
 	}
 	l.mu.Lock()
 	if hello := d.GetHello(); hello != nil {
-		if _, err := l.add(d.GetFrom(), hello.GetAddress(), hello.GetKey()); err != nil {
+		if _, err := l.updatePeer(d.GetFrom(), hello.GetAddress(), hello.GetKey()); err != nil {
 			l.mu.Unlock()
 			return err
 		}
 	}
-	p, known := l.peers[d.GetFrom()]
-	source, _ := at.(*net.UDPAddr)
-	if !known || source == nil || !p.address.IP.Equal(source.IP) {
+	sender, known := l.peers[d.GetFrom()]
+	sourceUDP, _ := source.(*net.UDPAddr)
+	if !known || sourceUDP == nil || !sender.address.IP.Equal(sourceUDP.IP) {
 		l.mu.Unlock()
 		return errors.Newf("front %q is not known at this address", d.GetFrom())
 	}
-	p.knowsMe = true
+	sender.hasOurKey = true
 	l.mu.Unlock()
 	if d.GetHello() != nil {
 		h.Met(d.GetFrom())
--- a/internal/logs/accounts.go
+++ b/internal/logs/accounts.go
@@ -9,57 +9,57 @@
 
 // Figures of what is told of accounts.
 const (
-	// leastAsked is from how many requests on an account is judged.
-	leastAsked = 20
-	// worstPart is which part of the accounts is told, as a divisor, mostWorst how many
+	// minRequests is from how many requests on an account is judged.
+	minRequests = 20
+	// worstAccountsDivisor is which part of the accounts is told, as a divisor, maxWorstAccounts how many
 	// at most.
-	worstPart = 10
-	mostWorst = 20
+	worstAccountsDivisor = 10
+	maxWorstAccounts     = 20
 )
 
-// accountCount is what became of the requests of one account.
-type accountCount struct {
-	name               string
-	inTime, late, lost int
+// accountStats is what became of the requests of one account.
+type accountStats struct {
+	name                    string
+	onTime, late, notServed int
 }
 
-func (a *accountCount) asked() int { return a.inTime + a.late + a.lost }
+func (a *accountStats) total() int { return a.onTime + a.late + a.notServed }
 
-// part is which part was answered in time.
-func (a *accountCount) part() float64 { return float64(a.inTime) / float64(a.asked()) }
+// onTimeFraction is which part was answered in time.
+func (a *accountStats) onTimeFraction() float64 { return float64(a.onTime) / float64(a.total()) }
 
-// account returns the counts of a line's account, nil for none.
-func (l *Losses) account(line Line) *accountCount {
-	name := line.word("account")
-	if name == "" {
-		return &accountCount{}
+// accountFor returns the counts of a line's account, nil for none.
+func (l *Losses) accountFor(line Line) *accountStats {
+	account := line.stringField("account")
+	if account == "" {
+		return &accountStats{}
 	}
-	a, known := l.accounts[name]
+	a, known := l.accounts[account]
 	if !known {
-		a = &accountCount{name: name}
-		l.accounts[name] = a
+		a = &accountStats{name: account}
+		l.accounts[account] = a
 	}
 	return a
 }
 
 // worstAccounts returns the accounts with the smallest part in time, the worst first.
-func (l *Losses) worstAccounts() []*accountCount {
-	var all []*accountCount
+func (l *Losses) worstAccounts() []*accountStats {
+	var all []*accountStats
 	for _, a := range l.accounts {
-		if a.asked() >= leastAsked {
+		if a.total() >= minRequests {
 			all = append(all, a)
 		}
 	}
-	slices.SortFunc(all, func(a, b *accountCount) int {
-		return cmp.Or(cmp.Compare(a.part(), b.part()), cmp.Compare(a.name, b.name))
+	slices.SortFunc(all, func(a, b *accountStats) int {
+		return cmp.Or(cmp.Compare(a.onTimeFraction(), b.onTimeFraction()), cmp.Compare(a.name, b.name))
 	})
-	return all[:min(len(all), (len(all)+worstPart-1)/worstPart, mostWorst)]
+	return all[:min(len(all), (len(all)+worstAccountsDivisor-1)/worstAccountsDivisor, maxWorstAccounts)]
 }
 
-// tellAccounts writes the worst tenth of the accounts, and who was denied.
-func (l *Losses) tellAccounts(b *strings.Builder) {
+// writeAccounts writes the worst tenth of the accounts, and who was denied.
+func (l *Losses) writeAccounts(b *strings.Builder) {
 	for _, a := range l.worstAccounts() {
-		fmt.Fprintf(b, "account %s: %.3f in time of %d, %d late, %d not served\n", a.name, a.part(), a.asked(), a.late, a.lost)
+		fmt.Fprintf(b, "account %s: %.3f in time of %d, %d late, %d not served\n", a.name, a.onTimeFraction(), a.total(), a.late, a.notServed)
 	}
 	reasons := make([]string, 0, len(l.denied))
 	for reason := range l.denied {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -17,30 +17,30 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ringLines is how many lines wait at most: two seconds at 2,000 lines a second
+// maxBufferedLines is how many lines wait at most: two seconds at 2,000 lines a second
 // of some 300 bytes, 1.2 MB.
-const ringLines = 4096
+const maxBufferedLines = 4096
 
 // Writer writes lines through a bounded ring.
 type Writer struct {
-	lines chan []byte
-	out   io.Writer
-	left  atomic.Int64
-	done  chan struct{}
+	lines   chan []byte
+	out     io.Writer
+	dropped atomic.Int64
+	done    chan struct{}
 }
 
 // NewWriter returns a writer to out. [Writer.Run] writes what it takes.
 func NewWriter(out io.Writer) *Writer {
-	return &Writer{lines: make(chan []byte, ringLines), out: out, done: make(chan struct{})}
+	return &Writer{lines: make(chan []byte, maxBufferedLines), out: out, done: make(chan struct{})}
 }
 
 // Write takes a line, or counts it as left out.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.lines <- copied:
 	default:
-		w.left.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
@@ -49,7 +49,7 @@
 func (w *Writer) Sync() error { return nil }
 
 // Left returns how many lines were left out so far and not yet told.
-func (w *Writer) Left() int64 { return w.left.Load() }
+func (w *Writer) Left() int64 { return w.dropped.Load() }
 
 // Run writes lines until stop is closed, then what still waits.
 func (w *Writer) Run(stop <-chan struct{}) {
@@ -57,10 +57,10 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.write(line)
+			w.writeLine(line)
 		case <-stop:
 			for len(w.lines) > 0 {
-				w.write(<-w.lines)
+				w.writeLine(<-w.lines)
 			}
 			return
 		}
@@ -68,18 +68,18 @@
 }
 
 // Wait waits until Run has written everything, or for at most a span.
-func (w *Writer) Wait(span time.Duration) {
+func (w *Writer) Wait(timeout time.Duration) {
 	select {
 	case <-w.done:
-	case <-time.After(span):
+	case <-time.After(timeout):
 	}
 }
 
-func (w *Writer) write(line []byte) {
+func (w *Writer) writeLine(line []byte) {
 	// Nobody can be told that standard output is broken.
 	_, _ = w.out.Write(line)
-	if left := w.left.Swap(0); left > 0 {
-		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warn\",\"msg\":\"log lines left out\",\"count\":%d}\n", left)
+	if dropped := w.dropped.Swap(0); dropped > 0 {
+		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warn\",\"msg\":\"log lines left out\",\"count\":%d}\n", dropped)
 	}
 }
 
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,32 +11,32 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stuck is a reader of standard output that stopped reading.
-type stuck struct {
+// blockedWriter is a reader of standard output that stopped reading.
+type blockedWriter struct {
 	release chan struct{}
-	text    bytes.Buffer
+	buffer  bytes.Buffer
 }
 
-func (s *stuck) Write(line []byte) (int, error) {
+func (s *blockedWriter) Write(line []byte) (int, error) {
 	<-s.release
-	return s.text.Write(line)
+	return s.buffer.Write(line)
 }
 
 // Nobody reads standard output any more. A request that logs must not wait for
 // it, and when reading goes on the lines that were left out must be counted.
-func TestLoggingNeverBlocks(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+func TestLoggingDoesNotBlock(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
 	w := NewWriter(out)
 	stop := make(chan struct{})
 	go w.Run(stop)
 	logger := New(w, zapcore.InfoLevel)
-	begun := time.Now()
-	const lines = ringLines + 1000
+	start := time.Now()
+	const lines = maxBufferedLines + 1000
 	for range lines {
 		logger.Info("line", zap.String("request", "r"))
 	}
-	if took := time.Since(begun); took > 5*time.Second {
-		t.Errorf("%v for %d lines", took, lines)
+	if elapsed := time.Since(start); elapsed > 5*time.Second {
+		t.Errorf("%v for %d lines", elapsed, lines)
 	}
 	if w.Left() == 0 {
 		t.Error("no line was left out")
@@ -44,12 +44,12 @@
 	close(out.release)
 	close(stop)
 	w.Wait(5 * time.Second)
-	if !strings.Contains(out.text.String(), "log lines left out") {
+	if !strings.Contains(out.buffer.String(), "log lines left out") {
 		t.Error("the lines left out are not told")
 	}
 }
 
-func TestErrorsAreOneLine(t *testing.T) {
+func TestErrorsAreLoggedOnOneLine(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	stop := make(chan struct{})
--- a/internal/logs/losses.go
+++ b/internal/logs/losses.go
@@ -31,16 +31,16 @@
 const (
 	causeWorker  = "worker failed: "
 	causeRefused = "refused: "
-	causeBroken  = "broken off: "
+	causeAborted = "broken off: "
 )
 
 const (
-	// failedStatus is the least HTTP status that counts as not served.
-	failedStatus = 500
-	// examplesEach is how many ids are kept of each loss.
-	examplesEach = 3
-	// pausesTold is how many workers are told at which streams stood still.
-	pausesTold = 10
+	// minErrorStatus is the least HTTP status that counts as not served.
+	minErrorStatus = 500
+	// maxExamples is how many ids are kept of each loss.
+	maxExamples = 3
+	// maxPausedWorkers is how many workers are told at which streams stood still.
+	maxPausedWorkers = 10
 	// barWidth is the width of the longest bar, in characters.
 	barWidth = 40
 )
@@ -65,30 +65,30 @@
 // Examples returns the ids of the first ones.
 func (l Loss) Examples() []string { return l.examples }
 
-// secondCount is what became of the tries that ended within one second.
-type secondCount struct {
-	at                 time.Time
-	inTime, late, lost int
+// secondStats is what became of the tries that ended within one second.
+type secondStats struct {
+	at                      time.Time
+	onTime, late, notServed int
 }
 
 // Losses are what the logs of all fronts tell of requests that were answered late
 // or not at all. Each try of a client counts by itself: one that was refused and
 // came back counts twice.
 type Losses struct {
-	byKey  map[lossKey]*Loss
-	bySec  map[int64]*secondCount
-	inTime map[string]int
-	// pauses are the streams that stood still, by worker.
-	pauses map[string]*pauses
+	byRouteAndCause map[lossKey]*Loss
+	bySecond        map[int64]*secondStats
+	onTime          map[string]int
+	// pausesByWorker are the streams that stood still, by worker.
+	pausesByWorker map[string]*workerPauses
 	// accounts are counts by account, denied those without a right by reason.
-	accounts map[string]*accountCount
+	accounts map[string]*accountStats
 	denied   map[string]int
-	unread   int
+	unparsed int
 }
 
-// pauses are the streams that stood still too long at one worker; tokens and requests
+// workerPauses are the streams that stood still too long at one worker; tokens and requests
 // are sums of what it had in hand then.
-type pauses struct {
+type workerPauses struct {
 	worker           string
 	count            int
 	tokens, requests float64
@@ -101,81 +101,81 @@
 }
 
 // ReadLosses collects the losses from the lines of fronts.
-func ReadLosses(logs io.Reader) (*Losses, error) {
-	l := &Losses{byKey: map[lossKey]*Loss{}, bySec: map[int64]*secondCount{}, inTime: map[string]int{}, pauses: map[string]*pauses{}, accounts: map[string]*accountCount{}, denied: map[string]int{}}
-	in := bufio.NewScanner(logs)
-	in.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), longestLine)
-	for in.Scan() {
-		text := in.Bytes()
-		if bytes.IndexByte(text, '{') < 0 {
+func ReadLosses(input io.Reader) (*Losses, error) {
+	l := &Losses{byRouteAndCause: map[lossKey]*Loss{}, bySecond: map[int64]*secondStats{}, onTime: map[string]int{}, pausesByWorker: map[string]*workerPauses{}, accounts: map[string]*accountStats{}, denied: map[string]int{}}
+	scanner := bufio.NewScanner(input)
+	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
+	for scanner.Scan() {
+		data := scanner.Bytes()
+		if bytes.IndexByte(data, '{') < 0 {
 			continue
 		}
-		line, err := parseLine(text)
+		line, err := parseLine(data)
 		if err != nil {
-			l.unread++
+			l.unparsed++
 			continue
 		}
-		l.take(line)
+		l.add(line)
 	}
-	return l, errors.Wrap(in.Err(), "read the logs")
+	return l, errors.Wrap(scanner.Err(), "read the logs")
 }
 
-// take counts the last line of a try; all other lines tell how it came to that.
-func (l *Losses) take(line Line) {
-	switch line.what {
+// add counts the last line of a try; all other lines tell how it came to that.
+func (l *Losses) add(line Line) {
+	switch line.message {
 	case "answered":
-		l.answered(line)
+		l.addAnswered(line)
 	case "refused":
-		if line.number("status") < failedStatus && line.number("status") != 0 {
+		if line.numberField("status") < minErrorStatus && line.numberField("status") != 0 {
 			// What no route allows is no loss.
-			l.denied[line.word("reason")]++
+			l.denied[line.stringField("reason")]++
 			return
 		}
-		l.lose(line, Cause(causeRefused+line.word("reason")))
+		l.addNotServed(line, Cause(causeRefused+line.stringField("reason")))
 	case "broken off":
-		l.lose(line, Cause(causeBroken+line.word("reason")))
+		l.addNotServed(line, Cause(causeAborted+line.stringField("reason")))
 	}
 }
 
-// answered sorts a worker's answer.
-func (l *Losses) answered(line Line) {
-	status := int(line.number("status"))
-	target := line.number("target_ms")
+// addAnswered sorts a worker's answer.
+func (l *Losses) addAnswered(line Line) {
+	status := int(line.numberField("status"))
+	target := line.numberField("target_ms")
 	switch {
-	case status >= failedStatus:
-		l.lose(line, Cause(fmt.Sprint(causeWorker, status)))
-	case target > 0 && line.number("first_ms") > target:
-		l.late(line, lateBy(line))
-	case line.step("pause_allowed") > 0 && line.step("longest_pause") > line.step("pause_allowed"):
+	case status >= minErrorStatus:
+		l.addNotServed(line, Cause(fmt.Sprint(causeWorker, status)))
+	case target > 0 && line.numberField("first_ms") > target:
+		l.addLate(line, lateCause(line))
+	case line.stepField("pause_allowed") > 0 && line.stepField("longest_pause") > line.stepField("pause_allowed"):
 		// Its first output was in time, and then it stood still.
-		l.paused(line)
+		l.addPaused(line)
 	default:
-		l.second(line).inTime++
-		l.account(line).inTime++
-		l.inTime[line.word("route")]++
+		l.secondFor(line).onTime++
+		l.accountFor(line).onTime++
+		l.onTime[line.stringField("route")]++
 	}
 }
 
-// paused counts a stream that stood still for longer than its route allows, and what
+// addPaused counts a stream that stood still for longer than its route allows, and what
 // its worker did besides.
-func (l *Losses) paused(line Line) {
-	l.late(line, CausePause)
+func (l *Losses) addPaused(line Line) {
+	l.addLate(line, CausePause)
 	steps, _ := line.fields["steps"].(map[string]any)
 	worker, _ := steps["paused_at"].(string)
-	p, known := l.pauses[worker]
-	if !known {
-		p = &pauses{worker: worker}
-		l.pauses[worker] = p
+	p, exists := l.pausesByWorker[worker]
+	if !exists {
+		p = &workerPauses{worker: worker}
+		l.pausesByWorker[worker] = p
 	}
 	p.count++
-	p.tokens += line.step("beside_tokens")
-	p.requests += line.step("beside_requests")
-	p.longest = max(p.longest, line.step("longest_pause"))
+	p.tokens += line.stepField("beside_tokens")
+	p.requests += line.stepField("beside_requests")
+	p.longest = max(p.longest, line.stepField("longest_pause"))
 }
 
-// lateBy is the step that took most of the time of a late answer.
-func lateBy(line Line) Cause {
-	if line.number("tries") > 1 {
+// lateCause is the step that took most of the time of a late answer.
+func lateCause(line Line) Cause {
+	if line.numberField("tries") > 1 {
 		return CauseTried
 	}
 	steps, _ := line.fields["steps"].(map[string]any)
@@ -184,71 +184,71 @@
 		name  string
 		cause Cause
 	}{{"queued", CauseWaited}, {"read", CauseRead}, {"first", CauseOutput}} {
-		if took, _ := steps[step.name].(float64); took > longest {
-			longest, cause = took, step.cause
+		if duration, _ := steps[step.name].(float64); duration > longest {
+			longest, cause = duration, step.cause
 		}
 	}
 	return cause
 }
 
-func (l *Losses) late(line Line, c Cause) {
-	l.second(line).late++
-	l.account(line).late++
-	l.count(line, c)
+func (l *Losses) addLate(line Line, c Cause) {
+	l.secondFor(line).late++
+	l.accountFor(line).late++
+	l.addLoss(line, c)
 }
 
-func (l *Losses) lose(line Line, c Cause) {
-	l.second(line).lost++
-	l.account(line).lost++
-	l.count(line, c)
+func (l *Losses) addNotServed(line Line, c Cause) {
+	l.secondFor(line).notServed++
+	l.accountFor(line).notServed++
+	l.addLoss(line, c)
 }
 
-func (l *Losses) count(line Line, c Cause) {
-	key := lossKey{route: line.word("route"), cause: c}
-	loss, known := l.byKey[key]
-	if !known {
+func (l *Losses) addLoss(line Line, c Cause) {
+	key := lossKey{route: line.stringField("route"), cause: c}
+	loss, exists := l.byRouteAndCause[key]
+	if !exists {
 		loss = &Loss{route: key.route, cause: c}
-		l.byKey[key] = loss
+		l.byRouteAndCause[key] = loss
 	}
 	loss.count++
-	if len(loss.examples) < examplesEach {
-		loss.examples = append(loss.examples, line.word("request"))
+	if len(loss.examples) < maxExamples {
+		loss.examples = append(loss.examples, line.stringField("request"))
 	}
 }
 
-func (l *Losses) second(line Line) *secondCount {
+func (l *Losses) secondFor(line Line) *secondStats {
 	at := line.at.Truncate(time.Second)
-	s, known := l.bySec[at.Unix()]
-	if !known {
-		s = &secondCount{at: at}
-		l.bySec[at.Unix()] = s
+	s, exists := l.bySecond[at.Unix()]
+	if !exists {
+		s = &secondStats{at: at}
+		l.bySecond[at.Unix()] = s
 	}
 	return s
 }
 
-// step returns a figure of the steps of a request, zero when it is missing.
-func (l Line) step(name string) float64 {
+// stepField returns a figure of the steps of a request, zero when it is missing.
+func (l Line) stepField(name string) float64 {
 	steps, _ := l.fields["steps"].(map[string]any)
 	value, _ := steps[name].(float64)
 	return value
 }
 
-// word returns a field that is a text, empty when it is missing.
-func (l Line) word(name string) string {
+// stringField returns a field that is a text, empty when it is missing.
+func (l Line) stringField(name string) string {
 	value, _ := l.fields[name].(string)
 	return value
 }
 
-// number returns a field that is a number, zero when it is missing.
-func (l Line) number(name string) float64 {
+// numberField returns a field that is a number, zero when it is missing.
+func (l Line) numberField(name string) float64 {
 	value, _ := l.fields[name].(float64)
 	return value
 }
 
 // Sorted returns the losses by route, the most frequent cause first.
 func (l *Losses) Sorted() []Loss {
-	all := make([]Loss, 0, len(l.byKey))
-	for _, loss := range l.byKey {
+	all := make([]Loss, 0, len(l.byRouteAndCause))
+	for _, loss := range l.byRouteAndCause {
 		all = append(all, *loss)
 	}
 	slices.SortFunc(all, func(a, b Loss) int {
@@ -257,23 +257,25 @@
 	return all
 }
 
-// pausedAt returns the workers at which streams stood still, the worst ones first.
-func (l *Losses) pausedAt() []*pauses {
-	all := make([]*pauses, 0, len(l.pauses))
-	for _, p := range l.pauses {
+// worstPauses returns the workers at which streams stood still, the worst ones first.
+func (l *Losses) worstPauses() []*workerPauses {
+	all := make([]*workerPauses, 0, len(l.pausesByWorker))
+	for _, p := range l.pausesByWorker {
 		all = append(all, p)
 	}
-	slices.SortFunc(all, func(a, b *pauses) int { return cmp.Or(cmp.Compare(b.count, a.count), cmp.Compare(a.worker, b.worker)) })
-	return all[:min(len(all), pausesTold)]
+	slices.SortFunc(all, func(a, b *workerPauses) int {
+		return cmp.Or(cmp.Compare(b.count, a.count), cmp.Compare(a.worker, b.worker))
+	})
+	return all[:min(len(all), maxPausedWorkers)]
 }
 
-// seconds returns all seconds in order.
-func (l *Losses) seconds() []secondCount {
-	all := make([]secondCount, 0, len(l.bySec))
-	for _, s := range l.bySec {
+// sortedSeconds returns all seconds in order.
+func (l *Losses) sortedSeconds() []secondStats {
+	all := make([]secondStats, 0, len(l.bySecond))
+	for _, s := range l.bySecond {
 		all = append(all, *s)
 	}
-	slices.SortFunc(all, func(a, b secondCount) int { return a.at.Compare(b.at) })
+	slices.SortFunc(all, func(a, b secondStats) int { return a.at.Compare(b.at) })
 	return all
 }
 
@@ -286,27 +288,27 @@
 	for _, loss := range l.Sorted() {
 		if loss.route != route {
 			route = loss.route
-			fmt.Fprintf(&b, "%s: %d in time\n", cmp.Or(route, "no route"), l.inTime[route])
+			fmt.Fprintf(&b, "%s: %d in time\n", cmp.Or(route, "no route"), l.onTime[route])
 		}
 		fmt.Fprintf(&b, "  %6d  %-32s %s\n", loss.count, loss.cause, strings.Join(loss.examples, " "))
 	}
-	for _, p := range l.pausedAt() {
-		n := float64(p.count)
+	for _, p := range l.worstPauses() {
+		count := float64(p.count)
 		fmt.Fprintf(&b, "paused at %s: %d, longest %.0f ms, beside %.0f requests and %.0f tokens to read (means)\n",
-			cmp.Or(p.worker, "an unknown worker"), p.count, p.longest, p.requests/n, p.tokens/n)
+			cmp.Or(p.worker, "an unknown worker"), p.count, p.longest, p.requests/count, p.tokens/count)
 	}
-	l.tellAccounts(&b)
-	most := 1
-	for _, s := range l.bySec {
-		most = max(most, s.inTime+s.late+s.lost)
+	l.writeAccounts(&b)
+	maxCount := 1
+	for _, s := range l.bySecond {
+		maxCount = max(maxCount, s.onTime+s.late+s.notServed)
 	}
-	for _, s := range l.seconds() {
-		bar := func(sign string, n int) string { return strings.Repeat(sign, n*barWidth/most) }
-		fmt.Fprintf(&b, "%s  %5d %5d %5d  %s%s%s\n", s.at.UTC().Format("15:04:05"), s.inTime, s.late, s.lost,
-			bar("=", s.inTime), bar("~", s.late), bar("!", s.lost))
+	for _, s := range l.sortedSeconds() {
+		bar := func(symbol string, count int) string { return strings.Repeat(symbol, count*barWidth/maxCount) }
+		fmt.Fprintf(&b, "%s  %5d %5d %5d  %s%s%s\n", s.at.UTC().Format("15:04:05"), s.onTime, s.late, s.notServed,
+			bar("=", s.onTime), bar("~", s.late), bar("!", s.notServed))
 	}
-	if l.unread > 0 {
-		fmt.Fprintf(&b, "%d lines could not be read\n", l.unread)
+	if l.unparsed > 0 {
+		fmt.Fprintf(&b, "%d lines could not be read\n", l.unparsed)
 	}
 	_, err := io.WriteString(w, b.String())
 	return errors.Wrap(err, "write the losses")
--- a/internal/logs/losses_test.go
+++ b/internal/logs/losses_test.go
@@ -61,14 +61,14 @@
 
 // One account of thirty is refused half of its requests, and one is too small to say
 // anything of it. The engineer must see the first by name, and no other.
-func TestTheAccountsThatFaredWorstAreTold(t *testing.T) {
+func TestWorstAccountsAreListed(t *testing.T) {
 	var lines strings.Builder
 	for i := range 30 * 40 {
-		what := `"answered","status":200,"first_ms":10,"target_ms":100`
+		message := `"answered","status":200,"first_ms":10,"target_ms":100`
 		if i%30 == 7 && i%60 == 7 {
-			what = `"refused","status":503,"reason":"overload"`
+			message = `"refused","status":503,"reason":"overload"`
 		}
-		fmt.Fprintf(&lines, `{"ts":"2026-12-03T05:00:01Z","msg":%s,"route":"r","account":"a%d"}`+"\n", what, i%30)
+		fmt.Fprintf(&lines, `{"ts":"2026-12-03T05:00:01Z","msg":%s,"route":"r","account":"a%d"}`+"\n", message, i%30)
 	}
 	lines.WriteString(`{"ts":"2026-12-03T05:00:01Z","msg":"refused","status":503,"reason":"x","account":"small"}` + "\n")
 	lines.WriteString(`{"ts":"2026-12-03T05:00:01Z","msg":"refused","status":401,"reason":"unknown_key"}` + "\n")
--- a/internal/logs/story.go
+++ b/internal/logs/story.go
@@ -14,15 +14,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// longestLine bounds one line of a log, in bytes; a line has some 500.
-const longestLine = 1 << 20
+// maxLineBytes bounds one line of a log, in bytes; a line has some 500.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a process's log.
 type Line struct {
-	at     time.Time
-	node   string
-	what   string
-	fields map[string]any
+	at      time.Time
+	node    string
+	message string
+	fields  map[string]any
 }
 
 // At returns when it was written, by the clock of its VM.
@@ -32,14 +32,14 @@
 func (l Line) Node() string { return l.node }
 
 // What returns the message.
-func (l Line) What() string { return l.what }
+func (l Line) What() string { return l.message }
 
 // Story is what the logs of all processes tell of one request, VM or worker.
 type Story struct {
-	about string
-	lines []Line
-	// unread counts lines that are no JSON.
-	unread int
+	subject string
+	lines   []Line
+	// unparsed counts lines that are no JSON.
+	unparsed int
 }
 
 // Lines returns the lines in the order of their times.
@@ -48,133 +48,133 @@
 // ReadStory collects the lines that name about: a request by its id, a worker by
 // its name, or a VM by the lines that it wrote. What stands before the first
 // brace of a line, as collectors add it, is passed over.
-func ReadStory(logs io.Reader, about string) (Story, error) {
-	s := Story{about: about}
-	in := bufio.NewScanner(logs)
-	in.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), longestLine)
-	for in.Scan() {
-		text := in.Bytes()
-		if !bytes.Contains(text, []byte(about)) {
+func ReadStory(input io.Reader, subject string) (Story, error) {
+	s := Story{subject: subject}
+	scanner := bufio.NewScanner(input)
+	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
+	for scanner.Scan() {
+		data := scanner.Bytes()
+		if !bytes.Contains(data, []byte(subject)) {
 			continue
 		}
-		line, err := parseLine(text)
+		line, err := parseLine(data)
 		if err != nil {
-			s.unread++
+			s.unparsed++
 			continue
 		}
-		if line.names(about) {
+		if line.mentions(subject) {
 			s.lines = append(s.lines, line)
 		}
 	}
 	sort.SliceStable(s.lines, func(i, j int) bool { return s.lines[i].at.Before(s.lines[j].at) })
-	return s, errors.Wrap(in.Err(), "read the logs")
+	return s, errors.Wrap(scanner.Err(), "read the logs")
 }
 
 // parseLine reads one line.
-func parseLine(text []byte) (Line, error) {
-	at := bytes.IndexByte(text, '{')
-	if at < 0 {
+func parseLine(data []byte) (Line, error) {
+	start := bytes.IndexByte(data, '{')
+	if start < 0 {
 		return Line{}, errors.New("no JSON")
 	}
 	fields := map[string]any{}
-	if err := json.Unmarshal(text[at:], &fields); err != nil {
+	if err := json.Unmarshal(data[start:], &fields); err != nil {
 		return Line{}, errors.Wrap(err, "read a line")
 	}
-	word := func(name string) string {
+	popString := func(name string) string {
 		value, _ := fields[name].(string)
 		delete(fields, name)
 		return value
 	}
-	when, err := time.Parse(time.RFC3339Nano, strings.Replace(word("ts"), "+0000", "Z", 1))
+	timestamp, err := time.Parse(time.RFC3339Nano, strings.Replace(popString("ts"), "+0000", "Z", 1))
 	if err != nil {
 		return Line{}, errors.Wrap(err, "read a line's time")
 	}
-	l := Line{at: when, node: word("node"), what: word("msg"), fields: fields}
+	l := Line{at: timestamp, node: popString("node"), message: popString("msg"), fields: fields}
 	delete(fields, "level")
 	return l, nil
 }
 
-// names reports that the line is about a request, a worker or a VM.
-func (l Line) names(about string) bool {
-	if l.node == about {
+// mentions reports that the line is about a request, a worker or a VM.
+func (l Line) mentions(subject string) bool {
+	if l.node == subject {
 		return true
 	}
 	for _, name := range []string{"request", "worker", "to", "name"} {
-		if l.fields[name] == about {
+		if l.fields[name] == subject {
 			return true
 		}
 	}
-	if steps, is := l.fields["steps"].(map[string]any); is && steps["reader"] == about {
+	if steps, isObject := l.fields["steps"].(map[string]any); isObject && steps["reader"] == subject {
 		return true
 	}
 	roles, _ := l.fields["roles"].(map[string]any)
-	_, named := roles[about]
-	return named
+	_, found := roles[subject]
+	return found
 }
 
 // Tell writes the story: each line with the time since the first, then what
 // became of a request.
 func (s Story) Tell(out io.Writer) error {
 	if len(s.lines) == 0 {
-		return errors.Newf("no line names %q", s.about)
+		return errors.Newf("no line names %q", s.subject)
 	}
 	first := s.lines[0].at
 	for _, l := range s.lines {
-		if _, err := fmt.Fprintf(out, "%8.3f s  %-16s %-20s %s\n", l.at.Sub(first).Seconds(), l.node, l.what, l.rest(s.about)); err != nil {
+		if _, err := fmt.Fprintf(out, "%8.3f s  %-16s %-20s %s\n", l.at.Sub(first).Seconds(), l.node, l.message, l.otherFields(s.subject)); err != nil {
 			return err
 		}
 	}
-	if verdict := s.verdict(); verdict != "" {
+	if verdict := s.outcome(); verdict != "" {
 		if _, err := fmt.Fprintf(out, "\n%s\n", verdict); err != nil {
 			return err
 		}
 	}
-	if s.unread > 0 {
-		_, err := fmt.Fprintf(out, "%d lines that name it could not be read\n", s.unread)
+	if s.unparsed > 0 {
+		_, err := fmt.Fprintf(out, "%d lines that name it could not be read\n", s.unparsed)
 		return err
 	}
 	return nil
 }
 
-// rest returns the line's other fields as name=value, in order of their names.
-func (l Line) rest(about string) string {
+// otherFields returns the line's other fields as name=value, in order of their names.
+func (l Line) otherFields(subject string) string {
 	names := make([]string, 0, len(l.fields))
 	for name, value := range l.fields {
-		if value != about && value != "" {
+		if value != subject && value != "" {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	words := make([]string, len(names))
+	pairs := make([]string, len(names))
 	for i, name := range names {
 		// Values that came as JSON go back to it.
-		text, _ := json.Marshal(l.fields[name])
-		words[i] = name + "=" + string(text)
+		data, _ := json.Marshal(l.fields[name])
+		pairs[i] = name + "=" + string(data)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(pairs, " ")
 }
 
-// verdict says in a sentence what became of a request, by its last line.
-func (s Story) verdict() string {
+// outcome says in a sentence what became of a request, by its last line.
+func (s Story) outcome() string {
 	last := s.lines[len(s.lines)-1]
-	if last.fields["request"] != s.about {
+	if last.fields["request"] != s.subject {
 		return ""
 	}
-	sent := 0
+	attempts := 0
 	for _, l := range s.lines {
 		if worker, _ := l.fields["worker"].(string); worker != "" && l.fields["ran"] != "not-run" {
-			sent++
+			attempts++
 		}
 	}
 	switch {
-	case last.what == "answered":
+	case last.message == "answered":
 		return "The client has the worker's answer."
-	case last.what == "broken off":
+	case last.message == "broken off":
 		return "A part of the answer had gone out; the connection was broken off so that it does not look whole."
-	case last.what == "refused" && last.fields["ran"] == "not-run":
+	case last.message == "refused" && last.fields["ran"] == "not-run":
 		return "Refused: nothing ran and nothing will."
-	case last.what == "refused":
-		return fmt.Sprintf("Failed: it may have run at a worker (sent %d times); it was not sent again.", max(sent-1, 1))
+	case last.message == "refused":
+		return fmt.Sprintf("Failed: it may have run at a worker (sent %d times); it was not sent again.", max(attempts-1, 1))
 	}
 	return "Nothing tells its end: its front was lost, or the client left before it had an answer."
 }
--- a/internal/logs/story_test.go
+++ b/internal/logs/story_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// someLog are lines of two fronts, as a collector hands them on.
-const someLog = `  0.1 front-1 {"level":"info","ts":"2026-12-03T10:00:00.100Z","msg":"attempt failed","node":"front-1","request":"r1","worker":"w1","step":"run","reason":"worker_failed","ran":"unknown"}
+// storyLines are lines of two fronts, as a collector hands them on.
+const storyLines = `  0.1 front-1 {"level":"info","ts":"2026-12-03T10:00:00.100Z","msg":"attempt failed","node":"front-1","request":"r1","worker":"w1","step":"run","reason":"worker_failed","ran":"unknown"}
   0.2 front-1 {"level":"info","ts":"2026-12-03T10:00:00.250Z","msg":"answered","node":"front-1","request":"r1","worker":"w2","status":200,"steps":{"reader":"w3"}}
 not a line of ours about r1
 {"level":"info","ts":"2026-12-03T10:00:00.050Z","msg":"worker","node":"front-2","worker":"w1","state":"draining"}
@@ -15,9 +15,9 @@
 {"level":"info","ts":"2026-12-03T10:00:03.000Z","msg":"plan","node":"front-2","roles":{"w3":"prefill"}}
 `
 
-func tell(t *testing.T, about string) string {
+func storyText(t *testing.T, subject string) string {
 	t.Helper()
-	s, err := ReadStory(strings.NewReader(someLog), about)
+	s, err := ReadStory(strings.NewReader(storyLines), subject)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,25 +30,25 @@
 
 // A user complains of a request. The engineer on call has its id and the logs of
 // all fronts, and must see what was tried, where, and what became of it.
-func TestARequestsStory(t *testing.T) {
-	for about, want := range map[string][]string{
+func TestStoryByRequestWorkerAndVM(t *testing.T) {
+	for subject, want := range map[string][]string{
 		"r1": {"0.000 s  front-1", "attempt failed", `reason="worker_failed"`, "0.150 s", "answered", `worker="w2"`, "has the worker's answer", "1 lines"},
 		"r2": {"overload", "nothing ran and nothing will"},
 		"r3": {"peer_failed", "may have run"},
 		"w1": {"0.000 s  front-2", `state="draining"`, "attempt failed"},
 		"w3": {"answered", "plan"},
 	} {
-		got := tell(t, about)
-		for _, part := range want {
-			if !strings.Contains(got, part) {
-				t.Errorf("%s: %q is missing in\n%s", about, part, got)
+		output := storyText(t, subject)
+		for _, text := range want {
+			if !strings.Contains(output, text) {
+				t.Errorf("%s: %q is missing in\n%s", subject, text, output)
 			}
 		}
 	}
-	if got := tell(t, "front-2"); strings.Count(got, "\n") != 4 {
-		t.Errorf("the story of a VM:\n%s", got)
+	if output := storyText(t, "front-2"); strings.Count(output, "\n") != 4 {
+		t.Errorf("the story of a VM:\n%s", output)
 	}
-	s, err := ReadStory(strings.NewReader(someLog), "nobody")
+	s, err := ReadStory(strings.NewReader(storyLines), "nobody")
 	if err != nil || s.Tell(&strings.Builder{}) == nil {
 		t.Errorf("a story of nobody: %v", err)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,34 +26,34 @@
 
 // Problem is one setting that can't be used.
 type Problem struct {
-	flag   string
-	unit   string
-	reason string
-	// field says that the setting is a field of a file.
-	field bool
+	name     string
+	expected string
+	reason   string
+	// inFile says that the setting is a field of a file.
+	inFile bool
 }
 
 // NewProblem returns a problem with a flag; unit says what a right value is
 // counted in or looks like.
 func NewProblem(flag, unit, reason string) Problem {
-	return Problem{flag: flag, unit: unit, reason: reason}
+	return Problem{name: flag, expected: unit, reason: reason}
 }
 
 // NewFieldProblem returns a problem with a field of a settings file.
 func NewFieldProblem(field, unit, reason string) Problem {
-	return Problem{flag: field, unit: unit, reason: reason, field: true}
+	return Problem{name: field, expected: unit, reason: reason, inFile: true}
 }
 
 // String names flag and variable or field, reason and unit.
 func (p Problem) String() string {
-	if p.field {
-		return fmt.Sprintf("%s in the settings file: %s; expected %s", p.flag, p.reason, p.unit)
+	if p.inFile {
+		return fmt.Sprintf("%s in the settings file: %s; expected %s", p.name, p.reason, p.expected)
 	}
-	return fmt.Sprintf("--%s (%s): %s; expected %s", p.flag, Variable(p.flag), p.reason, p.unit)
+	return fmt.Sprintf("--%s (%s): %s; expected %s", p.name, Variable(p.name), p.reason, p.expected)
 }
 
 // Flag returns the flag's name without dashes.
-func (p Problem) Flag() string { return p.flag }
+func (p Problem) Flag() string { return p.name }
 
 // Problems is what is wrong with a command's settings.
 type Problems []Problem
@@ -137,13 +137,13 @@
 }
 
 // OneOf demands one of the given words.
-func (c *Checker) OneOf(flag, value string, words ...string) {
-	for _, w := range words {
-		if value == w {
+func (c *Checker) OneOf(flag, value string, allowed ...string) {
+	for _, word := range allowed {
+		if value == word {
 			return
 		}
 	}
-	c.Add(flag, strings.Join(words, " or "), fmt.Sprintf("%q is not known", value))
+	c.Add(flag, strings.Join(allowed, " or "), fmt.Sprintf("%q is not known", value))
 }
 
 // URL demands an http or https URL.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/pflag"
 )
 
-func TestFlagWinsOverVariable(t *testing.T) {
+func TestFlagOverridesVariable(t *testing.T) {
 	t.Setenv("KUMQUATLUG_ZONE", "b")
 	t.Setenv("KUMQUATLUG_QUEUE", "many")
 	flags := pflag.NewFlagSet("t", pflag.ContinueOnError)
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestCheckerTellsEverythingAtOnce(t *testing.T) {
+func TestCheckerReportsAllProblems(t *testing.T) {
 	c := NewChecker(nil)
 	c.Address("listen", "example.com:80")
 	c.Required("zone", "name of a data centre", "")
