--- a/internal/front/config.go
+++ b/internal/front/config.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxConfigParts bounds the numbers of the parts of a config.
+// maxConfigParts limits the part numbers and part counts that are accepted from a peer.
 const maxConfigParts = 1 << 20
 
 // TellConfig implements [kumquatlug.FrontLink].
@@ -20,7 +20,7 @@
 	}
 }
 
-// randomPeer returns the name of some other front, empty where none is known.
+// randomPeer returns the name of a random peer, empty if none is known.
 func (l *Link) randomPeer() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	}})
 }
 
-// encodeConfigState returns nil for a front that has no config.
+// encodeConfigState returns nil for a gateway without a config.
 func encodeConfigState(s kumquatlug.ConfigState) *frontv1.ConfigState {
 	if s.Version == 0 {
 		return nil
@@ -57,7 +57,8 @@
 	return &frontv1.ConfigState{Version: s.Version, AgeMs: int64(s.Age)}
 }
 
-// decodeConfigState reads a state. An age below zero would make a config look newer than it is.
+// decodeConfigState decodes a config state. A negative age is raised to zero, since it
+// would make the config look newer than it is.
 func decodeConfigState(s *frontv1.ConfigState) kumquatlug.ConfigState {
 	return kumquatlug.ConfigState{Version: s.GetVersion(), Age: max(kumquatlug.Millis(s.GetAgeMs()), 0)}
 }
--- a/internal/front/link.go
+++ b/internal/front/link.go
@@ -1,15 +1,15 @@
-// Package front speaks to the other fronts that share engines: short datagrams
-// about whose turn it is at an engine.
+// Package front exchanges datagrams with the other gateways that share engines: requests
+// and grants for sending a prompt to an engine, and the state and text of the config.
 //
-// They are datagrams since a turn that comes late is worth nothing: what is lost is
-// asked for again by whoever waits, which costs less than a stream that waits for
-// a lost packet, and no connection has to be kept to each of hundreds of peers.
+// It uses datagrams since a late message is worthless: the sender that waits for a response
+// sends a lost message again, which costs less than a stream that stalls on a lost packet.
+// Besides, no connections have to be kept to hundreds of peers.
 //
-// Each front makes a key at its start and tells it in its row of the platform's
-// store, which clients can't read. What is sent to a front is sealed under that
-// key, so that nobody else can forge or read it; what can't be opened is dropped
-// and counted. A front that the receiver may not know yet says hello in each
-// datagram until it was answered.
+// Each gateway creates a key at its start and publishes it in its row of the platform's
+// store, which clients can't read. Datagrams to a gateway are encrypted with that key, so
+// that nobody else can forge or read them; those that can't be decrypted are dropped and
+// counted. A gateway adds a hello with its address and key to each datagram until the
+// receiver has responded, since the receiver may not know it yet.
 package front
 
 import (
@@ -32,27 +32,28 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of datagrams, in bytes.
+// Limits of datagrams, in bytes.
 const (
-	// keyBytes is the length of a front's key.
+	// keyBytes is the length of a gateway's key.
 	keyBytes = 16
-	// maxDatagramBytes is the longest that is taken; a turn has some 150.
+	// maxDatagramBytes is the length of the longest datagram accepted; a message about a
+	// prompt has about 150 bytes.
 	maxDatagramBytes = 1400
-	// maxNameBytes bounds names in them.
+	// maxNameBytes limits gateway names in datagrams.
 	maxNameBytes = 200
 )
 
-// Config is what a [Link] is made of.
+// Config configures a [Link].
 type Config struct {
-	// Name is this front's, Incarnation unique to this start of it.
+	// Name is the name of this gateway, Incarnation is unique to this start of it.
 	Name, Incarnation string
-	// Conn receives and sends datagrams; its address is told to the others.
+	// Conn receives and sends datagrams; its local address is published to the peers.
 	Conn     net.PacketConn
 	Logger   *zap.Logger
 	Registry prometheus.Registerer
 }
 
-// Link sends to the other fronts and receives from them. It is safe for concurrent
+// Link sends messages to the other gateways and receives theirs. It is safe for concurrent
 // use.
 type Link struct {
 	config    Config
@@ -61,33 +62,34 @@
 	datagrams *prometheus.CounterVec
 	mu        sync.Mutex
 	peers     map[string]*peer
-	// handler takes what comes, nil before [Link.Receive].
+	// handler handles received messages, nil before [Link.Receive].
 	handler atomic.Pointer[kumquatlug.FrontHandler]
 }
 
 var _ kumquatlug.FrontLink = (*Link)(nil)
 
-// peer is another front.
+// peer is another gateway.
 type peer struct {
 	address *net.UDPAddr
 	key     []byte
 	aead    cipher.AEAD
-	// hasOurKey says that it has sent something that this front could open.
+	// hasOurKey says that the peer has sent a datagram that was encrypted with this
+	// gateway's key.
 	hasOurKey bool
 }
 
-// peerRow is what a front's row tells the others.
+// peerRow is the JSON form of a gateway's row in the store.
 type peerRow struct {
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 	Key         []byte `json:"key"`
 }
 
-// New returns a link that knows nobody yet.
+// New returns a link without peers.
 func New(c Config) (*Link, error) {
 	key := make([]byte, keyBytes)
 	if _, err := rand.Read(key); err != nil {
-		return nil, errors.Wrap(err, "make this front's key")
+		return nil, errors.Wrap(err, "create this gateway's key")
 	}
 	aead, err := newAEAD(key)
 	if err != nil {
@@ -99,30 +101,30 @@
 			Name: "kumquatlug_front_datagrams_total", Help: "Datagrams between fronts by what became of them.",
 		}, []string{"outcome"}),
 	}
-	return l, errors.Wrap(c.Registry.Register(l.datagrams), "register the metrics of datagrams")
+	return l, errors.Wrap(c.Registry.Register(l.datagrams), "register datagram metrics")
 }
 
 func newAEAD(key []byte) (cipher.AEAD, error) {
 	block, err := aes.NewCipher(key)
 	if err != nil {
-		return nil, errors.Wrap(err, "a front's key")
+		return nil, errors.Wrap(err, "create a cipher from a gateway's key")
 	}
 	aead, err := cipher.NewGCMWithRandomNonce(block)
-	return aead, errors.Wrap(err, "a front's key")
+	return aead, errors.Wrap(err, "create a cipher from a gateway's key")
 }
 
 // Row implements [kumquatlug.FrontLink].
 func (l *Link) Row() []byte {
 	data, err := json.Marshal(peerRow{Incarnation: l.config.Incarnation, Address: l.config.Conn.LocalAddr().String(), Key: l.key})
 	if err != nil {
-		// Texts and bytes can always be written.
-		l.config.Logger.Error("row of this front can't be written", logs.Error(err))
+		// Strings and bytes can always be encoded.
+		l.config.Logger.Error("row of this gateway not encoded", logs.Error(err))
 	}
 	return data
 }
 
-// Meet implements [kumquatlug.FrontLink]. A row that can't be read, as one of a
-// release without turns, names nobody to ask.
+// Meet implements [kumquatlug.FrontLink]. Invalid rows are skipped, as are those of a
+// release that does not exchange datagrams.
 func (l *Link) Meet(rows map[string][]byte) (reachable, restarted []string) {
 	reachable = []string{l.config.Name}
 	l.mu.Lock()
@@ -138,7 +140,7 @@
 			changed, err = l.updatePeer(name, r.Address, r.Key)
 		}
 		if err != nil {
-			l.config.Logger.Warn("row of a front passed over", zap.String("front", name), logs.Error(err))
+			l.config.Logger.Warn("invalid row of a gateway skipped", zap.String("front", name), logs.Error(err))
 			continue
 		}
 		reachable = append(reachable, name)
@@ -149,15 +151,15 @@
 	return reachable, restarted
 }
 
-// updatePeer takes where a front is and what seals datagrams to it, and reports whether that
-// is new; the lock must be held.
+// updatePeer records the address and the key of a gateway and reports whether they are new;
+// the lock must be held.
 func (l *Link) updatePeer(name, address string, key []byte) (bool, error) {
 	resolved, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
-		return false, errors.Wrap(err, "address of a front")
+		return false, errors.Wrap(err, "resolve the address of a gateway")
 	}
 	if resolved.IP == nil || name == "" || len(name) > maxNameBytes {
-		return false, errors.Newf("front %q at %q can't be reached", name, address)
+		return false, errors.Newf("gateway %q has an invalid name or address %q", name, address)
 	}
 	if current, known := l.peers[name]; known && current.matches(resolved, key) {
 		return false, nil
@@ -180,7 +182,7 @@
 	l.sendTo(m.Front, &frontv1.Datagram{Turn: encodePermit(m.Turn)})
 }
 
-// sendTo sends to the front with this name.
+// sendTo sends a datagram to the gateway with this name.
 func (l *Link) sendTo(name string, d *frontv1.Datagram) {
 	l.mu.Lock()
 	receiver, known := l.peers[name]
@@ -192,7 +194,7 @@
 	l.send(name, receiver, d)
 }
 
-// send seals a datagram and sends it.
+// send encrypts a datagram and sends it.
 func (l *Link) send(name string, receiver *peer, d *frontv1.Datagram) {
 	d.From = l.config.Name
 	if h := l.handler.Load(); h != nil {
@@ -208,7 +210,7 @@
 		_, err = l.config.Conn.WriteTo(receiver.aead.Seal(nil, nil, data, nil), receiver.address)
 	}
 	if err != nil {
-		// Whoever waits for an answer asks again.
+		// The caller that waits for a response sends the message again.
 		l.datagrams.WithLabelValues("not_sent").Inc()
 		l.config.Logger.Debug("datagram not sent", zap.String("front", name), logs.Error(err))
 		return
@@ -246,7 +248,7 @@
 			return errors.Wrap(err, "receive datagrams")
 		}
 		if err != nil {
-			// A receiver that is not there is told by an error of the next read.
+			// An earlier datagram to an unreachable receiver makes the next read fail.
 			l.config.Logger.Debug("datagram not received", logs.Error(err))
 			continue
 		}
@@ -254,8 +256,8 @@
 	}
 }
 
-// handleDatagram opens one datagram and hands it on. Only who has read this front's row, or
-// was told its key by a sealed hello, can have made it.
+// handleDatagram decrypts a datagram and passes its contents to the handler. Only gateways
+// that have read this gateway's row, or received its key in a hello, can encrypt one.
 func (l *Link) handleDatagram(sealed []byte, source net.Addr, h kumquatlug.FrontHandler) {
 	d, err := l.decrypt(sealed)
 	if err == nil {
@@ -290,16 +292,17 @@
 	}
 	data, err := l.aead.Open(nil, nil, sealed, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "open a datagram")
+		return nil, errors.Wrap(err, "decrypt a datagram")
 	}
 	d := &frontv1.Datagram{}
-	return d, errors.Wrap(proto.Unmarshal(data, d), "read a datagram")
+	return d, errors.Wrap(proto.Unmarshal(data, d), "decode a datagram")
 }
 
-// authenticate checks who sent a datagram, and takes a hello in it.
+// authenticate checks the sender of a datagram, and records the address and key of a hello
+// in it.
 func (l *Link) authenticate(d *frontv1.Datagram, source net.Addr, h kumquatlug.FrontHandler) error {
 	if d.GetFrom() == l.config.Name {
-		return errors.New("datagram bears this front's name")
+		return errors.New("sender has the name of this gateway")
 	}
 	l.mu.Lock()
 	if hello := d.GetHello(); hello != nil {
@@ -312,7 +315,7 @@
 	sourceUDP, _ := source.(*net.UDPAddr)
 	if !known || sourceUDP == nil || !sender.address.IP.Equal(sourceUDP.IP) {
 		l.mu.Unlock()
-		return errors.Newf("front %q is not known at this address", d.GetFrom())
+		return errors.Newf("no gateway %q is known at this address", d.GetFrom())
 	}
 	sender.hasOurKey = true
 	l.mu.Unlock()
--- a/internal/front/link_test.go
+++ b/internal/front/link_test.go
@@ -24,12 +24,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// handlerRecorder collects what comes from other fronts.
+// handlerRecorder records what is received from other gateways.
 type handlerRecorder struct {
 	permits chan kumquatlug.TurnMessage
 	joined  chan string
 	leaving chan string
-	// configVersion is this front's, states what others said of theirs.
+	// configVersion is the version of this gateway, configStates are the states received
+	// from others.
 	configVersion  atomic.Int64
 	configStates   chan kumquatlug.ConfigState
 	configRequests chan kumquatlug.ConfigAsk
@@ -44,8 +45,8 @@
 }
 
 func (h *handlerRecorder) Turn(m kumquatlug.TurnMessage) { h.permits <- m }
-func (h *handlerRecorder) Met(front string)              { h.joined <- front }
-func (h *handlerRecorder) Left(front string)             { h.leaving <- front }
+func (h *handlerRecorder) Met(gateway string)            { h.joined <- gateway }
+func (h *handlerRecorder) Left(gateway string)           { h.leaving <- gateway }
 
 func (h *handlerRecorder) ConfigState() kumquatlug.ConfigState {
 	return kumquatlug.ConfigState{Version: h.configVersion.Load(), Age: 40}
@@ -54,7 +55,7 @@
 func (h *handlerRecorder) ConfigAsked(_ string, a kumquatlug.ConfigAsk)   { h.configRequests <- a }
 func (h *handlerRecorder) ConfigGiven(_ string, p kumquatlug.ConfigPart)  { h.configParts <- p }
 
-// testGateway is one front's link at loopback.
+// testGateway is the link of one gateway on the loopback interface.
 type testGateway struct {
 	*Link
 	received *handlerRecorder
@@ -75,7 +76,7 @@
 	g := &testGateway{Link: l, received: newHandlerRecorder(), conn: conn}
 	done := make(chan error, 1)
 	go func() { done <- l.Receive(ctx, g.received) }()
-	// What is sent before that names no config.
+	// Datagrams sent before Receive has set the handler carry no config state.
 	for l.handler.Load() == nil {
 		runtime.Gosched()
 	}
@@ -94,19 +95,19 @@
 	return testutil.ToFloat64(g.datagrams.WithLabelValues("refused"))
 }
 
-// nextPermit waits for the next message.
+// nextPermit waits for the next message about a prompt.
 func (g *testGateway) nextPermit(t *testing.T) kumquatlug.TurnMessage {
 	t.Helper()
 	select {
 	case m := <-g.received.permits:
 		return m
 	case <-time.After(5 * time.Second):
-		t.Fatal("no message came")
+		t.Fatal("no message received within 5 s")
 		return kumquatlug.TurnMessage{}
 	}
 }
 
-// addPeers has a front read the rows of others.
+// addPeers makes the gateway read the rows of others.
 func (g *testGateway) addPeers(peers ...*testGateway) {
 	rows := map[string][]byte{}
 	for _, p := range peers {
@@ -122,8 +123,8 @@
 	}
 }
 
-// receivedPrompt is a prompt as it comes out of a datagram: the request's own part has
-// no name there.
+// receivedPrompt is a prompt as decoded from a datagram: the request's private part has no
+// id there.
 func receivedPrompt() kumquatlug.Prompt {
 	parts := []kumquatlug.Part{
 		kumquatlug.NewPart("5c1e07a2", 2520), kumquatlug.NewPart("91bd3f06", 3780), kumquatlug.NewPart("", 2890),
@@ -131,29 +132,29 @@
 	return kumquatlug.NewPrompt(parts, 9190, 0)
 }
 
-// The second front started after the first one had read the rows, and isn't known
-// there. What it asks must be understood and answered all the same; else it would
-// wait in vain for each prompt until the rows are read again.
+// A gateway that started after the others read the rows is unknown to them. They must
+// accept and answer its requests nevertheless; otherwise each of its prompts would wait in
+// vain until the rows are read again.
 func TestUnknownGatewayIntroducesItself(t *testing.T) {
 	first, second := newTestGateway(t, "first", "127.0.0.1:0"), newTestGateway(t, "second", "127.0.0.1:0")
 	second.addPeers(first)
 	second.Send(kumquatlug.TurnMessage{Front: "first", Turn: permitRequest(9)})
 	if got := first.nextPermit(t); got.Front != "second" || !reflect.DeepEqual(got.Turn, permitRequest(9)) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first gateway received %+v", got)
 	}
 	if met := <-first.received.joined; met != "second" {
-		t.Errorf("met %q", met)
+		t.Errorf("first gateway met %q", met)
 	}
-	answer := kumquatlug.Turn{Step: kumquatlug.TurnGranted, Service: "s", Key: 9, Prompt: receivedPrompt()}
-	first.Send(kumquatlug.TurnMessage{Front: "second", Turn: answer})
-	if got := second.nextPermit(t); got.Front != "first" || !reflect.DeepEqual(got.Turn, answer) {
+	response := kumquatlug.Turn{Step: kumquatlug.TurnGranted, Service: "s", Key: 9, Prompt: receivedPrompt()}
+	first.Send(kumquatlug.TurnMessage{Front: "second", Turn: response})
+	if got := second.nextPermit(t); got.Front != "first" || !reflect.DeepEqual(got.Turn, response) {
 		t.Errorf("%+v", got)
 	}
 }
 
-// A front is killed and starts again at its address with another key. Until the
-// others have read its new row they seal under the old one. Its own first message
-// must bring them the new one.
+// A gateway that is killed and restarted at its address has another key. Until the others
+// have read its new row they encrypt with the old one. Its first own message must give them
+// the new key.
 func TestRestartedGatewayDistributesNewKey(t *testing.T) {
 	other := newTestGateway(t, "other", "127.0.0.1:0")
 	var row []byte
@@ -173,13 +174,14 @@
 		t.Errorf("%+v", got)
 	}
 	if restarted.refusedCount() != 1 {
-		t.Errorf("%.0f datagrams refused", restarted.refusedCount())
+		t.Errorf("%.0f datagrams refused, want 1", restarted.refusedCount())
 	}
 }
 
-// Somebody who reaches the port but has read no row sends what he likes: bytes, a
-// turn under a key of his own, a datagram that was overheard and changed, one in the
-// name of this front. None may be taken, or he could order what fronts send where.
+// An attacker who reaches the port but has read no row may send arbitrary bytes, a message
+// encrypted with a key of his own, an intercepted and modified datagram, or one in the name
+// of this gateway. If one were accepted, he could control which prompts gateways send to
+// which engines.
 func TestForgedDatagramsAreRejected(t *testing.T) {
 	n, known := newTestGateway(t, "n", "127.0.0.1:0"), newTestGateway(t, "friend", "127.0.0.1:0")
 	n.addPeers(known)
@@ -217,14 +219,14 @@
 	known.addPeers(n)
 	known.Send(kumquatlug.TurnMessage{Front: "n", Turn: permitRequest(2)})
 	if got := n.nextPermit(t); got.Turn.Key != 2 {
-		t.Errorf("%+v was taken", got)
+		t.Errorf("%+v was accepted", got)
 	}
 	if n.refusedCount() != float64(len(forged)) {
 		t.Errorf("%.0f of %d datagrams were refused", n.refusedCount(), len(forged))
 	}
 }
 
-// Rows of a release without turns, and spoilt ones, name nobody to ask.
+// Invalid rows, and those of a release that does not exchange datagrams, add no peers.
 func TestInvalidPeerRowsAreSkipped(t *testing.T) {
 	n := newTestGateway(t, "n", "127.0.0.1:0")
 	names, _ := n.Meet(map[string][]byte{
@@ -232,11 +234,11 @@
 		"nowhere": []byte(`{"address":":7","key":"AAAAAAAAAAAAAAAAAAAAAA=="}`), "good": []byte(`{"address":"127.0.0.1:7","key":"AAAAAAAAAAAAAAAAAAAAAA=="}`),
 	})
 	if len(names) != 2 || names[0] != "n" || names[1] != "good" {
-		t.Errorf("%v", names)
+		t.Errorf("reachable gateways %v, want n and good", names)
 	}
 }
 
-// A front stops for an update, and tells those that know it.
+// A gateway that stops for an update notifies the gateways that have contacted it.
 func TestLeaveNotifiesPeers(t *testing.T) {
 	stopping, other := newTestGateway(t, "stops", "127.0.0.1:0"), newTestGateway(t, "other", "127.0.0.1:0")
 	other.addPeers(stopping)
@@ -246,16 +248,16 @@
 	select {
 	case left := <-other.received.leaving:
 		if left != "stops" {
-			t.Errorf("left %q", left)
+			t.Errorf("gateway %q left", left)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("nobody was told")
+		t.Error("no notice received within 5 s")
 	}
 }
 
-// A front may spend 5 KB a second on control. At 13 prompts a second, each asked for,
-// given a turn and told to be over, and as many of others in its keeping, a prompt may
-// cost 380 bytes on each side.
+// Control messages of a gateway may use 5 KB per second. At 13 prompts per second of its
+// own, each with a request, a grant and a release, and as many of other gateways that it
+// coordinates, one prompt may use 380 bytes on each side.
 func TestPermitMessagesAreSmall(t *testing.T) {
 	n, other := newTestGateway(t, "edge-andina-a-1", "127.0.0.1:0"), newTestGateway(t, "edge-andina-b-1", "127.0.0.1:0")
 	n.addPeers(other)
@@ -269,7 +271,7 @@
 		size += len(n.aead.Seal(nil, nil, data, nil))
 	}
 	if size > 380 {
-		t.Errorf("a turn costs %d bytes", size)
+		t.Errorf("the messages about one prompt have %d bytes", size)
 	}
 }
 
@@ -282,8 +284,8 @@
 	return data
 }
 
-// FuzzDecodePermit reads any datagram that was opened: what comes of it must be figures that
-// a queue can take.
+// FuzzDecodePermit decodes arbitrary decrypted datagrams: the results must be within the
+// limits that a queue accepts.
 func FuzzDecodePermit(f *testing.F) {
 	valid, err := proto.Marshal(&frontv1.Datagram{From: "a", Turn: encodePermit(permitRequest(1))})
 	if err != nil {
@@ -311,7 +313,7 @@
 			sum += part.Tokens()
 		}
 		if sum != permit.Prompt.Input() || sum < 0 || sum > maxTokens {
-			t.Errorf("%d tokens in parts: %+v", sum, permit)
+			t.Errorf("parts have %d tokens: %+v", sum, permit)
 		}
 		for _, duration := range []kumquatlug.Millis{permit.Target, permit.Patience, permit.Wait} {
 			if duration < -maxDuration || duration > maxDuration {
@@ -321,41 +323,42 @@
 	})
 }
 
-// A front stopped for an update and is back, and has nothing to say to this one. Only
-// its row tells that it started anew; each reading of the rows after that must not.
+// A gateway that was restarted for an update may have no reason to send a message to this
+// one. Its row is then the only sign of the restart, and must report it once only, not at
+// each read of the rows.
 func TestRestartIsReportedOnce(t *testing.T) {
 	n, other := newTestGateway(t, "n", "127.0.0.1:0"), newTestGateway(t, "other", "127.0.0.1:0")
 	rows := map[string][]byte{"other": other.Row()}
 	if _, restarted := n.Meet(rows); len(restarted) != 1 {
-		t.Errorf("first met: %v", restarted)
+		t.Errorf("first read of the row: restarted %v", restarted)
 	}
 	if _, restarted := n.Meet(rows); len(restarted) != 0 {
-		t.Errorf("met again: %v", restarted)
+		t.Errorf("second read of the row: restarted %v", restarted)
 	}
 	rows["other"] = newTestGateway(t, "other", "127.0.0.1:0").Row()
 	if _, restarted := n.Meet(rows); len(restarted) != 1 || restarted[0] != "other" {
-		t.Errorf("after its start: %v", restarted)
+		t.Errorf("read after a restart: restarted %v", restarted)
 	}
 }
 
-// A front that the store turns away hears from another one which config is in force and
-// has its text, the longest part of it in one datagram.
+// A gateway that the store refuses learns from another one which config is in force, and
+// receives its text. The longest part must fit in one datagram.
 func TestConfigExchange(t *testing.T) {
 	a, b := newTestGateway(t, "a", "127.0.0.1:0"), newTestGateway(t, "b", "127.0.0.1:0")
 	a.Meet(map[string][]byte{"b": b.Row()})
 	a.received.configVersion.Store(12)
 	a.TellConfig("")
 	if s := <-b.received.configStates; s.Version != 12 || s.Age != 40 {
-		t.Errorf("heard %+v", s)
+		t.Errorf("received config state %+v", s)
 	}
 	b.AskConfig("a", kumquatlug.ConfigAsk{Version: 12, First: 16})
 	if ask := <-a.received.configRequests; ask.Version != 12 || ask.First != 16 {
-		t.Errorf("asked %+v", ask)
+		t.Errorf("received config request %+v", ask)
 	}
 	data := bytes.Repeat([]byte("x"), 1000)
 	a.GiveConfig("b", kumquatlug.ConfigPart{Version: 12, Part: 16, Parts: 1024, Text: data})
 	if p := <-b.received.configParts; p.Part != 16 || p.Parts != 1024 || !bytes.Equal(p.Text, data) {
-		t.Errorf("given part %d of %d, %d bytes", p.Part, p.Parts, len(p.Text))
+		t.Errorf("received part %d of %d, %d bytes", p.Part, p.Parts, len(p.Text))
 	}
 	if refused := a.refusedCount() + b.refusedCount(); refused != 0 {
 		t.Errorf("%.0f datagrams refused", refused)
--- a/internal/front/turn.go
+++ b/internal/front/turn.go
@@ -5,7 +5,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// wireSteps are the steps of a turn as they are sent.
+// wireSteps maps the steps to their wire form.
 var wireSteps = map[kumquatlug.TurnStep]frontv1.Step{
 	kumquatlug.TurnAsked:   frontv1.Step_STEP_ASKED,
 	kumquatlug.TurnQueued:  frontv1.Step_STEP_QUEUED,
@@ -15,7 +15,7 @@
 	kumquatlug.TurnOver:    frontv1.Step_STEP_OVER,
 }
 
-// stepsByWire is the same the other way.
+// stepsByWire is the inverse of wireSteps.
 var stepsByWire = func() map[frontv1.Step]kumquatlug.TurnStep {
 	byWire := map[frontv1.Step]kumquatlug.TurnStep{}
 	for step, wire := range wireSteps {
@@ -32,19 +32,19 @@
 	}
 }
 
-// Bounds of what a turn of another front may say.
+// Limits of values in messages of other gateways.
 const (
 	// maxTokens is far above the longest prompt of any engine.
 	maxTokens = 100_000_000
-	// maxValue is far above what a request is worth beside the mean one.
+	// maxValue is far above the value of any request relative to the mean.
 	maxValue = 1e6
-	// maxDuration is far above what any client waits.
+	// maxDuration is far above the time that any client waits.
 	maxDuration = 3600 * kumquatlug.Second
 )
 
-// decodePermit reads a turn. Figures that make no sense would upset the queue of an
-// engine for all fronts, so that each is brought into its bounds; a step that is
-// not known is none.
+// decodePermit decodes a message about a prompt. Values out of range would disturb the
+// queue of an engine for all gateways, so each is clamped. An unknown step decodes to the
+// zero step, which matches none.
 func decodePermit(t *frontv1.Turn) kumquatlug.Turn {
 	clampDuration := func(ms int64) kumquatlug.Millis { return min(max(kumquatlug.Millis(ms), -maxDuration), maxDuration) }
 	return kumquatlug.Turn{
@@ -63,7 +63,8 @@
 	return shared
 }
 
-// decodePrompt reads the shared parts of a prompt; the rest is the request's own.
+// decodePrompt decodes the shared parts of a prompt; the remaining tokens are private to
+// the request.
 func decodePrompt(t *frontv1.Turn) kumquatlug.Prompt {
 	input := int(min(t.GetInput(), maxTokens))
 	parts, remaining := []kumquatlug.Part{}, input
@@ -75,7 +76,7 @@
 	return kumquatlug.NewPrompt(append(parts, kumquatlug.NewPart("", remaining)), input, 0)
 }
 
-// clamp brings a figure between zero and most; what is no number is zero.
+// clamp limits value to the range from zero to limit; NaN gives zero.
 func clamp(value float32, limit float64) float64 {
 	if !(value >= 0) {
 		return 0
