--- a/internal/logs/accounts.go
+++ b/internal/logs/accounts.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Figures of what is told of accounts.
+// Limits of the report on accounts.
 const (
-	// minRequests is from how many requests on an account is judged.
+	// minRequests is the number of requests from which an account is reported.
 	minRequests = 20
-	// worstAccountsDivisor is which part of the accounts is told, as a divisor, maxWorstAccounts how many
-	// at most.
+	// worstAccountsDivisor sets the fraction of accounts to report, one in so many;
+	// maxWorstAccounts limits their number.
 	worstAccountsDivisor = 10
 	maxWorstAccounts     = 20
 )
 
-// accountStats is what became of the requests of one account.
+// accountStats counts the requests of one account by result.
 type accountStats struct {
 	name                    string
 	onTime, late, notServed int
@@ -25,10 +25,11 @@
 
 func (a *accountStats) total() int { return a.onTime + a.late + a.notServed }
 
-// onTimeFraction is which part was answered in time.
+// onTimeFraction returns the fraction of requests that were answered in time.
 func (a *accountStats) onTimeFraction() float64 { return float64(a.onTime) / float64(a.total()) }
 
-// accountFor returns the counts of a line's account, nil for none.
+// accountFor returns the counts of a line's account; for a line without one, counts that
+// are not reported.
 func (l *Losses) accountFor(line Line) *accountStats {
 	account := line.stringField("account")
 	if account == "" {
@@ -42,7 +43,7 @@
 	return a
 }
 
-// worstAccounts returns the accounts with the smallest part in time, the worst first.
+// worstAccounts returns the accounts with the smallest fraction in time, the worst first.
 func (l *Losses) worstAccounts() []*accountStats {
 	var all []*accountStats
 	for _, a := range l.accounts {
@@ -56,7 +57,7 @@
 	return all[:min(len(all), (len(all)+worstAccountsDivisor-1)/worstAccountsDivisor, maxWorstAccounts)]
 }
 
-// writeAccounts writes the worst tenth of the accounts, and who was denied.
+// writeAccounts writes the worst tenth of the accounts, and the denied requests by reason.
 func (l *Losses) writeAccounts(b *strings.Builder) {
 	for _, a := range l.worstAccounts() {
 		fmt.Fprintf(b, "account %s: %.3f in time of %d, %d late, %d not served\n", a.name, a.onTimeFraction(), a.total(), a.late, a.notServed)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,10 +1,12 @@
-// Package logs writes structured lines to standard output without ever holding
-// a request up.
+// Package logs writes structured log lines to standard output without blocking the caller.
 //
-// It answers a reader of standard output that stops reading: the pipe fills, and
-// each goroutine that logs would wait for it with its request in hand. Lines go
-// into a bounded ring instead and are written by one goroutine; what does not
-// fit is counted, and the count is written once there is room again.
+// If the reader of standard output stops reading, the pipe fills up and each goroutine that
+// logs would block in the middle of its request. Lines are therefore put into a bounded
+// buffer and written by one goroutine. Lines that don't fit are dropped and counted, and
+// the count is written once there is room again.
+//
+// The package also reads log lines: [ReadStory] collects those about one request, worker or
+// VM, [ReadLosses] counts the requests that were answered late or not at all.
 package logs
 
 import (
@@ -17,11 +19,11 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// maxBufferedLines is how many lines wait at most: two seconds at 2,000 lines a second
-// of some 300 bytes, 1.2 MB.
+// maxBufferedLines is the capacity of the buffer: two seconds at 2,000 lines per second of
+// about 300 bytes, 1.2 MB.
 const maxBufferedLines = 4096
 
-// Writer writes lines through a bounded ring.
+// Writer writes lines through a bounded buffer.
 type Writer struct {
 	lines   chan []byte
 	out     io.Writer
@@ -29,12 +31,13 @@
 	done    chan struct{}
 }
 
-// NewWriter returns a writer to out. [Writer.Run] writes what it takes.
+// NewWriter returns a writer to out. [Writer.Run] must run for lines to be written.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{lines: make(chan []byte, maxBufferedLines), out: out, done: make(chan struct{})}
 }
 
-// Write takes a line, or counts it as left out.
+// Write buffers a line, or drops and counts it if the buffer is full. It never blocks or
+// fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -45,13 +48,13 @@
 	return len(line), nil
 }
 
-// Sync does nothing: the lines are on their way.
+// Sync does nothing: [Writer.Run] writes the buffered lines.
 func (w *Writer) Sync() error { return nil }
 
-// Left returns how many lines were left out so far and not yet told.
+// Left returns the number of dropped lines that are not yet reported in the output.
 func (w *Writer) Left() int64 { return w.dropped.Load() }
 
-// Run writes lines until stop is closed, then what still waits.
+// Run writes lines until stop is closed, then the lines still in the buffer.
 func (w *Writer) Run(stop <-chan struct{}) {
 	defer close(w.done)
 	for {
@@ -67,7 +70,7 @@
 	}
 }
 
-// Wait waits until Run has written everything, or for at most a span.
+// Wait waits until Run has written everything, for at most timeout.
 func (w *Writer) Wait(timeout time.Duration) {
 	select {
 	case <-w.done:
@@ -76,22 +79,22 @@
 }
 
 func (w *Writer) writeLine(line []byte) {
-	// Nobody can be told that standard output is broken.
+	// A failure of standard output can't be reported anywhere.
 	_, _ = w.out.Write(line)
 	if dropped := w.dropped.Swap(0); dropped > 0 {
 		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warn\",\"msg\":\"log lines left out\",\"count\":%d}\n", dropped)
 	}
 }
 
-// New returns a logger of JSON lines to w.
+// New returns a logger that writes JSON lines to w.
 func New(w *Writer, level zapcore.Level) *zap.Logger {
 	c := zap.NewProductionEncoderConfig()
 	c.EncodeTime = zapcore.ISO8601TimeEncoder
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(c), w, level))
 }
 
-// Error returns err as one line of text, empty for none. An error's stack names
-// source files and is many times as long as the line that it is in.
+// Error returns a field with the message of err, none for nil. The verbose form of an error
+// has a stack trace with source files, many times as long as the rest of the line.
 func Error(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// blockedWriter is a reader of standard output that stopped reading.
+// blockedWriter is an output whose reader has stopped reading.
 type blockedWriter struct {
 	release chan struct{}
 	buffer  bytes.Buffer
@@ -22,8 +22,8 @@
 	return s.buffer.Write(line)
 }
 
-// Nobody reads standard output any more. A request that logs must not wait for
-// it, and when reading goes on the lines that were left out must be counted.
+// If standard output is no longer read, a request that logs must not block, and the dropped
+// lines must be counted once reading resumes.
 func TestLoggingDoesNotBlock(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	w := NewWriter(out)
@@ -36,16 +36,16 @@
 		logger.Info("line", zap.String("request", "r"))
 	}
 	if elapsed := time.Since(start); elapsed > 5*time.Second {
-		t.Errorf("%v for %d lines", elapsed, lines)
+		t.Errorf("took %v for %d lines", elapsed, lines)
 	}
 	if w.Left() == 0 {
-		t.Error("no line was left out")
+		t.Error("no line was dropped")
 	}
 	close(out.release)
 	close(stop)
 	w.Wait(5 * time.Second)
 	if !strings.Contains(out.buffer.String(), "log lines left out") {
-		t.Error("the lines left out are not told")
+		t.Error("the dropped lines are not reported")
 	}
 }
 
@@ -57,6 +57,6 @@
 	close(stop)
 	w.Run(stop)
 	if text := out.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, `"error":"why"`) {
-		t.Errorf("%q", text)
+		t.Errorf("output %q", text)
 	}
 }
--- a/internal/logs/losses.go
+++ b/internal/logs/losses.go
@@ -13,11 +13,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Cause is why a request was not answered in time.
+// Cause is the reason for which a request was not answered in time.
 type Cause string
 
-// The causes that are told by a step of the request; the others are the outcome
-// and the reason of a line, as in "refused: overload".
+// Causes that are derived from the steps of a request. The other causes are composed
+// of the outcome and the reason in a line, as in "refused: overload".
 const (
 	CauseWaited Cause = "late: waited for an engine"
 	CauseRead   Cause = "late: prompt was read"
@@ -27,7 +27,7 @@
 	CausePause  Cause = "late: paused"
 )
 
-// What the other causes begin with.
+// Prefixes of the other causes.
 const (
 	causeWorker  = "worker failed: "
 	causeRefused = "refused: "
@@ -35,17 +35,18 @@
 )
 
 const (
-	// minErrorStatus is the least HTTP status that counts as not served.
+	// minErrorStatus is the lowest HTTP status that counts as not served.
 	minErrorStatus = 500
-	// maxExamples is how many ids are kept of each loss.
+	// maxExamples is the number of request ids kept for each loss.
 	maxExamples = 3
-	// maxPausedWorkers is how many workers are told at which streams stood still.
+	// maxPausedWorkers is the number of workers reported whose streams paused too long.
 	maxPausedWorkers = 10
 	// barWidth is the width of the longest bar, in characters.
 	barWidth = 40
 )
 
-// Loss is what one route lost for one cause.
+// Loss counts the requests of one route that were answered late or not at all for one
+// cause.
 type Loss struct {
 	route    string
 	cause    Cause
@@ -56,38 +57,38 @@
 // Route returns the route's name.
 func (l Loss) Route() string { return l.route }
 
-// Cause returns why.
+// Cause returns the cause.
 func (l Loss) Cause() Cause { return l.cause }
 
-// Count returns how many tries of clients were lost so.
+// Count returns the number of client attempts.
 func (l Loss) Count() int { return l.count }
 
-// Examples returns the ids of the first ones.
+// Examples returns the request ids of the first ones.
 func (l Loss) Examples() []string { return l.examples }
 
-// secondStats is what became of the tries that ended within one second.
+// secondStats counts the client attempts that ended within one second, by result.
 type secondStats struct {
 	at                      time.Time
 	onTime, late, notServed int
 }
 
-// Losses are what the logs of all fronts tell of requests that were answered late
-// or not at all. Each try of a client counts by itself: one that was refused and
-// came back counts twice.
+// Losses are the client attempts that were answered late or not at all, according to the
+// logs of all gateways. A request that was refused and sent again counts as two attempts.
 type Losses struct {
 	byRouteAndCause map[lossKey]*Loss
 	bySecond        map[int64]*secondStats
 	onTime          map[string]int
-	// pausesByWorker are the streams that stood still, by worker.
+	// pausesByWorker counts the streams that paused too long.
 	pausesByWorker map[string]*workerPauses
-	// accounts are counts by account, denied those without a right by reason.
+	// accounts has the counts by account, denied the number of denied requests by reason.
 	accounts map[string]*accountStats
 	denied   map[string]int
 	unparsed int
 }
 
-// workerPauses are the streams that stood still too long at one worker; tokens and requests
-// are sums of what it had in hand then.
+// workerPauses counts the streams of one worker that paused too long. tokens and requests
+// are the sums over these streams of the tokens to prefill and the requests that the worker
+// processed besides.
 type workerPauses struct {
 	worker           string
 	count            int
@@ -100,7 +101,8 @@
 	cause Cause
 }
 
-// ReadLosses collects the losses from the lines of fronts.
+// ReadLosses reads the log lines of gateways and counts the losses. Lines without a brace
+// are ignored; other lines that can't be parsed are counted.
 func ReadLosses(input io.Reader) (*Losses, error) {
 	l := &Losses{byRouteAndCause: map[lossKey]*Loss{}, bySecond: map[int64]*secondStats{}, onTime: map[string]int{}, pausesByWorker: map[string]*workerPauses{}, accounts: map[string]*accountStats{}, denied: map[string]int{}}
 	scanner := bufio.NewScanner(input)
@@ -120,14 +122,15 @@
 	return l, errors.Wrap(scanner.Err(), "read the logs")
 }
 
-// add counts the last line of a try; all other lines tell how it came to that.
+// add counts the final line of an attempt; all other lines only describe how the attempt
+// went.
 func (l *Losses) add(line Line) {
 	switch line.message {
 	case "answered":
 		l.addAnswered(line)
 	case "refused":
 		if line.numberField("status") < minErrorStatus && line.numberField("status") != 0 {
-			// What no route allows is no loss.
+			// A request that is not permitted is not a loss.
 			l.denied[line.stringField("reason")]++
 			return
 		}
@@ -137,7 +140,7 @@
 	}
 }
 
-// addAnswered sorts a worker's answer.
+// addAnswered classifies a worker's response.
 func (l *Losses) addAnswered(line Line) {
 	status := int(line.numberField("status"))
 	target := line.numberField("target_ms")
@@ -147,7 +150,7 @@
 	case target > 0 && line.numberField("first_ms") > target:
 		l.addLate(line, lateCause(line))
 	case line.stepField("pause_allowed") > 0 && line.stepField("longest_pause") > line.stepField("pause_allowed"):
-		// Its first output was in time, and then it stood still.
+		// The first output was in time, but the stream paused later.
 		l.addPaused(line)
 	default:
 		l.secondFor(line).onTime++
@@ -156,8 +159,8 @@
 	}
 }
 
-// addPaused counts a stream that stood still for longer than its route allows, and what
-// its worker did besides.
+// addPaused counts a stream that paused for longer than its route allows, and the other
+// work of its worker.
 func (l *Losses) addPaused(line Line) {
 	l.addLate(line, CausePause)
 	steps, _ := line.fields["steps"].(map[string]any)
@@ -173,7 +176,7 @@
 	p.longest = max(p.longest, line.stepField("longest_pause"))
 }
 
-// lateCause is the step that took most of the time of a late answer.
+// lateCause returns the cause for the step that took most of the time of a late response.
 func lateCause(line Line) Cause {
 	if line.numberField("tries") > 1 {
 		return CauseTried
@@ -226,20 +229,20 @@
 	return s
 }
 
-// stepField returns a figure of the steps of a request, zero when it is missing.
+// stepField returns a number from the steps of a request, zero if it is missing.
 func (l Line) stepField(name string) float64 {
 	steps, _ := l.fields["steps"].(map[string]any)
 	value, _ := steps[name].(float64)
 	return value
 }
 
-// stringField returns a field that is a text, empty when it is missing.
+// stringField returns a string field, empty if it is missing.
 func (l Line) stringField(name string) string {
 	value, _ := l.fields[name].(string)
 	return value
 }
 
-// numberField returns a field that is a number, zero when it is missing.
+// numberField returns a numeric field, zero if it is missing.
 func (l Line) numberField(name string) float64 {
 	value, _ := l.fields[name].(float64)
 	return value
@@ -257,7 +260,8 @@
 	return all
 }
 
-// worstPauses returns the workers at which streams stood still, the worst ones first.
+// worstPauses returns the workers whose streams paused too long, those with the most pauses
+// first.
 func (l *Losses) worstPauses() []*workerPauses {
 	all := make([]*workerPauses, 0, len(l.pausesByWorker))
 	for _, p := range l.pausesByWorker {
@@ -269,7 +273,7 @@
 	return all[:min(len(all), maxPausedWorkers)]
 }
 
-// sortedSeconds returns all seconds in order.
+// sortedSeconds returns the counts of all seconds in order of time.
 func (l *Losses) sortedSeconds() []secondStats {
 	all := make([]secondStats, 0, len(l.bySecond))
 	for _, s := range l.bySecond {
@@ -279,9 +283,9 @@
 	return all
 }
 
-// Tell writes the losses by route and cause, where streams stood still, the accounts that
-// fared worst, then a bar for each second: "=" for answers in time, "~" for late ones,
-// "!" for what was not served.
+// Tell writes the losses by route and cause, the workers with paused streams, the worst
+// accounts, and a bar for each second: "=" for responses in time, "~" for late ones, "!"
+// for requests that were not served.
 func (l *Losses) Tell(w io.Writer) error {
 	var b strings.Builder
 	route := ""
--- a/internal/logs/losses_test.go
+++ b/internal/logs/losses_test.go
@@ -20,9 +20,8 @@
 front-b | {not a line
 `
 
-// Users complain of slow and missing answers, and the engineer on call has only
-// the fronts' lines. Each loss must be counted once, with the step that lost it and
-// an id to look at.
+// An engineer on call investigates slow and failed requests from the gateways' logs alone.
+// Each loss must be counted once, with the step that caused it and the id of an example.
 func TestLossesAreCountedByRouteAndCause(t *testing.T) {
 	l, err := ReadLosses(strings.NewReader(lossLines))
 	if err != nil {
@@ -59,8 +58,8 @@
 	}
 }
 
-// One account of thirty is refused half of its requests, and one is too small to say
-// anything of it. The engineer must see the first by name, and no other.
+// One account of thirty is refused half of its requests, another has too few requests to be
+// judged. The report must name the first one and no other.
 func TestWorstAccountsAreListed(t *testing.T) {
 	var lines strings.Builder
 	for i := range 30 * 40 {
@@ -84,7 +83,7 @@
 		"account a7: 0.500 in time of 40, 0 late, 20 not served": true, "denied: 1 unknown_key": true, "account small": false, "account a29": false,
 	} {
 		if strings.Contains(b.String(), text) != want {
-			t.Errorf("%q: told %v, want %v\n%s", text, !want, want, b.String())
+			t.Errorf("%q: in the report %v, want %v\n%s", text, !want, want, b.String())
 		}
 	}
 }
--- a/internal/logs/story.go
+++ b/internal/logs/story.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLineBytes bounds one line of a log, in bytes; a line has some 500.
+// maxLineBytes limits the length of a log line; a usual line has about 500 bytes.
 const maxLineBytes = 1 << 20
 
 // Line is one line of a process's log.
@@ -25,29 +25,29 @@
 	fields  map[string]any
 }
 
-// At returns when it was written, by the clock of its VM.
+// At returns the time at which the line was written, by the clock of its VM.
 func (l Line) At() time.Time { return l.at }
 
-// Node returns the process that wrote it.
+// Node returns the name of the process that wrote the line.
 func (l Line) Node() string { return l.node }
 
-// What returns the message.
+// What returns the message of the line.
 func (l Line) What() string { return l.message }
 
-// Story is what the logs of all processes tell of one request, VM or worker.
+// Story is the sequence of log lines about one request, VM or worker.
 type Story struct {
 	subject string
 	lines   []Line
-	// unparsed counts lines that are no JSON.
+	// unparsed counts lines that are not valid JSON.
 	unparsed int
 }
 
-// Lines returns the lines in the order of their times.
+// Lines returns the lines in order of time.
 func (s Story) Lines() []Line { return s.lines }
 
-// ReadStory collects the lines that name about: a request by its id, a worker by
-// its name, or a VM by the lines that it wrote. What stands before the first
-// brace of a line, as collectors add it, is passed over.
+// ReadStory collects the log lines about a subject: a request by its id, a worker by its
+// name, or a VM by the lines that it wrote. Text before the first brace of a line, as log
+// collectors add it, is ignored.
 func ReadStory(input io.Reader, subject string) (Story, error) {
 	s := Story{subject: subject}
 	scanner := bufio.NewScanner(input)
@@ -70,7 +70,7 @@
 	return s, errors.Wrap(scanner.Err(), "read the logs")
 }
 
-// parseLine reads one line.
+// parseLine parses one log line.
 func parseLine(data []byte) (Line, error) {
 	start := bytes.IndexByte(data, '{')
 	if start < 0 {
@@ -94,7 +94,7 @@
 	return l, nil
 }
 
-// mentions reports that the line is about a request, a worker or a VM.
+// mentions reports whether the line is about a request, a worker or a VM.
 func (l Line) mentions(subject string) bool {
 	if l.node == subject {
 		return true
@@ -112,8 +112,8 @@
 	return found
 }
 
-// Tell writes the story: each line with the time since the first, then what
-// became of a request.
+// Tell writes the lines with the time since the first one, then the outcome of a request.
+// It fails if there is no line.
 func (s Story) Tell(out io.Writer) error {
 	if len(s.lines) == 0 {
 		return errors.Newf("no line names %q", s.subject)
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// otherFields returns the line's other fields as name=value, in order of their names.
+// otherFields returns the remaining fields of the line as name=value, sorted by name.
 func (l Line) otherFields(subject string) string {
 	names := make([]string, 0, len(l.fields))
 	for name, value := range l.fields {
@@ -147,14 +147,14 @@
 	slices.Sort(names)
 	pairs := make([]string, len(names))
 	for i, name := range names {
-		// Values that came as JSON go back to it.
+		// Values decoded from JSON can always be encoded.
 		data, _ := json.Marshal(l.fields[name])
 		pairs[i] = name + "=" + string(data)
 	}
 	return strings.Join(pairs, " ")
 }
 
-// outcome says in a sentence what became of a request, by its last line.
+// outcome describes the outcome of a request in one sentence, according to its last line.
 func (s Story) outcome() string {
 	last := s.lines[len(s.lines)-1]
 	if last.fields["request"] != s.subject {
--- a/internal/logs/story_test.go
+++ b/internal/logs/story_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// storyLines are lines of two fronts, as a collector hands them on.
+// storyLines are log lines of two gateways with the prefixes that a collector adds.
 const storyLines = `  0.1 front-1 {"level":"info","ts":"2026-12-03T10:00:00.100Z","msg":"attempt failed","node":"front-1","request":"r1","worker":"w1","step":"run","reason":"worker_failed","ran":"unknown"}
   0.2 front-1 {"level":"info","ts":"2026-12-03T10:00:00.250Z","msg":"answered","node":"front-1","request":"r1","worker":"w2","status":200,"steps":{"reader":"w3"}}
 not a line of ours about r1
@@ -28,8 +28,8 @@
 	return b.String()
 }
 
-// A user complains of a request. The engineer on call has its id and the logs of
-// all fronts, and must see what was tried, where, and what became of it.
+// An engineer on call has the id of a failed request and the logs of all gateways. The
+// story must show which workers were tried and the outcome.
 func TestStoryByRequestWorkerAndVM(t *testing.T) {
 	for subject, want := range map[string][]string{
 		"r1": {"0.000 s  front-1", "attempt failed", `reason="worker_failed"`, "0.150 s", "answered", `worker="w2"`, "has the worker's answer", "1 lines"},
@@ -46,10 +46,10 @@
 		}
 	}
 	if output := storyText(t, "front-2"); strings.Count(output, "\n") != 4 {
-		t.Errorf("the story of a VM:\n%s", output)
+		t.Errorf("story of a VM:\n%s", output)
 	}
 	s, err := ReadStory(strings.NewReader(storyLines), "nobody")
 	if err != nil || s.Tell(&strings.Builder{}) == nil {
-		t.Errorf("a story of nobody: %v", err)
+		t.Errorf("story of an unknown subject: read error %v, or Tell returned nil", err)
 	}
 }
