--- a/internal/logs/losses_test.go
+++ b/internal/logs/losses_test.go
@@ -20,9 +20,8 @@
 front-b | {not a line
 `
 
-// Users complain of slow and missing answers, and the engineer on call has only
-// the fronts' lines. Each loss must be counted once, with the step that lost it and
-// an id to look at.
+// An engineer on call investigates slow and failed requests from the gateways' logs alone.
+// Each loss must be counted once, with the step that caused it and the id of an example.
 func TestLossesAreCountedByRouteAndCause(t *testing.T) {
 	l, err := ReadLosses(strings.NewReader(lossLines))
 	if err != nil {
@@ -59,16 +58,16 @@
 	}
 }
 
-// One account of thirty is refused half of its requests, and one is too small to say
-// anything of it. The engineer must see the first by name, and no other.
-func TestTheAccountsThatFaredWorstAreTold(t *testing.T) {
+// One account of thirty is refused half of its requests, another has too few requests to be
+// judged. The report must name the first one and no other.
+func TestWorstAccountsAreListed(t *testing.T) {
 	var lines strings.Builder
 	for i := range 30 * 40 {
-		what := `"answered","status":200,"first_ms":10,"target_ms":100`
+		message := `"answered","status":200,"first_ms":10,"target_ms":100`
 		if i%30 == 7 && i%60 == 7 {
-			what = `"refused","status":503,"reason":"overload"`
+			message = `"refused","status":503,"reason":"overload"`
 		}
-		fmt.Fprintf(&lines, `{"ts":"2026-12-03T05:00:01Z","msg":%s,"route":"r","account":"a%d"}`+"\n", what, i%30)
+		fmt.Fprintf(&lines, `{"ts":"2026-12-03T05:00:01Z","msg":%s,"route":"r","account":"a%d"}`+"\n", message, i%30)
 	}
 	lines.WriteString(`{"ts":"2026-12-03T05:00:01Z","msg":"refused","status":503,"reason":"x","account":"small"}` + "\n")
 	lines.WriteString(`{"ts":"2026-12-03T05:00:01Z","msg":"refused","status":401,"reason":"unknown_key"}` + "\n")
@@ -84,7 +83,7 @@
 		"account a7: 0.500 in time of 40, 0 late, 20 not served": true, "denied: 1 unknown_key": true, "account small": false, "account a29": false,
 	} {
 		if strings.Contains(b.String(), text) != want {
-			t.Errorf("%q: told %v, want %v\n%s", text, !want, want, b.String())
+			t.Errorf("%q: in the report %v, want %v\n%s", text, !want, want, b.String())
 		}
 	}
 }
