--- a/pkg/kumquatlug/usage/reporter.go
+++ b/pkg/kumquatlug/usage/reporter.go
@@ -25,27 +25,27 @@
 
 // Figures of reporting.
 const (
-	// settleSpan is how long after the end of a window its tallies are looked at
+	// firstScanDelay is how long after the end of a window its tallies are looked at
 	// first: fronts tell them within some tenths of a second.
-	settleSpan = 700 * kumquatlug.Millis(1)
-	// lookEvery is how often they are looked at while some are missing.
-	lookEvery = 800 * kumquatlug.Millis(1)
-	// sendPart is the part of the time until a report is due, as a divisor, that is
+	firstScanDelay = 700 * kumquatlug.Millis(1)
+	// scanInterval is how often they are looked at while some are missing.
+	scanInterval = 800 * kumquatlug.Millis(1)
+	// sendReserveDivisor is the part of the time until a report is due, as a divisor, that is
 	// left for fixing and sending it.
-	sendPart = 4
-	// catchUpSpan is how long fronts have to tell what they counted while the store
+	sendReserveDivisor = 4
+	// catchUpTimeout is how long fronts have to tell what they counted while the store
 	// was away, from when the tallies of an old window are looked at first.
-	catchUpSpan = 2500 * kumquatlug.Millis(1)
-	// firstRetry is the wait after a call that failed; it doubles up to mostRetry.
-	firstRetry = 250 * kumquatlug.Millis(1)
-	mostRetry  = 2 * kumquatlug.Second
-	// mostDeletes bounds the rows that one transaction removes.
-	mostDeletes = kumquatlug.MaxTxEntries - 5
-	// oldTally is for how many windows a tally that nobody writes any more stays.
-	oldTally = 2
-	// doubtSpan is for how long nobody else can have fixed a window whose fixing got no
+	catchUpTimeout = 2500 * kumquatlug.Millis(1)
+	// initialBackoff is the wait after a call that failed; it doubles up to maxBackoff.
+	initialBackoff = 250 * kumquatlug.Millis(1)
+	maxBackoff     = 2 * kumquatlug.Second
+	// maxDeletesPerTx bounds the rows that one transaction removes.
+	maxDeletesPerTx = kumquatlug.MaxTxEntries - 5
+	// staleTallyWindows is for how many windows a tally that nobody writes any more stays.
+	staleTallyWindows = 2
+	// pendingTimeout is for how long nobody else can have fixed a window whose fixing got no
 	// answer: the lease lasts longer.
-	doubtSpan = 3 * kumquatlug.Second
+	pendingTimeout = 3 * kumquatlug.Second
 )
 
 // Report is the sum of one window.
@@ -82,9 +82,9 @@
 	action Action
 	tx     kumquatlug.Tx
 	report Report
-	// missing counts the fronts that had not told all of the report's window.
-	missing int
-	removed []string
+	// missingGateways counts the fronts that had not told all of the report's window.
+	missingGateways int
+	deletedKeys     []string
 }
 
 // Action returns what is to be done.
@@ -98,54 +98,54 @@
 
 // Missing returns how many fronts had not told all of their counts when the report
 // was fixed.
-func (i Intent) Missing() int { return i.missing }
+func (i Intent) Missing() int { return i.missingGateways }
 
 // Reporter decides what the holder of the lease does about reports. It is not safe
 // for concurrent use.
 type Reporter struct {
-	windows Windows
-	me      string
-	// number is that of the lease that this front holds, zero for none; loaded says that
+	windows     Windows
+	incarnation string
+	// fencingToken is that of the lease that this front holds, zero for none; loaded says that
 	// next and unsent are as they stand in the store.
-	number  int64
-	loaded  bool
-	next    Window
-	version int64
-	unsent  []Report
-	// sent are keys of reports that were sent; their rows go with the next one.
-	sent []string
-	// lookedAt is when each window's tallies were looked at first, lookAt when they
+	fencingToken int64
+	loaded       bool
+	nextWindow   Window
+	nextVersion  int64
+	unsent       []Report
+	// sentKeys are keys of reports that were sent; their rows go with the next one.
+	sentKeys []string
+	// firstScanAt is when each window's tallies were looked at first, lookAt when they
 	// are looked at next, sendAt when the next report may be sent.
-	lookedAt       map[Window]kumquatlug.Millis
-	lookAt, sendAt kumquatlug.Millis
-	wait           kumquatlug.Millis
-	tallies        map[string]Tally
-	sequence       int64
-	// fixed is the first window that is not known to be fixed, whatever the store says:
+	firstScanAt            map[Window]kumquatlug.Millis
+	nextReadAt, nextSendAt kumquatlug.Millis
+	backoff                kumquatlug.Millis
+	tallies                map[string]Tally
+	txSequence             int64
+	// finalizedBefore is the first window that is not known to be fixed, whatever the store says:
 	// one that comes back from an older copy has forgotten some. kept are the reports
 	// of those that this front fixed or read and does not know to be sent.
-	fixed Window
-	kept  map[Window]Report
-	// fixing is the report of the transaction that is on its way, or got no answer until
+	finalizedBefore Window
+	unconfirmed     map[Window]Report
+	// pending is the report of the transaction that is on its way, or got no answer until
 	// doubtUntil.
-	fixing     Report
-	doubtUntil kumquatlug.Millis
+	pending      Report
+	pendingUntil kumquatlug.Millis
 }
 
 // NewReporter returns the reporter of a front's start, whose name is unique.
-func NewReporter(w Windows, me string) *Reporter {
-	return &Reporter{windows: w, me: me, kept: map[Window]Report{}}
+func NewReporter(w Windows, incarnation string) *Reporter {
+	return &Reporter{windows: w, incarnation: incarnation, unconfirmed: map[Window]Report{}}
 }
 
 // Hold says under which number this front holds the lease, zero for none. What was
 // known under another number is read anew.
-func (r *Reporter) Hold(number int64) {
-	if number == r.number {
+func (r *Reporter) Hold(fencingToken int64) {
+	if fencingToken == r.fencingToken {
 		return
 	}
 	*r = Reporter{
-		windows: r.windows, me: r.me, number: number, sequence: r.sequence, fixed: r.fixed, kept: r.kept, fixing: r.fixing, doubtUntil: r.doubtUntil,
-		lookedAt: map[Window]kumquatlug.Millis{},
+		windows: r.windows, incarnation: r.incarnation, fencingToken: fencingToken, txSequence: r.txSequence, finalizedBefore: r.finalizedBefore, unconfirmed: r.unconfirmed, pending: r.pending, pendingUntil: r.pendingUntil,
+		firstScanAt: map[Window]kumquatlug.Millis{},
 	}
 }
 
@@ -157,18 +157,18 @@
 func (r *Reporter) Next(now kumquatlug.Millis) Intent {
 	none := Intent{action: ActionNone}
 	switch {
-	case r.number == 0:
+	case r.fencingToken == 0:
 		return none
 	case !r.loaded:
-		if now < r.lookAt {
+		if now < r.nextReadAt {
 			return none
 		}
 		return Intent{action: ActionLoad}
-	case r.tallies != nil && r.ready(now):
-		return r.fix()
-	case now >= r.lookAt && now >= r.windows.End(r.next)+settleSpan:
+	case r.tallies != nil && r.readyToFinalize(now):
+		return r.finalize()
+	case now >= r.nextReadAt && now >= r.windows.End(r.nextWindow)+firstScanDelay:
 		return Intent{action: ActionLook}
-	case len(r.unsent) > 0 && now >= r.sendAt:
+	case len(r.unsent) > 0 && now >= r.nextSendAt:
 		return Intent{action: ActionSend, report: r.unsent[0]}
 	}
 	return none
@@ -176,7 +176,7 @@
 
 // stored forms of what is fixed.
 type (
-	nextRow struct {
+	nextWindowRow struct {
 		Window Window `json:"window"`
 	}
 	reportRow struct {
@@ -190,169 +190,169 @@
 	if !row.Exists() {
 		return 0, nil
 	}
-	var n nextRow
-	err := json.Unmarshal(row.Value(), &n)
-	return n.Window, errors.Wrap(err, "read which window is next")
+	var decoded nextWindowRow
+	err := json.Unmarshal(row.Value(), &decoded)
+	return decoded.Window, errors.Wrap(err, "read which window is next")
 }
 
 // Loaded takes the rows under [ReportPrefix]. A row that can't be read is skipped and
 // told: nobody can send it.
 func (r *Reporter) Loaded(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
 	if err != nil {
-		r.lookAt = now + r.backOff()
+		r.nextReadAt = now + r.nextBackoff()
 		return errors.Wrap(err, "read the reports")
 	}
-	r.wait, r.lookAt, r.doubtUntil = 0, 0, 0
-	r.next, r.version, r.unsent, r.tallies = r.windows.At(now), 0, nil, nil
-	r.sent = slices.DeleteFunc(r.sent, func(key string) bool {
+	r.backoff, r.nextReadAt, r.pendingUntil = 0, 0, 0
+	r.nextWindow, r.nextVersion, r.unsent, r.tallies = r.windows.At(now), 0, nil, nil
+	r.sentKeys = slices.DeleteFunc(r.sentKeys, func(key string) bool {
 		return !slices.ContainsFunc(rows, func(row kumquatlug.Row) bool { return row.Key() == key })
 	})
-	var spoilt error
+	var decodeErr error
 	for _, row := range rows {
-		if err := r.load(row); err != nil {
-			spoilt = errors.CombineErrors(spoilt, err)
+		if err := r.loadRow(row); err != nil {
+			decodeErr = errors.CombineErrors(decodeErr, err)
 		}
 	}
-	r.remember()
+	r.recoverFinalized()
 	slices.SortFunc(r.unsent, func(a, b Report) int { return cmp.Compare(a.window, b.window) })
 	r.loaded = true
-	return spoilt
+	return decodeErr
 }
 
-func (r *Reporter) load(row kumquatlug.Row) error {
+func (r *Reporter) loadRow(row kumquatlug.Row) error {
 	if row.Key() == NextKey {
 		next, err := DecodeNext(row)
 		if err == nil {
-			r.next, r.version = next, row.Version()
-			r.fixed = max(r.fixed, next)
+			r.nextWindow, r.nextVersion = next, row.Version()
+			r.finalizedBefore = max(r.finalizedBefore, next)
 		}
 		return err
 	}
-	if slices.Contains(r.sent, row.Key()) {
+	if slices.Contains(r.sentKeys, row.Key()) {
 		return nil
 	}
 	k, err := strconv.ParseInt(strings.TrimPrefix(row.Key(), ReportPrefix), 10, 64)
 	if err != nil {
 		return errors.Wrapf(err, "read report %s", row.Key())
 	}
-	var fixed reportRow
-	if err := json.Unmarshal(row.Value(), &fixed); err != nil {
+	var stored reportRow
+	if err := json.Unmarshal(row.Value(), &stored); err != nil {
 		return errors.Wrapf(err, "read report %s", row.Key())
 	}
-	report := Report{window: Window(k), counts: fixed.Counts}
+	report := Report{window: Window(k), counts: stored.Counts}
 	r.unsent = append(r.unsent, report)
-	r.keep(report)
+	r.recordFinalized(report)
 	return nil
 }
 
 // Looked takes the rows under [TallyPrefix]. A row that can't be read counts nothing
 // and is told.
 func (r *Reporter) Looked(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
-	r.lookAt = now + lookEvery
+	r.nextReadAt = now + scanInterval
 	if err != nil {
-		r.lookAt = now + r.backOff()
+		r.nextReadAt = now + r.nextBackoff()
 		return errors.Wrap(err, "read the counts of the fronts")
 	}
-	r.wait = 0
+	r.backoff = 0
 	r.tallies = make(map[string]Tally, len(rows))
-	var spoilt error
+	var decodeErr error
 	for _, row := range rows {
 		t, err := DecodeTally(row.Value())
 		if err != nil {
-			spoilt = errors.CombineErrors(spoilt, errors.Wrap(err, row.Key()))
+			decodeErr = errors.CombineErrors(decodeErr, errors.Wrap(err, row.Key()))
 			continue
 		}
 		r.tallies[row.Key()] = t
-		r.fixed = max(r.fixed, t.next)
+		r.finalizedBefore = max(r.finalizedBefore, t.finalizedBefore)
 	}
-	r.begin()
-	for k := r.next; r.windows.End(k)+settleSpan <= now; k++ {
-		if _, seen := r.lookedAt[k]; !seen {
-			r.lookedAt[k] = now
+	r.findNextWindow()
+	for k := r.nextWindow; r.windows.End(k)+firstScanDelay <= now; k++ {
+		if _, scanned := r.firstScanAt[k]; !scanned {
+			r.firstScanAt[k] = now
 		}
 	}
-	return spoilt
+	return decodeErr
 }
 
-// begin finds the next window by the tallies, as the store may have forgotten which it
+// findNextWindow finds the next window by the tallies, as the store may have forgotten which it
 // is. Where nothing was ever fixed the first window is the first with requests.
-func (r *Reporter) begin() {
+func (r *Reporter) findNextWindow() {
 	switch {
-	case r.version != 0:
-		r.next = max(r.next, r.fixed)
+	case r.nextVersion != 0:
+		r.nextWindow = max(r.nextWindow, r.finalizedBefore)
 		return
-	case r.fixed != 0:
-		r.next = r.fixed
+	case r.finalizedBefore != 0:
+		r.nextWindow = r.finalizedBefore
 		return
 	}
 	for _, t := range r.tallies {
 		for k := range t.counts {
-			r.next = min(r.next, k)
+			r.nextWindow = min(r.nextWindow, k)
 		}
 	}
 }
 
-// ready reports that the next window can be fixed: all fronts have told all of it, or
+// readyToFinalize reports that the next window can be fixed: all fronts have told all of it, or
 // the report would be late if it waited for them any longer.
-func (r *Reporter) ready(now kumquatlug.Millis) bool {
-	looked, seen := r.lookedAt[r.next]
-	if !seen {
+func (r *Reporter) readyToFinalize(now kumquatlug.Millis) bool {
+	firstScan, scanned := r.firstScanAt[r.nextWindow]
+	if !scanned {
 		return false
 	}
-	if r.version == 0 && now < looked+catchUpSpan {
+	if r.nextVersion == 0 && now < firstScan+catchUpTimeout {
 		// Fronts that tell for the first time may name an earlier window.
 		return false
 	}
-	latest := max(r.windows.End(r.next)+r.windows.Due-r.windows.Due/sendPart, looked+catchUpSpan)
-	return r.missing() == 0 || now >= latest
+	deadline := max(r.windows.End(r.nextWindow)+r.windows.Due-r.windows.Due/sendReserveDivisor, firstScan+catchUpTimeout)
+	return r.missingGateways() == 0 || now >= deadline
 }
 
-// missing counts the fronts that are there and have not told all of the next window.
-func (r *Reporter) missing() int {
+// missingGateways counts the fronts that are there and have not told all of the next window.
+func (r *Reporter) missingGateways() int {
 	n := 0
 	for _, t := range r.tallies {
-		if !t.Complete(r.windows, r.next) && !r.old(t) {
+		if !t.Complete(r.windows, r.nextWindow) && !r.stale(t) {
 			n++
 		}
 	}
 	return n
 }
 
-// old reports that the front of a tally was gone before the next window.
-func (r *Reporter) old(t Tally) bool {
-	return t.through < r.windows.End(r.next-oldTally)
+// stale reports that the front of a tally was gone before the next window.
+func (r *Reporter) stale(t Tally) bool {
+	return t.countedUntil < r.windows.End(r.nextWindow-staleTallyWindows)
 }
 
-// fix returns the transaction that fixes the next window.
-func (r *Reporter) fix() Intent {
+// finalize returns the transaction that fixes the next window.
+func (r *Reporter) finalize() Intent {
 	counts := Counts{}
 	for _, t := range r.tallies {
-		counts.add(t.counts[r.next])
+		counts.add(t.counts[r.nextWindow])
 	}
-	r.sequence++
-	i := Intent{action: ActionFix, report: Report{window: r.next, counts: counts}, missing: r.missing()}
-	i.removed = append(i.removed, r.sent...)
+	r.txSequence++
+	i := Intent{action: ActionFix, report: Report{window: r.nextWindow, counts: counts}, missingGateways: r.missingGateways()}
+	i.deletedKeys = append(i.deletedKeys, r.sentKeys...)
 	for key, t := range r.tallies {
-		if (t.left || r.old(t)) && !r.ahead(t) {
-			i.removed = append(i.removed, key)
+		if (t.final || r.stale(t)) && !r.hasOpenWindows(t) {
+			i.deletedKeys = append(i.deletedKeys, key)
 		}
 	}
-	r.fixing = i.report
-	slices.Sort(i.removed)
-	i.removed = i.removed[:min(len(i.removed), mostDeletes)]
-	i.tx = kumquatlug.NewTx(fmt.Sprintf("%s/usage/%d", r.me, r.sequence)).If(NextKey, r.version).
-		Put(NextKey, encode(nextRow{Window: r.next + 1})).
-		If(reportKey(r.next), 0).Put(reportKey(r.next), encode(reportRow{Counts: counts}))
-	for _, key := range i.removed {
+	r.pending = i.report
+	slices.Sort(i.deletedKeys)
+	i.deletedKeys = i.deletedKeys[:min(len(i.deletedKeys), maxDeletesPerTx)]
+	i.tx = kumquatlug.NewTx(fmt.Sprintf("%s/usage/%d", r.incarnation, r.txSequence)).If(NextKey, r.nextVersion).
+		Put(NextKey, encode(nextWindowRow{Window: r.nextWindow + 1})).
+		If(reportKey(r.nextWindow), 0).Put(reportKey(r.nextWindow), encode(reportRow{Counts: counts}))
+	for _, key := range i.deletedKeys {
 		i.tx = i.tx.Delete(key)
 	}
 	return i
 }
 
-// ahead reports that a tally holds windows that are not fixed yet.
-func (r *Reporter) ahead(t Tally) bool {
+// hasOpenWindows reports that a tally holds windows that are not fixed yet.
+func (r *Reporter) hasOpenWindows(t Tally) bool {
 	for k := range t.counts {
-		if k >= r.next {
+		if k >= r.nextWindow {
 			return true
 		}
 	}
@@ -372,14 +372,14 @@
 func (r *Reporter) Fixed(now kumquatlug.Millis, err error) {
 	r.loaded, r.tallies = false, nil
 	if err != nil {
-		r.lookAt = now + r.backOff()
+		r.nextReadAt = now + r.nextBackoff()
 		if errors.Is(err, kumquatlug.ErrLost) {
-			r.doubtUntil = now + doubtSpan
+			r.pendingUntil = now + pendingTimeout
 		}
 		return
 	}
-	r.keep(r.fixing)
-	r.lookAt = now
+	r.recordFinalized(r.pending)
+	r.nextReadAt = now
 }
 
 // Sent takes what became of a report. One that the receiver refused for good would
@@ -390,17 +390,17 @@
 		return
 	}
 	if err != nil && !errors.Is(err, kumquatlug.ErrDenied) {
-		r.sendAt = now + r.backOff()
+		r.nextSendAt = now + r.nextBackoff()
 		return
 	}
-	r.wait, r.sendAt = 0, now
+	r.backoff, r.nextSendAt = 0, now
 	r.unsent = r.unsent[1:]
-	r.sent = append(r.sent, reportKey(report.window))
-	delete(r.kept, report.window)
+	r.sentKeys = append(r.sentKeys, reportKey(report.window))
+	delete(r.unconfirmed, report.window)
 }
 
-// backOff returns the wait after a failure.
-func (r *Reporter) backOff() kumquatlug.Millis {
-	r.wait = min(max(2*r.wait, firstRetry), mostRetry)
-	return r.wait
+// nextBackoff returns the wait after a failure.
+func (r *Reporter) nextBackoff() kumquatlug.Millis {
+	r.backoff = min(max(2*r.backoff, initialBackoff), maxBackoff)
+	return r.backoff
 }
--- a/pkg/kumquatlug/usage/usage.go
+++ b/pkg/kumquatlug/usage/usage.go
@@ -57,23 +57,23 @@
 	return total
 }
 
-// mostWindows bounds the windows of a tally: its row has room for as many, and a
+// maxTallyWindows bounds the windows of a tally: its row has room for as many, and a
 // store that is away for longer takes the oldest with it.
-const mostWindows = 24
+const maxTallyWindows = 24
 
 // Counter counts what began at one front. It is not safe for concurrent use.
 type Counter struct {
 	windows Windows
 	counts  map[Window]Counts
-	// toldAt is when a window was in the store with all of its requests.
-	toldAt map[Window]kumquatlug.Millis
-	// next is the first window that is not known to be fixed.
-	next Window
+	// storedAt is when a window was in the store with all of its requests.
+	storedAt map[Window]kumquatlug.Millis
+	// finalizedBefore is the first window that is not known to be fixed.
+	finalizedBefore Window
 }
 
 // NewCounter returns a counter that has seen nothing.
 func NewCounter(w Windows) *Counter {
-	return &Counter{windows: w, counts: map[Window]Counts{}, toldAt: map[Window]kumquatlug.Millis{}}
+	return &Counter{windows: w, counts: map[Window]Counts{}, storedAt: map[Window]kumquatlug.Millis{}}
 }
 
 // Began counts a request of an account.
@@ -81,14 +81,14 @@
 	k := c.windows.At(now)
 	if c.counts[k] == nil {
 		c.counts[k] = Counts{}
-		c.bound()
+		c.dropExcess()
 	}
 	c.counts[k][account]++
 }
 
-// bound drops the oldest window of too many.
-func (c *Counter) bound() {
-	if len(c.counts) <= mostWindows {
+// dropExcess drops the oldest window of too many.
+func (c *Counter) dropExcess() {
+	if len(c.counts) <= maxTallyWindows {
 		return
 	}
 	oldest := Window(0)
@@ -97,18 +97,18 @@
 			oldest = k
 		}
 	}
-	c.drop(oldest)
+	c.dropWindow(oldest)
 }
 
-func (c *Counter) drop(k Window) {
+func (c *Counter) dropWindow(k Window) {
 	delete(c.counts, k)
-	delete(c.toldAt, k)
+	delete(c.storedAt, k)
 }
 
 // Tally returns what the store is to be told now. Last says that the front ends; one
 // that has counted nothing keeps no report waiting either.
 func (c *Counter) Tally(now kumquatlug.Millis, last bool) Tally {
-	t := Tally{through: now, next: c.next, left: last || len(c.counts) == 0, counts: make(map[Window]Counts, len(c.counts))}
+	t := Tally{countedUntil: now, finalizedBefore: c.finalizedBefore, final: last || len(c.counts) == 0, counts: make(map[Window]Counts, len(c.counts))}
 	for k, counts := range c.counts {
 		t.counts[k] = maps.Clone(counts)
 	}
@@ -118,66 +118,66 @@
 // Told takes that a tally is in the store.
 func (c *Counter) Told(t Tally) {
 	for k := range t.counts {
-		if _, told := c.toldAt[k]; !told && t.through >= c.windows.End(k) {
-			c.toldAt[k] = t.through
+		if _, stored := c.storedAt[k]; !stored && t.countedUntil >= c.windows.End(k) {
+			c.storedAt[k] = t.countedUntil
 		}
 	}
 }
 
-// manyOld is how many windows that are most likely reported a tally has until the store
+// minPastDueWindows is how many windows that are most likely reported a tally has until the store
 // is asked whether they are.
-const manyOld = 3
+const minPastDueWindows = 3
 
 // Old reports that many windows were told so long ago that they are most likely
 // reported. While nobody holds the lease they are not, and must be told on.
 func (c *Counter) Old(now kumquatlug.Millis) bool {
-	old := 0
-	for _, at := range c.toldAt {
-		if now-at > c.windows.Due {
-			old++
+	pastDue := 0
+	for _, storedAt := range c.storedAt {
+		if now-storedAt > c.windows.Due {
+			pastDue++
 		}
 	}
-	return old >= manyOld
+	return pastDue >= minPastDueWindows
 }
 
 // Fixed takes which window is the first that is not fixed; those before it go.
 func (c *Counter) Fixed(next Window) {
-	c.next = max(c.next, next)
-	for k := range c.toldAt {
+	c.finalizedBefore = max(c.finalizedBefore, next)
+	for k := range c.storedAt {
 		if k < next {
-			c.drop(k)
+			c.dropWindow(k)
 		}
 	}
 }
 
 // Tally is what one start of a front has counted.
 type Tally struct {
-	// through is up to when it has counted; left says that there will be no more.
-	through kumquatlug.Millis
-	left    bool
-	// next is the first window that its front does not know to be fixed; it has dropped
+	// countedUntil is up to when it has counted; left says that there will be no more.
+	countedUntil kumquatlug.Millis
+	final        bool
+	// finalizedBefore is the first window that its front does not know to be fixed; it has dropped
 	// what it counted before.
-	next   Window
-	counts map[Window]Counts
+	finalizedBefore Window
+	counts          map[Window]Counts
 }
 
 // Left reports that no more is to come from that front, unless it writes again.
-func (t Tally) Left() bool { return t.left }
+func (t Tally) Left() bool { return t.final }
 
 // Complete reports that a window has no more requests to come from that front.
-func (t Tally) Complete(w Windows, k Window) bool { return t.left || t.through >= w.End(k) }
+func (t Tally) Complete(w Windows, k Window) bool { return t.final || t.countedUntil >= w.End(k) }
 
 // tallyRow is the stored form.
 type tallyRow struct {
-	ThroughMS kumquatlug.Millis `json:"through_ms"`
-	Left      bool              `json:"left,omitempty"`
-	Next      Window            `json:"next,omitempty"`
-	Counts    map[Window]Counts `json:"counts"`
+	CountedUntilMS  kumquatlug.Millis `json:"through_ms"`
+	Final           bool              `json:"left,omitempty"`
+	FinalizedBefore Window            `json:"next,omitempty"`
+	Counts          map[Window]Counts `json:"counts"`
 }
 
 // Encode returns the stored form of a tally.
 func (t Tally) Encode() ([]byte, error) {
-	text, err := json.Marshal(tallyRow{ThroughMS: t.through, Left: t.left, Next: t.next, Counts: t.counts})
+	text, err := json.Marshal(tallyRow{CountedUntilMS: t.countedUntil, Final: t.final, FinalizedBefore: t.finalizedBefore, Counts: t.counts})
 	return text, errors.Wrap(err, "encode the counts of a front")
 }
 
@@ -187,5 +187,5 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		return Tally{}, errors.Wrap(err, "read the counts of a front")
 	}
-	return Tally{through: r.ThroughMS, left: r.Left, next: r.Next, counts: r.Counts}, nil
+	return Tally{countedUntil: r.CountedUntilMS, final: r.Final, finalizedBefore: r.FinalizedBefore, counts: r.Counts}, nil
 }
--- a/pkg/kumquatlug/usage/world_test.go
+++ b/pkg/kumquatlug/usage/world_test.go
@@ -8,70 +8,70 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// world is a store, a receiver of reports, fronts that count and the holders of the
+// simulation is a store, a receiver of reports, fronts that count and the holders of the
 // lease, on one clock.
-type world struct {
-	t        *testing.T
-	now      kumquatlug.Millis
-	rows     map[string]kumquatlug.Row
-	version  int64
-	accepted map[Window]map[string]int64
-	order    []Window
-	faults   []string
+type simulation struct {
+	t             *testing.T
+	now           kumquatlug.Millis
+	rows          map[string]kumquatlug.Row
+	version       int64
+	received      map[Window]map[string]int64
+	receivedOrder []Window
+	violations    []string
 	// storeDown and serviceDown refuse calls; loseCommit and loseSend have the next
 	// answers lost after the call took effect.
-	storeDown, serviceDown bool
-	loseCommit, loseSend   int
-	counters               []*Counter
-	cut                    []bool
-	// starts count the processes that ran at each address.
-	starts    []int
-	reporters []*Reporter
-	holder    int
-	number    int64
-	truth     map[Window]map[string]int64
-	// copies are the rows of the store as they were at moments.
-	copies map[kumquatlug.Millis]map[string]kumquatlug.Row
+	storeDown, receiverDown                bool
+	lostCommitResponses, lostSendResponses int
+	counters                               []*Counter
+	disconnected                           []bool
+	// restarts count the processes that ran at each address.
+	restarts     []int
+	reporters    []*Reporter
+	leaseHolder  int
+	fencingToken int64
+	recorded     map[Window]map[string]int64
+	// backups are the rows of the store as they were at moments.
+	backups map[kumquatlug.Millis]map[string]kumquatlug.Row
 }
 
-func newWorld(t *testing.T, fronts int) *world {
-	w := &world{t: t, now: 1_000_000, rows: map[string]kumquatlug.Row{}, accepted: map[Window]map[string]int64{}, truth: map[Window]map[string]int64{}, copies: map[kumquatlug.Millis]map[string]kumquatlug.Row{}}
-	for i := range fronts {
-		w.counters = append(w.counters, NewCounter(testWindows))
-		w.reporters = append(w.reporters, NewReporter(testWindows, fmt.Sprintf("front-%d", i)))
-		w.cut, w.starts = append(w.cut, false), append(w.starts, 0)
-	}
-	w.pass(0)
-	return w
+func newSimulation(t *testing.T, gateways int) *simulation {
+	s := &simulation{t: t, now: 1_000_000, rows: map[string]kumquatlug.Row{}, received: map[Window]map[string]int64{}, recorded: map[Window]map[string]int64{}, backups: map[kumquatlug.Millis]map[string]kumquatlug.Row{}}
+	for i := range gateways {
+		s.counters = append(s.counters, NewCounter(testWindows))
+		s.reporters = append(s.reporters, NewReporter(testWindows, fmt.Sprintf("front-%d", i)))
+		s.disconnected, s.restarts = append(s.disconnected, false), append(s.restarts, 0)
+	}
+	s.moveLease(0)
+	return s
 }
 
 // restore has the store come back from a copy of so long ago, and nobody hold the lease
 // until it is passed.
-func (w *world) restore(ago kumquatlug.Millis) {
-	if rows, copied := w.copies[(w.now-ago)/1000]; copied {
-		w.rows = maps.Clone(rows)
-	}
-	w.holder = -1
-	for front, r := range w.reporters {
-		rows, err := w.scan(front, ReportPrefix)
-		if tx, due := r.Again(w.now, rows); err == nil && due {
-			_ = w.commit(front, tx)
+func (s *simulation) restore(age kumquatlug.Millis) {
+	if rows, copied := s.backups[(s.now-age)/1000]; copied {
+		s.rows = maps.Clone(rows)
+	}
+	s.leaseHolder = -1
+	for gateway, r := range s.reporters {
+		rows, err := s.scan(gateway, ReportPrefix)
+		if tx, needed := r.Again(s.now, rows); err == nil && needed {
+			_ = s.commit(gateway, tx)
 		}
 	}
 }
 
-// pass gives the lease to a front.
-func (w *world) pass(to int) {
-	w.holder = to
-	w.number++
+// moveLease gives the lease to a front.
+func (s *simulation) moveLease(gateway int) {
+	s.leaseHolder = gateway
+	s.fencingToken++
 }
 
-func (w *world) scan(front int, prefix string) ([]kumquatlug.Row, error) {
-	if w.storeDown || w.cut[front] {
+func (s *simulation) scan(gateway int, prefix string) ([]kumquatlug.Row, error) {
+	if s.storeDown || s.disconnected[gateway] {
 		return nil, kumquatlug.ErrUnavailable
 	}
 	var rows []kumquatlug.Row
-	for key, row := range w.rows {
+	for key, row := range s.rows {
 		if len(key) >= len(prefix) && key[:len(prefix)] == prefix {
 			rows = append(rows, row)
 		}
@@ -79,143 +79,143 @@
 	return rows, nil
 }
 
-func (w *world) commit(front int, tx kumquatlug.Tx) error {
-	if w.storeDown || w.cut[front] {
+func (s *simulation) commit(gateway int, tx kumquatlug.Tx) error {
+	if s.storeDown || s.disconnected[gateway] {
 		return kumquatlug.ErrUnavailable
 	}
 	for _, c := range tx.Conditions() {
-		if w.rows[c.Key()].Version() != c.Version() {
+		if s.rows[c.Key()].Version() != c.Version() {
 			return kumquatlug.ErrConflict
 		}
 	}
 	if tx.Entries() > kumquatlug.MaxTxEntries {
-		w.faults = append(w.faults, "a transaction is too large")
+		s.violations = append(s.violations, "a transaction is too large")
 	}
-	w.version++
-	for _, one := range tx.Writes() {
-		if one.Deleted() {
-			delete(w.rows, one.Key())
+	s.version++
+	for _, write := range tx.Writes() {
+		if write.Deleted() {
+			delete(s.rows, write.Key())
 			continue
 		}
-		w.rows[one.Key()] = kumquatlug.NewRow(one.Key(), one.Value(), w.version)
+		s.rows[write.Key()] = kumquatlug.NewRow(write.Key(), write.Value(), s.version)
 	}
-	if w.loseCommit > 0 {
-		w.loseCommit--
+	if s.lostCommitResponses > 0 {
+		s.lostCommitResponses--
 		return kumquatlug.ErrLost
 	}
 	return nil
 }
 
 // receive is the service that takes reports.
-func (w *world) receive(r Report) error {
-	if w.serviceDown {
+func (s *simulation) receive(report Report) error {
+	if s.receiverDown {
 		return kumquatlug.ErrUnavailable
 	}
-	before, known := w.accepted[r.Window()]
+	earlier, known := s.received[report.Window()]
 	switch {
-	case known && fmt.Sprint(before) != fmt.Sprint(map[string]int64(r.Counts())):
-		w.faults = append(w.faults, fmt.Sprintf("window %d twice: %v and %v", r.Window(), before, r.Counts()))
+	case known && fmt.Sprint(earlier) != fmt.Sprint(map[string]int64(report.Counts())):
+		s.violations = append(s.violations, fmt.Sprintf("window %d twice: %v and %v", report.Window(), earlier, report.Counts()))
 	case !known:
-		if len(w.order) > 0 && r.Window() <= w.order[len(w.order)-1] {
-			w.faults = append(w.faults, fmt.Sprintf("window %d after %v", r.Window(), w.order))
+		if len(s.receivedOrder) > 0 && report.Window() <= s.receivedOrder[len(s.receivedOrder)-1] {
+			s.violations = append(s.violations, fmt.Sprintf("window %d after %v", report.Window(), s.receivedOrder))
 		}
-		w.accepted[r.Window()] = map[string]int64(r.Counts())
-		w.order = append(w.order, r.Window())
+		s.received[report.Window()] = map[string]int64(report.Counts())
+		s.receivedOrder = append(s.receivedOrder, report.Window())
 	}
-	if w.loseSend > 0 {
-		w.loseSend--
+	if s.lostSendResponses > 0 {
+		s.lostSendResponses--
 		return kumquatlug.ErrLost
 	}
 	return nil
 }
 
-// began counts a request at a front.
-func (w *world) began(front int, account string) {
-	w.counters[front].Began(w.now, account)
-	k := testWindows.At(w.now)
-	if w.truth[k] == nil {
-		w.truth[k] = map[string]int64{}
-	}
-	w.truth[k][account]++
+// recordRequest counts a request at a front.
+func (s *simulation) recordRequest(gateway int, account string) {
+	s.counters[gateway].Began(s.now, account)
+	k := testWindows.At(s.now)
+	if s.recorded[k] == nil {
+		s.recorded[k] = map[string]int64{}
+	}
+	s.recorded[k][account]++
 }
 
-// step lets one front tell and report; the number is the lease that it believes in.
-func (w *world) step(front int, number int64) {
-	if w.now%1250 == 0 {
-		tally := w.counters[front].Tally(w.now, false)
+// stepGateway lets one front tell and report; the number is the lease that it believes in.
+func (s *simulation) stepGateway(gateway int, fencingToken int64) {
+	if s.now%1250 == 0 {
+		tally := s.counters[gateway].Tally(s.now, false)
 		text, err := tally.Encode()
 		if err != nil {
-			w.t.Fatal(err)
+			s.t.Fatal(err)
 		}
-		if w.commit(front, kumquatlug.NewTx("t").Put(fmt.Sprintf("%s%d.%d", TallyPrefix, front, w.starts[front]), text)) == nil {
-			w.counters[front].Told(tally)
+		if s.commit(gateway, kumquatlug.NewTx("t").Put(fmt.Sprintf("%s%d.%d", TallyPrefix, gateway, s.restarts[gateway]), text)) == nil {
+			s.counters[gateway].Told(tally)
 		}
-		if w.counters[front].Old(w.now) && !w.storeDown && !w.cut[front] {
-			next, err := DecodeNext(w.rows[NextKey])
+		if s.counters[gateway].Old(s.now) && !s.storeDown && !s.disconnected[gateway] {
+			next, err := DecodeNext(s.rows[NextKey])
 			if err != nil {
-				w.t.Fatal(err)
+				s.t.Fatal(err)
 			}
-			w.counters[front].Fixed(next)
+			s.counters[gateway].Fixed(next)
 		}
 	}
-	r := w.reporters[front]
-	r.Hold(number)
+	r := s.reporters[gateway]
+	r.Hold(fencingToken)
 	for range 8 {
-		i := r.Next(w.now)
+		i := r.Next(s.now)
 		switch i.Action() {
 		case ActionNone:
 			return
 		case ActionLoad:
-			rows, err := w.scan(front, ReportPrefix)
-			_ = r.Loaded(w.now, rows, err)
+			rows, err := s.scan(gateway, ReportPrefix)
+			_ = r.Loaded(s.now, rows, err)
 		case ActionLook:
-			rows, err := w.scan(front, TallyPrefix)
-			_ = r.Looked(w.now, rows, err)
+			rows, err := s.scan(gateway, TallyPrefix)
+			_ = r.Looked(s.now, rows, err)
 		case ActionFix:
-			r.Fixed(w.now, w.commit(front, i.Tx()))
+			r.Fixed(s.now, s.commit(gateway, i.Tx()))
 		case ActionSend:
-			r.Sent(w.now, i.Report(), w.receive(i.Report()))
+			r.Sent(s.now, i.Report(), s.receive(i.Report()))
 		}
 	}
 }
 
-// play lets time pass with a request each 50 ms at each front that lives.
-func (w *world) play(span kumquatlug.Millis, lives func(front int) bool) {
-	for end := w.now + span; w.now < end; w.now += 50 {
-		if w.now%1000 == 0 {
-			w.copies[w.now/1000] = maps.Clone(w.rows)
+// run lets time pass with a request each 50 ms at each front that lives.
+func (s *simulation) run(duration kumquatlug.Millis, running func(gateway int) bool) {
+	for end := s.now + duration; s.now < end; s.now += 50 {
+		if s.now%1000 == 0 {
+			s.backups[s.now/1000] = maps.Clone(s.rows)
 		}
-		for front := range w.counters {
-			if !lives(front) {
+		for gateway := range s.counters {
+			if !running(gateway) {
 				continue
 			}
-			w.began(front, []string{"north", "south"}[(int(w.now/50)+front)%2])
-			number := int64(0)
-			if front == w.holder {
-				number = w.number
+			s.recordRequest(gateway, []string{"north", "south"}[(int(s.now/50)+gateway)%2])
+			fencingToken := int64(0)
+			if gateway == s.leaseHolder {
+				fencingToken = s.fencingToken
 			}
-			w.step(front, number)
+			s.stepGateway(gateway, fencingToken)
 		}
 	}
 }
 
-func all(int) bool { return true }
+func allGateways(int) bool { return true }
 
-// check tells what was not reported of the windows that are due.
-func (w *world) check(t *testing.T, tolerance float64) {
+// checkReports tells what was not reported of the windows that are due.
+func (s *simulation) checkReports(t *testing.T, tolerance float64) {
 	t.Helper()
-	for _, fault := range w.faults {
-		t.Error(fault)
+	for _, violation := range s.violations {
+		t.Error(violation)
 	}
-	for k, truth := range w.truth {
-		if testWindows.End(k)+testWindows.Due > w.now {
+	for k, counts := range s.recorded {
+		if testWindows.End(k)+testWindows.Due > s.now {
 			continue
 		}
-		got, reported := w.accepted[k]
+		got, reported := s.received[k]
 		if !reported {
 			t.Errorf("window %d was not reported", k)
 		}
-		for account, n := range truth {
+		for account, n := range counts {
 			if off := float64(n - got[account]); off > tolerance*float64(n) || off < 0 {
 				t.Errorf("window %d: %d of %s, truth %d", k, got[account], account, n)
 			}
