--- a/pkg/kumquatlug/usage/reporter.go
+++ b/pkg/kumquatlug/usage/reporter.go
@@ -15,57 +15,59 @@
 
 // Prefixes of keys in the store.
 const (
-	// TallyPrefix starts the keys of tallies; the name of a front's start follows.
+	// TallyPrefix starts the keys of tallies; the unique name of a gateway process
+	// follows.
 	TallyPrefix = "usage/"
-	// ReportPrefix starts the keys of reports that are fixed and not yet known to be
-	// sent, by window, and NextKey says which window is to be fixed next.
+	// ReportPrefix starts the keys of finalized reports that are not yet known to be
+	// sent; the number of the window follows. NextKey is the key of the row that names
+	// the next window to finalize.
 	ReportPrefix = "report/"
 	NextKey      = ReportPrefix + "next"
 )
 
-// Figures of reporting.
 const (
-	// firstScanDelay is how long after the end of a window its tallies are looked at
-	// first: fronts tell them within some tenths of a second.
+	// firstScanDelay is how long after the end of a window its tallies are first
+	// scanned: gateways write them within some tenths of a second.
 	firstScanDelay = 700 * kumquatlug.Millis(1)
-	// scanInterval is how often they are looked at while some are missing.
+	// scanInterval is the interval between scans while tallies are incomplete.
 	scanInterval = 800 * kumquatlug.Millis(1)
-	// sendReserveDivisor is the part of the time until a report is due, as a divisor, that is
-	// left for fixing and sending it.
+	// sendReserveDivisor divides [Windows.Due]: the result is the time before the due
+	// time that is reserved for finalizing and sending a report.
 	sendReserveDivisor = 4
-	// catchUpTimeout is how long fronts have to tell what they counted while the store
-	// was away, from when the tallies of an old window are looked at first.
+	// catchUpTimeout is how long gateways have, from the first scan of an old window
+	// on, to store what they counted while the store was unavailable.
 	catchUpTimeout = 2500 * kumquatlug.Millis(1)
-	// initialBackoff is the wait after a call that failed; it doubles up to maxBackoff.
+	// initialBackoff is the wait after a failed call; it doubles up to maxBackoff.
 	initialBackoff = 250 * kumquatlug.Millis(1)
 	maxBackoff     = 2 * kumquatlug.Second
-	// maxDeletesPerTx bounds the rows that one transaction removes.
+	// maxDeletesPerTx bounds the rows that one transaction deletes.
 	maxDeletesPerTx = kumquatlug.MaxTxEntries - 5
-	// staleTallyWindows is for how many windows a tally that nobody writes any more stays.
+	// staleTallyWindows is for how many windows a tally that is no longer written is
+	// kept and waited for.
 	staleTallyWindows = 2
-	// pendingTimeout is for how long nobody else can have fixed a window whose fixing got no
-	// answer: the lease lasts longer.
+	// pendingTimeout is how long no other gateway can have finalized a window after
+	// the commit of this gateway got no response: the lease lasts longer.
 	pendingTimeout = 3 * kumquatlug.Second
 )
 
-// Report is the sum of one window.
+// Report is the sum of the tallies of one window.
 type Report struct {
 	window Window
 	counts Counts
 }
 
-// Window returns the window.
+// Window returns the window of the report.
 func (r Report) Window() Window { return r.window }
 
-// Counts returns the requests by account; they must not be changed.
+// Counts returns the numbers of requests by account; the map must not be changed.
 func (r Report) Counts() Counts { return r.counts }
 
-// Action is what a reporter asks for.
+// Action is the kind of call that a [Reporter] requests.
 type Action string
 
 // The actions.
 const (
-	// ActionNone: nothing to do now.
+	// ActionNone: make no call now.
 	ActionNone Action = "none"
 	// ActionLoad: scan all rows under [ReportPrefix].
 	ActionLoad Action = "load"
@@ -77,68 +79,72 @@
 	ActionSend Action = "send"
 )
 
-// Intent is one call to be made.
+// Intent is a call that the owner of a [Reporter] has to make.
 type Intent struct {
 	action Action
 	tx     kumquatlug.Tx
 	report Report
-	// missingGateways counts the fronts that had not told all of the report's window.
+	// missingGateways is the number of gateways whose tallies are incomplete for the
+	// report's window.
 	missingGateways int
 	deletedKeys     []string
 }
 
-// Action returns what is to be done.
+// Action returns the kind of the call.
 func (i Intent) Action() Action { return i.action }
 
 // Tx returns the transaction to commit.
 func (i Intent) Tx() kumquatlug.Tx { return i.tx }
 
-// Report returns the report to send, or the one that the transaction fixes.
+// Report returns the report to send, or the one that the transaction stores.
 func (i Intent) Report() Report { return i.report }
 
-// Missing returns how many fronts had not told all of their counts when the report
-// was fixed.
+// Missing returns the number of gateways whose tallies were incomplete for the window
+// when it was finalized.
 func (i Intent) Missing() int { return i.missingGateways }
 
-// Reporter decides what the holder of the lease does about reports. It is not safe
-// for concurrent use.
+// Reporter decides which calls the lease holder makes to finalize and send reports. It
+// is not safe for concurrent use.
 type Reporter struct {
 	windows     Windows
 	incarnation string
-	// fencingToken is that of the lease that this front holds, zero for none; loaded says that
-	// next and unsent are as they stand in the store.
+	// fencingToken is that of the lease that this gateway holds, zero for none; loaded
+	// says that nextWindow and unsent have been read from the store.
 	fencingToken int64
 	loaded       bool
 	nextWindow   Window
 	nextVersion  int64
 	unsent       []Report
-	// sentKeys are keys of reports that were sent; their rows go with the next one.
+	// sentKeys are the keys of reports that were sent; the next transaction deletes
+	// their rows.
 	sentKeys []string
-	// firstScanAt is when each window's tallies were looked at first, lookAt when they
-	// are looked at next, sendAt when the next report may be sent.
+	// firstScanAt is when the tallies were first scanned for each window, nextReadAt
+	// when the store is read next, nextSendAt when the next report may be sent.
 	firstScanAt            map[Window]kumquatlug.Millis
 	nextReadAt, nextSendAt kumquatlug.Millis
 	backoff                kumquatlug.Millis
 	tallies                map[string]Tally
 	txSequence             int64
-	// finalizedBefore is the first window that is not known to be fixed, whatever the store says:
-	// one that comes back from an older copy has forgotten some. kept are the reports
-	// of those that this front fixed or read and does not know to be sent.
+	// finalizedBefore is the first window that is not known to be finalized. It can be
+	// ahead of the store, which loses windows when it is restored from an older copy.
+	// unconfirmed are the reports of earlier windows that this gateway finalized or
+	// read and does not know to be sent.
 	finalizedBefore Window
 	unconfirmed     map[Window]Report
-	// pending is the report of the transaction that is on its way, or got no answer until
-	// doubtUntil.
+	// pending is the report of the latest transaction. If its response was lost, no
+	// other gateway can have finalized that window until pendingUntil.
 	pending      Report
 	pendingUntil kumquatlug.Millis
 }
 
-// NewReporter returns the reporter of a front's start, whose name is unique.
+// NewReporter returns the reporter of a gateway process; incarnation is the unique name
+// of the process.
 func NewReporter(w Windows, incarnation string) *Reporter {
 	return &Reporter{windows: w, incarnation: incarnation, unconfirmed: map[Window]Report{}}
 }
 
-// Hold says under which number this front holds the lease, zero for none. What was
-// known under another number is read anew.
+// Hold sets the fencing token of the lease that this gateway holds, zero for none. A
+// new token has the reporter read the store again.
 func (r *Reporter) Hold(fencingToken int64) {
 	if fencingToken == r.fencingToken {
 		return
@@ -149,10 +155,10 @@
 	}
 }
 
-// Open returns how many windows are fixed and not known to be sent.
+// Open returns the number of finalized windows that are not known to be sent.
 func (r *Reporter) Open() int { return len(r.unsent) }
 
-// Next returns the call to make now. Hand its outcome to [Reporter.Loaded],
+// Next returns the call to make now. Pass its outcome to [Reporter.Loaded],
 // [Reporter.Looked], [Reporter.Fixed] or [Reporter.Sent].
 func (r *Reporter) Next(now kumquatlug.Millis) Intent {
 	none := Intent{action: ActionNone}
@@ -174,7 +180,7 @@
 	return none
 }
 
-// stored forms of what is fixed.
+// Stored forms of the row at NextKey and of a report.
 type (
 	nextWindowRow struct {
 		Window Window `json:"window"`
@@ -184,23 +190,23 @@
 	}
 )
 
-// DecodeNext reads the row at [NextKey]: the first window that is not fixed. While there
-// is no such row none is.
+// DecodeNext decodes the row at [NextKey] and returns the first window that is not
+// finalized. It returns zero if the row doesn't exist, as no window is finalized then.
 func DecodeNext(row kumquatlug.Row) (Window, error) {
 	if !row.Exists() {
 		return 0, nil
 	}
 	var decoded nextWindowRow
 	err := json.Unmarshal(row.Value(), &decoded)
-	return decoded.Window, errors.Wrap(err, "read which window is next")
+	return decoded.Window, errors.Wrap(err, "decode the next window")
 }
 
-// Loaded takes the rows under [ReportPrefix]. A row that can't be read is skipped and
-// told: nobody can send it.
+// Loaded handles the result of [ActionLoad], the rows under [ReportPrefix]. A row that
+// can't be decoded can't be sent; it is skipped and returned as an error.
 func (r *Reporter) Loaded(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
 	if err != nil {
 		r.nextReadAt = now + r.nextBackoff()
-		return errors.Wrap(err, "read the reports")
+		return errors.Wrap(err, "scan the reports")
 	}
 	r.backoff, r.nextReadAt, r.pendingUntil = 0, 0, 0
 	r.nextWindow, r.nextVersion, r.unsent, r.tallies = r.windows.At(now), 0, nil, nil
@@ -233,11 +239,11 @@
 	}
 	k, err := strconv.ParseInt(strings.TrimPrefix(row.Key(), ReportPrefix), 10, 64)
 	if err != nil {
-		return errors.Wrapf(err, "read report %s", row.Key())
+		return errors.Wrapf(err, "decode the key of report %s", row.Key())
 	}
 	var stored reportRow
 	if err := json.Unmarshal(row.Value(), &stored); err != nil {
-		return errors.Wrapf(err, "read report %s", row.Key())
+		return errors.Wrapf(err, "decode report %s", row.Key())
 	}
 	report := Report{window: Window(k), counts: stored.Counts}
 	r.unsent = append(r.unsent, report)
@@ -245,13 +251,13 @@
 	return nil
 }
 
-// Looked takes the rows under [TallyPrefix]. A row that can't be read counts nothing
-// and is told.
+// Looked handles the result of [ActionLook], the rows under [TallyPrefix]. A row that
+// can't be decoded is skipped and returned as an error.
 func (r *Reporter) Looked(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
 	r.nextReadAt = now + scanInterval
 	if err != nil {
 		r.nextReadAt = now + r.nextBackoff()
-		return errors.Wrap(err, "read the counts of the fronts")
+		return errors.Wrap(err, "scan the tallies")
 	}
 	r.backoff = 0
 	r.tallies = make(map[string]Tally, len(rows))
@@ -274,8 +280,8 @@
 	return decodeErr
 }
 
-// findNextWindow finds the next window by the tallies, as the store may have forgotten which it
-// is. Where nothing was ever fixed the first window is the first with requests.
+// findNextWindow derives the next window from the tallies, as a restored store may have
+// lost it. If no window was ever finalized, the next one is the first with requests.
 func (r *Reporter) findNextWindow() {
 	switch {
 	case r.nextVersion != 0:
@@ -292,22 +298,23 @@
 	}
 }
 
-// readyToFinalize reports that the next window can be fixed: all fronts have told all of it, or
-// the report would be late if it waited for them any longer.
+// readyToFinalize reports whether the next window can be finalized: the tallies of all
+// gateways are complete, or the report would be late if it waited any longer.
 func (r *Reporter) readyToFinalize(now kumquatlug.Millis) bool {
 	firstScan, scanned := r.firstScanAt[r.nextWindow]
 	if !scanned {
 		return false
 	}
 	if r.nextVersion == 0 && now < firstScan+catchUpTimeout {
-		// Fronts that tell for the first time may name an earlier window.
+		// A gateway that writes its first tally may have requests in an earlier window.
 		return false
 	}
 	deadline := max(r.windows.End(r.nextWindow)+r.windows.Due-r.windows.Due/sendReserveDivisor, firstScan+catchUpTimeout)
 	return r.missingGateways() == 0 || now >= deadline
 }
 
-// missingGateways counts the fronts that are there and have not told all of the next window.
+// missingGateways returns the number of running gateways whose tallies are incomplete
+// for the next window.
 func (r *Reporter) missingGateways() int {
 	n := 0
 	for _, t := range r.tallies {
@@ -318,12 +325,12 @@
 	return n
 }
 
-// stale reports that the front of a tally was gone before the next window.
+// stale reports whether the gateway of a tally was gone before the next window.
 func (r *Reporter) stale(t Tally) bool {
 	return t.countedUntil < r.windows.End(r.nextWindow-staleTallyWindows)
 }
 
-// finalize returns the transaction that fixes the next window.
+// finalize returns the intent to commit the transaction that finalizes the next window.
 func (r *Reporter) finalize() Intent {
 	counts := Counts{}
 	for _, t := range r.tallies {
@@ -349,7 +356,7 @@
 	return i
 }
 
-// hasOpenWindows reports that a tally holds windows that are not fixed yet.
+// hasOpenWindows reports whether a tally contains windows that are not finalized.
 func (r *Reporter) hasOpenWindows(t Tally) bool {
 	for k := range t.counts {
 		if k >= r.nextWindow {
@@ -362,13 +369,13 @@
 func reportKey(k Window) string { return ReportPrefix + strconv.FormatInt(int64(k), 10) }
 
 func encode(row any) []byte {
-	// Texts and numbers always encode.
+	// Strings and numbers can't fail to encode.
 	text, _ := json.Marshal(row)
 	return text
 }
 
-// Fixed takes what became of a transaction. After any failure the store is read
-// again: the transaction may have taken effect, or that of another holder.
+// Fixed handles the result of [ActionFix]. The store is read again in any case: after a
+// failure the transaction may have taken effect, or that of another lease holder.
 func (r *Reporter) Fixed(now kumquatlug.Millis, err error) {
 	r.loaded, r.tallies = false, nil
 	if err != nil {
@@ -382,9 +389,9 @@
 	r.nextReadAt = now
 }
 
-// Sent takes what became of a report. One that the receiver refused for good would
-// hold up all that follow, and is given up; the error is marked
-// [kumquatlug.ErrDenied].
+// Sent handles the result of [ActionSend]. A report that the receiver rejected
+// permanently, with an error marked [kumquatlug.ErrDenied], is dropped: it would block
+// all reports that follow.
 func (r *Reporter) Sent(now kumquatlug.Millis, report Report, err error) {
 	if len(r.unsent) == 0 || r.unsent[0].window != report.window {
 		return
@@ -399,7 +406,7 @@
 	delete(r.unconfirmed, report.window)
 }
 
-// nextBackoff returns the wait after a failure.
+// nextBackoff doubles the wait after a failure, within its bounds, and returns it.
 func (r *Reporter) nextBackoff() kumquatlug.Millis {
 	r.backoff = min(max(2*r.backoff, initialBackoff), maxBackoff)
 	return r.backoff
--- a/pkg/kumquatlug/usage/restore.go
+++ b/pkg/kumquatlug/usage/restore.go
@@ -7,8 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// recoverFinalized goes by what is known to be fixed where the store has forgotten it: the
-// reports that this front fixed are sent as they were.
+// recoverFinalized restores finalized windows that the store has lost: reports that
+// this gateway finalized or read are sent unchanged, and no window is finalized twice.
 func (r *Reporter) recoverFinalized() {
 	if r.finalizedBefore == 0 {
 		return
@@ -26,9 +26,10 @@
 	r.nextWindow = max(storedNext, r.finalizedBefore)
 }
 
-// Again returns the transaction that writes the reports again that this front fixed or
-// read and does not know to be sent, whoever holds the lease now. Ask for it when the store came
-// back from an older copy; a row that is there already stays.
+// Again returns the transaction that rewrites the reports that this gateway finalized
+// or read and does not know to be sent, and whether there is anything to write. It is
+// needed after the store was restored from an older copy, whichever gateway holds the
+// lease now. Existing are the rows under [ReportPrefix]; they are left unchanged.
 func (r *Reporter) Again(now kumquatlug.Millis, existing []kumquatlug.Row) (kumquatlug.Tx, bool) {
 	r.txSequence++
 	if now < r.pendingUntil {
@@ -43,7 +44,8 @@
 	return tx, needed
 }
 
-// recordFinalized notes a report that is fixed.
+// recordFinalized records the report of a finalized window and forgets the reports of
+// windows that are too old to be in a tally.
 func (r *Reporter) recordFinalized(report Report) {
 	r.finalizedBefore = max(r.finalizedBefore, report.window+1)
 	r.unconfirmed[report.window] = report
--- a/pkg/kumquatlug/usage/usage.go
+++ b/pkg/kumquatlug/usage/usage.go
@@ -1,16 +1,16 @@
-// Package usage decides how the requests of each client account are counted by
-// windows of time and reported, each window once.
+// Package usage decides how the requests of each client account are counted in
+// time windows and reported, each window once.
 //
-// It answers requests that arrive at many fronts, which are killed, cut off and
-// replaced while they count. Each front keeps its counts in a row of its own in the
-// platform's store, a [Tally], and writes it several times a window, so that a front
-// that is killed takes a small part of one window with it. The front that holds the
-// lease adds the tallies up when a window is over, fixes the sum in the store under
-// a condition, and only then sends it. Whoever holds the lease after it finds the
-// sum there and sends the same one again: two reports of one window that differ
-// would bill clients twice.
+// Requests arrive at many gateways, which are killed, disconnected and replaced while
+// they count. Each gateway keeps its counts in its own row of the platform's store, a
+// [Tally], and writes the row several times per window, so that a killed gateway loses
+// only a small part of one window. After a window has ended, the gateway that holds
+// the lease sums the tallies and finalizes the window: a conditional transaction
+// stores the sum as a report. The report is sent only after that. A later lease holder
+// finds the stored report and sends the same one again: two different reports of one
+// window would bill clients twice.
 //
-// Times are in ms since 1970 by a clock that doesn't jump.
+// Times are in ms since the Unix epoch, by a clock that doesn't jump.
 package usage
 
 import (
@@ -22,33 +22,33 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Window is the number of a window. Window k begins k times the span after 1970.
+// Window is the number of a window. Window k begins k times [Windows.Span] after the
+// Unix epoch.
 type Window int64
 
-// Windows tells how time is cut.
+// Windows divides time into windows of equal length.
 type Windows struct {
-	// Span is how long a window lasts, Due how long after its end its report is due
-	// at the latest.
+	// Span is the length of a window. Due is the maximum delay of a report after the
+	// end of its window.
 	Span, Due kumquatlug.Millis
 }
 
-// At returns the window that a time lies in.
+// At returns the window that contains a time.
 func (w Windows) At(now kumquatlug.Millis) Window { return Window(now / w.Span) }
 
-// End returns when a window ends.
+// End returns the end of a window, which is the start of the next one.
 func (w Windows) End(k Window) kumquatlug.Millis { return kumquatlug.Millis(k+1) * w.Span }
 
-// Counts are requests by account.
+// Counts are numbers of requests by account.
 type Counts map[string]int64
 
-// add adds other counts.
 func (c Counts) add(other Counts) {
 	for account, n := range other {
 		c[account] += n
 	}
 }
 
-// Total returns how many requests there are.
+// Total returns the number of requests of all accounts.
 func (c Counts) Total() int64 {
 	var total int64
 	for _, n := range c {
@@ -57,26 +57,28 @@
 	return total
 }
 
-// maxTallyWindows bounds the windows of a tally: its row has room for as many, and a
-// store that is away for longer takes the oldest with it.
+// maxTallyWindows bounds the windows of a tally: its row has room for this many. If the
+// store is unavailable for longer, the counts of the oldest windows are lost.
 const maxTallyWindows = 24
 
-// Counter counts what began at one front. It is not safe for concurrent use.
+// Counter counts the requests that begin at one gateway. It is not safe for concurrent
+// use.
 type Counter struct {
 	windows Windows
 	counts  map[Window]Counts
-	// storedAt is when a window was in the store with all of its requests.
+	// storedAt is the time of the first stored tally that contains all requests of a
+	// window.
 	storedAt map[Window]kumquatlug.Millis
-	// finalizedBefore is the first window that is not known to be fixed.
+	// finalizedBefore is the first window that is not known to be finalized.
 	finalizedBefore Window
 }
 
-// NewCounter returns a counter that has seen nothing.
+// NewCounter returns a counter without any requests.
 func NewCounter(w Windows) *Counter {
 	return &Counter{windows: w, counts: map[Window]Counts{}, storedAt: map[Window]kumquatlug.Millis{}}
 }
 
-// Began counts a request of an account.
+// Began counts a request of an account that begins at now.
 func (c *Counter) Began(now kumquatlug.Millis, account string) {
 	k := c.windows.At(now)
 	if c.counts[k] == nil {
@@ -86,7 +88,7 @@
 	c.counts[k][account]++
 }
 
-// dropExcess drops the oldest window of too many.
+// dropExcess drops the oldest window if there are more than maxTallyWindows.
 func (c *Counter) dropExcess() {
 	if len(c.counts) <= maxTallyWindows {
 		return
@@ -105,8 +107,8 @@
 	delete(c.storedAt, k)
 }
 
-// Tally returns what the store is to be told now. Last says that the front ends; one
-// that has counted nothing keeps no report waiting either.
+// Tally returns the counts to store now. Last says that the gateway is shutting down. A
+// tally without counts is final, too: no report has to wait for it.
 func (c *Counter) Tally(now kumquatlug.Millis, last bool) Tally {
 	t := Tally{countedUntil: now, finalizedBefore: c.finalizedBefore, final: last || len(c.counts) == 0, counts: make(map[Window]Counts, len(c.counts))}
 	for k, counts := range c.counts {
@@ -115,7 +117,7 @@
 	return t
 }
 
-// Told takes that a tally is in the store.
+// Told records that a tally has been stored.
 func (c *Counter) Told(t Tally) {
 	for k := range t.counts {
 		if _, stored := c.storedAt[k]; !stored && t.countedUntil >= c.windows.End(k) {
@@ -124,12 +126,13 @@
 	}
 }
 
-// minPastDueWindows is how many windows that are most likely reported a tally has until the store
-// is asked whether they are.
+// minPastDueWindows is how many windows past their due time a tally holds before the
+// store is asked which windows are finalized.
 const minPastDueWindows = 3
 
-// Old reports that many windows were told so long ago that they are most likely
-// reported. While nobody holds the lease they are not, and must be told on.
+// Old reports whether several windows were stored so long ago that they have most
+// likely been reported. While no gateway holds the lease they are not reported and
+// must stay in the tally, so the caller reads [NextKey] before they are dropped.
 func (c *Counter) Old(now kumquatlug.Millis) bool {
 	pastDue := 0
 	for _, storedAt := range c.storedAt {
@@ -140,7 +143,8 @@
 	return pastDue >= minPastDueWindows
 }
 
-// Fixed takes which window is the first that is not fixed; those before it go.
+// Fixed records next as the first window that is not finalized, and drops the earlier
+// windows whose counts are stored completely.
 func (c *Counter) Fixed(next Window) {
 	c.finalizedBefore = max(c.finalizedBefore, next)
 	for k := range c.storedAt {
@@ -150,24 +154,26 @@
 	}
 }
 
-// Tally is what one start of a front has counted.
+// Tally is what one gateway process has counted.
 type Tally struct {
-	// countedUntil is up to when it has counted; left says that there will be no more.
+	// countedUntil is the time up to which requests are included; final says that none
+	// will follow.
 	countedUntil kumquatlug.Millis
 	final        bool
-	// finalizedBefore is the first window that its front does not know to be fixed; it has dropped
-	// what it counted before.
+	// finalizedBefore is the first window that the gateway does not know to be
+	// finalized; the counts of earlier windows are dropped.
 	finalizedBefore Window
 	counts          map[Window]Counts
 }
 
-// Left reports that no more is to come from that front, unless it writes again.
+// Left reports whether the tally is final: no counts of that gateway will follow,
+// unless it writes again.
 func (t Tally) Left() bool { return t.final }
 
-// Complete reports that a window has no more requests to come from that front.
+// Complete reports whether the tally contains all requests of a window at its gateway.
 func (t Tally) Complete(w Windows, k Window) bool { return t.final || t.countedUntil >= w.End(k) }
 
-// tallyRow is the stored form.
+// tallyRow is the stored form of a [Tally].
 type tallyRow struct {
 	CountedUntilMS  kumquatlug.Millis `json:"through_ms"`
 	Final           bool              `json:"left,omitempty"`
@@ -178,14 +184,14 @@
 // Encode returns the stored form of a tally.
 func (t Tally) Encode() ([]byte, error) {
 	text, err := json.Marshal(tallyRow{CountedUntilMS: t.countedUntil, Final: t.final, FinalizedBefore: t.finalizedBefore, Counts: t.counts})
-	return text, errors.Wrap(err, "encode the counts of a front")
+	return text, errors.Wrap(err, "encode a tally")
 }
 
-// DecodeTally reads the stored form.
+// DecodeTally decodes the stored form of a tally.
 func DecodeTally(text []byte) (Tally, error) {
 	var r tallyRow
 	if err := json.Unmarshal(text, &r); err != nil {
-		return Tally{}, errors.Wrap(err, "read the counts of a front")
+		return Tally{}, errors.Wrap(err, "decode a tally")
 	}
 	return Tally{countedUntil: r.CountedUntilMS, final: r.Final, finalizedBefore: r.FinalizedBefore, counts: r.Counts}, nil
 }
--- a/pkg/kumquatlug/usage/usage_test.go
+++ b/pkg/kumquatlug/usage/usage_test.go
@@ -15,21 +15,21 @@
 
 var testWindows = Windows{Span: 5000, Due: 10_000}
 
-// A front's clock and the window's number must agree with those of all others, and a
-// request at the very end of a window belongs to it.
+// Guards against gateways that number windows differently, and against a request at
+// the very end of a window that is counted in the next one.
 func TestWindowBoundaries(t *testing.T) {
 	for now, want := range map[kumquatlug.Millis]Window{0: 0, 4999: 0, 5000: 1, 1_767_225_600_000: 353_445_120} {
 		if got := testWindows.At(now); got != want {
-			t.Errorf("at %d: window %d, want %d", now, got, want)
+			t.Errorf("At(%d) = window %d, want %d", now, got, want)
 		}
 	}
 	if end := testWindows.End(353_445_120); end != 1_767_225_605_000 {
-		t.Errorf("ends at %d", end)
+		t.Errorf("the window ends at %d, want 1767225605000", end)
 	}
 }
 
-// The store is away for a minute and a half while a front counts. Its row must stay
-// within the store's bound, and a window must stay in it until it was told whole.
+// The store is unavailable for a minute and a half while a gateway counts. The tally
+// must not outgrow its row, and a window must stay in it until it is finalized.
 func TestTallyKeepsWindowsUntilFinalized(t *testing.T) {
 	c := NewCounter(testWindows)
 	for k := range 18 {
@@ -37,35 +37,35 @@
 	}
 	now := kumquatlug.Millis(18 * 5000)
 	if tally := c.Tally(now, false); len(tally.counts) != 18 {
-		t.Fatalf("%d windows", len(tally.counts))
+		t.Fatalf("the tally has %d windows, want 18", len(tally.counts))
 	}
 	c.Told(c.Tally(now, false))
 	if c.Old(now+testWindows.Due) || !c.Old(now+testWindows.Due+1) {
-		t.Error("the store is asked too early, or never")
+		t.Error("Old reports windows before their due time, or never")
 	}
 	c.Fixed(16)
 	if tally := c.Tally(now, false); len(tally.counts) != 2 {
-		t.Errorf("%d windows stay, of which two are not fixed", len(tally.counts))
+		t.Errorf("the tally has %d windows, want the 2 that are not finalized", len(tally.counts))
 	}
 	c.Fixed(18)
 	for k := range 60 {
 		c.Began(kumquatlug.Millis(100+k)*5000, "north")
 	}
 	if tally := c.Tally(now, false); len(tally.counts) != maxTallyWindows || tally.counts[159]["north"] != 1 {
-		t.Errorf("%d windows", len(tally.counts))
+		t.Errorf("the tally has %d windows, want the latest 24", len(tally.counts))
 	}
 }
 
-// All is well: each window is reported once, with all requests, in time.
+// Without faults each window is reported once, in time and with all requests.
 func TestEachWindowIsReportedOnce(t *testing.T) {
 	s := newSimulation(t, 4)
 	s.run(60_000, allGateways)
 	s.checkReports(t, 0)
 }
 
-// A holder stands still between fixing a window and sending it, past its lease, and
-// goes on by what it knew. Its successor has sent other windows meanwhile; a sum made
-// anew would be a second report of the same window.
+// A lease holder freezes between finalizing a window and sending it. It resumes after
+// its lease has expired and acts on its old state, while its successor has sent other
+// windows. Recomputing the sum would yield a second report of the same window.
 func TestResumedLeaseHolderSendsSameReport(t *testing.T) {
 	s := newSimulation(t, 3)
 	s.run(21_000, allGateways)
@@ -82,7 +82,8 @@
 	}
 }
 
-// The store does what it is asked and its answers are lost, then the service's are.
+// The responses of the store and of the report receiver are lost after the calls took
+// effect. The calls are repeated, and no window may be reported with other counts.
 func TestLostResponsesDoNotDuplicateReports(t *testing.T) {
 	s := newSimulation(t, 3)
 	for range 6 {
@@ -93,8 +94,8 @@
 	s.checkReports(t, 0)
 }
 
-// A front is killed: what it told last counts, what it had not told is lost. Of a
-// window with four fronts that is a quarter of a quarter at most.
+// A gateway is killed: its last stored tally is reported, later requests are lost. Of a
+// window with four gateways that is at most a quarter of a quarter.
 func TestKilledGatewayLosesFewCounts(t *testing.T) {
 	s := newSimulation(t, 4)
 	s.run(13_000, allGateways)
@@ -102,8 +103,10 @@
 	s.checkReports(t, 0.07)
 }
 
-// The store is away for a window and more. Fronts go on counting; when it is back all
-// windows are reported in order, none without those that had yet to tell theirs.
+// The store is unavailable for more than a window while gateways count. Afterwards all
+// windows must be reported in order and with the counts of all gateways, although some
+// gateways store their tallies later than others. The same holds for an outage of the
+// report receiver.
 func TestBacklogIsReportedInOrder(t *testing.T) {
 	s := newSimulation(t, 4)
 	s.run(12_000, allGateways)
@@ -119,8 +122,8 @@
 	s.checkReports(t, 0)
 }
 
-// A front is cut off from the store over the end of a window and comes back before the
-// report is due. Reported without waiting for it the window would lack its requests.
+// A gateway can't reach the store at the end of a window and reconnects before the
+// report is due. A report that doesn't wait for it would miss its requests.
 func TestReportWaitsForDisconnectedGateway(t *testing.T) {
 	s := newSimulation(t, 4)
 	s.run(13_000, allGateways)
@@ -131,8 +134,9 @@
 	s.checkReports(t, 0)
 }
 
-// Nobody holds the lease for as long as it takes to find that its holder is gone. What
-// the fronts counted meanwhile, and told long ago, must be there for the next holder.
+// No gateway holds the lease until its expiry is noticed. What the gateways counted
+// meanwhile must still be in their tallies for the next holder, although it was stored
+// long before.
 func TestTalliesOutlastAbsentLeaseHolder(t *testing.T) {
 	s := newSimulation(t, 4)
 	s.run(12_000, allGateways)
@@ -143,12 +147,13 @@
 	s.checkReports(t, 0)
 	for _, c := range s.counters {
 		if n := len(c.Tally(s.now, false).counts); n > 7 {
-			t.Errorf("%d windows in a tally", n)
+			t.Errorf("a tally has %d windows, want at most 7", n)
 		}
 	}
 }
 
-// A report that the service will never take must not hold up those behind it.
+// A report that the receiver rejects permanently must not block those that follow, nor
+// must a row that can't be decoded.
 func TestPermanentlyRejectedReportIsDropped(t *testing.T) {
 	r := NewReporter(testWindows, "me")
 	r.Hold(1)
@@ -158,18 +163,18 @@
 		kumquatlug.NewRow(ReportPrefix+"next", []byte(`{"window":5}`), 4), kumquatlug.NewRow(ReportPrefix+"x", []byte(`{}`), 5),
 	}
 	if err := r.Loaded(26_000, rows, nil); err == nil {
-		t.Error("a spoilt row is not told")
+		t.Error("no error for a row that can't be decoded")
 	}
 	first := r.Next(26_000)
 	r.Sent(26_000, first.Report(), errors.Mark(errors.New("no"), kumquatlug.ErrDenied))
 	if second := r.Next(26_001); first.Report().Window() != 3 || second.Action() != ActionSend || second.Report().Window() != 4 {
-		t.Errorf("%+v, then %+v", first, second)
+		t.Errorf("intents %+v and %+v, want the reports of windows 3 and 4", first, second)
 	}
 }
 
-// Whatever fails in a system that runs, and whoever holds the lease when: no window is
-// reported twice with different counts, none out of order, and at the end all are
-// reported.
+// Gateways freeze and disconnect, the store and the report receiver fail, responses are
+// lost and the lease moves. No window may be reported twice with different counts or
+// out of order, and in the end all must be reported.
 func TestReportsUnderRandomFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(25)
 	parameters.MinSuccessfulTests = 60
@@ -189,7 +194,7 @@
 			}
 			s.run(kumquatlug.Millis(50*random.IntN(150)), func(gateway int) bool { return gateway != frozen })
 			if random.IntN(3) == 0 {
-				// The old holder wakes and goes on by what it knew.
+				// The former lease holder resumes and acts on its old state.
 				s.stepGateway(formerHolder, formerToken)
 			}
 			frozen = random.IntN(8)
@@ -210,9 +215,9 @@
 	properties.TestingRun(t)
 }
 
-// The holder has fixed a window and is killed before it is sent; another process starts
-// at its address, counts anew and wins the lease. It must send what was fixed, not what
-// it knows.
+// The lease holder finalizes a window and is killed before sending the report. A new
+// process at its address starts with empty counts and acquires the lease. It must send
+// the stored report and not one of its own counts.
 func TestReplacementProcessSendsStoredReport(t *testing.T) {
 	s := newSimulation(t, 3)
 	s.run(13_000, allGateways)
@@ -226,16 +231,16 @@
 	s.receiverDown = false
 	s.run(30_000, allGateways)
 	if finalized == 0 {
-		t.Error("nothing was fixed and not sent")
+		t.Error("no window was finalized and unsent when the process was killed")
 	}
-	// What the killed process had not told is lost: a quarter of a third.
+	// The killed process loses the counts that it had not stored: a quarter of a third.
 	s.checkReports(t, 0.09)
 }
 
-// The store comes back from copies some seconds old, again and again, with reports fixed
-// and not sent, sent and not known to be, and counts told since. Fronts live on, the lease
-// goes to any of them. A window that was fixed or sent must not be reported with another
-// sum, nor be left out.
+// The store is restored repeatedly from backups that are some seconds old. They lack
+// reports that are finalized and unsent, reports that are sent without confirmation,
+// and later tallies. Gateways keep running and the lease moves to any of them. A window
+// that was finalized or sent must not be reported with another sum, nor be left out.
 func TestReportsAfterStoreRestore(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(32)
 	parameters.MinSuccessfulTests = 60
--- a/pkg/kumquatlug/usage/world_test.go
+++ b/pkg/kumquatlug/usage/world_test.go
@@ -8,8 +8,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// simulation is a store, a receiver of reports, fronts that count and the holders of the
-// lease, on one clock.
+// simulation models a store, a receiver of reports, gateways that count, and a lease
+// that moves between them, on one clock.
 type simulation struct {
 	t             *testing.T
 	now           kumquatlug.Millis
@@ -18,19 +18,20 @@
 	received      map[Window]map[string]int64
 	receivedOrder []Window
 	violations    []string
-	// storeDown and serviceDown refuse calls; loseCommit and loseSend have the next
-	// answers lost after the call took effect.
+	// storeDown and receiverDown have calls fail without effect; lostCommitResponses and
+	// lostSendResponses are numbers of calls whose responses are lost after they took
+	// effect.
 	storeDown, receiverDown                bool
 	lostCommitResponses, lostSendResponses int
 	counters                               []*Counter
 	disconnected                           []bool
-	// restarts count the processes that ran at each address.
+	// restarts counts the restarts at the address of each gateway.
 	restarts     []int
 	reporters    []*Reporter
 	leaseHolder  int
 	fencingToken int64
 	recorded     map[Window]map[string]int64
-	// backups are the rows of the store as they were at moments.
+	// backups are copies of the store's rows by their time in seconds.
 	backups map[kumquatlug.Millis]map[string]kumquatlug.Row
 }
 
@@ -45,8 +46,8 @@
 	return s
 }
 
-// restore has the store come back from a copy of so long ago, and nobody hold the lease
-// until it is passed.
+// restore replaces the store's rows by a backup of the given age. No gateway holds the
+// lease until moveLease is called.
 func (s *simulation) restore(age kumquatlug.Millis) {
 	if rows, copied := s.backups[(s.now-age)/1000]; copied {
 		s.rows = maps.Clone(rows)
@@ -60,7 +61,7 @@
 	}
 }
 
-// moveLease gives the lease to a front.
+// moveLease gives the lease to a gateway; a negative one means none.
 func (s *simulation) moveLease(gateway int) {
 	s.leaseHolder = gateway
 	s.fencingToken++
@@ -89,7 +90,7 @@
 		}
 	}
 	if tx.Entries() > kumquatlug.MaxTxEntries {
-		s.violations = append(s.violations, "a transaction is too large")
+		s.violations = append(s.violations, "a transaction has too many entries")
 	}
 	s.version++
 	for _, write := range tx.Writes() {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// receive is the service that takes reports.
+// receive models the service that receives reports.
 func (s *simulation) receive(report Report) error {
 	if s.receiverDown {
 		return kumquatlug.ErrUnavailable
@@ -114,10 +115,10 @@
 	earlier, known := s.received[report.Window()]
 	switch {
 	case known && fmt.Sprint(earlier) != fmt.Sprint(map[string]int64(report.Counts())):
-		s.violations = append(s.violations, fmt.Sprintf("window %d twice: %v and %v", report.Window(), earlier, report.Counts()))
+		s.violations = append(s.violations, fmt.Sprintf("window %d was reported twice, with %v and %v", report.Window(), earlier, report.Counts()))
 	case !known:
 		if len(s.receivedOrder) > 0 && report.Window() <= s.receivedOrder[len(s.receivedOrder)-1] {
-			s.violations = append(s.violations, fmt.Sprintf("window %d after %v", report.Window(), s.receivedOrder))
+			s.violations = append(s.violations, fmt.Sprintf("window %d was reported after windows %v", report.Window(), s.receivedOrder))
 		}
 		s.received[report.Window()] = map[string]int64(report.Counts())
 		s.receivedOrder = append(s.receivedOrder, report.Window())
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// recordRequest counts a request at a front.
+// recordRequest counts a request at a gateway and in the expected counts.
 func (s *simulation) recordRequest(gateway int, account string) {
 	s.counters[gateway].Began(s.now, account)
 	k := testWindows.At(s.now)
@@ -139,7 +140,8 @@
 	s.recorded[k][account]++
 }
 
-// stepGateway lets one front tell and report; the number is the lease that it believes in.
+// stepGateway has one gateway store its tally and make its reporter's calls.
+// FencingToken is the one of the lease that the gateway believes it holds.
 func (s *simulation) stepGateway(gateway int, fencingToken int64) {
 	if s.now%1250 == 0 {
 		tally := s.counters[gateway].Tally(s.now, false)
@@ -179,7 +181,7 @@
 	}
 }
 
-// run lets time pass with a request each 50 ms at each front that lives.
+// run advances the time, with a request every 50 ms at each running gateway.
 func (s *simulation) run(duration kumquatlug.Millis, running func(gateway int) bool) {
 	for end := s.now + duration; s.now < end; s.now += 50 {
 		if s.now%1000 == 0 {
@@ -201,7 +203,9 @@
 
 func allGateways(int) bool { return true }
 
-// checkReports tells what was not reported of the windows that are due.
+// checkReports fails the test for windows that are due and were not reported, and for
+// counts that are too high or too low by more than the tolerance, a fraction of the
+// recorded count.
 func (s *simulation) checkReports(t *testing.T, tolerance float64) {
 	t.Helper()
 	for _, violation := range s.violations {
@@ -217,7 +221,7 @@
 		}
 		for account, n := range counts {
 			if off := float64(n - got[account]); off > tolerance*float64(n) || off < 0 {
-				t.Errorf("window %d: %d of %s, truth %d", k, got[account], account, n)
+				t.Errorf("window %d: %d requests of %s were reported, want %d", k, got[account], account, n)
 			}
 		}
 	}
