--- a/pkg/kumquatlug/drain/drain.go
+++ b/pkg/kumquatlug/drain/drain.go
@@ -163,38 +163,38 @@
 // Drain is one process on its way out, or not. It is not safe for concurrent
 // use: one loop, or a lock of its owner, keeps its events in order.
 type Drain struct {
-	c        Config
-	hand     int
-	stop     bool
-	label    bool
-	revision int64
-	list     bool
-	ordered  bool
-	leaving  bool
-	since    kumquatlug.Millis
-	live     kumquatlug.Millis
-	settling bool
-	heard    kumquatlug.Millis
-	asked    bool
+	config          Config
+	inFlight        int
+	stopping        bool
+	leavingByLabel  bool
+	revision        int64
+	leavingByList   bool
+	underOrder      bool
+	leaving         bool
+	leavingSince    kumquatlug.Millis
+	listedLiveSince kumquatlug.Millis
+	settling        bool
+	lastContactAt   kumquatlug.Millis
+	refreshed       bool
 }
 
 // New returns a drain in StateStarting.
 func New(c Config) *Drain {
 	c.Settle = cmp.Or(c.Settle, DefaultSettle)
-	return &Drain{c: c}
+	return &Drain{config: c}
 }
 
 // Stop begins a planned stop. It can't be taken back.
 func (d *Drain) Stop(now kumquatlug.Millis) {
-	d.stop = true
-	d.update(now)
+	d.stopping = true
+	d.updateLeaving(now)
 }
 
 // Heard takes a heartbeat of a peer, after what it told was given. It doesn't
 // end a silence.
 func (d *Drain) Heard(now kumquatlug.Millis) {
 	if !d.Silent(now) {
-		d.heard = max(d.heard, now)
+		d.lastContactAt = max(d.lastContactAt, now)
 	}
 }
 
@@ -202,13 +202,13 @@
 // and the platform for its list, at now or later, and has given what they told;
 // of one that didn't answer it took what a peer had.
 func (d *Drain) Asked(now kumquatlug.Millis) {
-	d.heard = max(d.heard, now)
-	d.asked = true
+	d.lastContactAt = max(d.lastContactAt, now)
+	d.refreshed = true
 }
 
 // Silent reports whether the process must ask before it takes new work.
 func (d *Drain) Silent(now kumquatlug.Millis) bool {
-	return d.c.Silence > 0 && (!d.asked || now-d.heard > d.c.Silence)
+	return d.config.Silence > 0 && (!d.refreshed || now-d.lastContactAt > d.config.Silence)
 }
 
 // Label takes what the config says of the target, as of a revision, which is
@@ -221,8 +221,8 @@
 		return false
 	}
 	d.revision = revision
-	d.label = leaving
-	d.update(now)
+	d.leavingByLabel = leaving
+	d.updateLeaving(now)
 	return true
 }
 
@@ -230,45 +230,45 @@
 func (d *Drain) List(state kumquatlug.VMState, now kumquatlug.Millis) {
 	switch {
 	case state == kumquatlug.VMLeaving:
-		d.list = true
+		d.leavingByList = true
 		d.settling = false
-	case d.list && !d.settling:
+	case d.leavingByList && !d.settling:
 		d.settling = true
-		d.live = now
-	case d.list && now-d.live >= d.c.Settle:
-		d.list = false
+		d.listedLiveSince = now
+	case d.leavingByList && now-d.listedLiveSince >= d.config.Settle:
+		d.leavingByList = false
 		d.settling = false
 	}
-	d.update(now)
+	d.updateLeaving(now)
 }
 
 // Order begins or ends a time in which an order takes the target away, as a
 // change of role does. The order may be carried out in StateDone.
 func (d *Drain) Order(ordered bool, now kumquatlug.Millis) {
-	d.ordered = ordered
-	d.update(now)
+	d.underOrder = ordered
+	d.updateLeaving(now)
 }
 
-func (d *Drain) update(now kumquatlug.Millis) {
-	leaving := d.stop || d.label || d.list || d.ordered
+func (d *Drain) updateLeaving(now kumquatlug.Millis) {
+	leaving := d.stopping || d.leavingByLabel || d.leavingByList || d.underOrder
 	if leaving && !d.leaving {
-		d.since = now
+		d.leavingSince = now
 	}
 	d.leaving = leaving
 }
 
 // Begin asks to take one more piece of work.
 func (d *Drain) Begin(r Request, now kumquatlug.Millis) Admission {
-	a := Admission{reason: d.refusal(r, now), behind: r.revision > d.revision}
+	a := Admission{reason: d.refusalReason(r, now), behind: r.revision > d.revision}
 	if a.Accepted() {
-		d.hand++
+		d.inFlight++
 		return a
 	}
-	a.retryAfter = d.c.RetryAfter
+	a.retryAfter = d.config.RetryAfter
 	return a
 }
 
-func (d *Drain) refusal(r Request, now kumquatlug.Millis) Reason {
+func (d *Drain) refusalReason(r Request, now kumquatlug.Millis) Reason {
 	switch {
 	case d.revision == 0:
 		return ReasonUnknown
@@ -276,13 +276,13 @@
 		return ReasonSilence
 	case r.forbidden:
 		return ReasonForbidden
-	case !d.leaving || now-d.since < d.c.Lag:
+	case !d.leaving || now-d.leavingSince < d.config.Lag:
 		return ""
-	case d.stop:
+	case d.stopping:
 		return ReasonStop
-	case d.label:
+	case d.leavingByLabel:
 		return ReasonLabel
-	case d.list:
+	case d.leavingByList:
 		return ReasonList
 	default:
 		return ReasonOrder
@@ -291,10 +291,10 @@
 
 // End takes the end of a piece of work that Begin accepted.
 func (d *Drain) End() error {
-	if d.hand == 0 {
+	if d.inFlight == 0 {
 		return errors.AssertionFailedf("work ended that never began")
 	}
-	d.hand--
+	d.inFlight--
 	return nil
 }
 
@@ -305,9 +305,9 @@
 		return StateStarting
 	case !d.leaving:
 		return StateServing
-	case now-d.since < d.c.Lag:
+	case now-d.leavingSince < d.config.Lag:
 		return StateUnready
-	case d.hand > 0:
+	case d.inFlight > 0:
 		return StateRefusing
 	default:
 		return StateDone
@@ -320,11 +320,11 @@
 	if d.State(now) != StateUnready {
 		return 0
 	}
-	return d.since + d.c.Lag - now
+	return d.leavingSince + d.config.Lag - now
 }
 
 // Hand returns how many pieces of work are in hand.
-func (d *Drain) Hand() int { return d.hand }
+func (d *Drain) Hand() int { return d.inFlight }
 
 // Revision returns the highest config revision seen.
 func (d *Drain) Revision() int64 { return d.revision }
--- a/pkg/kumquatlug/drain/drain_test.go
+++ b/pkg/kumquatlug/drain/drain_test.go
@@ -7,18 +7,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// serving returns a drain that knows a config of revision 1.
-func serving(c Config) *Drain {
+// newServingDrain returns a drain that knows a config of revision 1.
+func newServingDrain(c Config) *Drain {
 	d := New(c)
 	d.Label(1, false, 0)
 	return d
 }
 
-func TestPlannedStopOfAnEntry(t *testing.T) {
+func TestPlannedStopOfGateway(t *testing.T) {
 	// An entry is stopped while an answer streams and the balancer still sends
 	// callers to it. Whoever comes within the balancer's lag must be served,
 	// and the stream must not be cut, though it runs for an hour.
-	d := serving(Config{Lag: EntryLag, RetryAfter: kumquatlug.Second})
+	d := newServingDrain(Config{Lag: EntryLag, RetryAfter: kumquatlug.Second})
 	stream := NewRequest(1, false)
 	if a := d.Begin(stream, 0); !a.Accepted() {
 		t.Fatal(a.Reason())
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestReasonsToLeave(t *testing.T) {
+func TestLeavingSources(t *testing.T) {
 	// A target is leaving, but only one source says so, or a source that lags
 	// says otherwise again. An entry that has not heard of it goes on sending.
 	label := func(revision int64, leaving bool) func(*Drain) {
@@ -86,7 +86,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := serving(Config{})
+			d := newServingDrain(Config{})
 			for _, event := range c.events {
 				event(d)
 			}
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestConfigOfTheReceiverHolds(t *testing.T) {
+func TestReceiverConfigDecides(t *testing.T) {
 	// An agent has just started, or is behind the entry that sends to it. Work
 	// that slipped in meanwhile would reach a target that is leaving.
 	d := New(Config{})
--- a/pkg/kumquatlug/drain/proof_test.go
+++ b/pkg/kumquatlug/drain/proof_test.go
@@ -14,184 +14,184 @@
 // The fakes' spans. A node in contact hears news at every poll; the list shows
 // a change only after its lag, and its readers lag by different spans.
 const (
-	pollEvery  = 500 * kumquatlug.Millis(1)
-	listLag    = 2 * kumquatlug.Second
-	leaveBound = listLag + AgentSilence + 2*pollEvery
+	pollInterval  = 500 * kumquatlug.Millis(1)
+	listLag       = 2 * kumquatlug.Second
+	maxLeaveDelay = listLag + AgentSilence + 2*pollInterval
 )
 
-// change is one revision of the config, or one turn of the platform's list.
-type change struct {
+// leavingChange is one revision of the config, or one turn of the platform's list.
+type leavingChange struct {
 	at      kumquatlug.Millis
 	leaving bool
 }
 
-// world is a target with its agent, two entries that route to it by what they
+// model is a target with its agent, two entries that route to it by what they
 // know, the config's log and the platform's list; it keeps the oracle's books.
-type world struct {
-	now     kumquatlug.Millis
-	log     []change
-	list    []change
-	agent   *Drain
-	ordered bool
-	stopped bool
-	table   bool
-	vms     bool
-	paused  bool
-	deaf    kumquatlug.Millis
-	highest int64
-	told    bool
-	entries [2]int64
-	cut     [2]bool
-	flight  []int64
-	hand    int
-	counts  map[string]int
-	wrong   string
+type model struct {
+	now                   kumquatlug.Millis
+	configLog             []leavingChange
+	vmList                []leavingChange
+	agent                 *Drain
+	underOrder            bool
+	stopping              bool
+	tableReachable        bool
+	listReachable         bool
+	agentPaused           bool
+	reachabilityChangedAt kumquatlug.Millis
+	highestRevision       int64
+	listReportedLeaving   bool
+	gatewayRevisions      [2]int64
+	gatewayDisconnected   [2]bool
+	delayedRequests       []int64
+	inFlight              int
+	counts                map[string]int
+	violation             string
 }
 
-func newWorld(counts map[string]int) *world {
-	w := &world{
-		log: []change{{}}, list: []change{{}}, table: true, vms: true,
-		entries: [2]int64{1, 1}, counts: counts,
+func newModel(counts map[string]int) *model {
+	m := &model{
+		configLog: []leavingChange{{}}, vmList: []leavingChange{{}}, tableReachable: true, listReachable: true,
+		gatewayRevisions: [2]int64{1, 1}, counts: counts,
 	}
-	w.restart()
-	return w
+	m.restartAgent()
+	return m
 }
 
-// restart puts a new process in the agent's place.
-func (w *world) restart() {
-	w.agent = New(Config{Silence: AgentSilence})
-	w.ordered, w.stopped, w.hand = false, false, 0
-	w.highest, w.told = 0, false
+// restartAgent puts a new process in the agent's place.
+func (m *model) restartAgent() {
+	m.agent = New(Config{Silence: AgentSilence})
+	m.underOrder, m.stopping, m.inFlight = false, false, 0
+	m.highestRevision, m.listReportedLeaving = 0, false
 }
 
-// ask lets a silent agent ask the table and the list, as far as they answer.
-func (w *world) ask(r *rand.Rand) {
-	if !w.agent.Silent(w.now) {
+// refreshIfStale lets a silent agent ask the table and the list, as far as they answer.
+func (m *model) refreshIfStale(random *rand.Rand) {
+	if !m.agent.Silent(m.now) {
 		return
 	}
-	if w.table {
-		w.learn(int64(len(w.log)))
+	if m.tableReachable {
+		m.applyRevision(int64(len(m.configLog)))
 	}
-	if w.vms {
-		w.readList(r)
+	if m.listReachable {
+		m.readList(random)
 	}
-	w.agent.Asked(w.now)
+	m.agent.Asked(m.now)
 }
 
 // readList gives the agent the list as of some time within its lag.
-func (w *world) readList(r *rand.Rand) {
-	state := w.listed(r)
-	w.agent.List(state, w.now)
-	if state == kumquatlug.VMLeaving && w.list[len(w.list)-1].leaving {
-		w.told = true
+func (m *model) readList(random *rand.Rand) {
+	state := m.laggedVMState(random)
+	m.agent.List(state, m.now)
+	if state == kumquatlug.VMLeaving && m.vmList[len(m.vmList)-1].leaving {
+		m.listReportedLeaving = true
 	}
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(format, args...)
+func (m *model) recordViolation(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// poll lets the nodes hear what they can: the table, the list, and the agent
+// propagate lets the nodes hear what they can: the table, the list, and the agent
 // the heartbeats of entries, which may themselves be cut off from the table.
-func (w *world) poll(r *rand.Rand) {
-	for i := range w.entries {
-		if !w.cut[i] {
-			w.entries[i] = int64(len(w.log))
+func (m *model) propagate(random *rand.Rand) {
+	for gateway := range m.gatewayRevisions {
+		if !m.gatewayDisconnected[gateway] {
+			m.gatewayRevisions[gateway] = int64(len(m.configLog))
 		}
 	}
-	if w.paused {
+	if m.agentPaused {
 		return
 	}
-	for i := range w.entries {
-		w.heartbeat(i)
+	for gateway := range m.gatewayRevisions {
+		m.sendHeartbeat(gateway)
 	}
-	w.ask(r)
-	if w.table {
-		w.learn(int64(len(w.log)))
+	m.refreshIfStale(random)
+	if m.tableReachable {
+		m.applyRevision(int64(len(m.configLog)))
 	}
-	if w.vms {
-		w.readList(r)
+	if m.listReachable {
+		m.readList(random)
 	}
-	w.exit()
+	m.exitIfDone()
 }
 
-// listed reads the platform's list as of some time within its lag.
-func (w *world) listed(r *rand.Rand) kumquatlug.VMState {
-	at := w.now - kumquatlug.Millis(r.Int63n(int64(listLag)))
+// laggedVMState reads the platform's list as of some time within its lag.
+func (m *model) laggedVMState(random *rand.Rand) kumquatlug.VMState {
+	at := m.now - kumquatlug.Millis(random.Int63n(int64(listLag)))
 	state := kumquatlug.VMLive
-	for _, c := range w.list {
-		if c.at <= at && c.leaving {
+	for _, change := range m.vmList {
+		if change.at <= at && change.leaving {
 			state = kumquatlug.VMLeaving
-		} else if c.at <= at {
+		} else if change.at <= at {
 			state = kumquatlug.VMLive
 		}
 	}
 	return state
 }
 
-func (w *world) learn(revision int64) {
-	w.agent.Label(revision, w.log[revision-1].leaving, w.now)
-	w.highest = max(w.highest, revision)
+func (m *model) applyRevision(revision int64) {
+	m.agent.Label(revision, m.configLog[revision-1].leaving, m.now)
+	m.highestRevision = max(m.highestRevision, revision)
 }
 
-// exit ends the agent's process, or carries out the order, once it may.
-func (w *world) exit() {
-	if w.agent.State(w.now) != StateDone {
+// exitIfDone ends the agent's process, or carries out the order, once it may.
+func (m *model) exitIfDone() {
+	if m.agent.State(m.now) != StateDone {
 		return
 	}
-	if w.hand > 0 && (w.stopped || w.ordered) {
-		w.fail("%d pieces of work were cut", w.hand)
+	if m.inFlight > 0 && (m.stopping || m.underOrder) {
+		m.recordViolation("%d pieces of work were cut", m.inFlight)
 	}
-	if w.stopped {
-		w.counts["stops"]++
-		w.restart()
+	if m.stopping {
+		m.counts["stops"]++
+		m.restartAgent()
 	}
 }
 
-// leaving reports whether a source said "leaving" throughout the bound before
+// mustRefuse reports whether a source said "leaving" throughout the bound before
 // now, and the agent could hear that source throughout.
-func (w *world) leaving(log []change, heard bool) bool {
-	last := log[len(log)-1]
-	return heard && last.leaving && w.now-last.at > leaveBound && w.now-w.deaf > leaveBound
+func (m *model) mustRefuse(changes []leavingChange, reachable bool) bool {
+	last := changes[len(changes)-1]
+	return reachable && last.leaving && m.now-last.at > maxLeaveDelay && m.now-m.reachabilityChangedAt > maxLeaveDelay
 }
 
-// arrive hands a request to the agent, routed under revision.
-func (w *world) arrive(revision int64, r *rand.Rand) {
-	if w.paused {
-		w.flight = append(w.flight, revision)
+// deliver hands a request to the agent, routed under revision.
+func (m *model) deliver(revision int64, random *rand.Rand) {
+	if m.agentPaused {
+		m.delayedRequests = append(m.delayedRequests, revision)
 		return
 	}
-	highest := w.highest
-	a := w.agent.Begin(NewRequest(revision, false), w.now)
-	if a.Behind() && w.table {
-		w.learn(int64(len(w.log)))
+	highestRevision := m.highestRevision
+	a := m.agent.Begin(NewRequest(revision, false), m.now)
+	if a.Behind() && m.tableReachable {
+		m.applyRevision(int64(len(m.configLog)))
 	} else if a.Behind() {
-		w.learn(revision)
+		m.applyRevision(revision)
 	}
-	w.ask(r)
+	m.refreshIfStale(random)
 	if !a.Accepted() {
-		w.counts["refused"]++
+		m.counts["refused"]++
 		return
 	}
-	w.counts["accepted"]++
-	w.hand++
-	if w.leaving(w.log, w.table) {
-		w.fail("work at %d ms, leaving by label since %d ms", w.now, w.log[len(w.log)-1].at)
+	m.counts["accepted"]++
+	m.inFlight++
+	if m.mustRefuse(m.configLog, m.tableReachable) {
+		m.recordViolation("work at %d ms, leaving by label since %d ms", m.now, m.configLog[len(m.configLog)-1].at)
 	}
-	if w.leaving(w.list, w.vms) {
-		w.fail("work at %d ms, leaving by the list since %d ms", w.now, w.list[len(w.list)-1].at)
+	if m.mustRefuse(m.vmList, m.listReachable) {
+		m.recordViolation("work at %d ms, leaving by the list since %d ms", m.now, m.vmList[len(m.vmList)-1].at)
 	}
-	if highest >= revision && w.log[highest-1].leaving {
-		w.fail("work under revision %d, after revision %d had said leaving", revision, highest)
+	if highestRevision >= revision && m.configLog[highestRevision-1].leaving {
+		m.recordViolation("work under revision %d, after revision %d had said leaving", revision, highestRevision)
 	}
-	if w.told && w.list[len(w.list)-1].leaving {
-		w.fail("work after the list had said leaving, as it still does")
+	if m.listReportedLeaving && m.vmList[len(m.vmList)-1].leaving {
+		m.recordViolation("work after the list had said leaving, as it still does")
 	}
 }
 
-var kinds = []string{
+var eventKinds = []string{
 	"pass", "pass", "pass", "pass", "pass", "pass", "request", "request", "request", "request", "request", "late", "late",
 	"end", "end", "end",
 	"label", "unlabel", "unlabel", "leave", "live", "live", "order", "unorder", "unorder", "stop", "kill", "heartbeat",
@@ -200,138 +200,138 @@
 	"waver", "nap", "live", "live",
 }
 
-func play(sut commands.SystemUnderTest, e proof.Event) commands.Result {
-	w := sut.(*world)
-	r := rand.New(rand.NewSource(e.Seed))
-	i := r.Intn(len(w.entries))
+func applyEvent(sut commands.SystemUnderTest, e proof.Event) commands.Result {
+	m := sut.(*model)
+	random := rand.New(rand.NewSource(e.Seed))
+	gateway := random.Intn(len(m.gatewayRevisions))
 	switch e.Kind {
 	case "pass":
-		w.pass(r, 1+r.Intn(6))
+		m.advance(random, 1+random.Intn(6))
 	case "request":
-		w.request(i, r.Intn(4) == 0, r)
+		m.sendRequest(gateway, random.Intn(4) == 0, random)
 	case "late":
-		w.late(r)
+		m.deliverDelayed(random)
 	case "end":
-		w.end()
+		m.endRequest()
 	case "heartbeat":
-		w.heartbeat(i)
+		m.sendHeartbeat(gateway)
 	case "label", "unlabel":
-		w.log = append(w.log, change{at: w.now, leaving: e.Kind == "label"})
+		m.configLog = append(m.configLog, leavingChange{at: m.now, leaving: e.Kind == "label"})
 	case "leave", "live":
-		w.list = append(w.list, change{at: w.now, leaving: e.Kind == "leave"})
-		w.told = false
+		m.vmList = append(m.vmList, leavingChange{at: m.now, leaving: e.Kind == "leave"})
+		m.listReportedLeaving = false
 	case "waver":
-		w.list = append(w.list, change{at: w.now, leaving: true})
-		w.told = false
-		w.pass(r, 2+r.Intn(3))
-		w.request(i, false, r)
+		m.vmList = append(m.vmList, leavingChange{at: m.now, leaving: true})
+		m.listReportedLeaving = false
+		m.advance(random, 2+random.Intn(3))
+		m.sendRequest(gateway, false, random)
 	case "nap":
-		w.nap(r, i)
+		m.pauseDuringLeave(random, gateway)
 	case "kill":
-		w.restart()
+		m.restartAgent()
 	case "wake-request", "kill-request":
-		w.paused = false
+		m.agentPaused = false
 		if e.Kind == "kill-request" {
-			w.restart()
+			m.restartAgent()
 		}
-		w.request(i, false, r)
-		w.late(r)
+		m.sendRequest(gateway, false, random)
+		m.deliverDelayed(random)
 	default:
-		w.disturb(e.Kind, i)
+		m.injectFault(e.Kind, gateway)
 	}
-	return w.wrong
+	return m.violation
 }
 
-func (w *world) heartbeat(i int) {
-	if w.paused {
+func (m *model) sendHeartbeat(gateway int) {
+	if m.agentPaused {
 		return
 	}
-	w.learn(w.entries[i])
-	w.agent.Heard(w.now)
+	m.applyRevision(m.gatewayRevisions[gateway])
+	m.agent.Heard(m.now)
 }
 
-func (w *world) pass(r *rand.Rand, polls int) {
+func (m *model) advance(random *rand.Rand, polls int) {
 	for range polls {
-		w.now += pollEvery
-		w.poll(r)
+		m.now += pollInterval
+		m.propagate(random)
 	}
 }
 
-// nap pauses the agent while its target begins to leave and an entry is cut
+// pauseDuringLeave pauses the agent while its target begins to leave and an entry is cut
 // off; that entry is the first to be heard by the agent when it wakes.
-func (w *world) nap(r *rand.Rand, i int) {
-	w.paused = true
-	w.cut[i] = true
-	if r.Intn(2) == 0 {
-		w.list = append(w.list, change{at: w.now, leaving: true})
-		w.told = false
+func (m *model) pauseDuringLeave(random *rand.Rand, gateway int) {
+	m.agentPaused = true
+	m.gatewayDisconnected[gateway] = true
+	if random.Intn(2) == 0 {
+		m.vmList = append(m.vmList, leavingChange{at: m.now, leaving: true})
+		m.listReportedLeaving = false
 	} else {
-		w.log = append(w.log, change{at: w.now, leaving: true})
+		m.configLog = append(m.configLog, leavingChange{at: m.now, leaving: true})
 	}
-	w.pass(r, 10+r.Intn(10))
-	w.paused = false
-	if r.Intn(2) == 0 {
-		w.heartbeat(i)
+	m.advance(random, 10+random.Intn(10))
+	m.agentPaused = false
+	if random.Intn(2) == 0 {
+		m.sendHeartbeat(gateway)
 	}
-	w.request(i, false, r)
-	w.request(i, false, r)
+	m.sendRequest(gateway, false, random)
+	m.sendRequest(gateway, false, random)
 }
 
-// request sends by what entry i knows; a delayed request stays in flight.
-func (w *world) request(i int, delayed bool, r *rand.Rand) {
-	revision := w.entries[i]
-	if w.log[revision-1].leaving {
+// sendRequest sends by what entry i knows; a delayed request stays in flight.
+func (m *model) sendRequest(gateway int, delayed bool, random *rand.Rand) {
+	revision := m.gatewayRevisions[gateway]
+	if m.configLog[revision-1].leaving {
 		return
 	}
 	if delayed {
-		w.flight = append(w.flight, revision)
+		m.delayedRequests = append(m.delayedRequests, revision)
 		return
 	}
-	w.arrive(revision, r)
+	m.deliver(revision, random)
 }
 
-func (w *world) late(r *rand.Rand) {
-	if len(w.flight) == 0 || w.paused {
+func (m *model) deliverDelayed(random *rand.Rand) {
+	if len(m.delayedRequests) == 0 || m.agentPaused {
 		return
 	}
-	revision := w.flight[0]
-	w.flight = w.flight[1:]
-	w.arrive(revision, r)
+	revision := m.delayedRequests[0]
+	m.delayedRequests = m.delayedRequests[1:]
+	m.deliver(revision, random)
 }
 
-func (w *world) end() {
-	if w.hand == 0 || w.paused {
+func (m *model) endRequest() {
+	if m.inFlight == 0 || m.agentPaused {
 		return
 	}
-	w.hand--
-	if err := w.agent.End(); err != nil {
-		w.fail("%v", err)
+	m.inFlight--
+	if err := m.agent.End(); err != nil {
+		m.recordViolation("%v", err)
 	}
-	w.exit()
+	m.exitIfDone()
 }
 
-func (w *world) disturb(kind string, i int) {
+func (m *model) injectFault(kind string, gateway int) {
 	switch kind {
 	case "order", "unorder":
-		w.ordered = kind == "order"
-		w.agent.Order(w.ordered, w.now)
+		m.underOrder = kind == "order"
+		m.agent.Order(m.underOrder, m.now)
 	case "stop":
-		w.stopped = true
-		w.agent.Stop(w.now)
+		m.stopping = true
+		m.agent.Stop(m.now)
 	case "pause", "wake":
-		w.paused = kind == "pause"
+		m.agentPaused = kind == "pause"
 	case "cut-table", "heal-table":
-		w.table = kind == "heal-table"
-		w.deaf = w.now
+		m.tableReachable = kind == "heal-table"
+		m.reachabilityChangedAt = m.now
 	case "cut-list", "heal-list":
-		w.vms = kind == "heal-list"
-		w.deaf = w.now
+		m.listReachable = kind == "heal-list"
+		m.reachabilityChangedAt = m.now
 	case "cut-entry", "heal-entry":
-		w.cut[i] = kind == "cut-entry"
+		m.gatewayDisconnected[gateway] = kind == "cut-entry"
 	}
 }
 
-func TestProofLeavingTargetGetsNoWorkAndNoneIsCut(t *testing.T) {
+func TestProofLeavingTargetRefusesNewAndCompletesInFlightWork(t *testing.T) {
 	// A target leaves by label or by the list alone, while entries are cut off
 	// and send what they routed long before, its agent is paused, stopped,
 	// killed or under an order, and the list wavers. A user would notice work
@@ -340,8 +340,8 @@
 	proof.Run(t, proof.Config{
 		Claim: "a leaving target gets no work and none is cut",
 		Seed:  5, Runs: 800, Steps: 80,
-		Command: proof.Events(kinds, play),
-		World:   func() commands.SystemUnderTest { return newWorld(counts) },
+		Command: proof.Events(eventKinds, applyEvent),
+		World:   func() commands.SystemUnderTest { return newModel(counts) },
 	})
 	t.Logf("%d accepted, %d refused, %d planned stops", counts["accepted"], counts["refused"], counts["stops"])
 	if counts["accepted"] == 0 || counts["refused"] == 0 || counts["stops"] == 0 {
