--- a/pkg/kumquatlug/drain/drain.go
+++ b/pkg/kumquatlug/drain/drain.go
@@ -1,48 +1,50 @@
-// Package drain decides when a process stops taking new work and when it, or
-// the target beside it, may go.
+// Package drain decides when a process stops accepting new work and when the
+// process, or the target beside it, may shut down.
 //
-// Entries and agents are stopped, and targets replaced or given another role,
-// while work is in hand and more arrives. A process that ends at once cuts
-// answers; one that refuses at once, while a balancer still sends it callers,
-// turns each planned stop into a burst of errors; one that waits for a fixed
-// time cuts whatever runs longer. And a target that is leaving gets new work
-// for as long as any entry hasn't heard of it, a cut-off entry for ever.
+// Gateways and agents are stopped, and targets are replaced or given another
+// role, while requests are in flight and more arrive. A process that exits at
+// once breaks off responses. One that refuses at once, while a load balancer
+// still sends it callers, turns each planned stop into a burst of errors. One
+// that waits for a fixed time breaks off whatever runs longer. And a leaving
+// target receives new work until every gateway has learned that it is leaving,
+// which a disconnected gateway never does.
 //
 // A [Drain] goes through these states:
 //
-//	starting  knows no config yet and refuses work as not-run
-//	serving   takes work
-//	unready   tells the balancer to send no more, and still takes work, since
-//	          the balancer goes on sending until its own checks have failed
-//	refusing  refuses new work as not-run; work in hand goes on
-//	done      nothing is in hand and nothing will be
+//	starting  has no config yet and refuses work as not-run
+//	serving   accepts work
+//	unready   fails the load balancer's health checks and still accepts work,
+//	          since the balancer keeps sending until its checks have failed
+//	refusing  refuses new work as not-run; work in flight continues
+//	done      nothing is in flight and nothing will be
 //
-// Only the end of the last piece of work leads from refusing to done. There is
-// no timeout: a planned stop waits, however long an answer runs.
+// Only the end of the last request in flight leads from refusing to done. There
+// is no timeout: a planned stop waits however long a response takes.
 //
-// Four things make a process leave: a stop, a label, the platform's VM list,
-// and an order that takes the target away for a while. Any one is enough. A
-// stop is for good; after the others the process may return. The agent judges
-// by its own config, so an entry that routes by an older one is refused,
-// whether it is slow, paused or cut off. One that routes by a newer config is
-// told so by [Admission.Behind], after which the agent pulls the changes; until
-// then its own config holds.
+// A process leaves for any of four reasons: a planned stop, a label in the
+// config, the platform's VM list, and an order that takes the target away for a
+// while. A planned stop is permanent; after the others the process may return.
+// The agent decides by its own config, so a gateway that routes by an older one,
+// because it is slow, paused or disconnected, is refused. If a gateway routes by
+// a newer config, [Admission.Behind] reports it and the agent pulls the changes;
+// until then the agent's own config applies.
 //
-// An agent hears of changes through the heartbeats of entries. One that has
-// just started, or was paused and wakes, holds news of unknown age, and the
-// first heartbeat to reach it may be that of a cut-off entry. Such an agent is
-// silent: it takes nothing until it has itself asked the table and the list,
-// as far as they answer ([Drain.Asked]). Otherwise each restart and each pause
-// would let work in at a target that is leaving.
+// An agent receives changes through the heartbeats of gateways. After a start
+// or a pause of its process, its state is of unknown age, and the first
+// heartbeat may come from a disconnected gateway. The state of such an agent is
+// stale: it accepts nothing until it has queried the table and the VM list
+// itself, as far as they respond ([Drain.Asked]). Otherwise each restart and
+// each pause would admit work to a leaving target.
 //
-// A label counts by its revision, and a lower one never undoes it. The list has
-// no revision, and its readers lag by different spans: one "live" after
-// "leaving" may be old news, so the list must say "live", and nothing else, for
-// a while before it counts.
+// Labels are ordered by their revision; a label of a lower revision never
+// replaces one of a higher. The VM list has no revision, and its readers lag by
+// different times: a single "live" after "leaving" may be outdated. The list
+// must therefore say "live" without interruption for some time before it counts.
 //
-// Not bounded here: an agent that hears neither of the table, nor of the list,
-// nor of any peer with news serves on. It can't tell its own isolation from an
-// outage of the platform, and in an outage work must go on.
+// One case is not bounded: an agent that reaches neither the table nor the VM
+// list, nor any peer with newer state, continues to serve. It can't distinguish
+// its own isolation from an outage of the platform, during which work must
+// continue.
 package drain
 
 import (
@@ -54,49 +56,53 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// AgentSilence is the silence that an agent gives: two heartbeats at the pace of
-// an entry with fifteen targets (2.2 s each), and every agent is asked by several
-// entries, so that one that is late or lost refuses nothing; short enough to keep
-// work from a leaving target after a few seconds.
+// AgentSilence is the value of Config.Silence for an agent. It spans two
+// heartbeats of a gateway with fifteen targets (2.2 s each), and every agent has
+// heartbeats of several gateways, so a late or lost heartbeat doesn't cause
+// refusals. It is short enough to keep work from a leaving target after a few
+// seconds.
 const AgentSilence = 5 * kumquatlug.Second
 
-// EntryLag is the lag that an entry behind a balancer gives. A balancer that
-// checks every 5 s and takes a VM out after two failures needs 10 s; 5 s more
-// cover a check that was under way and connections opened just before.
+// EntryLag is the value of Config.Lag for a gateway behind a load balancer. A
+// balancer that checks every 5 s and removes a VM after two failures needs 10 s;
+// 5 s more cover a check that was under way and connections opened just before.
 const EntryLag = 15 * kumquatlug.Second
 
-// DefaultSettle is the default of Config.Settle. The list's lag is not stated
-// by the platform; a minute is far above any that keeps such a list useful,
-// and coming back is never urgent.
+// DefaultSettle is the default of Config.Settle. The platform doesn't state the
+// lag of the VM list; a minute is far more than any lag with which such a list
+// is useful, and returning to service is never urgent.
 const DefaultSettle = 1 * kumquatlug.Minute
 
-// Config is what a [Drain] is made of.
+// Config holds the parameters of a [Drain].
 type Config struct {
-	// Lag is how long work is still taken after the process began to leave, in
-	// milliseconds. An entry gives EntryLag. An agent gives zero, to refuse at
-	// once: its entries take a refusal as not-run to another target, and with a
-	// lag every restart or late word would let work in at a leaving target.
+	// Lag is how long work is still accepted after the process began to leave,
+	// in milliseconds. A gateway sets EntryLag. An agent sets zero, to refuse at
+	// once: its gateways send a request that was refused as not-run to another
+	// target, and with a delay every restart or late notification would admit
+	// work to a leaving target.
 	Lag kumquatlug.Millis
 	// Settle is how long the VM list must say "live" after it said "leaving",
 	// in milliseconds. Default 60000.
 	Settle kumquatlug.Millis
-	// Silence is after how long without any heartbeat the process counts as
-	// silent and refuses new work, in milliseconds. Zero never does, which is
-	// right for an entry: its agents judge what it sends. An agent gives
-	// AgentSilence. It then takes no new work later than Silence plus a
-	// heartbeat after a label, or plus the list's lag and a heartbeat after the
-	// list began to say "leaving", paused and restarted or not.
+	// Silence is the time without heartbeats, in milliseconds, after which the
+	// state of the process is stale and it refuses new work. Zero disables the
+	// check, which is right for a gateway: the agents decide on what it sends. An
+	// agent sets AgentSilence. It then accepts no new work later than Silence
+	// plus a heartbeat after a label was set, or Silence plus the list's lag and
+	// a heartbeat after the list began to say "leaving", whether or not it is
+	// paused or restarted in between.
 	Silence kumquatlug.Millis
-	// RetryAfter is told to those refused, in milliseconds. An agent leaves it
-	// at zero, as its entries go elsewhere at once. An entry gives what its
-	// callers need to reach another one, a second.
+	// RetryAfter is the retry delay that a refusal carries, in milliseconds. An
+	// agent leaves it at zero, as its gateways try another target at once. A
+	// gateway sets the time that its callers need to reach another gateway, a
+	// second.
 	RetryAfter kumquatlug.Millis
 }
 
-// State is how far a process is on its way out.
+// State is the phase of the shutdown of a process.
 type State string
 
-// The states, in the order in which they come.
+// The states, in the order in which they follow each other.
 const (
 	StateStarting State = "starting"
 	StateServing  State = "serving"
@@ -105,10 +111,10 @@
 	StateDone     State = "done"
 )
 
-// Reason says why work is refused; it is the reason in the failure too.
+// Reason says why work is refused; [Admission.Failure] carries it, too.
 type Reason string
 
-// The reasons for leaving, and those of a process that may yet take work.
+// The reasons for a refusal.
 const (
 	ReasonUnknown   Reason = "config_unknown"
 	ReasonSilence   Reason = "config_of_unknown_age"
@@ -119,37 +125,38 @@
 	ReasonForbidden Reason = "forbidden_by_config"
 )
 
-// Request is what a piece of new work says of itself.
+// Request describes a request that asks for admission.
 type Request struct {
 	revision  int64
 	forbidden bool
 }
 
 // NewRequest returns a request that was routed under a config revision.
-// Forbidden is what the receiver's own config says of its kind of work.
+// Forbidden says that the receiver's own config forbids this kind of work.
 func NewRequest(revision int64, forbidden bool) Request {
 	return Request{revision: revision, forbidden: forbidden}
 }
 
-// Admission is the answer to a request.
+// Admission is the decision on a [Request].
 type Admission struct {
 	reason     Reason
 	behind     bool
 	retryAfter kumquatlug.Millis
 }
 
-// Accepted reports whether the work is taken; End must follow then.
+// Accepted reports whether the request is accepted; [Drain.End] must follow then.
 func (a Admission) Accepted() bool { return a.reason == "" }
 
-// Reason returns why the work is refused, empty if it is taken.
+// Reason returns why the request is refused; it is empty if it is accepted.
 func (a Admission) Reason() Reason { return a.reason }
 
-// Behind reports whether the sender has a higher config revision than the
-// receiver, which should pull the changes at once.
+// Behind reports whether the receiver has a lower config revision than the
+// sender; the receiver should pull the changes at once.
 func (a Admission) Behind() bool { return a.behind }
 
-// Failure returns the refusal as an error for the sender, nil if the work is
-// taken. It is not-run: nothing was begun and the request is forgotten.
+// Failure returns the refusal as an error for the sender, nil if the request is
+// accepted. The error is marked as not-run: nothing was started, and no state of
+// the request is kept.
 func (a Admission) Failure() error {
 	if a.Accepted() {
 		return nil
@@ -160,8 +167,8 @@
 	})
 }
 
-// Drain is one process on its way out, or not. It is not safe for concurrent
-// use: one loop, or a lock of its owner, keeps its events in order.
+// Drain is the state machine of the shutdown of one process. It is not safe for
+// concurrent use: its owner serializes all calls by one loop or a lock.
 type Drain struct {
 	config          Config
 	inFlight        int
@@ -178,44 +185,46 @@
 	refreshed       bool
 }
 
-// New returns a drain in StateStarting.
+// New returns a drain in [StateStarting].
 func New(c Config) *Drain {
 	c.Settle = cmp.Or(c.Settle, DefaultSettle)
 	return &Drain{config: c}
 }
 
-// Stop begins a planned stop. It can't be taken back.
+// Stop begins a planned stop. It can't be revoked.
 func (d *Drain) Stop(now kumquatlug.Millis) {
 	d.stopping = true
 	d.updateLeaving(now)
 }
 
-// Heard takes a heartbeat of a peer, after what it told was given. It doesn't
-// end a silence.
+// Heard records a heartbeat of a peer. The config and the VM state that it
+// carried must be set before. A heartbeat doesn't refresh a stale state.
 func (d *Drain) Heard(now kumquatlug.Millis) {
 	if !d.Silent(now) {
 		d.lastContactAt = max(d.lastContactAt, now)
 	}
 }
 
-// Asked ends a silence. The process has asked the table for the newest config
-// and the platform for its list, at now or later, and has given what they told;
-// of one that didn't answer it took what a peer had.
+// Asked records that the state is no longer stale. The process has queried the
+// table for the latest config and the platform for its VM list, at now or later,
+// and has set the results. For a source that didn't respond it has set the state
+// of a peer.
 func (d *Drain) Asked(now kumquatlug.Millis) {
 	d.lastContactAt = max(d.lastContactAt, now)
 	d.refreshed = true
 }
 
-// Silent reports whether the process must ask before it takes new work.
+// Silent reports whether the state is stale, so that the process must query its
+// sources before it accepts new work.
 func (d *Drain) Silent(now kumquatlug.Millis) bool {
 	return d.config.Silence > 0 && (!d.refreshed || now-d.lastContactAt > d.config.Silence)
 }
 
-// Label takes what the config says of the target, as of a revision, which is
-// one or more. It is called for each new revision, also where the label stays
-// the same, and with false by a process that has no labels, such as an entry.
-// It reports whether the revision was news: one that isn't higher than the last
-// is not.
+// Label sets whether the config labels the target as leaving, as of a revision,
+// which is at least one. It is called for each new revision, also if the label
+// is unchanged; a process without labels, such as a gateway, passes false. It
+// reports whether the revision is new. One that isn't higher than the last is
+// ignored.
 func (d *Drain) Label(revision int64, leaving bool, now kumquatlug.Millis) bool {
 	if revision <= d.revision {
 		return false
@@ -226,7 +235,7 @@
 	return true
 }
 
-// List takes what the platform's VM list says of the VM.
+// List sets the state of the VM according to the platform's VM list.
 func (d *Drain) List(state kumquatlug.VMState, now kumquatlug.Millis) {
 	switch {
 	case state == kumquatlug.VMLeaving:
@@ -242,8 +251,8 @@
 	d.updateLeaving(now)
 }
 
-// Order begins or ends a time in which an order takes the target away, as a
-// change of role does. The order may be carried out in StateDone.
+// Order sets whether an order takes the target away, as a change of role does.
+// The order may be executed in [StateDone].
 func (d *Drain) Order(ordered bool, now kumquatlug.Millis) {
 	d.underOrder = ordered
 	d.updateLeaving(now)
@@ -257,7 +266,7 @@
 	d.leaving = leaving
 }
 
-// Begin asks to take one more piece of work.
+// Begin decides whether a new request is accepted.
 func (d *Drain) Begin(r Request, now kumquatlug.Millis) Admission {
 	a := Admission{reason: d.refusalReason(r, now), behind: r.revision > d.revision}
 	if a.Accepted() {
@@ -289,16 +298,17 @@
 	}
 }
 
-// End takes the end of a piece of work that Begin accepted.
+// End records the end of a request that Begin accepted. It returns an error if
+// none is in flight.
 func (d *Drain) End() error {
 	if d.inFlight == 0 {
-		return errors.AssertionFailedf("work ended that never began")
+		return errors.AssertionFailedf("a request ended while none was in flight")
 	}
 	d.inFlight--
 	return nil
 }
 
-// State returns how far the process is at now.
+// State returns the state at now.
 func (d *Drain) State(now kumquatlug.Millis) State {
 	switch {
 	case !d.leaving && d.revision == 0:
@@ -314,8 +324,8 @@
 	}
 }
 
-// Wait returns how long the state lasts if no event comes, zero for as long as
-// none does.
+// Wait returns the time until the state changes without an event, in
+// milliseconds, or zero if it changes only by events.
 func (d *Drain) Wait(now kumquatlug.Millis) kumquatlug.Millis {
 	if d.State(now) != StateUnready {
 		return 0
@@ -323,7 +333,7 @@
 	return d.leavingSince + d.config.Lag - now
 }
 
-// Hand returns how many pieces of work are in hand.
+// Hand returns the number of requests in flight.
 func (d *Drain) Hand() int { return d.inFlight }
 
 // Revision returns the highest config revision seen.
--- a/pkg/kumquatlug/drain/drain_test.go
+++ b/pkg/kumquatlug/drain/drain_test.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// newServingDrain returns a drain that knows a config of revision 1.
+// newServingDrain returns a drain with a config of revision 1.
 func newServingDrain(c Config) *Drain {
 	d := New(c)
 	d.Label(1, false, 0)
@@ -15,9 +15,9 @@
 }
 
 func TestPlannedStopOfGateway(t *testing.T) {
-	// An entry is stopped while an answer streams and the balancer still sends
-	// callers to it. Whoever comes within the balancer's lag must be served,
-	// and the stream must not be cut, though it runs for an hour.
+	// A gateway is stopped while a response streams and the load balancer still
+	// sends callers to it. Callers that arrive before the balancer removes it must
+	// be served, and the stream must not be broken off although it runs for an hour.
 	d := newServingDrain(Config{Lag: EntryLag, RetryAfter: kumquatlug.Second})
 	stream := NewRequest(1, false)
 	if a := d.Begin(stream, 0); !a.Accepted() {
@@ -36,14 +36,14 @@
 	}
 	for _, s := range steps {
 		if got := d.State(s.now); got != s.state {
-			t.Errorf("at %d: %q, want %q", s.now, got, s.state)
+			t.Errorf("at %d ms: state %q, want %q", s.now, got, s.state)
 		}
 		a := d.Begin(stream, s.now)
 		if a.Accepted() != s.accept {
-			t.Errorf("at %d: accepted %v", s.now, a.Accepted())
+			t.Errorf("at %d ms: accepted %v", s.now, a.Accepted())
 		}
 		if f := kumquatlug.FailureOf(a.Failure()); !s.accept && (f.Ran() != kumquatlug.RanNot || f.RetryAfter() != kumquatlug.Second) {
-			t.Errorf("at %d: refused with %v", s.now, f)
+			t.Errorf("at %d ms: refused with %v, want not-run and a retry after 1 s", s.now, f)
 		}
 	}
 	for range 3 {
@@ -52,16 +52,17 @@
 		}
 	}
 	if got := d.State(kumquatlug.Hour); got != StateDone {
-		t.Errorf("with nothing in hand: %q", got)
+		t.Errorf("with nothing in flight: state %q, want done", got)
 	}
 	if err := d.End(); err == nil {
-		t.Error("work ended twice without an error")
+		t.Error("End with nothing in flight returned no error")
 	}
 }
 
 func TestLeavingSources(t *testing.T) {
-	// A target is leaving, but only one source says so, or a source that lags
-	// says otherwise again. An entry that has not heard of it goes on sending.
+	// A target is leaving, but only one source says so, or a lagging source
+	// reports the old state again. A gateway that doesn't know it keeps sending
+	// requests, which must be refused.
 	label := func(revision int64, leaving bool) func(*Drain) {
 		return func(d *Drain) { d.Label(revision, leaving, 1) }
 	}
@@ -73,16 +74,16 @@
 		events []func(*Drain)
 		want   Reason
 	}{
-		"label alone":              {[]func(*Drain){label(2, true), list(live, 1)}, ReasonLabel},
-		"list alone":               {[]func(*Drain){list(leaving, 1)}, ReasonList},
-		"lower revision":           {[]func(*Drain){label(3, true), label(2, false)}, ReasonLabel},
-		"label taken back":         {[]func(*Drain){label(2, true), label(3, false)}, ""},
-		"old news in the list":     {[]func(*Drain){list(leaving, 1), list(live, 2), list(live, 100)}, ReasonList},
-		"list settles":             {[]func(*Drain){list(leaving, 1), list(live, 2), list(live, 2+DefaultSettle)}, ""},
-		"list wavers":              {[]func(*Drain){list(live, 2), list(leaving, 3), list(live, 4), list(leaving, 5), list(live, 4+DefaultSettle)}, ReasonList},
-		"order":                    {[]func(*Drain){func(d *Drain) { d.Order(true, 1) }}, ReasonOrder},
-		"order done, label stands": {[]func(*Drain){label(2, true), func(d *Drain) { d.Order(true, 1); d.Order(false, 2) }}, ReasonLabel},
-		"stop":                     {[]func(*Drain){func(d *Drain) { d.Stop(1) }, label(2, false)}, ReasonStop},
+		"label alone":             {[]func(*Drain){label(2, true), list(live, 1)}, ReasonLabel},
+		"list alone":              {[]func(*Drain){list(leaving, 1)}, ReasonList},
+		"lower revision":          {[]func(*Drain){label(3, true), label(2, false)}, ReasonLabel},
+		"label removed":           {[]func(*Drain){label(2, true), label(3, false)}, ""},
+		"outdated list":           {[]func(*Drain){list(leaving, 1), list(live, 2), list(live, 100)}, ReasonList},
+		"list settles":            {[]func(*Drain){list(leaving, 1), list(live, 2), list(live, 2+DefaultSettle)}, ""},
+		"list flaps":              {[]func(*Drain){list(live, 2), list(leaving, 3), list(live, 4), list(leaving, 5), list(live, 4+DefaultSettle)}, ReasonList},
+		"order":                   {[]func(*Drain){func(d *Drain) { d.Order(true, 1) }}, ReasonOrder},
+		"order done, label stays": {[]func(*Drain){label(2, true), func(d *Drain) { d.Order(true, 1); d.Order(false, 2) }}, ReasonLabel},
+		"stop":                    {[]func(*Drain){func(d *Drain) { d.Stop(1) }, label(2, false)}, ReasonStop},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -99,18 +100,19 @@
 }
 
 func TestReceiverConfigDecides(t *testing.T) {
-	// An agent has just started, or is behind the entry that sends to it. Work
-	// that slipped in meanwhile would reach a target that is leaving.
+	// An agent has just started, or has an older config than the gateway that sends
+	// to it. Requests that are accepted before it has the newer config could reach
+	// a leaving target.
 	d := New(Config{})
 	if a := d.Begin(NewRequest(7, false), 0); a.Reason() != ReasonUnknown || !a.Behind() {
 		t.Errorf("before the first config: %q, behind %v", a.Reason(), a.Behind())
 	}
 	d.Label(7, false, 0)
 	if a := d.Begin(NewRequest(8, true), 0); a.Reason() != ReasonForbidden || !a.Behind() {
-		t.Errorf("forbidden by an older config: %q, behind %v", a.Reason(), a.Behind())
+		t.Errorf("forbidden by an older config than the sender's: %q, behind %v", a.Reason(), a.Behind())
 	}
 	if a := d.Begin(NewRequest(6, false), 0); !a.Accepted() || a.Behind() {
-		t.Errorf("older entry: %q, behind %v", a.Reason(), a.Behind())
+		t.Errorf("gateway with an older config: %q, behind %v", a.Reason(), a.Behind())
 	}
 }
 
--- a/pkg/kumquatlug/drain/proof_test.go
+++ b/pkg/kumquatlug/drain/proof_test.go
@@ -11,22 +11,24 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// The fakes' spans. A node in contact hears news at every poll; the list shows
-// a change only after its lag, and its readers lag by different spans.
+// Intervals of the fakes. A connected node sees changes at every poll; the list
+// shows a change after at most its lag, which differs between readers.
 const (
 	pollInterval  = 500 * kumquatlug.Millis(1)
 	listLag       = 2 * kumquatlug.Second
 	maxLeaveDelay = listLag + AgentSilence + 2*pollInterval
 )
 
-// leavingChange is one revision of the config, or one turn of the platform's list.
+// leavingChange is one revision of the config, or one change of the platform's
+// VM list.
 type leavingChange struct {
 	at      kumquatlug.Millis
 	leaving bool
 }
 
-// model is a target with its agent, two entries that route to it by what they
-// know, the config's log and the platform's list; it keeps the oracle's books.
+// model is a target with its agent, two gateways that route to it by the config
+// revisions they have, the config log and the platform's VM list. It also holds
+// the state of the oracle.
 type model struct {
 	now                   kumquatlug.Millis
 	configLog             []leavingChange
@@ -57,14 +59,15 @@
 	return m
 }
 
-// restartAgent puts a new process in the agent's place.
+// restartAgent replaces the agent's process.
 func (m *model) restartAgent() {
 	m.agent = New(Config{Silence: AgentSilence})
 	m.underOrder, m.stopping, m.inFlight = false, false, 0
 	m.highestRevision, m.listReportedLeaving = 0, false
 }
 
-// refreshIfStale lets a silent agent ask the table and the list, as far as they answer.
+// refreshIfStale has an agent with a stale state query the table and the list, as
+// far as they are reachable.
 func (m *model) refreshIfStale(random *rand.Rand) {
 	if !m.agent.Silent(m.now) {
 		return
@@ -78,7 +81,8 @@
 	m.agent.Asked(m.now)
 }
 
-// readList gives the agent the list as of some time within its lag.
+// readList sets the agent's VM state from the list as of a random time within its
+// lag.
 func (m *model) readList(random *rand.Rand) {
 	state := m.laggedVMState(random)
 	m.agent.List(state, m.now)
@@ -93,8 +97,9 @@
 	}
 }
 
-// propagate lets the nodes hear what they can: the table, the list, and the agent
-// the heartbeats of entries, which may themselves be cut off from the table.
+// propagate updates the gateways and the agent from the sources they can reach:
+// the table, the list and, for the agent, the heartbeats of gateways, which may be
+// disconnected from the table.
 func (m *model) propagate(random *rand.Rand) {
 	for gateway := range m.gatewayRevisions {
 		if !m.gatewayDisconnected[gateway] {
@@ -117,7 +122,8 @@
 	m.exitIfDone()
 }
 
-// laggedVMState reads the platform's list as of some time within its lag.
+// laggedVMState returns the VM state in the platform's list as of a random time
+// within its lag.
 func (m *model) laggedVMState(random *rand.Rand) kumquatlug.VMState {
 	at := m.now - kumquatlug.Millis(random.Int63n(int64(listLag)))
 	state := kumquatlug.VMLive
@@ -136,13 +142,14 @@
 	m.highestRevision = max(m.highestRevision, revision)
 }
 
-// exitIfDone ends the agent's process, or carries out the order, once it may.
+// exitIfDone ends the agent's process in StateDone. No request may be in flight
+// when the process ends or an order is executed.
 func (m *model) exitIfDone() {
 	if m.agent.State(m.now) != StateDone {
 		return
 	}
 	if m.inFlight > 0 && (m.stopping || m.underOrder) {
-		m.recordViolation("%d pieces of work were cut", m.inFlight)
+		m.recordViolation("%d requests in flight were broken off", m.inFlight)
 	}
 	if m.stopping {
 		m.counts["stops"]++
@@ -150,14 +157,14 @@
 	}
 }
 
-// mustRefuse reports whether a source said "leaving" throughout the bound before
-// now, and the agent could hear that source throughout.
+// mustRefuse reports whether a source has said "leaving" for longer than
+// maxLeaveDelay and the agent could reach it for all of that time.
 func (m *model) mustRefuse(changes []leavingChange, reachable bool) bool {
 	last := changes[len(changes)-1]
 	return reachable && last.leaving && m.now-last.at > maxLeaveDelay && m.now-m.reachabilityChangedAt > maxLeaveDelay
 }
 
-// deliver hands a request to the agent, routed under revision.
+// deliver has the agent decide on a request that was routed under revision.
 func (m *model) deliver(revision int64, random *rand.Rand) {
 	if m.agentPaused {
 		m.delayedRequests = append(m.delayedRequests, revision)
@@ -178,26 +185,26 @@
 	m.counts["accepted"]++
 	m.inFlight++
 	if m.mustRefuse(m.configLog, m.tableReachable) {
-		m.recordViolation("work at %d ms, leaving by label since %d ms", m.now, m.configLog[len(m.configLog)-1].at)
+		m.recordViolation("request accepted at %d ms, leaving by label since %d ms", m.now, m.configLog[len(m.configLog)-1].at)
 	}
 	if m.mustRefuse(m.vmList, m.listReachable) {
-		m.recordViolation("work at %d ms, leaving by the list since %d ms", m.now, m.vmList[len(m.vmList)-1].at)
+		m.recordViolation("request accepted at %d ms, leaving by the VM list since %d ms", m.now, m.vmList[len(m.vmList)-1].at)
 	}
 	if highestRevision >= revision && m.configLog[highestRevision-1].leaving {
-		m.recordViolation("work under revision %d, after revision %d had said leaving", revision, highestRevision)
+		m.recordViolation("request of revision %d accepted although revision %d says leaving", revision, highestRevision)
 	}
 	if m.listReportedLeaving && m.vmList[len(m.vmList)-1].leaving {
-		m.recordViolation("work after the list had said leaving, as it still does")
+		m.recordViolation("request accepted although the VM list had said leaving and still does")
 	}
 }
 
 var eventKinds = []string{
-	"pass", "pass", "pass", "pass", "pass", "pass", "request", "request", "request", "request", "request", "late", "late",
+	"advance", "advance", "advance", "advance", "advance", "advance", "request", "request", "request", "request", "request", "deliver-delayed", "deliver-delayed",
 	"end", "end", "end",
-	"label", "unlabel", "unlabel", "leave", "live", "live", "order", "unorder", "unorder", "stop", "kill", "heartbeat",
-	"pause", "wake", "wake", "cut-table", "heal-table", "heal-table", "cut-list", "heal-list", "heal-list",
-	"cut-entry", "cut-entry", "heal-entry", "wake-request", "wake-request", "kill-request",
-	"waver", "nap", "live", "live",
+	"label", "unlabel", "unlabel", "list-leaving", "list-live", "list-live", "order", "end-order", "end-order", "stop", "restart", "heartbeat",
+	"pause", "resume", "resume", "disconnect-table", "reconnect-table", "reconnect-table", "disconnect-list", "reconnect-list", "reconnect-list",
+	"disconnect-gateway", "disconnect-gateway", "reconnect-gateway", "resume-and-request", "resume-and-request", "restart-and-request",
+	"list-flap", "pause-while-leaving", "list-live", "list-live",
 }
 
 func applyEvent(sut commands.SystemUnderTest, e proof.Event) commands.Result {
@@ -205,11 +212,11 @@
 	random := rand.New(rand.NewSource(e.Seed))
 	gateway := random.Intn(len(m.gatewayRevisions))
 	switch e.Kind {
-	case "pass":
+	case "advance":
 		m.advance(random, 1+random.Intn(6))
 	case "request":
 		m.sendRequest(gateway, random.Intn(4) == 0, random)
-	case "late":
+	case "deliver-delayed":
 		m.deliverDelayed(random)
 	case "end":
 		m.endRequest()
@@ -217,21 +224,21 @@
 		m.sendHeartbeat(gateway)
 	case "label", "unlabel":
 		m.configLog = append(m.configLog, leavingChange{at: m.now, leaving: e.Kind == "label"})
-	case "leave", "live":
-		m.vmList = append(m.vmList, leavingChange{at: m.now, leaving: e.Kind == "leave"})
+	case "list-leaving", "list-live":
+		m.vmList = append(m.vmList, leavingChange{at: m.now, leaving: e.Kind == "list-leaving"})
 		m.listReportedLeaving = false
-	case "waver":
+	case "list-flap":
 		m.vmList = append(m.vmList, leavingChange{at: m.now, leaving: true})
 		m.listReportedLeaving = false
 		m.advance(random, 2+random.Intn(3))
 		m.sendRequest(gateway, false, random)
-	case "nap":
+	case "pause-while-leaving":
 		m.pauseDuringLeave(random, gateway)
-	case "kill":
+	case "restart":
 		m.restartAgent()
-	case "wake-request", "kill-request":
+	case "resume-and-request", "restart-and-request":
 		m.agentPaused = false
-		if e.Kind == "kill-request" {
+		if e.Kind == "restart-and-request" {
 			m.restartAgent()
 		}
 		m.sendRequest(gateway, false, random)
@@ -257,8 +264,9 @@
 	}
 }
 
-// pauseDuringLeave pauses the agent while its target begins to leave and an entry is cut
-// off; that entry is the first to be heard by the agent when it wakes.
+// pauseDuringLeave pauses the agent while its target begins to leave and a gateway
+// is disconnected from the table; that gateway is the first to reach the agent
+// after the pause.
 func (m *model) pauseDuringLeave(random *rand.Rand, gateway int) {
 	m.agentPaused = true
 	m.gatewayDisconnected[gateway] = true
@@ -277,7 +285,8 @@
 	m.sendRequest(gateway, false, random)
 }
 
-// sendRequest sends by what entry i knows; a delayed request stays in flight.
+// sendRequest sends a request if the gateway's config revision allows it; a delayed
+// request is delivered later.
 func (m *model) sendRequest(gateway int, delayed bool, random *rand.Rand) {
 	revision := m.gatewayRevisions[gateway]
 	if m.configLog[revision-1].leaving {
@@ -312,39 +321,39 @@
 
 func (m *model) injectFault(kind string, gateway int) {
 	switch kind {
-	case "order", "unorder":
+	case "order", "end-order":
 		m.underOrder = kind == "order"
 		m.agent.Order(m.underOrder, m.now)
 	case "stop":
 		m.stopping = true
 		m.agent.Stop(m.now)
-	case "pause", "wake":
+	case "pause", "resume":
 		m.agentPaused = kind == "pause"
-	case "cut-table", "heal-table":
-		m.tableReachable = kind == "heal-table"
+	case "disconnect-table", "reconnect-table":
+		m.tableReachable = kind == "reconnect-table"
 		m.reachabilityChangedAt = m.now
-	case "cut-list", "heal-list":
-		m.listReachable = kind == "heal-list"
+	case "disconnect-list", "reconnect-list":
+		m.listReachable = kind == "reconnect-list"
 		m.reachabilityChangedAt = m.now
-	case "cut-entry", "heal-entry":
-		m.gatewayDisconnected[gateway] = kind == "cut-entry"
+	case "disconnect-gateway", "reconnect-gateway":
+		m.gatewayDisconnected[gateway] = kind == "disconnect-gateway"
 	}
 }
 
 func TestProofLeavingTargetRefusesNewAndCompletesInFlightWork(t *testing.T) {
-	// A target leaves by label or by the list alone, while entries are cut off
-	// and send what they routed long before, its agent is paused, stopped,
-	// killed or under an order, and the list wavers. A user would notice work
-	// at a target that goes away, or answers cut in the middle.
+	// A target leaves by label or by the VM list alone, while gateways are
+	// disconnected and send requests that they routed long before, the agent is
+	// paused, stopped, killed or under an order, and the list flaps. A failure
+	// shows as work at a target that goes away, or as responses broken off.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
-		Claim: "a leaving target gets no work and none is cut",
+		Claim: "a leaving target accepts no new work and completes all work in flight",
 		Seed:  5, Runs: 800, Steps: 80,
 		Command: proof.Events(eventKinds, applyEvent),
 		World:   func() commands.SystemUnderTest { return newModel(counts) },
 	})
 	t.Logf("%d accepted, %d refused, %d planned stops", counts["accepted"], counts["refused"], counts["stops"])
 	if counts["accepted"] == 0 || counts["refused"] == 0 || counts["stops"] == 0 {
-		t.Error("the runs did not reach all ends")
+		t.Error("the runs did not cover acceptance, refusal and planned stops")
 	}
 }
