--- a/pkg/kumquatlug/health/health.go
+++ b/pkg/kumquatlug/health/health.go
@@ -83,13 +83,13 @@
 }
 
 const (
-	// leastWeight is kept by a target that is slow, probed, or not ejected for
+	// minWeight is kept by a target that is slow, probed, or not ejected for
 	// the bound's sake: one call in twenty of a fair share still shows how it
 	// does.
-	leastWeight = 0.05
-	// ratioStep is the weight of one answer in a target's mean ratio: some
+	minWeight = 0.05
+	// ratioSmoothing is the weight of one answer in a target's mean ratio: some
 	// eight answers make most of a change, so that one odd call moves little.
-	ratioStep = 0.2
+	ratioSmoothing = 0.2
 	// ratioHalfLife is the span in which a target that receives no answers is
 	// forgiven half of its slowness, so that it is tried again.
 	ratioHalfLife = 15 * kumquatlug.Second
@@ -110,33 +110,33 @@
 
 // target is one member of the group.
 type target struct {
-	name     string
-	ratio    float64
-	ratioAt  kumquatlug.Millis
-	judged   bool
-	failures int
-	missed   int
-	ejected  bool
+	name                string
+	meanRatio           float64
+	ratioUpdatedAt      kumquatlug.Millis
+	measured            bool
+	consecutiveFailures int
+	missedHeartbeats    int
+	ejected             bool
 	// ejectedAt and ejections set the time of the probe.
-	ejectedAt kumquatlug.Millis
-	ejections int
-	// backAt is when its slow start began; zero for none.
-	backAt kumquatlug.Millis
-	rising bool
+	ejectedAt            kumquatlug.Millis
+	consecutiveEjections int
+	// slowStartAt is when its slow start began; zero for none.
+	slowStartAt  kumquatlug.Millis
+	slowStarting bool
 }
 
 // Group judges targets that do the same work.
 type Group struct {
-	config  Config
-	targets map[string]*target
-	names   []string
-	median  float64
-	ratios  []float64
+	config      Config
+	targets     map[string]*target
+	names       []string
+	medianRatio float64
+	ratios      []float64
 }
 
 // New returns a group without targets.
 func New(c Config) *Group {
-	return &Group{config: c.withDefaults(), targets: map[string]*target{}, median: 1}
+	return &Group{config: c.withDefaults(), targets: map[string]*target{}, medianRatio: 1}
 }
 
 // HeartbeatEvery returns the span between two heartbeats to a target.
@@ -151,9 +151,9 @@
 	if _, ok := g.targets[name]; ok {
 		return
 	}
-	g.targets[name] = &target{name: name, ratio: 1}
-	at, _ := slices.BinarySearch(g.names, name)
-	g.names = slices.Insert(g.names, at, name)
+	g.targets[name] = &target{name: name, meanRatio: 1}
+	index, _ := slices.BinarySearch(g.names, name)
+	g.names = slices.Insert(g.names, index, name)
 }
 
 // Remove takes a target out of the group.
@@ -169,10 +169,10 @@
 	if !ok {
 		return
 	}
-	dead := t.missed >= g.config.MissedLimit
-	t.missed = 0
-	if dead && t.failures < g.config.FailureLimit {
-		g.rise(now, t)
+	wasDead := t.missedHeartbeats >= g.config.MissedLimit
+	t.missedHeartbeats = 0
+	if wasDead && t.consecutiveFailures < g.config.FailureLimit {
+		g.startSlowStart(now, t)
 	}
 }
 
@@ -182,8 +182,8 @@
 	if !ok {
 		return
 	}
-	t.missed++
-	if t.missed >= g.config.MissedLimit {
+	t.missedHeartbeats++
+	if t.missedHeartbeats >= g.config.MissedLimit {
 		g.eject(now, t)
 	}
 }
@@ -200,63 +200,63 @@
 		return
 	}
 	if !ok {
-		g.failed(now, t)
+		g.recordFailure(now, t)
 		return
 	}
-	g.succeeded(now, t, ratio)
+	g.recordSuccess(now, t, ratio)
 }
 
-func (g *Group) failed(now kumquatlug.Millis, t *target) {
-	t.failures++
-	if t.ejected && g.state(now, t) == StateProbing {
+func (g *Group) recordFailure(now kumquatlug.Millis, t *target) {
+	t.consecutiveFailures++
+	if t.ejected && g.targetState(now, t) == StateProbing {
 		t.ejected = false
 		g.eject(now, t)
 		return
 	}
-	if t.failures >= g.config.FailureLimit {
+	if t.consecutiveFailures >= g.config.FailureLimit {
 		g.eject(now, t)
 	}
 }
 
-func (g *Group) succeeded(now kumquatlug.Millis, t *target, ratio float64) {
-	t.failures = 0
-	if t.ejected && t.missed < g.config.MissedLimit {
-		g.rise(now, t)
+func (g *Group) recordSuccess(now kumquatlug.Millis, t *target, ratio float64) {
+	t.consecutiveFailures = 0
+	if t.ejected && t.missedHeartbeats < g.config.MissedLimit {
+		g.startSlowStart(now, t)
 	}
-	if !t.ejected && !t.rising {
-		t.ejections = 0
+	if !t.ejected && !t.slowStarting {
+		t.consecutiveEjections = 0
 	}
 	if ratio > 0 && !math.IsInf(ratio, 1) {
-		t.ratio = g.ratio(now, t)
-		t.ratio += ratioStep * (ratio - t.ratio)
-		t.ratioAt = now
-		t.judged = true
-		g.findMedian()
+		t.meanRatio = g.decayedRatio(now, t)
+		t.meanRatio += ratioSmoothing * (ratio - t.meanRatio)
+		t.ratioUpdatedAt = now
+		t.measured = true
+		g.updateMedian()
 	}
 }
 
-// rise puts a target back with a small share that grows.
-func (g *Group) rise(now kumquatlug.Millis, t *target) {
+// startSlowStart puts a target back with a small share that grows.
+func (g *Group) startSlowStart(now kumquatlug.Millis, t *target) {
 	t.ejected = false
-	t.rising = true
-	t.backAt = now
+	t.slowStarting = true
+	t.slowStartAt = now
 }
 
 // eject takes a target out, if the bound allows it. Without the bound an entry
 // that is cut off would eject every target and refuse all callers although
 // most targets still answer others.
 func (g *Group) eject(now kumquatlug.Millis, t *target) {
-	if t.ejected || g.Ejected() >= g.bound() {
+	if t.ejected || g.Ejected() >= g.maxEjected() {
 		return
 	}
 	t.ejected = true
-	t.rising = false
+	t.slowStarting = false
 	t.ejectedAt = now
-	t.ejections++
+	t.consecutiveEjections++
 }
 
-// bound returns how many targets may be ejected at once.
-func (g *Group) bound() int {
+// maxEjected returns how many targets may be ejected at once.
+func (g *Group) maxEjected() int {
 	if len(g.targets) < 2 {
 		return 0
 	}
@@ -270,7 +270,7 @@
 	if !ok {
 		return
 	}
-	t.failures = max(t.failures, g.config.FailureLimit)
+	t.consecutiveFailures = max(t.consecutiveFailures, g.config.FailureLimit)
 	g.eject(now, t)
 }
 
@@ -291,14 +291,14 @@
 	if !ok {
 		return StateServing
 	}
-	return g.state(now, t)
+	return g.targetState(now, t)
 }
 
-func (g *Group) state(now kumquatlug.Millis, t *target) State {
+func (g *Group) targetState(now kumquatlug.Millis, t *target) State {
 	if !t.ejected {
 		return StateServing
 	}
-	if t.missed >= g.config.MissedLimit || now-t.ejectedAt < g.probeWait(t) {
+	if t.missedHeartbeats >= g.config.MissedLimit || now-t.ejectedAt < g.probeWait(t) {
 		return StateEjected
 	}
 	return StateProbing
@@ -307,7 +307,7 @@
 // probeWait doubles with each ejection in a row.
 func (g *Group) probeWait(t *target) kumquatlug.Millis {
 	wait := g.config.ProbeAfter
-	for i := 1; i < t.ejections && wait < g.config.ProbeLimit; i++ {
+	for i := 1; i < t.consecutiveEjections && wait < g.config.ProbeLimit; i++ {
 		wait *= 2
 	}
 	return min(wait, g.config.ProbeLimit)
@@ -320,63 +320,63 @@
 	if !ok {
 		return 1
 	}
-	switch g.state(now, t) {
+	switch g.targetState(now, t) {
 	case StateEjected:
 		return 0
 	case StateProbing:
-		return leastWeight
+		return minWeight
 	default:
-		weight := g.speed(now, t) * g.trust(t) * g.start(now, t)
-		return max(weight, leastWeight)
+		weight := g.speedFactor(now, t) * g.failureFactor(t) * g.slowStartFactor(now, t)
+		return max(weight, minWeight)
 	}
 }
 
-// speed is 1 for a target within the tolerance and otherwise the part of the
+// speedFactor is 1 for a target within the tolerance and otherwise the part of the
 // median's speed that it has.
-func (g *Group) speed(now kumquatlug.Millis, t *target) float64 {
-	if !t.judged || g.median <= 0 {
+func (g *Group) speedFactor(now kumquatlug.Millis, t *target) float64 {
+	if !t.measured || g.medianRatio <= 0 {
 		return 1
 	}
-	slower := g.ratio(now, t) / g.median
+	slower := g.decayedRatio(now, t) / g.medianRatio
 	if slower <= g.config.Tolerance {
 		return 1
 	}
 	return 1 / slower
 }
 
-// trust halves with each failure and each missed heartbeat in a row.
-func (g *Group) trust(t *target) float64 {
-	return math.Pow(0.5, float64(min(t.failures+t.missed, 30)))
+// failureFactor halves with each failure and each missed heartbeat in a row.
+func (g *Group) failureFactor(t *target) float64 {
+	return math.Pow(0.5, float64(min(t.consecutiveFailures+t.missedHeartbeats, 30)))
 }
 
-// start grows from the least weight to 1 over the slow start.
-func (g *Group) start(now kumquatlug.Millis, t *target) float64 {
-	if !t.rising {
+// slowStartFactor grows from the least weight to 1 over the slow start.
+func (g *Group) slowStartFactor(now kumquatlug.Millis, t *target) float64 {
+	if !t.slowStarting {
 		return 1
 	}
-	grown := float64(now-t.backAt) / float64(g.config.SlowStart)
-	return min(max(grown, leastWeight), 1)
+	progress := float64(now-t.slowStartAt) / float64(g.config.SlowStart)
+	return min(max(progress, minWeight), 1)
 }
 
-// ratio returns a target's mean ratio, moved towards the median with the time
+// decayedRatio returns a target's mean ratio, moved towards the median with the time
 // since its last answer.
-func (g *Group) ratio(now kumquatlug.Millis, t *target) float64 {
-	if !t.judged {
-		return g.median
+func (g *Group) decayedRatio(now kumquatlug.Millis, t *target) float64 {
+	if !t.measured {
+		return g.medianRatio
 	}
-	age := float64(max(now-t.ratioAt, 0)) / float64(ratioHalfLife)
-	return g.median + (t.ratio-g.median)*math.Pow(0.5, age)
+	halfLives := float64(max(now-t.ratioUpdatedAt, 0)) / float64(ratioHalfLife)
+	return g.medianRatio + (t.meanRatio-g.medianRatio)*math.Pow(0.5, halfLives)
 }
 
-// findMedian takes the lower median of the targets that have answered, so
+// updateMedian takes the lower median of the targets that have answered, so
 // that in a group of two the slow one is seen.
-func (g *Group) findMedian() {
+func (g *Group) updateMedian() {
 	g.ratios = g.ratios[:0]
 	for _, name := range g.names {
-		if t := g.targets[name]; t.judged {
-			g.ratios = append(g.ratios, t.ratio)
+		if t := g.targets[name]; t.measured {
+			g.ratios = append(g.ratios, t.meanRatio)
 		}
 	}
 	slices.Sort(g.ratios)
-	g.median = g.ratios[(len(g.ratios)-1)/2]
+	g.medianRatio = g.ratios[(len(g.ratios)-1)/2]
 }
--- a/pkg/kumquatlug/health/health_test.go
+++ b/pkg/kumquatlug/health/health_test.go
@@ -11,27 +11,27 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// group returns a group of n targets that have all answered as expected.
-func group(n int) *Group {
+// newGroup returns a group of n targets that have all answered as expected.
+func newGroup(n int) *Group {
 	g := New(Config{})
 	for i := range n {
-		g.Add(name(i))
-		g.Outcome(0, name(i), true, 1)
+		g.Add(targetName(i))
+		g.Outcome(0, targetName(i), true, 1)
 	}
 	return g
 }
 
-func name(i int) string { return fmt.Sprintf("t%02d", i) }
+func targetName(i int) string { return fmt.Sprintf("t%02d", i) }
 
 func TestSlowTargetLosesShareGradually(t *testing.T) {
 	// An accelerator throttles and its target answers three times slower than
 	// the others. Callers who meet it miss their deadlines, until it is given
 	// a third of what the others get.
-	g := group(6)
+	g := newGroup(6)
 	last := 1.0
 	for i := range 40 {
-		g.Outcome(kumquatlug.Millis(i), name(0), true, 3)
-		weight := g.Weight(kumquatlug.Millis(i), name(0))
+		g.Outcome(kumquatlug.Millis(i), targetName(0), true, 3)
+		weight := g.Weight(kumquatlug.Millis(i), targetName(0))
 		if weight > last || last-weight > 0.3 {
 			t.Fatalf("after %d slow answers the weight goes from %.2f to %.2f", i+1, last, weight)
 		}
@@ -40,70 +40,70 @@
 	if last < 0.3 || last > 0.4 {
 		t.Errorf("weight = %.2f, want about a third", last)
 	}
-	if w := g.Weight(40, name(1)); w != 1 {
+	if w := g.Weight(40, targetName(1)); w != 1 {
 		t.Errorf("the others have weight %.2f", w)
 	}
-	if w := g.Weight(2*kumquatlug.Minute, name(0)); w != 1 {
+	if w := g.Weight(2*kumquatlug.Minute, targetName(0)); w != 1 {
 		t.Errorf("after two minutes without answers it is tried with weight %.2f", w)
 	}
 }
 
-func TestPeakTakesNoWeight(t *testing.T) {
+func TestUniformSlowdownKeepsWeights(t *testing.T) {
 	// At a peak every target is slow. If each lost weight for it, the group
 	// would be given less work exactly when there is most.
-	g := group(6)
+	g := newGroup(6)
 	for i := range 60 {
-		g.Outcome(kumquatlug.Millis(i), name(i%6), true, 8)
+		g.Outcome(kumquatlug.Millis(i), targetName(i%6), true, 8)
 	}
 	for i := range 6 {
-		if w := g.Weight(60, name(i)); w != 1 {
-			t.Errorf("%s has weight %.2f", name(i), w)
+		if w := g.Weight(60, targetName(i)); w != 1 {
+			t.Errorf("%s has weight %.2f", targetName(i), w)
 		}
 	}
 }
 
-func TestCutOffEntryKeepsMostTargets(t *testing.T) {
+func TestDisconnectedGatewayKeepsMostTargets(t *testing.T) {
 	// The entry's own link fails for some seconds: every heartbeat is missed.
 	// If it ejected all targets, callers would be refused long after the link
 	// is back, and those targets that still answer would stand idle.
-	g := group(12)
-	for beat := range kumquatlug.Millis(10) {
+	g := newGroup(12)
+	for heartbeat := range kumquatlug.Millis(10) {
 		for i := range 12 {
-			g.HeartbeatMissed(beat*kumquatlug.Second, name(i))
+			g.HeartbeatMissed(heartbeat*kumquatlug.Second, targetName(i))
 		}
 	}
 	if n := g.Ejected(); n != 4 {
 		t.Errorf("%d of 12 targets are ejected, want 4", n)
 	}
 	for i := range 12 {
-		g.Heartbeat(11*kumquatlug.Second, name(i))
+		g.Heartbeat(11*kumquatlug.Second, targetName(i))
 	}
 	if n := g.Ejected(); n != 0 {
 		t.Errorf("%d targets are still ejected after the link is back", n)
 	}
 }
 
-func TestDeadTargetIsOutWithinSeconds(t *testing.T) {
+func TestDeadTargetIsEjectedWithinSeconds(t *testing.T) {
 	// A VM is lost. Until the entry notices, one caller in twelve waits for
 	// nothing; three missed heartbeats must be enough.
-	g := group(12)
+	g := newGroup(12)
 	now := kumquatlug.Millis(0)
 	for range 3 {
 		now += g.HeartbeatEvery()
-		g.HeartbeatMissed(now+g.HeartbeatTimeout(), name(3))
+		g.HeartbeatMissed(now+g.HeartbeatTimeout(), targetName(3))
 	}
-	if w := g.Weight(now+g.HeartbeatTimeout(), name(3)); w != 0 {
+	if w := g.Weight(now+g.HeartbeatTimeout(), targetName(3)); w != 0 {
 		t.Errorf("weight = %.2f after %d ms", w, now+g.HeartbeatTimeout())
 	}
 }
 
-func TestFailingTargetIsProbedAndGrowsBack(t *testing.T) {
+func TestFailingTargetIsProbedAndStartsSlowly(t *testing.T) {
 	// A target fails each call at once and looks idle. Callers meet errors
 	// until it is ejected; when it is mended it must not be flooded while its
 	// cache is empty, and a failed probe must not bring it back.
-	g := group(6)
+	g := newGroup(6)
 	for range 5 {
-		g.Outcome(0, name(0), false, 0)
+		g.Outcome(0, targetName(0), false, 0)
 	}
 	steps := []struct {
 		at    kumquatlug.Millis
@@ -111,35 +111,35 @@
 		event func(now kumquatlug.Millis)
 	}{
 		{at: 4999, state: StateEjected},
-		{at: 5000, state: StateProbing, event: func(now kumquatlug.Millis) { g.Outcome(now, name(0), false, 0) }},
+		{at: 5000, state: StateProbing, event: func(now kumquatlug.Millis) { g.Outcome(now, targetName(0), false, 0) }},
 		{at: 14999, state: StateEjected},
-		{at: 15000, state: StateProbing, event: func(now kumquatlug.Millis) { g.Outcome(now, name(0), true, 1) }},
+		{at: 15000, state: StateProbing, event: func(now kumquatlug.Millis) { g.Outcome(now, targetName(0), true, 1) }},
 		{at: 15001, state: StateServing},
 	}
 	for _, s := range steps {
-		if got := g.State(s.at, name(0)); got != s.state {
+		if got := g.State(s.at, targetName(0)); got != s.state {
 			t.Fatalf("at %d ms: %s, want %s", s.at, got, s.state)
 		}
 		if s.event != nil {
 			s.event(s.at)
 		}
 	}
-	if early, late := g.Weight(16000, name(0)), g.Weight(25000, name(0)); early > 0.11 || late != 1 {
+	if early, late := g.Weight(16000, targetName(0)), g.Weight(25000, targetName(0)); early > 0.11 || late != 1 {
 		t.Errorf("weight a second after its return %.2f, after ten %.2f", early, late)
 	}
 }
 
-func TestEjectedStaysBounded(t *testing.T) {
+func TestEjectedFractionIsBounded(t *testing.T) {
 	// Whatever fails in whatever order, the greater part of the group must
 	// stay in use.
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("at most a third is ejected", prop.ForAll(
 		func(size int, events []int) bool {
-			g := group(size)
+			g := newGroup(size)
 			for i, e := range events {
 				now := kumquatlug.Millis(i) * 700
-				target := name(e / 4 % size)
+				target := targetName(e / 4 % size)
 				switch e % 4 {
 				case 0, 1:
 					g.HeartbeatMissed(now, target)
