--- a/pkg/kumquatlug/health/health.go
+++ b/pkg/kumquatlug/health/health.go
@@ -1,23 +1,22 @@
-// Package health judges how much work a target of a group should be given,
-// from heartbeats and from how its calls end.
+// Package health computes the load-balancing weight of each target in a group
+// from heartbeats and call outcomes, and ejects outliers.
 //
-// It answers the target that is slow (a throttled accelerator, a noisy
-// neighbour on its host), the one that fails every call at once and thereby
-// looks idle to a router that follows load, and the one that is gone. Without
-// it a slow target holds its share of callers past their deadlines, a failing
-// one attracts all of the work of its group, and a dead one takes calls until
-// each has timed out. Acting too hard is as bad: if the entry itself is cut
-// off, or all targets are slow because of a peak, ejecting them leaves nothing
-// to serve with. So
+// It handles targets that are slow (a throttled accelerator, a noisy neighbour
+// on the host), targets that fail every call at once and therefore look idle to
+// a load-based router, and targets that are dead. Without it a slow target
+// delays its share of callers past their deadlines, a failing target attracts
+// all work of its group, and a dead target receives calls until each has timed
+// out. Overreacting is as harmful: if the gateway itself is disconnected, or all
+// targets are slow under peak load, ejecting them leaves no capacity. Therefore
 //
-//   - a target's weight follows its speed relative to the median of its group:
-//     when all are slow, nobody loses weight;
-//   - consecutive failures halve the weight, one after the other, before they
-//     eject;
-//   - at most a part of a group is ejected at once; the others that would be
-//     keep a small weight;
+//   - the weight of a target follows its speed relative to the median of the
+//     group: if all targets are slow, none loses weight;
+//   - each consecutive failure halves the weight, before the target is ejected;
+//   - at most a fraction of a group is ejected at the same time; other targets
+//     that meet the condition keep a small weight;
 //   - an ejected target is probed with a small weight after a wait that doubles
-//     with each ejection in a row, and grows back to its full share slowly.
+//     with each consecutive ejection, and returns to its full share by a slow
+//     start.
 //
 // A Group belongs to one loop and is not safe for concurrent use.
 package health
@@ -30,41 +29,42 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Config is what a [Group] is made of. The zero value of each field stands
-// for its default.
+// Config holds the parameters of a [Group]. The zero value of each field selects
+// its default.
 type Config struct {
-	// HeartbeatEvery is the span between two heartbeats to a target. Default
-	// 1,000 ms: 20 targets with reports of 142 bytes are 2.8 KB a second of the
-	// 5 KB that a node may use for control; with cache events take 2,000.
+	// HeartbeatEvery is the interval between two heartbeats to a target. Default
+	// 1,000 ms: 20 targets with reports of 142 bytes use 2.8 KB of the 5 KB per
+	// second that a node may use for control traffic. With cache events, set
+	// 2,000.
 	HeartbeatEvery kumquatlug.Millis
-	// HeartbeatTimeout is how long an entry waits for the answer to one
-	// heartbeat before it counts it as missed. Default 1,000 ms: a thousand
-	// round trips between data centres, so that only a stop of the process or
-	// the link reaches it.
+	// HeartbeatTimeout is how long a gateway waits for the response to a
+	// heartbeat before it counts it as missed. Default 1,000 ms: a thousand round
+	// trips between data centres, which only a stopped process or a broken link
+	// exceeds.
 	HeartbeatTimeout kumquatlug.Millis
-	// MissedLimit is how many heartbeats in a row are missed before the target
-	// counts as dead. Default 3: with the spans above a dead target is out
-	// within 4 s, and a pause of 2 s costs weight only.
+	// MissedLimit is the number of consecutive missed heartbeats after which a
+	// target counts as dead. Default 3: with the defaults above a dead target is
+	// ejected within 4 s, and a pause of 2 s only reduces its weight.
 	MissedLimit int
-	// FailureLimit is how many calls in a row fail before the target is
-	// ejected. Default 5: by then its weight is 1/32, and a target that fails
-	// one call in five is ejected once in 3,000 calls only.
+	// FailureLimit is the number of consecutive failed calls after which a target
+	// is ejected. Default 5: its weight is 1/32 by then, and a target that fails
+	// one call in five is ejected only once in 3,000 calls.
 	FailureLimit int
-	// EjectPart is the greatest part of the group that is ejected at once;
-	// at least one target of a group of two or more may be. Default 0.34: a
-	// data centre of three may be lost whole, and more than that is likelier
-	// to be the entry's own trouble.
+	// EjectPart is the maximum fraction of the group that is ejected at the same
+	// time; in a group of two or more at least one target may be. Default 0.34:
+	// one of three data centres may be lost completely, while more than that is
+	// more likely a fault of the gateway itself.
 	EjectPart float64
-	// ProbeAfter is the wait before an ejected target is probed; it doubles
-	// with each ejection in a row up to ProbeLimit. Defaults 5 s and 60 s: an
-	// engine restarts in tens of seconds, and a probe a minute costs nothing.
+	// ProbeAfter is the wait before an ejected target is probed; it doubles with
+	// each consecutive ejection, up to ProbeLimit. Defaults 5 s and 60 s: an
+	// engine restarts in tens of seconds, and one probe a minute costs nothing.
 	ProbeAfter kumquatlug.Millis
 	ProbeLimit kumquatlug.Millis
-	// SlowStart is the span over which a target that is back grows to its full
-	// share. Default 10 s: its caches are empty, and ten reports show how it
-	// bears the load.
+	// SlowStart is the time over which a target that returns to service grows to
+	// its full share. Default 10 s: its caches are empty, and in that time ten
+	// reports show how it copes with the load.
 	SlowStart kumquatlug.Millis
-	// Tolerance is how much slower than the median a target may be without
+	// Tolerance is how many times slower than the median a target may be without
 	// losing weight. Default 1.25: targets differ by that much by chance.
 	Tolerance float64
 }
@@ -83,28 +83,31 @@
 }
 
 const (
-	// minWeight is kept by a target that is slow, probed, or not ejected for
-	// the bound's sake: one call in twenty of a fair share still shows how it
-	// does.
+	// minWeight is the weight of a target that is slow, probed, or not ejected
+	// because of the limit on ejections: one call in twenty of a fair share still
+	// shows its health.
 	minWeight = 0.05
-	// ratioSmoothing is the weight of one answer in a target's mean ratio: some
-	// eight answers make most of a change, so that one odd call moves little.
+	// ratioSmoothing is the weight of one response in the moving average of a
+	// target's ratio: about eight responses make up most of a change, so a single
+	// outlier has little effect.
 	ratioSmoothing = 0.2
-	// ratioHalfLife is the span in which a target that receives no answers is
-	// forgiven half of its slowness, so that it is tried again.
+	// ratioHalfLife is the time in which the deviation of a target's ratio from
+	// the median halves while it sends no responses, so that a slow target is
+	// tried again.
 	ratioHalfLife = 15 * kumquatlug.Second
 )
 
-// State is what a group thinks of a target.
+// State is the health state of a target.
 type State string
 
 // The states of a target.
 const (
-	// StateServing takes its share, by its weight.
+	// StateServing: the target receives its share, according to its weight.
 	StateServing State = "serving"
-	// StateEjected takes nothing.
+	// StateEjected: the target receives no calls.
 	StateEjected State = "ejected"
-	// StateProbing takes a little, to show whether it is well.
+	// StateProbing: the target receives a few calls, which show whether it has
+	// recovered.
 	StateProbing State = "probing"
 )
 
@@ -117,15 +120,16 @@
 	consecutiveFailures int
 	missedHeartbeats    int
 	ejected             bool
-	// ejectedAt and ejections set the time of the probe.
+	// ejectedAt and consecutiveEjections determine when the target is probed.
 	ejectedAt            kumquatlug.Millis
 	consecutiveEjections int
-	// slowStartAt is when its slow start began; zero for none.
+	// slowStartAt is when the slow start began. slowStarting is set from then until
+	// the next ejection, also after the target has reached its full share.
 	slowStartAt  kumquatlug.Millis
 	slowStarting bool
 }
 
-// Group judges targets that do the same work.
+// Group holds the health of targets that do the same work.
 type Group struct {
 	config      Config
 	targets     map[string]*target
@@ -139,14 +143,14 @@
 	return &Group{config: c.withDefaults(), targets: map[string]*target{}, medianRatio: 1}
 }
 
-// HeartbeatEvery returns the span between two heartbeats to a target.
+// HeartbeatEvery returns the interval between two heartbeats to a target.
 func (g *Group) HeartbeatEvery() kumquatlug.Millis { return g.config.HeartbeatEvery }
 
-// HeartbeatTimeout returns how long an answer to a heartbeat is waited for.
+// HeartbeatTimeout returns how long to wait for the response to a heartbeat.
 func (g *Group) HeartbeatTimeout() kumquatlug.Millis { return g.config.HeartbeatTimeout }
 
-// Add takes a target into the group, with its full share: nothing speaks
-// against it. Adding one that is there changes nothing.
+// Add adds a target to the group. It begins with its full share, without a slow
+// start. Adding a target that is already in the group has no effect.
 func (g *Group) Add(name string) {
 	if _, ok := g.targets[name]; ok {
 		return
@@ -156,14 +160,14 @@
 	g.names = slices.Insert(g.names, index, name)
 }
 
-// Remove takes a target out of the group.
+// Remove removes a target from the group.
 func (g *Group) Remove(name string) {
 	delete(g.targets, name)
 	g.names = slices.DeleteFunc(g.names, func(n string) bool { return n == name })
 }
 
-// Heartbeat records that a target answered a heartbeat. One that was ejected
-// as dead begins its slow start.
+// Heartbeat records that a target responded to a heartbeat. A target that was
+// ejected as dead begins its slow start.
 func (g *Group) Heartbeat(now kumquatlug.Millis, name string) {
 	t, ok := g.targets[name]
 	if !ok {
@@ -176,7 +180,7 @@
 	}
 }
 
-// HeartbeatMissed records that a heartbeat brought no answer in time.
+// HeartbeatMissed records that a target didn't respond to a heartbeat in time.
 func (g *Group) HeartbeatMissed(now kumquatlug.Millis, name string) {
 	t, ok := g.targets[name]
 	if !ok {
@@ -188,12 +192,12 @@
 	}
 }
 
-// Outcome records how a call ended: whether the target did its work, and the
-// ratio of the time it took to the time that was expected of it at full weight.
-// With the time expected at its present weight a slow target would look well as
-// soon as it is given less, and get its full share again. A refusal for want
-// of room, a caller's own error and a call that a caller gave up are no
-// outcomes. The ratio of a failed call is not used.
+// Outcome records how a call ended: whether the target succeeded, and the ratio
+// of the time it took to the time expected at full weight. Relative to the time
+// expected at its current weight, a slow target would look healthy as soon as it
+// receives less work, and would get its full share back. A refusal for lack of
+// capacity, an error of the caller and a call that the caller cancelled must not
+// be recorded. The ratio of a failed call is ignored.
 func (g *Group) Outcome(now kumquatlug.Millis, name string, ok bool, ratio float64) {
 	t, found := g.targets[name]
 	if !found {
@@ -235,16 +239,16 @@
 	}
 }
 
-// startSlowStart puts a target back with a small share that grows.
+// startSlowStart returns a target to service with a small share that grows.
 func (g *Group) startSlowStart(now kumquatlug.Millis, t *target) {
 	t.ejected = false
 	t.slowStarting = true
 	t.slowStartAt = now
 }
 
-// eject takes a target out, if the bound allows it. Without the bound an entry
-// that is cut off would eject every target and refuse all callers although
-// most targets still answer others.
+// eject ejects a target unless maxEjected targets are ejected. Without the limit
+// a disconnected gateway would eject every target and refuse all callers,
+// although most targets still respond to other gateways.
 func (g *Group) eject(now kumquatlug.Millis, t *target) {
 	if t.ejected || g.Ejected() >= g.maxEjected() {
 		return
@@ -255,7 +259,7 @@
 	t.consecutiveEjections++
 }
 
-// maxEjected returns how many targets may be ejected at once.
+// maxEjected returns how many targets may be ejected at the same time.
 func (g *Group) maxEjected() int {
 	if len(g.targets) < 2 {
 		return 0
@@ -263,8 +267,8 @@
 	return max(int(g.config.EjectPart*float64(len(g.targets))), 1)
 }
 
-// Eject takes out a target that was seen to be silent, without waiting for its
-// calls to fail one after the other; the bound on ejected targets holds.
+// Eject ejects a target that is known to be unresponsive, without waiting for
+// FailureLimit calls to fail; the limit on ejected targets applies.
 func (g *Group) Eject(now kumquatlug.Millis, name string) {
 	t, ok := g.targets[name]
 	if !ok {
@@ -274,7 +278,7 @@
 	g.eject(now, t)
 }
 
-// Ejected returns how many targets are ejected or probed.
+// Ejected returns the number of targets that are ejected or probed.
 func (g *Group) Ejected() int {
 	n := 0
 	for _, t := range g.targets {
@@ -285,7 +289,7 @@
 	return n
 }
 
-// State returns what the group thinks of a target; an unknown one is serving.
+// State returns the state of a target; an unknown target is serving.
 func (g *Group) State(now kumquatlug.Millis, name string) State {
 	t, ok := g.targets[name]
 	if !ok {
@@ -304,7 +308,8 @@
 	return StateProbing
 }
 
-// probeWait doubles with each ejection in a row.
+// probeWait returns the wait before the target is probed, which doubles with each
+// consecutive ejection.
 func (g *Group) probeWait(t *target) kumquatlug.Millis {
 	wait := g.config.ProbeAfter
 	for i := 1; i < t.consecutiveEjections && wait < g.config.ProbeLimit; i++ {
@@ -313,8 +318,8 @@
 	return min(wait, g.config.ProbeLimit)
 }
 
-// Weight returns the part of its fair share that a target should be given,
-// from 0 when it is ejected to 1.
+// Weight returns the fraction of its fair share that a target should receive,
+// from 0 if it is ejected to 1.
 func (g *Group) Weight(now kumquatlug.Millis, name string) float64 {
 	t, ok := g.targets[name]
 	if !ok {
@@ -331,8 +336,8 @@
 	}
 }
 
-// speedFactor is 1 for a target within the tolerance and otherwise the part of the
-// median's speed that it has.
+// speedFactor returns 1 for a target within the tolerance, and otherwise its speed
+// as a fraction of the median speed.
 func (g *Group) speedFactor(now kumquatlug.Millis, t *target) float64 {
 	if !t.measured || g.medianRatio <= 0 {
 		return 1
@@ -344,12 +349,14 @@
 	return 1 / slower
 }
 
-// failureFactor halves with each failure and each missed heartbeat in a row.
+// failureFactor returns a factor that halves with each consecutive failure and each
+// consecutive missed heartbeat.
 func (g *Group) failureFactor(t *target) float64 {
 	return math.Pow(0.5, float64(min(t.consecutiveFailures+t.missedHeartbeats, 30)))
 }
 
-// slowStartFactor grows from the least weight to 1 over the slow start.
+// slowStartFactor returns a factor that grows from minWeight to 1 during the slow
+// start.
 func (g *Group) slowStartFactor(now kumquatlug.Millis, t *target) float64 {
 	if !t.slowStarting {
 		return 1
@@ -358,8 +365,8 @@
 	return min(max(progress, minWeight), 1)
 }
 
-// decayedRatio returns a target's mean ratio, moved towards the median with the time
-// since its last answer.
+// decayedRatio returns a target's mean ratio, which decays towards the median with
+// the time since its last response.
 func (g *Group) decayedRatio(now kumquatlug.Millis, t *target) float64 {
 	if !t.measured {
 		return g.medianRatio
@@ -368,8 +375,8 @@
 	return g.medianRatio + (t.meanRatio-g.medianRatio)*math.Pow(0.5, halfLives)
 }
 
-// updateMedian takes the lower median of the targets that have answered, so
-// that in a group of two the slow one is seen.
+// updateMedian sets the lower median of the ratios of all measured targets. With
+// the lower median, the slow target of a group of two is recognized.
 func (g *Group) updateMedian() {
 	g.ratios = g.ratios[:0]
 	for _, name := range g.names {
--- a/pkg/kumquatlug/health/health_test.go
+++ b/pkg/kumquatlug/health/health_test.go
@@ -11,7 +11,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// newGroup returns a group of n targets that have all answered as expected.
+// newGroup returns a group of n targets that have all responded in the expected
+// time.
 func newGroup(n int) *Group {
 	g := New(Config{})
 	for i := range n {
@@ -24,48 +25,48 @@
 func targetName(i int) string { return fmt.Sprintf("t%02d", i) }
 
 func TestSlowTargetLosesShareGradually(t *testing.T) {
-	// An accelerator throttles and its target answers three times slower than
-	// the others. Callers who meet it miss their deadlines, until it is given
-	// a third of what the others get.
+	// An accelerator throttles, and its target is three times slower than the
+	// others. Its callers miss their deadlines until it receives a third of what
+	// the other targets receive. The weight must not drop at once.
 	g := newGroup(6)
 	last := 1.0
 	for i := range 40 {
 		g.Outcome(kumquatlug.Millis(i), targetName(0), true, 3)
 		weight := g.Weight(kumquatlug.Millis(i), targetName(0))
 		if weight > last || last-weight > 0.3 {
-			t.Fatalf("after %d slow answers the weight goes from %.2f to %.2f", i+1, last, weight)
+			t.Fatalf("after %d slow responses the weight changed from %.2f to %.2f", i+1, last, weight)
 		}
 		last = weight
 	}
 	if last < 0.3 || last > 0.4 {
-		t.Errorf("weight = %.2f, want about a third", last)
+		t.Errorf("weight of the slow target = %.2f, want about a third", last)
 	}
 	if w := g.Weight(40, targetName(1)); w != 1 {
-		t.Errorf("the others have weight %.2f", w)
+		t.Errorf("weight of another target = %.2f, want 1", w)
 	}
 	if w := g.Weight(2*kumquatlug.Minute, targetName(0)); w != 1 {
-		t.Errorf("after two minutes without answers it is tried with weight %.2f", w)
+		t.Errorf("weight after two minutes without responses = %.2f, want 1", w)
 	}
 }
 
 func TestUniformSlowdownKeepsWeights(t *testing.T) {
-	// At a peak every target is slow. If each lost weight for it, the group
-	// would be given less work exactly when there is most.
+	// Under peak load every target is slow. If each lost weight, the group would
+	// receive less work exactly when there is most.
 	g := newGroup(6)
 	for i := range 60 {
 		g.Outcome(kumquatlug.Millis(i), targetName(i%6), true, 8)
 	}
 	for i := range 6 {
 		if w := g.Weight(60, targetName(i)); w != 1 {
-			t.Errorf("%s has weight %.2f", targetName(i), w)
+			t.Errorf("weight of %s = %.2f, want 1", targetName(i), w)
 		}
 	}
 }
 
 func TestDisconnectedGatewayKeepsMostTargets(t *testing.T) {
-	// The entry's own link fails for some seconds: every heartbeat is missed.
-	// If it ejected all targets, callers would be refused long after the link
-	// is back, and those targets that still answer would stand idle.
+	// The gateway's own link fails for some seconds, so every heartbeat is missed.
+	// If it ejected all targets, callers would be refused long after the link has
+	// recovered, and targets that still respond would be idle.
 	g := newGroup(12)
 	for heartbeat := range kumquatlug.Millis(10) {
 		for i := range 12 {
@@ -79,13 +80,13 @@
 		g.Heartbeat(11*kumquatlug.Second, targetName(i))
 	}
 	if n := g.Ejected(); n != 0 {
-		t.Errorf("%d targets are still ejected after the link is back", n)
+		t.Errorf("%d targets are still ejected after the link has recovered", n)
 	}
 }
 
 func TestDeadTargetIsEjectedWithinSeconds(t *testing.T) {
-	// A VM is lost. Until the entry notices, one caller in twelve waits for
-	// nothing; three missed heartbeats must be enough.
+	// A VM is lost. Until the gateway detects it, one call in twelve times out;
+	// three missed heartbeats must be enough.
 	g := newGroup(12)
 	now := kumquatlug.Millis(0)
 	for range 3 {
@@ -93,14 +94,14 @@
 		g.HeartbeatMissed(now+g.HeartbeatTimeout(), targetName(3))
 	}
 	if w := g.Weight(now+g.HeartbeatTimeout(), targetName(3)); w != 0 {
-		t.Errorf("weight = %.2f after %d ms", w, now+g.HeartbeatTimeout())
+		t.Errorf("weight = %.2f after %d ms, want 0", w, now+g.HeartbeatTimeout())
 	}
 }
 
 func TestFailingTargetIsProbedAndStartsSlowly(t *testing.T) {
-	// A target fails each call at once and looks idle. Callers meet errors
-	// until it is ejected; when it is mended it must not be flooded while its
-	// cache is empty, and a failed probe must not bring it back.
+	// A target fails each call at once and looks idle. Callers receive errors until
+	// it is ejected. After it has recovered it must not be overloaded while its
+	// cache is empty, and a failed probe must not return it to service.
 	g := newGroup(6)
 	for range 5 {
 		g.Outcome(0, targetName(0), false, 0)
@@ -118,20 +119,19 @@
 	}
 	for _, s := range steps {
 		if got := g.State(s.at, targetName(0)); got != s.state {
-			t.Fatalf("at %d ms: %s, want %s", s.at, got, s.state)
+			t.Fatalf("at %d ms: state %s, want %s", s.at, got, s.state)
 		}
 		if s.event != nil {
 			s.event(s.at)
 		}
 	}
 	if early, late := g.Weight(16000, targetName(0)), g.Weight(25000, targetName(0)); early > 0.11 || late != 1 {
-		t.Errorf("weight a second after its return %.2f, after ten %.2f", early, late)
+		t.Errorf("weight one second after the recovery = %.2f, want at most 0.11; after ten seconds = %.2f, want 1", early, late)
 	}
 }
 
 func TestEjectedFractionIsBounded(t *testing.T) {
-	// Whatever fails in whatever order, the greater part of the group must
-	// stay in use.
+	// Whatever fails in whatever order, most targets of the group must stay in use.
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("at most a third is ejected", prop.ForAll(
