--- a/pkg/kumquatlug/stream/proof_test.go
+++ b/pkg/kumquatlug/stream/proof_test.go
@@ -14,142 +14,142 @@
 // answerLength is the length of the oracle's answer in tokens.
 const answerLength = 12
 
-func word(i int) string { return fmt.Sprintf("w%d ", i) }
+func tokenAt(i int) string { return fmt.Sprintf("w%d ", i) }
 
-// world is an answer in the making, the engines that work on it, and what the
+// model is an answer in the making, the engines that work on it, and what the
 // caller has read; the oracle's answer is word 0 to answerLength-1.
-type world struct {
-	answer  *Answer
-	attempt int
-	from    map[int]int
-	read    strings.Builder
-	whole   bool
-	failed  bool
+type model struct {
+	assembler  *Answer
+	attempt    int
+	startIndex map[int]int
+	received   strings.Builder
+	complete   bool
+	failed     bool
 }
 
-func newWorld() *world {
-	a, err := New(Config{Request: request, Ahead: answerLength})
+func newModel() *model {
+	a, err := New(Config{Request: requestID, Ahead: answerLength})
 	if err != nil {
 		panic(err)
 	}
-	w := &world{answer: a, from: map[int]int{}}
-	w.start(0)
-	return w
+	m := &model{assembler: a, startIndex: map[int]int{}}
+	m.startAttempt(0)
+	return m
 }
 
-// start begins an attempt; its engine repeats some tokens before the position.
-func (w *world) start(repeat int) {
-	attempt, at, ok := w.answer.Start()
+// startAttempt begins an attempt; its engine repeats some tokens before the position.
+func (m *model) startAttempt(repeat int) {
+	attempt, position, ok := m.assembler.Start()
 	if !ok {
-		w.failed = true
+		m.failed = true
 		return
 	}
-	w.attempt = attempt
-	w.from[attempt] = max(0, at-repeat)
+	m.attempt = attempt
+	m.startIndex[attempt] = max(0, position-repeat)
 }
 
-func (w *world) take(s Step, repeat int) {
+func (m *model) apply(s Step, repeat int) {
 	for _, token := range s.Tokens() {
-		w.read.WriteString(token)
+		m.received.WriteString(token)
 	}
 	switch s.Verdict() {
 	case VerdictResume:
-		w.start(repeat)
+		m.startAttempt(repeat)
 	case VerdictWhole:
-		w.whole = true
+		m.complete = true
 	case VerdictFailed:
-		w.failed = true
+		m.failed = true
 	}
 }
 
-// check returns how the caller's view differs from the oracle's.
-func (w *world) check() string {
-	var b strings.Builder
+// violation returns how the caller's view differs from the oracle's.
+func (m *model) violation() string {
+	var want strings.Builder
 	for i := range answerLength {
-		b.WriteString(word(i))
+		want.WriteString(tokenAt(i))
 	}
-	if !strings.HasPrefix(b.String(), w.read.String()) {
-		return fmt.Sprintf("the caller read %q", w.read.String())
+	if !strings.HasPrefix(want.String(), m.received.String()) {
+		return fmt.Sprintf("the caller read %q", m.received.String())
 	}
-	if w.whole && b.String() != w.read.String() {
-		return fmt.Sprintf("whole, but the caller read %q", w.read.String())
+	if m.complete && want.String() != m.received.String() {
+		return fmt.Sprintf("whole, but the caller read %q", m.received.String())
 	}
 	return ""
 }
 
-// finish lets the present attempt run to its end, without any fault.
-func (w *world) finish() {
-	for i := w.from[w.attempt]; i < answerLength && !w.failed; i++ {
-		w.take(w.answer.Chunk(NewChunk(request, w.attempt, i, word(i))), 0)
+// finishAttempt lets the present attempt run to its end, without any fault.
+func (m *model) finishAttempt() {
+	for i := m.startIndex[m.attempt]; i < answerLength && !m.failed; i++ {
+		m.apply(m.assembler.Chunk(NewChunk(requestID, m.attempt, i, tokenAt(i))), 0)
 	}
-	w.take(w.answer.End(NewEnd(request, w.attempt, answerLength, "stop", Usage{})), 0)
+	m.apply(m.assembler.End(NewEnd(requestID, m.attempt, answerLength, "stop", Usage{})), 0)
 }
 
-var kinds = []string{"chunk", "chunk", "chunk", "next", "next", "next", "late", "foreign", "cut", "end", "diverge", "finish"}
+var eventKinds = []string{"chunk", "chunk", "chunk", "next", "next", "next", "late", "foreign", "cut", "end", "diverge", "finish"}
 
-func play(sut commands.SystemUnderTest, e proof.Event) commands.Result {
-	w := sut.(*world)
-	r := rand.New(rand.NewSource(e.Seed))
-	first := w.from[w.attempt] + r.Intn(answerLength-w.from[w.attempt]+1)
-	attempt, id, salt := w.attempt, request, ""
+func applyEvent(sut commands.SystemUnderTest, e proof.Event) commands.Result {
+	m := sut.(*model)
+	random := rand.New(rand.NewSource(e.Seed))
+	firstIndex := m.startIndex[m.attempt] + random.Intn(answerLength-m.startIndex[m.attempt]+1)
+	attempt, eventRequestID, suffix := m.attempt, requestID, ""
 	switch e.Kind {
 	case "next":
-		first = len(w.answer.Sent())
+		firstIndex = len(m.assembler.Sent())
 	case "late":
-		attempt = 1 + r.Intn(w.attempt)
-		first = r.Intn(answerLength)
+		attempt = 1 + random.Intn(m.attempt)
+		firstIndex = random.Intn(answerLength)
 		// A late engine's words may differ: it was another generation.
-		if attempt != w.attempt {
-			salt = "x"
+		if attempt != m.attempt {
+			suffix = "x"
 		}
 	case "foreign":
-		id, salt = "r-2", "x"
+		eventRequestID, suffix = "r-2", "x"
 	case "diverge":
-		first, salt = 0, "x"
+		firstIndex, suffix = 0, "x"
 	case "cut":
-		w.take(w.answer.Cut(request, 1+r.Intn(w.attempt)), r.Intn(3))
-		return w.check()
+		m.apply(m.assembler.Cut(requestID, 1+random.Intn(m.attempt)), random.Intn(3))
+		return m.violation()
 	case "end":
-		w.take(w.answer.End(NewEnd(request, w.attempt, answerLength, "stop", Usage{})), r.Intn(3))
-		return w.check()
+		m.apply(m.assembler.End(NewEnd(requestID, m.attempt, answerLength, "stop", Usage{})), random.Intn(3))
+		return m.violation()
 	case "finish":
-		if r.Intn(4) == 0 {
-			w.finish()
+		if random.Intn(4) == 0 {
+			m.finishAttempt()
 		}
-		return w.check()
+		return m.violation()
 	}
-	if e.Kind == "diverge" && len(w.answer.Sent()) == 0 {
-		return w.check()
+	if e.Kind == "diverge" && len(m.assembler.Sent()) == 0 {
+		return m.violation()
 	}
 	var tokens []string
-	for i := first; i < min(answerLength, first+1+r.Intn(4)); i++ {
-		tokens = append(tokens, word(i)+salt)
+	for i := firstIndex; i < min(answerLength, firstIndex+1+random.Intn(4)); i++ {
+		tokens = append(tokens, tokenAt(i)+suffix)
 	}
-	w.take(w.answer.Chunk(NewChunk(id, attempt, first, tokens...)), r.Intn(3))
-	return w.check()
+	m.apply(m.assembler.Chunk(NewChunk(eventRequestID, attempt, firstIndex, tokens...)), random.Intn(3))
+	return m.violation()
 }
 
-func TestProofWholeAnswer(t *testing.T) {
+func TestProofCallerReadsExactResponse(t *testing.T) {
 	// Engines crash in the middle of an answer, streams end without their end
 	// mark, chunks come late, twice, out of order and for another request. A
 	// caller would read words lost or doubled, or take a part for the whole.
-	wholes, failures := 0, 0
+	completed, failed := 0, 0
 	proof.Run(t, proof.Config{
 		Claim: "the caller reads the oracle's answer",
 		Seed:  5, Runs: 300, Steps: 40,
-		Command: proof.Events(kinds, play),
-		World:   func() commands.SystemUnderTest { return newWorld() },
+		Command: proof.Events(eventKinds, applyEvent),
+		World:   func() commands.SystemUnderTest { return newModel() },
 		End: func(sut commands.SystemUnderTest) {
-			w := sut.(*world)
-			if w.whole {
-				wholes++
-			} else if w.failed {
-				failures++
+			m := sut.(*model)
+			if m.complete {
+				completed++
+			} else if m.failed {
+				failed++
 			}
 		},
 	})
-	t.Logf("%d whole, %d failed", wholes, failures)
-	if wholes == 0 || failures == 0 {
+	t.Logf("%d whole, %d failed", completed, failed)
+	if completed == 0 || failed == 0 {
 		t.Error("the runs did not reach both ends")
 	}
 }
--- a/pkg/kumquatlug/stream/stream.go
+++ b/pkg/kumquatlug/stream/stream.go
@@ -69,9 +69,9 @@
 
 // Step is what one event led to.
 type Step struct {
-	verdict Verdict
-	tokens  []string
-	at      int
+	verdict  Verdict
+	tokens   []string
+	position int
 }
 
 // Verdict returns what to do.
@@ -82,21 +82,21 @@
 
 // ResumeAt returns how many tokens the caller has; the next attempt begins
 // with the token of this number, counted from zero.
-func (s Step) ResumeAt() int { return s.at }
+func (s Step) ResumeAt() int { return s.position }
 
 // Chunk is a piece of an answer as an engine sent it.
 type Chunk struct {
-	request string
-	attempt int
-	first   int
-	tokens  []string
+	request    string
+	attempt    int
+	firstIndex int
+	tokens     []string
 }
 
 // NewChunk returns a chunk of an attempt whose first token has the number
 // first in the whole answer. Where an engine numbers nothing, the reader of
 // its stream counts from the position at which the attempt was resumed.
-func NewChunk(request string, attempt, first int, tokens ...string) Chunk {
-	return Chunk{request: request, attempt: attempt, first: first, tokens: tokens}
+func NewChunk(request string, attempt, firstIndex int, tokens ...string) Chunk {
+	return Chunk{request: request, attempt: attempt, firstIndex: firstIndex, tokens: tokens}
 }
 
 // Usage is what an answer cost by the engine's count.
@@ -123,18 +123,18 @@
 
 // End is an engine's end mark.
 type End struct {
-	request string
-	attempt int
-	total   int
-	reason  string
-	usage   Usage
+	request     string
+	attempt     int
+	totalTokens int
+	reason      string
+	usage       Usage
 }
 
 // NewEnd returns the end mark of an attempt: the number of tokens of the whole
 // answer, those before the attempt included, why the engine stopped, and what
 // it counted; the prompt is the caller's own, without what was sent before.
-func NewEnd(request string, attempt, total int, reason string, usage Usage) End {
-	return End{request: request, attempt: attempt, total: total, reason: reason, usage: usage}
+func NewEnd(request string, attempt, totalTokens int, reason string, usage Usage) End {
+	return End{request: request, attempt: attempt, totalTokens: totalTokens, reason: reason, usage: usage}
 }
 
 // Reason returns why the engine stopped.
@@ -144,21 +144,21 @@
 // tokens that the caller got: an engine that went on counts only its own part,
 // or takes what was sent before for a part of the prompt.
 func (e End) Usage() Usage {
-	return Usage{prompt: e.usage.prompt, cached: min(e.usage.cached, e.usage.prompt), output: e.total}
+	return Usage{prompt: e.usage.prompt, cached: min(e.usage.cached, e.usage.prompt), output: e.totalTokens}
 }
 
 // Answer is one answer in the making. It is not safe for concurrent use: the
 // goroutine that serves the request owns it.
 type Answer struct {
-	c       Config
-	attempt int
-	reading bool
-	over    bool
-	sent    []string
-	ahead   map[int]string
-	end     *End
-	late    int
-	foreign int
+	config        Config
+	attempt       int
+	attemptActive bool
+	ended         bool
+	sent          []string
+	outOfOrder    map[int]string
+	endMarker     *End
+	lateEvents    int
+	foreignEvents int
 }
 
 // New checks c and returns an answer without any attempt.
@@ -168,176 +168,176 @@
 	}
 	c.Attempts = cmp.Or(c.Attempts, DefaultAttempts)
 	c.Ahead = cmp.Or(c.Ahead, DefaultAhead)
-	return &Answer{c: c, ahead: map[int]string{}}, nil
+	return &Answer{config: c, outOfOrder: map[int]string{}}, nil
 }
 
 // Start begins the next attempt and returns its number, from one, and the
 // position at which its engine has to go on. It reports false if the answer is
 // over or no attempt is left.
-func (a *Answer) Start() (attempt, at int, ok bool) {
-	if a.over || a.attempt >= a.c.Attempts {
+func (a *Answer) Start() (attempt, position int, ok bool) {
+	if a.ended || a.attempt >= a.config.Attempts {
 		return 0, 0, false
 	}
 	a.attempt++
-	a.reading = true
-	a.end = nil
-	clear(a.ahead)
+	a.attemptActive = true
+	a.endMarker = nil
+	clear(a.outOfOrder)
 	return a.attempt, len(a.sent), true
 }
 
 // Chunk takes tokens that arrived.
 func (a *Answer) Chunk(c Chunk) Step {
-	if !a.current(c.request, c.attempt) {
-		return a.step(VerdictDrop, nil)
+	if !a.isCurrent(c.request, c.attempt) {
+		return a.newStep(VerdictDrop, nil)
 	}
-	if !a.fits(c) {
-		return a.cut()
+	if !a.consistent(c) {
+		return a.endAttempt()
 	}
-	tokens := a.take(c)
-	if a.end != nil {
-		return a.close(tokens)
+	tokens := a.accept(c)
+	if a.endMarker != nil {
+		return a.completeIfDelivered(tokens)
 	}
-	return a.progress(tokens)
+	return a.forwardOrDrop(tokens)
 }
 
 // End takes an end mark that arrived. One that overtook the last tokens waits
 // for them; if the connection ends first, something lost them on the way and
 // the attempt is cut.
 func (a *Answer) End(e End) Step {
-	if !a.current(e.request, e.attempt) {
-		return a.step(VerdictDrop, nil)
+	if !a.isCurrent(e.request, e.attempt) {
+		return a.newStep(VerdictDrop, nil)
 	}
-	if a.least() > e.total {
-		return a.cut()
+	if a.minLength() > e.totalTokens {
+		return a.endAttempt()
 	}
-	a.end = &e
-	return a.close(nil)
+	a.endMarker = &e
+	return a.completeIfDelivered(nil)
 }
 
-// least returns the least length that the answer can have by what was seen.
-func (a *Answer) least() int {
+// minLength returns the least length that the answer can have by what was seen.
+func (a *Answer) minLength() int {
 	length := len(a.sent)
-	for number := range a.ahead {
-		length = max(length, number+1)
+	for index := range a.outOfOrder {
+		length = max(length, index+1)
 	}
 	return length
 }
 
-// close ends the answer if all tokens before the end mark were forwarded.
-func (a *Answer) close(tokens []string) Step {
-	if len(a.sent) < a.end.total {
-		return a.progress(tokens)
+// completeIfDelivered ends the answer if all tokens before the end mark were forwarded.
+func (a *Answer) completeIfDelivered(tokens []string) Step {
+	if len(a.sent) < a.endMarker.totalTokens {
+		return a.forwardOrDrop(tokens)
 	}
-	a.reading = false
-	a.over = true
-	return a.step(VerdictWhole, tokens)
+	a.attemptActive = false
+	a.ended = true
+	return a.newStep(VerdictWhole, tokens)
 }
 
-func (a *Answer) progress(tokens []string) Step {
+func (a *Answer) forwardOrDrop(tokens []string) Step {
 	if len(tokens) == 0 {
-		return a.step(VerdictDrop, nil)
+		return a.newStep(VerdictDrop, nil)
 	}
-	return a.step(VerdictForward, tokens)
+	return a.newStep(VerdictForward, tokens)
 }
 
 // Cut takes the end of an attempt's connection, with or without an error.
 // After the end mark it means nothing; before it the attempt is over.
 func (a *Answer) Cut(request string, attempt int) Step {
-	if !a.current(request, attempt) {
-		return a.step(VerdictDrop, nil)
+	if !a.isCurrent(request, attempt) {
+		return a.newStep(VerdictDrop, nil)
 	}
-	return a.cut()
+	return a.endAttempt()
 }
 
 // Abort ends an answer that is not whole, when its caller has gone or no engine
 // may be tried.
 func (a *Answer) Abort() Step {
-	a.reading = false
-	a.over = true
-	a.end = nil
-	return a.step(VerdictFailed, nil)
+	a.attemptActive = false
+	a.ended = true
+	a.endMarker = nil
+	return a.newStep(VerdictFailed, nil)
 }
 
-// current reports whether an event is of this request and of the attempt that
+// isCurrent reports whether an event is of this request and of the attempt that
 // is being read, and counts what it is otherwise.
-func (a *Answer) current(request string, attempt int) bool {
-	if request != a.c.Request {
-		a.foreign++
+func (a *Answer) isCurrent(request string, attempt int) bool {
+	if request != a.config.Request {
+		a.foreignEvents++
 		return false
 	}
-	if attempt != a.attempt || !a.reading {
-		a.late++
+	if attempt != a.attempt || !a.attemptActive {
+		a.lateEvents++
 		return false
 	}
 	return true
 }
 
-// fits reports whether c agrees with all that was seen: no other token under a
+// consistent reports whether c agrees with all that was seen: no other token under a
 // number, none after the end, and not too far ahead of what is missing.
-func (a *Answer) fits(c Chunk) bool {
-	if c.first < 0 || c.first > len(a.sent)+a.c.Ahead {
+func (a *Answer) consistent(c Chunk) bool {
+	if c.firstIndex < 0 || c.firstIndex > len(a.sent)+a.config.Ahead {
 		return false
 	}
-	if a.end != nil && c.first+len(c.tokens) > a.end.total {
+	if a.endMarker != nil && c.firstIndex+len(c.tokens) > a.endMarker.totalTokens {
 		return false
 	}
 	for i, token := range c.tokens {
-		if seen, ok := a.seen(c.first + i); ok && seen != token {
+		if received, ok := a.receivedToken(c.firstIndex + i); ok && received != token {
 			return false
 		}
 	}
 	return true
 }
 
-func (a *Answer) seen(number int) (string, bool) {
-	if number < len(a.sent) {
-		return a.sent[number], true
+func (a *Answer) receivedToken(index int) (string, bool) {
+	if index < len(a.sent) {
+		return a.sent[index], true
 	}
-	token, ok := a.ahead[number]
+	token, ok := a.outOfOrder[index]
 	return token, ok
 }
 
-// take keeps the new tokens of c and returns those whose turn it is.
-func (a *Answer) take(c Chunk) []string {
-	from := len(a.sent)
+// accept keeps the new tokens of c and returns those whose turn it is.
+func (a *Answer) accept(c Chunk) []string {
+	firstSent := len(a.sent)
 	for i, token := range c.tokens {
-		switch number := c.first + i; {
-		case number == len(a.sent):
+		switch index := c.firstIndex + i; {
+		case index == len(a.sent):
 			a.sent = append(a.sent, token)
-		case number > len(a.sent):
-			a.ahead[number] = token
+		case index > len(a.sent):
+			a.outOfOrder[index] = token
 		}
 	}
-	for token, ok := a.ahead[len(a.sent)]; ok; token, ok = a.ahead[len(a.sent)] {
+	for token, ok := a.outOfOrder[len(a.sent)]; ok; token, ok = a.outOfOrder[len(a.sent)] {
 		a.sent = append(a.sent, token)
 	}
-	a.trim(from)
-	return a.sent[from:len(a.sent):len(a.sent)]
+	a.pruneOutOfOrder(firstSent)
+	return a.sent[firstSent:len(a.sent):len(a.sent)]
 }
 
-// trim forgets held tokens that were sent since position from.
-func (a *Answer) trim(from int) {
-	if len(a.ahead) == 0 {
+// pruneOutOfOrder forgets held tokens that were sent since position from.
+func (a *Answer) pruneOutOfOrder(firstSent int) {
+	if len(a.outOfOrder) == 0 {
 		return
 	}
-	for number := from; number < len(a.sent); number++ {
-		delete(a.ahead, number)
+	for index := firstSent; index < len(a.sent); index++ {
+		delete(a.outOfOrder, index)
 	}
 }
 
-func (a *Answer) cut() Step {
-	a.reading = false
-	a.end = nil
-	clear(a.ahead)
-	if a.attempt >= a.c.Attempts {
-		a.over = true
-		return a.step(VerdictFailed, nil)
+func (a *Answer) endAttempt() Step {
+	a.attemptActive = false
+	a.endMarker = nil
+	clear(a.outOfOrder)
+	if a.attempt >= a.config.Attempts {
+		a.ended = true
+		return a.newStep(VerdictFailed, nil)
 	}
-	return a.step(VerdictResume, nil)
+	return a.newStep(VerdictResume, nil)
 }
 
-func (a *Answer) step(v Verdict, tokens []string) Step {
-	return Step{verdict: v, tokens: tokens, at: len(a.sent)}
+func (a *Answer) newStep(v Verdict, tokens []string) Step {
+	return Step{verdict: v, tokens: tokens, position: len(a.sent)}
 }
 
 // Sent returns the tokens that the caller has, for the engine that goes on.
@@ -349,14 +349,14 @@
 
 // Ended returns the end mark of the whole answer, and false before it is whole.
 func (a *Answer) Ended() (End, bool) {
-	if !a.over || a.end == nil {
+	if !a.ended || a.endMarker == nil {
 		return End{}, false
 	}
-	return *a.end, true
+	return *a.endMarker, true
 }
 
 // Late returns how many events came after their attempt was over.
-func (a *Answer) Late() int { return a.late }
+func (a *Answer) Late() int { return a.lateEvents }
 
 // Foreign returns how many events were of another request.
-func (a *Answer) Foreign() int { return a.foreign }
+func (a *Answer) Foreign() int { return a.foreignEvents }
