--- a/pkg/kumquatlug/stream/proof_test.go
+++ b/pkg/kumquatlug/stream/proof_test.go
@@ -11,13 +11,14 @@
 	"github.com/kumquatlug/kumquatlug/internal/proof"
 )
 
-// answerLength is the length of the oracle's answer in tokens.
-const answerLength = 12
+// responseLength is the length of the oracle's response in tokens.
+const responseLength = 12
 
 func tokenAt(i int) string { return fmt.Sprintf("w%d ", i) }
 
-// model is an answer in the making, the engines that work on it, and what the
-// caller has read; the oracle's answer is word 0 to answerLength-1.
+// model is a response that is being assembled, the attempts of its engines, and
+// the text that the caller has received. The oracle's response consists of
+// tokenAt(0) to tokenAt(responseLength-1).
 type model struct {
 	assembler  *Answer
 	attempt    int
@@ -28,7 +29,7 @@
 }
 
 func newModel() *model {
-	a, err := New(Config{Request: requestID, Ahead: answerLength})
+	a, err := New(Config{Request: requestID, Ahead: responseLength})
 	if err != nil {
 		panic(err)
 	}
@@ -37,7 +38,8 @@
 	return m
 }
 
-// startAttempt begins an attempt; its engine repeats some tokens before the position.
+// startAttempt begins an attempt whose engine repeats some tokens before the resume
+// position.
 func (m *model) startAttempt(repeat int) {
 	attempt, position, ok := m.assembler.Start()
 	if !ok {
@@ -62,55 +64,56 @@
 	}
 }
 
-// violation returns how the caller's view differs from the oracle's.
+// violation returns how the received text contradicts the oracle's response, or an
+// empty string.
 func (m *model) violation() string {
 	var want strings.Builder
-	for i := range answerLength {
+	for i := range responseLength {
 		want.WriteString(tokenAt(i))
 	}
 	if !strings.HasPrefix(want.String(), m.received.String()) {
-		return fmt.Sprintf("the caller read %q", m.received.String())
+		return fmt.Sprintf("the caller received %q, which is no prefix of the response", m.received.String())
 	}
 	if m.complete && want.String() != m.received.String() {
-		return fmt.Sprintf("whole, but the caller read %q", m.received.String())
+		return fmt.Sprintf("the response is complete, but the caller received %q", m.received.String())
 	}
 	return ""
 }
 
-// finishAttempt lets the present attempt run to its end, without any fault.
+// finishAttempt runs the current attempt to its end without faults.
 func (m *model) finishAttempt() {
-	for i := m.startIndex[m.attempt]; i < answerLength && !m.failed; i++ {
+	for i := m.startIndex[m.attempt]; i < responseLength && !m.failed; i++ {
 		m.apply(m.assembler.Chunk(NewChunk(requestID, m.attempt, i, tokenAt(i))), 0)
 	}
-	m.apply(m.assembler.End(NewEnd(requestID, m.attempt, answerLength, "stop", Usage{})), 0)
+	m.apply(m.assembler.End(NewEnd(requestID, m.attempt, responseLength, "stop", Usage{})), 0)
 }
 
-var eventKinds = []string{"chunk", "chunk", "chunk", "next", "next", "next", "late", "foreign", "cut", "end", "diverge", "finish"}
+var eventKinds = []string{"chunk", "chunk", "chunk", "next", "next", "next", "late", "other-request", "disconnect", "end", "diverge", "finish"}
 
 func applyEvent(sut commands.SystemUnderTest, e proof.Event) commands.Result {
 	m := sut.(*model)
 	random := rand.New(rand.NewSource(e.Seed))
-	firstIndex := m.startIndex[m.attempt] + random.Intn(answerLength-m.startIndex[m.attempt]+1)
+	firstIndex := m.startIndex[m.attempt] + random.Intn(responseLength-m.startIndex[m.attempt]+1)
 	attempt, eventRequestID, suffix := m.attempt, requestID, ""
 	switch e.Kind {
 	case "next":
 		firstIndex = len(m.assembler.Sent())
 	case "late":
 		attempt = 1 + random.Intn(m.attempt)
-		firstIndex = random.Intn(answerLength)
-		// A late engine's words may differ: it was another generation.
+		firstIndex = random.Intn(responseLength)
+		// The tokens of an earlier attempt may differ, as it was another generation.
 		if attempt != m.attempt {
 			suffix = "x"
 		}
-	case "foreign":
+	case "other-request":
 		eventRequestID, suffix = "r-2", "x"
 	case "diverge":
 		firstIndex, suffix = 0, "x"
-	case "cut":
+	case "disconnect":
 		m.apply(m.assembler.Cut(requestID, 1+random.Intn(m.attempt)), random.Intn(3))
 		return m.violation()
 	case "end":
-		m.apply(m.assembler.End(NewEnd(requestID, m.attempt, answerLength, "stop", Usage{})), random.Intn(3))
+		m.apply(m.assembler.End(NewEnd(requestID, m.attempt, responseLength, "stop", Usage{})), random.Intn(3))
 		return m.violation()
 	case "finish":
 		if random.Intn(4) == 0 {
@@ -122,7 +125,7 @@
 		return m.violation()
 	}
 	var tokens []string
-	for i := firstIndex; i < min(answerLength, firstIndex+1+random.Intn(4)); i++ {
+	for i := firstIndex; i < min(responseLength, firstIndex+1+random.Intn(4)); i++ {
 		tokens = append(tokens, tokenAt(i)+suffix)
 	}
 	m.apply(m.assembler.Chunk(NewChunk(eventRequestID, attempt, firstIndex, tokens...)), random.Intn(3))
@@ -130,12 +133,13 @@
 }
 
 func TestProofCallerReadsExactResponse(t *testing.T) {
-	// Engines crash in the middle of an answer, streams end without their end
-	// mark, chunks come late, twice, out of order and for another request. A
-	// caller would read words lost or doubled, or take a part for the whole.
+	// Engines crash in the middle of a response, streams end without their end
+	// marker, and chunks arrive late, twice, out of order or for another request.
+	// In a failure the caller misses tokens, receives them twice, or takes a
+	// partial response for a complete one.
 	completed, failed := 0, 0
 	proof.Run(t, proof.Config{
-		Claim: "the caller reads the oracle's answer",
+		Claim: "the caller receives exactly the oracle's response",
 		Seed:  5, Runs: 300, Steps: 40,
 		Command: proof.Events(eventKinds, applyEvent),
 		World:   func() commands.SystemUnderTest { return newModel() },
@@ -148,8 +152,8 @@
 			}
 		},
 	})
-	t.Logf("%d whole, %d failed", completed, failed)
+	t.Logf("%d complete, %d failed", completed, failed)
 	if completed == 0 || failed == 0 {
-		t.Error("the runs did not reach both ends")
+		t.Error("the runs did not cover both complete and failed responses")
 	}
 }
--- a/pkg/kumquatlug/stream/stream.go
+++ b/pkg/kumquatlug/stream/stream.go
@@ -1,24 +1,25 @@
-// Package stream puts one whole answer together from the attempts of several
+// Package stream assembles one complete response from the attempts of several
 // engines.
 //
-// An engine that crashes in the middle of an answer leaves its caller with a
-// part. Another engine can go on from the tokens already sent. What arrives at
-// the entry then is a mixture: the rest of the first attempt, still in a
-// buffer, the second attempt, which may begin before or after the cut, chunks
-// that come twice, and connections that close without an end mark, which looks
-// like a short answer. Forwarded as they come, the caller gets an answer with
-// words lost or doubled, and no way to notice.
+// An engine that crashes in the middle of a response leaves its caller with a
+// partial one. Another engine can continue from the tokens already sent. The
+// gateway then receives a mixture: buffered chunks of the first attempt, the
+// second attempt, which may begin before or after the point of failure,
+// duplicate chunks, and connections that close without an end marker, which look
+// like a short response. If all were forwarded as they arrive, tokens of the
+// response would be lost or duplicated, and the caller could not detect it.
 //
-// An [Answer] numbers the tokens of the whole answer and forwards each number
-// once, in order. Chunks of an older attempt and of another request are
-// dropped. A chunk that runs ahead waits for the one before it. A stream is
-// whole only when its end mark arrives and every token before it was
-// forwarded; anything else is a cut, which says where to resume.
+// An [Answer] indexes the tokens of the whole response and forwards each index
+// once, in order. Chunks of an earlier attempt or of another request are
+// dropped. An out-of-order chunk is held until the tokens before it arrive. A
+// stream is complete only when its end marker has arrived and every token before
+// it was forwarded; otherwise the attempt is broken off, and the step names the
+// position at which to resume.
 //
-// An Answer keeps the tokens it forwarded, since the engine that goes on needs
-// them. Where a resumed attempt repeats tokens, they must be the same ones: an
-// engine that goes on from other words than those the caller has seen would
-// give an answer that no engine ever gave. Such an attempt counts as cut.
+// An Answer keeps the forwarded tokens, since the engine that continues needs
+// them. If a resumed attempt repeats tokens, they must be the same: an engine
+// that continues from other tokens than the caller has received would produce a
+// response that no engine generated. Such an attempt counts as broken off.
 package stream
 
 import (
@@ -33,58 +34,61 @@
 	DefaultAhead    = 256
 )
 
-// Config is what an [Answer] is made of.
+// Config holds the parameters of an [Answer].
 type Config struct {
-	// Request is the id of the request; what carries another id is dropped.
+	// Request is the id of the request; events with another id are dropped.
 	Request string
-	// Attempts bounds how many engines work on the answer. Default 4: a request
-	// that crashes engines itself is quarantined after two, and its neighbour,
-	// which can be hit by both crashes, still has one more and one to spare.
+	// Attempts is the maximum number of attempts. Default 4: a request that
+	// crashes engines itself is quarantined after two, and another request on the
+	// same engines, which both crashes can interrupt, still has a third attempt
+	// and one in reserve.
 	Attempts int
-	// Ahead bounds how many tokens may wait for one that is missing. Default
-	// 256: at 29 ms a token that is seven seconds of output, after which the
-	// missing token won't come any more; a few kilobytes of memory.
+	// Ahead is the maximum distance, in tokens, from the next missing token to the
+	// beginning of a chunk that is held for it. Default 256: at 29 ms per token that is seven seconds of output,
+	// after which the missing token won't arrive; the held tokens take a few
+	// kilobytes.
 	Ahead int
 }
 
-// Verdict is what to do after an event.
+// Verdict is what the caller of an [Answer] does after an event.
 type Verdict string
 
-// What may follow an event.
+// The verdicts.
 const (
-	// VerdictForward: send the step's tokens to the caller and go on reading.
+	// VerdictForward: send the step's tokens to the caller and continue reading.
 	VerdictForward Verdict = "forward"
-	// VerdictDrop: the event was late, doubled, foreign or too early; send
-	// nothing.
+	// VerdictDrop: send nothing. The event was late, a duplicate or of another
+	// request, or it is held until earlier tokens arrive.
 	VerdictDrop Verdict = "drop"
-	// VerdictResume: the attempt is over without its end. Start another one at
-	// the step's position; nothing of this one counts any more.
+	// VerdictResume: the attempt ended without its end marker, or was broken off.
+	// Start another one at the step's position; later events of this one are
+	// dropped.
 	VerdictResume Verdict = "resume"
-	// VerdictWhole: send the step's tokens and the end; the answer is whole.
+	// VerdictWhole: send the step's tokens and the end; the response is complete.
 	VerdictWhole Verdict = "whole"
-	// VerdictFailed: no attempt is left. The answer must be ended as broken,
-	// never as if it were whole.
+	// VerdictFailed: no attempt is left, or the response was aborted. It must be
+	// ended as broken off, never as if it were complete.
 	VerdictFailed Verdict = "failed"
 )
 
-// Step is what one event led to.
+// Step is the result of one event.
 type Step struct {
 	verdict  Verdict
 	tokens   []string
 	position int
 }
 
-// Verdict returns what to do.
+// Verdict returns what to do next.
 func (s Step) Verdict() Verdict { return s.verdict }
 
-// Tokens returns what to send to the caller now, in order.
+// Tokens returns the tokens to send to the caller now, in order.
 func (s Step) Tokens() []string { return s.tokens }
 
-// ResumeAt returns how many tokens the caller has; the next attempt begins
-// with the token of this number, counted from zero.
+// ResumeAt returns the number of tokens that the caller has, which is the
+// zero-based index of the token with which the next attempt begins.
 func (s Step) ResumeAt() int { return s.position }
 
-// Chunk is a piece of an answer as an engine sent it.
+// Chunk is a part of a response as an engine sent it.
 type Chunk struct {
 	request    string
 	attempt    int
@@ -92,14 +96,14 @@
 	tokens     []string
 }
 
-// NewChunk returns a chunk of an attempt whose first token has the number
-// first in the whole answer. Where an engine numbers nothing, the reader of
-// its stream counts from the position at which the attempt was resumed.
+// NewChunk returns a chunk of an attempt. FirstIndex is the zero-based index of its
+// first token in the whole response. If an engine doesn't number its tokens, the
+// reader of its stream counts from the position at which the attempt was resumed.
 func NewChunk(request string, attempt, firstIndex int, tokens ...string) Chunk {
 	return Chunk{request: request, attempt: attempt, firstIndex: firstIndex, tokens: tokens}
 }
 
-// Usage is what an answer cost by the engine's count.
+// Usage is the token usage of a response as counted by the engine.
 type Usage struct {
 	prompt int
 	cached int
@@ -112,16 +116,16 @@
 	return Usage{prompt: prompt, cached: cached, output: output}
 }
 
-// Prompt returns the tokens of the prompt.
+// Prompt returns the number of tokens of the prompt.
 func (u Usage) Prompt() int { return u.prompt }
 
-// Cached returns the tokens of the prompt that were cached.
+// Cached returns the number of tokens of the prompt that the engine had cached.
 func (u Usage) Cached() int { return u.cached }
 
-// Output returns the tokens of the answer.
+// Output returns the number of tokens of the response.
 func (u Usage) Output() int { return u.output }
 
-// End is an engine's end mark.
+// End is the end marker of an engine's stream.
 type End struct {
 	request     string
 	attempt     int
@@ -130,9 +134,10 @@
 	usage       Usage
 }
 
-// NewEnd returns the end mark of an attempt: the number of tokens of the whole
-// answer, those before the attempt included, why the engine stopped, and what
-// it counted; the prompt is the caller's own, without what was sent before.
+// NewEnd returns the end marker of an attempt: the number of tokens of the whole
+// response, including those before the attempt, the finish reason of the engine,
+// and its token usage. The prompt of the usage is the caller's own, without the
+// tokens that were sent before the attempt.
 func NewEnd(request string, attempt, totalTokens int, reason string, usage Usage) End {
 	return End{request: request, attempt: attempt, totalTokens: totalTokens, reason: reason, usage: usage}
 }
@@ -140,28 +145,29 @@
 // Reason returns why the engine stopped.
 func (e End) Reason() string { return e.reason }
 
-// Usage returns the cost of the whole answer. Its output is the number of
-// tokens that the caller got: an engine that went on counts only its own part,
-// or takes what was sent before for a part of the prompt.
+// Usage returns the token usage of the whole response. Its output is the number of
+// tokens that the caller received: an engine that continued a response counts
+// only its own part, or counts the tokens sent before as part of the prompt.
 func (e End) Usage() Usage {
 	return Usage{prompt: e.usage.prompt, cached: min(e.usage.cached, e.usage.prompt), output: e.totalTokens}
 }
 
-// Answer is one answer in the making. It is not safe for concurrent use: the
-// goroutine that serves the request owns it.
+// Answer assembles one response. It is not safe for concurrent use: the goroutine
+// that serves the request owns it.
 type Answer struct {
-	config        Config
-	attempt       int
-	attemptActive bool
-	ended         bool
-	sent          []string
-	outOfOrder    map[int]string
-	endMarker     *End
-	lateEvents    int
-	foreignEvents int
+	config             Config
+	attempt            int
+	attemptActive      bool
+	ended              bool
+	sent               []string
+	outOfOrder         map[int]string
+	endMarker          *End
+	lateEvents         int
+	otherRequestEvents int
 }
 
-// New checks c and returns an answer without any attempt.
+// New checks c and returns an answer without any attempt. It returns an error if
+// the id of the request is empty.
 func New(c Config) (*Answer, error) {
 	if c.Request == "" {
 		return nil, errors.New("an answer needs the id of its request")
@@ -172,8 +178,8 @@
 }
 
 // Start begins the next attempt and returns its number, from one, and the
-// position at which its engine has to go on. It reports false if the answer is
-// over or no attempt is left.
+// position, in tokens, at which its engine must continue. It reports false if the
+// response has ended or no attempt is left.
 func (a *Answer) Start() (attempt, position int, ok bool) {
 	if a.ended || a.attempt >= a.config.Attempts {
 		return 0, 0, false
@@ -185,7 +191,7 @@
 	return a.attempt, len(a.sent), true
 }
 
-// Chunk takes tokens that arrived.
+// Chunk handles a received chunk.
 func (a *Answer) Chunk(c Chunk) Step {
 	if !a.isCurrent(c.request, c.attempt) {
 		return a.newStep(VerdictDrop, nil)
@@ -200,9 +206,9 @@
 	return a.forwardOrDrop(tokens)
 }
 
-// End takes an end mark that arrived. One that overtook the last tokens waits
-// for them; if the connection ends first, something lost them on the way and
-// the attempt is cut.
+// End handles a received end marker. A marker that arrives before the last tokens
+// is held until they arrive. If the connection closes first, the tokens were lost
+// and the attempt is broken off.
 func (a *Answer) End(e End) Step {
 	if !a.isCurrent(e.request, e.attempt) {
 		return a.newStep(VerdictDrop, nil)
@@ -214,7 +220,7 @@
 	return a.completeIfDelivered(nil)
 }
 
-// minLength returns the least length that the answer can have by what was seen.
+// minLength returns the minimum length of the response, given the tokens received.
 func (a *Answer) minLength() int {
 	length := len(a.sent)
 	for index := range a.outOfOrder {
@@ -223,7 +229,8 @@
 	return length
 }
 
-// completeIfDelivered ends the answer if all tokens before the end mark were forwarded.
+// completeIfDelivered completes the response if all tokens before the end marker
+// were forwarded.
 func (a *Answer) completeIfDelivered(tokens []string) Step {
 	if len(a.sent) < a.endMarker.totalTokens {
 		return a.forwardOrDrop(tokens)
@@ -240,8 +247,8 @@
 	return a.newStep(VerdictForward, tokens)
 }
 
-// Cut takes the end of an attempt's connection, with or without an error.
-// After the end mark it means nothing; before it the attempt is over.
+// Cut handles the end of an attempt's connection, with or without an error. After
+// a complete response it has no effect; before that the attempt is broken off.
 func (a *Answer) Cut(request string, attempt int) Step {
 	if !a.isCurrent(request, attempt) {
 		return a.newStep(VerdictDrop, nil)
@@ -249,8 +256,8 @@
 	return a.endAttempt()
 }
 
-// Abort ends an answer that is not whole, when its caller has gone or no engine
-// may be tried.
+// Abort ends a response that is not complete, if its caller has disconnected or no
+// engine may be tried.
 func (a *Answer) Abort() Step {
 	a.attemptActive = false
 	a.ended = true
@@ -258,11 +265,11 @@
 	return a.newStep(VerdictFailed, nil)
 }
 
-// isCurrent reports whether an event is of this request and of the attempt that
-// is being read, and counts what it is otherwise.
+// isCurrent reports whether an event belongs to this request and to the active
+// attempt. Otherwise it counts the event as late or as one of another request.
 func (a *Answer) isCurrent(request string, attempt int) bool {
 	if request != a.config.Request {
-		a.foreignEvents++
+		a.otherRequestEvents++
 		return false
 	}
 	if attempt != a.attempt || !a.attemptActive {
@@ -272,8 +279,9 @@
 	return true
 }
 
-// consistent reports whether c agrees with all that was seen: no other token under a
-// number, none after the end, and not too far ahead of what is missing.
+// consistent reports whether c agrees with everything received: no different token
+// at a known index, none after the end, and a beginning that is not too far ahead
+// of the next missing token.
 func (a *Answer) consistent(c Chunk) bool {
 	if c.firstIndex < 0 || c.firstIndex > len(a.sent)+a.config.Ahead {
 		return false
@@ -297,7 +305,7 @@
 	return token, ok
 }
 
-// accept keeps the new tokens of c and returns those whose turn it is.
+// accept stores the new tokens of c and returns those that can be forwarded now.
 func (a *Answer) accept(c Chunk) []string {
 	firstSent := len(a.sent)
 	for i, token := range c.tokens {
@@ -315,7 +323,7 @@
 	return a.sent[firstSent:len(a.sent):len(a.sent)]
 }
 
-// pruneOutOfOrder forgets held tokens that were sent since position from.
+// pruneOutOfOrder removes the held tokens that were sent, from index firstSent on.
 func (a *Answer) pruneOutOfOrder(firstSent int) {
 	if len(a.outOfOrder) == 0 {
 		return
@@ -340,14 +348,15 @@
 	return Step{verdict: v, tokens: tokens, position: len(a.sent)}
 }
 
-// Sent returns the tokens that the caller has, for the engine that goes on.
-// They must not be changed.
+// Sent returns the tokens that the caller has, for the engine that continues. The
+// slice must not be changed.
 func (a *Answer) Sent() []string { return a.sent }
 
 // Attempt returns the number of the latest attempt, zero before the first.
 func (a *Answer) Attempt() int { return a.attempt }
 
-// Ended returns the end mark of the whole answer, and false before it is whole.
+// Ended returns the end marker of a complete response, and false if the response is
+// not complete.
 func (a *Answer) Ended() (End, bool) {
 	if !a.ended || a.endMarker == nil {
 		return End{}, false
@@ -355,8 +364,8 @@
 	return *a.endMarker, true
 }
 
-// Late returns how many events came after their attempt was over.
+// Late returns the number of events that arrived after their attempt had ended.
 func (a *Answer) Late() int { return a.lateEvents }
 
-// Foreign returns how many events were of another request.
-func (a *Answer) Foreign() int { return a.foreignEvents }
+// Foreign returns the number of events that belonged to another request.
+func (a *Answer) Foreign() int { return a.otherRequestEvents }
--- a/pkg/kumquatlug/stream/stream_test.go
+++ b/pkg/kumquatlug/stream/stream_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	if attempt, position, ok := a.Start(); attempt != 1 || position != 0 || !ok {
-		t.Fatalf("first attempt %d at %d, %v", attempt, position, ok)
+		t.Fatalf("Start() = %d, %d, %v, want attempt 1 at position 0", attempt, position, ok)
 	}
 	return a
 }
@@ -24,19 +24,18 @@
 func expectStep(t *testing.T, s Step, v Verdict, tokens string, position int) {
 	t.Helper()
 	if got := strings.Join(s.Tokens(), ""); s.Verdict() != v || got != tokens || s.ResumeAt() != position {
-		t.Errorf("%q %q at %d, want %q %q at %d", s.Verdict(), got, s.ResumeAt(), v, tokens, position)
+		t.Errorf("step = %q with tokens %q at position %d, want %q with %q at %d", s.Verdict(), got, s.ResumeAt(), v, tokens, position)
 	}
 }
 
 func TestResumedResponseIsComplete(t *testing.T) {
-	// An engine crashes in the middle of an answer. Another one goes on, and
-	// what the first had sent still arrives. The caller must read each word
-	// once.
+	// An engine crashes in the middle of a response. Another engine continues while
+	// chunks of the first one still arrive. The caller must receive each token once.
 	a := startAnswer(t, Config{})
 	expectStep(t, a.Chunk(NewChunk(requestID, 1, 0, "a", "b")), VerdictForward, "ab", 2)
 	expectStep(t, a.Cut(requestID, 1), VerdictResume, "", 2)
 	if attempt, position, ok := a.Start(); attempt != 2 || position != 2 || !ok {
-		t.Fatalf("second attempt %d at %d, %v", attempt, position, ok)
+		t.Fatalf("Start() = %d, %d, %v, want attempt 2 at position 2", attempt, position, ok)
 	}
 	expectStep(t, a.Chunk(NewChunk(requestID, 1, 2, "c", "d")), VerdictDrop, "", 2)
 	expectStep(t, a.Chunk(NewChunk("r-2", 2, 2, "x")), VerdictDrop, "", 2)
@@ -47,29 +46,29 @@
 	expectStep(t, a.Cut(requestID, 2), VerdictDrop, "", 5)
 	e, ok := a.Ended()
 	if !ok || e.Reason() != "stop" || e.Usage() != NewUsage(7, 7, 5) {
-		t.Errorf("end = %+v, %v", e, ok)
+		t.Errorf("end marker = %+v, %v", e, ok)
 	}
 	if a.Late() != 2 || a.Foreign() != 1 {
-		t.Errorf("late %d, foreign %d", a.Late(), a.Foreign())
+		t.Errorf("late events %d, want 2; events of another request %d, want 1", a.Late(), a.Foreign())
 	}
 }
 
 func TestCorruptAttemptsEndAndResume(t *testing.T) {
-	// Something between engine and entry garbles a stream. Each kind of damage
-	// looks like an ordinary answer to a reader that only forwards.
+	// A stream is corrupted between engine and gateway. Each kind of corruption
+	// looks like an ordinary response to a reader that only forwards.
 	cases := map[string]func(a *Answer) Step{
-		"end mark before the last token": func(a *Answer) Step {
+		"end marker before the last token": func(a *Answer) Step {
 			a.End(NewEnd(requestID, 1, 3, "stop", Usage{}))
 			return a.Cut(requestID, 1)
 		},
-		"end mark behind the tokens sent": func(a *Answer) Step {
+		"end marker below the number of tokens sent": func(a *Answer) Step {
 			return a.End(NewEnd(requestID, 1, 1, "stop", Usage{}))
 		},
 		"token after the end": func(a *Answer) Step {
 			a.End(NewEnd(requestID, 1, 3, "stop", Usage{}))
 			return a.Chunk(NewChunk(requestID, 1, 2, "c", "d"))
 		},
-		"other token under a number": func(a *Answer) Step {
+		"different token at a known index": func(a *Answer) Step {
 			return a.Chunk(NewChunk(requestID, 1, 1, "x", "c"))
 		},
 		"token too far ahead": func(a *Answer) Step {
@@ -82,11 +81,11 @@
 			a.Chunk(NewChunk(requestID, 1, 0, "a", "b"))
 			expectStep(t, corrupt(a), VerdictResume, "", 2)
 			if _, position, ok := a.Start(); position != 2 || !ok {
-				t.Fatalf("resume at %d, %v", position, ok)
+				t.Fatalf("Start() at position %d, %v, want position 2", position, ok)
 			}
 			expectStep(t, a.Cut(requestID, 2), VerdictFailed, "", 2)
 			if _, _, ok := a.Start(); ok {
-				t.Error("a third attempt began")
+				t.Error("Start began a third attempt, although two are allowed")
 			}
 		})
 	}
