--- a/pkg/kumquatlug/usage/reporter.go
+++ b/pkg/kumquatlug/usage/reporter.go
@@ -15,57 +15,59 @@
 
 // Prefixes of keys in the store.
 const (
-	// TallyPrefix starts the keys of tallies; the name of a front's start follows.
+	// TallyPrefix starts the keys of tallies; the unique name of a gateway process
+	// follows.
 	TallyPrefix = "usage/"
-	// ReportPrefix starts the keys of reports that are fixed and not yet known to be
-	// sent, by window, and NextKey says which window is to be fixed next.
+	// ReportPrefix starts the keys of finalized reports that are not yet known to be
+	// sent; the number of the window follows. NextKey is the key of the row that names
+	// the next window to finalize.
 	ReportPrefix = "report/"
 	NextKey      = ReportPrefix + "next"
 )
 
-// Figures of reporting.
 const (
-	// settleSpan is how long after the end of a window its tallies are looked at
-	// first: fronts tell them within some tenths of a second.
-	settleSpan = 700 * kumquatlug.Millis(1)
-	// lookEvery is how often they are looked at while some are missing.
-	lookEvery = 800 * kumquatlug.Millis(1)
-	// sendPart is the part of the time until a report is due, as a divisor, that is
-	// left for fixing and sending it.
-	sendPart = 4
-	// catchUpSpan is how long fronts have to tell what they counted while the store
-	// was away, from when the tallies of an old window are looked at first.
-	catchUpSpan = 2500 * kumquatlug.Millis(1)
-	// firstRetry is the wait after a call that failed; it doubles up to mostRetry.
-	firstRetry = 250 * kumquatlug.Millis(1)
-	mostRetry  = 2 * kumquatlug.Second
-	// mostDeletes bounds the rows that one transaction removes.
-	mostDeletes = kumquatlug.MaxTxEntries - 5
-	// oldTally is for how many windows a tally that nobody writes any more stays.
-	oldTally = 2
-	// doubtSpan is for how long nobody else can have fixed a window whose fixing got no
-	// answer: the lease lasts longer.
-	doubtSpan = 3 * kumquatlug.Second
+	// firstScanDelay is how long after the end of a window its tallies are first
+	// scanned: gateways write them within some tenths of a second.
+	firstScanDelay = 700 * kumquatlug.Millis(1)
+	// scanInterval is the interval between scans while tallies are incomplete.
+	scanInterval = 800 * kumquatlug.Millis(1)
+	// sendReserveDivisor divides [Windows.Due]: the result is the time before the due
+	// time that is reserved for finalizing and sending a report.
+	sendReserveDivisor = 4
+	// catchUpTimeout is how long gateways have, from the first scan of an old window
+	// on, to store what they counted while the store was unavailable.
+	catchUpTimeout = 2500 * kumquatlug.Millis(1)
+	// initialBackoff is the wait after a failed call; it doubles up to maxBackoff.
+	initialBackoff = 250 * kumquatlug.Millis(1)
+	maxBackoff     = 2 * kumquatlug.Second
+	// maxDeletesPerTx bounds the rows that one transaction deletes.
+	maxDeletesPerTx = kumquatlug.MaxTxEntries - 5
+	// staleTallyWindows is for how many windows a tally that is no longer written is
+	// kept and waited for.
+	staleTallyWindows = 2
+	// pendingTimeout is how long no other gateway can have finalized a window after
+	// the commit of this gateway got no response: the lease lasts longer.
+	pendingTimeout = 3 * kumquatlug.Second
 )
 
-// Report is the sum of one window.
+// Report is the sum of the tallies of one window.
 type Report struct {
 	window Window
 	counts Counts
 }
 
-// Window returns the window.
+// Window returns the window of the report.
 func (r Report) Window() Window { return r.window }
 
-// Counts returns the requests by account; they must not be changed.
+// Counts returns the numbers of requests by account; the map must not be changed.
 func (r Report) Counts() Counts { return r.counts }
 
-// Action is what a reporter asks for.
+// Action is the kind of call that a [Reporter] requests.
 type Action string
 
 // The actions.
 const (
-	// ActionNone: nothing to do now.
+	// ActionNone: make no call now.
 	ActionNone Action = "none"
 	// ActionLoad: scan all rows under [ReportPrefix].
 	ActionLoad Action = "load"
@@ -77,106 +79,110 @@
 	ActionSend Action = "send"
 )
 
-// Intent is one call to be made.
+// Intent is a call that the owner of a [Reporter] has to make.
 type Intent struct {
 	action Action
 	tx     kumquatlug.Tx
 	report Report
-	// missing counts the fronts that had not told all of the report's window.
-	missing int
-	removed []string
+	// missingGateways is the number of gateways whose tallies are incomplete for the
+	// report's window.
+	missingGateways int
+	deletedKeys     []string
 }
 
-// Action returns what is to be done.
+// Action returns the kind of the call.
 func (i Intent) Action() Action { return i.action }
 
 // Tx returns the transaction to commit.
 func (i Intent) Tx() kumquatlug.Tx { return i.tx }
 
-// Report returns the report to send, or the one that the transaction fixes.
+// Report returns the report to send, or the one that the transaction stores.
 func (i Intent) Report() Report { return i.report }
 
-// Missing returns how many fronts had not told all of their counts when the report
-// was fixed.
-func (i Intent) Missing() int { return i.missing }
+// Missing returns the number of gateways whose tallies were incomplete for the window
+// when it was finalized.
+func (i Intent) Missing() int { return i.missingGateways }
 
-// Reporter decides what the holder of the lease does about reports. It is not safe
-// for concurrent use.
+// Reporter decides which calls the lease holder makes to finalize and send reports. It
+// is not safe for concurrent use.
 type Reporter struct {
-	windows Windows
-	me      string
-	// number is that of the lease that this front holds, zero for none; loaded says that
-	// next and unsent are as they stand in the store.
-	number  int64
-	loaded  bool
-	next    Window
-	version int64
-	unsent  []Report
-	// sent are keys of reports that were sent; their rows go with the next one.
-	sent []string
-	// lookedAt is when each window's tallies were looked at first, lookAt when they
-	// are looked at next, sendAt when the next report may be sent.
-	lookedAt       map[Window]kumquatlug.Millis
-	lookAt, sendAt kumquatlug.Millis
-	wait           kumquatlug.Millis
-	tallies        map[string]Tally
-	sequence       int64
-	// fixed is the first window that is not known to be fixed, whatever the store says:
-	// one that comes back from an older copy has forgotten some. kept are the reports
-	// of those that this front fixed or read and does not know to be sent.
-	fixed Window
-	kept  map[Window]Report
-	// fixing is the report of the transaction that is on its way, or got no answer until
-	// doubtUntil.
-	fixing     Report
-	doubtUntil kumquatlug.Millis
+	windows     Windows
+	incarnation string
+	// fencingToken is that of the lease that this gateway holds, zero for none; loaded
+	// says that nextWindow and unsent have been read from the store.
+	fencingToken int64
+	loaded       bool
+	nextWindow   Window
+	nextVersion  int64
+	unsent       []Report
+	// sentKeys are the keys of reports that were sent; the next transaction deletes
+	// their rows.
+	sentKeys []string
+	// firstScanAt is when the tallies were first scanned for each window, nextReadAt
+	// when the store is read next, nextSendAt when the next report may be sent.
+	firstScanAt            map[Window]kumquatlug.Millis
+	nextReadAt, nextSendAt kumquatlug.Millis
+	backoff                kumquatlug.Millis
+	tallies                map[string]Tally
+	txSequence             int64
+	// finalizedBefore is the first window that is not known to be finalized. It can be
+	// ahead of the store, which loses windows when it is restored from an older copy.
+	// unconfirmed are the reports of earlier windows that this gateway finalized or
+	// read and does not know to be sent.
+	finalizedBefore Window
+	unconfirmed     map[Window]Report
+	// pending is the report of the latest transaction. If its response was lost, no
+	// other gateway can have finalized that window until pendingUntil.
+	pending      Report
+	pendingUntil kumquatlug.Millis
 }
 
-// NewReporter returns the reporter of a front's start, whose name is unique.
-func NewReporter(w Windows, me string) *Reporter {
-	return &Reporter{windows: w, me: me, kept: map[Window]Report{}}
+// NewReporter returns the reporter of a gateway process; incarnation is the unique name
+// of the process.
+func NewReporter(w Windows, incarnation string) *Reporter {
+	return &Reporter{windows: w, incarnation: incarnation, unconfirmed: map[Window]Report{}}
 }
 
-// Hold says under which number this front holds the lease, zero for none. What was
-// known under another number is read anew.
-func (r *Reporter) Hold(number int64) {
-	if number == r.number {
+// Hold sets the fencing token of the lease that this gateway holds, zero for none. A
+// new token has the reporter read the store again.
+func (r *Reporter) Hold(fencingToken int64) {
+	if fencingToken == r.fencingToken {
 		return
 	}
 	*r = Reporter{
-		windows: r.windows, me: r.me, number: number, sequence: r.sequence, fixed: r.fixed, kept: r.kept, fixing: r.fixing, doubtUntil: r.doubtUntil,
-		lookedAt: map[Window]kumquatlug.Millis{},
+		windows: r.windows, incarnation: r.incarnation, fencingToken: fencingToken, txSequence: r.txSequence, finalizedBefore: r.finalizedBefore, unconfirmed: r.unconfirmed, pending: r.pending, pendingUntil: r.pendingUntil,
+		firstScanAt: map[Window]kumquatlug.Millis{},
 	}
 }
 
-// Open returns how many windows are fixed and not known to be sent.
+// Open returns the number of finalized windows that are not known to be sent.
 func (r *Reporter) Open() int { return len(r.unsent) }
 
-// Next returns the call to make now. Hand its outcome to [Reporter.Loaded],
+// Next returns the call to make now. Pass its outcome to [Reporter.Loaded],
 // [Reporter.Looked], [Reporter.Fixed] or [Reporter.Sent].
 func (r *Reporter) Next(now kumquatlug.Millis) Intent {
 	none := Intent{action: ActionNone}
 	switch {
-	case r.number == 0:
+	case r.fencingToken == 0:
 		return none
 	case !r.loaded:
-		if now < r.lookAt {
+		if now < r.nextReadAt {
 			return none
 		}
 		return Intent{action: ActionLoad}
-	case r.tallies != nil && r.ready(now):
-		return r.fix()
-	case now >= r.lookAt && now >= r.windows.End(r.next)+settleSpan:
+	case r.tallies != nil && r.readyToFinalize(now):
+		return r.finalize()
+	case now >= r.nextReadAt && now >= r.windows.End(r.nextWindow)+firstScanDelay:
 		return Intent{action: ActionLook}
-	case len(r.unsent) > 0 && now >= r.sendAt:
+	case len(r.unsent) > 0 && now >= r.nextSendAt:
 		return Intent{action: ActionSend, report: r.unsent[0]}
 	}
 	return none
 }
 
-// stored forms of what is fixed.
+// Stored forms of the row at NextKey and of a report.
 type (
-	nextRow struct {
+	nextWindowRow struct {
 		Window Window `json:"window"`
 	}
 	reportRow struct {
@@ -184,175 +190,176 @@
 	}
 )
 
-// DecodeNext reads the row at [NextKey]: the first window that is not fixed. While there
-// is no such row none is.
+// DecodeNext decodes the row at [NextKey] and returns the first window that is not
+// finalized. It returns zero if the row doesn't exist, as no window is finalized then.
 func DecodeNext(row kumquatlug.Row) (Window, error) {
 	if !row.Exists() {
 		return 0, nil
 	}
-	var n nextRow
-	err := json.Unmarshal(row.Value(), &n)
-	return n.Window, errors.Wrap(err, "read which window is next")
+	var decoded nextWindowRow
+	err := json.Unmarshal(row.Value(), &decoded)
+	return decoded.Window, errors.Wrap(err, "decode the next window")
 }
 
-// Loaded takes the rows under [ReportPrefix]. A row that can't be read is skipped and
-// told: nobody can send it.
+// Loaded handles the result of [ActionLoad], the rows under [ReportPrefix]. A row that
+// can't be decoded can't be sent; it is skipped and returned as an error.
 func (r *Reporter) Loaded(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
 	if err != nil {
-		r.lookAt = now + r.backOff()
-		return errors.Wrap(err, "read the reports")
+		r.nextReadAt = now + r.nextBackoff()
+		return errors.Wrap(err, "scan the reports")
 	}
-	r.wait, r.lookAt, r.doubtUntil = 0, 0, 0
-	r.next, r.version, r.unsent, r.tallies = r.windows.At(now), 0, nil, nil
-	r.sent = slices.DeleteFunc(r.sent, func(key string) bool {
+	r.backoff, r.nextReadAt, r.pendingUntil = 0, 0, 0
+	r.nextWindow, r.nextVersion, r.unsent, r.tallies = r.windows.At(now), 0, nil, nil
+	r.sentKeys = slices.DeleteFunc(r.sentKeys, func(key string) bool {
 		return !slices.ContainsFunc(rows, func(row kumquatlug.Row) bool { return row.Key() == key })
 	})
-	var spoilt error
+	var decodeErr error
 	for _, row := range rows {
-		if err := r.load(row); err != nil {
-			spoilt = errors.CombineErrors(spoilt, err)
+		if err := r.loadRow(row); err != nil {
+			decodeErr = errors.CombineErrors(decodeErr, err)
 		}
 	}
-	r.remember()
+	r.recoverFinalized()
 	slices.SortFunc(r.unsent, func(a, b Report) int { return cmp.Compare(a.window, b.window) })
 	r.loaded = true
-	return spoilt
+	return decodeErr
 }
 
-func (r *Reporter) load(row kumquatlug.Row) error {
+func (r *Reporter) loadRow(row kumquatlug.Row) error {
 	if row.Key() == NextKey {
 		next, err := DecodeNext(row)
 		if err == nil {
-			r.next, r.version = next, row.Version()
-			r.fixed = max(r.fixed, next)
+			r.nextWindow, r.nextVersion = next, row.Version()
+			r.finalizedBefore = max(r.finalizedBefore, next)
 		}
 		return err
 	}
-	if slices.Contains(r.sent, row.Key()) {
+	if slices.Contains(r.sentKeys, row.Key()) {
 		return nil
 	}
 	k, err := strconv.ParseInt(strings.TrimPrefix(row.Key(), ReportPrefix), 10, 64)
 	if err != nil {
-		return errors.Wrapf(err, "read report %s", row.Key())
+		return errors.Wrapf(err, "decode the key of report %s", row.Key())
 	}
-	var fixed reportRow
-	if err := json.Unmarshal(row.Value(), &fixed); err != nil {
-		return errors.Wrapf(err, "read report %s", row.Key())
+	var stored reportRow
+	if err := json.Unmarshal(row.Value(), &stored); err != nil {
+		return errors.Wrapf(err, "decode report %s", row.Key())
 	}
-	report := Report{window: Window(k), counts: fixed.Counts}
+	report := Report{window: Window(k), counts: stored.Counts}
 	r.unsent = append(r.unsent, report)
-	r.keep(report)
+	r.recordFinalized(report)
 	return nil
 }
 
-// Looked takes the rows under [TallyPrefix]. A row that can't be read counts nothing
-// and is told.
+// Looked handles the result of [ActionLook], the rows under [TallyPrefix]. A row that
+// can't be decoded is skipped and returned as an error.
 func (r *Reporter) Looked(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
-	r.lookAt = now + lookEvery
+	r.nextReadAt = now + scanInterval
 	if err != nil {
-		r.lookAt = now + r.backOff()
-		return errors.Wrap(err, "read the counts of the fronts")
+		r.nextReadAt = now + r.nextBackoff()
+		return errors.Wrap(err, "scan the tallies")
 	}
-	r.wait = 0
+	r.backoff = 0
 	r.tallies = make(map[string]Tally, len(rows))
-	var spoilt error
+	var decodeErr error
 	for _, row := range rows {
 		t, err := DecodeTally(row.Value())
 		if err != nil {
-			spoilt = errors.CombineErrors(spoilt, errors.Wrap(err, row.Key()))
+			decodeErr = errors.CombineErrors(decodeErr, errors.Wrap(err, row.Key()))
 			continue
 		}
 		r.tallies[row.Key()] = t
-		r.fixed = max(r.fixed, t.next)
+		r.finalizedBefore = max(r.finalizedBefore, t.finalizedBefore)
 	}
-	r.begin()
-	for k := r.next; r.windows.End(k)+settleSpan <= now; k++ {
-		if _, seen := r.lookedAt[k]; !seen {
-			r.lookedAt[k] = now
+	r.findNextWindow()
+	for k := r.nextWindow; r.windows.End(k)+firstScanDelay <= now; k++ {
+		if _, scanned := r.firstScanAt[k]; !scanned {
+			r.firstScanAt[k] = now
 		}
 	}
-	return spoilt
+	return decodeErr
 }
 
-// begin finds the next window by the tallies, as the store may have forgotten which it
-// is. Where nothing was ever fixed the first window is the first with requests.
-func (r *Reporter) begin() {
+// findNextWindow derives the next window from the tallies, as a restored store may have
+// lost it. If no window was ever finalized, the next one is the first with requests.
+func (r *Reporter) findNextWindow() {
 	switch {
-	case r.version != 0:
-		r.next = max(r.next, r.fixed)
+	case r.nextVersion != 0:
+		r.nextWindow = max(r.nextWindow, r.finalizedBefore)
 		return
-	case r.fixed != 0:
-		r.next = r.fixed
+	case r.finalizedBefore != 0:
+		r.nextWindow = r.finalizedBefore
 		return
 	}
 	for _, t := range r.tallies {
 		for k := range t.counts {
-			r.next = min(r.next, k)
+			r.nextWindow = min(r.nextWindow, k)
 		}
 	}
 }
 
-// ready reports that the next window can be fixed: all fronts have told all of it, or
-// the report would be late if it waited for them any longer.
-func (r *Reporter) ready(now kumquatlug.Millis) bool {
-	looked, seen := r.lookedAt[r.next]
-	if !seen {
+// readyToFinalize reports whether the next window can be finalized: the tallies of all
+// gateways are complete, or the report would be late if it waited any longer.
+func (r *Reporter) readyToFinalize(now kumquatlug.Millis) bool {
+	firstScan, scanned := r.firstScanAt[r.nextWindow]
+	if !scanned {
 		return false
 	}
-	if r.version == 0 && now < looked+catchUpSpan {
-		// Fronts that tell for the first time may name an earlier window.
+	if r.nextVersion == 0 && now < firstScan+catchUpTimeout {
+		// A gateway that writes its first tally may have requests in an earlier window.
 		return false
 	}
-	latest := max(r.windows.End(r.next)+r.windows.Due-r.windows.Due/sendPart, looked+catchUpSpan)
-	return r.missing() == 0 || now >= latest
+	deadline := max(r.windows.End(r.nextWindow)+r.windows.Due-r.windows.Due/sendReserveDivisor, firstScan+catchUpTimeout)
+	return r.missingGateways() == 0 || now >= deadline
 }
 
-// missing counts the fronts that are there and have not told all of the next window.
-func (r *Reporter) missing() int {
+// missingGateways returns the number of running gateways whose tallies are incomplete
+// for the next window.
+func (r *Reporter) missingGateways() int {
 	n := 0
 	for _, t := range r.tallies {
-		if !t.Complete(r.windows, r.next) && !r.old(t) {
+		if !t.Complete(r.windows, r.nextWindow) && !r.stale(t) {
 			n++
 		}
 	}
 	return n
 }
 
-// old reports that the front of a tally was gone before the next window.
-func (r *Reporter) old(t Tally) bool {
-	return t.through < r.windows.End(r.next-oldTally)
+// stale reports whether the gateway of a tally was gone before the next window.
+func (r *Reporter) stale(t Tally) bool {
+	return t.countedUntil < r.windows.End(r.nextWindow-staleTallyWindows)
 }
 
-// fix returns the transaction that fixes the next window.
-func (r *Reporter) fix() Intent {
+// finalize returns the intent to commit the transaction that finalizes the next window.
+func (r *Reporter) finalize() Intent {
 	counts := Counts{}
 	for _, t := range r.tallies {
-		counts.add(t.counts[r.next])
+		counts.add(t.counts[r.nextWindow])
 	}
-	r.sequence++
-	i := Intent{action: ActionFix, report: Report{window: r.next, counts: counts}, missing: r.missing()}
-	i.removed = append(i.removed, r.sent...)
+	r.txSequence++
+	i := Intent{action: ActionFix, report: Report{window: r.nextWindow, counts: counts}, missingGateways: r.missingGateways()}
+	i.deletedKeys = append(i.deletedKeys, r.sentKeys...)
 	for key, t := range r.tallies {
-		if (t.left || r.old(t)) && !r.ahead(t) {
-			i.removed = append(i.removed, key)
+		if (t.final || r.stale(t)) && !r.hasOpenWindows(t) {
+			i.deletedKeys = append(i.deletedKeys, key)
 		}
 	}
-	r.fixing = i.report
-	slices.Sort(i.removed)
-	i.removed = i.removed[:min(len(i.removed), mostDeletes)]
-	i.tx = kumquatlug.NewTx(fmt.Sprintf("%s/usage/%d", r.me, r.sequence)).If(NextKey, r.version).
-		Put(NextKey, encode(nextRow{Window: r.next + 1})).
-		If(reportKey(r.next), 0).Put(reportKey(r.next), encode(reportRow{Counts: counts}))
-	for _, key := range i.removed {
+	r.pending = i.report
+	slices.Sort(i.deletedKeys)
+	i.deletedKeys = i.deletedKeys[:min(len(i.deletedKeys), maxDeletesPerTx)]
+	i.tx = kumquatlug.NewTx(fmt.Sprintf("%s/usage/%d", r.incarnation, r.txSequence)).If(NextKey, r.nextVersion).
+		Put(NextKey, encode(nextWindowRow{Window: r.nextWindow + 1})).
+		If(reportKey(r.nextWindow), 0).Put(reportKey(r.nextWindow), encode(reportRow{Counts: counts}))
+	for _, key := range i.deletedKeys {
 		i.tx = i.tx.Delete(key)
 	}
 	return i
 }
 
-// ahead reports that a tally holds windows that are not fixed yet.
-func (r *Reporter) ahead(t Tally) bool {
+// hasOpenWindows reports whether a tally contains windows that are not finalized.
+func (r *Reporter) hasOpenWindows(t Tally) bool {
 	for k := range t.counts {
-		if k >= r.next {
+		if k >= r.nextWindow {
 			return true
 		}
 	}
@@ -362,45 +369,45 @@
 func reportKey(k Window) string { return ReportPrefix + strconv.FormatInt(int64(k), 10) }
 
 func encode(row any) []byte {
-	// Texts and numbers always encode.
+	// Strings and numbers can't fail to encode.
 	text, _ := json.Marshal(row)
 	return text
 }
 
-// Fixed takes what became of a transaction. After any failure the store is read
-// again: the transaction may have taken effect, or that of another holder.
+// Fixed handles the result of [ActionFix]. The store is read again in any case: after a
+// failure the transaction may have taken effect, or that of another lease holder.
 func (r *Reporter) Fixed(now kumquatlug.Millis, err error) {
 	r.loaded, r.tallies = false, nil
 	if err != nil {
-		r.lookAt = now + r.backOff()
+		r.nextReadAt = now + r.nextBackoff()
 		if errors.Is(err, kumquatlug.ErrLost) {
-			r.doubtUntil = now + doubtSpan
+			r.pendingUntil = now + pendingTimeout
 		}
 		return
 	}
-	r.keep(r.fixing)
-	r.lookAt = now
+	r.recordFinalized(r.pending)
+	r.nextReadAt = now
 }
 
-// Sent takes what became of a report. One that the receiver refused for good would
-// hold up all that follow, and is given up; the error is marked
-// [kumquatlug.ErrDenied].
+// Sent handles the result of [ActionSend]. A report that the receiver rejected
+// permanently, with an error marked [kumquatlug.ErrDenied], is dropped: it would block
+// all reports that follow.
 func (r *Reporter) Sent(now kumquatlug.Millis, report Report, err error) {
 	if len(r.unsent) == 0 || r.unsent[0].window != report.window {
 		return
 	}
 	if err != nil && !errors.Is(err, kumquatlug.ErrDenied) {
-		r.sendAt = now + r.backOff()
+		r.nextSendAt = now + r.nextBackoff()
 		return
 	}
-	r.wait, r.sendAt = 0, now
+	r.backoff, r.nextSendAt = 0, now
 	r.unsent = r.unsent[1:]
-	r.sent = append(r.sent, reportKey(report.window))
-	delete(r.kept, report.window)
+	r.sentKeys = append(r.sentKeys, reportKey(report.window))
+	delete(r.unconfirmed, report.window)
 }
 
-// backOff returns the wait after a failure.
-func (r *Reporter) backOff() kumquatlug.Millis {
-	r.wait = min(max(2*r.wait, firstRetry), mostRetry)
-	return r.wait
+// nextBackoff doubles the wait after a failure, within its bounds, and returns it.
+func (r *Reporter) nextBackoff() kumquatlug.Millis {
+	r.backoff = min(max(2*r.backoff, initialBackoff), maxBackoff)
+	return r.backoff
 }
