--- a/pkg/kumquatlug/accounts/accounts.go
+++ b/pkg/kumquatlug/accounts/accounts.go
@@ -26,15 +26,15 @@
 
 // Book holds the accounts of one version of the config. It may be read by many
 // goroutines.
-type Book struct{ byKey map[string]kumquatlug.Caller }
+type Book struct{ byKeyHash map[string]kumquatlug.Caller }
 
 // NewBook returns the book of these accounts, each with one of its keys. Of two
 // accounts with the same key the first one has it.
 func NewBook(callers []kumquatlug.Caller) *Book {
-	b := &Book{byKey: make(map[string]kumquatlug.Caller, len(callers))}
+	b := &Book{byKeyHash: make(map[string]kumquatlug.Caller, len(callers))}
 	for _, c := range callers {
-		if _, taken := b.byKey[c.KeyHash()]; !taken {
-			b.byKey[c.KeyHash()] = c
+		if _, taken := b.byKeyHash[c.KeyHash()]; !taken {
+			b.byKeyHash[c.KeyHash()] = c
 		}
 	}
 	return b
@@ -42,7 +42,7 @@
 
 // ByHash returns the account whose key has this hash, as of [kumquatlug.HashKey].
 func (b *Book) ByHash(hash string) (kumquatlug.Caller, bool) {
-	c, known := b.byKey[hash]
+	c, known := b.byKeyHash[hash]
 	return c, known
 }
 
--- a/pkg/kumquatlug/accounts/accounts_test.go
+++ b/pkg/kumquatlug/accounts/accounts_test.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func caller(t testing.TB, name, key string) kumquatlug.Caller {
+func newCaller(t testing.TB, name, key string) kumquatlug.Caller {
 	t.Helper()
 	c, err := kumquatlug.NewCaller(kumquatlug.CallerConfig{Name: name, KeyHash: kumquatlug.HashKey(key)})
 	if err != nil {
@@ -18,8 +18,8 @@
 
 // A request with two keys could act for either account, and one with a key that was
 // taken away must not act for any.
-func TestOnlyOneKnownKeyNamesAnAccount(t *testing.T) {
-	b := NewBook([]kumquatlug.Caller{caller(t, "north", "k1"), caller(t, "north", "k2"), caller(t, "south", "k3"), caller(t, "late", "k1")})
+func TestCredentialNeedsExactlyOneKnownKey(t *testing.T) {
+	b := NewBook([]kumquatlug.Caller{newCaller(t, "north", "k1"), newCaller(t, "north", "k2"), newCaller(t, "south", "k3"), newCaller(t, "late", "k1")})
 	for _, c := range []struct {
 		keys    []string
 		account string
@@ -48,13 +48,13 @@
 	for _, keys := range []int{1, 20_000} {
 		callers := make([]kumquatlug.Caller, keys)
 		for i := range callers {
-			callers[i] = caller(b, fmt.Sprintf("account-%d", i%740), fmt.Sprintf("key-%d", i))
+			callers[i] = newCaller(b, fmt.Sprintf("account-%d", i%740), fmt.Sprintf("key-%d", i))
 		}
 		book := NewBook(callers)
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
-			given := []string{fmt.Sprintf("key-%d", keys-1)}
+			values := []string{fmt.Sprintf("key-%d", keys-1)}
 			for b.Loop() {
-				if _, verdict := book.Find(kumquatlug.NewCredential(given)); verdict != VerdictKnown {
+				if _, verdict := book.Find(kumquatlug.NewCredential(values)); verdict != VerdictKnown {
 					b.Fatal(verdict)
 				}
 			}
--- a/pkg/kumquatlug/catchup/catchup.go
+++ b/pkg/kumquatlug/catchup/catchup.go
@@ -13,72 +13,72 @@
 
 // Figures of catching up.
 const (
-	// storeSpan is how long the store has to bring a version that was heard of: fronts
+	// storeReadDelay is how long the store has to bring a version that was heard of: fronts
 	// learn of changes within a tenth of a second of each other.
-	storeSpan = 250 * kumquatlug.Millis(1)
-	// askAgainAfter is how long a front that was asked has until it is asked again.
-	askAgainAfter = 100 * kumquatlug.Millis(1)
-	// mostAsks is how often it is asked without an answer.
-	mostAsks = 3
+	storeReadDelay = 250 * kumquatlug.Millis(1)
+	// requestTimeout is how long a front that was asked has until it is asked again.
+	requestTimeout = 100 * kumquatlug.Millis(1)
+	// maxRequests is how often it is asked without an answer.
+	maxRequests = 3
 	// partBytes is the length of a part of a text; it fits a datagram with what goes
 	// round it.
 	partBytes = 1000
-	// burst is how many parts answer one question.
-	burst = 16
-	// mostParts bounds the parts of a text: the store's rows have 64 KB, and a few
+	// partsPerRequest is how many parts answer one question.
+	partsPerRequest = 16
+	// maxParts bounds the parts of a text: the store's rows have 64 KB, and a few
 	// times that in larger forms.
-	mostParts = 1024
+	maxParts = 1024
 )
 
 // Fetch follows which version is newest and fetches it. It is not safe for concurrent
 // use.
 type Fetch struct {
-	// have is the version in force here.
-	have int64
+	// current is the version in force here.
+	current int64
 	// newest is the newest version heard of, from who has it, heardAt when it was first.
-	newest  int64
-	from    string
-	heardAt kumquatlug.Millis
-	// askedAt is when from was asked last, asks how often without an answer.
-	askedAt kumquatlug.Millis
-	asks    int
+	newest int64
+	source string
+	seenAt kumquatlug.Millis
+	// requestedAt is when from was asked last, asks how often without an answer.
+	requestedAt kumquatlug.Millis
+	requests    int
 	// parts are what has come of the newest version's text, left how many are missing.
-	parts [][]byte
-	left  int
-	// came counts the parts that came since the last question.
-	came int
+	parts        [][]byte
+	missingParts int
+	// receivedParts counts the parts that came since the last question.
+	receivedParts int
 }
 
 // Have takes the version that is in force here.
-func (f *Fetch) Have(version int64) { f.have = max(f.have, version) }
+func (f *Fetch) Have(version int64) { f.current = max(f.current, version) }
 
 // Heard takes that a front has a version in force.
-func (f *Fetch) Heard(now kumquatlug.Millis, front string, version int64) {
-	if version <= f.have || version < f.newest {
+func (f *Fetch) Heard(now kumquatlug.Millis, gateway string, version int64) {
+	if version <= f.current || version < f.newest {
 		return
 	}
 	if version > f.newest {
-		*f = Fetch{have: f.have, newest: version, heardAt: now}
+		*f = Fetch{current: f.current, newest: version, seenAt: now}
 	}
-	if f.from == "" {
-		f.from, f.asks, f.askedAt = front, 0, 0
+	if f.source == "" {
+		f.source, f.requests, f.requestedAt = gateway, 0, 0
 	}
 }
 
 // Next returns which front is to be asked for what now, and whether one is.
 func (f *Fetch) Next(now kumquatlug.Millis) (string, kumquatlug.ConfigAsk, bool) {
 	none := kumquatlug.ConfigAsk{}
-	if f.newest <= f.have || f.from == "" || now-f.heardAt < storeSpan || f.asks > 0 && now-f.askedAt < askAgainAfter {
+	if f.newest <= f.current || f.source == "" || now-f.seenAt < storeReadDelay || f.requests > 0 && now-f.requestedAt < requestTimeout {
 		return "", none, false
 	}
-	if f.asks >= mostAsks {
+	if f.requests >= maxRequests {
 		// Another front that names the version is asked.
-		f.from = ""
+		f.source = ""
 		return "", none, false
 	}
-	f.asks++
-	f.askedAt, f.came = now, 0
-	return f.from, kumquatlug.ConfigAsk{Version: f.newest, First: f.firstMissing()}, true
+	f.requests++
+	f.requestedAt, f.receivedParts = now, 0
+	return f.source, kumquatlug.ConfigAsk{Version: f.newest, First: f.firstMissing()}, true
 }
 
 func (f *Fetch) firstMissing() int {
@@ -91,26 +91,26 @@
 }
 
 // Took takes a part of a text and returns the text when it is whole.
-func (f *Fetch) Took(front string, p kumquatlug.ConfigPart) ([]byte, bool) {
+func (f *Fetch) Took(gateway string, p kumquatlug.ConfigPart) ([]byte, bool) {
 	switch {
-	case front != f.from || p.Version != f.newest || p.Version <= f.have:
+	case gateway != f.source || p.Version != f.newest || p.Version <= f.current:
 		return nil, false
-	case p.Parts <= 0 || p.Parts > mostParts || p.Part < 0 || p.Part >= p.Parts || len(p.Text) == 0:
+	case p.Parts <= 0 || p.Parts > maxParts || p.Part < 0 || p.Part >= p.Parts || len(p.Text) == 0:
 		return nil, false
 	}
 	if len(f.parts) != p.Parts {
-		f.parts, f.left = make([][]byte, p.Parts), p.Parts
+		f.parts, f.missingParts = make([][]byte, p.Parts), p.Parts
 	}
-	f.asks = 1
+	f.requests = 1
 	if f.parts[p.Part] == nil {
 		f.parts[p.Part] = p.Text
-		f.left--
-		f.came++
+		f.missingParts--
+		f.receivedParts++
 	}
-	if f.left > 0 {
-		if f.came == burst {
+	if f.missingParts > 0 {
+		if f.receivedParts == partsPerRequest {
 			// The whole answer is here: what follows is asked for at once.
-			f.asks = 0
+			f.requests = 0
 		}
 		return nil, false
 	}
@@ -123,16 +123,16 @@
 
 // Answer returns the parts that answer a question, of the text of the version in force
 // here; none where that is another version.
-func Answer(ask kumquatlug.ConfigAsk, version int64, text []byte) []kumquatlug.ConfigPart {
-	if ask.Version != version {
+func Answer(request kumquatlug.ConfigAsk, version int64, text []byte) []kumquatlug.ConfigPart {
+	if request.Version != version {
 		return nil
 	}
 	total := (len(text) + partBytes - 1) / partBytes
-	if total > mostParts {
+	if total > maxParts {
 		return nil
 	}
 	var parts []kumquatlug.ConfigPart
-	for i := max(ask.First, 0); i < min(total, ask.First+burst); i++ {
+	for i := max(request.First, 0); i < min(total, request.First+partsPerRequest); i++ {
 		end := min((i+1)*partBytes, len(text))
 		parts = append(parts, kumquatlug.ConfigPart{Version: version, Part: i, Parts: total, Text: text[i*partBytes : end]})
 	}
--- a/pkg/kumquatlug/catchup/catchup_test.go
+++ b/pkg/kumquatlug/catchup/catchup_test.go
@@ -8,26 +8,26 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// give plays a front that has a text in force and may lose answers; it returns what the
+// transfer plays a front that has a text in force and may lose answers; it returns what the
 // asking front puts together, and when.
-func give(t *testing.T, f *Fetch, front string, version int64, text []byte, lost float64) ([]byte, kumquatlug.Millis) {
+func transfer(t *testing.T, f *Fetch, gateway string, version int64, text []byte, lossRate float64) ([]byte, kumquatlug.Millis) {
 	t.Helper()
-	dice := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for now := kumquatlug.Millis(0); now < 20_000; now += 10 {
-		f.Heard(now, front, version)
+		f.Heard(now, gateway, version)
 		for {
-			to, ask, due := f.Next(now)
+			to, request, due := f.Next(now)
 			if !due {
 				break
 			}
-			if to != front {
+			if to != gateway {
 				t.Fatalf("asked %q", to)
 			}
-			for _, part := range Answer(ask, version, text) {
-				if dice.Float64() < lost {
+			for _, part := range Answer(request, version, text) {
+				if random.Float64() < lossRate {
 					continue
 				}
-				if got, whole := f.Took(front, part); whole {
+				if got, complete := f.Took(gateway, part); complete {
 					return got, now
 				}
 			}
@@ -38,33 +38,33 @@
 
 // The store turns a front away, and half of what the others send it is lost. It must
 // have the whole text all the same: with a part of the keys it would turn clients away.
-func TestALongTextArrivesThroughLoss(t *testing.T) {
+func TestConfigArrivesDespitePacketLoss(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789abcdef"), 20_000)
-	for _, lost := range []float64{0, 0.5} {
+	for _, lossRate := range []float64{0, 0.5} {
 		f := &Fetch{}
 		f.Have(3)
-		got, at := give(t, f, "front-2", 7, text, lost)
-		if !bytes.Equal(got, text) || lost == 0 && at > 2*storeSpan {
-			t.Errorf("lost %.1f: %d of %d bytes at %d ms", lost, len(got), len(text), at)
+		got, at := transfer(t, f, "front-2", 7, text, lossRate)
+		if !bytes.Equal(got, text) || lossRate == 0 && at > 2*storeReadDelay {
+			t.Errorf("lost %.1f: %d of %d bytes at %d ms", lossRate, len(got), len(text), at)
 		}
 	}
 }
 
 // The store brings a version itself a moment after another front named it. Asked for
 // each time, every change would cost the fronts its text from each other.
-func TestWhatTheStoreBringsIsNotAskedFor(t *testing.T) {
+func TestVersionFromStoreIsNotRequested(t *testing.T) {
 	f := &Fetch{}
 	f.Have(3)
 	f.Heard(0, "front-2", 7)
-	if _, _, due := f.Next(storeSpan - 1); due {
+	if _, _, due := f.Next(storeReadDelay - 1); due {
 		t.Error("asked before the store had time")
 	}
 	f.Have(7)
-	if _, _, due := f.Next(10 * storeSpan); due {
+	if _, _, due := f.Next(10 * storeReadDelay); due {
 		t.Error("asked for what is in force")
 	}
-	f.Heard(11*storeSpan, "front-3", 5)
-	if _, _, due := f.Next(13 * storeSpan); due {
+	f.Heard(11*storeReadDelay, "front-3", 5)
+	if _, _, due := f.Next(13 * storeReadDelay); due {
 		t.Error("asked for an older version")
 	}
 }
@@ -72,23 +72,23 @@
 // The front that named a version is gone before it gave it. Another one that names it
 // is asked instead; parts of a version that was overtaken meanwhile are none of the
 // newer one's.
-func TestAnotherFrontIsAskedWhenOneIsGone(t *testing.T) {
+func TestNextGatewayIsAskedAfterTimeouts(t *testing.T) {
 	f := &Fetch{}
 	f.Heard(0, "front-2", 7)
-	asks := 0
-	for now := storeSpan; now < storeSpan+1000; now += 10 {
+	requests := 0
+	for now := storeReadDelay; now < storeReadDelay+1000; now += 10 {
 		if _, _, due := f.Next(now); due {
-			asks++
+			requests++
 		}
 	}
-	if asks != mostAsks {
-		t.Fatalf("asked %d times", asks)
+	if requests != maxRequests {
+		t.Fatalf("asked %d times", requests)
 	}
 	f.Heard(2000, "front-3", 7)
 	if to, _, due := f.Next(2000); !due || to != "front-3" {
 		t.Fatalf("asked %q, %v", to, due)
 	}
-	if _, whole := f.Took("front-2", kumquatlug.ConfigPart{Version: 7, Part: 0, Parts: 1, Text: []byte("x")}); whole {
+	if _, complete := f.Took("front-2", kumquatlug.ConfigPart{Version: 7, Part: 0, Parts: 1, Text: []byte("x")}); complete {
 		t.Error("took what it did not ask for")
 	}
 	f.Heard(2100, "front-4", 8)
@@ -96,10 +96,10 @@
 		{Version: 7, Part: 0, Parts: 1, Text: []byte("x")},
 		{Version: 8, Part: 1, Parts: 1, Text: []byte("x")},
 		{Version: 8, Part: -1, Parts: 1, Text: []byte("x")},
-		{Version: 8, Part: 0, Parts: mostParts + 1, Text: []byte("x")},
+		{Version: 8, Part: 0, Parts: maxParts + 1, Text: []byte("x")},
 		{Version: 8, Part: 0, Parts: 1},
 	} {
-		if _, whole := f.Took("front-4", bad); whole {
+		if _, complete := f.Took("front-4", bad); complete {
 			t.Errorf("took %+v", bad)
 		}
 	}
--- a/pkg/kumquatlug/clock/clock.go
+++ b/pkg/kumquatlug/clock/clock.go
@@ -70,17 +70,17 @@
 // time of day may jump by seconds and back, and what is counted by windows of time
 // would land in wrong ones.
 type Wall struct {
-	awake  kumquatlug.Clock
-	offset kumquatlug.Millis
+	boottime kumquatlug.Clock
+	offset   kumquatlug.Millis
 }
 
 // NewWall returns a clock that goes on by awake.
-func NewWall(awake kumquatlug.Clock) *Wall {
-	return &Wall{awake: awake, offset: kumquatlug.Millis(time.Now().UnixMilli()) - awake.Now()}
+func NewWall(boottime kumquatlug.Clock) *Wall {
+	return &Wall{boottime: boottime, offset: kumquatlug.Millis(time.Now().UnixMilli()) - boottime.Now()}
 }
 
 // Now returns the milliseconds since 1970.
-func (w *Wall) Now() kumquatlug.Millis { return w.awake.Now() + w.offset }
+func (w *Wall) Now() kumquatlug.Millis { return w.boottime.Now() + w.offset }
 
 func sinceBoot() kumquatlug.Millis {
 	var t unix.Timespec
--- a/pkg/kumquatlug/coordinator/coordinator.go
+++ b/pkg/kumquatlug/coordinator/coordinator.go
@@ -27,177 +27,177 @@
 
 // Figures of coordinators.
 const (
-	// firstAway is how long a front that left a question unanswered is not asked; it
-	// doubles with each in a row up to mostAway.
-	firstAway = 1 * kumquatlug.Second
-	mostAway  = 16 * kumquatlug.Second
-	// forgottenAfter is how many questions in a row a front leaves unanswered until
+	// minBackoff is how long a front that left a question unanswered is not asked; it
+	// doubles with each in a row up to maxBackoff.
+	minBackoff = 1 * kumquatlug.Second
+	maxBackoff = 16 * kumquatlug.Second
+	// excludeAfterTimeouts is how many questions in a row a front leaves unanswered until
 	// it counts no more among those that could answer: its row outlasts it.
-	forgottenAfter = 3
-	// leastThere is the part of the other fronts that must be there.
-	leastThere = 0.5
+	excludeAfterTimeouts = 3
+	// quorumFraction is the part of the other fronts that must be there.
+	quorumFraction = 0.5
 )
 
 // Fronts is what one front knows of all. It belongs to one owner and is not safe
 // for concurrent use. Until [Fronts.Set] was called there is no coordinator.
 type Fronts struct {
-	me    string
-	known map[string]*front
-	// leaving says that this front coordinates nothing any more.
-	leaving bool
-	// coordinators are the answers given since the last change, good until changesAt.
-	coordinators map[string]string
-	changesAt    kumquatlug.Millis
-	news         []News
+	self     string
+	gateways map[string]*peerState
+	// stopping says that this front coordinates nothing any more.
+	stopping bool
+	// cache are the answers given since the last change, good until changesAt.
+	cache           map[string]string
+	cacheValidUntil kumquatlug.Millis
+	changes         []News
 }
 
 // News is that a front was found to be away, or to be back.
 type News struct {
-	front  string
-	what   string
-	misses int
+	gateway  string
+	event    string
+	timeouts int
 }
 
 // Front returns which front it is.
-func (n News) Front() string { return n.front }
+func (n News) Front() string { return n.gateway }
 
 // What returns what became of it.
-func (n News) What() string { return n.what }
+func (n News) What() string { return n.event }
 
 // Misses returns how many questions in a row it had left unanswered.
-func (n News) Misses() int { return n.misses }
+func (n News) Misses() int { return n.timeouts }
 
 // News returns what was found since it was asked last.
 func (f *Fronts) News() []News {
-	news := f.news
-	f.news = nil
-	return news
+	changes := f.changes
+	f.changes = nil
+	return changes
 }
 
-// front is what is known of one front.
-type front struct {
-	hash      uint64
-	misses    int
-	awayUntil kumquatlug.Millis
-	forgotten bool
+// peerState is what is known of one front.
+type peerState struct {
+	hash         uint64
+	timeouts     int
+	backoffUntil kumquatlug.Millis
+	excluded     bool
 }
 
 var _ kumquatlug.Coordinators = (*Fronts)(nil)
 
 // New returns what the front with this name knows at its start.
-func New(me string) *Fronts {
-	return &Fronts{me: me, known: map[string]*front{}, coordinators: map[string]string{}}
+func New(self string) *Fronts {
+	return &Fronts{self: self, gateways: map[string]*peerState{}, cache: map[string]string{}}
 }
 
 // Set takes the names of all fronts, this one among them.
 func (f *Fronts) Set(names []string) {
-	known := map[string]*front{f.me: newFront(f.me)}
+	gateways := map[string]*peerState{f.self: newPeerState(f.self)}
 	for _, name := range names {
-		known[name] = newFront(name)
-		if before, was := f.known[name]; was {
-			known[name] = before
+		gateways[name] = newPeerState(name)
+		if previous, known := f.gateways[name]; known {
+			gateways[name] = previous
 		}
 	}
-	f.known = known
-	f.changed()
+	f.gateways = gateways
+	f.clearCache()
 }
 
-func newFront(name string) *front { return &front{hash: xxhash.Sum64String(name)} }
+func newPeerState(name string) *peerState { return &peerState{hash: xxhash.Sum64String(name)} }
 
 // Add takes a front that made itself known.
 func (f *Fronts) Add(name string) {
-	if _, was := f.known[name]; !was && len(f.known) > 0 {
-		f.known[name] = newFront(name)
-		f.changed()
+	if _, known := f.gateways[name]; !known && len(f.gateways) > 0 {
+		f.gateways[name] = newPeerState(name)
+		f.clearCache()
 	}
 	f.Answered(name)
 }
 
 // Left takes that a front said that it stops.
 func (f *Fronts) Left(name string) {
-	if one, known := f.known[name]; known {
-		one.forgotten = true
-		f.changed()
+	if peer, known := f.gateways[name]; known {
+		peer.excluded = true
+		f.clearCache()
 	}
 }
 
 // Leave makes this front coordinate nothing any more.
 func (f *Fronts) Leave() {
-	f.leaving = true
-	f.changed()
+	f.stopping = true
+	f.clearCache()
 }
 
-func (f *Fronts) changed() { clear(f.coordinators) }
+func (f *Fronts) clearCache() { clear(f.cache) }
 
 // Answered takes that a front answered.
 func (f *Fronts) Answered(name string) {
-	one, known := f.known[name]
-	if !known || one.misses == 0 && !one.forgotten {
+	peer, known := f.gateways[name]
+	if !known || peer.timeouts == 0 && !peer.excluded {
 		return
 	}
-	f.news = append(f.news, News{front: name, what: "front back", misses: one.misses})
-	one.misses, one.awayUntil, one.forgotten = 0, 0, false
-	f.changed()
+	f.changes = append(f.changes, News{gateway: name, event: "front back", timeouts: peer.timeouts})
+	peer.timeouts, peer.backoffUntil, peer.excluded = 0, 0, false
+	f.clearCache()
 }
 
 // Missed takes that a front left a question unanswered.
 func (f *Fronts) Missed(now kumquatlug.Millis, name string) {
-	one, known := f.known[name]
-	if !known || now < one.awayUntil {
+	peer, known := f.gateways[name]
+	if !known || now < peer.backoffUntil {
 		return
 	}
-	one.awayUntil = now + min(firstAway<<min(one.misses, 10), mostAway)
-	one.misses++
-	f.news = append(f.news, News{front: name, what: "front away", misses: one.misses})
-	if one.misses >= forgottenAfter && f.heard(now) {
-		one.forgotten = true
+	peer.backoffUntil = now + min(minBackoff<<min(peer.timeouts, 10), maxBackoff)
+	peer.timeouts++
+	f.changes = append(f.changes, News{gateway: name, event: "front away", timeouts: peer.timeouts})
+	if peer.timeouts >= excludeAfterTimeouts && f.hasQuorum(now) {
+		peer.excluded = true
 	}
-	f.changed()
+	f.clearCache()
 }
 
-// heard reports that enough of the other fronts are there for this one not to be
+// hasQuorum reports that enough of the other fronts are there for this one not to be
 // cut off.
-func (f *Fronts) heard(now kumquatlug.Millis) bool {
-	others, there := 0, 0
-	for name, one := range f.known {
-		if name == f.me || one.forgotten {
+func (f *Fronts) hasQuorum(now kumquatlug.Millis) bool {
+	others, reachable := 0, 0
+	for name, peer := range f.gateways {
+		if name == f.self || peer.excluded {
 			continue
 		}
 		others++
-		if now >= one.awayUntil {
-			there++
+		if now >= peer.backoffUntil {
+			reachable++
 		}
 	}
-	return float64(there) >= leastThere*float64(others)
+	return float64(reachable) >= quorumFraction*float64(others)
 }
 
 // Coordinator returns the front that coordinates an engine, empty for none.
 func (f *Fronts) Coordinator(now kumquatlug.Millis, engine string) string {
-	if now >= f.changesAt {
-		f.changed()
+	if now >= f.cacheValidUntil {
+		f.clearCache()
 	}
-	coordinator, known := f.coordinators[engine]
-	if !known {
-		if len(f.coordinators) == 0 {
-			f.changesAt = f.nextChange(now)
+	coordinator, cached := f.cache[engine]
+	if !cached {
+		if len(f.cache) == 0 {
+			f.cacheValidUntil = f.nextRetryAt(now)
 		}
 		coordinator = f.choose(now, engine)
-		f.coordinators[engine] = coordinator
+		f.cache[engine] = coordinator
 	}
 	return coordinator
 }
 
 // Coordinates reports that this front coordinates an engine.
 func (f *Fronts) Coordinates(now kumquatlug.Millis, engine string) bool {
-	return f.Coordinator(now, engine) == f.me
+	return f.Coordinator(now, engine) == f.self
 }
 
-// nextChange is when a front that is away is tried again.
-func (f *Fronts) nextChange(now kumquatlug.Millis) kumquatlug.Millis {
+// nextRetryAt is when a front that is away is tried again.
+func (f *Fronts) nextRetryAt(now kumquatlug.Millis) kumquatlug.Millis {
 	next := kumquatlug.Millis(math.MaxInt64)
-	for _, one := range f.known {
-		if now < one.awayUntil {
-			next = min(next, one.awayUntil)
+	for _, peer := range f.gateways {
+		if now < peer.backoffUntil {
+			next = min(next, peer.backoffUntil)
 		}
 	}
 	return next
@@ -205,17 +205,17 @@
 
 // choose finds the first front that is there in an engine's order.
 func (f *Fronts) choose(now kumquatlug.Millis, engine string) string {
-	if !f.heard(now) {
+	if !f.hasQuorum(now) {
 		return ""
 	}
 	key := xxhash.Sum64String(engine)
-	coordinator, most := "", uint64(0)
-	for name, one := range f.known {
-		if one.forgotten || now < one.awayUntil || name == f.me && f.leaving {
+	coordinator, highest := "", uint64(0)
+	for name, peer := range f.gateways {
+		if peer.excluded || now < peer.backoffUntil || name == f.self && f.stopping {
 			continue
 		}
-		if h := rendezvous.Mix(key ^ one.hash); coordinator == "" || h > most {
-			coordinator, most = name, h
+		if h := rendezvous.Mix(key ^ peer.hash); coordinator == "" || h > highest {
+			coordinator, highest = name, h
 		}
 	}
 	return coordinator
--- a/pkg/kumquatlug/fairshare/fairshare.go
+++ b/pkg/kumquatlug/fairshare/fairshare.go
@@ -16,38 +16,38 @@
 
 // Figures of shares, in milliseconds unless they say otherwise.
 const (
-	// lately and usually are the spans over which an account's load is averaged.
-	lately  = 1500.0
-	usually = 30_000.0
-	// slack is how many times its usual part of the load an account may have lately
+	// recentSpanMs and usually are the spans over which an account's load is averaged.
+	recentSpanMs = 1500.0
+	usualSpanMs  = 30_000.0
+	// burstTolerance is how many times its usual part of the load an account may have lately
 	// until it counts as more.
-	slack = 2.0
-	// leastFactor bounds what an excess does to the order.
-	leastFactor = 0.05
-	// mostAccounts bounds the accounts that are followed.
-	mostAccounts = 20_000
-	// leastLoad is the part of a mean account's usual load that every account has for
+	burstTolerance = 2.0
+	// minFactor bounds what an excess does to the order.
+	minFactor = 0.05
+	// maxAccounts bounds the accounts that are followed.
+	maxAccounts = 20_000
+	// minUsualFraction is the part of a mean account's usual load that every account has for
 	// usual: one that is seen for the first time is no herd.
-	leastLoad = 1.0
+	minUsualFraction = 1.0
 )
 
 // load is a decaying sum at a moment.
 type load struct {
-	sum float64
-	at  kumquatlug.Millis
+	sum       float64
+	updatedAt kumquatlug.Millis
 }
 
-func (l load) now(now kumquatlug.Millis, span float64) float64 {
-	return l.sum * math.Exp(-float64(now-l.at)/span)
+func (l load) decayed(now kumquatlug.Millis, span float64) float64 {
+	return l.sum * math.Exp(-float64(now-l.updatedAt)/span)
 }
 
 func (l *load) add(now kumquatlug.Millis, span, size float64) {
-	l.sum = l.now(now, span) + size
-	l.at = now
+	l.sum = l.decayed(now, span) + size
+	l.updatedAt = now
 }
 
 // account is what is followed of one.
-type account struct{ lately, usually load }
+type account struct{ recent, usual load }
 
 // Shares follows all accounts of a service at one front. It is not safe for concurrent
 // use.
@@ -64,16 +64,16 @@
 func (s *Shares) Asked(now kumquatlug.Millis, name string, size float64) float64 {
 	a, known := s.accounts[name]
 	if !known {
-		if len(s.accounts) >= mostAccounts {
-			s.forgetIdle(now)
+		if len(s.accounts) >= maxAccounts {
+			s.evictIdle(now)
 		}
 		a = &account{}
 		s.accounts[name] = a
 	}
 	factor := s.factor(now, a)
-	for _, one := range []*account{a, &s.all} {
-		one.lately.add(now, lately, size)
-		one.usually.add(now, usually, size)
+	for _, each := range []*account{a, &s.all} {
+		each.recent.add(now, recentSpanMs, size)
+		each.usual.add(now, usualSpanMs, size)
 	}
 	return factor
 }
@@ -81,19 +81,19 @@
 // factor compares the account's rate lately with the rate that it may have: its usual
 // one, or that of a mean account.
 func (s *Shares) factor(now kumquatlug.Millis, a *account) float64 {
-	mean := s.all.usually.now(now, usually) / float64(len(s.accounts)) / usually
-	usual := max(a.usually.now(now, usually)/usually, leastLoad*mean)
-	recent := a.lately.now(now, lately) / lately
-	if recent <= slack*usual {
+	mean := s.all.usual.decayed(now, usualSpanMs) / float64(len(s.accounts)) / usualSpanMs
+	usual := max(a.usual.decayed(now, usualSpanMs)/usualSpanMs, minUsualFraction*mean)
+	recent := a.recent.decayed(now, recentSpanMs) / recentSpanMs
+	if recent <= burstTolerance*usual {
 		return 1
 	}
-	return max(slack*usual/recent, leastFactor)
+	return max(burstTolerance*usual/recent, minFactor)
 }
 
-// forgetIdle drops the accounts that asked for next to nothing lately.
-func (s *Shares) forgetIdle(now kumquatlug.Millis) {
+// evictIdle drops the accounts that asked for next to nothing lately.
+func (s *Shares) evictIdle(now kumquatlug.Millis) {
 	for name, a := range s.accounts {
-		if now-a.usually.at > kumquatlug.Millis(usually) {
+		if now-a.usual.updatedAt > kumquatlug.Millis(usualSpanMs) {
 			delete(s.accounts, name)
 		}
 	}
--- a/pkg/kumquatlug/learn/perunit.go
+++ b/pkg/kumquatlug/learn/perunit.go
@@ -1,7 +1,7 @@
 package learn
 
-// unitMemory is the weight that older samples keep with each new one.
-const unitMemory = 31.0 / 32
+// perUnitDecay is the weight that older samples keep with each new one.
+const perUnitDecay = 31.0 / 32
 
 // PerUnit learns how much of something there is for each unit of something else,
 // as the ratio of sums: samples of many units say more than those of few.
@@ -9,14 +9,14 @@
 
 // NewPerUnit returns an estimate that begins with so much for each unit, as if one
 // sample of so many units had shown it.
-func NewPerUnit(start, units float64) *PerUnit {
-	return &PerUnit{amount: start * units, units: units}
+func NewPerUnit(initial, units float64) *PerUnit {
+	return &PerUnit{amount: initial * units, units: units}
 }
 
 // Saw takes a sample of an amount for so many units.
 func (p *PerUnit) Saw(amount, units float64) {
-	p.amount = p.amount*unitMemory + amount
-	p.units = p.units*unitMemory + units
+	p.amount = p.amount*perUnitDecay + amount
+	p.units = p.units*perUnitDecay + units
 }
 
 // Value returns the amount for each unit.
--- a/pkg/kumquatlug/learn/reading_test.go
+++ b/pkg/kumquatlug/learn/reading_test.go
@@ -10,62 +10,62 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// truth is an engine's real reading.
-type truth struct{ rate, pairs, fixed float64 }
+// engineModel is an engine's real reading.
+type engineModel struct{ rate, pairCost, fixed float64 }
 
-func (e truth) time(fresh, held float64) float64 {
-	return fresh/e.rate + e.pairs*fresh*(held+fresh/2)/millionPairs + e.fixed
+func (e engineModel) time(uncached, cached float64) float64 {
+	return uncached/e.rate + e.pairCost*uncached*(cached+uncached/2)/pairScale + e.fixed
 }
 
-// prompt draws the fresh and held tokens of a long prompt.
-func prompt(r *rand.Rand) (fresh, held float64) {
+// randomPrompt draws the fresh and held tokens of a long prompt.
+func randomPrompt(r *rand.Rand) (uncached, cached float64) {
 	return math.Min(2800*math.Exp(r.NormFloat64()*0.9), 50_000), float64(r.IntN(20_000))
 }
 
-// read shows an estimate so many prompts. One in four had met work of another
+// observePrompts shows an estimate so many prompts. One in four had met work of another
 // front, or parts that the engine had dropped.
-func read(e truth, r *Reading, random *rand.Rand, prompts int) {
+func observePrompts(e engineModel, r *Reading, random *rand.Rand, prompts int) {
 	for range prompts {
-		fresh, held := prompt(random)
-		took := e.time(fresh, held) + 2*random.Float64()
+		uncached, cached := randomPrompt(random)
+		took := e.time(uncached, cached) + 2*random.Float64()
 		switch random.IntN(8) {
 		case 0:
 			took += 200 * random.Float64()
 		case 1:
-			took = e.time(fresh+held, 0)
+			took = e.time(uncached+cached, 0)
 		}
-		r.Saw(fresh, held, took)
+		r.Saw(uncached, cached, took)
 	}
 }
 
-// off is the median relative error of an estimate.
-func off(e truth, r *Reading, random *rand.Rand) float64 {
-	within := 0.0
+// meanError is the median relative error of an estimate.
+func meanError(e engineModel, r *Reading, random *rand.Rand) float64 {
+	sum := 0.0
 	const prompts = 200
 	for range prompts {
-		fresh, held := prompt(random)
-		within += math.Abs(r.Time(fresh, held)/e.time(fresh, held)-1) / prompts
+		uncached, cached := randomPrompt(random)
+		sum += math.Abs(r.Time(uncached, cached)/e.time(uncached, cached)-1) / prompts
 	}
-	return within
+	return sum
 }
 
 // Engines come from 20 to 1,000 tokens a ms and nobody says which. A front sees
 // some eight prompts a second; until it knows the rate, it gives up prompts that
 // are being read, or lets them wait behind engines that are idle. So after two
 // seconds the estimate must be within a third, and later within a tenth and a half.
-func TestAnyRateIsLearntWithinSeconds(t *testing.T) {
+func TestEstimateConvergesForAnyRate(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(11)
 	properties := gopter.NewProperties(p)
 	properties.Property("any rate", prop.ForAll(func(rate, pairs, fixed float64, seed int64) bool {
-		e := truth{rate: math.Exp(rate), pairs: pairs * 12 / math.Exp(rate), fixed: fixed}
+		e := engineModel{rate: math.Exp(rate), pairCost: pairs * 12 / math.Exp(rate), fixed: fixed}
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
 		r := NewReading(ReadingConfig{})
-		read(e, r, random, 16)
-		early := off(e, r, random)
-		read(e, r, random, 200)
-		late := off(e, r, random)
+		observePrompts(e, r, random, 16)
+		early := meanError(e, r, random)
+		observePrompts(e, r, random, 200)
+		late := meanError(e, r, random)
 		if early > 0.45 || late > 0.15 {
-			t.Logf("%+v: off by %.2f after 16 prompts, %.2f later; %+v", e, early, late, r.factors)
+			t.Logf("%+v: off by %.2f after 16 prompts, %.2f later; %+v", e, early, late, r.coefficients)
 			return false
 		}
 		return true
@@ -75,11 +75,11 @@
 
 // The largest tenth of the prompts is dearer by the token than the others. Taken
 // for as cheap, it would be called overdue while it is being read.
-func TestLongPromptsAreDearer(t *testing.T) {
-	e := truth{rate: 48.2, pairs: 0.248, fixed: 18}
+func TestLongPromptsCostMorePerToken(t *testing.T) {
+	e := engineModel{rate: 48.2, pairCost: 0.248, fixed: 18}
 	random := rand.New(rand.NewPCG(1, 2))
 	r := NewReading(ReadingConfig{})
-	read(e, r, random, 400)
+	observePrompts(e, r, random, 400)
 	if got, want := r.Time(50_000, 13_000), e.time(50_000, 13_000); math.Abs(got/want-1) > 0.2 {
 		t.Errorf("a prompt of 50,000 tokens: %.0f ms, takes %.0f", got, want)
 	}
@@ -87,14 +87,14 @@
 
 // A release of weights makes every engine three times slower at once. The front
 // must believe it within some dozen prompts, or it gives up what is being read.
-func TestASlowerReleaseIsBelieved(t *testing.T) {
-	e := truth{rate: 300, pairs: 0.05, fixed: 10}
+func TestEstimateFollowsSlowerRelease(t *testing.T) {
+	e := engineModel{rate: 300, pairCost: 0.05, fixed: 10}
 	random := rand.New(rand.NewPCG(3, 4))
 	r := NewReading(ReadingConfig{})
-	read(e, r, random, 200)
-	slower := truth{rate: 100, pairs: 0.15, fixed: 20}
-	read(slower, r, random, 40)
-	if got := off(slower, r, random); got > 0.3 {
+	observePrompts(e, r, random, 200)
+	slower := engineModel{rate: 100, pairCost: 0.15, fixed: 20}
+	observePrompts(slower, r, random, 40)
+	if got := meanError(slower, r, random); got > 0.3 {
 		t.Errorf("off by %.2f after 40 prompts", got)
 	}
 }
--- a/pkg/kumquatlug/membership/membership.go
+++ b/pkg/kumquatlug/membership/membership.go
@@ -74,12 +74,12 @@
 
 // Member is a target as an entry sees it.
 type Member struct {
-	vm          kumquatlug.VM
-	listed      bool
-	state       State
-	incarnation string
-	heardAt     kumquatlug.Millis
-	missed      int
+	vm               kumquatlug.VM
+	listed           bool
+	state            State
+	incarnation      string
+	lastAnsweredAt   kumquatlug.Millis
+	missedHeartbeats int
 }
 
 // VM returns what the platform's list last said.
@@ -92,7 +92,7 @@
 func (m Member) Incarnation() string { return m.incarnation }
 
 // HeardAt returns when the last heartbeat was answered, zero for never.
-func (m Member) HeardAt() kumquatlug.Millis { return m.heardAt }
+func (m Member) HeardAt() kumquatlug.Millis { return m.lastAnsweredAt }
 
 // Leaving reports whether the platform's list says that the VM is leaving.
 func (m Member) Leaving() bool { return m.vm.State() == kumquatlug.VMLeaving }
@@ -117,7 +117,7 @@
 	}
 	for _, vm := range vms {
 		if vm.Role() == kumquatlug.VMTarget {
-			m.listed(vm)
+			m.addListed(vm)
 		}
 	}
 	for name, member := range m.members {
@@ -128,7 +128,7 @@
 	m.sortNames()
 }
 
-func (m *Members) listed(vm kumquatlug.VM) {
+func (m *Members) addListed(vm kumquatlug.VM) {
 	member, known := m.members[vm.Name()]
 	if !known {
 		member = &Member{state: StateNew}
@@ -161,8 +161,8 @@
 	restarted := member.incarnation != "" && member.incarnation != incarnation
 	member.state = StateUp
 	member.incarnation = incarnation
-	member.heardAt = now
-	member.missed = 0
+	member.lastAnsweredAt = now
+	member.missedHeartbeats = 0
 	return change, change.from != StateUp || restarted
 }
 
@@ -173,8 +173,8 @@
 	if !known {
 		return Change{}, false
 	}
-	member.missed++
-	if member.missed < MissedForDown || member.state == StateDown {
+	member.missedHeartbeats++
+	if member.missedHeartbeats < MissedForDown || member.state == StateDown {
 		return Change{}, false
 	}
 	change := Change{name: name, from: member.state, to: StateDown}
--- a/pkg/kumquatlug/membership/membership_test.go
+++ b/pkg/kumquatlug/membership/membership_test.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func target(name, address string, state kumquatlug.VMState) kumquatlug.VM {
+func targetVM(name, address string, state kumquatlug.VMState) kumquatlug.VM {
 	return kumquatlug.NewVM(kumquatlug.VMConfig{
 		Name: name, Role: kumquatlug.VMTarget, Address: address, Zone: "a", State: state,
 	})
@@ -17,7 +17,7 @@
 // entry that trusted the list would send callers there to wait in vain.
 func TestVanishedTargetGoesDownThoughStillListed(t *testing.T) {
 	m := New()
-	list := []kumquatlug.VM{target("t1", "10.0.0.1:7", kumquatlug.VMLive)}
+	list := []kumquatlug.VM{targetVM("t1", "10.0.0.1:7", kumquatlug.VMLive)}
 	m.Listed(list)
 	m.Heard(1000, "t1", "i1")
 	for i := range MissedForDown {
@@ -37,9 +37,9 @@
 
 // The platform's list comes back from an outage with a line missing. The
 // target still answers and has work in hand, and must not be dropped for it.
-func TestDroppedLineKeepsATargetThatAnswers(t *testing.T) {
+func TestAnsweringTargetSurvivesMissingListEntry(t *testing.T) {
 	m := New()
-	m.Listed([]kumquatlug.VM{target("t1", "10.0.0.1:7", kumquatlug.VMLive), target("t2", "10.0.0.2:7", kumquatlug.VMLive)})
+	m.Listed([]kumquatlug.VM{targetVM("t1", "10.0.0.1:7", kumquatlug.VMLive), targetVM("t2", "10.0.0.2:7", kumquatlug.VMLive)})
 	m.Heard(1000, "t1", "i1")
 	m.Listed(nil)
 	if got := fmt.Sprint(m.Names()); got != "[t1]" {
@@ -47,21 +47,21 @@
 	}
 }
 
-func TestNewVMUnderAnOldNameStartsAnew(t *testing.T) {
+func TestNewVMWithReusedNameResetsState(t *testing.T) {
 	m := New()
-	m.Listed([]kumquatlug.VM{target("t1", "10.0.0.1:7", kumquatlug.VMLive)})
+	m.Listed([]kumquatlug.VM{targetVM("t1", "10.0.0.1:7", kumquatlug.VMLive)})
 	m.Heard(1000, "t1", "i1")
-	m.Listed([]kumquatlug.VM{target("t1", "10.0.0.9:7", kumquatlug.VMLive)})
+	m.Listed([]kumquatlug.VM{targetVM("t1", "10.0.0.9:7", kumquatlug.VMLive)})
 	if got, _ := m.Get("t1"); got.State() != StateNew || got.Incarnation() != "" {
 		t.Fatalf("state %q of %q", got.State(), got.Incarnation())
 	}
 }
 
-func TestIntervalKeepsWithinTheBudget(t *testing.T) {
+func TestIntervalStaysWithinBandwidthBudget(t *testing.T) {
 	for _, targets := range []int{1, 15, 50, 400} {
-		bytesASecond := int64(targets) * HeartbeatBytes * int64(kumquatlug.Second) / int64(Interval(targets))
-		if bytesASecond > ControlBytes && Interval(targets) > MinInterval {
-			t.Errorf("%d targets take %d bytes a second", targets, bytesASecond)
+		bytesPerSecond := int64(targets) * HeartbeatBytes * int64(kumquatlug.Second) / int64(Interval(targets))
+		if bytesPerSecond > ControlBytes && Interval(targets) > MinInterval {
+			t.Errorf("%d targets take %d bytes a second", targets, bytesPerSecond)
 		}
 	}
 }
--- a/pkg/kumquatlug/membership/roster.go
+++ b/pkg/kumquatlug/membership/roster.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// rosterPrefix starts the keys of the rows that name VMs.
-const rosterPrefix = "vm/"
+// vmKeyPrefix starts the keys of the rows that name VMs.
+const vmKeyPrefix = "vm/"
 
 // Roster is the list of VMs, kept as rows of the platform's table. Each process
 // writes its own row when it starts and removes it when it has stopped as
@@ -20,8 +20,8 @@
 // NewRoster returns the list that a table keeps.
 func NewRoster(table kumquatlug.Table) *Roster { return &Roster{table: table} }
 
-// rosterRow is the JSON form of a VM's row.
-type rosterRow struct {
+// vmRow is the JSON form of a VM's row.
+type vmRow struct {
 	Role    kumquatlug.VMRole  `json:"role"`
 	Address string             `json:"address"`
 	Zone    string             `json:"zone"`
@@ -30,33 +30,33 @@
 
 // Enter writes a VM's row.
 func (r *Roster) Enter(ctx context.Context, vm kumquatlug.VM) error {
-	text, err := json.Marshal(rosterRow{Role: vm.Role(), Address: vm.Address(), Zone: vm.Zone(), State: vm.State()})
+	text, err := json.Marshal(vmRow{Role: vm.Role(), Address: vm.Address(), Zone: vm.Zone(), State: vm.State()})
 	if err != nil {
 		return errors.Wrap(err, "encode the VM's row")
 	}
-	tx := kumquatlug.NewTx("vm-"+vm.Name()).Put(rosterPrefix+vm.Name(), text)
+	tx := kumquatlug.NewTx("vm-"+vm.Name()).Put(vmKeyPrefix+vm.Name(), text)
 	return errors.Wrap(r.table.Commit(ctx, tx), "enter the VM")
 }
 
 // Leave removes a VM's row.
 func (r *Roster) Leave(ctx context.Context, name string) error {
-	return errors.Wrap(r.table.Commit(ctx, kumquatlug.NewTx("vm-"+name).Delete(rosterPrefix+name)), "remove the VM")
+	return errors.Wrap(r.table.Commit(ctx, kumquatlug.NewTx("vm-"+name).Delete(vmKeyPrefix+name)), "remove the VM")
 }
 
 // List returns all VMs by name. A row that can't be read names none.
 func (r *Roster) List(ctx context.Context) ([]kumquatlug.VM, error) {
-	rows, err := r.table.Scan(ctx, rosterPrefix, "", 0)
+	rows, err := r.table.Scan(ctx, vmKeyPrefix, "", 0)
 	if err != nil {
 		return nil, errors.Wrap(err, "list VMs")
 	}
 	vms := make([]kumquatlug.VM, 0, len(rows))
 	for _, row := range rows {
-		var one rosterRow
-		if err := json.Unmarshal(row.Value(), &one); err != nil {
+		var decoded vmRow
+		if err := json.Unmarshal(row.Value(), &decoded); err != nil {
 			continue
 		}
 		vms = append(vms, kumquatlug.NewVM(kumquatlug.VMConfig{
-			Name: row.Key()[len(rosterPrefix):], Role: one.Role, Address: one.Address, Zone: one.Zone, State: one.State,
+			Name: row.Key()[len(vmKeyPrefix):], Role: decoded.Role, Address: decoded.Address, Zone: decoded.Zone, State: decoded.State,
 		}))
 	}
 	return vms, nil
--- a/pkg/kumquatlug/ratelimit/ratelimit.go
+++ b/pkg/kumquatlug/ratelimit/ratelimit.go
@@ -22,22 +22,22 @@
 	shares *Shares
 	worker uint64
 
-	// named says that there is a limit, returning that it ended at endedAt and that the
+	// limited says that there is a limit, returning that it ended at endedAt and that the
 	// rate grows since.
-	named, returning bool
-	endedAt          kumquatlug.Millis
-	perSecond        float64
-	// heardAt is when an answer last told the limit; prompt says that it was the
+	limited, rampingUp bool
+	endedAt            kumquatlug.Millis
+	perSecond          float64
+	// statedAt is when an answer last told the limit; prompt says that it was the
 	// answer to a prompt that was only read.
-	heardAt kumquatlug.Millis
-	prompt  bool
+	statedAt        kumquatlug.Millis
+	statedByPrefill bool
 	// sent counts the requests sent since the limit was first heard of, the last one
 	// of them at lastAt.
-	sent   int
-	lastAt float64
-	// part is what this front may send, as of a version of the shares.
-	part    part
-	version int
+	sent       int
+	lastSentAt float64
+	// pacing is what this front may send, as of a version of the shares.
+	pacing        pacing
+	sharesVersion int
 }
 
 // New returns what is known of a worker that has said nothing, by the hash of its name.
@@ -46,14 +46,14 @@
 
 // Figures of the end of a limit.
 const (
-	// unheardSpan is for how long a limit holds at an engine that only reads prompts now
+	// decodeLimitHold is for how long a limit holds at an engine that only reads prompts now
 	// and named it when it generated.
-	unheardSpan = 30 * kumquatlug.Second
-	// doubleEvery is how often the rate doubles once the limit is over. A worker that was
+	decodeLimitHold = 30 * kumquatlug.Second
+	// rampDoublingTime is how often the rate doubles once the limit is over. A worker that was
 	// in need may be again, and what it would be sent at full rate until that is heard
 	// exceeds a small limit by far.
-	doubleEvery = 2 * kumquatlug.Second
-	returnSpan  = 10 * kumquatlug.Second
+	rampDoublingTime = 2 * kumquatlug.Second
+	rampDuration     = 10 * kumquatlug.Second
 )
 
 // Answer is what an answer says of the limit.
@@ -70,109 +70,109 @@
 
 // Hear takes what an answer says and reports whether the limit changed.
 func (l *Limit) Hear(now kumquatlug.Millis, a Answer) bool {
-	newer := !l.named || a.SentAt >= l.heardAt
+	newer := !l.limited || a.SentAt >= l.statedAt
 	switch {
 	case a.Says.Named():
 		rate := a.Says.PerSecond()
 		if !newer {
 			rate = min(rate, l.perSecond)
 		}
-		l.heardAt, l.prompt = now, a.Prompt
-		if l.named && rate == l.perSecond {
+		l.statedAt, l.statedByPrefill = now, a.Prompt
+		if l.limited && rate == l.perSecond {
 			return false
 		}
-		l.set(now, rate)
+		l.setRate(now, rate)
 		return true
-	case a.Says.None() && a.Good && l.named && newer && l.mayEnd(now, a):
-		l.named, l.returning, l.endedAt = false, true, now
+	case a.Says.None() && a.Good && l.limited && newer && l.endsLimit(now, a):
+		l.limited, l.rampingUp, l.endedAt = false, true, now
 		return true
 	}
 	return false
 }
 
-// mayEnd reports that the lack of a limit in an answer ends it. Answers that only tell
+// endsLimit reports that the lack of a limit in an answer ends it. Answers that only tell
 // that a prompt was read may lack one that others name.
-func (l *Limit) mayEnd(now kumquatlug.Millis, a Answer) bool {
-	return !a.Prompt || l.prompt || now-l.heardAt >= unheardSpan
+func (l *Limit) endsLimit(now kumquatlug.Millis, a Answer) bool {
+	return !a.Prompt || l.statedByPrefill || now-l.statedAt >= decodeLimitHold
 }
 
-// set takes another limit. Fronts that hear of one at the same moment don't all send the
+// setRate takes another limit. Fronts that hear of one at the same moment don't all send the
 // next request at the same moment.
-func (l *Limit) set(now kumquatlug.Millis, perSecond float64) {
-	first := !l.named && !l.returning
-	l.named, l.returning, l.perSecond = true, false, perSecond
-	l.measure()
+func (l *Limit) setRate(now kumquatlug.Millis, perSecond float64) {
+	first := !l.limited && !l.rampingUp
+	l.limited, l.rampingUp, l.perSecond = true, false, perSecond
+	l.updatePacing()
 	if first {
 		l.sent = 0
-		l.lastAt = float64(now)
+		l.lastSentAt = float64(now)
 		if l.shares != nil {
-			l.lastAt -= l.shares.phase(l.worker) * l.part.interval
+			l.lastSentAt -= l.shares.phase(l.worker) * l.pacing.intervalMs
 		}
 	}
 }
 
-// measure finds what this front may send.
-func (l *Limit) measure() {
+// updatePacing finds what this front may send.
+func (l *Limit) updatePacing() {
 	if l.shares == nil {
-		l.part = part{interval: 1000 / max(l.perSecond, leastRate)}
+		l.pacing = pacing{intervalMs: 1000 / max(l.perSecond, minRatePerSecond)}
 		return
 	}
-	l.part, l.version = l.shares.part(l.worker, l.perSecond), l.shares.version
+	l.pacing, l.sharesVersion = l.shares.pacingFor(l.worker, l.perSecond), l.shares.version
 }
 
 // Delay returns how long the next request has to wait.
 func (l *Limit) Delay(now kumquatlug.Millis) float64 {
-	if !l.holds(now) {
+	if !l.active(now) {
 		return 0
 	}
-	slower := l.grown(now)
+	slowdown := l.rampFactor(now)
 	if l.shares != nil {
-		if l.version != l.shares.version {
-			l.measure()
+		if l.sharesVersion != l.shares.version {
+			l.updatePacing()
 		}
-		slower *= l.shares.slower(now)
+		slowdown *= l.shares.slowdown(now)
 	}
-	interval := slower * l.part.interval
+	interval := slowdown * l.pacing.intervalMs
 	if interval == 0 {
 		return math.Inf(1)
 	}
-	left := l.lastAt + interval - float64(now)
-	if over := -left; l.part.probes && over > float64(probeWindow) {
-		left = interval - math.Mod(over, interval)
+	remaining := l.lastSentAt + interval - float64(now)
+	if overdue := -remaining; l.pacing.probeOnly && overdue > float64(probeWindow) {
+		remaining = interval - math.Mod(overdue, interval)
 	}
-	return max(0, left)
+	return max(0, remaining)
 }
 
 // Send takes the place of the next request, and records that it is sent once its delay
 // is over.
 func (l *Limit) Send(now kumquatlug.Millis) {
-	if !l.holds(now) {
+	if !l.active(now) {
 		return
 	}
 	l.sent++
 	if delay := l.Delay(now); !math.IsInf(delay, 1) {
-		l.lastAt = float64(now) + delay
+		l.lastSentAt = float64(now) + delay
 	}
 }
 
-// holds reports that requests are spaced.
-func (l *Limit) holds(now kumquatlug.Millis) bool {
-	if l.returning && now-l.endedAt >= returnSpan {
-		l.returning = false
+// active reports that requests are spaced.
+func (l *Limit) active(now kumquatlug.Millis) bool {
+	if l.rampingUp && now-l.endedAt >= rampDuration {
+		l.rampingUp = false
 	}
-	return l.named || l.returning
+	return l.limited || l.rampingUp
 }
 
-// grown is the part of the interval that is kept when the limit is over.
-func (l *Limit) grown(now kumquatlug.Millis) float64 {
-	if !l.returning {
+// rampFactor is the part of the interval that is kept when the limit is over.
+func (l *Limit) rampFactor(now kumquatlug.Millis) float64 {
+	if !l.rampingUp {
 		return 1
 	}
-	return math.Exp2(-float64(now-l.endedAt) / float64(doubleEvery))
+	return math.Exp2(-float64(now-l.endedAt) / float64(rampDoublingTime))
 }
 
 // Named reports whether the worker is known to have a limit.
-func (l *Limit) Named() bool { return l.named }
+func (l *Limit) Named() bool { return l.limited }
 
 // PerSecond returns the requests a second that the worker takes from all fronts.
 func (l *Limit) PerSecond() float64 { return l.perSecond }
--- a/pkg/kumquatlug/ratelimit/ratelimit_test.go
+++ b/pkg/kumquatlug/ratelimit/ratelimit_test.go
@@ -8,7 +8,7 @@
 
 // An answer that left its worker before the limit was named comes after one that names
 // it. Taken for news, it would end the limit while the worker is still in need.
-func TestAnAnswerThatWasOvertakenEndsNoLimit(t *testing.T) {
+func TestStaleResponseDoesNotEndLimit(t *testing.T) {
 	var l Limit
 	if !l.Hear(100, Answer{Says: kumquatlug.NewRateLimit(8), SentAt: 50, Good: true}) {
 		t.Fatal("a first limit is no news")
@@ -32,14 +32,14 @@
 
 // Refusals, failures and answers that only tell that a prompt was read may lack the
 // limit. Taken for its end, they would let a worker in need be flooded.
-func TestOnlyAWholeAnswerOfTheSameKindEndsALimit(t *testing.T) {
+func TestOnlyComparableResponseEndsLimit(t *testing.T) {
 	var l Limit
 	l.Hear(100, Answer{Says: kumquatlug.NewRateLimit(8), SentAt: 50, Good: true, Prompt: true})
 	if !l.Hear(210, Answer{Says: kumquatlug.NoRateLimit(), SentAt: 200, Good: true}) || l.Named() {
 		t.Error("an engine that generates again keeps the limit that it named when it read prompts")
 	}
 	l.Hear(1000, Answer{Says: kumquatlug.NewRateLimit(8), SentAt: 900, Good: true})
-	if !l.Hear(1000+unheardSpan, Answer{Says: kumquatlug.NoRateLimit(), SentAt: 2000, Good: true, Prompt: true}) {
+	if !l.Hear(1000+decodeLimitHold, Answer{Says: kumquatlug.NoRateLimit(), SentAt: 2000, Good: true, Prompt: true}) {
 		t.Error("an engine that only reads prompts now keeps its limit for ever")
 	}
 	for name, a := range map[string]Answer{
--- a/pkg/kumquatlug/ratelimit/shares.go
+++ b/pkg/kumquatlug/ratelimit/shares.go
@@ -14,17 +14,17 @@
 	// send one more before they hear that the limit fell.
 	baseHolders    = 2
 	holdersPerRate = 0.5
-	// leastRate is what is sent in spite of a lower limit, in requests a second: with
+	// minRatePerSecond is what is sent in spite of a lower limit, in requests a second: with
 	// nothing sent, nobody would learn that the limit is over.
-	leastRate = 0.1
-	// probeSpan is how often, with as many fronts as holders, a front without a share
+	minRatePerSecond = 0.1
+	// probeInterval is how often, with as many fronts as holders, a front without a share
 	// sends a request to learn whether the limit is over. It grows with the number of fronts.
-	probeSpan = 10 * kumquatlug.Second
+	probeInterval = 10 * kumquatlug.Second
 	// probeWindow is for how long it may do so each time. Later it waits for the next
 	// time: else all of them would be saved up for the first surge.
 	probeWindow = 1 * kumquatlug.Second
-	// newPart is the part of its share that a front uses that the others may not count yet.
-	newPart = 1.0 / 8
+	// newGatewayFraction is the part of its share that a front uses that the others may not count yet.
+	newGatewayFraction = 1.0 / 8
 )
 
 // Shares divides the limit of each worker among the fronts without a message between
@@ -36,8 +36,8 @@
 // others use other workers.
 type Shares struct {
 	name     string
-	me       uint64
-	fronts   map[string]uint64
+	hash     uint64
+	gateways map[string]uint64
 	newUntil kumquatlug.Millis
 	// version changes with the fronts.
 	version int
@@ -45,16 +45,16 @@
 
 // NewShares returns shares of the front with this name. Until it has met the fronts it
 // holds none.
-func NewShares(me string) *Shares {
-	return &Shares{name: me, me: xxhash.Sum64String(me), fronts: map[string]uint64{}}
+func NewShares(name string) *Shares {
+	return &Shares{name: name, hash: xxhash.Sum64String(name), gateways: map[string]uint64{}}
 }
 
 // Meet takes the names of fronts. One that was met once counts for good: a front that
 // can't be seen may still reach workers.
 func (s *Shares) Meet(names []string) {
 	for _, name := range append(names, s.name) {
-		if _, known := s.fronts[name]; !known {
-			s.fronts[name] = xxhash.Sum64String(name)
+		if _, known := s.gateways[name]; !known {
+			s.gateways[name] = xxhash.Sum64String(name)
 			s.version++
 		}
 	}
@@ -63,37 +63,37 @@
 // SetNew says that other fronts may not count this one until a moment.
 func (s *Shares) SetNew(until kumquatlug.Millis) { s.newUntil = until }
 
-// part is what one front may send to a worker.
-type part struct {
-	// interval is the time between two requests in milliseconds, zero for never.
-	interval float64
-	// probes says that the front holds no share and only learns whether the limit is over.
-	probes bool
+// pacing is what one front may send to a worker.
+type pacing struct {
+	// intervalMs is the time between two requests in milliseconds, zero for never.
+	intervalMs float64
+	// probeOnly says that the front holds no share and only learns whether the limit is over.
+	probeOnly bool
 }
 
-// part returns this front's part of a worker's limit, by the hash of the worker's name.
-func (s *Shares) part(worker uint64, perSecond float64) part {
-	if len(s.fronts) == 0 {
-		return part{}
+// pacingFor returns this front's part of a worker's limit, by the hash of the worker's name.
+func (s *Shares) pacingFor(worker uint64, perSecond float64) pacing {
+	if len(s.gateways) == 0 {
+		return pacing{}
 	}
-	perSecond = max(perSecond, leastRate)
-	holders := min(len(s.fronts), baseHolders+int(holdersPerRate*perSecond))
-	mine, before := rendezvous.Mix(worker^s.me), 0
-	for _, hash := range s.fronts {
-		if rendezvous.Mix(worker^hash) > mine {
-			before++
+	perSecond = max(perSecond, minRatePerSecond)
+	holders := min(len(s.gateways), baseHolders+int(holdersPerRate*perSecond))
+	own, ahead := rendezvous.Mix(worker^s.hash), 0
+	for _, hash := range s.gateways {
+		if rendezvous.Mix(worker^hash) > own {
+			ahead++
 		}
 	}
-	if before >= holders {
-		return part{interval: float64(probeSpan) * float64(len(s.fronts)) / float64(holders), probes: true}
+	if ahead >= holders {
+		return pacing{intervalMs: float64(probeInterval) * float64(len(s.gateways)) / float64(holders), probeOnly: true}
 	}
-	return part{interval: 1000 * float64(holders) / perSecond}
+	return pacing{intervalMs: 1000 * float64(holders) / perSecond}
 }
 
-// slower returns by how much the interval is longer for now.
-func (s *Shares) slower(now kumquatlug.Millis) float64 {
+// slowdown returns by how much the interval is longer for now.
+func (s *Shares) slowdown(now kumquatlug.Millis) float64 {
 	if now < s.newUntil {
-		return 1 / newPart
+		return 1 / newGatewayFraction
 	}
 	return 1
 }
@@ -101,5 +101,5 @@
 // phase spreads what fronts begin at the same moment, from 0 to 1.
 func (s *Shares) phase(worker uint64) float64 {
 	const bits = 53
-	return float64(rendezvous.Mix(worker^s.me)>>(64-bits)) / (1 << bits)
+	return float64(rendezvous.Mix(worker^s.hash)>>(64-bits)) / (1 << bits)
 }
--- a/pkg/kumquatlug/retry/retry.go
+++ b/pkg/kumquatlug/retry/retry.go
@@ -157,8 +157,8 @@
 // Wait returns how long to wait before doing it.
 func (d Decision) Wait() kumquatlug.Millis { return d.wait }
 
-// pace is the span over which the rate of calls is averaged.
-const pace = 10 * kumquatlug.Second
+// rateWindow is the span over which the rate of calls is averaged.
+const rateWindow = 10 * kumquatlug.Second
 
 // Policy holds the retry budget of one entry.
 type Policy struct {
@@ -167,11 +167,11 @@
 	// budget is the number of retries to hand; below zero are those that
 	// were promised and wait for their turn.
 	budget float64
-	// recent is the number of calls lately, weighted down with age over pace.
-	recent  float64
-	at      kumquatlug.Millis
-	started kumquatlug.Millis
-	running bool
+	// recentCalls is the number of calls lately, weighted down with age over pace.
+	recentCalls float64
+	updatedAt   kumquatlug.Millis
+	startedAt   kumquatlug.Millis
+	initialized bool
 }
 
 // New returns a policy with a full reserve.
@@ -183,23 +183,23 @@
 // Accepted records that a call was accepted; it adds to the budget.
 func (p *Policy) Accepted(now kumquatlug.Millis) {
 	p.advance(now)
-	p.recent++
-	p.earn(p.config.Ratio)
+	p.recentCalls++
+	p.addBudget(p.config.Ratio)
 }
 
 // advance adds the floor of the time that has passed.
 func (p *Policy) advance(now kumquatlug.Millis) {
-	if !p.running {
-		p.running = true
-		p.started, p.at = now, now
+	if !p.initialized {
+		p.initialized = true
+		p.startedAt, p.updatedAt = now, now
 	}
-	span := float64(max(now-p.at, 0))
-	p.at = max(p.at, now)
-	p.recent *= math.Exp(-span / float64(pace))
-	p.earn(p.config.Floor * span / float64(kumquatlug.Second))
+	span := float64(max(now-p.updatedAt, 0))
+	p.updatedAt = max(p.updatedAt, now)
+	p.recentCalls *= math.Exp(-span / float64(rateWindow))
+	p.addBudget(p.config.Floor * span / float64(kumquatlug.Second))
 }
 
-func (p *Policy) earn(retries float64) {
+func (p *Policy) addBudget(retries float64) {
 	p.budget = min(p.budget+retries, p.config.Reserve)
 }
 
@@ -214,7 +214,7 @@
 // its retry from the budget.
 func (p *Policy) Next(now kumquatlug.Millis, a Attempt) Decision {
 	p.advance(now)
-	verdict, reason := permitted(a)
+	verdict, reason := nextAction(a)
 	if verdict == VerdictStop {
 		return Decision{verdict: VerdictStop, reason: reason}
 	}
@@ -229,7 +229,7 @@
 	if refused {
 		return Decision{verdict: verdict, reason: reason, wait: wait}
 	}
-	wait = max(wait, p.turn())
+	wait = max(wait, p.budgetWait())
 	if a.Elapsed+wait >= a.Deadline {
 		return Decision{verdict: VerdictStop, reason: ReasonBudget}
 	}
@@ -237,10 +237,10 @@
 	return Decision{verdict: verdict, reason: reason, wait: wait}
 }
 
-// permitted says whether the call may be sent again at all. An answer that was
+// nextAction says whether the call may be sent again at all. An answer that was
 // lost proves nothing: the target may have run the call, and a second run of a
 // posting or a deposit is worse than telling the caller that it is not known.
-func permitted(a Attempt) (Verdict, Reason) {
+func nextAction(a Attempt) (Verdict, Reason) {
 	switch {
 	case a.Resumable:
 		return VerdictResume, ReasonCut
@@ -258,7 +258,7 @@
 func (p *Policy) backoff(a Attempt, refused bool) kumquatlug.Millis {
 	doublings := a.Attempts - 1
 	if refused {
-		doublings = a.Refusals - firstRefusals
+		doublings = a.Refusals - immediateRefusals
 	}
 	if doublings < 0 {
 		return 0
@@ -270,23 +270,23 @@
 	return kumquatlug.Millis(p.random.Int64N(int64(min(bound, p.config.Limit)) + 1))
 }
 
-// firstRefusals is how many refusals of a call are followed without a wait.
-const firstRefusals = 3
+// immediateRefusals is how many refusals of a call are followed without a wait.
+const immediateRefusals = 3
 
-// turn returns when the budget will have room for one more retry.
-func (p *Policy) turn() kumquatlug.Millis {
-	lack := 1 - p.budget
-	if lack <= 0 {
+// budgetWait returns when the budget will have room for one more retry.
+func (p *Policy) budgetWait() kumquatlug.Millis {
+	shortfall := 1 - p.budget
+	if shortfall <= 0 {
 		return 0
 	}
-	perMilli := p.config.Floor/float64(kumquatlug.Second) + p.config.Ratio*p.rate()
-	return kumquatlug.Millis(math.Ceil(lack / perMilli))
+	retriesPerMilli := p.config.Floor/float64(kumquatlug.Second) + p.config.Ratio*p.callRate()
+	return kumquatlug.Millis(math.Ceil(shortfall / retriesPerMilli))
 }
 
-// rate returns the calls per millisecond. The average is taken over what has
+// callRate returns the calls per millisecond. The average is taken over what has
 // passed of its span: early on a rate that is taken for too low would promise
 // retries too late, all to the same second.
-func (p *Policy) rate() float64 {
-	age := float64(max(p.at-p.started, kumquatlug.Second))
-	return p.recent / (float64(pace) * (1 - math.Exp(-age/float64(pace))))
+func (p *Policy) callRate() float64 {
+	age := float64(max(p.updatedAt-p.startedAt, kumquatlug.Second))
+	return p.recentCalls / (float64(rateWindow) * (1 - math.Exp(-age/float64(rateWindow))))
 }
--- a/pkg/kumquatlug/retry/retry_test.go
+++ b/pkg/kumquatlug/retry/retry_test.go
@@ -12,7 +12,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func policy() *Policy { return New(Config{Source: rand.NewPCG(2, 2)}) }
+func newTestPolicy() *Policy { return New(Config{Source: rand.NewPCG(2, 2)}) }
 
 func TestNext(t *testing.T) {
 	minute := kumquatlug.Minute
@@ -33,7 +33,7 @@
 		"too late":           {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute, Elapsed: minute}, VerdictStop, ReasonDeadline},
 	}
 	for name, c := range cases {
-		d := policy().Next(0, c.attempt)
+		d := newTestPolicy().Next(0, c.attempt)
 		if d.Verdict() != c.verdict || d.Reason() != c.reason {
 			t.Errorf("%s: %s because %s, want %s because %s", name, d.Verdict(), d.Reason(), c.verdict, c.reason)
 		}
@@ -44,7 +44,7 @@
 	// A group is overloaded and every call fails. If each were sent again at
 	// once the load would grow fourfold and the group could not recover; the
 	// retries that start in a second must stay a fifth of the calls.
-	p := policy()
+	p := newTestPolicy()
 	for range 50 {
 		p.Next(0, Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: kumquatlug.Minute})
 	}
@@ -63,11 +63,11 @@
 	}
 }
 
-func TestLostTargetIsAbsorbed(t *testing.T) {
+func TestTargetCrashStaysWithinBudget(t *testing.T) {
 	// One of twelve targets dies at the peak with fifty streams in hand. Each
 	// of their callers is owed a whole answer, so each must be resumed, and
 	// soon: they see the stream pause for as long.
-	p := policy()
+	p := newTestPolicy()
 	for i := range 50 {
 		d := p.Next(0, Attempt{Ran: kumquatlug.RanUnknown, Resumable: true, Attempts: 1, Deadline: kumquatlug.Minute})
 		if d.Verdict() != VerdictResume || d.Wait() > 50 {
@@ -76,10 +76,10 @@
 	}
 }
 
-func TestDrainCostsNoBudget(t *testing.T) {
+func TestRefusalsCostNoBudget(t *testing.T) {
 	// Half of the targets leave at once and refuse. Their refusals cost no
 	// work, and a crash at the same time must still find the whole budget.
-	p := policy()
+	p := newTestPolicy()
 	before := p.Budget(0)
 	for range 500 {
 		d := p.Next(0, Attempt{Ran: kumquatlug.RanNot, Refused: true, Refusals: 1, Deadline: kumquatlug.Minute})
@@ -92,14 +92,14 @@
 	}
 }
 
-func TestNextKeepsItsPromises(t *testing.T) {
+func TestNextRetriesOnlySafeCallsInTime(t *testing.T) {
 	// A posting that may have run must never be sent again, and no retry may
 	// start after its caller's deadline, whatever happened before.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(12))
 	rans := []kumquatlug.Ran{kumquatlug.RanNot, kumquatlug.RanUnknown, kumquatlug.RanDone, ""}
 	properties.Property("only what may go on goes on, in time", prop.ForAll(
 		func(draws []int) bool {
-			p := policy()
+			p := newTestPolicy()
 			for i, n := range draws {
 				a := Attempt{
 					Ran: rans[n%4], Repeatable: n/4%5 == 0, Resumable: n/20%5 == 0, Refused: n/100%2 == 0,
@@ -110,8 +110,8 @@
 				if d.Verdict() == VerdictStop {
 					continue
 				}
-				may := a.Ran == kumquatlug.RanNot || a.Repeatable || a.Resumable
-				if !may || a.Elapsed+d.Wait() >= a.Deadline || a.Attempts >= 4 {
+				allowed := a.Ran == kumquatlug.RanNot || a.Repeatable || a.Resumable
+				if !allowed || a.Elapsed+d.Wait() >= a.Deadline || a.Attempts >= 4 {
 					return false
 				}
 			}
@@ -123,7 +123,7 @@
 }
 
 func BenchmarkNext(b *testing.B) {
-	p := policy()
+	p := newTestPolicy()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		p.Accepted(kumquatlug.Millis(i))
--- a/pkg/kumquatlug/retry/shared.go
+++ b/pkg/kumquatlug/retry/shared.go
@@ -16,13 +16,13 @@
 	Window kumquatlug.Millis
 }
 
-// sharedSteps is into how many steps the window of a [Shared] is cut; the count
+// windowBuckets is into how many steps the window of a [Shared] is cut; the count
 // is at most one step too high, never too low.
-const sharedSteps = 20
+const windowBuckets = 20
 
-// sharedPart is the part of its share that a front uses. The rest covers fronts
+// usableShare is the part of its share that a front uses. The rest covers fronts
 // that came a moment ago and are not counted yet.
-const sharedPart = 0.8
+const usableShare = 0.8
 
 // Shared is one front's share of a budget of repeats that all fronts use
 // together without asking each other.
@@ -33,63 +33,63 @@
 // and stops at its share: Ratio of its own requests, and the floor divided by
 // the number of fronts.
 type Shared struct {
-	c      SharedConfig
-	fronts int
-	counts [sharedSteps + 1]sharedCount
-	at     int64
+	config     SharedConfig
+	gateways   int
+	buckets    [windowBuckets + 1]bucketCounts
+	lastBucket int64
 }
 
-// sharedCount is what happened in one step of the window.
-type sharedCount struct {
+// bucketCounts is what happened in one step of the window.
+type bucketCounts struct {
 	requests, repeats int
 }
 
 // NewShared returns a budget for one front among one.
 func NewShared(c SharedConfig) *Shared {
-	c.Window = cmp.Or(c.Window, pace)
-	return &Shared{c: c, fronts: 1}
+	c.Window = cmp.Or(c.Window, rateWindow)
+	return &Shared{config: c, gateways: 1}
 }
 
 // SetFronts tells how many fronts share the budget.
-func (s *Shared) SetFronts(n int) { s.fronts = max(n, 1) }
+func (s *Shared) SetFronts(count int) { s.gateways = max(count, 1) }
 
 // advance moves the window to now.
 func (s *Shared) advance(now kumquatlug.Millis) {
-	step := int64(now) * sharedSteps / int64(s.c.Window)
-	if step-s.at > sharedSteps {
-		s.counts = [sharedSteps + 1]sharedCount{}
-		s.at = step
+	bucket := int64(now) * windowBuckets / int64(s.config.Window)
+	if bucket-s.lastBucket > windowBuckets {
+		s.buckets = [windowBuckets + 1]bucketCounts{}
+		s.lastBucket = bucket
 	}
-	for s.at < step {
-		s.at++
-		s.counts[s.at%(sharedSteps+1)] = sharedCount{}
+	for s.lastBucket < bucket {
+		s.lastBucket++
+		s.buckets[s.lastBucket%(windowBuckets+1)] = bucketCounts{}
 	}
 }
 
 // Request records a request of a client.
 func (s *Shared) Request(now kumquatlug.Millis) {
 	s.advance(now)
-	s.counts[s.at%(sharedSteps+1)].requests++
+	s.buckets[s.lastBucket%(windowBuckets+1)].requests++
 }
 
 // Note records a repeat that was sent without being paid for; later ones are paid for
 // with it.
 func (s *Shared) Note(now kumquatlug.Millis) {
 	s.advance(now)
-	s.counts[s.at%(sharedSteps+1)].repeats++
+	s.buckets[s.lastBucket%(windowBuckets+1)].repeats++
 }
 
 // Take pays for one more arrival at a worker, and reports false when the share
 // is used up.
 func (s *Shared) Take(now kumquatlug.Millis) bool {
 	s.advance(now)
-	var sum sharedCount
-	for _, c := range s.counts {
+	var sum bucketCounts
+	for _, c := range s.buckets {
 		sum.requests += c.requests
 		sum.repeats += c.repeats
 	}
-	share := s.c.Ratio*float64(sum.requests) + float64(s.c.Floor)/float64(s.fronts)
-	if float64(sum.repeats+1) > sharedPart*share {
+	share := s.config.Ratio*float64(sum.requests) + float64(s.config.Floor)/float64(s.gateways)
+	if float64(sum.repeats+1) > usableShare*share {
 		return false
 	}
 	s.Note(now)
--- a/pkg/kumquatlug/retry/shared_test.go
+++ b/pkg/kumquatlug/retry/shared_test.go
@@ -50,7 +50,7 @@
 }
 
 // A quiet minute passes: the counts of before must not hold a repeat back.
-func TestSharedBudgetForgets(t *testing.T) {
+func TestSharedBudgetWindowSlides(t *testing.T) {
 	s := NewShared(SharedConfig{Floor: 10, Window: 10_000})
 	taken := 0
 	for s.Take(0) {
--- a/pkg/kumquatlug/routes/routes.go
+++ b/pkg/kumquatlug/routes/routes.go
@@ -83,6 +83,6 @@
 }
 
 // Newer reports whether t is to replace the table in force, nil for none.
-func (t *Table) Newer(inForce *Table) bool {
-	return inForce == nil || t.version > inForce.version
+func (t *Table) Newer(current *Table) bool {
+	return current == nil || t.version > current.version
 }
--- a/pkg/kumquatlug/routes/routes_test.go
+++ b/pkg/kumquatlug/routes/routes_test.go
@@ -6,13 +6,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func route(host, prefix string, shares ...kumquatlug.Share) kumquatlug.Route {
+func newRoute(host, prefix string, shares ...kumquatlug.Share) kumquatlug.Route {
 	return kumquatlug.NewRoute(kumquatlug.RouteConfig{Name: host + prefix, Host: host, Prefix: prefix, Shares: shares})
 }
 
-func TestTheLongestPrefixWins(t *testing.T) {
+func TestLongestPrefixWins(t *testing.T) {
 	table := NewTable(kumquatlug.OperatorConfig{Routes: []kumquatlug.Route{
-		route("h", "/a/"), route("h", "/a/b/"), route("h", "/"), route("g", "/a/b/c/"),
+		newRoute("h", "/a/"), newRoute("h", "/a/b/"), newRoute("h", "/"), newRoute("g", "/a/b/c/"),
 	}})
 	for path, want := range map[string]string{"/a/b/x": "h/a/b/", "/a/bx": "h/a/", "/c": "h/", "/a": "h/"} {
 		if r, found := table.Match("h", path); !found || r.Name() != want {
@@ -29,8 +29,8 @@
 
 // A route is moved from one service to another by weights. Requests must follow
 // them, and one that is sent again must stay where it was.
-func TestRequestsFollowTheWeights(t *testing.T) {
-	r := route("h", "/", kumquatlug.Share{Service: "old", Weight: 90}, kumquatlug.Share{Service: "new", Weight: 10})
+func TestRequestsFollowWeights(t *testing.T) {
+	r := newRoute("h", "/", kumquatlug.Share{Service: "old", Weight: 90}, kumquatlug.Share{Service: "new", Weight: 10})
 	counts := map[string]int{}
 	for i := range 5000 {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676))
@@ -42,10 +42,10 @@
 	if counts["new"] < 350 || counts["new"] > 650 {
 		t.Errorf("%v", counts)
 	}
-	if s := route("h", "/", kumquatlug.Share{Service: "only"}).Service("x"); s != "only" {
+	if s := newRoute("h", "/", kumquatlug.Share{Service: "only"}).Service("x"); s != "only" {
 		t.Errorf("without weights: %q", s)
 	}
-	if s := route("h", "/").Service("x"); s != "" {
+	if s := newRoute("h", "/").Service("x"); s != "" {
 		t.Errorf("without services: %q", s)
 	}
 }
--- a/pkg/kumquatlug/scaling/scaling.go
+++ b/pkg/kumquatlug/scaling/scaling.go
@@ -17,20 +17,20 @@
 
 // Figures of scaling.
 const (
-	// busyPart is the part of its workers that a service has busy at most: beyond it
+	// maxUtilization is the part of its workers that a service has busy at most: beyond it
 	// requests wait for each other.
-	busyPart = 0.7
-	// leastHold is for how long less must have been wanted until less is ordered, at
-	// least, and holdBoots the same in starts of a worker.
-	leastHold = 30 * kumquatlug.Second
-	holdBoots = 2
+	maxUtilization = 0.7
+	// minHold is for how long less must have been wanted until less is ordered, at
+	// least, and holdBootTimes the same in starts of a worker.
+	minHold       = 30 * kumquatlug.Second
+	holdBootTimes = 2
 	// trendSpan is over which span the growth is measured.
 	trendSpan = 10 * kumquatlug.Second
-	// leastApart is how long after an order more is ordered at the earliest, or half a
+	// minOrderInterval is how long after an order more is ordered at the earliest, or half a
 	// start of a worker: what was ordered has to show first.
-	leastApart = 5 * kumquatlug.Second
-	// leastTrend is how much of that span must have been seen to speak of growth.
-	leastTrend = 3 * kumquatlug.Second
+	minOrderInterval = 5 * kumquatlug.Second
+	// minTrendSpan is how much of that span must have been seen to speak of growth.
+	minTrendSpan = 3 * kumquatlug.Second
 )
 
 // View is what is seen of a service in one data centre.
@@ -44,7 +44,7 @@
 type sample struct {
 	at     kumquatlug.Millis
 	busy   float64
-	wanted int
+	needed int
 }
 
 // Zone decides for one service in one data centre. It is not safe for concurrent use.
@@ -65,39 +65,39 @@
 // Look takes what is seen and returns the number to order, and whether one is to be
 // ordered.
 func (z *Zone) Look(now kumquatlug.Millis, v View) (int, bool) {
-	hold := max(leastHold, holdBoots*z.bounds.Boot)
+	hold := max(minHold, holdBootTimes*z.bounds.Boot)
 	z.samples = slices.DeleteFunc(z.samples, func(s sample) bool { return now-s.at > hold })
-	z.samples = append(z.samples, sample{at: now, busy: v.Busy, wanted: z.need(now, v)})
-	most := slices.MaxFunc(z.samples, func(a, b sample) int { return cmp.Compare(a.wanted, b.wanted) })
-	have := z.ordered
-	if have == 0 {
-		have = v.Workers
+	z.samples = append(z.samples, sample{at: now, busy: v.Busy, needed: z.neededWorkers(now, v)})
+	peak := slices.MaxFunc(z.samples, func(a, b sample) int { return cmp.Compare(a.needed, b.needed) })
+	current := z.ordered
+	if current == 0 {
+		current = v.Workers
 	}
-	wanted := z.within(most.wanted)
-	since := now - z.orderedAt
+	wanted := z.clamp(peak.needed)
+	sinceOrder := now - z.orderedAt
 	switch {
-	case have > z.bounds.Most || have < z.bounds.Least:
+	case current > z.bounds.Most || current < z.bounds.Least:
 		return wanted, true
-	case wanted > have && (z.ordered == 0 || since >= max(leastApart, z.bounds.Boot/2)):
+	case wanted > current && (z.ordered == 0 || sinceOrder >= max(minOrderInterval, z.bounds.Boot/2)):
 		return wanted, true
-	case wanted < have && now-z.samples[0].at >= hold-hold/10 && (z.ordered == 0 || since >= hold):
+	case wanted < current && now-z.samples[0].at >= hold-hold/10 && (z.ordered == 0 || sinceOrder >= hold):
 		return wanted, true
 	}
-	return have, false
+	return current, false
 }
 
-// need returns how many workers the load will take when one ordered now has started.
-func (z *Zone) need(now kumquatlug.Millis, v View) int {
-	coming := v.Busy
-	if first, seen := z.since(now - trendSpan); seen && now-first.at >= leastTrend {
+// neededWorkers returns how many workers the load will take when one ordered now has started.
+func (z *Zone) neededWorkers(now kumquatlug.Millis, v View) int {
+	forecast := v.Busy
+	if first, seen := z.oldestSince(now - trendSpan); seen && now-first.at >= minTrendSpan {
 		growth := (v.Busy - first.busy) / float64(now-first.at)
-		coming += max(0, growth) * float64(z.bounds.Boot)
+		forecast += max(0, growth) * float64(z.bounds.Boot)
 	}
-	return int(math.Ceil(coming / busyPart))
+	return int(math.Ceil(forecast / maxUtilization))
 }
 
-// since returns the oldest sample from a time on.
-func (z *Zone) since(from kumquatlug.Millis) (sample, bool) {
+// oldestSince returns the oldest sample from a time on.
+func (z *Zone) oldestSince(from kumquatlug.Millis) (sample, bool) {
 	at := slices.IndexFunc(z.samples, func(s sample) bool { return s.at >= from })
 	if at < 0 {
 		return sample{}, false
@@ -105,7 +105,7 @@
 	return z.samples[at], true
 }
 
-func (z *Zone) within(n int) int { return min(max(n, z.bounds.Least), z.bounds.Most) }
+func (z *Zone) clamp(n int) int { return min(max(n, z.bounds.Least), z.bounds.Most) }
 
 // Ordered takes that a number was ordered.
 func (z *Zone) Ordered(now kumquatlug.Millis, n int) { z.ordered, z.orderedAt = n, now }
--- a/pkg/kumquatlug/selector/selector.go
+++ b/pkg/kumquatlug/selector/selector.go
@@ -131,14 +131,14 @@
 // Mismatch returns the first term that does not hold, or the empty string.
 func (e Expression) Mismatch(labels Labels) string {
 	for _, t := range e.terms {
-		if !t.holds(labels) {
+		if !t.matches(labels) {
 			return t.String()
 		}
 	}
 	return ""
 }
 
-func (t term) holds(labels Labels) bool {
+func (t term) matches(labels Labels) bool {
 	value, ok := labels[t.name]
 	switch t.operator {
 	case OperatorEqual:
--- a/pkg/kumquatlug/standard/standard.go
+++ b/pkg/kumquatlug/standard/standard.go
@@ -9,33 +9,33 @@
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
 // Int returns given if it is above zero, and usual otherwise.
-func Int(given, usual int) int {
-	if given <= 0 {
-		return usual
+func Int(value, fallback int) int {
+	if value <= 0 {
+		return fallback
 	}
-	return given
+	return value
 }
 
 // Int64 returns given if it is above zero, and usual otherwise.
-func Int64(given, usual int64) int64 {
-	if given <= 0 {
-		return usual
+func Int64(value, fallback int64) int64 {
+	if value <= 0 {
+		return fallback
 	}
-	return given
+	return value
 }
 
 // Float returns given if it is above zero, and usual otherwise.
-func Float(given, usual float64) float64 {
-	if given <= 0 {
-		return usual
+func Float(value, fallback float64) float64 {
+	if value <= 0 {
+		return fallback
 	}
-	return given
+	return value
 }
 
 // Millis returns given if it is above zero, and usual otherwise.
-func Millis(given, usual kumquatlug.Millis) kumquatlug.Millis {
-	if given <= 0 {
-		return usual
+func Millis(value, fallback kumquatlug.Millis) kumquatlug.Millis {
+	if value <= 0 {
+		return fallback
 	}
-	return given
+	return value
 }
