--- a/pkg/kumquatlug/ratelimit/ratelimit.go
+++ b/pkg/kumquatlug/ratelimit/ratelimit.go
@@ -1,13 +1,13 @@
-// Package ratelimit keeps to the rate of requests that workers say they take.
+// Package ratelimit keeps requests within the rates that workers advertise.
 //
-// It answers a worker in need, which names a rate for all fronts together in its
-// answers, for as long as it is in need, while each front would send it several times
-// that. Each front keeps to its part of the rate, see [Shares], and spaces its requests
-// evenly.
+// An overloaded worker advertises a rate limit in its responses while the overload lasts.
+// The limit applies to all gateways together, each of which would otherwise send a multiple
+// of it. Each gateway uses only its share of the limit, see [Shares], and spaces its
+// requests evenly.
 //
-// Answers overtake each other: one that left the worker before it named its limit may
-// come after one that names it. So what an answer says is newer than what is known only
-// if its request was sent after that was heard.
+// Responses may arrive out of order: one that was sent before the worker advertised its
+// limit may arrive after one that advertises it. A response therefore raises or ends a
+// known limit only if its request was sent after the limit was last stated.
 package ratelimit
 
 import (
@@ -16,59 +16,61 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Limit is what one front knows of one worker. It belongs to one owner and is not safe
-// for concurrent use.
+// Limit holds the rate limit of one worker as one gateway knows it. It is not safe for
+// concurrent use.
 type Limit struct {
 	shares *Shares
 	worker uint64
 
-	// limited says that there is a limit, returning that it ended at endedAt and that the
-	// rate grows since.
+	// limited reports that the worker has a limit, rampingUp that the limit ended at endedAt
+	// and the rate is still increasing.
 	limited, rampingUp bool
 	endedAt            kumquatlug.Millis
 	perSecond          float64
-	// statedAt is when an answer last told the limit; prompt says that it was the
-	// answer to a prompt that was only read.
+	// statedAt is when a response last stated the limit; statedByPrefill reports that it was
+	// the response to a prefill-only request.
 	statedAt        kumquatlug.Millis
 	statedByPrefill bool
-	// sent counts the requests sent since the limit was first heard of, the last one
-	// of them at lastAt.
+	// sent counts the requests since the limit was first stated; the last one is scheduled at
+	// lastSentAt, in milliseconds.
 	sent       int
 	lastSentAt float64
-	// pacing is what this front may send, as of a version of the shares.
+	// pacing is how this gateway spaces its requests, computed at sharesVersion.
 	pacing        pacing
 	sharesVersion int
 }
 
-// New returns what is known of a worker that has said nothing, by the hash of its name.
-// Shares are nil for a front that is alone.
+// New returns the state of a worker without a limit. The worker is identified by the hash of
+// its name; shares is nil if there is only one gateway.
 func New(shares *Shares, worker uint64) *Limit { return &Limit{shares: shares, worker: worker} }
 
-// Figures of the end of a limit.
+// Durations that apply when a limit ends.
 const (
-	// decodeLimitHold is for how long a limit holds at an engine that only reads prompts now
-	// and named it when it generated.
+	// decodeLimitHold is how long a limit stated during decode stays in force at an engine
+	// that now only runs prefill.
 	decodeLimitHold = 30 * kumquatlug.Second
-	// rampDoublingTime is how often the rate doubles once the limit is over. A worker that was
-	// in need may be again, and what it would be sent at full rate until that is heard
-	// exceeds a small limit by far.
+	// rampDoublingTime is the time in which the rate doubles after a limit ended. The worker
+	// may become overloaded again, and the requests that full rate would send it before the
+	// gateways are informed exceed a small limit many times over.
 	rampDoublingTime = 2 * kumquatlug.Second
-	rampDuration     = 10 * kumquatlug.Second
+	// rampDuration is how long requests are spaced after a limit ended.
+	rampDuration = 10 * kumquatlug.Second
 )
 
-// Answer is what an answer says of the limit.
+// Answer is what a response states about the limit.
 type Answer struct {
 	Says kumquatlug.RateLimit
-	// SentAt is when its request was sent.
+	// SentAt is when the request was sent.
 	SentAt kumquatlug.Millis
-	// Prompt says that a prompt was only read. Such answers may lack what others tell.
+	// Prompt reports a prefill-only response, which may lack a limit that others state.
 	Prompt bool
-	// Good says that the worker did what it was asked; the lack of a limit in other
-	// answers doesn't end one.
+	// Good reports that the worker processed the request. The lack of a limit in any other
+	// response does not end a limit.
 	Good bool
 }
 
-// Hear takes what an answer says and reports whether the limit changed.
+// Hear applies a response and reports whether the limit changed. A response to a request that
+// was sent before the limit was last stated can only lower it.
 func (l *Limit) Hear(now kumquatlug.Millis, a Answer) bool {
 	newer := !l.limited || a.SentAt >= l.statedAt
 	switch {
@@ -90,14 +92,15 @@
 	return false
 }
 
-// endsLimit reports that the lack of a limit in an answer ends it. Answers that only tell
-// that a prompt was read may lack one that others name.
+// endsLimit reports whether the lack of a limit in a response ends the limit. A
+// prefill-only response may lack a limit that other responses state.
 func (l *Limit) endsLimit(now kumquatlug.Millis, a Answer) bool {
 	return !a.Prompt || l.statedByPrefill || now-l.statedAt >= decodeLimitHold
 }
 
-// setRate takes another limit. Fronts that hear of one at the same moment don't all send the
-// next request at the same moment.
+// setRate sets the limit. At a new limit each gateway delays its first request by a different
+// fraction of the interval, so that gateways that receive the limit at the same time don't
+// send at the same time.
 func (l *Limit) setRate(now kumquatlug.Millis, perSecond float64) {
 	first := !l.limited && !l.rampingUp
 	l.limited, l.rampingUp, l.perSecond = true, false, perSecond
@@ -111,7 +114,7 @@
 	}
 }
 
-// updatePacing finds what this front may send.
+// updatePacing recomputes how this gateway spaces its requests.
 func (l *Limit) updatePacing() {
 	if l.shares == nil {
 		l.pacing = pacing{intervalMs: 1000 / max(l.perSecond, minRatePerSecond)}
@@ -120,7 +123,8 @@
 	l.pacing, l.sharesVersion = l.shares.pacingFor(l.worker, l.perSecond), l.shares.version
 }
 
-// Delay returns how long the next request has to wait.
+// Delay returns how long the next request has to wait, in milliseconds: infinite if this
+// gateway must send none.
 func (l *Limit) Delay(now kumquatlug.Millis) float64 {
 	if !l.active(now) {
 		return 0
@@ -143,8 +147,7 @@
 	return max(0, remaining)
 }
 
-// Send takes the place of the next request, and records that it is sent once its delay
-// is over.
+// Send reserves the slot of the next request, which the caller sends after the delay.
 func (l *Limit) Send(now kumquatlug.Millis) {
 	if !l.active(now) {
 		return
@@ -155,7 +158,7 @@
 	}
 }
 
-// active reports that requests are spaced.
+// active reports whether requests are spaced.
 func (l *Limit) active(now kumquatlug.Millis) bool {
 	if l.rampingUp && now-l.endedAt >= rampDuration {
 		l.rampingUp = false
@@ -163,7 +166,7 @@
 	return l.limited || l.rampingUp
 }
 
-// rampFactor is the part of the interval that is kept when the limit is over.
+// rampFactor returns the fraction of the interval that applies after the limit ended.
 func (l *Limit) rampFactor(now kumquatlug.Millis) float64 {
 	if !l.rampingUp {
 		return 1
@@ -174,8 +177,8 @@
 // Named reports whether the worker is known to have a limit.
 func (l *Limit) Named() bool { return l.limited }
 
-// PerSecond returns the requests a second that the worker takes from all fronts.
+// PerSecond returns the limit in requests per second, for all gateways together.
 func (l *Limit) PerSecond() float64 { return l.perSecond }
 
-// Sent returns how many requests were sent since the limit was first heard of.
+// Sent returns the number of requests sent since the limit was first stated.
 func (l *Limit) Sent() int { return l.sent }
--- a/pkg/kumquatlug/ratelimit/shares.go
+++ b/pkg/kumquatlug/ratelimit/shares.go
@@ -7,50 +7,53 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/rendezvous"
 )
 
-// Figures of shares.
+// Parameters of the division of limits.
 const (
-	// baseHolders and holdersPerRate say how many fronts hold a share of a limit: each
-	// may have saved up one request, and all may send theirs at the same moment, or
-	// send one more before they hear that the limit fell.
+	// baseHolders and holdersPerRate define how many gateways hold a share of a limit of r
+	// requests per second: baseHolders + holdersPerRate*r. Each of them may have one unused
+	// request, and all may send theirs at the same time, or one more before they receive a
+	// lower limit.
 	baseHolders    = 2
 	holdersPerRate = 0.5
-	// minRatePerSecond is what is sent in spite of a lower limit, in requests a second: with
-	// nothing sent, nobody would learn that the limit is over.
+	// minRatePerSecond is sent even if the limit is lower: without any requests, no gateway
+	// would detect that the limit ended.
 	minRatePerSecond = 0.1
-	// probeInterval is how often, with as many fronts as holders, a front without a share
-	// sends a request to learn whether the limit is over. It grows with the number of fronts.
+	// probeInterval is how often a gateway without a share sends a request to detect the end
+	// of the limit, if there are as many gateways as holders. It grows in proportion to the
+	// number of gateways.
 	probeInterval = 10 * kumquatlug.Second
-	// probeWindow is for how long it may do so each time. Later it waits for the next
-	// time: else all of them would be saved up for the first surge.
+	// probeWindow is how long each probe may be sent. A gateway that misses the window waits
+	// for the next one, so that unused probes don't accumulate for the first load peak.
 	probeWindow = 1 * kumquatlug.Second
-	// newGatewayFraction is the part of its share that a front uses that the others may not count yet.
+	// newGatewayFraction is the fraction of its share that a gateway uses while the others
+	// may not count it yet.
 	newGatewayFraction = 1.0 / 8
 )
 
-// Shares divides the limit of each worker among the fronts without a message between
-// them: a front that is cut off from the others still keeps to its part.
+// Shares divides the limits of workers among the gateways without messages between them: a
+// gateway that is partitioned from the others still stays within its share.
 //
-// A part of less than one request is of no use, and three hundred fronts that each
-// have one request saved up exceed any small limit. So only as many fronts hold a share
-// of a worker's limit as it allows, the first ones in the worker's rendezvous order; the
+// A share of less than one request is of no use, and 300 gateways that have one unused
+// request each exceed any small limit. Only as many gateways as the limit allows therefore
+// hold a share of a worker's limit, the first ones in the worker's rendezvous order. The
 // others use other workers.
 type Shares struct {
 	name     string
 	hash     uint64
 	gateways map[string]uint64
 	newUntil kumquatlug.Millis
-	// version changes with the fronts.
+	// version changes whenever the set of gateways changes.
 	version int
 }
 
-// NewShares returns shares of the front with this name. Until it has met the fronts it
-// holds none.
+// NewShares returns the shares of the gateway with this name. It holds none until the first
+// call of Meet.
 func NewShares(name string) *Shares {
 	return &Shares{name: name, hash: xxhash.Sum64String(name), gateways: map[string]uint64{}}
 }
 
-// Meet takes the names of fronts. One that was met once counts for good: a front that
-// can't be seen may still reach workers.
+// Meet adds the names of gateways. Gateways are never removed: one that is unreachable from
+// here may still reach the workers.
 func (s *Shares) Meet(names []string) {
 	for _, name := range append(names, s.name) {
 		if _, known := s.gateways[name]; !known {
@@ -60,18 +63,19 @@
 	}
 }
 
-// SetNew says that other fronts may not count this one until a moment.
+// SetNew sets the time until which other gateways may not count this one.
 func (s *Shares) SetNew(until kumquatlug.Millis) { s.newUntil = until }
 
-// pacing is what one front may send to a worker.
+// pacing is how a gateway spaces its requests to one worker.
 type pacing struct {
-	// intervalMs is the time between two requests in milliseconds, zero for never.
+	// intervalMs is the time between two requests in milliseconds; zero means no requests.
 	intervalMs float64
-	// probeOnly says that the front holds no share and only learns whether the limit is over.
+	// probeOnly reports that the gateway holds no share and only probes for the end of the
+	// limit.
 	probeOnly bool
 }
 
-// pacingFor returns this front's part of a worker's limit, by the hash of the worker's name.
+// pacingFor returns this gateway's pacing for a worker, given the hash of the worker's name.
 func (s *Shares) pacingFor(worker uint64, perSecond float64) pacing {
 	if len(s.gateways) == 0 {
 		return pacing{}
@@ -90,7 +94,7 @@
 	return pacing{intervalMs: 1000 * float64(holders) / perSecond}
 }
 
-// slowdown returns by how much the interval is longer for now.
+// slowdown returns the factor by which intervals are currently longer.
 func (s *Shares) slowdown(now kumquatlug.Millis) float64 {
 	if now < s.newUntil {
 		return 1 / newGatewayFraction
@@ -98,7 +102,7 @@
 	return 1
 }
 
-// phase spreads what fronts begin at the same moment, from 0 to 1.
+// phase returns a number from 0 to 1 that spreads the first requests of the gateways.
 func (s *Shares) phase(worker uint64) float64 {
 	const bits = 53
 	return float64(rendezvous.Mix(worker^s.hash)>>(64-bits)) / (1 << bits)
--- a/pkg/kumquatlug/ratelimit/site_test.go
+++ b/pkg/kumquatlug/ratelimit/site_test.go
@@ -13,9 +13,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// What the users' rules allow a worker: in each span that begins notice after it first
-// named a limit, factor times what that allows and extra more, from fronts that heard
-// of it knownFor before.
+// The limits that a worker may rely on: in each window that begins settleTime after the first
+// limit was stated, at most allowedFactor times the limit plus allowedExtra requests from
+// gateways that have known the limit for knownFor.
 const (
 	settleTime    = 3 * kumquatlug.Second
 	windowSpan    = 4 * kumquatlug.Second
@@ -24,10 +24,10 @@
 	allowedExtra  = 5.0
 )
 
-// division is how a front finds its part of a limit.
+// division computes a gateway's share of a limit.
 type division func(s *Shares, worker uint64, perSecond float64) pacing
 
-// The ways that were weighed; the last one is in force.
+// wholeLimit and the next three functions are the compared schemes. [Limit] uses the last one.
 func wholeLimit(_ *Shares, _ uint64, perSecond float64) pacing {
 	return pacing{intervalMs: 1000 / perSecond}
 }
@@ -47,22 +47,22 @@
 	return s.pacingFor(worker, perSecond)
 }
 
-// simulation is one worker before many fronts.
+// simulation simulates one worker and many gateways.
 type simulation struct {
 	gateways []*simGateway
 	limit    func(now kumquatlug.Millis) (float64, bool)
 	division division
 	random   *rand.Rand
-	// demand is how many requests a second all fronts would send, skew by how much more
-	// the first front has than the last.
+	// demand is the requests per second that all gateways together would send, skew the ratio
+	// of the first gateway's demand to that of the last.
 	demand func(now kumquatlug.Millis) float64
 	skew   float64
-	// sees tells whether a front counts another one.
-	sees func(front, other int) bool
-	// restarts are the fronts that start anew at a moment.
-	restarts func(now kumquatlug.Millis, front int) bool
-	// joinedAt is when a front starts, with no row before.
-	joinedAt func(front int) kumquatlug.Millis
+	// sees reports whether a gateway counts another one.
+	sees func(gateway, other int) bool
+	// restarts reports whether a gateway restarts at a given time.
+	restarts func(now kumquatlug.Millis, gateway int) bool
+	// joinedAt is when a gateway starts that the others have not counted before.
+	joinedAt func(gateway int) kumquatlug.Millis
 
 	arrivals  []arrival
 	limitedAt kumquatlug.Millis
@@ -75,7 +75,7 @@
 	pending   []pendingResponse
 }
 
-// pendingResponse is an answer on its way.
+// pendingResponse is a response in transit.
 type pendingResponse struct {
 	arrivesAt kumquatlug.Millis
 	answer    Answer
@@ -89,7 +89,7 @@
 
 const worker = "i-1"
 
-var seeds = flag.Uint64("seeds", 1, "how many seeds the mixes are played with")
+var seeds = flag.Uint64("seeds", 1, "number of seeds to run the scenarios with")
 
 func newSimulation(gateways int, seed uint64) *simulation {
 	s := &simulation{
@@ -103,7 +103,7 @@
 	return s
 }
 
-// start starts a front that knows of nothing but the others.
+// start starts a gateway that knows the other gateways but no limit.
 func (s *simulation) start(now kumquatlug.Millis, gateway int) {
 	g := &simGateway{shares: NewShares(fmt.Sprint("front-", gateway))}
 	var names []string
@@ -120,7 +120,7 @@
 	s.gateways[gateway] = g
 }
 
-// run plays a span, a millisecond at a time.
+// run simulates a time span in steps of one millisecond.
 func (s *simulation) run(until kumquatlug.Millis) {
 	weights, sum := make([]float64, len(s.gateways)), 0.0
 	for i := range s.gateways {
@@ -160,8 +160,8 @@
 	})
 }
 
-// send sends a request, if the front may; its answer tells the limit of the moment at
-// which it leaves the worker, and takes longer at times than the next one.
+// send sends a request if the gateway may. The response states the limit at the time when it
+// leaves the worker, and may arrive after the next one.
 func (s *simulation) send(now kumquatlug.Millis, g *simGateway) {
 	if g.limit.Delay(now) > 0 {
 		return
@@ -182,8 +182,9 @@
 	})
 }
 
-// excess returns by how many requests the worst span is above what is allowed; below
-// zero there was room. What a limit that changed allows is that of its highest value.
+// excess returns the number of requests above the allowed number in the worst window,
+// negative if all windows are below it. A limit that changed in a window counts with its
+// highest value.
 func (s *simulation) excess() float64 {
 	var all []arrival
 	for _, a := range s.arrivals {
@@ -197,15 +198,15 @@
 			first++
 		}
 		highest := 0.0
-		for _, one := range all[first : last+1] {
-			highest = max(highest, one.limit)
+		for _, other := range all[first : last+1] {
+			highest = max(highest, other.limit)
 		}
 		worst = max(worst, float64(last-first+1)-allowedFactor*highest*windowSpan.Duration().Seconds()-allowedExtra)
 	}
 	return worst
 }
 
-// rate returns the requests a second that arrived in a span.
+// rate returns the requests per second that arrived in a time span.
 func (s *simulation) rate(begin, end kumquatlug.Millis) float64 {
 	n := 0
 	for _, a := range s.arrivals {
@@ -216,14 +217,14 @@
 	return float64(n) / (end - begin).Duration().Seconds()
 }
 
-// constantLimit is a limit that is named from the second second on.
+// constantLimit is a limit that starts after one second.
 func constantLimit(perSecond float64) func(kumquatlug.Millis) (float64, bool) {
 	return func(now kumquatlug.Millis) (float64, bool) { return perSecond, now >= kumquatlug.Second }
 }
 
-// Many fronts share limits of all sizes, with any of them restarted, cut off from the
-// store, told late or just added, and limits that fall, rise and end. However they do,
-// a worker in need must not be sent more than it takes.
+// Many gateways share limits of all sizes while gateways restart, are partitioned from the
+// store, learn of the limit late or join, and the limit falls, rises and ends. Together they
+// must not send an overloaded worker more than its limit allows.
 func TestGatewaysTogetherStayWithinLimit(t *testing.T) {
 	for seed := range *seeds {
 		runScenarios(t, seed+1)
@@ -233,68 +234,68 @@
 func runScenarios(t *testing.T, seed uint64) {
 	t.Helper()
 	second := kumquatlug.Second
-	scenarios := map[string]func(w *simulation, perSecond float64){
+	scenarios := map[string]func(sim *simulation, perSecond float64){
 		"steady": func(*simulation, float64) {},
-		"surge after a quiet span": func(w *simulation, _ float64) {
-			w.demand = func(now kumquatlug.Millis) float64 {
+		"burst after an idle span": func(sim *simulation, _ float64) {
+			sim.demand = func(now kumquatlug.Millis) float64 {
 				if now > 3*second && now < 12*second {
 					return 0
 				}
 				return 4000
 			}
 		},
-		"told late": func(w *simulation, perSecond float64) {
-			w.demand = func(kumquatlug.Millis) float64 { return 6 * perSecond }
+		"limit learnt late": func(sim *simulation, perSecond float64) {
+			sim.demand = func(kumquatlug.Millis) float64 { return 6 * perSecond }
 		},
-		"restarted": func(w *simulation, _ float64) {
-			w.restarts = func(now kumquatlug.Millis, front int) bool { return front%2 == 0 && now > 0 && now%(3*second) == 0 }
+		"restarts": func(sim *simulation, _ float64) {
+			sim.restarts = func(now kumquatlug.Millis, gateway int) bool { return gateway%2 == 0 && now > 0 && now%(3*second) == 0 }
 		},
-		"half don't know the new ones": func(w *simulation, _ float64) {
-			old := (len(w.gateways) + 1) / 2
-			w.sees = func(front, other int) bool { return front >= old || other < old }
-			w.joinedAt = func(front int) kumquatlug.Millis {
-				if front >= old {
+		"half don't see the new gateways": func(sim *simulation, _ float64) {
+			known := (len(sim.gateways) + 1) / 2
+			sim.sees = func(gateway, other int) bool { return gateway >= known || other < known }
+			sim.joinedAt = func(gateway int) kumquatlug.Millis {
+				if gateway >= known {
 					return 2 * second
 				}
 				return math.MinInt64
 			}
 		},
-		"a front cut off since fronts were few": func(w *simulation, _ float64) {
-			w.sees = func(front, other int) bool { return front != 0 || other <= len(w.gateways)/2 }
+		"one gateway sees half of the others": func(sim *simulation, _ float64) {
+			sim.sees = func(gateway, other int) bool { return gateway != 0 || other <= len(sim.gateways)/2 }
 		},
-		"falls and rises": func(w *simulation, perSecond float64) {
-			w.limit = func(now kumquatlug.Millis) (float64, bool) {
+		"falls and rises": func(sim *simulation, perSecond float64) {
+			sim.limit = func(now kumquatlug.Millis) (float64, bool) {
 				if now/(5*second)%2 == 1 {
 					return perSecond / 3, true
 				}
 				return perSecond, now >= second
 			}
 		},
-		"ends and comes again": func(w *simulation, perSecond float64) {
-			w.limit = func(now kumquatlug.Millis) (float64, bool) { return perSecond, now >= second && now/(6*second)%2 == 0 }
+		"ends and returns": func(sim *simulation, perSecond float64) {
+			sim.limit = func(now kumquatlug.Millis) (float64, bool) { return perSecond, now >= second && now/(6*second)%2 == 0 }
 		},
 	}
 	for name, scenario := range scenarios {
-		for _, fronts := range []int{1, 3, 28, 120} {
+		for _, gateways := range []int{1, 3, 28, 120} {
 			for _, perSecond := range []float64{0, 1, 4.4, 13.2, 40} {
-				w := newSimulation(fronts, seed)
-				w.limit = constantLimit(perSecond)
-				scenario(w, perSecond)
-				w.run(18 * second)
-				if excess := w.excess(); excess > 0 {
-					t.Errorf("%s, %d fronts, limit %v, seed %d: %.1f requests too many", name, fronts, perSecond, seed, excess)
+				sim := newSimulation(gateways, seed)
+				sim.limit = constantLimit(perSecond)
+				scenario(sim, perSecond)
+				sim.run(18 * second)
+				if excess := sim.excess(); excess > 0 {
+					t.Errorf("%s, %d gateways, limit %v, seed %d: %.1f requests too many", name, gateways, perSecond, seed, excess)
 				}
 			}
 		}
 	}
 }
 
-// A limit rises and ends. Fronts that went on keeping to it would leave the worker idle
-// while others are full.
+// A limit rises and later ends. If gateways kept to the old limit, the worker would be idle
+// while others are overloaded.
 func TestRateFollowsRaisedAndEndedLimit(t *testing.T) {
-	for _, fronts := range []int{1, 3, 12} {
-		w := newSimulation(fronts, 5)
-		w.limit = func(now kumquatlug.Millis) (float64, bool) {
+	for _, gateways := range []int{1, 3, 12} {
+		sim := newSimulation(gateways, 5)
+		sim.limit = func(now kumquatlug.Millis) (float64, bool) {
 			if now >= 70*kumquatlug.Second {
 				return 0, false
 			}
@@ -303,42 +304,42 @@
 			}
 			return 2, now >= kumquatlug.Second
 		}
-		w.demand = func(kumquatlug.Millis) float64 { return 200 }
-		w.run(95 * kumquatlug.Second)
-		if rate := w.rate(60*kumquatlug.Second, 70*kumquatlug.Second); rate < 16 {
-			t.Errorf("%d fronts: %.1f a second of a limit that rose to 20", fronts, rate)
+		sim.demand = func(kumquatlug.Millis) float64 { return 200 }
+		sim.run(95 * kumquatlug.Second)
+		if rate := sim.rate(60*kumquatlug.Second, 70*kumquatlug.Second); rate < 16 {
+			t.Errorf("%d gateways: %.1f requests/s after the limit rose to 20", gateways, rate)
 		}
-		if rate := w.rate(85*kumquatlug.Second, 95*kumquatlug.Second); rate < 150 {
-			t.Errorf("%d fronts: %.1f a second of 200 after the limit ended", fronts, rate)
+		if rate := sim.rate(85*kumquatlug.Second, 95*kumquatlug.Second); rate < 150 {
+			t.Errorf("%d gateways: %.1f requests/s of 200 after the limit ended", gateways, rate)
 		}
 	}
 }
 
-// The ways to divide a limit, on the same load. Those that were not taken exceed a limit or
-// leave most of it to nobody.
+// Compares schemes to divide a limit on the same load. The rejected ones exceed the limit or
+// leave most of it unused.
 func TestLimitDivisionSchemes(t *testing.T) {
 	schemes := []struct {
 		name     string
 		division division
-	}{{"whole limit each", wholeLimit}, {"equal shares", equalShares}, {"two fronts", twoGateways}, {"some holders", rateBasedHolders}}
-	for _, fronts := range []int{3, 28, 300} {
+	}{{"whole limit each", wholeLimit}, {"equal shares", equalShares}, {"two gateways", twoGateways}, {"rate-based holders", rateBasedHolders}}
+	for _, gateways := range []int{3, 28, 300} {
 		for _, perSecond := range []float64{4.4, 13.2} {
-			used := map[string]float64{}
+			usedBy := map[string]float64{}
 			for _, scheme := range schemes {
-				w := newSimulation(fronts, 11)
-				w.limit, w.division, w.skew = constantLimit(perSecond), scheme.division, 3
-				w.demand = func(now kumquatlug.Millis) float64 {
+				sim := newSimulation(gateways, 11)
+				sim.limit, sim.division, sim.skew = constantLimit(perSecond), scheme.division, 3
+				sim.demand = func(now kumquatlug.Millis) float64 {
 					if now > 5*kumquatlug.Second && now < 15*kumquatlug.Second {
 						return 0
 					}
-					return 4 * perSecond * float64(max(fronts/28, 1))
+					return 4 * perSecond * float64(max(gateways/28, 1))
 				}
-				w.run(30 * kumquatlug.Second)
-				excess, part := w.excess(), w.rate(18*kumquatlug.Second, 30*kumquatlug.Second)/perSecond
-				t.Logf("%3d fronts, limit %4.1f, %-16s worst span %+7.1f, used %.2f of it", fronts, perSecond, scheme.name, excess, part)
-				used[scheme.name] = part
-				if scheme.name == "some holders" && (excess > 0 || part < used["two fronts"]) {
-					t.Errorf("%d fronts, limit %v: %.1f too many, used %v", fronts, perSecond, excess, used)
+				sim.run(30 * kumquatlug.Second)
+				excess, used := sim.excess(), sim.rate(18*kumquatlug.Second, 30*kumquatlug.Second)/perSecond
+				t.Logf("%3d gateways, limit %4.1f, %-18s worst window %+7.1f, used %.2f of the limit", gateways, perSecond, scheme.name, excess, used)
+				usedBy[scheme.name] = used
+				if scheme.name == "rate-based holders" && (excess > 0 || used < usedBy["two gateways"]) {
+					t.Errorf("%d gateways, limit %v: %.1f requests too many, used %v", gateways, perSecond, excess, usedBy)
 				}
 			}
 		}
