--- a/pkg/kumquatlug/learn/overrun.go
+++ b/pkg/kumquatlug/learn/overrun.go
@@ -1,26 +1,28 @@
 package learn
 
-// Figures of [Overrun].
+// Parameters of [Overrun].
 const (
-	// overrunRise and overrunFall move the bound by each answer that came after
-	// it and before it: at their ratio one answer in a hundred comes after it.
+	// overrunRise and overrunFall are the relative steps of the bound for a response after
+	// and before it. Their ratio of 99 to 1 makes the bound converge to the 99th percentile.
 	overrunRise = 0.25
 	overrunFall = overrunRise / 99
-	// minOverrunMs and maxOverrunMs bound the bound, in ms: a lost packet is sent
-	// again after 200, and no client waits for ten seconds longer than expected.
+	// minOverrunMs and maxOverrunMs limit the bound: a lost packet is retransmitted after
+	// 200 ms, and no client waits for 10 s longer than expected.
 	minOverrunMs, maxOverrunMs = 200.0, 10_000.0
 )
 
-// Overrun learns how much later than expected answers come, one in a hundred left
-// out. It tells an answer that is late from one that won't come: work of others,
-// dropped cache and preemption make answers late by as much as an engine is slow.
+// Overrun estimates the 99th percentile of how much later than expected responses arrive.
+// The bound separates late responses from those that will not arrive. Load from other
+// gateways, evicted cache entries and preemption delay responses in proportion to how slow
+// an engine is, so that no fixed bound fits all engines.
 type Overrun struct{ boundMs float64 }
 
-// NewOverrun returns an overrun that begins with a bound in ms.
+// NewOverrun returns an estimator with an initial bound in milliseconds.
 func NewOverrun(bound float64) *Overrun { return &Overrun{boundMs: bound} }
 
-// Saw takes how much later than expected an answer came, or how long one was
-// waited for in vain beyond that, in ms; less than zero when it came early.
+// Saw records how much later than expected a response arrived, or how long after the
+// expected time the wait for one was given up, in milliseconds. The value is negative for a
+// response that arrived early.
 func (o *Overrun) Saw(lateness float64) {
 	if lateness > o.boundMs {
 		o.boundMs *= 1 + overrunRise
@@ -30,5 +32,5 @@
 	o.boundMs = min(max(o.boundMs, minOverrunMs), maxOverrunMs)
 }
 
-// Bound returns how much later than expected an answer may come, in ms.
+// Bound returns how much later than expected a response may arrive, in milliseconds.
 func (o *Overrun) Bound() float64 { return o.boundMs }
--- a/pkg/kumquatlug/learn/pause.go
+++ b/pkg/kumquatlug/learn/pause.go
@@ -1,37 +1,37 @@
 package learn
 
-// Figures of [Pause].
+// Parameters of [Pause].
 const (
-	// initialPauseMs is how long an engine is taken to pause between the events of
-	// one stream until it has shown it, in ms.
+	// initialPauseMs is the assumed pause between two events of a stream before any event was
+	// seen.
 	initialPauseMs = 110.0
-	// maxPauseMs bounds what is believed, in ms: clients leave after two seconds
-	// without an event, and half of that is needed to go on elsewhere.
+	// maxPauseMs limits the estimate: clients disconnect after two seconds without an event,
+	// and half of that is needed to resume the stream at another engine.
 	maxPauseMs = 1000.0
-	// pauseDecay is the part of the longest pause that is kept with each event,
-	// so that the pauses of a crowded second are forgotten after some thousand.
+	// pauseDecay is the factor applied to the longest pause at each event, so that the pauses
+	// of a short overload lose their effect after some 1,000 events.
 	pauseDecay = 0.999
-	// minPauseSamples is how many events make the pauses of a group known.
+	// minPauseSamples is the number of events from which the estimate of a group is used.
 	minPauseSamples = 24
 )
 
-// Pause learns the longest usual pause between two events of one stream, at one
-// engine or in a group. Engines that read prompts between the tokens of their
-// streams pause for a third of a second where others take a twentieth.
+// Pause estimates the longest usual pause between two events of a stream, at one engine or
+// in a group of engines. Engines that run prefill between decode steps pause for a third of
+// a second where others pause for a twentieth.
 //
-// The zero value has seen nothing.
+// The zero value has no samples.
 type Pause struct {
 	longest float64
 	events  int
 }
 
-// Saw takes a pause between two events, in ms.
+// Saw records a pause between two events, in milliseconds.
 func (p *Pause) Saw(pause float64) {
 	p.longest = min(max(pause, p.longest*pauseDecay), maxPauseMs)
 	p.events++
 }
 
-// Longest returns the longest usual pause in ms.
+// Longest returns the longest usual pause in milliseconds.
 func (p *Pause) Longest() float64 {
 	if p.events == 0 {
 		return initialPauseMs
@@ -39,5 +39,5 @@
 	return p.longest
 }
 
-// Known reports whether enough events were seen to tell an unusual pause.
+// Known reports whether there are enough samples to detect an unusual pause.
 func (p *Pause) Known() bool { return p.events >= minPauseSamples }
--- a/pkg/kumquatlug/learn/perunit.go
+++ b/pkg/kumquatlug/learn/perunit.go
@@ -1,23 +1,23 @@
 package learn
 
-// perUnitDecay is the weight that older samples keep with each new one.
+// perUnitDecay is the factor applied to the weight of older samples at each new one.
 const perUnitDecay = 31.0 / 32
 
-// PerUnit learns how much of something there is for each unit of something else,
-// as the ratio of sums: samples of many units say more than those of few.
+// PerUnit estimates an amount per unit as the ratio of two decaying sums, so that samples
+// with many units weigh more than those with few.
 type PerUnit struct{ amount, units float64 }
 
-// NewPerUnit returns an estimate that begins with so much for each unit, as if one
-// sample of so many units had shown it.
+// NewPerUnit returns an estimator with an initial amount per unit, weighted like one sample
+// with the given number of units.
 func NewPerUnit(initial, units float64) *PerUnit {
 	return &PerUnit{amount: initial * units, units: units}
 }
 
-// Saw takes a sample of an amount for so many units.
+// Saw records a sample: an amount and its number of units.
 func (p *PerUnit) Saw(amount, units float64) {
 	p.amount = p.amount*perUnitDecay + amount
 	p.units = p.units*perUnitDecay + units
 }
 
-// Value returns the amount for each unit.
+// Value returns the amount per unit.
 func (p *PerUnit) Value() float64 { return p.amount / p.units }
--- a/pkg/kumquatlug/learn/reading.go
+++ b/pkg/kumquatlug/learn/reading.go
@@ -1,13 +1,13 @@
-// Package learn estimates what the engines of a service can do from what they
-// show: how long they take to read a prompt, how long they pause between the
-// events of a stream, and how far their answers stray from what was expected.
+// Package learn estimates the performance of a service's engines from their responses: the
+// prefill time of a prompt, the pause between the events of a stream, and the deviation of
+// responses from their expected time.
 //
-// It answers engines that nobody described, or that changed: another model,
-// other accelerators, a release of weights. A front that carries one sheet's
-// figures takes a prompt that is being read for lost, sends it again elsewhere
-// and has it read twice; users see refusals beside engines with time to spare.
+// Engines may be unknown or change at any time, with another model, other accelerators or a
+// release of weights. A gateway with fixed figures would consider a running prefill lost and
+// resend the prompt to another engine, so that it is computed twice; users would get
+// refusals while engines have spare capacity.
 //
-// The estimators belong to one owner and are not safe for concurrent use.
+// The estimators are not safe for concurrent use.
 package learn
 
 import (
@@ -15,63 +15,62 @@
 	"math"
 )
 
-// ReadingConfig is what a [Reading] is made of. The zero value of each field
-// stands for its default.
+// ReadingConfig configures a [Reading]. The zero value of each field stands for its default.
 type ReadingConfig struct {
-	// Rate is how many tokens a ms an engine is taken to read until it has shown
-	// it. Default 100, in the middle of what engines do; one that is eight times
-	// as fast or as slow is known after a handful of prompts.
+	// Rate is the initial prefill rate in tokens per millisecond. The default is 100, in the
+	// middle of the range of engines; a rate that is eight times higher or lower is learnt
+	// from a handful of prompts.
 	Rate float64
 }
 
-// Figures of [Reading].
+// Parameters of [Reading].
 const (
-	// initialFixedMs is what a prompt costs beside its tokens at first, in ms.
+	// initialFixedMs is the initial cost of a prompt besides its tokens.
 	initialFixedMs = 8.0
-	// initialSpread is how far the first figures may be off, as a multiple.
+	// initialSpread is the initial uncertainty of a coefficient, relative to its value.
 	initialSpread = 3.0
-	// contextSpread is how dear the context of a token may be at first, as a part
-	// of the token's own time for each 1,000 tokens that stand before it.
+	// contextSpread is the initial uncertainty of the cost of context: for every 1,000 tokens
+	// before a token, as a fraction of the token's own time.
 	contextSpread = 0.02
-	// forgettingFactor is the weight that older samples keep with each new one.
+	// forgettingFactor is the factor applied to the weight of older samples at each new one.
 	forgettingFactor = 0.985
-	// slowSampleWeight is the weight of a sample that took longer than expected beside
-	// that of a shorter one. Work of other fronts and cached parts that were
-	// dropped unseen make samples longer, nothing makes them shorter.
+	// slowSampleWeight is the weight of a sample above the estimate, relative to one below it.
+	// Load from other gateways and unreported cache evictions lengthen samples; nothing
+	// shortens them.
 	slowSampleWeight = 0.25
-	// initialErrorBound and errorBound are how far one sample may move the estimate, as
-	// a part of what was expected, at first and later.
+	// initialErrorBound and errorBound limit the relative error of one sample, for the first
+	// samples and for later ones.
 	initialErrorBound, errorBound = 1.0, 0.25
-	// initialSamples is how many samples count as the first ones.
+	// initialSamples is the number of samples that initialErrorBound applies to.
 	initialSamples = 8
-	// changeRunLength is how many samples in a row must lie beyond the bound on one side
-	// until the engines are taken to have changed, and are learnt anew.
+	// changeRunLength is the number of consecutive samples beyond the bound on the same side
+	// after which the engines are assumed to have changed and the estimate restarts.
 	changeRunLength = 5
-	// minTokensPerMs and maxTokensPerMs bound the rate, in tokens a ms.
+	// minTokensPerMs and maxTokensPerMs limit the estimated rate.
 	minTokensPerMs, maxTokensPerMs = 1.0, 20_000.0
-	// pairScale scales pairs of tokens.
+	// pairScale scales the number of token pairs.
 	pairScale = 1e6
 )
 
-// termCount is how many parts the time of a prompt has: its tokens, the pairs that
-// they form with what stands before them, and a fixed part.
+// termCount is the number of terms of the prefill time: the tokens, the pairs that they form
+// with the tokens before them, and a constant.
 const termCount = 3
 
-// Reading learns how long an engine reads a prompt, by a weighted recursive
-// least squares fit of three terms to the relative error. The tokens of a long
-// prompt are dearer than those of a short one, as each is compared with all
-// before it; by tokens alone the largest prompts would be given up as overdue.
+// Reading estimates the prefill time of prompts by a weighted recursive least squares fit of
+// three terms to the relative error. A token of a long prompt costs more than one of a short
+// prompt, since attention compares it with all tokens before it. With a cost per token
+// alone, the largest prompts would be given up as overdue.
 type Reading struct {
 	coefficients [termCount]float64
 	covariance   [termCount][termCount]float64
-	// samples counts those taken, recent those since the engines last changed.
+	// samples counts all samples, samplesSinceChange those since the engines last changed.
 	samples, samplesSinceChange int
-	// outlierSide is on which side the last samples were beyond the bound, run how many
-	// in a row.
+	// outlierSide is the sign of the error of the last samples if it was beyond the bound,
+	// outlierRun their number in a row.
 	outlierSide, outlierRun int
 }
 
-// NewReading returns an estimate that begins with c's rate.
+// NewReading returns an estimator that starts with the rate of c.
 func NewReading(c ReadingConfig) *Reading {
 	rate := cmp.Or(c.Rate, 100)
 	r := &Reading{coefficients: [termCount]float64{1 / rate, 0, initialFixedMs}}
@@ -88,19 +87,18 @@
 	r.samplesSinceChange, r.outlierRun = 0, 0
 }
 
-// initialDeviations are how far each factor may be off at first.
+// initialDeviations returns the initial uncertainty of each coefficient.
 func (r *Reading) initialDeviations() [termCount]float64 {
 	return [termCount]float64{initialSpread * r.coefficients[0], contextSpread * r.coefficients[0] * pairScale / 1000, initialSpread * initialFixedMs}
 }
 
-// features are the terms of a prompt of which so many tokens are read anew
-// behind held ones.
+// features returns the terms of a prompt with uncached tokens to compute after cached ones.
 func features(uncached, cached float64) [termCount]float64 {
 	return [termCount]float64{uncached, uncached * (cached + uncached/2) / pairScale, 1}
 }
 
-// Time returns how long an engine reads so many tokens behind held ones that it
-// has in memory, in ms.
+// Time returns the prefill time in milliseconds of a prompt with uncached tokens after
+// cached ones.
 func (r *Reading) Time(uncached, cached float64) float64 {
 	sum := 0.0
 	for i, x := range features(uncached, cached) {
@@ -109,18 +107,17 @@
 	return sum
 }
 
-// Fixed returns what a prompt costs beside its tokens, in ms.
+// Fixed returns the cost of a prompt besides its tokens, in milliseconds.
 func (r *Reading) Fixed() float64 { return r.coefficients[2] }
 
-// Rate returns how many tokens an engine reads in a ms, without the price of
-// context.
+// Rate returns the prefill rate in tokens per millisecond, without the cost of context.
 func (r *Reading) Rate() float64 { return 1 / r.coefficients[0] }
 
-// Samples returns how many samples were taken.
+// Samples returns the number of samples.
 func (r *Reading) Samples() int { return r.samples }
 
-// Saw takes how long a prompt took to be read, in ms. Prompts that this front
-// knows to have waited behind others tell nothing and are left out by the caller.
+// Saw records the prefill time of a prompt in milliseconds. The caller leaves out prompts
+// that waited behind others of this gateway, since their time says nothing about prefill.
 func (r *Reading) Saw(uncached, cached, took float64) {
 	expected := r.Time(uncached, cached)
 	if uncached < 1 || took <= 0 || expected <= 0 {
@@ -141,7 +138,7 @@
 	r.clampCoefficients()
 }
 
-// clipError cuts a sample's relative error, so that one odd sample moves little.
+// clipError limits the relative error of a sample, so that single outliers have little effect.
 func (r *Reading) clipError(relativeError float64) float64 {
 	bound := errorBound
 	if r.samplesSinceChange <= initialSamples {
@@ -165,7 +162,7 @@
 	return min(max(relativeError, -bound), bound)
 }
 
-// update is one step of the recursive fit.
+// update does one step of recursive least squares.
 func (r *Reading) update(x [termCount]float64, relativeError, weight float64) {
 	var gain [termCount]float64
 	for i := range x {
@@ -187,8 +184,8 @@
 	}
 }
 
-// clampCoefficients keeps factors that mean something, and the spread of those that
-// no sample speaks of from growing without end.
+// clampCoefficients keeps the coefficients in their range, and limits the variance of those
+// that the samples don't determine, which would otherwise grow without bound.
 func (r *Reading) clampCoefficients() {
 	r.coefficients[0] = min(max(r.coefficients[0], 1/maxTokensPerMs), 1/minTokensPerMs)
 	r.coefficients[1] = max(r.coefficients[1], 0)
--- a/pkg/kumquatlug/learn/reading_test.go
+++ b/pkg/kumquatlug/learn/reading_test.go
@@ -10,20 +10,20 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// engineModel is an engine's real reading.
+// engineModel is the true prefill time of a simulated engine.
 type engineModel struct{ rate, pairCost, fixed float64 }
 
 func (e engineModel) time(uncached, cached float64) float64 {
 	return uncached/e.rate + e.pairCost*uncached*(cached+uncached/2)/pairScale + e.fixed
 }
 
-// randomPrompt draws the fresh and held tokens of a long prompt.
+// randomPrompt draws the number of uncached and cached tokens of a long prompt.
 func randomPrompt(r *rand.Rand) (uncached, cached float64) {
 	return math.Min(2800*math.Exp(r.NormFloat64()*0.9), 50_000), float64(r.IntN(20_000))
 }
 
-// observePrompts shows an estimate so many prompts. One in four had met work of another
-// front, or parts that the engine had dropped.
+// observePrompts records random prompts. One in four is delayed by load from another gateway,
+// or finds its cached tokens evicted.
 func observePrompts(e engineModel, r *Reading, random *rand.Rand, prompts int) {
 	for range prompts {
 		uncached, cached := randomPrompt(random)
@@ -38,7 +38,7 @@
 	}
 }
 
-// meanError is the median relative error of an estimate.
+// meanError returns the mean relative error of an estimate.
 func meanError(e engineModel, r *Reading, random *rand.Rand) float64 {
 	sum := 0.0
 	const prompts = 200
@@ -49,10 +49,10 @@
 	return sum
 }
 
-// Engines come from 20 to 1,000 tokens a ms and nobody says which. A front sees
-// some eight prompts a second; until it knows the rate, it gives up prompts that
-// are being read, or lets them wait behind engines that are idle. So after two
-// seconds the estimate must be within a third, and later within a tenth and a half.
+// Engines with 20 to 1,000 tokens per millisecond are not described anywhere. A gateway sees
+// some eight prompts a second. Until it knows the rate, it gives up running prefills or queues
+// prompts while engines are idle. The error must be below 45 % after two seconds (16 prompts)
+// and below 15 % later.
 func TestEstimateConvergesForAnyRate(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(11)
 	properties := gopter.NewProperties(p)
@@ -65,7 +65,7 @@
 		observePrompts(e, r, random, 200)
 		late := meanError(e, r, random)
 		if early > 0.45 || late > 0.15 {
-			t.Logf("%+v: off by %.2f after 16 prompts, %.2f later; %+v", e, early, late, r.coefficients)
+			t.Logf("%+v: mean error %.2f after 16 prompts, %.2f later; %+v", e, early, late, r.coefficients)
 			return false
 		}
 		return true
@@ -73,20 +73,20 @@
 	properties.TestingRun(t)
 }
 
-// The largest tenth of the prompts is dearer by the token than the others. Taken
-// for as cheap, it would be called overdue while it is being read.
+// The largest tenth of the prompts costs more per token than the others. With a constant cost
+// per token, such a prompt would be considered overdue during its prefill.
 func TestLongPromptsCostMorePerToken(t *testing.T) {
 	e := engineModel{rate: 48.2, pairCost: 0.248, fixed: 18}
 	random := rand.New(rand.NewPCG(1, 2))
 	r := NewReading(ReadingConfig{})
 	observePrompts(e, r, random, 400)
 	if got, want := r.Time(50_000, 13_000), e.time(50_000, 13_000); math.Abs(got/want-1) > 0.2 {
-		t.Errorf("a prompt of 50,000 tokens: %.0f ms, takes %.0f", got, want)
+		t.Errorf("prefill time of 50,000 tokens: %.0f ms, want %.0f", got, want)
 	}
 }
 
-// A release of weights makes every engine three times slower at once. The front
-// must believe it within some dozen prompts, or it gives up what is being read.
+// A release of weights makes all engines three times slower at once. The gateway must adapt
+// within 40 prompts, or it gives up running prefills.
 func TestEstimateFollowsSlowerRelease(t *testing.T) {
 	e := engineModel{rate: 300, pairCost: 0.05, fixed: 10}
 	random := rand.New(rand.NewPCG(3, 4))
@@ -95,6 +95,6 @@
 	slower := engineModel{rate: 100, pairCost: 0.15, fixed: 20}
 	observePrompts(slower, r, random, 40)
 	if got := meanError(slower, r, random); got > 0.3 {
-		t.Errorf("off by %.2f after 40 prompts", got)
+		t.Errorf("mean error %.2f after 40 prompts", got)
 	}
 }
