--- a/pkg/kumquatlug/coordinator/coordinator.go
+++ b/pkg/kumquatlug/coordinator/coordinator.go
@@ -1,19 +1,19 @@
-// Package coordinator decides which front coordinates which engine: orders the prompts of
-// all fronts there.
+// Package coordinator assigns each engine to one gateway, its coordinator, which orders the
+// prompts of all gateways at that engine.
 //
-// It answers a load near what the engines read that comes through many fronts,
-// each of which would order its own prompts alone. Fronts agree on the coordinator
-// without speaking about it, by rendezvous among those that are there; each judges
-// by itself who is there, by who answers. Two fronts that differ for a while have
-// two coordinators for some engines, whose prompts then stand in order of arrival
-// there, as all would without coordinators: that costs time and breaks nothing.
+// Without coordinators each gateway would order only its own prompts, which is not enough when
+// the load through many gateways is close to the prefill capacity of the engines. Gateways
+// agree on the coordinator without messages, by rendezvous hashing among the gateways that are
+// reachable; each judges reachability by the responses it gets. Two gateways that differ for a
+// while use two coordinators for some engines. The prompts of both then run in order of
+// arrival, as they would without coordinators, which costs time but is safe.
 //
-// What can go wrong: a coordinator that is frozen, cut off or gone is asked in vain.
-// Whoever notices goes on to the next front in the order, and tries the first one
-// again after a span that doubles. A front that most others don't answer is itself
-// cut off; if it took itself for the coordinator of all engines, and each of the others
-// did, each would give every engine prompts as if it were alone. It then asks
-// nobody and goes by itself.
+// A coordinator that is frozen, partitioned or stopped does not respond. A gateway that
+// notices uses the next gateway in the rendezvous order, and retries the first one with
+// exponential backoff. A gateway that gets no response from most others is itself
+// partitioned. If each gateway in such a partition coordinated all engines, each would send
+// prompts to every engine as if it were alone. It therefore uses no coordinator and orders its
+// own prompts.
 package coordinator
 
 import (
@@ -25,56 +25,57 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/rendezvous"
 )
 
-// Figures of coordinators.
+// Parameters of the reachability of gateways.
 const (
-	// minBackoff is how long a front that left a question unanswered is not asked; it
-	// doubles with each in a row up to maxBackoff.
+	// minBackoff is how long no requests are sent to a gateway after a timeout. It doubles
+	// with each consecutive timeout, up to maxBackoff.
 	minBackoff = 1 * kumquatlug.Second
 	maxBackoff = 16 * kumquatlug.Second
-	// excludeAfterTimeouts is how many questions in a row a front leaves unanswered until
-	// it counts no more among those that could answer: its row outlasts it.
+	// excludeAfterTimeouts is the number of consecutive timeouts after which a gateway is
+	// excluded and no longer counts for the quorum: its row in the store outlives it.
 	excludeAfterTimeouts = 3
-	// quorumFraction is the part of the other fronts that must be there.
+	// quorumFraction is the fraction of the other gateways that must be reachable.
 	quorumFraction = 0.5
 )
 
-// Fronts is what one front knows of all. It belongs to one owner and is not safe
-// for concurrent use. Until [Fronts.Set] was called there is no coordinator.
+// Fronts holds the gateways that one gateway knows and chooses coordinators among them. There
+// is no coordinator until [Fronts.Set] is called. It is not safe for concurrent use.
 type Fronts struct {
 	self     string
 	gateways map[string]*peerState
-	// stopping says that this front coordinates nothing any more.
+	// stopping reports that this gateway must not coordinate any engine.
 	stopping bool
-	// cache are the answers given since the last change, good until changesAt.
+	// cache holds the coordinators by engine. It is valid until cacheValidUntil, and cleared
+	// when a gateway changes.
 	cache           map[string]string
 	cacheValidUntil kumquatlug.Millis
 	changes         []News
 }
 
-// News is that a front was found to be away, or to be back.
+// News is a change of a gateway's reachability.
 type News struct {
 	gateway  string
 	event    string
 	timeouts int
 }
 
-// Front returns which front it is.
+// Front returns the gateway's name.
 func (n News) Front() string { return n.gateway }
 
-// What returns what became of it.
+// What returns the event: "front away" or "front back".
 func (n News) What() string { return n.event }
 
-// Misses returns how many questions in a row it had left unanswered.
+// Misses returns the number of consecutive timeouts.
 func (n News) Misses() int { return n.timeouts }
 
-// News returns what was found since it was asked last.
+// News returns the changes since the last call.
 func (f *Fronts) News() []News {
 	changes := f.changes
 	f.changes = nil
 	return changes
 }
 
-// peerState is what is known of one front.
+// peerState is the state of one gateway.
 type peerState struct {
 	hash         uint64
 	timeouts     int
@@ -84,12 +85,12 @@
 
 var _ kumquatlug.Coordinators = (*Fronts)(nil)
 
-// New returns what the front with this name knows at its start.
+// New returns the state of the gateway named self. It knows no other gateways.
 func New(self string) *Fronts {
 	return &Fronts{self: self, gateways: map[string]*peerState{}, cache: map[string]string{}}
 }
 
-// Set takes the names of all fronts, this one among them.
+// Set replaces the gateways; names includes this one. The state of known ones is kept.
 func (f *Fronts) Set(names []string) {
 	gateways := map[string]*peerState{f.self: newPeerState(f.self)}
 	for _, name := range names {
@@ -104,7 +105,7 @@
 
 func newPeerState(name string) *peerState { return &peerState{hash: xxhash.Sum64String(name)} }
 
-// Add takes a front that made itself known.
+// Add adds a gateway that announced itself.
 func (f *Fronts) Add(name string) {
 	if _, known := f.gateways[name]; !known && len(f.gateways) > 0 {
 		f.gateways[name] = newPeerState(name)
@@ -113,7 +114,7 @@
 	f.Answered(name)
 }
 
-// Left takes that a front said that it stops.
+// Left excludes a gateway that announced that it stops.
 func (f *Fronts) Left(name string) {
 	if peer, known := f.gateways[name]; known {
 		peer.excluded = true
@@ -121,7 +122,7 @@
 	}
 }
 
-// Leave makes this front coordinate nothing any more.
+// Leave makes this gateway stop coordinating engines.
 func (f *Fronts) Leave() {
 	f.stopping = true
 	f.clearCache()
@@ -129,7 +130,7 @@
 
 func (f *Fronts) clearCache() { clear(f.cache) }
 
-// Answered takes that a front answered.
+// Answered records a response from a gateway.
 func (f *Fronts) Answered(name string) {
 	peer, known := f.gateways[name]
 	if !known || peer.timeouts == 0 && !peer.excluded {
@@ -140,7 +141,7 @@
 	f.clearCache()
 }
 
-// Missed takes that a front left a question unanswered.
+// Missed records that a gateway did not respond in time.
 func (f *Fronts) Missed(now kumquatlug.Millis, name string) {
 	peer, known := f.gateways[name]
 	if !known || now < peer.backoffUntil {
@@ -155,8 +156,8 @@
 	f.clearCache()
 }
 
-// hasQuorum reports that enough of the other fronts are there for this one not to be
-// cut off.
+// hasQuorum reports whether enough other gateways are reachable; if not, this gateway may be
+// partitioned.
 func (f *Fronts) hasQuorum(now kumquatlug.Millis) bool {
 	others, reachable := 0, 0
 	for name, peer := range f.gateways {
@@ -171,7 +172,7 @@
 	return float64(reachable) >= quorumFraction*float64(others)
 }
 
-// Coordinator returns the front that coordinates an engine, empty for none.
+// Coordinator returns the name of the gateway that coordinates an engine, empty if none does.
 func (f *Fronts) Coordinator(now kumquatlug.Millis, engine string) string {
 	if now >= f.cacheValidUntil {
 		f.clearCache()
@@ -187,12 +188,12 @@
 	return coordinator
 }
 
-// Coordinates reports that this front coordinates an engine.
+// Coordinates reports whether this gateway coordinates an engine.
 func (f *Fronts) Coordinates(now kumquatlug.Millis, engine string) bool {
 	return f.Coordinator(now, engine) == f.self
 }
 
-// nextRetryAt is when a front that is away is tried again.
+// nextRetryAt returns when the next unreachable gateway is retried.
 func (f *Fronts) nextRetryAt(now kumquatlug.Millis) kumquatlug.Millis {
 	next := kumquatlug.Millis(math.MaxInt64)
 	for _, peer := range f.gateways {
@@ -203,7 +204,7 @@
 	return next
 }
 
-// choose finds the first front that is there in an engine's order.
+// choose returns the first reachable gateway in the rendezvous order of an engine.
 func (f *Fronts) choose(now kumquatlug.Millis, engine string) string {
 	if !f.hasQuorum(now) {
 		return ""
--- a/pkg/kumquatlug/coordinator/coordinator_test.go
+++ b/pkg/kumquatlug/coordinator/coordinator_test.go
@@ -22,31 +22,31 @@
 
 func engineName(i int) string { return fmt.Sprintf("engine-%d", i) }
 
-// newWithAllGateways is what a front knows that read the rows of all.
+// newWithAllGateways returns the state of a gateway that has read the rows of all gateways.
 func newWithAllGateways(self string) *Fronts {
 	f := New(self)
 	f.Set(gatewayNames(gatewayCount))
 	return f
 }
 
-// Were two fronts to name different coordinators for an engine, it would have two queues,
-// and the prompts of each would be late behind those of the other.
+// If gateways chose different coordinators for an engine, it would have two queues whose
+// prompts delay each other.
 func TestGatewaysAgreeOnCoordinator(t *testing.T) {
 	for i := range engineCount {
 		coordinator := newWithAllGateways("front-0").Coordinator(0, engineName(i))
 		for _, self := range gatewayNames(gatewayCount) {
 			if got := newWithAllGateways(self).Coordinator(0, engineName(i)); got != coordinator {
-				t.Fatalf("%s names %s for %s, others %s", self, got, engineName(i), coordinator)
+				t.Fatalf("%s chooses %s for %s, want %s", self, got, engineName(i), coordinator)
 			}
 			if newWithAllGateways(self).Coordinates(0, engineName(i)) != (self == coordinator) {
-				t.Fatalf("%s is wrong about coordinating %s", self, engineName(i))
+				t.Fatalf("%s: wrong result of Coordinates for %s", self, engineName(i))
 			}
 		}
 	}
 }
 
-// One front dies. Only what it coordinated may move: each engine that moves has prompts in
-// two queues for a while.
+// A gateway fails. Only the engines that it coordinated may move, since the prompts of each
+// engine that moves are in two queues for a while.
 func TestOnlyEnginesOfLostGatewayMove(t *testing.T) {
 	f := newWithAllGateways("front-0")
 	before := map[int]string{}
@@ -55,7 +55,7 @@
 	}
 	lost := before[0]
 	if lost == "front-0" {
-		t.Fatal("the first engine is coordinated by the front itself")
+		t.Fatal("the first engine is coordinated by the gateway itself")
 	}
 	f.Missed(10, lost)
 	for i := range engineCount {
@@ -65,13 +65,12 @@
 		}
 	}
 	if after := f.Coordinator(10+minBackoff, engineName(0)); after != lost {
-		t.Errorf("after a while %s is asked", after)
+		t.Errorf("coordinator after the backoff: %s", after)
 	}
 }
 
-// A front leaves question after question unanswered, as its machine is gone for
-// good. Asked each second it would cost a prompt each time; asked never it would
-// have no part when it is back.
+// A gateway is gone for good and does not respond. A retry each second would delay one prompt
+// each time, while without retries the gateway would stay unused after its return.
 func TestLostGatewayIsRetriedWithBackoff(t *testing.T) {
 	f := newWithAllGateways("front-0")
 	now, requests := kumquatlug.Millis(0), 0
@@ -84,17 +83,16 @@
 		now += 10
 	}
 	if requests != excludeAfterTimeouts {
-		t.Errorf("asked %d times", requests)
+		t.Errorf("%d requests", requests)
 	}
 	f.Add("front-1")
 	if peer := f.gateways["front-1"]; peer.excluded || peer.timeouts != 0 {
-		t.Errorf("a front that is back: %+v", peer)
+		t.Errorf("state after the return of the gateway: %+v", peer)
 	}
 }
 
-// The machine of a front is cut off from nearly all others, each of which it finds
-// away. If it then coordinated all engines, and so did each front on the other side of a
-// larger cut, they would all read as if alone, and believe that they don't.
+// A gateway is partitioned from nearly all others. If it coordinated all engines, and so did
+// each gateway in a larger partition, they would all send prompts as if they were alone.
 func TestPartitionedGatewayCoordinatesNothing(t *testing.T) {
 	f := newWithAllGateways("front-0")
 	now := kumquatlug.Millis(0)
@@ -112,19 +110,19 @@
 		f.Answered(fmt.Sprintf("front-%d", i))
 	}
 	if f.Coordinator(now, engineName(0)) != newWithAllGateways("front-0").Coordinator(0, engineName(0)) {
-		t.Error("after its return it names other coordinators")
+		t.Error("the coordinators differ after the partition ended")
 	}
 }
 
-// A front stops for an update. Until its end it must give nobody a turn, and others
-// must not go on asking it.
+// A gateway stops for an update. It must not coordinate any engine from then on, and the
+// others must not send it requests.
 func TestStoppingGatewayCoordinatesNothing(t *testing.T) {
 	stops, other := newWithAllGateways("front-3"), newWithAllGateways("front-4")
 	stops.Leave()
 	other.Left("front-3")
 	for i := range engineCount {
 		if stops.Coordinates(0, engineName(i)) || other.Coordinator(0, engineName(i)) == "front-3" {
-			t.Errorf("%s is coordinated by a front that stops", engineName(i))
+			t.Errorf("%s is coordinated by a stopping gateway", engineName(i))
 		}
 		if stops.Coordinator(0, engineName(i)) != other.Coordinator(0, engineName(i)) {
 			t.Errorf("%s has two coordinators", engineName(i))
@@ -132,8 +130,8 @@
 	}
 }
 
-// A front that starts doesn't know the others yet. Taking itself for the only one it
-// would read at all engines as if alone.
+// A gateway that starts doesn't know the others yet. If it considered itself the only one, it
+// would send prompts to all engines as if it were alone.
 func TestNoCoordinatorBeforeGatewaysAreKnown(t *testing.T) {
 	f := New("front-0")
 	f.Add("front-1")
@@ -142,7 +140,7 @@
 	}
 	f.Set([]string{"front-0"})
 	if !f.Coordinates(0, engineName(0)) {
-		t.Error("the only front coordinates nothing")
+		t.Error("the only gateway coordinates nothing")
 	}
 	f.Add("front-1")
 	kept := 0
@@ -152,11 +150,11 @@
 		}
 	}
 	if kept == 0 || kept == engineCount {
-		t.Errorf("one of two fronts coordinates %d of %d", kept, engineCount)
+		t.Errorf("one of two gateways coordinates %d of %d engines", kept, engineCount)
 	}
 }
 
-// What was found is told once, for the log.
+// Each change is returned once, so that it is logged once.
 func TestChangesAreReportedOnce(t *testing.T) {
 	f := newWithAllGateways("front-0")
 	f.Missed(5, "front-1")
@@ -165,9 +163,9 @@
 	f.Answered("front-1")
 	changes := f.News()
 	if len(changes) != 2 || changes[0].What() != "front away" || changes[1].What() != "front back" || changes[1].Front() != "front-1" {
-		t.Errorf("news %+v", changes)
+		t.Errorf("changes %+v", changes)
 	}
 	if len(f.News()) != 0 {
-		t.Error("news are told twice")
+		t.Error("changes are returned twice")
 	}
 }
