--- a/pkg/kumquatlug/retry/retry.go
+++ b/pkg/kumquatlug/retry/retry.go
@@ -1,36 +1,34 @@
-// Package retry decides whether a call that failed is tried again, and when.
+// Package retry decides whether and when a failed call is sent again.
 //
-// It answers two failures at once. A target that dies takes the calls in its
-// hands with it, and callers who were accepted are owed a whole answer: their
-// calls must go elsewhere. But when the group is overloaded every call fails
-// now and then, and a retry for each of them multiplies the load that made it
-// fail, so that the group stays down after the cause is gone. So a [Policy]
+// Two failures call for opposite answers. A target that crashes loses its calls in flight,
+// which were accepted and must be completed at another target. But in an overloaded group
+// any call may fail, and a retry of each multiplies the load that made it fail, so that the
+// group stays overloaded after the cause is gone. A [Policy] therefore
 //
-//   - tries again only what is known as not run or may be repeated, and resumes
-//     a stream that was cut from the tokens already sent;
-//   - pays each retry from a budget that is a part of the recent calls plus a
-//     small floor; a retry that finds the budget empty waits for its turn, and
-//     is given up only if its turn comes after its deadline;
-//   - spreads retries by full jitter, since calls that failed together would
-//     otherwise come back together.
+//   - sends a call again only if it is known not to have run or may be repeated, and
+//     resumes an interrupted stream after the tokens already sent;
+//   - charges each retry to a budget that is a fraction of the recent calls plus a small
+//     constant rate; a retry waits if the budget is empty, and is given up only if the
+//     budget has no room before its deadline;
+//   - spreads retries by full jitter, since calls that failed together would otherwise be
+//     sent again together.
 //
-// A refusal before the target began (it is leaving, full, or has a newer
-// config) costs one message and no work; it is free of the budget, so that a
-// drain of many targets at once does not use up what a crash needs.
+// A refusal before the target started the call (it is shutting down, full, or has a newer
+// config) costs one message and no work. Retries after it are not charged, so that a drain
+// of many targets at once does not use up the budget for a crash.
 //
-// Hedging, a second copy of a call that is slow, is not done. It cuts the tail
-// where targets differ by chance and have room; here hardware can't grow, the
-// tail comes from queues at the peak, and every copy takes its place from
-// another caller. In a trial over 24 queues, some of them slow for two seconds
-// now and then, with one long job among ten and copies for at most a tenth of
-// the calls: copies that both run raised the median wait at 0.9 of the capacity
-// from 0.38 s to 1.35 s and more, and took the answers within 3 s from 0.993 to
-// 0.915 at best; at half the capacity they won 0.001 at most. Copies of which
-// one is dropped when the other starts won 0.002 at most up to 0.9, and at 1.1 left
-// 0.03 to 0.11 of the answers in time where none left 0.16. Slow targets lose
-// their share through package health instead.
+// There is no hedging, which sends a second copy of a slow call. It shortens the latency tail
+// where targets differ by chance and have spare capacity. Here the hardware is fixed, the
+// tail comes from queues at peak load, and every copy takes the place of another call. In a
+// simulation of 24 queues, some of them slow for two seconds now and then, with one long call
+// in ten and copies of at most a tenth of the calls, two copies that both run raised the
+// median wait at 0.9 of the capacity from 0.38 s to 1.35 s and more, and lowered the fraction
+// of responses within 3 s from 0.993 to 0.915 at best; at half the capacity they gained 0.001
+// at most. Copies that are cancelled when the other one starts gained 0.002 at most up to 0.9
+// of the capacity; at 1.1, 0.03 to 0.11 of the responses were in time, and 0.16 without
+// copies. Package health lowers the share of slow targets instead.
 //
-// A Policy belongs to one loop and is not safe for concurrent use.
+// A Policy is not safe for concurrent use.
 package retry
 
 import (
@@ -41,32 +39,30 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Config is what a [Policy] is made of. The zero value of each field but
-// Source stands for its default.
+// Config configures a [Policy]. The zero value of each field but Source stands for its default.
 type Config struct {
-	// Source gives the randomness of the waits; required.
+	// Source is the source of randomness for the backoff; required.
 	Source rand.Source
-	// Ratio is how many retries each call adds to the budget. Default 0.2:
-	// the load grows by a fifth at most, and the loss of one target of twelve,
-	// with all it has in hand, stays within it.
+	// Ratio is the number of retries that each call adds to the budget. The default of 0.2
+	// limits the additional load to a fifth, and covers the loss of one target of twelve
+	// with all its calls in flight.
 	Ratio float64
-	// Floor is how many retries a second are added whatever the calls.
-	// Default 1: a quiet entry can still retry.
+	// Floor is the number of retries per second that are added regardless of the calls. With
+	// the default of 1 an idle gateway can still retry.
 	Floor float64
-	// Reserve bounds the budget that quiet times save up, in retries. Default
-	// 50: the streams in hand at one target that dies.
+	// Reserve is the maximum of the budget, in retries. The default of 50 covers the streams
+	// in flight at one target that crashes.
 	Reserve float64
-	// Attempts is the greatest number of attempts for a call. Default 4: with
-	// one target in ten failing, one call in 10,000 meets four of them.
+	// Attempts is the maximum number of attempts per call. With the default of 4 and one
+	// target in ten failing, one call in 10,000 fails at all of them.
 	Attempts int
-	// Refusals is the greatest number of refusals before the target began.
-	// Default 16: a third of a subset of 20 may leave at once, and each is
-	// asked twice.
+	// Refusals is the maximum number of refusals per call. The default of 16 covers a subset
+	// of 20 targets of which a third shuts down at once, with two attempts at each.
 	Refusals int
-	// Base and Limit bound the wait before an attempt: it is drawn from zero
-	// to Base, doubled with each attempt before it, up to Limit. Defaults
-	// 50 ms and 2 s: about the time in which a report shows the failure, and
-	// the time in which the group has settled after it.
+	// Base and Limit define the backoff before an attempt: it is drawn uniformly from zero to
+	// Base, doubled with each previous attempt up to Limit. The defaults are 50 ms and 2 s:
+	// about the time until a load report shows the failure, and until the load of the group
+	// is stable again after it.
 	Base  kumquatlug.Millis
 	Limit kumquatlug.Millis
 }
@@ -82,21 +78,21 @@
 	return c
 }
 
-// Verdict is what to do with a call that failed.
+// Verdict is the action to take on a failed call.
 type Verdict string
 
 // The verdicts.
 const (
-	// VerdictRetry: send the call again, from the start.
+	// VerdictRetry: send the call again from the start.
 	VerdictRetry Verdict = "retry"
-	// VerdictResume: send the call to another target to go on from the tokens
-	// already sent.
+	// VerdictResume: send the call to another target, which resumes the stream after the
+	// tokens already sent.
 	VerdictResume Verdict = "resume"
-	// VerdictStop: give the caller its final answer.
+	// VerdictStop: return the final error to the caller.
 	VerdictStop Verdict = "stop"
 )
 
-// Reason is why a verdict was reached.
+// Reason is the reason of a verdict.
 type Reason string
 
 // The reasons of a verdict.
@@ -105,89 +101,88 @@
 	ReasonNotRun Reason = "not-run"
 	// ReasonRepeatable: the call may run twice.
 	ReasonRepeatable Reason = "repeatable"
-	// ReasonCut: the stream was cut and can go on elsewhere.
+	// ReasonCut: the stream was interrupted and can be resumed at another target.
 	ReasonCut Reason = "cut"
-	// ReasonMayHaveRun: the call may have run and may not be repeated.
+	// ReasonMayHaveRun: the call may have run and must not be repeated.
 	ReasonMayHaveRun Reason = "may-have-run"
 	// ReasonAttempts: the call has used up its attempts.
 	ReasonAttempts Reason = "attempts"
 	// ReasonDeadline: the deadline passes before the next attempt.
 	ReasonDeadline Reason = "deadline"
-	// ReasonBudget: the budget has no room before the deadline.
+	// ReasonBudget: the budget is empty until after the deadline.
 	ReasonBudget Reason = "budget"
 )
 
 // Attempt describes a call whose last attempt failed.
 type Attempt struct {
-	// Ran is what is known of the last attempt.
+	// Ran is whether the last attempt ran, as far as known.
 	Ran kumquatlug.Ran
-	// Repeatable says that the call may run twice.
+	// Repeatable reports that the call may run twice.
 	Repeatable bool
-	// Resumable says that the answer is a stream that another target can go
-	// on with from the tokens already sent.
+	// Resumable reports that the response is a stream that another target can resume after
+	// the tokens already sent.
 	Resumable bool
-	// Refused says that the target refused the call before it began: it is
-	// leaving, full, or has a newer config. It counts only with RanNot.
+	// Refused reports that the target refused the call before starting it, since it is shutting
+	// down, full, or has a newer config. It has an effect only with RanNot.
 	Refused bool
-	// Attempts is how many attempts failed so far, the last included and
-	// refusals not.
+	// Attempts is the number of failed attempts, including the last one but no refusals.
 	Attempts int
-	// Refusals is how many attempts were refused before the target began. A
-	// suspect that is only asked to wait its turn (see package quarantine) is
-	// not refused in this sense.
+	// Refusals is the number of attempts that were refused before the target started the
+	// call. A suspect call that has to wait for its isolated run (see package quarantine)
+	// does not count as refused.
 	Refusals int
-	// Deadline and Elapsed are spans since the call was accepted.
+	// Deadline and Elapsed are durations since the call was accepted.
 	Deadline kumquatlug.Millis
 	Elapsed  kumquatlug.Millis
 }
 
-// Decision is the answer to an [Attempt].
+// Decision is what to do after an [Attempt].
 type Decision struct {
 	verdict Verdict
 	reason  Reason
 	wait    kumquatlug.Millis
 }
 
-// Verdict returns what to do.
+// Verdict returns the action to take.
 func (d Decision) Verdict() Verdict { return d.verdict }
 
-// Reason returns why.
+// Reason returns the reason of the verdict.
 func (d Decision) Reason() Reason { return d.reason }
 
-// Wait returns how long to wait before doing it.
+// Wait returns the delay before the action.
 func (d Decision) Wait() kumquatlug.Millis { return d.wait }
 
-// rateWindow is the span over which the rate of calls is averaged.
+// rateWindow is the time constant of the average rate of calls.
 const rateWindow = 10 * kumquatlug.Second
 
-// Policy holds the retry budget of one entry.
+// Policy holds the retry budget of one gateway.
 type Policy struct {
 	config Config
 	random *rand.Rand
-	// budget is the number of retries to hand; below zero are those that
-	// were promised and wait for their turn.
+	// budget is the number of available retries. A negative budget is the number of retries
+	// that were granted in advance and are still waiting.
 	budget float64
-	// recentCalls is the number of calls lately, weighted down with age over pace.
+	// recentCalls is the number of calls, decaying with the time constant rateWindow.
 	recentCalls float64
 	updatedAt   kumquatlug.Millis
 	startedAt   kumquatlug.Millis
 	initialized bool
 }
 
-// New returns a policy with a full reserve.
+// New returns a policy with a full budget.
 func New(c Config) *Policy {
 	c = c.withDefaults()
 	return &Policy{config: c, random: rand.New(c.Source), budget: c.Reserve}
 }
 
-// Accepted records that a call was accepted; it adds to the budget.
+// Accepted records that a call was accepted, and adds to the budget.
 func (p *Policy) Accepted(now kumquatlug.Millis) {
 	p.advance(now)
 	p.recentCalls++
 	p.addBudget(p.config.Ratio)
 }
 
-// advance adds the floor of the time that has passed.
+// advance decays recentCalls and adds Floor for the elapsed time.
 func (p *Policy) advance(now kumquatlug.Millis) {
 	if !p.initialized {
 		p.initialized = true
@@ -203,15 +198,15 @@
 	p.budget = min(p.budget+retries, p.config.Reserve)
 }
 
-// Budget returns how many retries the budget holds; below zero is how many
-// wait for their turn.
+// Budget returns the number of available retries; a negative one is the number of granted
+// retries that wait.
 func (p *Policy) Budget(now kumquatlug.Millis) float64 {
 	p.advance(now)
 	return p.budget
 }
 
-// Next decides what to do with a call that failed. A verdict to go on has paid
-// its retry from the budget.
+// Next decides what to do with a failed call. The retry of a verdict other than VerdictStop
+// is already charged to the budget.
 func (p *Policy) Next(now kumquatlug.Millis, a Attempt) Decision {
 	p.advance(now)
 	verdict, reason := nextAction(a)
@@ -237,9 +232,9 @@
 	return Decision{verdict: verdict, reason: reason, wait: wait}
 }
 
-// nextAction says whether the call may be sent again at all. An answer that was
-// lost proves nothing: the target may have run the call, and a second run of a
-// posting or a deposit is worse than telling the caller that it is not known.
+// nextAction returns whether the call may be sent again, regardless of attempts, budget and
+// deadline. After a lost response the target may have run the call, and running a payment
+// twice is worse than reporting an unknown outcome to the caller.
 func nextAction(a Attempt) (Verdict, Reason) {
 	switch {
 	case a.Resumable:
@@ -253,8 +248,8 @@
 	}
 }
 
-// backoff draws the wait before the next attempt. The first refusals are
-// followed at once: another target is likely to take the call.
+// backoff draws the wait before the next attempt. There is none after the first refusals,
+// since another target is likely to accept the call.
 func (p *Policy) backoff(a Attempt, refused bool) kumquatlug.Millis {
 	doublings := a.Attempts - 1
 	if refused {
@@ -270,10 +265,10 @@
 	return kumquatlug.Millis(p.random.Int64N(int64(min(bound, p.config.Limit)) + 1))
 }
 
-// immediateRefusals is how many refusals of a call are followed without a wait.
+// immediateRefusals is the number of refusals of a call that are retried without a wait.
 const immediateRefusals = 3
 
-// budgetWait returns when the budget will have room for one more retry.
+// budgetWait returns the time until the budget has room for one more retry.
 func (p *Policy) budgetWait() kumquatlug.Millis {
 	shortfall := 1 - p.budget
 	if shortfall <= 0 {
@@ -283,9 +278,9 @@
 	return kumquatlug.Millis(math.Ceil(shortfall / retriesPerMilli))
 }
 
-// callRate returns the calls per millisecond. The average is taken over what has
-// passed of its span: early on a rate that is taken for too low would promise
-// retries too late, all to the same second.
+// callRate returns the calls per millisecond, averaged over the part of rateWindow that has
+// passed since the start. Otherwise the rate would be too low early on, and waiting retries
+// would all be scheduled too late, at the same time.
 func (p *Policy) callRate() float64 {
 	age := float64(max(p.updatedAt-p.startedAt, kumquatlug.Second))
 	return p.recentCalls / (float64(rateWindow) * (1 - math.Exp(-age/float64(rateWindow))))
--- a/pkg/kumquatlug/retry/retry_test.go
+++ b/pkg/kumquatlug/retry/retry_test.go
@@ -21,16 +21,16 @@
 		verdict Verdict
 		reason  Reason
 	}{
-		"not run":            {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute}, VerdictRetry, ReasonNotRun},
-		"may have run":       {Attempt{Ran: kumquatlug.RanUnknown, Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
-		"refusal of unknown": {Attempt{Ran: kumquatlug.RanUnknown, Refused: true, Refusals: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
-		"ran":                {Attempt{Ran: kumquatlug.RanDone, Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
-		"nothing said":       {Attempt{Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
-		"repeatable":         {Attempt{Ran: kumquatlug.RanUnknown, Repeatable: true, Attempts: 1, Deadline: minute}, VerdictRetry, ReasonRepeatable},
-		"cut stream":         {Attempt{Ran: kumquatlug.RanUnknown, Resumable: true, Attempts: 1, Deadline: minute}, VerdictResume, ReasonCut},
-		"too many":           {Attempt{Ran: kumquatlug.RanNot, Attempts: 4, Deadline: minute}, VerdictStop, ReasonAttempts},
-		"too many refusals":  {Attempt{Ran: kumquatlug.RanNot, Refused: true, Refusals: 16, Deadline: minute}, VerdictStop, ReasonAttempts},
-		"too late":           {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute, Elapsed: minute}, VerdictStop, ReasonDeadline},
+		"not run":           {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute}, VerdictRetry, ReasonNotRun},
+		"may have run":      {Attempt{Ran: kumquatlug.RanUnknown, Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
+		"refused, may run":  {Attempt{Ran: kumquatlug.RanUnknown, Refused: true, Refusals: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
+		"ran":               {Attempt{Ran: kumquatlug.RanDone, Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
+		"unknown":           {Attempt{Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
+		"repeatable":        {Attempt{Ran: kumquatlug.RanUnknown, Repeatable: true, Attempts: 1, Deadline: minute}, VerdictRetry, ReasonRepeatable},
+		"stream cut":        {Attempt{Ran: kumquatlug.RanUnknown, Resumable: true, Attempts: 1, Deadline: minute}, VerdictResume, ReasonCut},
+		"too many attempts": {Attempt{Ran: kumquatlug.RanNot, Attempts: 4, Deadline: minute}, VerdictStop, ReasonAttempts},
+		"too many refusals": {Attempt{Ran: kumquatlug.RanNot, Refused: true, Refusals: 16, Deadline: minute}, VerdictStop, ReasonAttempts},
+		"deadline passed":   {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute, Elapsed: minute}, VerdictStop, ReasonDeadline},
 	}
 	for name, c := range cases {
 		d := newTestPolicy().Next(0, c.attempt)
@@ -41,9 +41,9 @@
 }
 
 func TestRetriesDoNotMultiplyOverload(t *testing.T) {
-	// A group is overloaded and every call fails. If each were sent again at
-	// once the load would grow fourfold and the group could not recover; the
-	// retries that start in a second must stay a fifth of the calls.
+	// In an overloaded group every call fails. If each were retried at once, the load would
+	// grow fourfold and the group could not recover. The retries that start in a second must
+	// not exceed a fifth of the calls.
 	p := newTestPolicy()
 	for range 50 {
 		p.Next(0, Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: kumquatlug.Minute})
@@ -58,15 +58,14 @@
 	}
 	for second, n := range perSecond {
 		if second > 5 && n > 25 {
-			t.Errorf("in second %d %d retries start beside 100 calls", second, n)
+			t.Errorf("second %d: %d retries for 100 calls", second, n)
 		}
 	}
 }
 
 func TestTargetCrashStaysWithinBudget(t *testing.T) {
-	// One of twelve targets dies at the peak with fifty streams in hand. Each
-	// of their callers is owed a whole answer, so each must be resumed, and
-	// soon: they see the stream pause for as long.
+	// One of twelve targets crashes at peak load with 50 streams in flight. Each of them was
+	// accepted and must be resumed, without a long pause for its client.
 	p := newTestPolicy()
 	for i := range 50 {
 		d := p.Next(0, Attempt{Ran: kumquatlug.RanUnknown, Resumable: true, Attempts: 1, Deadline: kumquatlug.Minute})
@@ -77,8 +76,8 @@
 }
 
 func TestRefusalsCostNoBudget(t *testing.T) {
-	// Half of the targets leave at once and refuse. Their refusals cost no
-	// work, and a crash at the same time must still find the whole budget.
+	// Half of the targets shut down at once and refuse calls. The refusals cost no work, and
+	// a crash at the same time must find the whole budget.
 	p := newTestPolicy()
 	before := p.Budget(0)
 	for range 500 {
@@ -93,11 +92,11 @@
 }
 
 func TestNextRetriesOnlySafeCallsInTime(t *testing.T) {
-	// A posting that may have run must never be sent again, and no retry may
-	// start after its caller's deadline, whatever happened before.
+	// A non-idempotent call that may have run must never be retried, and no retry may start
+	// after the caller's deadline, for any history of failures.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(12))
 	rans := []kumquatlug.Ran{kumquatlug.RanNot, kumquatlug.RanUnknown, kumquatlug.RanDone, ""}
-	properties.Property("only what may go on goes on, in time", prop.ForAll(
+	properties.Property("only safe calls are retried, before the deadline", prop.ForAll(
 		func(draws []int) bool {
 			p := newTestPolicy()
 			for i, n := range draws {
@@ -133,8 +132,8 @@
 
 func ExamplePolicy_Next() {
 	p := New(Config{Source: rand.NewPCG(1, 2)})
-	posting := Attempt{Ran: kumquatlug.RanUnknown, Attempts: 1, Deadline: kumquatlug.Minute}
-	d := p.Next(0, posting)
+	attempt := Attempt{Ran: kumquatlug.RanUnknown, Attempts: 1, Deadline: kumquatlug.Minute}
+	d := p.Next(0, attempt)
 	fmt.Println(d.Verdict(), d.Reason())
 	// Output: stop may-have-run
 }
--- a/pkg/kumquatlug/retry/shared.go
+++ b/pkg/kumquatlug/retry/shared.go
@@ -6,32 +6,30 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// SharedConfig is what a [Shared] budget is made of.
+// SharedConfig configures a [Shared] budget.
 type SharedConfig struct {
-	// Ratio and Floor bound what all fronts together send beyond the first
-	// arrival of each request: in any Window, Ratio of the requests and Floor
-	// more.
+	// Ratio and Floor limit what all gateways together send besides the first attempt of each
+	// request: in any Window, Ratio times the number of requests, plus Floor. The default of
+	// Window is 10 seconds; Ratio and Floor have none.
 	Ratio  float64
 	Floor  int
 	Window kumquatlug.Millis
 }
 
-// windowBuckets is into how many steps the window of a [Shared] is cut; the count
-// is at most one step too high, never too low.
+// windowBuckets is the number of buckets in the window of a [Shared]. The window that is
+// counted is up to one bucket longer than Window, never shorter.
 const windowBuckets = 20
 
-// usableShare is the part of its share that a front uses. The rest covers fronts
-// that came a moment ago and are not counted yet.
+// usableShare is the fraction of its share that a gateway uses. The rest is for gateways that
+// have just started and are not counted yet.
 const usableShare = 0.8
 
-// Shared is one front's share of a budget of repeats that all fronts use
-// together without asking each other.
+// Shared is one gateway's share of a retry budget that all gateways use without coordination.
 //
-// It answers the failure that makes every front send again at once: each within
-// what would be right alone, all together far above what the workers can take.
-// Each front therefore counts the repeats that it sent in the sliding window
-// and stops at its share: Ratio of its own requests, and the floor divided by
-// the number of fronts.
+// When a failure makes all gateways retry at once, each could stay within a budget of its own
+// while all together send far more than the workers can take. Each gateway therefore counts
+// its retries in a sliding window and stops at its share: Ratio times its own requests, plus
+// Floor divided by the number of gateways. It is not safe for concurrent use.
 type Shared struct {
 	config     SharedConfig
 	gateways   int
@@ -39,18 +37,18 @@
 	lastBucket int64
 }
 
-// bucketCounts is what happened in one step of the window.
+// bucketCounts counts the events in one bucket of the window.
 type bucketCounts struct {
-	requests, repeats int
+	requests, retries int
 }
 
-// NewShared returns a budget for one front among one.
+// NewShared returns the budget of the only gateway; see [Shared.SetFronts].
 func NewShared(c SharedConfig) *Shared {
 	c.Window = cmp.Or(c.Window, rateWindow)
 	return &Shared{config: c, gateways: 1}
 }
 
-// SetFronts tells how many fronts share the budget.
+// SetFronts sets the number of gateways that share the budget.
 func (s *Shared) SetFronts(count int) { s.gateways = max(count, 1) }
 
 // advance moves the window to now.
@@ -66,30 +64,28 @@
 	}
 }
 
-// Request records a request of a client.
+// Request records a client's request.
 func (s *Shared) Request(now kumquatlug.Millis) {
 	s.advance(now)
 	s.buckets[s.lastBucket%(windowBuckets+1)].requests++
 }
 
-// Note records a repeat that was sent without being paid for; later ones are paid for
-// with it.
+// Note records a retry that was sent without a successful Take. It counts against later ones.
 func (s *Shared) Note(now kumquatlug.Millis) {
 	s.advance(now)
-	s.buckets[s.lastBucket%(windowBuckets+1)].repeats++
+	s.buckets[s.lastBucket%(windowBuckets+1)].retries++
 }
 
-// Take pays for one more arrival at a worker, and reports false when the share
-// is used up.
+// Take charges one retry to the budget, and reports false if the share is used up.
 func (s *Shared) Take(now kumquatlug.Millis) bool {
 	s.advance(now)
 	var sum bucketCounts
 	for _, c := range s.buckets {
 		sum.requests += c.requests
-		sum.repeats += c.repeats
+		sum.retries += c.retries
 	}
 	share := s.config.Ratio*float64(sum.requests) + float64(s.config.Floor)/float64(s.gateways)
-	if float64(sum.repeats+1) > usableShare*share {
+	if float64(sum.retries+1) > usableShare*share {
 		return false
 	}
 	s.Note(now)
--- a/pkg/kumquatlug/retry/shared_test.go
+++ b/pkg/kumquatlug/retry/shared_test.go
@@ -6,9 +6,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Every attempt fails at every front for half a minute. In no window may all
-// fronts together send more than the ratio and the floor allow, however the
-// windows lie.
+// Every attempt fails at every gateway for 40 seconds. In no window may all gateways together
+// send more retries than the ratio and the floor allow, wherever the window begins.
 func TestSharedBudgetHoldsInEveryWindow(t *testing.T) {
 	const fronts, window, floor = 3, 10 * kumquatlug.Second, 52
 	c := SharedConfig{Ratio: 0.2, Floor: floor, Window: window}
@@ -18,7 +17,7 @@
 		s.SetFronts(fronts)
 		all = append(all, s)
 	}
-	var repeats, requests []kumquatlug.Millis
+	var retries, requests []kumquatlug.Millis
 	for now := kumquatlug.Millis(0); now < 40*kumquatlug.Second; now += 10 {
 		for _, s := range all {
 			if now%50 == 0 {
@@ -26,7 +25,7 @@
 				requests = append(requests, now)
 			}
 			if s.Take(now) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
 	}
@@ -40,16 +39,16 @@
 		return n
 	}
 	for from := kumquatlug.Millis(0); from < 30*kumquatlug.Second; from += 130 {
-		if n, allowed := in(repeats, from), int(0.2*float64(in(requests, from)))+floor; n > allowed {
-			t.Fatalf("%d repeats in the window from %d ms, allowed %d", n, from, allowed)
+		if n, allowed := in(retries, from), int(0.2*float64(in(requests, from)))+floor; n > allowed {
+			t.Fatalf("%d retries in the window from %d ms, want at most %d", n, from, allowed)
 		}
 	}
-	if n := in(repeats, 20*kumquatlug.Second); n < 100 {
-		t.Errorf("only %d repeats in a window", n)
+	if n := in(retries, 20*kumquatlug.Second); n < 100 {
+		t.Errorf("%d retries in a window, want at least 100", n)
 	}
 }
 
-// A quiet minute passes: the counts of before must not hold a repeat back.
+// The retries of an earlier window must not count after an idle minute.
 func TestSharedBudgetWindowSlides(t *testing.T) {
 	s := NewShared(SharedConfig{Floor: 10, Window: 10_000})
 	taken := 0
@@ -57,7 +56,7 @@
 		taken++
 	}
 	if taken != 8 {
-		t.Errorf("%d repeats at once, want four fifths of the floor", taken)
+		t.Errorf("%d retries at once, want four fifths of the floor", taken)
 	}
 	if s.Take(9_000) || !s.Take(70_000) {
 		t.Error("the window does not slide")
