--- a/pkg/kumquatlug/fairshare/fairshare.go
+++ b/pkg/kumquatlug/fairshare/fairshare.go
@@ -1,11 +1,11 @@
-// Package fairshare tells how much more than its usual share an account asks for.
+// Package fairshare lowers the weight of accounts that exceed their usual share of the load.
 //
-// It answers a load in which one account sends a herd, or repeats at once what was
-// refused, while the others send as ever: in a queue by worth alone the herd takes the
-// place of everybody in proportion. What an account asks for lately is compared with
-// what it asked for over a longer time; the excess counts for less in the order of a
-// queue, so that the others have what they always had. An account that is large at all
-// times keeps its share: it is no smaller client's to give.
+// An account may send a burst, or retry refused requests immediately, while the other
+// accounts send their usual load. In a queue ordered by value alone, the burst displaces
+// requests of all accounts in proportion. The recent load of an account is therefore compared
+// with its load over a longer time, and the excess lowers the weight of its requests in the
+// queue, so that the other accounts keep their usual share. An account that is always large
+// keeps its share, too.
 package fairshare
 
 import (
@@ -14,24 +14,23 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of shares, in milliseconds unless they say otherwise.
+// Parameters of the load averages and weights.
 const (
-	// recentSpanMs and usually are the spans over which an account's load is averaged.
+	// recentSpanMs and usualSpanMs are the time constants of an account's load averages.
 	recentSpanMs = 1500.0
 	usualSpanMs  = 30_000.0
-	// burstTolerance is how many times its usual part of the load an account may have lately
-	// until it counts as more.
+	// burstTolerance is the ratio of recent to usual load above which the weight is lowered.
 	burstTolerance = 2.0
-	// minFactor bounds what an excess does to the order.
+	// minFactor is the lowest weight.
 	minFactor = 0.05
-	// maxAccounts bounds the accounts that are followed.
+	// maxAccounts is the number of accounts above which idle ones are evicted.
 	maxAccounts = 20_000
-	// minUsualFraction is the part of a mean account's usual load that every account has for
-	// usual: one that is seen for the first time is no herd.
+	// minUsualFraction is the least usual load of any account, as a fraction of the mean
+	// account's usual load: the first requests of a new account are not a burst.
 	minUsualFraction = 1.0
 )
 
-// load is a decaying sum at a moment.
+// load is an exponentially decaying sum, valid at updatedAt.
 type load struct {
 	sum       float64
 	updatedAt kumquatlug.Millis
@@ -46,21 +45,20 @@
 	l.updatedAt = now
 }
 
-// account is what is followed of one.
+// account holds the load averages of one account.
 type account struct{ recent, usual load }
 
-// Shares follows all accounts of a service at one front. It is not safe for concurrent
-// use.
+// Shares tracks the accounts of a service at one gateway. It is not safe for concurrent use.
 type Shares struct {
 	accounts map[string]*account
 	all      account
 }
 
-// New returns shares that have seen nothing.
+// New returns shares without any accounts.
 func New() *Shares { return &Shares{accounts: map[string]*account{}} }
 
-// Asked takes a request of some size and returns the part of its worth with which it
-// counts in the order of a queue, above 0 and at most 1.
+// Asked records a request and returns the factor for its value in the order of a queue,
+// greater than 0 and at most 1. The size is in any unit, the same for all requests.
 func (s *Shares) Asked(now kumquatlug.Millis, name string, size float64) float64 {
 	a, known := s.accounts[name]
 	if !known {
@@ -78,8 +76,8 @@
 	return factor
 }
 
-// factor compares the account's rate lately with the rate that it may have: its usual
-// one, or that of a mean account.
+// factor returns the factor from the ratio of the account's recent rate to its usual one, or
+// to that of the mean account if that is higher.
 func (s *Shares) factor(now kumquatlug.Millis, a *account) float64 {
 	mean := s.all.usual.decayed(now, usualSpanMs) / float64(len(s.accounts)) / usualSpanMs
 	usual := max(a.usual.decayed(now, usualSpanMs)/usualSpanMs, minUsualFraction*mean)
@@ -90,7 +88,7 @@
 	return max(burstTolerance*usual/recent, minFactor)
 }
 
-// evictIdle drops the accounts that asked for next to nothing lately.
+// evictIdle removes the accounts without requests in the last usualSpanMs.
 func (s *Shares) evictIdle(now kumquatlug.Millis) {
 	for name, a := range s.accounts {
 		if now-a.usual.updatedAt > kumquatlug.Millis(usualSpanMs) {
--- a/pkg/kumquatlug/fairshare/fairshare_test.go
+++ b/pkg/kumquatlug/fairshare/fairshare_test.go
@@ -9,12 +9,12 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// onTimeCount counts the requests of an account that were in time.
+// onTimeCount counts the requests of an account and those that were served in time.
 type onTimeCount struct{ requests, onTime int }
 
-// simulate plays two minutes of one queue that serves 100 requests a second, those with
-// the greatest weight first, each for 300 ms at most. Twenty accounts ask for 70 a second
-// together, one of them for half of that; account 5 sends herds of its own.
+// simulate runs a queue for two minutes that serves 100 requests a second, those with the
+// greatest weight first. Each request waits for 300 ms at most. Twenty accounts send 70
+// requests a second together, account 0 half of them; account 5 sends bursts in addition.
 func simulate(weight func(now kumquatlug.Millis, account string) float64, burst func(now kumquatlug.Millis) int) map[string]*onTimeCount {
 	type waiting struct {
 		account string
@@ -69,8 +69,8 @@
 	return float64(onTime) / float64(requests)
 }
 
-// One account of twenty sends five times what the engines can do, for three seconds of
-// each fifteen. In order of worth alone everybody gives up as much as the herd.
+// One account of twenty sends five times the capacity for three of every 15 seconds. Without
+// weights, the other accounts lose as much as the account with the bursts.
 func TestBurstOfOneAccountLeavesOthersTheirShare(t *testing.T) {
 	burst := func(now kumquatlug.Millis) int {
 		if now > 60_000 && now%15_000 < 3000 {
@@ -85,24 +85,24 @@
 		return shares.Asked(now, name, 1) * (0.9 + 0.1*random.Float64())
 	}, burst)
 	if others := onTimeFraction(fair, "5"); others < 0.95 || unweighted > 0.9 {
-		t.Errorf("others in time: %.3f, in order of worth %.3f", others, unweighted)
+		t.Errorf("others in time: %.3f, without weights %.3f", others, unweighted)
 	}
 	if own := float64(fair["5"].onTime) / float64(fair["5"].requests); own < 0.05 {
-		t.Errorf("the herd's own: %.3f", own)
+		t.Errorf("account with bursts in time: %.3f", own)
 	}
 }
 
-// Without herds nobody counts for less for long, also not the account that asks for as
-// much as all others together.
+// Without bursts no account has a lower weight for long, not even one that sends as many
+// requests as all others together.
 func TestLargeAccountKeepsItsShare(t *testing.T) {
 	shares := New()
 	counts := simulate(func(now kumquatlug.Millis, name string) float64 { return shares.Asked(now, name, 1) }, func(kumquatlug.Millis) int { return 0 })
 	if all, large := onTimeFraction(counts, ""), float64(counts["0"].onTime)/float64(counts["0"].requests); large < all-0.01 {
-		t.Errorf("large %.3f, all %.3f", large, all)
+		t.Errorf("in time: large account %.3f, all accounts %.3f", large, all)
 	}
 }
 
-// Accounts come and go by thousands. Followed for ever they would fill the memory.
+// Thousands of accounts come and go. If none were evicted, memory would grow without bound.
 func TestIdleAccountsAreEvicted(t *testing.T) {
 	shares := New()
 	for i := range 3 * maxAccounts {
--- a/pkg/kumquatlug/scaling/scaling.go
+++ b/pkg/kumquatlug/scaling/scaling.go
@@ -1,10 +1,10 @@
-// Package scaling decides how many workers a service is to have in one data centre.
+// Package scaling computes the number of workers of a service in one data centre.
 //
-// It answers a load that grows over seconds to minutes while a worker takes a while to
-// start: ordered by what is busy now, each worker comes as much too late as it takes
-// to start, and one that is taken away between two waves has to be started again. So
-// what is wanted is what will be busy when a worker ordered now has started, and less
-// is ordered only when less would have done for a while.
+// Load grows over seconds to minutes, and a worker takes a while to start. If workers were
+// ordered for the current load, each would be late by its start time, and workers removed
+// between two load peaks would have to be started again. The number of workers is therefore
+// based on the load expected when a worker ordered now has started, and is lowered only after
+// fewer workers would have sufficed for a while.
 package scaling
 
 import (
@@ -15,55 +15,54 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of scaling.
+// Parameters of scaling.
 const (
-	// maxUtilization is the part of its workers that a service has busy at most: beyond it
-	// requests wait for each other.
+	// maxUtilization is the intended fraction of busy workers: above it, requests queue
+	// behind each other.
 	maxUtilization = 0.7
-	// minHold is for how long less must have been wanted until less is ordered, at
-	// least, and holdBootTimes the same in starts of a worker.
+	// minHold and holdBootTimes define for how long fewer workers must suffice before the
+	// number is lowered: the longer of minHold and holdBootTimes boot times.
 	minHold       = 30 * kumquatlug.Second
 	holdBootTimes = 2
-	// trendSpan is over which span the growth is measured.
+	// trendSpan is the time span in which the growth of the load is measured.
 	trendSpan = 10 * kumquatlug.Second
-	// minOrderInterval is how long after an order more is ordered at the earliest, or half a
-	// start of a worker: what was ordered has to show first.
+	// minOrderInterval is the shortest time from an order to the next increase, unless half a
+	// boot time is longer: the ordered workers must take effect first.
 	minOrderInterval = 5 * kumquatlug.Second
-	// minTrendSpan is how much of that span must have been seen to speak of growth.
+	// minTrendSpan is the shortest time span from which a growth is computed.
 	minTrendSpan = 3 * kumquatlug.Second
 )
 
-// View is what is seen of a service in one data centre.
+// View is the load of a service in one data centre.
 type View struct {
-	// Workers is how many take work, Busy how much of them is taken, in workers.
+	// Workers is the number of workers that accept requests, Busy their load, in workers.
 	Workers int
 	Busy    float64
 }
 
-// sample is a view at a moment and what it made wanted.
+// sample is a view and the number of workers needed for it.
 type sample struct {
 	at     kumquatlug.Millis
 	busy   float64
 	needed int
 }
 
-// Zone decides for one service in one data centre. It is not safe for concurrent use.
+// Zone scales one service in one data centre. It is not safe for concurrent use.
 type Zone struct {
 	bounds  kumquatlug.Scaling
 	samples []sample
-	// ordered is the number ordered last, zero while none was, orderedAt when.
+	// ordered is the number of workers last ordered at orderedAt, zero before the first order.
 	ordered   int
 	orderedAt kumquatlug.Millis
 }
 
-// New returns what decides within bounds and has seen nothing.
+// New returns a Zone without samples.
 func New(bounds kumquatlug.Scaling) *Zone { return &Zone{bounds: bounds} }
 
-// SetBounds takes the bounds of a new config.
+// SetBounds sets the bounds after a config change.
 func (z *Zone) SetBounds(bounds kumquatlug.Scaling) { z.bounds = bounds }
 
-// Look takes what is seen and returns the number to order, and whether one is to be
-// ordered.
+// Look records a view and returns the number of workers, and whether it must be ordered.
 func (z *Zone) Look(now kumquatlug.Millis, v View) (int, bool) {
 	hold := max(minHold, holdBootTimes*z.bounds.Boot)
 	z.samples = slices.DeleteFunc(z.samples, func(s sample) bool { return now-s.at > hold })
@@ -86,7 +85,8 @@
 	return current, false
 }
 
-// neededWorkers returns how many workers the load will take when one ordered now has started.
+// neededWorkers returns the number of workers for the load expected when a worker ordered now
+// has started.
 func (z *Zone) neededWorkers(now kumquatlug.Millis, v View) int {
 	forecast := v.Busy
 	if first, seen := z.oldestSince(now - trendSpan); seen && now-first.at >= minTrendSpan {
@@ -96,7 +96,7 @@
 	return int(math.Ceil(forecast / maxUtilization))
 }
 
-// oldestSince returns the oldest sample from a time on.
+// oldestSince returns the oldest sample taken at or after a time.
 func (z *Zone) oldestSince(from kumquatlug.Millis) (sample, bool) {
 	at := slices.IndexFunc(z.samples, func(s sample) bool { return s.at >= from })
 	if at < 0 {
@@ -107,5 +107,5 @@
 
 func (z *Zone) clamp(n int) int { return min(max(n, z.bounds.Least), z.bounds.Most) }
 
-// Ordered takes that a number was ordered.
+// Ordered records that n workers were ordered.
 func (z *Zone) Ordered(now kumquatlug.Millis, n int) { z.ordered, z.orderedAt = n, now }
--- a/pkg/kumquatlug/scaling/scaling_test.go
+++ b/pkg/kumquatlug/scaling/scaling_test.go
@@ -8,8 +8,8 @@
 
 const boot = 12 * kumquatlug.Second
 
-// result plays a load against workers that take a while to start, and counts orders, the
-// seconds of worker time, and those in which the load was above what was there.
+// result is the outcome of a simulated load with workers that take a while to start: the
+// orders, the worker time in seconds, and the seconds with more load than workers.
 type result struct {
 	orders                           int
 	workerSeconds, overloadedSeconds float64
@@ -48,7 +48,7 @@
 	return r
 }
 
-// waves is a load that grows over half a minute and falls again, five times.
+// waves is a load that rises for 30 seconds and falls for 30 seconds, repeatedly.
 func waves(now kumquatlug.Millis) float64 {
 	at := now % (60 * kumquatlug.Second)
 	if at > 30*kumquatlug.Second {
@@ -57,8 +57,8 @@
 	return 2 + 6*float64(at)/float64(30*kumquatlug.Second)
 }
 
-// Load comes in waves of a minute. Ordered by what is busy now, workers come when the
-// wave is nearly over and are taken away before the next one.
+// Load peaks once a minute. Workers ordered for the current load would start when the peak is
+// nearly over and be removed before the next one.
 func TestWorkersStartBeforePeak(t *testing.T) {
 	bounds := kumquatlug.Scaling{Least: 1, Most: 20, Boot: boot}
 	z := New(bounds)
@@ -73,22 +73,22 @@
 		return min(max(int(v.Busy/maxUtilization+1), 1), 20), true
 	})
 	if predictive.overloadedSeconds > reactive.overloadedSeconds/4 || predictive.orders > reactive.orders/4 {
-		t.Errorf("kept %+v, at once %+v", predictive, reactive)
+		t.Errorf("predictive %+v, reactive %+v", predictive, reactive)
 	}
 }
 
-// A load that stays must cost one order, and none when it is what is there already.
+// A constant load that the present workers can serve must cause no order.
 func TestSteadyLoadNeedsNoOrder(t *testing.T) {
 	z := New(kumquatlug.Scaling{Least: 2, Most: 10, Boot: boot})
 	for now := kumquatlug.Millis(0); now < 100*kumquatlug.Second; now += kumquatlug.Second {
 		if n, order := z.Look(now, View{Workers: 5, Busy: 3.4}); order {
-			t.Fatalf("%d ordered at %d", n, now)
+			t.Fatalf("%d workers ordered at %d ms", n, now)
 		}
 	}
 }
 
-// The load falls for good, and later the bounds do. Less is ordered only after a while,
-// and at once where more is not allowed.
+// The load falls for good, and later the bounds do. The number of workers is lowered after a
+// delay for the load, and at once for the bounds.
 func TestScaleDownIsDelayed(t *testing.T) {
 	z := New(kumquatlug.Scaling{Least: 2, Most: 10, Boot: boot})
 	orderedAt := kumquatlug.Millis(0)
@@ -106,10 +106,10 @@
 		}
 	}
 	if orderedAt < 38*kumquatlug.Second || orderedAt > 50*kumquatlug.Second {
-		t.Errorf("less is ordered at %d", orderedAt)
+		t.Errorf("number lowered at %d ms", orderedAt)
 	}
 	z.SetBounds(kumquatlug.Scaling{Least: 1, Most: 1, Boot: boot})
 	if n, order := z.Look(orderedAt+kumquatlug.Second, View{Workers: 2, Busy: 0.2}); !order || n != 1 {
-		t.Errorf("%d, %v", n, order)
+		t.Errorf("got %d, %v, want 1, true", n, order)
 	}
 }
