--- a/pkg/kumquatlug/accounts/accounts.go
+++ b/pkg/kumquatlug/accounts/accounts.go
@@ -1,35 +1,33 @@
-// Package accounts decides which client account a request belongs to, by the key that
-// it carries.
+// Package accounts looks up the client account of a request by its API key.
 //
-// It answers keys that are added, moved and taken away while requests arrive at
-// every front: a [Book] is one whole version of the operator's config, is never
-// changed, and costs one hash and one look-up a request however many keys there
-// are. It keeps hashes of keys only, so that no dump of a process tells one.
+// Keys are added, moved and revoked while requests arrive at every gateway. A [Book] is an
+// immutable index of one version of the operator's config, and a lookup costs one hash and
+// one map access regardless of the number of keys. It holds only hashes of keys, so that a
+// memory dump reveals none.
 package accounts
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// Verdict is what the key of a request says.
+// Verdict is the result of checking the key of a request.
 type Verdict string
 
 // The verdicts.
 const (
 	// VerdictKnown: the key belongs to an account.
 	VerdictKnown Verdict = "known"
-	// VerdictNoKey: the request carries none.
+	// VerdictNoKey: the request has no key.
 	VerdictNoKey Verdict = "no_key"
-	// VerdictSeveralKeys: it carries more than one; which was meant can't be told.
+	// VerdictSeveralKeys: the request has more than one key, so that its account is ambiguous.
 	VerdictSeveralKeys Verdict = "several_keys"
-	// VerdictUnknownKey: no account has the key.
+	// VerdictUnknownKey: the key belongs to no account.
 	VerdictUnknownKey Verdict = "unknown_key"
 )
 
-// Book holds the accounts of one version of the config. It may be read by many
-// goroutines.
+// Book holds the accounts of one version of the config. It is safe for concurrent use.
 type Book struct{ byKeyHash map[string]kumquatlug.Caller }
 
-// NewBook returns the book of these accounts, each with one of its keys. Of two
-// accounts with the same key the first one has it.
+// NewBook returns the index of the accounts. There is one caller for each key of an account;
+// if two callers have the same key, the first one is used.
 func NewBook(callers []kumquatlug.Caller) *Book {
 	b := &Book{byKeyHash: make(map[string]kumquatlug.Caller, len(callers))}
 	for _, c := range callers {
@@ -40,13 +38,13 @@
 	return b
 }
 
-// ByHash returns the account whose key has this hash, as of [kumquatlug.HashKey].
+// ByHash returns the account by the hash of its key, see [kumquatlug.HashKey].
 func (b *Book) ByHash(hash string) (kumquatlug.Caller, bool) {
 	c, known := b.byKeyHash[hash]
 	return c, known
 }
 
-// Find returns the account that a credential belongs to.
+// Find returns the account of a credential.
 func (b *Book) Find(c kumquatlug.Credential) (kumquatlug.Caller, Verdict) {
 	switch {
 	case c.Keys() == 0:
--- a/pkg/kumquatlug/accounts/accounts_test.go
+++ b/pkg/kumquatlug/accounts/accounts_test.go
@@ -16,8 +16,8 @@
 	return c
 }
 
-// A request with two keys could act for either account, and one with a key that was
-// taken away must not act for any.
+// A request with two keys is ambiguous, and one with a revoked key must not be accepted for
+// any account.
 func TestCredentialNeedsExactlyOneKnownKey(t *testing.T) {
 	b := NewBook([]kumquatlug.Caller{newCaller(t, "north", "k1"), newCaller(t, "north", "k2"), newCaller(t, "south", "k3"), newCaller(t, "late", "k1")})
 	for _, c := range []struct {
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkFind is what finding the account costs a request.
+// BenchmarkFind measures the account lookup per request.
 func BenchmarkFind(b *testing.B) {
 	for _, keys := range []int{1, 20_000} {
 		callers := make([]kumquatlug.Caller, keys)
--- a/pkg/kumquatlug/routes/routes.go
+++ b/pkg/kumquatlug/routes/routes.go
@@ -1,11 +1,10 @@
-// Package routes holds the operator's config as fronts apply it: which route a
-// request takes, which service runs it, under which limits.
+// Package routes holds the operator's config as gateways apply it: the route of a request,
+// the service that handles it, and its limits.
 //
-// It answers a config that changes while requests arrive at every front: each
-// request is decided by one whole version, and an older version that arrives
-// late, from a stale read or a second connection, never replaces a newer one.
-// Without that a front would go back to a route that was moved away, and a
-// request would run at a service that no longer may have it.
+// The config changes while requests arrive at every gateway. Each request is handled by one
+// complete version, and an older version that arrives late, from a stale read or a second
+// connection, never replaces a newer one. Otherwise a gateway could return to a route that was
+// changed, and send requests to a service that must no longer get them.
 package routes
 
 import (
@@ -16,18 +15,17 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/accounts"
 )
 
-// Table is one version of the config. It is not changed after it was made and
-// may be read by many goroutines.
+// Table is an immutable version of the config. It is safe for concurrent use.
 type Table struct {
 	version  int64
 	byHost   map[string][]kumquatlug.Route
 	services map[string]kumquatlug.Service
 	limits   kumquatlug.Limits
-	// accounts is nil where requests carry no keys.
+	// accounts is nil if requests carry no keys.
 	accounts *accounts.Book
 }
 
-// NewTable returns the table of one config.
+// NewTable returns the table of a config.
 func NewTable(c kumquatlug.OperatorConfig) *Table {
 	t := &Table{version: c.Version, byHost: map[string][]kumquatlug.Route{}, services: map[string]kumquatlug.Service{}, limits: c.Limits}
 	if c.Keyed {
@@ -37,7 +35,7 @@
 		t.byHost[r.Host()] = append(t.byHost[r.Host()], r)
 	}
 	for _, list := range t.byHost {
-		// The longest prefix comes first, so that the first match is the route.
+		// Sort by descending length, so that the first match is the longest prefix.
 		sort.SliceStable(list, func(i, j int) bool { return len(list[i].Prefix()) > len(list[j].Prefix()) })
 	}
 	for _, s := range c.Services {
@@ -46,13 +44,13 @@
 	return t
 }
 
-// Version returns the config's version.
+// Version returns the version of the config.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits returns what clients may send.
+// Limits returns the limits of client requests.
 func (t *Table) Limits() kumquatlug.Limits { return t.limits }
 
-// Accounts returns the accounts whose keys requests carry, nil where they carry none.
+// Accounts returns the accounts by key, nil if requests carry no keys.
 func (t *Table) Accounts() *accounts.Book { return t.accounts }
 
 // Service returns a service by its name.
@@ -61,7 +59,7 @@
 	return s, known
 }
 
-// Services returns the names of all services, in order.
+// Services returns the names of all services, sorted.
 func (t *Table) Services() []string {
 	names := make([]string, 0, len(t.services))
 	for name := range t.services {
@@ -71,8 +69,7 @@
 	return names
 }
 
-// Match returns the route for a host and path: the one with the longest prefix
-// that begins the path.
+// Match returns the route for a host and path, the one with the longest prefix of the path.
 func (t *Table) Match(host, path string) (kumquatlug.Route, bool) {
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix()) {
@@ -82,7 +79,7 @@
 	return kumquatlug.Route{}, false
 }
 
-// Newer reports whether t is to replace the table in force, nil for none.
+// Newer reports whether t replaces the table in use, which is nil at first.
 func (t *Table) Newer(current *Table) bool {
 	return current == nil || t.version > current.version
 }
--- a/pkg/kumquatlug/routes/routes_test.go
+++ b/pkg/kumquatlug/routes/routes_test.go
@@ -16,19 +16,19 @@
 	}})
 	for path, want := range map[string]string{"/a/b/x": "h/a/b/", "/a/bx": "h/a/", "/c": "h/", "/a": "h/"} {
 		if r, found := table.Match("h", path); !found || r.Name() != want {
-			t.Errorf("%s takes %q, want %q", path, r.Name(), want)
+			t.Errorf("%s: route %q, want %q", path, r.Name(), want)
 		}
 	}
 	if _, found := table.Match("g", "/a/b/"); found {
-		t.Error("a path without a route takes one")
+		t.Error("found a route for a path without one")
 	}
 	if _, found := table.Match("other", "/"); found {
-		t.Error("another host takes a route")
+		t.Error("found a route for an unknown host")
 	}
 }
 
-// A route is moved from one service to another by weights. Requests must follow
-// them, and one that is sent again must stay where it was.
+// The weights of a route move requests from one service to another. A request that is sent
+// again must stay at its service.
 func TestRequestsFollowWeights(t *testing.T) {
 	r := newRoute("h", "/", kumquatlug.Share{Service: "old", Weight: 90}, kumquatlug.Share{Service: "new", Weight: 10})
 	counts := map[string]int{}
@@ -36,11 +36,11 @@
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676))
 		counts[r.Service(id)]++
 		if again := r.Service(id); again != r.Service(id) {
-			t.Fatal("a request changes its service")
+			t.Fatal("a request moved to another service")
 		}
 	}
 	if counts["new"] < 350 || counts["new"] > 650 {
-		t.Errorf("%v", counts)
+		t.Errorf("requests by service: %v", counts)
 	}
 	if s := newRoute("h", "/", kumquatlug.Share{Service: "only"}).Service("x"); s != "only" {
 		t.Errorf("without weights: %q", s)
@@ -53,6 +53,6 @@
 func TestOnlyNewerVersionsReplace(t *testing.T) {
 	old, next := NewTable(kumquatlug.OperatorConfig{Version: 4}), NewTable(kumquatlug.OperatorConfig{Version: 9})
 	if !next.Newer(old) || old.Newer(next) || old.Newer(old) || !old.Newer(nil) {
-		t.Error("versions are taken in the wrong order")
+		t.Error("wrong order of versions")
 	}
 }
--- a/pkg/kumquatlug/selector/selector.go
+++ b/pkg/kumquatlug/selector/selector.go
@@ -1,5 +1,6 @@
-// Package selector matches labels: it reads expressions such as
-// "pool=draft,zone!=b,gpu" and the terms on which a selector hands out work.
+// Package selector assigns work to targets by their labels. It parses label expressions such
+// as "pool=draft,zone!=b,gpu", and the selectors that combine an expression with a kind of
+// work, a role, a deadline and a priority.
 package selector
 
 import (
@@ -12,11 +13,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// LabelLeaving is the label by which an operator says that a target is
-// leaving; any value but "false" counts.
+// LabelLeaving is the label with which an operator marks a target as leaving. Every value
+// except "false" marks it.
 const LabelLeaving = "leaving"
 
-// Labels are an operator's words about one target, name to value.
+// Labels are the labels that an operator set on a target, by name.
 type Labels map[string]string
 
 // Leaving reports whether the labels say that the target is leaving.
@@ -25,7 +26,7 @@
 	return ok && value != "false"
 }
 
-// String returns the labels as "a=1,b=2" in name order.
+// String returns the labels as "a=1,b=2", sorted by name.
 func (l Labels) String() string {
 	parts := make([]string, 0, len(l))
 	for name, value := range l {
@@ -35,7 +36,7 @@
 	return strings.Join(parts, ",")
 }
 
-// Operator is how a term compares.
+// Operator is the comparison of a term.
 type Operator string
 
 // The operators of an expression.
@@ -46,7 +47,7 @@
 	OperatorAbsent   Operator = "absent"
 )
 
-// term is one comparison; an expression is a list of them, all of which hold.
+// term is one comparison of an expression, whose terms must all match.
 type term struct {
 	name     string
 	operator Operator
@@ -59,8 +60,8 @@
 	terms []term
 }
 
-// Parse reads an expression: terms joined by commas, each "name=value",
-// "name!=value", "name" (the label is there) or "!name" (it is not).
+// Parse parses an expression: terms separated by commas, each "name=value", "name!=value",
+// "name" (the label exists) or "!name" (it does not).
 func Parse(text string) (Expression, error) {
 	e := Expression{text: text}
 	if strings.TrimSpace(text) == "" {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// ParseLabels reads "a=1,b=2".
+// ParseLabels parses labels such as "a=1,b=2".
 func ParseLabels(text string) (Labels, error) {
 	labels := Labels{}
 	if strings.TrimSpace(text) == "" {
@@ -120,15 +121,15 @@
 	return labels, nil
 }
 
-// String returns the text the expression was read from.
+// String returns the text that the expression was parsed from.
 func (e Expression) String() string { return e.text }
 
-// Matches reports whether every term holds for labels.
+// Matches reports whether all terms match the labels.
 func (e Expression) Matches(labels Labels) bool {
 	return e.Mismatch(labels) == ""
 }
 
-// Mismatch returns the first term that does not hold, or the empty string.
+// Mismatch returns the first term that does not match the labels, or the empty string.
 func (e Expression) Mismatch(labels Labels) string {
 	for _, t := range e.terms {
 		if !t.matches(labels) {
@@ -152,7 +153,7 @@
 	}
 }
 
-// String returns the term as it is written in an expression.
+// String returns the term in the syntax of expressions.
 func (t term) String() string {
 	switch t.operator {
 	case OperatorExists:
@@ -164,8 +165,8 @@
 	}
 }
 
-// Selector says which labelled targets may take a kind of work, in what role
-// and on what terms.
+// Selector defines which targets, by their labels, may take a kind of work, in which role and
+// with which deadline and priority.
 type Selector struct {
 	name       string
 	kind       kumquatlug.Kind
@@ -176,37 +177,37 @@
 	priority   int
 }
 
-// Config is what a [Selector] is made of; it is also its stored JSON form.
+// Config configures a [Selector]. Its JSON form is the stored one.
 type Config struct {
-	// Name is the selector's own name.
+	// Name is the name of the selector.
 	Name string `json:"name"`
-	// Protocol and Kind name the work: a model or a plain service.
+	// Protocol and Kind identify the work: a model or a plain service.
 	Protocol kumquatlug.Protocol `json:"protocol"`
 	Kind     string              `json:"kind"`
-	// Role is what the matching targets do.
+	// Role is the role of the matching targets.
 	Role kumquatlug.Role `json:"role"`
-	// Match is the expression over labels.
+	// Match is the label expression.
 	Match string `json:"match"`
-	// Repeatable says that every call of a plain service may run twice.
+	// Repeatable reports that every call of a plain service may run twice.
 	Repeatable bool `json:"repeatable,omitempty"`
-	// Deadline is the time a caller has who names none; zero means DefaultDeadline.
+	// Deadline is the time of a call whose caller sets no deadline; zero means DefaultDeadline.
 	Deadline kumquatlug.Millis `json:"deadline_ms,omitempty"`
-	// Priority is higher for work that goes first.
+	// Priority is the priority of the work, from LowestPriority to HighestPriority.
 	Priority int `json:"priority,omitempty"`
 }
 
-// DefaultDeadline is the time a call has when neither selector nor caller
-// names one. Two minutes covers a long summary at a slow 30 ms a token
-// (4,000 tokens) and is below what balancers commonly cut at.
+// DefaultDeadline is the time of a call if neither selector nor caller sets one. Two minutes
+// cover a long summary of 4,000 tokens at a slow 30 ms per token, and are below the usual
+// timeouts of load balancers.
 const DefaultDeadline = 2 * kumquatlug.Minute
 
-// The bounds of priorities, as package admission has them.
+// The range of priorities, the same as in package admission.
 const (
 	LowestPriority  = -2
 	HighestPriority = 2
 )
 
-// New checks c and returns the selector.
+// New validates c and returns the selector.
 func New(c Config) (Selector, error) {
 	match, err := Parse(c.Match)
 	if err != nil {
@@ -247,7 +248,7 @@
 	return errors.Newf("role %q does not fit protocol %q", role, protocol)
 }
 
-// Decode reads a selector from its stored JSON form.
+// Decode parses a selector from its stored JSON form.
 func Decode(value []byte) (Selector, error) {
 	var c Config
 	if err := json.Unmarshal(value, &c); err != nil {
@@ -256,29 +257,29 @@
 	return New(c)
 }
 
-// Name returns the selector's own name.
+// Name returns the name of the selector.
 func (s Selector) Name() string { return s.name }
 
-// Kind returns the work it hands out.
+// Kind returns the kind of work.
 func (s Selector) Kind() kumquatlug.Kind { return s.kind }
 
-// Role returns what matching targets do.
+// Role returns the role of matching targets.
 func (s Selector) Role() kumquatlug.Role { return s.role }
 
-// Match returns the expression over labels.
+// Match returns the label expression.
 func (s Selector) Match() Expression { return s.match }
 
 // Repeatable reports whether every call of the service may run twice.
 func (s Selector) Repeatable() bool { return s.repeatable }
 
-// Deadline returns the time a call has unless its caller names one.
+// Deadline returns the time of a call whose caller sets no deadline.
 func (s Selector) Deadline() kumquatlug.Millis { return s.deadline }
 
-// Priority returns the priority of the work; higher goes first.
+// Priority returns the priority of the work; higher priorities are served first.
 func (s Selector) Priority() int { return s.priority }
 
-// Refusal says why a target with these labels may not take work of kind, or
-// returns the empty string when some selector hands it out.
+// Refusal returns why a target with these labels may not take work of a kind, or the empty
+// string if a selector allows it.
 func Refusal(selectors []Selector, kind kumquatlug.Kind, labels Labels) string {
 	if labels.Leaving() {
 		return "its labels say that it is leaving"
@@ -297,14 +298,14 @@
 	return reason
 }
 
-// Names of the labels that every target has by what the platform says of it;
-// an operator's label of the same name goes before.
+// Labels that every target has from the platform. A label of the same name that an operator
+// set takes precedence.
 const (
 	LabelName = "name"
 	LabelZone = "zone"
 )
 
-// With returns labels with what the platform says of the target added.
+// With returns the labels combined with the name and zone of the target.
 func (l Labels) With(name, zone string) Labels {
 	all := Labels{LabelName: name, LabelZone: zone}
 	for key, value := range l {
--- a/pkg/kumquatlug/selector/selector_test.go
+++ b/pkg/kumquatlug/selector/selector_test.go
@@ -31,7 +31,7 @@
 func TestParseRejectsMalformedExpressions(t *testing.T) {
 	for _, text := range []string{"=a", "pool=draft,,", "!", "a b=c", "pool==", "pool!=a=b"} {
 		if _, err := Parse(text); err == nil {
-			t.Errorf("%q was accepted", text)
+			t.Errorf("%q: no error", text)
 		}
 	}
 }
