--- a/pkg/kumquatlug/catchup/catchup.go
+++ b/pkg/kumquatlug/catchup/catchup.go
@@ -1,58 +1,59 @@
-// Package catchup decides how a front takes the operator's config from another front.
+// Package catchup fetches the operator's config from another gateway if the store is not
+// reachable.
 //
-// It answers a store that turns some fronts away while it serves the operator and the
-// others: a key is taken away, and the fronts that can't read the store would serve its
-// client for as long as that lasts. Whatever fronts say to each other names the
-// version that the sender has in force, so that hearing of a newer one costs nothing.
-// A front that does not have it from the store a moment later asks for the text, in
-// parts that fit a datagram. A part that is lost is asked for again; a text is taken
-// when it is whole, and replaces nothing that is newer.
+// The store may reject some gateways while it serves the operator and the others. If a key is
+// revoked meanwhile, the gateways that can't read the store would accept it until the store
+// serves them again. All messages between gateways therefore carry the sender's config
+// version, so that a newer one is detected at no cost. A gateway that does not get the version
+// from the store shortly after requests the config text in parts that fit a datagram. Lost
+// parts are requested again. The text is used when it is complete, and never replaces a newer
+// version.
 package catchup
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// Figures of catching up.
+// Parameters of a fetch.
 const (
-	// storeReadDelay is how long the store has to bring a version that was heard of: fronts
-	// learn of changes within a tenth of a second of each other.
+	// storeReadDelay is how long to wait for the store to deliver a version after it was first
+	// seen: all gateways read a change within 100 ms of each other.
 	storeReadDelay = 250 * kumquatlug.Millis(1)
-	// requestTimeout is how long a front that was asked has until it is asked again.
+	// requestTimeout is how long to wait for a response before the request is repeated.
 	requestTimeout = 100 * kumquatlug.Millis(1)
-	// maxRequests is how often it is asked without an answer.
+	// maxRequests is the number of requests without a response before another gateway is tried.
 	maxRequests = 3
-	// partBytes is the length of a part of a text; it fits a datagram with what goes
-	// round it.
+	// partBytes is the size of a part; together with its headers it fits a datagram.
 	partBytes = 1000
-	// partsPerRequest is how many parts answer one question.
+	// partsPerRequest is the maximum number of parts sent per request.
 	partsPerRequest = 16
-	// maxParts bounds the parts of a text: the store's rows have 64 KB, and a few
-	// times that in larger forms.
+	// maxParts is the maximum number of parts of a text: a row in the store has at most
+	// 64 KB, and its larger forms a few times as much.
 	maxParts = 1024
 )
 
-// Fetch follows which version is newest and fetches it. It is not safe for concurrent
-// use.
+// Fetch tracks the newest version and fetches it. It is not safe for concurrent use.
 type Fetch struct {
-	// current is the version in force here.
+	// current is the version in use at this gateway.
 	current int64
-	// newest is the newest version heard of, from who has it, heardAt when it was first.
+	// newest is the newest version seen, source a gateway that has it, seenAt when the version
+	// was first seen.
 	newest int64
 	source string
 	seenAt kumquatlug.Millis
-	// requestedAt is when from was asked last, asks how often without an answer.
+	// requestedAt is the time of the last request to source, requests the number of requests
+	// since its last response.
 	requestedAt kumquatlug.Millis
 	requests    int
-	// parts are what has come of the newest version's text, left how many are missing.
+	// parts are the received parts of the newest version, nil for the missingParts others.
 	parts        [][]byte
 	missingParts int
-	// receivedParts counts the parts that came since the last question.
+	// receivedParts is the number of new parts received since the last request.
 	receivedParts int
 }
 
-// Have takes the version that is in force here.
+// Have sets the version in use at this gateway.
 func (f *Fetch) Have(version int64) { f.current = max(f.current, version) }
 
-// Heard takes that a front has a version in force.
+// Heard records the version in use at another gateway.
 func (f *Fetch) Heard(now kumquatlug.Millis, gateway string, version int64) {
 	if version <= f.current || version < f.newest {
 		return
@@ -65,14 +66,14 @@
 	}
 }
 
-// Next returns which front is to be asked for what now, and whether one is.
+// Next returns the gateway and the request to send to it, and whether one is due.
 func (f *Fetch) Next(now kumquatlug.Millis) (string, kumquatlug.ConfigAsk, bool) {
 	none := kumquatlug.ConfigAsk{}
 	if f.newest <= f.current || f.source == "" || now-f.seenAt < storeReadDelay || f.requests > 0 && now-f.requestedAt < requestTimeout {
 		return "", none, false
 	}
 	if f.requests >= maxRequests {
-		// Another front that names the version is asked.
+		// Use the next gateway that announces the version.
 		f.source = ""
 		return "", none, false
 	}
@@ -90,7 +91,7 @@
 	return 0
 }
 
-// Took takes a part of a text and returns the text when it is whole.
+// Took records a part of a text, and returns the text if it is complete.
 func (f *Fetch) Took(gateway string, p kumquatlug.ConfigPart) ([]byte, bool) {
 	switch {
 	case gateway != f.source || p.Version != f.newest || p.Version <= f.current:
@@ -109,7 +110,7 @@
 	}
 	if f.missingParts > 0 {
 		if f.receivedParts == partsPerRequest {
-			// The whole answer is here: what follows is asked for at once.
+			// All requested parts have arrived: request the next ones at once.
 			f.requests = 0
 		}
 		return nil, false
@@ -121,8 +122,8 @@
 	return text, true
 }
 
-// Answer returns the parts that answer a question, of the text of the version in force
-// here; none where that is another version.
+// Answer returns the parts that answer a request, given the version in use and its text. There
+// are none if another version is requested.
 func Answer(request kumquatlug.ConfigAsk, version int64, text []byte) []kumquatlug.ConfigPart {
 	if request.Version != version {
 		return nil
--- a/pkg/kumquatlug/catchup/catchup_test.go
+++ b/pkg/kumquatlug/catchup/catchup_test.go
@@ -8,8 +8,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// transfer plays a front that has a text in force and may lose answers; it returns what the
-// asking front puts together, and when.
+// transfer simulates a gateway that has the text and whose responses are lost at lossRate. It
+// returns the text that f assembles, and when.
 func transfer(t *testing.T, f *Fetch, gateway string, version int64, text []byte, lossRate float64) ([]byte, kumquatlug.Millis) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -21,7 +21,7 @@
 				break
 			}
 			if to != gateway {
-				t.Fatalf("asked %q", to)
+				t.Fatalf("request to %q", to)
 			}
 			for _, part := range Answer(request, version, text) {
 				if random.Float64() < lossRate {
@@ -36,8 +36,8 @@
 	return nil, 0
 }
 
-// The store turns a front away, and half of what the others send it is lost. It must
-// have the whole text all the same: with a part of the keys it would turn clients away.
+// The store rejects a gateway, and half of the parts sent to it are lost. It must still get
+// the complete text: with only a part of the keys, it would reject clients.
 func TestConfigArrivesDespitePacketLoss(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789abcdef"), 20_000)
 	for _, lossRate := range []float64{0, 0.5} {
@@ -50,28 +50,27 @@
 	}
 }
 
-// The store brings a version itself a moment after another front named it. Asked for
-// each time, every change would cost the fronts its text from each other.
+// The store delivers a version shortly after another gateway announced it. If gateways
+// requested it nevertheless, each change would be sent again between all of them.
 func TestVersionFromStoreIsNotRequested(t *testing.T) {
 	f := &Fetch{}
 	f.Have(3)
 	f.Heard(0, "front-2", 7)
 	if _, _, due := f.Next(storeReadDelay - 1); due {
-		t.Error("asked before the store had time")
+		t.Error("requested before the delay for the store was over")
 	}
 	f.Have(7)
 	if _, _, due := f.Next(10 * storeReadDelay); due {
-		t.Error("asked for what is in force")
+		t.Error("requested the version in use")
 	}
 	f.Heard(11*storeReadDelay, "front-3", 5)
 	if _, _, due := f.Next(13 * storeReadDelay); due {
-		t.Error("asked for an older version")
+		t.Error("requested an older version")
 	}
 }
 
-// The front that named a version is gone before it gave it. Another one that names it
-// is asked instead; parts of a version that was overtaken meanwhile are none of the
-// newer one's.
+// The gateway that announced a version fails before it sends the text, and another one is
+// requested. Parts of an older version must not be mixed with those of a newer one.
 func TestNextGatewayIsAskedAfterTimeouts(t *testing.T) {
 	f := &Fetch{}
 	f.Heard(0, "front-2", 7)
@@ -82,14 +81,14 @@
 		}
 	}
 	if requests != maxRequests {
-		t.Fatalf("asked %d times", requests)
+		t.Fatalf("%d requests", requests)
 	}
 	f.Heard(2000, "front-3", 7)
 	if to, _, due := f.Next(2000); !due || to != "front-3" {
-		t.Fatalf("asked %q, %v", to, due)
+		t.Fatalf("request to %q, due %v", to, due)
 	}
 	if _, complete := f.Took("front-2", kumquatlug.ConfigPart{Version: 7, Part: 0, Parts: 1, Text: []byte("x")}); complete {
-		t.Error("took what it did not ask for")
+		t.Error("accepted a part that was not requested")
 	}
 	f.Heard(2100, "front-4", 8)
 	for _, bad := range []kumquatlug.ConfigPart{
@@ -100,7 +99,7 @@
 		{Version: 8, Part: 0, Parts: 1},
 	} {
 		if _, complete := f.Took("front-4", bad); complete {
-			t.Errorf("took %+v", bad)
+			t.Errorf("accepted %+v", bad)
 		}
 	}
 }
--- a/pkg/kumquatlug/membership/membership.go
+++ b/pkg/kumquatlug/membership/membership.go
@@ -1,20 +1,17 @@
-// Package membership decides which targets an entry may use, from two sources
-// that are both wrong at times: the platform's list of VMs, which lags, and the
-// heartbeats that the entry asks of each agent.
+// Package membership determines which targets a gateway may use, from two sources that are
+// both unreliable: the platform's list of VMs, which lags, and the heartbeats that the gateway
+// sends to each agent.
 //
-// What goes wrong without it: a VM that vanished stays in the list for a while,
-// and every request sent there waits for a connection that never comes; a VM
-// that is new in the list does not answer yet; a VM that the list has dropped
-// by mistake would lose its work. So the list says whom to ask and who is
-// leaving, and the heartbeats say who is there.
+// A VM that has failed stays in the list for a while, and requests sent to it would wait for a
+// connection that is never accepted. A VM that is new in the list does not respond yet. A VM
+// that is missing from the list by mistake would lose its work. The list therefore defines
+// which targets get heartbeats and which are leaving, and the heartbeats which are reachable.
 //
-// Figures. A heartbeat and its answer take 580 bytes on the wire, packet headers
-// included (docs/CAPACITY.md); at 5 KB/s a node they must be spread out as the
-// number of targets grows, which [Interval] does: 15 targets each 2.2 s, 20 each
-// 2.9 s. A target is down after three missed
-// heartbeats in a row: one is lost to a pause of the collector or a dropped
-// packet, three in a row are not, and meanwhile failed calls already keep work
-// away.
+// A heartbeat and its response take 580 bytes on the wire including packet headers
+// (docs/CAPACITY.md). To stay within 5 KB/s per node, the interval grows with the number of
+// targets, see [Interval]: 2.2 s for 15 targets, 2.9 s for 20. A target is down after three
+// consecutive missed heartbeats: a garbage collection pause or a dropped packet can cause one,
+// but not three, and failed calls already keep work away from the target in the meantime.
 package membership
 
 import (
@@ -23,56 +20,56 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// State is what an entry holds of a target.
+// State is the state of a target as a gateway sees it.
 type State string
 
 // The states of a member.
 const (
-	// StateNew: listed, not heard yet.
+	// StateNew: listed, no heartbeat answered yet.
 	StateNew State = "new"
-	// StateUp: the last heartbeat was answered.
+	// StateUp: a heartbeat was answered, and fewer than MissedForDown were missed since.
 	StateUp State = "up"
-	// StateDown: MissedForDown heartbeats in a row brought no answer.
+	// StateDown: the last MissedForDown heartbeats or more were not answered.
 	StateDown State = "down"
 )
 
-// Figures of the package.
+// Parameters of heartbeats.
 const (
-	// MissedForDown is how many heartbeats in a row must fail.
+	// MissedForDown is the number of consecutive missed heartbeats after which a target is down.
 	MissedForDown = 3
-	// MinInterval is the shortest span between two heartbeats to one target.
+	// MinInterval is the shortest interval of the heartbeats to one target.
 	MinInterval = kumquatlug.Second
-	// HeartbeatBytes is what one heartbeat takes on the wire, both ways.
+	// HeartbeatBytes is the size of a heartbeat and its response on the wire.
 	HeartbeatBytes = 580
-	// ControlBytes is what heartbeats may take a second of the 5 KB that a node
-	// may spend on control.
+	// ControlBytes is the limit for heartbeats in bytes per second, out of the 5 KB per second
+	// that a node may use for control traffic.
 	ControlBytes = 4_000
 )
 
-// Interval returns the span between two heartbeats to one target when an entry
-// asks this many, so that all together stay within ControlBytes.
+// Interval returns the interval of the heartbeats to one target for a gateway that sends them
+// to this many, so that all together stay within ControlBytes.
 func Interval(targets int) kumquatlug.Millis {
 	spread := kumquatlug.Millis(targets) * kumquatlug.Second * HeartbeatBytes / ControlBytes
 	return max(MinInterval, spread)
 }
 
-// Change says that a member went from one state to another.
+// Change is a change of a member's state.
 type Change struct {
 	name string
 	from State
 	to   State
 }
 
-// Name returns the member's name.
+// Name returns the name of the member.
 func (c Change) Name() string { return c.name }
 
-// From returns the state before.
+// From returns the previous state.
 func (c Change) From() State { return c.from }
 
-// To returns the state now.
+// To returns the new state.
 func (c Change) To() State { return c.to }
 
-// Member is a target as an entry sees it.
+// Member is a target as a gateway sees it.
 type Member struct {
 	vm               kumquatlug.VM
 	listed           bool
@@ -82,22 +79,22 @@
 	missedHeartbeats int
 }
 
-// VM returns what the platform's list last said.
+// VM returns the VM as last listed by the platform.
 func (m Member) VM() kumquatlug.VM { return m.vm }
 
-// State returns whether heartbeats are answered.
+// State returns the state of the member.
 func (m Member) State() State { return m.state }
 
-// Incarnation returns the id of the agent's process, empty before it was heard.
+// Incarnation returns the ID of the agent's process, empty before the first answered heartbeat.
 func (m Member) Incarnation() string { return m.incarnation }
 
-// HeardAt returns when the last heartbeat was answered, zero for never.
+// HeardAt returns when the last heartbeat was answered, zero if none was.
 func (m Member) HeardAt() kumquatlug.Millis { return m.lastAnsweredAt }
 
-// Leaving reports whether the platform's list says that the VM is leaving.
+// Leaving reports whether the VM is leaving according to the platform's list.
 func (m Member) Leaving() bool { return m.vm.State() == kumquatlug.VMLeaving }
 
-// Members is what an entry knows of the targets. One goroutine owns it.
+// Members holds the targets that a gateway knows. It is not safe for concurrent use.
 type Members struct {
 	members map[string]*Member
 	names   []string
@@ -108,9 +105,9 @@
 	return &Members{members: map[string]*Member{}}
 }
 
-// Listed takes in the platform's list, of which only target VMs count. A
-// member that is no longer listed stays while it answers heartbeats, since the
-// list may be wrong and its work is real; it goes once it is not up.
+// Listed updates the members from the platform's list; only target VMs count. A member that
+// is no longer listed is kept while it answers heartbeats, since the list may be wrong and the
+// target has calls in flight. It is removed when it is not up.
 func (m *Members) Listed(vms []kumquatlug.VM) {
 	for _, member := range m.members {
 		member.listed = false
@@ -135,7 +132,7 @@
 		m.members[vm.Name()] = member
 	}
 	if member.vm.Address() != vm.Address() {
-		// Another VM took the name: what was heard of the old one is void.
+		// Another VM has the same name: discard the state of the old one.
 		*member = Member{state: StateNew}
 	}
 	member.vm = vm
@@ -150,8 +147,8 @@
 	sort.Strings(m.names)
 }
 
-// Heard takes in an answered heartbeat and returns what it changed, if
-// anything.
+// Heard records an answered heartbeat. It returns the change, and whether the target came up
+// or its agent was restarted.
 func (m *Members) Heard(now kumquatlug.Millis, name, incarnation string) (Change, bool) {
 	member, known := m.members[name]
 	if !known {
@@ -166,8 +163,8 @@
 	return change, change.from != StateUp || restarted
 }
 
-// Missed takes in a heartbeat without an answer and returns what it changed,
-// if anything.
+// Missed records a heartbeat that was not answered. It returns the change, and whether the
+// target went down.
 func (m *Members) Missed(name string) (Change, bool) {
 	member, known := m.members[name]
 	if !known {
@@ -182,11 +179,11 @@
 	return change, true
 }
 
-// Names returns the members' names in order; the slice is valid until the next
-// call of Listed.
+// Names returns the sorted names of the members. The slice is valid until the next call of
+// Listed.
 func (m *Members) Names() []string { return m.names }
 
-// Get returns the member called name.
+// Get returns the member with this name.
 func (m *Members) Get(name string) (Member, bool) {
 	member, known := m.members[name]
 	if !known {
--- a/pkg/kumquatlug/membership/membership_test.go
+++ b/pkg/kumquatlug/membership/membership_test.go
@@ -13,8 +13,8 @@
 	})
 }
 
-// A VM loses power. The platform's list goes on naming it for a while, and an
-// entry that trusted the list would send callers there to wait in vain.
+// A VM loses power and stays in the platform's list for a while. If the gateway relied on the
+// list, calls sent to the VM would wait until they time out.
 func TestVanishedTargetGoesDownThoughStillListed(t *testing.T) {
 	m := New()
 	list := []kumquatlug.VM{targetVM("t1", "10.0.0.1:7", kumquatlug.VMLive)}
@@ -24,26 +24,26 @@
 		m.Listed(list)
 		change, changed := m.Missed("t1")
 		if last := i == MissedForDown-1; changed != last {
-			t.Fatalf("miss %d changed the state to %q", i+1, change.To())
+			t.Fatalf("missed heartbeat %d: change to %q, want one at the last only", i+1, change.To())
 		}
 	}
 	if got, _ := m.Get("t1"); got.State() != StateDown {
 		t.Fatalf("state %q", got.State())
 	}
 	if _, changed := m.Heard(9000, "t1", "i2"); !changed {
-		t.Fatal("a target that answers again was not used")
+		t.Fatal("no change when the target answers again")
 	}
 }
 
-// The platform's list comes back from an outage with a line missing. The
-// target still answers and has work in hand, and must not be dropped for it.
+// After an outage the platform's list lacks an entry. The target still answers heartbeats and
+// has calls in flight, and must not be removed.
 func TestAnsweringTargetSurvivesMissingListEntry(t *testing.T) {
 	m := New()
 	m.Listed([]kumquatlug.VM{targetVM("t1", "10.0.0.1:7", kumquatlug.VMLive), targetVM("t2", "10.0.0.2:7", kumquatlug.VMLive)})
 	m.Heard(1000, "t1", "i1")
 	m.Listed(nil)
 	if got := fmt.Sprint(m.Names()); got != "[t1]" {
-		t.Fatalf("members %s, want only the one that answers", got)
+		t.Fatalf("members %s, want [t1], which answers heartbeats", got)
 	}
 }
 
@@ -53,7 +53,7 @@
 	m.Heard(1000, "t1", "i1")
 	m.Listed([]kumquatlug.VM{targetVM("t1", "10.0.0.9:7", kumquatlug.VMLive)})
 	if got, _ := m.Get("t1"); got.State() != StateNew || got.Incarnation() != "" {
-		t.Fatalf("state %q of %q", got.State(), got.Incarnation())
+		t.Fatalf("state %q, incarnation %q; want a new state", got.State(), got.Incarnation())
 	}
 }
 
@@ -61,7 +61,7 @@
 	for _, targets := range []int{1, 15, 50, 400} {
 		bytesPerSecond := int64(targets) * HeartbeatBytes * int64(kumquatlug.Second) / int64(Interval(targets))
 		if bytesPerSecond > ControlBytes && Interval(targets) > MinInterval {
-			t.Errorf("%d targets take %d bytes a second", targets, bytesPerSecond)
+			t.Errorf("%d targets: %d bytes per second", targets, bytesPerSecond)
 		}
 	}
 }
--- a/pkg/kumquatlug/membership/roster.go
+++ b/pkg/kumquatlug/membership/roster.go
@@ -9,15 +9,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// vmKeyPrefix starts the keys of the rows that name VMs.
+// vmKeyPrefix is the prefix of the keys of VM rows.
 const vmKeyPrefix = "vm/"
 
-// Roster is the list of VMs, kept as rows of the platform's table. Each process
-// writes its own row when it starts and removes it when it has stopped as
-// planned; the row of one that died stays, and heartbeats tell that it is gone.
+// Roster is the list of VMs, stored as rows of the platform's table. Each process writes its
+// own row when it starts and deletes it when it stops in an orderly way. The row of a process
+// that crashed remains, and missed heartbeats show that it is gone.
 type Roster struct{ table kumquatlug.Table }
 
-// NewRoster returns the list that a table keeps.
+// NewRoster returns the list stored in table.
 func NewRoster(table kumquatlug.Table) *Roster { return &Roster{table: table} }
 
 // vmRow is the JSON form of a VM's row.
@@ -35,15 +35,15 @@
 		return errors.Wrap(err, "encode the VM's row")
 	}
 	tx := kumquatlug.NewTx("vm-"+vm.Name()).Put(vmKeyPrefix+vm.Name(), text)
-	return errors.Wrap(r.table.Commit(ctx, tx), "enter the VM")
+	return errors.Wrap(r.table.Commit(ctx, tx), "write the VM's row")
 }
 
-// Leave removes a VM's row.
+// Leave deletes a VM's row.
 func (r *Roster) Leave(ctx context.Context, name string) error {
-	return errors.Wrap(r.table.Commit(ctx, kumquatlug.NewTx("vm-"+name).Delete(vmKeyPrefix+name)), "remove the VM")
+	return errors.Wrap(r.table.Commit(ctx, kumquatlug.NewTx("vm-"+name).Delete(vmKeyPrefix+name)), "delete the VM's row")
 }
 
-// List returns all VMs by name. A row that can't be read names none.
+// List returns all VMs sorted by name. Rows that can't be decoded are skipped.
 func (r *Roster) List(ctx context.Context) ([]kumquatlug.VM, error) {
 	rows, err := r.table.Scan(ctx, vmKeyPrefix, "", 0)
 	if err != nil {
