--- a/pkg/kumquatlug/clock/clock.go
+++ b/pkg/kumquatlug/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock gives the two clocks of the project: one that follows the
-// machine's monotonic clock and one that tests move by hand.
+// Package clock provides clocks based on the system's monotonic time, boot time and time of
+// day, and one that tests advance manually.
 package clock
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Monotonic follows the machine's monotonic clock, so that a step of the wall
-// clock can't lengthen a lease.
+// Monotonic is the system's monotonic clock, so that a step of the wall clock can't extend a
+// lease. It stops while the VM is suspended, see [Awake].
 type Monotonic struct {
 	origin time.Time
 }
@@ -28,31 +28,31 @@
 	return kumquatlug.MillisOf(time.Since(m.origin))
 }
 
-// Manual stands still until it is moved. It is safe for concurrent use.
+// Manual is a clock that only moves when it is advanced. It is safe for concurrent use.
 type Manual struct {
 	now atomic.Int64
 }
 
-// NewManual returns a clock that shows start.
+// NewManual returns a clock set to start.
 func NewManual(start kumquatlug.Millis) *Manual {
 	m := &Manual{}
 	m.now.Store(int64(start))
 	return m
 }
 
-// Now returns the time the clock was last moved to.
+// Now returns the current time of the clock.
 func (m *Manual) Now() kumquatlug.Millis {
 	return kumquatlug.Millis(m.now.Load())
 }
 
-// Advance moves the clock forward by span and returns the new time.
+// Advance advances the clock and returns the new time.
 func (m *Manual) Advance(span kumquatlug.Millis) kumquatlug.Millis {
 	return kumquatlug.Millis(m.now.Add(int64(span)))
 }
 
-// Awake counts the time in which the VM was suspended, too, which the monotonic
-// clock leaves out. A holder that was suspended past its lease would otherwise
-// wake and still believe in it.
+// Awake is the system's boot-time clock, which also counts the time while the VM is suspended.
+// By the monotonic clock, a lease holder that was suspended past the end of its lease would
+// still consider itself the holder.
 type Awake struct {
 	origin kumquatlug.Millis
 }
@@ -65,26 +65,26 @@
 // Now returns the milliseconds since the origin.
 func (a *Awake) Now() kumquatlug.Millis { return sinceBoot() - a.origin }
 
-// Wall shows the time since 1970. It reads the machine's time of day once, at its
-// start, and goes on by a clock that counts time in which the VM was suspended: the
-// time of day may jump by seconds and back, and what is counted by windows of time
-// would land in wrong ones.
+// Wall returns Unix time in milliseconds. It reads the time of day once, when it is created,
+// and advances with a clock that counts suspended time. The system's time of day may jump back
+// and forth by seconds, and events would be counted in the wrong time windows.
 type Wall struct {
 	boottime kumquatlug.Clock
 	offset   kumquatlug.Millis
 }
 
-// NewWall returns a clock that goes on by awake.
+// NewWall returns a clock that advances with boottime.
 func NewWall(boottime kumquatlug.Clock) *Wall {
 	return &Wall{boottime: boottime, offset: kumquatlug.Millis(time.Now().UnixMilli()) - boottime.Now()}
 }
 
-// Now returns the milliseconds since 1970.
+// Now returns the milliseconds since the Unix epoch.
 func (w *Wall) Now() kumquatlug.Millis { return w.boottime.Now() + w.offset }
 
 func sinceBoot() kumquatlug.Millis {
 	var t unix.Timespec
-	// The kernel knows this clock; an error would be the same at every call.
+	// The error is ignored: the kernel supports this clock, and an error would occur at
+	// every call.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return kumquatlug.MillisOf(time.Duration(t.Nano()))
 }
--- a/pkg/kumquatlug/standard/standard.go
+++ b/pkg/kumquatlug/standard/standard.go
@@ -1,14 +1,13 @@
-// Package standard puts a default in the place of a figure that a config leaves
-// out or gives as a negative one. A count, a span or a rate below zero means
-// nothing; taken as given it would be a limit that nothing passes or a wait that
-// is over before it begins.
+// Package standard replaces config values that are unset or negative by defaults. A negative
+// count, duration or rate has no meaning; if it were used, it would be a limit that rejects
+// everything or a wait that ends before it begins.
 //
-// It also replaces negative figures; modules that replace only zero use cmp.Or.
+// Packages that replace only zero values use cmp.Or.
 package standard
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 
-// Int returns given if it is above zero, and usual otherwise.
+// Int returns value if it is positive, and fallback otherwise.
 func Int(value, fallback int) int {
 	if value <= 0 {
 		return fallback
@@ -16,7 +15,7 @@
 	return value
 }
 
-// Int64 returns given if it is above zero, and usual otherwise.
+// Int64 returns value if it is positive, and fallback otherwise.
 func Int64(value, fallback int64) int64 {
 	if value <= 0 {
 		return fallback
@@ -24,7 +23,7 @@
 	return value
 }
 
-// Float returns given if it is above zero, and usual otherwise.
+// Float returns value if it is positive, and fallback otherwise.
 func Float(value, fallback float64) float64 {
 	if value <= 0 {
 		return fallback
@@ -32,7 +31,7 @@
 	return value
 }
 
-// Millis returns given if it is above zero, and usual otherwise.
+// Millis returns value if it is positive, and fallback otherwise.
 func Millis(value, fallback kumquatlug.Millis) kumquatlug.Millis {
 	if value <= 0 {
 		return fallback
