--- a/pkg/kumquatlug/retry/retry_test.go
+++ b/pkg/kumquatlug/retry/retry_test.go
@@ -12,7 +12,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func policy() *Policy { return New(Config{Source: rand.NewPCG(2, 2)}) }
+func newTestPolicy() *Policy { return New(Config{Source: rand.NewPCG(2, 2)}) }
 
 func TestNext(t *testing.T) {
 	minute := kumquatlug.Minute
@@ -21,19 +21,19 @@
 		verdict Verdict
 		reason  Reason
 	}{
-		"not run":            {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute}, VerdictRetry, ReasonNotRun},
-		"may have run":       {Attempt{Ran: kumquatlug.RanUnknown, Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
-		"refusal of unknown": {Attempt{Ran: kumquatlug.RanUnknown, Refused: true, Refusals: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
-		"ran":                {Attempt{Ran: kumquatlug.RanDone, Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
-		"nothing said":       {Attempt{Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
-		"repeatable":         {Attempt{Ran: kumquatlug.RanUnknown, Repeatable: true, Attempts: 1, Deadline: minute}, VerdictRetry, ReasonRepeatable},
-		"cut stream":         {Attempt{Ran: kumquatlug.RanUnknown, Resumable: true, Attempts: 1, Deadline: minute}, VerdictResume, ReasonCut},
-		"too many":           {Attempt{Ran: kumquatlug.RanNot, Attempts: 4, Deadline: minute}, VerdictStop, ReasonAttempts},
-		"too many refusals":  {Attempt{Ran: kumquatlug.RanNot, Refused: true, Refusals: 16, Deadline: minute}, VerdictStop, ReasonAttempts},
-		"too late":           {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute, Elapsed: minute}, VerdictStop, ReasonDeadline},
+		"not run":           {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute}, VerdictRetry, ReasonNotRun},
+		"may have run":      {Attempt{Ran: kumquatlug.RanUnknown, Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
+		"refused, may run":  {Attempt{Ran: kumquatlug.RanUnknown, Refused: true, Refusals: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
+		"ran":               {Attempt{Ran: kumquatlug.RanDone, Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
+		"unknown":           {Attempt{Attempts: 1, Deadline: minute}, VerdictStop, ReasonMayHaveRun},
+		"repeatable":        {Attempt{Ran: kumquatlug.RanUnknown, Repeatable: true, Attempts: 1, Deadline: minute}, VerdictRetry, ReasonRepeatable},
+		"stream cut":        {Attempt{Ran: kumquatlug.RanUnknown, Resumable: true, Attempts: 1, Deadline: minute}, VerdictResume, ReasonCut},
+		"too many attempts": {Attempt{Ran: kumquatlug.RanNot, Attempts: 4, Deadline: minute}, VerdictStop, ReasonAttempts},
+		"too many refusals": {Attempt{Ran: kumquatlug.RanNot, Refused: true, Refusals: 16, Deadline: minute}, VerdictStop, ReasonAttempts},
+		"deadline passed":   {Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: minute, Elapsed: minute}, VerdictStop, ReasonDeadline},
 	}
 	for name, c := range cases {
-		d := policy().Next(0, c.attempt)
+		d := newTestPolicy().Next(0, c.attempt)
 		if d.Verdict() != c.verdict || d.Reason() != c.reason {
 			t.Errorf("%s: %s because %s, want %s because %s", name, d.Verdict(), d.Reason(), c.verdict, c.reason)
 		}
@@ -41,10 +41,10 @@
 }
 
 func TestRetriesDoNotMultiplyOverload(t *testing.T) {
-	// A group is overloaded and every call fails. If each were sent again at
-	// once the load would grow fourfold and the group could not recover; the
-	// retries that start in a second must stay a fifth of the calls.
-	p := policy()
+	// In an overloaded group every call fails. If each were retried at once, the load would
+	// grow fourfold and the group could not recover. The retries that start in a second must
+	// not exceed a fifth of the calls.
+	p := newTestPolicy()
 	for range 50 {
 		p.Next(0, Attempt{Ran: kumquatlug.RanNot, Attempts: 1, Deadline: kumquatlug.Minute})
 	}
@@ -58,16 +58,15 @@
 	}
 	for second, n := range perSecond {
 		if second > 5 && n > 25 {
-			t.Errorf("in second %d %d retries start beside 100 calls", second, n)
+			t.Errorf("second %d: %d retries for 100 calls", second, n)
 		}
 	}
 }
 
-func TestLostTargetIsAbsorbed(t *testing.T) {
-	// One of twelve targets dies at the peak with fifty streams in hand. Each
-	// of their callers is owed a whole answer, so each must be resumed, and
-	// soon: they see the stream pause for as long.
-	p := policy()
+func TestTargetCrashStaysWithinBudget(t *testing.T) {
+	// One of twelve targets crashes at peak load with 50 streams in flight. Each of them was
+	// accepted and must be resumed, without a long pause for its client.
+	p := newTestPolicy()
 	for i := range 50 {
 		d := p.Next(0, Attempt{Ran: kumquatlug.RanUnknown, Resumable: true, Attempts: 1, Deadline: kumquatlug.Minute})
 		if d.Verdict() != VerdictResume || d.Wait() > 50 {
@@ -76,10 +75,10 @@
 	}
 }
 
-func TestDrainCostsNoBudget(t *testing.T) {
-	// Half of the targets leave at once and refuse. Their refusals cost no
-	// work, and a crash at the same time must still find the whole budget.
-	p := policy()
+func TestRefusalsCostNoBudget(t *testing.T) {
+	// Half of the targets shut down at once and refuse calls. The refusals cost no work, and
+	// a crash at the same time must find the whole budget.
+	p := newTestPolicy()
 	before := p.Budget(0)
 	for range 500 {
 		d := p.Next(0, Attempt{Ran: kumquatlug.RanNot, Refused: true, Refusals: 1, Deadline: kumquatlug.Minute})
@@ -92,14 +91,14 @@
 	}
 }
 
-func TestNextKeepsItsPromises(t *testing.T) {
-	// A posting that may have run must never be sent again, and no retry may
-	// start after its caller's deadline, whatever happened before.
+func TestNextRetriesOnlySafeCallsInTime(t *testing.T) {
+	// A non-idempotent call that may have run must never be retried, and no retry may start
+	// after the caller's deadline, for any history of failures.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(12))
 	rans := []kumquatlug.Ran{kumquatlug.RanNot, kumquatlug.RanUnknown, kumquatlug.RanDone, ""}
-	properties.Property("only what may go on goes on, in time", prop.ForAll(
+	properties.Property("only safe calls are retried, before the deadline", prop.ForAll(
 		func(draws []int) bool {
-			p := policy()
+			p := newTestPolicy()
 			for i, n := range draws {
 				a := Attempt{
 					Ran: rans[n%4], Repeatable: n/4%5 == 0, Resumable: n/20%5 == 0, Refused: n/100%2 == 0,
@@ -110,8 +109,8 @@
 				if d.Verdict() == VerdictStop {
 					continue
 				}
-				may := a.Ran == kumquatlug.RanNot || a.Repeatable || a.Resumable
-				if !may || a.Elapsed+d.Wait() >= a.Deadline || a.Attempts >= 4 {
+				allowed := a.Ran == kumquatlug.RanNot || a.Repeatable || a.Resumable
+				if !allowed || a.Elapsed+d.Wait() >= a.Deadline || a.Attempts >= 4 {
 					return false
 				}
 			}
@@ -123,7 +122,7 @@
 }
 
 func BenchmarkNext(b *testing.B) {
-	p := policy()
+	p := newTestPolicy()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		p.Accepted(kumquatlug.Millis(i))
@@ -133,8 +132,8 @@
 
 func ExamplePolicy_Next() {
 	p := New(Config{Source: rand.NewPCG(1, 2)})
-	posting := Attempt{Ran: kumquatlug.RanUnknown, Attempts: 1, Deadline: kumquatlug.Minute}
-	d := p.Next(0, posting)
+	attempt := Attempt{Ran: kumquatlug.RanUnknown, Attempts: 1, Deadline: kumquatlug.Minute}
+	d := p.Next(0, attempt)
 	fmt.Println(d.Verdict(), d.Reason())
 	// Output: stop may-have-run
 }
