--- a/pkg/kumquatlug/config/adopter.go
+++ b/pkg/kumquatlug/config/adopter.go
@@ -10,20 +10,20 @@
 
 // Defaults of [AdopterConfig].
 const (
-	defaultReaders     = 3
-	defaultMostReaders = 32
-	defaultPoll        = kumquatlug.Second
-	defaultWiden       = 2 * kumquatlug.Second
-	defaultAlone       = 4 * kumquatlug.Second
-	defaultAlonePoll   = 10 * kumquatlug.Second
-	mostAlonePoll      = kumquatlug.Minute
-	defaultPullTimeout = kumquatlug.Second
-	defaultStale       = 16 * kumquatlug.Second
-	defaultRecent      = 1024
+	defaultReaders           = 3
+	defaultMaxReaders        = 32
+	defaultPollInterval      = kumquatlug.Second
+	defaultReaderDoublingAge = 2 * kumquatlug.Second
+	defaultFallbackAge       = 4 * kumquatlug.Second
+	defaultFallbackInterval  = 10 * kumquatlug.Second
+	maxFallbackInterval      = kumquatlug.Minute
+	defaultPullTimeout       = kumquatlug.Second
+	defaultStaleAge          = 16 * kumquatlug.Second
+	defaultMaxRecentChanges  = 1024
 )
 
-// mostSources bounds the peers that a node remembers to pull from.
-const mostSources = 4
+// maxSources bounds the peers that a node remembers to pull from.
+const maxSources = 4
 
 // Table is the peer name that stands for the platform's table.
 const Table = ""
@@ -107,40 +107,40 @@
 // Adopter holds the config that is in force on a node and decides when to read
 // the table and whom to pull from. It only ever goes up.
 type Adopter struct {
-	c       AdopterConfig
-	holds   State
-	recent  []Change
-	head    Revision
-	headAt  kumquatlug.Millis
-	polled  kumquatlug.Millis
-	pulled  kumquatlug.Millis
-	pulling bool
-	sources []string
+	c               AdopterConfig
+	state           State
+	recentChanges   []Change
+	head            Revision
+	headConfirmedAt kumquatlug.Millis
+	lastPollAt      kumquatlug.Millis
+	lastPullAt      kumquatlug.Millis
+	pullInFlight    bool
+	sources         []string
 }
 
 // NewAdopter returns an adopter that holds c.Start.
 func NewAdopter(c AdopterConfig) *Adopter {
 	c.Readers = standard.Int(c.Readers, defaultReaders)
-	c.MostReaders = standard.Int(c.MostReaders, defaultMostReaders)
-	c.Recent = standard.Int(c.Recent, defaultRecent)
-	c.Poll = standard.Millis(c.Poll, defaultPoll)
-	c.Widen = standard.Millis(c.Widen, defaultWiden)
-	c.Alone = standard.Millis(c.Alone, defaultAlone)
-	c.AlonePoll = standard.Millis(c.AlonePoll, defaultAlonePoll)
+	c.MostReaders = standard.Int(c.MostReaders, defaultMaxReaders)
+	c.Recent = standard.Int(c.Recent, defaultMaxRecentChanges)
+	c.Poll = standard.Millis(c.Poll, defaultPollInterval)
+	c.Widen = standard.Millis(c.Widen, defaultReaderDoublingAge)
+	c.Alone = standard.Millis(c.Alone, defaultFallbackAge)
+	c.AlonePoll = standard.Millis(c.AlonePoll, defaultFallbackInterval)
 	c.PullTimeout = standard.Millis(c.PullTimeout, defaultPullTimeout)
-	c.Stale = standard.Millis(c.Stale, defaultStale)
-	return &Adopter{c: c, holds: c.Start, head: c.Start.revision, headAt: c.Now, polled: c.Now - c.AlonePoll}
+	c.Stale = standard.Millis(c.Stale, defaultStaleAge)
+	return &Adopter{c: c, state: c.Start, head: c.Start.revision, headConfirmedAt: c.Now, lastPollAt: c.Now - c.AlonePoll}
 }
 
 // Holds returns the state in force on this node.
-func (a *Adopter) Holds() State { return a.holds }
+func (a *Adopter) Holds() State { return a.state }
 
 // Head returns the highest revision that the node has heard of.
 func (a *Adopter) Head() Revision { return a.head }
 
 // Age returns how long ago the head was confirmed by any path; before the
 // first word of it, how long the node has run.
-func (a *Adopter) Age(now kumquatlug.Millis) kumquatlug.Millis { return now - a.headAt }
+func (a *Adopter) Age(now kumquatlug.Millis) kumquatlug.Millis { return now - a.headConfirmedAt }
 
 // Stale reports that the node is cut off from the head: it serves on, and says
 // so in its reports.
@@ -148,8 +148,8 @@
 
 // Learned takes what was heard of the head.
 func (a *Adopter) Learned(now kumquatlug.Millis, r Report) {
-	if r.Revision > a.holds.revision {
-		a.remember(r.Peer, r.Revision > a.head)
+	if r.Revision > a.state.revision {
+		a.addSource(r.Peer, r.Revision > a.head)
 	}
 	if r.Revision < a.head {
 		return
@@ -158,13 +158,13 @@
 		a.head = r.Revision
 	}
 	if r.Age != AgeUnknown {
-		a.headAt = max(a.headAt, now-r.Age)
+		a.headConfirmedAt = max(a.headConfirmedAt, now-r.Age)
 	}
 }
 
-// remember puts peer among those to pull from, first when it knows of more
+// addSource puts peer among those to pull from, first when it knows of more
 // than all others.
-func (a *Adopter) remember(peer string, first bool) {
+func (a *Adopter) addSource(peer string, first bool) {
 	for _, p := range a.sources {
 		if p == peer {
 			return
@@ -175,36 +175,36 @@
 	} else {
 		a.sources = append(a.sources, peer)
 	}
-	a.sources = a.sources[:min(len(a.sources), mostSources)]
+	a.sources = a.sources[:min(len(a.sources), maxSources)]
 }
 
 // Pull returns whom to ask for what, when the node lags and no pull is in hand.
 // Each call that returns true counts as sent.
 func (a *Adopter) Pull(now kumquatlug.Millis) (Pull, bool) {
-	if a.head <= a.holds.revision || len(a.sources) == 0 {
+	if a.head <= a.state.revision || len(a.sources) == 0 {
 		return Pull{}, false
 	}
-	if a.pulling && now-a.pulled < a.c.PullTimeout {
+	if a.pullInFlight && now-a.lastPullAt < a.c.PullTimeout {
 		return Pull{}, false
 	}
 	// The peer asked goes to the end: when it is paused or cut off the next
 	// pull asks another one.
 	peer := a.sources[0]
 	a.sources = append(a.sources[1:len(a.sources):len(a.sources)], peer)
-	a.pulling, a.pulled = true, now
-	return Pull{peer: peer, since: a.holds.revision}, true
+	a.pullInFlight, a.lastPullAt = true, now
+	return Pull{peer: peer, since: a.state.revision}, true
 }
 
 // PullFailed forgets a peer that did not answer a pull, until it speaks again.
 func (a *Adopter) PullFailed(peer string) {
-	a.pulling = false
-	left := make([]string, 0, len(a.sources))
+	a.pullInFlight = false
+	remaining := make([]string, 0, len(a.sources))
 	for _, p := range a.sources {
 		if p != peer {
-			left = append(left, p)
+			remaining = append(remaining, p)
 		}
 	}
-	a.sources = left
+	a.sources = remaining
 }
 
 // Adopt takes changes in order and returns the state then in force and whether
@@ -212,92 +212,92 @@
 // error marked [kumquatlug.ErrNotFound]; what came before it is kept, and the
 // whole state is to be asked for.
 func (a *Adopter) Adopt(changes []Change) (State, bool, error) {
-	a.pulling = false
-	before := a.holds.revision
+	a.pullInFlight = false
+	previous := a.state.revision
 	for _, change := range changes {
 		// An answer may come late, from a peer that lags or through a paused
 		// node. Taking it for the newest would undo an accepted change.
-		if change.revision <= a.holds.revision {
+		if change.revision <= a.state.revision {
 			continue
 		}
-		if change.revision > a.holds.revision+1 {
-			return a.holds, a.holds.revision > before, notFound("a gap between revision %d and %d", a.holds.revision, change.revision)
+		if change.revision > a.state.revision+1 {
+			return a.state, a.state.revision > previous, notFoundf("a gap between revision %d and %d", a.state.revision, change.revision)
 		}
-		next, err := a.holds.Apply(change)
+		next, err := a.state.Apply(change)
 		if err != nil {
-			return a.holds, a.holds.revision > before, err
+			return a.state, a.state.revision > previous, err
 		}
-		a.holds = next
-		a.keep(change)
+		a.state = next
+		a.recordChange(change)
 	}
-	a.settle()
-	return a.holds, a.holds.revision > before, nil
+	a.advanceHead()
+	return a.state, a.state.revision > previous, nil
 }
 
 // AdoptState takes a whole state and returns the state then in force and
 // whether it changed. A state that is not newer is passed over.
 func (a *Adopter) AdoptState(state State) (State, bool) {
-	a.pulling = false
-	if state.revision <= a.holds.revision {
-		return a.holds, false
+	a.pullInFlight = false
+	if state.revision <= a.state.revision {
+		return a.state, false
 	}
-	a.holds = state
-	a.recent = nil
-	a.settle()
-	return a.holds, true
+	a.state = state
+	a.recentChanges = nil
+	a.advanceHead()
+	return a.state, true
 }
 
-// settle forgets the peers to pull from once the node has caught up.
-func (a *Adopter) settle() {
-	a.head = max(a.head, a.holds.revision)
-	if a.holds.revision >= a.head {
+// advanceHead forgets the peers to pull from once the node has caught up.
+func (a *Adopter) advanceHead() {
+	a.head = max(a.head, a.state.revision)
+	if a.state.revision >= a.head {
 		a.sources = nil
 	}
 }
 
-// keep remembers change for peers. Half is dropped at a time, so that a change
+// recordChange remembers change for peers. Half is dropped at a time, so that a change
 // costs no copy of all the others.
-func (a *Adopter) keep(change Change) {
-	if len(a.recent) >= 2*a.c.Recent {
-		a.recent = append([]Change(nil), a.recent[len(a.recent)-a.c.Recent:]...)
+func (a *Adopter) recordChange(change Change) {
+	if len(a.recentChanges) >= 2*a.c.Recent {
+		a.recentChanges = append([]Change(nil), a.recentChanges[len(a.recentChanges)-a.c.Recent:]...)
 	}
-	a.recent = append(a.recent, change)
+	a.recentChanges = append(a.recentChanges, change)
 }
 
 // Since returns the changes after rev for a peer that pulls, and false when
 // the peer is too far behind and needs the whole state. The slice must not be
 // changed.
 func (a *Adopter) Since(rev Revision) ([]Change, bool) {
-	if rev >= a.holds.revision {
+	if rev >= a.state.revision {
 		return nil, true
 	}
-	missing := int64(a.holds.revision - rev)
-	if missing > int64(len(a.recent)) {
+	missing := int64(a.state.revision - rev)
+	if missing > int64(len(a.recentChanges)) {
 		return nil, false
 	}
-	return a.recent[int64(len(a.recent))-missing:], true
+	return a.recentChanges[int64(len(a.recentChanges))-missing:], true
 }
 
 // Poll reports whether this node is to read the head from the table now; live
 // are the nodes of its data centre that it takes for alive, itself included or
 // not. Each call that returns true counts as sent.
 func (a *Adopter) Poll(now kumquatlug.Millis, live []string) bool {
-	if now-a.polled < a.c.Poll {
+	if now-a.lastPollAt < a.c.Poll {
 		return false
 	}
-	if !a.alone(now) && !a.Reader(now, live) {
+	if !a.isFallbackReader(now) && !a.Reader(now, live) {
 		return false
 	}
-	a.polled = now
+	a.lastPollAt = now
 	return true
 }
 
-// alone reports whether the node is to read the head though others are chosen.
-func (a *Adopter) alone(now kumquatlug.Millis) bool {
-	phase := kumquatlug.Millis(xxhash.Sum64String(a.c.Me) % uint64(a.c.AlonePoll))
+// isFallbackReader reports whether the node is to read the head though others are chosen.
+func (a *Adopter) isFallbackReader(now kumquatlug.Millis) bool {
+	offset := kumquatlug.Millis(xxhash.Sum64String(a.c.Me) % uint64(a.c.AlonePoll))
 	age := a.Age(now)
-	wait := min(max(a.c.AlonePoll, age/2), mostAlonePoll)
-	return age >= a.c.Alone+phase && now-a.polled >= wait
+	interval := min(max(a.c.AlonePoll, age/2), maxFallbackInterval)
+	return age >= a.c.Alone+offset && now-a.lastPollAt >= interval
 }
 
 // Reader reports whether this node is among those of its data centre that poll
@@ -308,13 +308,13 @@
 	for age := a.Age(now); age > a.c.Widen && readers < a.c.MostReaders; age -= a.c.Widen {
 		readers = min(2*readers, a.c.MostReaders)
 	}
-	mine := xxhash.Sum64String(a.c.Me)
-	above := 0
+	ownHash := xxhash.Sum64String(a.c.Me)
+	higherRanked := 0
 	for _, name := range live {
-		if name != a.c.Me && xxhash.Sum64String(name) > mine {
-			above++
+		if name != a.c.Me && xxhash.Sum64String(name) > ownHash {
+			higherRanked++
 		}
-		if above >= readers {
+		if higherRanked >= readers {
 			return false
 		}
 	}
--- a/pkg/kumquatlug/config/fake_test.go
+++ b/pkg/kumquatlug/config/fake_test.go
@@ -13,48 +13,48 @@
 // fakeTable is a table in memory. Before each call it asks trouble what is to
 // go wrong; without it nothing does.
 type fakeTable struct {
-	rows    map[string]kumquatlug.Row
-	version int64
-	late    []kumquatlug.Tx
-	trouble func() trouble
-	applied func(kumquatlug.Tx)
+	rows      map[string]kumquatlug.Row
+	version   int64
+	delayed   []kumquatlug.Tx
+	nextFault func() fault
+	onApply   func(kumquatlug.Tx)
 }
 
-// trouble is what goes wrong with one call.
-type trouble string
+// fault is what goes wrong with one call.
+type fault string
 
 const (
-	troubleNone trouble = ""
-	// troubleOut: nothing takes effect and the writer learns so.
-	troubleOut trouble = "out"
-	// troubleLost: the call takes effect, its answer does not arrive.
-	troubleLost trouble = "lost"
-	// troubleDropped: the call does not arrive, and the writer can't tell.
-	troubleDropped trouble = "dropped"
-	// troubleLate: the writer gives up, and the call arrives afterwards.
-	troubleLate trouble = "late"
+	faultNone fault = ""
+	// faultUnavailable: nothing takes effect and the writer learns so.
+	faultUnavailable fault = "out"
+	// faultAnswerLost: the call takes effect, its answer does not arrive.
+	faultAnswerLost fault = "lost"
+	// faultRequestLost: the call does not arrive, and the writer can't tell.
+	faultRequestLost fault = "dropped"
+	// faultRequestDelayed: the writer gives up, and the call arrives afterwards.
+	faultRequestDelayed fault = "late"
 )
 
 func newFakeTable() *fakeTable {
 	return &fakeTable{rows: map[string]kumquatlug.Row{}}
 }
 
-func (f *fakeTable) meet() trouble {
-	if f.trouble == nil {
-		return troubleNone
+func (f *fakeTable) drawFault() fault {
+	if f.nextFault == nil {
+		return faultNone
 	}
-	return f.trouble()
+	return f.nextFault()
 }
 
 func (f *fakeTable) Get(_ context.Context, key string) (kumquatlug.Row, error) {
-	if t := f.meet(); t == troubleOut || t == troubleLost {
+	if t := f.drawFault(); t == faultUnavailable || t == faultAnswerLost {
 		return kumquatlug.Row{}, errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
 	}
 	return f.rows[key], nil
 }
 
 func (f *fakeTable) Scan(_ context.Context, prefix, after string, limit int) ([]kumquatlug.Row, error) {
-	if t := f.meet(); t == troubleOut || t == troubleLost {
+	if t := f.drawFault(); t == faultUnavailable || t == faultAnswerLost {
 		return nil, errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
 	}
 	var rows []kumquatlug.Row
@@ -69,26 +69,26 @@
 
 func (f *fakeTable) Commit(_ context.Context, tx kumquatlug.Tx) error {
 	lost := errors.Mark(errors.New("no answer"), kumquatlug.ErrLost)
-	switch f.meet() {
-	case troubleOut:
+	switch f.drawFault() {
+	case faultUnavailable:
 		return errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
-	case troubleDropped:
+	case faultRequestLost:
 		return lost
-	case troubleLate:
-		f.late = append(f.late, tx)
+	case faultRequestDelayed:
+		f.delayed = append(f.delayed, tx)
 		return lost
-	case troubleLost:
+	case faultAnswerLost:
 		_ = f.apply(tx)
 		return lost
 	}
 	return f.apply(tx)
 }
 
-// arrive lets the oldest late transaction reach the table.
-func (f *fakeTable) arrive() {
-	if len(f.late) > 0 {
-		tx := f.late[0]
-		f.late = f.late[1:]
+// deliverDelayed lets the oldest late transaction reach the table.
+func (f *fakeTable) deliverDelayed() {
+	if len(f.delayed) > 0 {
+		tx := f.delayed[0]
+		f.delayed = f.delayed[1:]
 		_ = f.apply(tx)
 	}
 }
@@ -107,8 +107,8 @@
 			f.rows[w.Key()] = kumquatlug.NewRow(w.Key(), w.Value(), f.version)
 		}
 	}
-	if f.applied != nil {
-		f.applied(tx)
+	if f.onApply != nil {
+		f.onApply(tx)
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 }
 
 func (f *fakeObjects) Put(_ context.Context, name string, body []byte) error {
-	if f.table.meet() == troubleOut {
+	if f.table.drawFault() == faultUnavailable {
 		return errors.Mark(errors.New("store out"), kumquatlug.ErrUnavailable)
 	}
 	f.bodies[name] = body
@@ -128,7 +128,7 @@
 }
 
 func (f *fakeObjects) Fetch(_ context.Context, name string) ([]byte, error) {
-	if f.table.meet() != troubleNone {
+	if f.table.drawFault() != faultNone {
 		return nil, errors.Mark(errors.New("store out"), kumquatlug.ErrUnavailable)
 	}
 	body, ok := f.bodies[name]
--- a/pkg/kumquatlug/config/rows.go
+++ b/pkg/kumquatlug/config/rows.go
@@ -24,7 +24,7 @@
 
 // SetLabels returns the write of a target's labels.
 func SetLabels(target string, labels selector.Labels) (Set, error) {
-	return setJSON(PrefixTarget+target, labels)
+	return newJSONSet(PrefixTarget+target, labels)
 }
 
 // SetSelector checks c and returns its write.
@@ -32,15 +32,15 @@
 	if _, err := selector.New(c); err != nil {
 		return Set{}, err
 	}
-	return setJSON(PrefixSelector+c.Name, c)
+	return newJSONSet(PrefixSelector+c.Name, c)
 }
 
-func setJSON(key string, value any) (Set, error) {
-	text, err := json.Marshal(value)
+func newJSONSet(key string, value any) (Set, error) {
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		return Set{}, errors.Wrapf(err, "encode %s", key)
 	}
-	return NewSet(key, text), nil
+	return NewSet(key, encoded), nil
 }
 
 // Check reports a set that no node could read, so that it is refused before it
@@ -68,7 +68,7 @@
 	if _, err := kumquatlug.NewCaller(c); err != nil {
 		return Set{}, err
 	}
-	return setJSON(PrefixCaller+c.Name, c)
+	return newJSONSet(PrefixCaller+c.Name, c)
 }
 
 // Labels returns the labels of one target, none when it has no row.
@@ -85,18 +85,18 @@
 // Selectors returns all selectors in name order. A row that can't be read is
 // left out and named in the error; the others are returned beside it.
 func Selectors(s State) ([]selector.Selector, error) {
-	var all []selector.Selector
-	var bad error
+	var selectors []selector.Selector
+	var decodeErr error
 	s.Range(PrefixSelector, func(key string, value []byte) bool {
-		one, err := selector.Decode(value)
+		sel, err := selector.Decode(value)
 		if err != nil {
-			bad = errors.CombineErrors(bad, errors.Wrap(err, key))
+			decodeErr = errors.CombineErrors(decodeErr, errors.Wrap(err, key))
 			return true
 		}
-		all = append(all, one)
+		selectors = append(selectors, sel)
 		return true
 	})
-	return all, bad
+	return selectors, decodeErr
 }
 
 // unavailable marks err as one after which nothing took effect.
@@ -115,9 +115,9 @@
 	if group := labels[LabelGroup]; group != "" {
 		return group
 	}
-	for _, one := range selectors {
-		if one.Kind().Protocol() == kumquatlug.ProtocolEngine && one.Match().Matches(labels) {
-			return one.Kind().Name()
+	for _, sel := range selectors {
+		if sel.Kind().Protocol() == kumquatlug.ProtocolEngine && sel.Match().Matches(labels) {
+			return sel.Kind().Name()
 		}
 	}
 	return ""
--- a/pkg/kumquatlug/config/state.go
+++ b/pkg/kumquatlug/config/state.go
@@ -11,10 +11,10 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// chunkRows bounds the rows that one change copies. A change copies one chunk
+// maxChunkRows bounds the rows that one change copies. A change copies one chunk
 // and the list of chunks. Chunks are half full when keys come in order, so that
 // 10,000 rows make 156 of them; BenchmarkApply is slower there with smaller ones.
-const chunkRows = 128
+const maxChunkRows = 128
 
 // entry is one row of the state.
 type entry struct {
@@ -112,15 +112,15 @@
 	if ok {
 		rows = append([]entry(nil), rows...)
 		rows[row] = e
-		return s.replaced(chunk, s.rows, rows)
+		return s.replaceChunk(chunk, s.rows, rows)
 	}
-	grown := make([]entry, 0, len(rows)+1)
-	grown = append(append(append(grown, rows[:row]...), e), rows[row:]...)
-	if len(grown) <= chunkRows {
-		return s.replaced(chunk, s.rows+1, grown)
+	inserted := make([]entry, 0, len(rows)+1)
+	inserted = append(append(append(inserted, rows[:row]...), e), rows[row:]...)
+	if len(inserted) <= maxChunkRows {
+		return s.replaceChunk(chunk, s.rows+1, inserted)
 	}
-	half := len(grown) / 2
-	return s.replaced(chunk, s.rows+1, grown[:half:half], grown[half:])
+	half := len(inserted) / 2
+	return s.replaceChunk(chunk, s.rows+1, inserted[:half:half], inserted[half:])
 }
 
 func (s State) without(key string) State {
@@ -130,16 +130,16 @@
 	}
 	rows := s.chunks[chunk]
 	if len(rows) == 1 {
-		return s.replaced(chunk, s.rows-1)
+		return s.replaceChunk(chunk, s.rows-1)
 	}
-	left := make([]entry, 0, len(rows)-1)
-	left = append(append(left, rows[:row]...), rows[row+1:]...)
-	return s.replaced(chunk, s.rows-1, left)
+	remaining := make([]entry, 0, len(rows)-1)
+	remaining = append(append(remaining, rows[:row]...), rows[row+1:]...)
+	return s.replaceChunk(chunk, s.rows-1, remaining)
 }
 
-// replaced returns the state with the chunk at i replaced by parts, none of
+// replaceChunk returns the state with the chunk at i replaced by parts, none of
 // which is empty. The old list of chunks is copied, never written.
-func (s State) replaced(i, rows int, parts ...[]entry) State {
+func (s State) replaceChunk(i, rows int, parts ...[]entry) State {
 	chunks := make([][]entry, 0, len(s.chunks)+1)
 	chunks = append(append(append(chunks, s.chunks[:i]...), parts...), s.chunks[i+1:]...)
 	return State{revision: s.revision, rows: rows, chunks: chunks}
@@ -169,8 +169,8 @@
 	return equal
 }
 
-// stored is the JSON form of a state.
-type stored struct {
+// storedState is the JSON form of a state.
+type storedState struct {
 	Revision Revision    `json:"revision"`
 	Rows     []storedRow `json:"rows"`
 }
@@ -183,18 +183,18 @@
 
 // Encode returns the state as JSON, the same bytes for equal states.
 func (s State) Encode() ([]byte, error) {
-	body := stored{Revision: s.revision, Rows: storedRows(s.Sets())}
-	text, err := json.Marshal(body)
-	return text, errors.Wrap(err, "encode the config")
+	body := storedState{Revision: s.revision, Rows: storedRows(s.Sets())}
+	encoded, err := json.Marshal(body)
+	return encoded, errors.Wrap(err, "encode the config")
 }
 
 // DecodeState reads what [State.Encode] wrote.
-func DecodeState(text []byte) (State, error) {
-	var body stored
-	if err := json.Unmarshal(text, &body); err != nil {
+func DecodeState(encoded []byte) (State, error) {
+	var body storedState
+	if err := json.Unmarshal(encoded, &body); err != nil {
 		return State{}, errors.Wrap(err, "decode a config")
 	}
-	return NewState(body.Revision, setsOf(body.Rows)), nil
+	return NewState(body.Revision, setsFromRows(body.Rows)), nil
 }
 
 // storedChange is the JSON form of a change, one row of the log.
@@ -208,17 +208,17 @@
 // Encode returns the change as JSON.
 func (c Change) Encode() ([]byte, error) {
 	body := storedChange{Revision: c.revision, ID: c.id, Author: c.author, Sets: storedRows(c.sets)}
-	text, err := json.Marshal(body)
-	return text, errors.Wrap(err, "encode a config change")
+	encoded, err := json.Marshal(body)
+	return encoded, errors.Wrap(err, "encode a config change")
 }
 
 // DecodeChange reads what [Change.Encode] wrote.
-func DecodeChange(text []byte) (Change, error) {
+func DecodeChange(encoded []byte) (Change, error) {
 	var body storedChange
-	if err := json.Unmarshal(text, &body); err != nil {
+	if err := json.Unmarshal(encoded, &body); err != nil {
 		return Change{}, errors.Wrap(err, "decode a config change")
 	}
-	return NewChange(body.Revision, body.ID, body.Author, setsOf(body.Sets)), nil
+	return NewChange(body.Revision, body.ID, body.Author, setsFromRows(body.Sets)), nil
 }
 
 func storedRows(sets []Set) []storedRow {
@@ -229,7 +229,7 @@
 	return rows
 }
 
-func setsOf(rows []storedRow) []Set {
+func setsFromRows(rows []storedRow) []Set {
 	sets := make([]Set, 0, len(rows))
 	for _, r := range rows {
 		sets = append(sets, Set{key: r.Key, value: r.Value, deleted: r.Deleted})
@@ -237,7 +237,7 @@
 	return sets
 }
 
-// notFound marks err as about something that is no longer there.
-func notFound(format string, args ...any) error {
+// notFoundf marks err as about something that is no longer there.
+func notFoundf(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), kumquatlug.ErrNotFound)
 }
--- a/pkg/kumquatlug/config/state_test.go
+++ b/pkg/kumquatlug/config/state_test.go
@@ -18,8 +18,8 @@
 func TestStateEqualsMap(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
 	state, want := State{}, map[string]string{}
-	var kept []State
-	var texts []string
+	var saved []State
+	var encoded []string
 	for i := range 3000 {
 		key := fmt.Sprintf("target/%03d", r.Intn(400))
 		set := NewSet(key, []byte(fmt.Sprint(i)))
@@ -36,30 +36,30 @@
 		state = next
 		if i%10 == 0 {
 			text, _ := state.Encode()
-			kept, texts = append(kept, state), append(texts, string(text))
+			saved, encoded = append(saved, state), append(encoded, string(text))
 		}
 	}
 	if state.Len() != len(want) {
 		t.Fatalf("%d rows, want %d", state.Len(), len(want))
 	}
-	before := ""
+	previous := ""
 	state.Range("target/", func(key string, value []byte) bool {
-		if key <= before || want[key] != string(value) {
-			t.Errorf("%s = %s after %s, want %s", key, value, before, want[key])
+		if key <= previous || want[key] != string(value) {
+			t.Errorf("%s = %s after %s, want %s", key, value, previous, want[key])
 		}
-		before = key
+		previous = key
 		return true
 	})
-	for i, s := range kept {
+	for i, s := range saved {
 		text, _ := s.Encode()
 		decoded, err := DecodeState(text)
-		if err != nil || string(text) != texts[i] || !decoded.Equal(s) {
+		if err != nil || string(text) != encoded[i] || !decoded.Equal(s) {
 			t.Fatalf("revision %d changed after it was made: %v", s.Revision(), err)
 		}
 	}
 }
 
-func TestRangeKeepsToPrefix(t *testing.T) {
+func TestRangeVisitsOnlyPrefix(t *testing.T) {
 	s := NewState(1, []Set{NewSet("b/2", nil), NewSet("a/1", nil), NewSet("b/1", nil), NewSet("c", nil)})
 	cases := map[string]string{"a/": "a/1 ", "b/": "b/1 b/2 ", "b/2": "b/2 ", "d": "", "": "a/1 b/1 b/2 c "}
 	for prefix, want := range cases {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestCheckRefusesWhatNoNodeCouldRead(t *testing.T) {
+func TestCheckRejectsUndecodableValues(t *testing.T) {
 	for _, s := range []Set{
 		NewSet("target/a", []byte("{")), NewSet("selector/a", []byte(`{"name":"a"}`)),
 		NewSet("caller/a", []byte("[]")), NewSet("other/a", []byte("{}")),
@@ -91,7 +91,7 @@
 // An account is written that entries can't read: it has no name, no hash, or a
 // figure of the wrong kind. The write is accepted and in force, entries pass the
 // row over, and the caller's key is refused without a word of why.
-func TestCheckRefusesAnAccountThatEntriesPassOver(t *testing.T) {
+func TestCheckRejectsInvalidCallers(t *testing.T) {
 	hash := kumquatlug.HashKey("k")
 	cases := map[string]struct {
 		value string
@@ -151,7 +151,7 @@
 	// true changed since you looked: revision 2 by binu target/vm-1;
 }
 
-func rows(n int) State {
+func stateWithRows(n int) State {
 	sets := make([]Set, 0, n)
 	for i := range n {
 		sets = append(sets, NewSet(fmt.Sprintf("target/vm-%05d", i), []byte(`{"pool":"draft","zone":"a"}`)))
@@ -162,7 +162,7 @@
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{15, 1000, 10000} {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
-			state := rows(n)
+			state := stateWithRows(n)
 			set := []Set{NewSet("target/vm-00007", []byte(`{"pool":"post"}`))}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -173,7 +173,7 @@
 }
 
 func BenchmarkGet(b *testing.B) {
-	state := rows(10000)
+	state := stateWithRows(10000)
 	b.ReportAllocs()
 	for b.Loop() {
 		state.Get("target/vm-07777")
@@ -181,7 +181,7 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	state := rows(10000)
+	state := stateWithRows(10000)
 	var text []byte
 	for b.Loop() {
 		text, _ = state.Encode()
--- a/pkg/kumquatlug/config/steps_test.go
+++ b/pkg/kumquatlug/config/steps_test.go
@@ -10,63 +10,63 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// trouble decides what goes wrong with a call, and lets others act in between.
-func (w *world) trouble() trouble {
-	if w.depth == 0 {
-		w.depth++
-		switch w.random(16) {
+// drawFault decides what goes wrong with a call, and lets others act in between.
+func (sim *simulation) drawFault() fault {
+	if sim.nested == 0 {
+		sim.nested++
+		switch sim.random(16) {
 		case 0:
-			w.propose(move{who: w.random(100), choice: w.random(100)})
+			sim.propose(step{actor: sim.random(100), choice: sim.random(100)})
 		case 1:
-			w.snapshot(w.nodes[w.random(worldNodes)], move{})
+			sim.snapshot(sim.nodes[sim.random(simulatedNodes)], step{})
 		case 2:
-			w.table.arrive()
+			sim.table.deliverDelayed()
 		case 3:
-			w.commit(w.proposals[len(w.proposals)-1])
+			sim.commit(sim.proposals[len(sim.proposals)-1])
 		case 4:
-			w.burst()
+			sim.commitBurst()
 		}
-		w.depth--
+		sim.nested--
 	}
-	switch w.random(24) {
+	switch sim.random(24) {
 	case 0:
-		return troubleOut
+		return faultUnavailable
 	case 1, 2:
-		return troubleLost
+		return faultAnswerLost
 	case 3:
-		return troubleDropped
+		return faultRequestLost
 	case 4:
-		return troubleLate
+		return faultRequestDelayed
 	}
-	return troubleNone
+	return faultNone
 }
 
-// burst is a pause of whoever calls: others make more changes than the log
+// commitBurst is a pause of whoever calls: others make more changes than the log
 // keeps, and the log is trimmed.
-func (w *world) burst() {
-	meet := w.table.trouble
-	w.table.trouble = nil
+func (sim *simulation) commitBurst() {
+	nextFault := sim.table.nextFault
+	sim.table.nextFault = nil
 	for i := range 5 {
-		w.offer(w.random(2), Revision(len(w.changes)), 1<<(i%worldKeys))
+		sim.proposeKeys(sim.random(2), Revision(len(sim.changes)), 1<<(i%simulatedKeys))
 	}
-	_ = w.store.Snapshot(context.Background(), w.states[len(w.states)-1])
-	w.table.trouble = meet
+	_ = sim.store.Snapshot(context.Background(), sim.states[len(sim.states)-1])
+	sim.table.nextFault = nextFault
 }
 
 // propose makes a proposal by what one node holds, which may be old.
-func (w *world) propose(m move) {
-	base := w.nodes[m.who%worldNodes].adopter.Holds().Revision()
-	if len(w.changes) > 0 {
+func (sim *simulation) propose(s step) {
+	base := sim.nodes[s.actor%simulatedNodes].adopter.Holds().Revision()
+	if len(sim.changes) > 0 {
 		base = max(base, 1)
 	}
-	w.offer(m.who%2, base, m.choice)
+	sim.proposeKeys(s.actor%2, base, s.choice)
 }
 
-// offer proposes to set the keys whose bits are in choice.
-func (w *world) offer(operator int, base Revision, choice int) {
-	id := fmt.Sprintf("change-%d", len(w.proposals))
+// proposeKeys proposes to set the keys whose bits are in choice.
+func (sim *simulation) proposeKeys(operator int, base Revision, choice int) {
+	id := fmt.Sprintf("change-%d", len(sim.proposals))
 	var sets []Set
-	for k := range worldKeys {
+	for k := range simulatedKeys {
 		if (choice>>k)&1 == 1 {
 			sets = append(sets, NewSet(fmt.Sprintf("target/%d", k), []byte(fmt.Sprintf(`{"by":%q}`, id))))
 		}
@@ -78,58 +78,58 @@
 	if err != nil {
 		return
 	}
-	w.proposals = append(w.proposals, p)
-	w.commit(p)
+	sim.proposals = append(sim.proposals, p)
+	sim.commit(p)
 }
 
 // commit sends a proposal and holds the answer against the table. An answer
 // speaks for its own send only: after one send was lost, a later one that fails
 // for want of the table says nothing of the first.
-func (w *world) commit(p Proposal) {
-	before := w.outcome[p.ID()]
-	if w.ids[p.ID()] != 0 && p.Base() == 0 {
+func (sim *simulation) commit(p Proposal) {
+	previous := sim.outcomes[p.ID()]
+	if sim.revisionByID[p.ID()] != 0 && p.Base() == 0 {
 		// Without a base a resend is known only for as long as the log keeps it.
 		return
 	}
 	// The same proposal may be on its way through another entry meanwhile.
-	alone := !w.sending[p.ID()]
-	if alone {
-		w.outcome[p.ID()] = ""
-		w.sending[p.ID()] = true
-		defer delete(w.sending, p.ID())
+	exclusive := !sim.committing[p.ID()]
+	if exclusive {
+		sim.outcomes[p.ID()] = ""
+		sim.committing[p.ID()] = true
+		defer delete(sim.committing, p.ID())
 	}
-	change, err := w.store.Commit(context.Background(), p)
+	change, err := sim.store.Commit(context.Background(), p)
 	var conflict *Conflict
 	switch {
 	case err == nil:
-		w.accepted(p, change)
+		sim.checkAccepted(p, change)
 	case errors.Is(err, kumquatlug.ErrLost):
-		w.outcome[p.ID()] = "lost"
+		sim.outcomes[p.ID()] = "lost"
 	case errors.As(err, &conflict) && !conflict.Compacted():
-		w.refused(p, err)
-		w.reasoned(p, conflict)
-	case before == "lost" || before == "accepted":
-		w.outcome[p.ID()] = before
+		sim.recordRejected(p, err)
+		sim.checkConflict(p, conflict)
+	case previous == "lost" || previous == "accepted":
+		sim.outcomes[p.ID()] = previous
 	case conflict == nil && !errors.Is(err, kumquatlug.ErrUnavailable):
-		w.fail("change %s: %v", p.ID(), err)
-	case alone && w.outcome[p.ID()] == "":
-		w.refused(p, err)
+		sim.fail("change %s: %v", p.ID(), err)
+	case exclusive && sim.outcomes[p.ID()] == "":
+		sim.recordRejected(p, err)
 	}
 }
 
-func (w *world) accepted(p Proposal, change Change) {
-	at, made := w.ids[p.ID()]
-	if !made || at != change.Revision() || !reflect.DeepEqual(w.changes[at-1], change) {
-		w.fail("change %s was accepted as %d, the table has %d", p.ID(), change.Revision(), at)
+func (sim *simulation) checkAccepted(p Proposal, change Change) {
+	revision, found := sim.revisionByID[p.ID()]
+	if !found || revision != change.Revision() || !reflect.DeepEqual(sim.changes[revision-1], change) {
+		sim.fail("change %s was accepted as %d, the table has %d", p.ID(), change.Revision(), revision)
 		return
 	}
-	w.outcome[p.ID()] = "accepted"
+	sim.outcomes[p.ID()] = "accepted"
 	if p.Base() == 0 {
 		return
 	}
-	for _, other := range w.changes[p.Base() : at-1] {
+	for _, other := range sim.changes[p.Base() : revision-1] {
 		if shareKey(other.Sets(), p.Sets()) {
-			w.fail("change %s at %d undid %s at %d, unseen at %d", p.ID(), at, other.ID(), other.Revision(), p.Base())
+			sim.fail("change %s at %d undid %s at %d, unseen at %d", p.ID(), revision, other.ID(), other.Revision(), p.Base())
 		}
 	}
 }
@@ -146,23 +146,23 @@
 	return false
 }
 
-// refused notes that the operator was told that nothing took effect; witness
+// recordRejected notes that the operator was told that nothing took effect; witness
 // sees to it that nothing does later.
-func (w *world) refused(p Proposal, err error) {
-	if at, made := w.ids[p.ID()]; made {
-		w.fail("change %s made revision %d and was called refused: %v", p.ID(), at, err)
+func (sim *simulation) recordRejected(p Proposal, err error) {
+	if revision, found := sim.revisionByID[p.ID()]; found {
+		sim.fail("change %s made revision %d and was called refused: %v", p.ID(), revision, err)
 	}
-	w.outcome[p.ID()] = "refused"
+	sim.outcomes[p.ID()] = "refused"
 }
 
-// reasoned holds a conflict against the changes that it names.
-func (w *world) reasoned(p Proposal, conflict *Conflict) {
+// checkConflict holds a conflict against the changes that it names.
+func (sim *simulation) checkConflict(p Proposal, conflict *Conflict) {
 	if len(conflict.Changes()) == 0 {
-		w.fail("change %s: a conflict without a reason", p.ID())
+		sim.fail("change %s: a conflict without a reason", p.ID())
 	}
 	for _, change := range conflict.Changes() {
 		if change.Revision() <= p.Base() || !shareKey(change.Sets(), p.Sets()) {
-			w.fail("change %s: %v is no reason", p.ID(), conflict)
+			sim.fail("change %s: %v is no reason", p.ID(), conflict)
 		}
 	}
 }
--- a/pkg/kumquatlug/config/store.go
+++ b/pkg/kumquatlug/config/store.go
@@ -13,18 +13,18 @@
 
 // Keys in the table and names in the object store.
 const (
-	keyHead      = "config/head"
-	keySnapshot  = "config/snapshot"
-	prefixLog    = "config/log/"
-	prefixChange = "config/change/"
-	nameSnapshot = "config/snapshot/"
+	keyHead              = "config/head"
+	keySnapshot          = "config/snapshot"
+	prefixLog            = "config/log/"
+	prefixChange         = "config/change/"
+	prefixSnapshotObject = "config/snapshot/"
 )
 
 // Defaults of [StoreConfig].
 const (
-	defaultKeep     = 4096
-	defaultPageRows = 500
-	defaultAttempts = 32
+	defaultRetainedChanges = 4096
+	defaultPageRows        = 500
+	defaultMaxAttempts     = 32
 )
 
 // StoreConfig is what a [Store] is made of.
@@ -50,20 +50,20 @@
 // Store keeps the config in the platform's table and object store. It holds no
 // state of its own, so that it may be used from many goroutines.
 type Store struct {
-	table    kumquatlug.Table
-	objects  kumquatlug.Objects
-	keep     Revision
-	pageRows int
-	attempts int
+	table           kumquatlug.Table
+	objects         kumquatlug.Objects
+	retainedChanges Revision
+	pageRows        int
+	maxAttempts     int
 }
 
 // NewStore returns a store over c's table and objects.
 func NewStore(c StoreConfig) *Store {
 	return &Store{
 		table: c.Table, objects: c.Objects,
-		keep:     Revision(standard.Int(c.Keep, defaultKeep)),
-		pageRows: standard.Int(c.PageRows, defaultPageRows),
-		attempts: standard.Int(c.Attempts, defaultAttempts),
+		retainedChanges: Revision(standard.Int(c.Keep, defaultRetainedChanges)),
+		pageRows:        standard.Int(c.PageRows, defaultPageRows),
+		maxAttempts:     standard.Int(c.Attempts, defaultMaxAttempts),
 	}
 }
 
@@ -76,15 +76,15 @@
 
 func logKey(r Revision) string { return fmt.Sprintf("%s%020d", prefixLog, r) }
 
-func snapshotName(r Revision) string { return fmt.Sprintf("%s%020d", nameSnapshot, r) }
+func snapshotName(r Revision) string { return fmt.Sprintf("%s%020d", prefixSnapshotObject, r) }
 
 // Head returns the revision in force in the table.
 func (s *Store) Head(ctx context.Context) (Revision, error) {
-	head, _, err := s.pointer(ctx, keyHead)
+	head, _, err := s.readPointer(ctx, keyHead)
 	return head.Revision, err
 }
 
-func (s *Store) pointer(ctx context.Context, key string) (pointer, int64, error) {
+func (s *Store) readPointer(ctx context.Context, key string) (pointer, int64, error) {
 	row, err := s.table.Get(ctx, key)
 	if err != nil {
 		return pointer{}, 0, errors.Wrapf(err, "read %s", key)
@@ -117,7 +117,7 @@
 			// pages. A missing revision would leave a state that lacks a change
 			// and nobody would notice; so the next one must follow.
 			if change.revision != after+1 {
-				return nil, notFound("config log: revision %d is no longer kept", after+1)
+				return nil, notFoundf("config log: revision %d is no longer kept", after+1)
 			}
 			changes = append(changes, change)
 			after = change.revision
@@ -137,8 +137,8 @@
 	if err != nil {
 		return State{}, err
 	}
-	for range s.attempts {
-		state, err := s.load(ctx)
+	for range s.maxAttempts {
+		state, err := s.loadOnce(ctx)
 		// Between reading the snapshot's row and the log, another node may have
 		// written a newer snapshot and trimmed the log up to it. Reading again
 		// finds the newer one.
@@ -153,8 +153,8 @@
 	return State{}, unavailable(errors.New("the config log was trimmed again and again while it was read"))
 }
 
-func (s *Store) load(ctx context.Context) (State, error) {
-	state, err := s.snapshot(ctx)
+func (s *Store) loadOnce(ctx context.Context) (State, error) {
+	state, err := s.loadSnapshot(ctx)
 	if err != nil {
 		return State{}, err
 	}
@@ -170,18 +170,18 @@
 	return state, nil
 }
 
-func (s *Store) snapshot(ctx context.Context) (State, error) {
-	at, version, err := s.pointer(ctx, keySnapshot)
+func (s *Store) loadSnapshot(ctx context.Context) (State, error) {
+	ptr, version, err := s.readPointer(ctx, keySnapshot)
 	if err != nil || version == 0 {
 		return State{}, err
 	}
-	body, err := s.objects.Fetch(ctx, snapshotName(at.Revision))
+	body, err := s.objects.Fetch(ctx, snapshotName(ptr.Revision))
 	if err != nil {
 		return State{}, errors.Wrap(err, "fetch the config snapshot")
 	}
 	state, err := DecodeState(body)
-	if err == nil && state.revision != at.Revision {
-		err = errors.Newf("config snapshot %d holds revision %d", at.Revision, state.revision)
+	if err == nil && state.revision != ptr.Revision {
+		err = errors.Newf("config snapshot %d holds revision %d", ptr.Revision, state.revision)
 	}
 	return state, err
 }
@@ -202,22 +202,22 @@
 	if err := s.objects.Put(ctx, snapshotName(state.revision), body); err != nil {
 		return errors.Wrap(err, "store the config snapshot")
 	}
-	at, err := s.point(ctx, state.revision)
+	snapshotRevision, err := s.advanceSnapshotPointer(ctx, state.revision)
 	if err != nil {
 		return err
 	}
-	return s.trim(ctx, at-s.keep)
+	return s.trim(ctx, snapshotRevision-s.retainedChanges)
 }
 
-// point raises the snapshot's row to rev and returns the revision it then
+// advanceSnapshotPointer raises the snapshot's row to rev and returns the revision it then
 // holds. It never lowers it: the log below may be trimmed already.
-func (s *Store) point(ctx context.Context, rev Revision) (Revision, error) {
-	at, version, err := s.pointer(ctx, keySnapshot)
+func (s *Store) advanceSnapshotPointer(ctx context.Context, rev Revision) (Revision, error) {
+	ptr, version, err := s.readPointer(ctx, keySnapshot)
 	if err != nil {
 		return 0, err
 	}
-	if version != 0 && at.Revision >= rev {
-		return at.Revision, nil
+	if version != 0 && ptr.Revision >= rev {
+		return ptr.Revision, nil
 	}
 	value, err := json.Marshal(pointer{Revision: rev})
 	if err != nil {
@@ -227,16 +227,16 @@
 	return rev, errors.Wrap(s.table.Commit(ctx, tx), "point to the config snapshot")
 }
 
-// trimRows is how many log rows one transaction removes, with the row of the id
+// maxTrimRows is how many log rows one transaction removes, with the row of the id
 // of each.
-const trimRows = kumquatlug.MaxTxEntries / 2
+const maxTrimRows = kumquatlug.MaxTxEntries / 2
 
 // trim removes the log rows up to and including last, with the rows of their
 // ids. Only rows below a snapshot that the table points to are removed, and
 // that row only rises, so that trimming late or twice does no harm.
 func (s *Store) trim(ctx context.Context, last Revision) error {
 	for last > 0 {
-		rows, err := s.table.Scan(ctx, prefixLog, "", trimRows)
+		rows, err := s.table.Scan(ctx, prefixLog, "", maxTrimRows)
 		if err != nil {
 			return errors.Wrap(err, "read the config log to trim it")
 		}
@@ -259,7 +259,7 @@
 		if err := s.table.Commit(ctx, tx); err != nil {
 			return errors.Wrap(err, "trim the config log")
 		}
-		if removed < trimRows {
+		if removed < maxTrimRows {
 			return nil
 		}
 	}
