--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -38,29 +38,29 @@
 			Enable: true, Idle: ProbeIdle.Duration(), Interval: ProbeEvery.Duration(), Count: ProbeCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var sockoptErr error
 			err := raw.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedLimit))
+				sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedLimit))
 			})
-			return errors.CombineErrors(err, failed)
+			return errors.CombineErrors(err, sockoptErr)
 		},
 	}
 }
 
-// dialTries is how often a connection is tried: one opening packet in 30 may be
+// maxDialAttempts is how often a connection is tried: one opening packet in 30 may be
 // lost on a bad link, two in a row are one in a thousand.
-const dialTries = 2
+const maxDialAttempts = 2
 
 // dial opens a connection to address.
-func dial(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
+func dial(ctx context.Context, dialer *net.Dialer, address string) (net.Conn, error) {
 	var err error
-	for range dialTries {
+	for range maxDialAttempts {
 		var c net.Conn
-		if c, err = d.DialContext(ctx, "tcp", address); err == nil {
+		if c, err = dialer.DialContext(ctx, "tcp", address); err == nil {
 			return c, nil
 		}
-		var timeout net.Error
-		if ctx.Err() != nil || !errors.As(err, &timeout) || !timeout.Timeout() {
+		var netErr net.Error
+		if ctx.Err() != nil || !errors.As(err, &netErr) || !netErr.Timeout() {
 			break
 		}
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -30,24 +30,24 @@
 
 // Figures of exchanges.
 const (
-	// defaultIdle is how long a connection is kept when the peer states no
+	// defaultIdleTimeout is how long a connection is kept when the peer states no
 	// timeout of its own. Peers close idle connections after some seconds; a
 	// request that crosses such a close is lost.
-	defaultIdle = 2 * kumquatlug.Second
+	defaultIdleTimeout = 2 * kumquatlug.Second
 	// idleMargin is how much earlier than the peer states it is given up: the
 	// peer counts from when it sent its answer and rounds to whole seconds.
 	idleMargin = 600 * kumquatlug.Millis(1)
-	// strayAnswers is how many answers to other requests are read past before
+	// maxStrayResponses is how many answers to other requests are read past before
 	// the connection is given up.
-	strayAnswers = 2
-	// strayBytes bounds what is read past of such an answer.
-	strayBytes = 1 << 20
-	// inlineBytes is the largest request that is written before its answer is
+	maxStrayResponses = 2
+	// maxStrayBytes bounds what is read past of such an answer.
+	maxStrayBytes = 1 << 20
+	// maxInlineRequestBytes is the largest request that is written before its answer is
 	// read; it fits any socket's buffer. A larger one is written beside, since a
 	// peer may answer before it has read it all.
-	inlineBytes = 4 << 10
-	// readBuffer holds a head or some events.
-	readBuffer = 4 << 10
+	maxInlineRequestBytes = 4 << 10
+	// readBufferBytes holds a head or some events.
+	readBufferBytes = 4 << 10
 )
 
 // Request is one request.
@@ -91,35 +91,35 @@
 type conn struct {
 	net.Conn
 	address string
-	in      *bufio.Reader
-	// idleFrom and idleUntil bound its time in the pool.
-	idleFrom, idleUntil kumquatlug.Millis
+	reader  *bufio.Reader
+	// idleSince and idleUntil bound its time in the pool.
+	idleSince, idleUntil kumquatlug.Millis
 	// writing is true until the whole request has been written.
 	writing atomic.Bool
-	// failed keeps the error of a write beside the reading.
-	failed atomic.Value
+	// writeErr keeps the error of a write beside the reading.
+	writeErr atomic.Value
 }
 
 // Do sends r once and returns the head of its answer; the body must be closed.
 // Its errors are [kumquatlug.Failure] values with RanNot when no byte left.
 func (p *Pool) Do(ctx context.Context, r Request) (*http.Response, error) {
-	c, err := p.take(ctx, r)
+	c, err := p.acquire(ctx, r)
 	if err != nil {
 		return nil, failure("connect", r.Address, kumquatlug.RanNot, err)
 	}
 	// The deadline in the past wakes whoever reads or writes.
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	answer, err := c.exchange(r)
+	stopCancel := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
+	response, err := c.roundTrip(r)
 	if err != nil {
-		stop()
+		stopCancel()
 		_ = c.Close()
 		if ctx.Err() != nil {
 			err = errors.CombineErrors(ctx.Err(), err)
 		}
 		return nil, failure("exchange", r.Address, kumquatlug.RanUnknown, err)
 	}
-	answer.Body = &body{Reader: answer.Body, pool: p, conn: c, answer: answer, stop: stop}
-	return answer, nil
+	response.Body = &responseBody{Reader: response.Body, pool: p, conn: c, response: response, stopCancel: stopCancel}
+	return response, nil
 }
 
 func failure(step, peer string, ran kumquatlug.Ran, cause error) error {
@@ -128,14 +128,14 @@
 	})
 }
 
-// take returns a kept connection that is still good, or a new one.
-func (p *Pool) take(ctx context.Context, r Request) (*conn, error) {
+// acquire returns a kept connection that is still good, or a new one.
+func (p *Pool) acquire(ctx context.Context, r Request) (*conn, error) {
 	for {
-		c := p.pop(r)
+		c := p.popIdle(r)
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.reusable() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -144,20 +144,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, address: r.Address, in: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, address: r.Address, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// pop takes the connection used last out of the pool, nil when none is good.
-func (p *Pool) pop(r Request) *conn {
+// popIdle takes the connection used last out of the pool, nil when none is good.
+func (p *Pool) popIdle(r Request) *conn {
 	now := p.c.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[r.Address]
-	for len(list) > 0 {
-		c := list[len(list)-1]
-		list = list[:len(list)-1]
-		p.idle[r.Address] = list
-		if now < c.idleUntil && (r.Fresh == 0 || now-c.idleFrom < r.Fresh) {
+	conns := p.idle[r.Address]
+	for len(conns) > 0 {
+		c := conns[len(conns)-1]
+		conns = conns[:len(conns)-1]
+		p.idle[r.Address] = conns
+		if now < c.idleUntil && (r.Fresh == 0 || now-c.idleSince < r.Fresh) {
 			return c
 		}
 		_ = c.Close()
@@ -166,18 +166,18 @@
 	return nil
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(c *conn, stated kumquatlug.Millis) {
-	c.idleFrom = p.c.Clock.Now()
-	c.idleUntil = c.idleFrom + stated
+// putIdle keeps a connection for the next request.
+func (p *Pool) putIdle(c *conn, idleTimeout kumquatlug.Millis) {
+	c.idleSince = p.c.Clock.Now()
+	c.idleUntil = c.idleSince + idleTimeout
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[c.address]
-	if len(list) >= p.c.Kept {
+	conns := p.idle[c.address]
+	if len(conns) >= p.c.Kept {
 		_ = c.Close()
 		return
 	}
-	p.idle[c.address] = append(list, c)
+	p.idle[c.address] = append(conns, c)
 }
 
 // Sweep closes connections whose time is over and those to peers that are not
@@ -186,53 +186,53 @@
 	now := p.c.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, list := range p.idle {
-		left := list[:0]
-		for _, c := range list {
+	for address, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
 			if now < c.idleUntil && keep(address) {
-				left = append(left, c)
+				kept = append(kept, c)
 				continue
 			}
 			_ = c.Close()
 		}
-		if p.idle[address] = left; len(left) == 0 {
+		if p.idle[address] = kept; len(kept) == 0 {
 			delete(p.idle, address)
 		}
 	}
 }
 
-// exchange writes r and reads the head of its answer.
-func (c *conn) exchange(r Request) (*http.Response, error) {
+// roundTrip writes r and reads the head of its answer.
+func (c *conn) roundTrip(r Request) (*http.Response, error) {
 	request := &http.Request{Method: r.Method}
-	if err := c.write(r); err != nil {
+	if err := c.writeRequest(r); err != nil {
 		return nil, err
 	}
-	for range strayAnswers + 1 {
-		answer, err := http.ReadResponse(c.in, request)
+	for range maxStrayResponses + 1 {
+		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, errors.CombineErrors(err, c.writeError())
 		}
 		switch {
-		case answer.StatusCode < http.StatusOK:
+		case response.StatusCode < http.StatusOK:
 			continue
-		case r.Belongs == nil || r.Belongs(answer):
-			return answer, nil
+		case r.Belongs == nil || r.Belongs(response):
+			return response, nil
 		}
 		// The answer to another request, late or sent twice, lies before ours.
-		if _, err := io.Copy(io.Discard, io.LimitReader(answer.Body, strayBytes)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil {
 			return nil, errors.Wrap(err, "read past the answer to another request")
 		}
-		if answer.Close {
+		if response.Close {
 			return nil, errors.New("the answer belongs to another request")
 		}
 	}
 	return nil, errors.New("the answers belong to other requests")
 }
 
-// write sends the request; a large one beside the reading.
-func (c *conn) write(r Request) error {
-	head := head(r)
-	if len(head)+len(r.Body) <= inlineBytes {
+// writeRequest sends the request; a large one beside the reading.
+func (c *conn) writeRequest(r Request) error {
+	head := encodeHead(r)
+	if len(head)+len(r.Body) <= maxInlineRequestBytes {
 		_, err := c.Write(append(head, r.Body...))
 		return err
 	}
@@ -240,7 +240,7 @@
 	go func() {
 		parts := net.Buffers{head, r.Body}
 		if _, err := parts.WriteTo(c.Conn); err != nil {
-			c.failed.Store(err)
+			c.writeErr.Store(err)
 			return
 		}
 		c.writing.Store(false)
@@ -249,14 +249,14 @@
 }
 
 func (c *conn) writeError() error {
-	err, _ := c.failed.Load().(error)
+	err, _ := c.writeErr.Load().(error)
 	return err
 }
 
-// head returns the first line and the headers.
-func head(r Request) []byte {
+// encodeHead returns the first line and the headers.
+func encodeHead(r Request) []byte {
 	var b bytes.Buffer
-	b.Grow(headSize)
+	b.Grow(headBufferBytes)
 	b.WriteString(r.Method)
 	b.WriteByte(' ')
 	b.WriteString(r.Target)
@@ -274,47 +274,47 @@
 	return b.Bytes()
 }
 
-// headSize holds nearly every head.
-const headSize = 768
+// headBufferBytes holds nearly every head.
+const headBufferBytes = 768
 
-// body gives the connection back when the answer was read to its end, and
+// responseBody gives the connection back when the answer was read to its end, and
 // closes it otherwise.
-type body struct {
+type responseBody struct {
 	io.Reader
-	pool   *Pool
-	conn   *conn
-	answer *http.Response
-	stop   func() bool
-	whole  bool
-	closed bool
+	pool       *Pool
+	conn       *conn
+	response   *http.Response
+	stopCancel func() bool
+	eof        bool
+	closed     bool
 }
 
-func (b *body) Read(into []byte) (int, error) {
-	n, err := b.Reader.Read(into)
+func (b *responseBody) Read(buf []byte) (int, error) {
+	n, err := b.Reader.Read(buf)
 	if err == io.EOF {
-		b.whole = true
+		b.eof = true
 	}
 	return n, err
 }
 
 // Close ends the exchange. An answer that was not read to its end is broken off
 // by closing the connection, which tells the peer to stop working.
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	running := b.stop()
-	framed := b.answer.ContentLength >= 0 || len(b.answer.TransferEncoding) > 0
-	if !b.whole || !running || !framed || b.answer.Close || b.conn.writing.Load() || b.conn.in.Buffered() > 0 {
+	stopped := b.stopCancel()
+	framed := b.response.ContentLength >= 0 || len(b.response.TransferEncoding) > 0
+	if !b.eof || !stopped || !framed || b.response.Close || b.conn.writing.Load() || b.conn.reader.Buffered() > 0 {
 		return b.conn.Close()
 	}
-	b.pool.put(b.conn, statedIdle(b.answer.Header))
+	b.pool.putIdle(b.conn, peerIdleTimeout(b.response.Header))
 	return nil
 }
 
-// statedIdle returns how long the peer keeps the connection open.
-func statedIdle(h http.Header) kumquatlug.Millis {
+// peerIdleTimeout returns how long the peer keeps the connection open.
+func peerIdleTimeout(h http.Header) kumquatlug.Millis {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -324,5 +324,5 @@
 			return kumquatlug.Millis(seconds)*kumquatlug.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/internal/exchange/quiet.go
+++ b/internal/exchange/quiet.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet reports that a kept connection is open and nothing came on it. Bytes
+// reusable reports that a kept connection is open and nothing came on it. Bytes
 // that came after an answer belong to no request, and an end that came means
 // that the peer closed it.
-func (c *conn) quiet() bool {
-	if c.in.Buffered() > 0 {
+func (c *conn) reusable() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	s, ok := c.Conn.(syscall.Conn)
@@ -21,12 +21,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
-		_, _, failed := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failed == unix.EAGAIN
+		_, _, errno := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		reusable = errno == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
