--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -11,26 +11,29 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of connections. A peer that lost its power, or a path that dropped
-// its state, sends no reset: only these find it out.
+// Limits that detect a dead connection. A peer that lost power, or a network path
+// that dropped its connection state, sends no reset; only timeouts reveal it.
 const (
 	// UnackedLimit is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken. Round trips lie under 10 ms and a lost packet
-	// is sent again after 200, 400 and 800 ms: three losses in a row pass.
+	// kernel closes the connection (TCP_USER_TIMEOUT). Round trips take less than
+	// 10 ms and a lost packet is retransmitted after 200, 400 and 800 ms, so the
+	// connection survives three losses in a row.
 	UnackedLimit = 1500 * kumquatlug.Millis(1)
-	// ProbeIdle and ProbeEvery are the rhythm of keep-alive probes, in whole
-	// seconds as the kernel counts them; with ProbeCount a silent peer is found
-	// within three seconds.
+	// ProbeIdle is the idle time before the first keep-alive probe and ProbeEvery
+	// the interval between probes, both in whole seconds as the kernel counts
+	// them. With ProbeCount unanswered probes a dead peer is detected within three
+	// seconds.
 	ProbeIdle  = 1 * kumquatlug.Second
 	ProbeEvery = 1 * kumquatlug.Second
 	ProbeCount = 2
-	// DialTimeout is how long opening one connection may take: many round trips
-	// of 10 ms, and less than the second after which a lost opening packet would
-	// be sent again. A new try is quicker than that.
+	// DialTimeout bounds one attempt to connect. It covers many round trips of
+	// 10 ms but is shorter than the second after which the kernel retransmits a
+	// lost SYN: a new attempt is faster than that retransmission.
 	DialTimeout = 400 * kumquatlug.Millis(1)
 )
 
-// Dialer opens connections that find out by themselves when the peer is gone.
+// Dialer returns a dialer whose connections fail by themselves when the peer is
+// gone: it sets a dial timeout, keep-alive probes and TCP_USER_TIMEOUT.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: DialTimeout.Duration(),
@@ -47,11 +50,11 @@
 	}
 }
 
-// maxDialAttempts is how often a connection is tried: one opening packet in 30 may be
-// lost on a bad link, two in a row are one in a thousand.
+// maxDialAttempts bounds the attempts to connect. A bad link loses one SYN in 30,
+// and two in a row about once in a thousand connections.
 const maxDialAttempts = 2
 
-// dial opens a connection to address.
+// dial connects to address and retries only after a timeout.
 func dial(ctx context.Context, dialer *net.Dialer, address string) (net.Conn, error) {
 	var err error
 	for range maxDialAttempts {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,13 +1,13 @@
-// Package exchange carries single HTTP/1.1 requests over kept connections, each
-// exactly once.
+// Package exchange is an HTTP/1.1 client over pooled connections that sends each
+// request at most once.
 //
-// net/http's transport sends some requests again by itself when a kept
-// connection turns out to be broken, and it takes whatever bytes come next for
-// the answer. Both are wrong here: a request that may not run twice would run
-// twice, and a late second answer to one request would be given to the next.
-// So a [Pool] writes a request to one connection and nowhere else, says of each
-// failure whether any byte had left, and asks whether an answer belongs to the
-// request before it hands it out.
+// The transport of net/http retries some requests by itself when a pooled
+// connection is broken, and takes whatever bytes arrive next as the response.
+// Both are wrong here: a request that must not run twice could run twice, and a
+// late duplicate response to one request could be returned for the next. A [Pool]
+// therefore writes a request to one connection only, reports for each failure
+// whether any byte may have been sent, and checks that a response matches its
+// request before it returns it.
 package exchange
 
 import (
@@ -28,53 +28,55 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of exchanges.
+// Limits of exchanges and connections.
 const (
-	// defaultIdleTimeout is how long a connection is kept when the peer states no
-	// timeout of its own. Peers close idle connections after some seconds; a
-	// request that crosses such a close is lost.
+	// defaultIdleTimeout is how long an idle connection is kept when the peer
+	// announces no timeout of its own. Peers close idle connections after a few
+	// seconds; a request sent while the peer closes is lost.
 	defaultIdleTimeout = 2 * kumquatlug.Second
-	// idleMargin is how much earlier than the peer states it is given up: the
-	// peer counts from when it sent its answer and rounds to whole seconds.
+	// idleMargin is how much earlier than the peer's announced timeout a
+	// connection is dropped: the peer counts from when it sent its response, and
+	// rounds to whole seconds.
 	idleMargin = 600 * kumquatlug.Millis(1)
-	// maxStrayResponses is how many answers to other requests are read past before
-	// the connection is given up.
+	// maxStrayResponses is how many responses to other requests are skipped before
+	// the connection is closed.
 	maxStrayResponses = 2
-	// maxStrayBytes bounds what is read past of such an answer.
+	// maxStrayBytes bounds how much of such a response's body is discarded.
 	maxStrayBytes = 1 << 20
-	// maxInlineRequestBytes is the largest request that is written before its answer is
-	// read; it fits any socket's buffer. A larger one is written beside, since a
-	// peer may answer before it has read it all.
+	// maxInlineRequestBytes is the largest request that is written in full before
+	// its response is read; it fits any socket buffer. A larger one is written
+	// concurrently, since the peer may respond before it has read all of it.
 	maxInlineRequestBytes = 4 << 10
-	// readBufferBytes holds a head or some events.
+	// readBufferBytes is large enough for a response head or a few stream events.
 	readBufferBytes = 4 << 10
 )
 
-// Request is one request.
+// Request is one HTTP request.
 type Request struct {
-	// Address is IP:port of the peer.
+	// Address is the peer's IP:port.
 	Address string
-	// Method and Target are the first line; Host the peer's name there.
+	// Method and Target form the request line; Host is the Host header.
 	Method, Target, Host string
-	// Header are all headers but Host and Content-Length.
+	// Header holds all headers except Host and Content-Length.
 	Header http.Header
-	// Body is the whole body, nil for none.
+	// Body is the complete body, nil for none.
 	Body []byte
-	// Belongs tells whether an answer is the one to this request; nil takes any.
+	// Belongs reports whether a response is the one to this request; nil accepts
+	// any.
 	Belongs func(*http.Response) bool
-	// Fresh demands a connection that was used a moment ago or never: one that
-	// lay idle may be closed by the peer as the request leaves.
+	// Fresh is the longest time that the connection may have been idle, zero for
+	// no limit: the peer may close an idle connection while the request is sent.
 	Fresh kumquatlug.Millis
 }
 
-// Config is what a [Pool] is made of.
+// Config holds the settings of a [Pool].
 type Config struct {
 	Clock kumquatlug.Clock
-	// Kept is how many idle connections are kept to one address.
+	// Kept is the maximum number of idle connections per address.
 	Kept int
 }
 
-// Pool keeps connections. It is safe for concurrent use.
+// Pool sends requests and reuses idle connections. It is safe for concurrent use.
 type Pool struct {
 	c      Config
 	dialer *net.Dialer
@@ -82,32 +84,33 @@
 	idle   map[string][]*conn
 }
 
-// New returns a pool without connections.
+// New returns an empty pool.
 func New(c Config) *Pool {
 	return &Pool{c: c, dialer: Dialer(), idle: map[string][]*conn{}}
 }
 
-// conn is one connection; it carries one exchange at a time.
+// conn is one connection. It carries one exchange at a time.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// idleSince and idleUntil bound its time in the pool.
+	// idleSince is when the connection became idle, idleUntil when it expires.
 	idleSince, idleUntil kumquatlug.Millis
 	// writing is true until the whole request has been written.
 	writing atomic.Bool
-	// writeErr keeps the error of a write beside the reading.
+	// writeErr holds the error of a concurrent write.
 	writeErr atomic.Value
 }
 
-// Do sends r once and returns the head of its answer; the body must be closed.
-// Its errors are [kumquatlug.Failure] values with RanNot when no byte left.
+// Do sends r once and returns its response once the head has been read. The caller
+// must close the body. Errors are [kumquatlug.Failure] values: RanNot when no
+// connection was made and no byte was sent, else RanUnknown.
 func (p *Pool) Do(ctx context.Context, r Request) (*http.Response, error) {
 	c, err := p.acquire(ctx, r)
 	if err != nil {
 		return nil, failure("connect", r.Address, kumquatlug.RanNot, err)
 	}
-	// The deadline in the past wakes whoever reads or writes.
+	// A deadline in the past unblocks pending reads and writes.
 	stopCancel := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	response, err := c.roundTrip(r)
 	if err != nil {
@@ -128,7 +131,7 @@
 	})
 }
 
-// acquire returns a kept connection that is still good, or a new one.
+// acquire returns a reusable idle connection, or dials a new one.
 func (p *Pool) acquire(ctx context.Context, r Request) (*conn, error) {
 	for {
 		c := p.popIdle(r)
@@ -147,7 +150,8 @@
 	return &conn{Conn: raw, address: r.Address, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// popIdle takes the connection used last out of the pool, nil when none is good.
+// popIdle removes the most recently used idle connection from the pool and returns
+// it. It closes expired ones on the way and returns nil when none is left.
 func (p *Pool) popIdle(r Request) *conn {
 	now := p.c.Clock.Now()
 	p.mu.Lock()
@@ -166,7 +170,8 @@
 	return nil
 }
 
-// putIdle keeps a connection for the next request.
+// putIdle returns a connection to the pool, or closes it when the pool holds enough
+// for its address.
 func (p *Pool) putIdle(c *conn, idleTimeout kumquatlug.Millis) {
 	c.idleSince = p.c.Clock.Now()
 	c.idleUntil = c.idleSince + idleTimeout
@@ -180,8 +185,8 @@
 	p.idle[c.address] = append(conns, c)
 }
 
-// Sweep closes connections whose time is over and those to peers that are not
-// to be kept; call it each second or so.
+// Sweep closes idle connections that have expired and those to addresses for which
+// keep returns false. Call it about once a second.
 func (p *Pool) Sweep(keep func(address string) bool) {
 	now := p.c.Clock.Now()
 	p.mu.Lock()
@@ -201,7 +206,7 @@
 	}
 }
 
-// roundTrip writes r and reads the head of its answer.
+// roundTrip writes r and reads the head of its response.
 func (c *conn) roundTrip(r Request) (*http.Response, error) {
 	request := &http.Request{Method: r.Method}
 	if err := c.writeRequest(r); err != nil {
@@ -218,7 +223,7 @@
 		case r.Belongs == nil || r.Belongs(response):
 			return response, nil
 		}
-		// The answer to another request, late or sent twice, lies before ours.
+		// A late or duplicate response to another request precedes the expected one.
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil {
 			return nil, errors.Wrap(err, "read past the answer to another request")
 		}
@@ -229,7 +234,8 @@
 	return nil, errors.New("the answers belong to other requests")
 }
 
-// writeRequest sends the request; a large one beside the reading.
+// writeRequest sends the request. One larger than maxInlineRequestBytes is written
+// in a goroutine while the response is read.
 func (c *conn) writeRequest(r Request) error {
 	head := encodeHead(r)
 	if len(head)+len(r.Body) <= maxInlineRequestBytes {
@@ -253,7 +259,7 @@
 	return err
 }
 
-// encodeHead returns the first line and the headers.
+// encodeHead returns the request line and the headers.
 func encodeHead(r Request) []byte {
 	var b bytes.Buffer
 	b.Grow(headBufferBytes)
@@ -263,7 +269,8 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	// A bytes.Buffer does not fail, and Write replaces line breaks in values.
+	// Writes to a bytes.Buffer don't fail. Header.Write replaces line breaks in
+	// values, which prevents header injection.
 	_ = r.Header.Write(&b)
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
 		b.WriteString("Content-Length: ")
@@ -274,11 +281,11 @@
 	return b.Bytes()
 }
 
-// headBufferBytes holds nearly every head.
+// headBufferBytes is the initial buffer size, enough for nearly every head.
 const headBufferBytes = 768
 
-// responseBody gives the connection back when the answer was read to its end, and
-// closes it otherwise.
+// responseBody returns the connection to the pool when the response was read to its
+// end, and closes it otherwise.
 type responseBody struct {
 	io.Reader
 	pool       *Pool
@@ -297,8 +304,8 @@
 	return n, err
 }
 
-// Close ends the exchange. An answer that was not read to its end is broken off
-// by closing the connection, which tells the peer to stop working.
+// Close ends the exchange. If the response was not read to its end, Close closes
+// the connection, which makes the peer stop its work.
 func (b *responseBody) Close() error {
 	if b.closed {
 		return nil
@@ -313,7 +320,8 @@
 	return nil
 }
 
-// peerIdleTimeout returns how long the peer keeps the connection open.
+// peerIdleTimeout returns how long the connection may stay idle: the timeout of the
+// Keep-Alive header less idleMargin, else defaultIdleTimeout.
 func peerIdleTimeout(h http.Header) kumquatlug.Millis {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -16,14 +16,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/clock"
 )
 
-// testPeer is a server that a test drives byte by byte.
+// testPeer is a TCP server whose responses a test writes byte by byte.
 type testPeer struct {
 	address  string
 	accepted atomic.Int64
 	requests atomic.Int64
 }
 
-// newTestPeer calls serve for each connection; it ends with the connection.
+// newTestPeer starts a server that calls serve for each connection and closes the
+// connection when serve returns.
 func newTestPeer(t *testing.T, serve func(p *testPeer, c net.Conn, reader *bufio.Reader)) *testPeer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +49,8 @@
 	return p
 }
 
-// readRequest reads one request and returns its id; empty at the end.
+// readRequest reads one request and returns its id, empty at the end of the
+// connection.
 func (p *testPeer) readRequest(reader *bufio.Reader) string {
 	r, err := http.ReadRequest(reader)
 	if err != nil {
@@ -74,7 +76,7 @@
 
 func newPool() *Pool { return New(Config{Clock: clock.NewMonotonic(), Kept: 4}) }
 
-// doRequest makes one exchange and returns the body.
+// doRequest sends r and returns the response body.
 func doRequest(t *testing.T, pool *Pool, r Request) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -88,14 +90,13 @@
 	return string(text), err
 }
 
-// A kept connection is closed by the peer while the next request is on its way.
-// A client that sends the request again by itself would run a posting twice; the
-// user would see two of them.
+// The peer closes a pooled connection while the next request is in flight. A client
+// that retries by itself could publish a posting twice, visible to the user.
 func TestRequestIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
 			writeResponse(c, p.readRequest(reader), "first")
-			// The second request is read and the connection closed.
+			// The connection is closed after the second request has been read.
 			p.readRequest(reader)
 		})
 		pool := newPool()
@@ -104,7 +105,7 @@
 		}
 		_, err := doRequest(t, pool, newRequest(p, method, "2"))
 		if kumquatlug.RanOf(err) != kumquatlug.RanUnknown {
-			t.Errorf("%s: %v, want a failure of which nothing is known", method, err)
+			t.Errorf("%s: %v, want a failure with RanUnknown", method, err)
 		}
 		if n := p.requests.Load(); n != 2 {
 			t.Errorf("%s: the peer got %d requests, want 2", method, n)
@@ -112,8 +113,8 @@
 	}
 }
 
-// The peer closed a kept connection a while ago. Sent there, a request would be
-// lost for no reason: it must go over a new connection.
+// The peer closed a pooled connection some time ago. A request sent on it would be
+// lost needlessly, so it must use a new connection.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) { writeResponse(c, p.readRequest(reader), "text") })
 	pool := newPool()
@@ -121,13 +122,13 @@
 		if _, err := doRequest(t, pool, newRequest(p, http.MethodPost, fmt.Sprint(i))); err != nil {
 			t.Fatal(err)
 		}
-		// The end of the connection is on its way.
+		// Allow the peer's FIN to arrive.
 		<-time.After(20 * time.Millisecond)
 	}
 }
 
-// The peer answers one request twice. The second answer may come before the next
-// request is sent or after; the user of that request must never get it.
+// The peer responds twice to one request. The duplicate may arrive before or after
+// the next request is sent and must never be returned for that request.
 func TestStrayResponseIsSkipped(t *testing.T) {
 	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
 		previousID := ""
@@ -152,12 +153,12 @@
 		}
 	}
 	if p.accepted.Load() != 1 {
-		t.Errorf("%d connections, want the answers to be found on one", p.accepted.Load())
+		t.Errorf("%d connections, want all responses on one", p.accepted.Load())
 	}
 }
 
-// Bytes lie on a kept connection before the next request leaves. They belong to
-// no request, so the connection is of no use.
+// Bytes arrive on an idle connection before the next request is sent. They belong
+// to no request, so the connection must not be reused.
 func TestUnsolicitedBytesCloseConnection(t *testing.T) {
 	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
 		id := p.readRequest(reader)
@@ -178,8 +179,8 @@
 	}
 }
 
-// The peer answers before it has read a long body. Bytes of the next request
-// must not be taken for the rest of that body.
+// The peer responds before it has read a long request body. On a reused connection
+// it would read the bytes of the next request as the rest of that body.
 func TestResponseBeforeRequestBodyIsSent(t *testing.T) {
 	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
 		r, err := http.ReadRequest(reader)
@@ -201,12 +202,12 @@
 		t.Fatal(text, err)
 	}
 	if _, err := doRequest(t, pool, newRequest(p, http.MethodGet, "2")); err == nil && p.accepted.Load() != 2 {
-		t.Errorf("the connection was used again while the body was on its way")
+		t.Errorf("the connection was reused while the request body was still being sent")
 	}
 }
 
-// An answer breaks off: before its stated length, within a chunk, or by a reset
-// of a connection whose end would be the end of the answer. None may look whole.
+// A response is truncated: before its Content-Length, within a chunk, or by a reset
+// when the end of the connection delimits the body. Each must return an error.
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	heads := map[string]string{
 		"length":  "Content-Length: 10\r\n\r\nabc",
@@ -217,17 +218,17 @@
 		p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%s", p.readRequest(reader), head)
 			<-time.After(20 * time.Millisecond)
-			// The connection is reset rather than closed.
+			// Zero linger resets the connection instead of closing it.
 			_ = c.(*net.TCPConn).SetLinger(0)
 		})
 		if text, err := doRequest(t, newPool(), newRequest(p, http.MethodGet, "1")); err == nil {
-			t.Errorf("%s: %q looks whole", name, text)
+			t.Errorf("%s: truncated response %q was returned without an error", name, text)
 		}
 	}
 }
 
-// Nobody listens at the address. The request has not left, and the failure must
-// say so: only then may one that runs at most once go elsewhere.
+// No process listens at the address. The request was not sent and the failure must
+// say so: only then may a request that runs at most once be sent to another peer.
 func TestRefusedConnectionReportsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -237,12 +238,12 @@
 	_ = l.Close()
 	_, err = doRequest(t, newPool(), Request{Address: address, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}})
 	if kumquatlug.RanOf(err) != kumquatlug.RanNot {
-		t.Errorf("%v, want a failure that says not run", err)
+		t.Errorf("%v, want a failure with RanNot", err)
 	}
 }
 
-// The client leaves while its request is at work. The connection must be closed
-// at once, as that is what makes the peer stop.
+// The client cancels while its request is running. The connection must be closed
+// at once, because that makes the peer stop.
 func TestCancelledRequestClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
@@ -253,17 +254,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	if _, err := newPool().Do(ctx, newRequest(p, http.MethodPost, "1")); err == nil {
-		t.Fatal("an answer came")
+		t.Fatal("got a response, want an error")
 	}
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Error("the connection stays open")
+		t.Error("the connection was not closed")
 	}
 }
 
-// A value that holds line breaks would let a client write headers of its own, or
-// a second request inside its first.
+// Line breaks in a header value would let a client inject headers, or a second
+// request inside the first.
 func TestHeaderInjectionIsPrevented(t *testing.T) {
 	got := make(chan string, 1)
 	p := newTestPeer(t, func(_ *testPeer, c net.Conn, reader *bufio.Reader) {
@@ -281,12 +282,12 @@
 		t.Fatal(err)
 	}
 	if evil := <-got; evil != "" {
-		t.Errorf("the peer saw %q", evil)
+		t.Errorf("the peer received the injected header %q", evil)
 	}
 }
 
-// A connection lay idle for nearly as long as the peer keeps it. The request
-// would meet the peer's close on the way.
+// A connection has been idle for nearly the peer's timeout. A request sent on it
+// could cross the peer's close and be lost.
 func TestIdleConnectionsCloseBeforePeerTimeout(t *testing.T) {
 	now := clock.NewManual(1000)
 	pool := New(Config{Clock: now, Kept: 4})
@@ -309,6 +310,6 @@
 	}
 	pool.Sweep(func(string) bool { return false })
 	if len(pool.idle) != 0 {
-		t.Error("connections to peers that are gone are kept")
+		t.Error("Sweep kept connections to addresses that keep rejected")
 	}
 }
--- a/internal/exchange/quiet.go
+++ b/internal/exchange/quiet.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// reusable reports that a kept connection is open and nothing came on it. Bytes
-// that came after an answer belong to no request, and an end that came means
-// that the peer closed it.
+// reusable reports whether an idle connection is still open and has received
+// nothing. Bytes received after a response belong to no request, and an EOF means
+// that the peer closed the connection.
 func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
