--- a/pkg/kumquatlug/config/adopter.go
+++ b/pkg/kumquatlug/config/adopter.go
@@ -22,90 +22,93 @@
 	defaultMaxRecentChanges  = 1024
 )
 
-// maxSources bounds the peers that a node remembers to pull from.
+// maxSources bounds the list of peers to pull from.
 const maxSources = 4
 
-// Table is the peer name that stands for the platform's table.
+// Table is the peer name that denotes the platform's table.
 const Table = ""
 
-// AgeUnknown says that a peer told a revision without telling when it was
+// AgeUnknown is the age of a report that doesn't say when the revision was last
 // confirmed to be the head.
 const AgeUnknown kumquatlug.Millis = -1
 
-// Report is what a node hears of the head: from the table, or from a peer
-// within a heartbeat, a load report or a request.
+// Report is information about the head: a read of the table, or what a peer includes
+// in a heartbeat, a load report or a request.
 type Report struct {
-	// Peer is who spoke, [Table] for the table itself.
+	// Peer is the sender, [Table] for the table itself.
 	Peer string
-	// Revision is what the peer holds, or the table's head.
+	// Revision is the revision in force at the peer, or the table's head.
 	Revision Revision
-	// Age is how long ago the peer's revision was confirmed to be the head, in
-	// milliseconds: for the table, since before the read was sent. AgeUnknown
+	// Age is the time in milliseconds since the peer's revision was confirmed to be
+	// the head. For the table it counts from before the read was sent. AgeUnknown
 	// confirms nothing.
 	Age kumquatlug.Millis
 }
 
-// Pull says what to ask and whom.
+// Pull is a request for missing changes and the peer to send it to.
 type Pull struct {
 	peer  string
 	since Revision
 }
 
-// Peer returns whom to ask, [Table] for the table itself.
+// Peer returns the peer to pull from, [Table] for the table itself.
 func (p Pull) Peer() string { return p.peer }
 
-// Since returns the revision after which changes are wanted.
+// Since returns the revision after which changes are requested.
 func (p Pull) Since() Revision { return p.since }
 
-// AdopterConfig is what an [Adopter] is made of.
+// AdopterConfig holds the settings of an [Adopter].
 type AdopterConfig struct {
 	// Me is this node's name. Required.
 	Me string
-	// Start is the state that the node starts with, the highest that it could
-	// get; the zero value is the empty config.
+	// Start is the initial state, the newest that the node could load; the zero
+	// value is the empty config.
 	Start State
-	// Now is the time of the start.
+	// Now is the start time in milliseconds.
 	Now kumquatlug.Millis
-	// Readers is how many nodes of a data centre poll the head, 3 by default:
-	// one may be gone and one paused, and the third still reads.
+	// Readers is the number of nodes of a data centre that poll the head, 3 by
+	// default: with one gone and one paused, the third still reads.
 	Readers int
-	// MostReaders bounds how many do when nobody gets an answer, 32 by default:
-	// ten data centres then cost 320 of the table's 2,000 reads a second. A
-	// rack that takes all first readers with it holds no 32 of a data centre's
-	// highest ranks.
+	// MostReaders bounds the number of readers while no read succeeds, 32 by
+	// default: ten data centres then use 320 of the table's 2,000 reads a second. A
+	// rack whose failure takes out all initial readers doesn't hold all of the 32
+	// highest-ranked nodes of a data centre.
 	MostReaders int
-	// Poll is how often a reader reads the head, 1 s by default. A change is
-	// then in force after at most a poll, a heartbeat of 1 s and a pull: a
+	// Poll is the interval between a reader's reads of the head, 1 s by default. A
+	// change is then in force after at most a poll, a heartbeat of 1 s and a pull: a
 	// fifth of the 16 s allowed.
 	Poll kumquatlug.Millis
-	// Widen is the age of the head at which twice as many nodes read it, and
-	// twice as many again after the same time, 2 s by default: above a poll
-	// and a heartbeat, so that it is seen only when readers fail. Six first
-	// readers after 2 s and 32 after 8 s stay within 16 s.
+	// Widen is the age of the head at which the number of readers doubles; it doubles
+	// again each time the same period passes. 2 s by default: a poll and a heartbeat
+	// together, which the age exceeds only when readers fail. Six readers after 2 s
+	// and 32 after 8 s stay within the 16 s allowed.
 	Widen kumquatlug.Millis
-	// Alone is the age of the head from which any node may read it by itself,
-	// 4 s by default: one that no peer speaks to would else never learn of a
-	// change, though it reaches the table.
+	// Alone is the age of the head from which any node may read it, 4 s by default.
+	// Otherwise a node that no peer contacts would never learn of a change although
+	// it reaches the table.
 	Alone kumquatlug.Millis
-	// AlonePoll is how often such a node reads, 10 s by default and spread over
-	// as long, so that a change is in force there within 14 s. When the table
-	// is out all nodes are in that state: 1,230 in a data centre ask for 123
-	// reads a second beside the readers' 32, ten of these for 1,550 of the
-	// table's 2,000. The wait grows to half the head's age, at most a minute,
-	// so that a long outage costs a third of that.
+	// AlonePoll is the interval between the reads of such a node, 10 s by default.
+	// The first reads are spread over the same period, so that a change is in force
+	// there within 14 s. While the table is unavailable, all nodes are in this mode:
+	// 1,230 nodes of a data centre send 123 reads a second beside the 32 of the
+	// readers, and ten data centres 1,550 of the table's 2,000. The interval grows to
+	// half the head's age, at most a minute, so that a long outage costs a third of
+	// that.
 	AlonePoll kumquatlug.Millis
-	// PullTimeout is after which another peer is asked, 1 s by default.
+	// PullTimeout is the time after which the node pulls from another peer, 1 s by
+	// default.
 	PullTimeout kumquatlug.Millis
-	// Stale is the age of the head from which the node counts as cut off, 16 s
-	// by default: the time in which every change is to be in force.
+	// Stale is the age of the head above which the node counts as cut off, 16 s by
+	// default: the time within which every change must be in force.
 	Stale kumquatlug.Millis
-	// Recent is how many changes are kept for peers that pull, 1024 by
-	// default: 1.7 hours at 14,000 a day; a peer further behind gets it all.
+	// Recent is the number of changes retained for peers that pull, 1024 by default:
+	// 1.7 hours at 14,000 a day. A peer further behind gets the whole state.
 	Recent int
 }
 
-// Adopter holds the config that is in force on a node and decides when to read
-// the table and whom to pull from. It only ever goes up.
+// Adopter holds the config in force on a node and decides when to read the table and
+// which peer to pull from. The revision in force never decreases. It is not safe for
+// concurrent use.
 type Adopter struct {
 	c               AdopterConfig
 	state           State
@@ -118,7 +121,8 @@
 	sources         []string
 }
 
-// NewAdopter returns an adopter that holds c.Start.
+// NewAdopter returns an adopter with the initial state c.Start. Zero settings take
+// their defaults.
 func NewAdopter(c AdopterConfig) *Adopter {
 	c.Readers = standard.Int(c.Readers, defaultReaders)
 	c.MostReaders = standard.Int(c.MostReaders, defaultMaxReaders)
@@ -132,21 +136,21 @@
 	return &Adopter{c: c, state: c.Start, head: c.Start.revision, headConfirmedAt: c.Now, lastPollAt: c.Now - c.AlonePoll}
 }
 
-// Holds returns the state in force on this node.
+// Holds returns the state in force on the node.
 func (a *Adopter) Holds() State { return a.state }
 
-// Head returns the highest revision that the node has heard of.
+// Head returns the highest revision known to the node.
 func (a *Adopter) Head() Revision { return a.head }
 
-// Age returns how long ago the head was confirmed by any path; before the
-// first word of it, how long the node has run.
+// Age returns the time in milliseconds since the head was last confirmed, by the table
+// or a peer. Before the first confirmation it is the node's uptime.
 func (a *Adopter) Age(now kumquatlug.Millis) kumquatlug.Millis { return now - a.headConfirmedAt }
 
-// Stale reports that the node is cut off from the head: it serves on, and says
-// so in its reports.
+// Stale reports whether the node is cut off from the head. Such a node continues to
+// serve and says so in its reports.
 func (a *Adopter) Stale(now kumquatlug.Millis) bool { return a.Age(now) > a.c.Stale }
 
-// Learned takes what was heard of the head.
+// Learned records a report about the head.
 func (a *Adopter) Learned(now kumquatlug.Millis, r Report) {
 	if r.Revision > a.state.revision {
 		a.addSource(r.Peer, r.Revision > a.head)
@@ -162,8 +166,8 @@
 	}
 }
 
-// addSource puts peer among those to pull from, first when it knows of more
-// than all others.
+// addSource adds peer to the peers to pull from. It goes first when its revision is
+// higher than any known before.
 func (a *Adopter) addSource(peer string, first bool) {
 	for _, p := range a.sources {
 		if p == peer {
@@ -178,8 +182,8 @@
 	a.sources = a.sources[:min(len(a.sources), maxSources)]
 }
 
-// Pull returns whom to ask for what, when the node lags and no pull is in hand.
-// Each call that returns true counts as sent.
+// Pull returns the next pull when the node lags behind the head and no pull is in
+// flight, else false. A returned pull counts as sent.
 func (a *Adopter) Pull(now kumquatlug.Millis) (Pull, bool) {
 	if a.head <= a.state.revision || len(a.sources) == 0 {
 		return Pull{}, false
@@ -187,15 +191,16 @@
 	if a.pullInFlight && now-a.lastPullAt < a.c.PullTimeout {
 		return Pull{}, false
 	}
-	// The peer asked goes to the end: when it is paused or cut off the next
-	// pull asks another one.
+	// The peer moves to the end of the list, so that the next pull goes to another
+	// one if this peer is paused or cut off.
 	peer := a.sources[0]
 	a.sources = append(a.sources[1:len(a.sources):len(a.sources)], peer)
 	a.pullInFlight, a.lastPullAt = true, now
 	return Pull{peer: peer, since: a.state.revision}, true
 }
 
-// PullFailed forgets a peer that did not answer a pull, until it speaks again.
+// PullFailed removes a peer whose pull failed from the peers to pull from, until its
+// next report.
 func (a *Adopter) PullFailed(peer string) {
 	a.pullInFlight = false
 	remaining := make([]string, 0, len(a.sources))
@@ -207,21 +212,21 @@
 	a.sources = remaining
 }
 
-// Adopt takes changes in order and returns the state then in force and whether
-// it changed. Those that the node holds already are passed over. A gap is an
-// error marked [kumquatlug.ErrNotFound]; what came before it is kept, and the
-// whole state is to be asked for.
+// Adopt applies changes in revision order and returns the state then in force and
+// whether it changed. It skips changes that are already applied. A missing revision is
+// an error marked [kumquatlug.ErrNotFound]: the changes before it remain applied, and
+// the caller must fetch the whole state.
 func (a *Adopter) Adopt(changes []Change) (State, bool, error) {
 	a.pullInFlight = false
 	previous := a.state.revision
 	for _, change := range changes {
-		// An answer may come late, from a peer that lags or through a paused
-		// node. Taking it for the newest would undo an accepted change.
+		// A response may be late, from a peer that lags, or delayed by a pause of
+		// this node. Adopting an older revision would undo an accepted change.
 		if change.revision <= a.state.revision {
 			continue
 		}
 		if change.revision > a.state.revision+1 {
-			return a.state, a.state.revision > previous, notFoundf("a gap between revision %d and %d", a.state.revision, change.revision)
+			return a.state, a.state.revision > previous, notFoundf("missing changes between revision %d and %d", a.state.revision, change.revision)
 		}
 		next, err := a.state.Apply(change)
 		if err != nil {
@@ -234,8 +239,8 @@
 	return a.state, a.state.revision > previous, nil
 }
 
-// AdoptState takes a whole state and returns the state then in force and
-// whether it changed. A state that is not newer is passed over.
+// AdoptState adopts a whole state and returns the state then in force and whether it
+// changed. It ignores a state that is not newer.
 func (a *Adopter) AdoptState(state State) (State, bool) {
 	a.pullInFlight = false
 	if state.revision <= a.state.revision {
@@ -247,7 +252,8 @@
 	return a.state, true
 }
 
-// advanceHead forgets the peers to pull from once the node has caught up.
+// advanceHead raises the head to the revision in force and clears the peers to pull
+// from once the node has caught up.
 func (a *Adopter) advanceHead() {
 	a.head = max(a.head, a.state.revision)
 	if a.state.revision >= a.head {
@@ -255,8 +261,8 @@
 	}
 }
 
-// recordChange remembers change for peers. Half is dropped at a time, so that a change
-// costs no copy of all the others.
+// recordChange retains change for peers that pull. The list is trimmed only when it has
+// twice the retained length, so that not every change copies all the others.
 func (a *Adopter) recordChange(change Change) {
 	if len(a.recentChanges) >= 2*a.c.Recent {
 		a.recentChanges = append([]Change(nil), a.recentChanges[len(a.recentChanges)-a.c.Recent:]...)
@@ -264,9 +270,8 @@
 	a.recentChanges = append(a.recentChanges, change)
 }
 
-// Since returns the changes after rev for a peer that pulls, and false when
-// the peer is too far behind and needs the whole state. The slice must not be
-// changed.
+// Since returns the changes after rev for a peer that pulls, and false when the peer is
+// too far behind and needs the whole state. The caller must not modify the slice.
 func (a *Adopter) Since(rev Revision) ([]Change, bool) {
 	if rev >= a.state.revision {
 		return nil, true
@@ -278,9 +283,9 @@
 	return a.recentChanges[int64(len(a.recentChanges))-missing:], true
 }
 
-// Poll reports whether this node is to read the head from the table now; live
-// are the nodes of its data centre that it takes for alive, itself included or
-// not. Each call that returns true counts as sent.
+// Poll reports whether the node must read the head from the table now. live names the
+// live nodes of its data centre, with or without itself. Each call that returns true
+// counts as a read.
 func (a *Adopter) Poll(now kumquatlug.Millis, live []string) bool {
 	if now-a.lastPollAt < a.c.Poll {
 		return false
@@ -292,7 +297,8 @@
 	return true
 }
 
-// isFallbackReader reports whether the node is to read the head though others are chosen.
+// isFallbackReader reports whether the node must read the head although it is not among
+// the chosen readers, because the head is too old.
 func (a *Adopter) isFallbackReader(now kumquatlug.Millis) bool {
 	offset := kumquatlug.Millis(xxhash.Sum64String(a.c.Me) % uint64(a.c.AlonePoll))
 	age := a.Age(now)
@@ -300,9 +306,9 @@
 	return age >= a.c.Alone+offset && now-a.lastPollAt >= interval
 }
 
-// Reader reports whether this node is among those of its data centre that poll
-// the head. When the head grows old their number doubles: the chosen ones may
-// all be paused or cut off from the table while others are not.
+// Reader reports whether the node is among the readers of its data centre, which poll
+// the head. The number of readers doubles as the head ages: all chosen readers may be
+// paused or cut off from the table while other nodes are not.
 func (a *Adopter) Reader(now kumquatlug.Millis, live []string) bool {
 	readers := a.c.Readers
 	for age := a.Age(now); age > a.c.Widen && readers < a.c.MostReaders; age -= a.c.Widen {
@@ -321,10 +327,10 @@
 	return true
 }
 
-// Check reports a setting that can't work.
+// Check validates the settings. It returns an error when Me is empty.
 func (c AdopterConfig) Check() error {
 	if c.Me == "" {
-		return errors.New("a node needs a name")
+		return errors.New("AdopterConfig.Me is required")
 	}
 	return nil
 }
--- a/pkg/kumquatlug/config/commit.go
+++ b/pkg/kumquatlug/config/commit.go
@@ -10,13 +10,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Commit makes a proposal the next revision and returns the change. The same
-// proposal sent again returns the change that it made the first time.
+// Commit makes a proposal the next revision and returns the change. Sending the same
+// proposal again returns the change that the first send created.
 //
-// Errors: a [Conflict], marked [kumquatlug.ErrConflict], when one of its keys
-// changed after its base; [kumquatlug.ErrUnavailable] when nothing took effect;
-// [kumquatlug.ErrLost] when it may have taken effect and can't be read back
-// now: send the same proposal again, under the same id and base.
+// Errors: a [Conflict], which matches [kumquatlug.ErrConflict], when one of the
+// proposal's keys changed after its base; [kumquatlug.ErrUnavailable] when nothing
+// took effect; [kumquatlug.ErrLost] when the proposal may have taken effect and the
+// result can't be read back now: send it again with the same id and base.
 func (s *Store) Commit(ctx context.Context, p Proposal) (Change, error) {
 	for _, set := range p.sets {
 		if err := Check(set); err != nil {
@@ -36,33 +36,33 @@
 	return Change{}, op.markOutcome(unavailable(errors.Newf("the head moved %d times in between", s.maxAttempts)))
 }
 
-// commitOp is one run of Commit.
+// commitOp is the state of one call of Commit.
 type commitOp struct {
 	store        *Store
 	proposal     Proposal
 	keys         map[string]bool
 	base         Revision
 	baseResolved bool
-	// inDoubt is the revision that a transaction would have made whose answer
-	// was lost, zero when nothing is in doubt.
+	// inDoubt is the revision of a transaction whose response was lost, zero when
+	// no transaction is in doubt.
 	inDoubt Revision
 }
 
-// markOutcome marks err by what is known: while a transaction is in doubt nothing
-// is claimed about it, whatever failed afterwards.
+// markOutcome marks err as ErrLost while a transaction is in doubt, whatever failed
+// afterwards: the outcome of that transaction is unknown.
 func (op *commitOp) markOutcome(err error) error {
 	if op.inDoubt == 0 {
 		return err
 	}
-	// A fresh error carries only the mark that is true; the cause stays as text.
+	// A new error drops the marks of err, which don't hold here, and keeps its text.
 	lost := errors.Newf("the answer to revision %d was lost and can't be read back: %v", op.inDoubt, err)
 	return errors.Mark(lost, kumquatlug.ErrLost)
 }
 
-// attempt reads the head, settles what is in doubt and sends one transaction.
+// attempt reads the head, resolves a transaction in doubt and sends one transaction.
 func (op *commitOp) attempt(ctx context.Context) (Change, bool, error) {
-	// The head is read before anything else. What is found missing afterwards
-	// can't have been written under an older head any more.
+	// The head is read first: a row that is missing afterwards can no longer be
+	// written by a transaction that requires an older head.
 	head, version, err := op.store.readPointer(ctx, keyHead)
 	if err != nil {
 		return Change{}, false, err
@@ -89,8 +89,8 @@
 	}
 }
 
-// findCommitted finds the change if the proposal was accepted before, by this run or an
-// earlier one, and clears the doubt when it certainly was not.
+// findCommitted returns the change if the proposal was already accepted, by this call
+// or an earlier one. It clears inDoubt when the transaction certainly failed.
 func (op *commitOp) findCommitted(ctx context.Context, head Revision) (Change, bool, error) {
 	row, err := op.store.table.Get(ctx, prefixChange+op.proposal.id)
 	if err != nil {
@@ -101,8 +101,9 @@
 		return change, err == nil, err
 	}
 	if op.inDoubt == 0 || head < op.inDoubt {
-		// With the head unmoved the lost transaction may still arrive. Sending
-		// it again is safe: both demand the same head, so one takes effect.
+		// While the head has not moved, the lost transaction may still arrive.
+		// Sending it again is safe: both require the same head, so at most one takes
+		// effect.
 		return Change{}, false, nil
 	}
 	row, err = op.store.table.Get(ctx, logKey(op.inDoubt))
@@ -120,8 +121,8 @@
 	return Change{}, false, nil
 }
 
-// checkConflicts returns a conflict when a key of the proposal changed after its base.
-// What was changed elsewhere commutes, so the proposal goes on top of it.
+// checkConflicts returns a Conflict when a key of the proposal changed after its base.
+// Changes to other keys commute with the proposal, so it is applied after them.
 func (op *commitOp) checkConflicts(ctx context.Context, head Revision) error {
 	if !op.baseResolved && op.base == 0 {
 		op.base = head
@@ -142,8 +143,8 @@
 	}
 	var conflicting []Change
 	for _, change := range changes {
-		// Changes that came after the head was read are left to the next
-		// attempt: the transaction fails on them.
+		// Changes made after the head was read are left to the next attempt: they
+		// make this transaction fail.
 		if change.revision <= head && change.touches(op.keys) {
 			conflicting = append(conflicting, change)
 		}
@@ -155,9 +156,9 @@
 	return nil
 }
 
-// send writes the change on top of the head at version: the head, the log row
-// and the id's row take effect together or not at all. The head's version is
-// condition enough: whoever made the same change in between moved it too.
+// send commits the change if the head row still has the given version. The head, the
+// log row and the id row are written atomically. The condition on the head alone is
+// sufficient: another send of the same change would have changed its version too.
 func (op *commitOp) send(ctx context.Context, change Change, version int64) error {
 	headValue, err := json.Marshal(pointer{Revision: change.revision, Change: change.id})
 	if err != nil {
--- a/pkg/kumquatlug/config/config.go
+++ b/pkg/kumquatlug/config/config.go
@@ -1,35 +1,37 @@
-// Package config decides which labels, selectors and callers are in force: a
-// key-value state with revisions, the log of changes in the platform's table,
-// and what a node does with what it hears of newer revisions.
+// Package config is the distributed configuration: which labels, selectors and
+// callers are in force. It holds a key-value state with revisions, the log of
+// changes in the platform's table, and the rules by which a node learns of newer
+// revisions and adopts them.
 //
-// The failures that it answers: two operators change labels at the same
-// moment; the table's answer is lost after the write took effect; readers lag,
-// snapshots are older than the head, nodes restart with nothing; the table is
-// out for long stretches. Without it an accepted change could silently undo
-// another, be applied twice, or be reverted on a node that restarted from an
-// old copy, and a target that is leaving would get new work again.
+// It handles these failures: two operators change labels at the same time; the
+// table's response is lost after the write took effect; readers lag, snapshots are
+// older than the head, nodes restart with no state; the table is unavailable for
+// long periods. Without these rules an accepted change could silently undo
+// another, be applied twice, or be reverted on a node that restarted from an old
+// copy, and a target that is leaving would get new work again.
 //
-// A change is one transaction: it compares the head row, writes head+1, one
-// log row and one row under the change's id. The head row makes revisions a
-// single line; the id row makes a change idempotent. A node adopts only higher
-// revisions, so what it holds never goes back.
+// A change is one transaction: it compares the head row and writes head+1, one log
+// row and one row under the change's id. The head row puts the revisions in one
+// linear order; the id row makes a change idempotent. A node adopts only higher
+// revisions, so its state never goes back.
 //
-// Who reads the table: a few readers a data centre, chosen by rendezvous hash
-// over the live nodes, poll the head; everyone else learns revisions from
-// heartbeats and reports and pulls the difference from the peer that spoke. At
-// ten data centres with three readers a second each that is 30 of the table's
+// In each data centre a few readers, chosen by rendezvous hash over the live nodes,
+// poll the head in the table. All other nodes learn revisions from heartbeats and
+// reports and pull the missing changes from the peer that sent them. With ten data
+// centres and three readers each, polling once a second, that is 30 of the table's
 // 2,000 reads a second, whatever the number of nodes.
 //
-// A node that reaches neither the table nor a peer serves on with what it
-// holds. Weighed: refusing work once the head has been unconfirmed for a while.
-// A region of four that is cut off for five minutes would then refuse a quarter
-// of 31,000 requests a second, 2.3 million requests. Serving on risks the
-// changes of these five minutes: 14,000 a day are 49, a quarter of them for
-// rows on the wrong side, and of 770 VMs replaced a day 2.7, so fewer than one
-// target of the cut-off side. That one is not lost either: the agent beside it
-// reads the platform's list by itself, and a target may be taken away only
-// when its agent has reported the revision that says so. [Adopter.Stale] tells
-// operators and the time line which nodes are in that state.
+// A node that reaches neither the table nor a peer continues to serve with its last
+// state. The alternative, refusing work once the head has been unconfirmed for some
+// time, costs more: if one of four regions is cut off for five minutes, it refuses a
+// quarter of 31,000 requests a second, 2.3 million requests. Continuing to serve
+// risks the changes of these five minutes. At 14,000 changes a day these are 49, a
+// quarter of them to rows of the cut-off region; of 770 VMs replaced a day, 2.7 are
+// replaced in that time, so fewer than one target of the cut-off region. Even that
+// target loses nothing: the agent beside it reads the platform's VM list itself, and
+// a target may be removed only after its agent has reported the revision that marks
+// it as leaving. [Adopter.Stale] reports which nodes are cut off, for operators and
+// the timeline.
 package config
 
 import (
@@ -38,10 +40,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Revision counts accepted changes; zero is the empty config before the first.
+// Revision is the number of accepted changes. Zero is the empty config before the
+// first change.
 type Revision int64
 
-// Set puts or removes one key.
+// Set is the write or removal of one key.
 type Set struct {
 	key     string
 	value   []byte
@@ -61,14 +64,14 @@
 // Key returns the key that is written or removed.
 func (s Set) Key() string { return s.key }
 
-// Value returns the bytes to store, nil for a removal; they must not be changed.
+// Value returns the bytes to store, nil for a removal. The caller must not modify
+// them.
 func (s Set) Value() []byte { return s.value }
 
 // Deleted reports whether the key is removed.
 func (s Set) Deleted() bool { return s.deleted }
 
-// Change is one accepted change: all its sets are in force together from its
-// revision on.
+// Change is one accepted change. All its sets take effect together at its revision.
 type Change struct {
 	revision Revision
 	id       string
@@ -76,24 +79,24 @@
 	sets     []Set
 }
 
-// NewChange returns the change that made revision.
+// NewChange returns the change that created revision.
 func NewChange(revision Revision, id, author string, sets []Set) Change {
 	return Change{revision: revision, id: id, author: author, sets: sets}
 }
 
-// Revision returns the revision that the change made.
+// Revision returns the revision that the change created.
 func (c Change) Revision() Revision { return c.revision }
 
-// ID returns the id that its author gave it, the same over all resends.
+// ID returns the id that the author gave the change. It is the same for all resends.
 func (c Change) ID() string { return c.id }
 
 // Author returns the operator who made the change.
 func (c Change) Author() string { return c.author }
 
-// Sets returns the writes and removals; they must not be changed.
+// Sets returns the writes and removals. The caller must not modify the slice.
 func (c Change) Sets() []Set { return c.sets }
 
-// touches reports whether the change writes one of keys.
+// touches reports whether the change writes or removes one of keys.
 func (c Change) touches(keys map[string]bool) bool {
 	for _, s := range c.sets {
 		if keys[s.key] {
@@ -103,7 +106,7 @@
 	return false
 }
 
-// Proposal is a change that an operator asks for.
+// Proposal is a change that an operator requests.
 type Proposal struct {
 	id     string
 	author string
@@ -111,22 +114,23 @@
 	sets   []Set
 }
 
-// ProposalConfig is what a [Proposal] is made of.
+// ProposalConfig holds the parameters of a [Proposal].
 type ProposalConfig struct {
-	// ID is unique to the proposal and the same when it is sent again, so that
-	// a resend through another process is not a second change.
+	// ID is unique to the proposal and the same for all resends, so that a resend
+	// through another process is not a second change.
 	ID string
-	// Author is the operator, shown to whoever meets the change.
+	// Author is the operator, named in conflicts with the change.
 	Author string
-	// Base is the revision that the operator looked at. Zero means whatever
-	// stands when the proposal arrives: nothing can conflict before that, and
-	// a resend is recognised only for as long as the log keeps the first one.
+	// Base is the revision on which the operator based the proposal. Zero means the
+	// head when the proposal arrives: earlier changes can't conflict, and a resend
+	// is recognised only while the log retains the first send.
 	Base Revision
-	// Sets are the writes and removals; they take effect together.
+	// Sets holds the writes and removals. They take effect together.
 	Sets []Set
 }
 
-// NewProposal checks c and returns the proposal.
+// NewProposal validates c and returns the proposal. The id, the author and at least
+// one set are required; keys must be non-empty and unique.
 func NewProposal(c ProposalConfig) (Proposal, error) {
 	if c.ID == "" || c.Author == "" || len(c.Sets) == 0 {
 		return Proposal{}, errors.New("a proposal needs an id, an author and something to set")
@@ -144,13 +148,13 @@
 // ID returns the id of the proposal.
 func (p Proposal) ID() string { return p.id }
 
-// Author returns the operator.
+// Author returns the operator who sent the proposal.
 func (p Proposal) Author() string { return p.author }
 
-// Base returns the revision that the operator looked at.
+// Base returns the revision on which the proposal is based, zero for the head.
 func (p Proposal) Base() Revision { return p.base }
 
-// Sets returns what the operator wants to set.
+// Sets returns the writes and removals.
 func (p Proposal) Sets() []Set { return p.sets }
 
 func (p Proposal) keys() map[string]bool {
@@ -161,8 +165,8 @@
 	return keys
 }
 
-// Conflict says that keys of a proposal were changed after its base. It is
-// marked [kumquatlug.ErrConflict]; nothing of this send took effect.
+// Conflict is the error for a proposal whose keys were changed after its base. It
+// matches [kumquatlug.ErrConflict]. This send of the proposal had no effect.
 type Conflict struct {
 	base      Revision
 	head      Revision
@@ -170,7 +174,7 @@
 	compacted bool
 }
 
-// Error names each change in the way, its author and its revision.
+// Error names each conflicting change with its revision, author and keys.
 func (c *Conflict) Error() string {
 	if c.compacted {
 		return errors.Newf("revision %d is too old to compare with %d: look again", c.base, c.head).Error()
@@ -186,20 +190,20 @@
 	return text
 }
 
-// Is reports that a conflict is marked [kumquatlug.ErrConflict].
+// Is reports whether target is [kumquatlug.ErrConflict].
 func (c *Conflict) Is(target error) bool { return target == kumquatlug.ErrConflict }
 
-// Base returns the revision that the operator looked at.
+// Base returns the revision on which the proposal is based.
 func (c *Conflict) Base() Revision { return c.base }
 
-// Head returns the revision in force when the proposal arrived.
+// Head returns the head revision with which the proposal was compared.
 func (c *Conflict) Head() Revision { return c.head }
 
-// Changes returns what was changed since, in order: only changes that share a
-// key with the proposal. It is empty when the log no longer reaches back.
+// Changes returns the changes after the base that share a key with the proposal, in
+// revision order. It is empty when the log no longer reaches back to the base.
 func (c *Conflict) Changes() []Change { return c.changes }
 
-// Compacted reports that the base is older than the log that is kept. Whether
-// an earlier send of the same proposal took effect is then not known either;
-// without it a conflict says that none did.
+// Compacted reports whether the base is older than the retained log. If so, it is
+// unknown whether an earlier send of the same proposal took effect; otherwise a
+// conflict means that none did.
 func (c *Conflict) Compacted() bool { return c.compacted }
--- a/pkg/kumquatlug/config/fake_test.go
+++ b/pkg/kumquatlug/config/fake_test.go
@@ -10,8 +10,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// fakeTable is a table in memory. Before each call it asks trouble what is to
-// go wrong; without it nothing does.
+// fakeTable is an in-memory table. nextFault selects the fault of each call; with a nil
+// nextFault no call fails.
 type fakeTable struct {
 	rows      map[string]kumquatlug.Row
 	version   int64
@@ -20,18 +20,19 @@
 	onApply   func(kumquatlug.Tx)
 }
 
-// fault is what goes wrong with one call.
+// fault is the kind of failure that is injected into one call.
 type fault string
 
 const (
 	faultNone fault = ""
-	// faultUnavailable: nothing takes effect and the writer learns so.
+	// faultUnavailable: the call has no effect and the caller gets ErrUnavailable.
 	faultUnavailable fault = "out"
-	// faultAnswerLost: the call takes effect, its answer does not arrive.
+	// faultAnswerLost: the call takes effect, but its response is lost.
 	faultAnswerLost fault = "lost"
-	// faultRequestLost: the call does not arrive, and the writer can't tell.
+	// faultRequestLost: the call is lost, which the caller can't distinguish from a
+	// lost response.
 	faultRequestLost fault = "dropped"
-	// faultRequestDelayed: the writer gives up, and the call arrives afterwards.
+	// faultRequestDelayed: the caller gives up, and the call arrives afterwards.
 	faultRequestDelayed fault = "late"
 )
 
@@ -48,14 +49,14 @@
 
 func (f *fakeTable) Get(_ context.Context, key string) (kumquatlug.Row, error) {
 	if t := f.drawFault(); t == faultUnavailable || t == faultAnswerLost {
-		return kumquatlug.Row{}, errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
+		return kumquatlug.Row{}, errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
 	}
 	return f.rows[key], nil
 }
 
 func (f *fakeTable) Scan(_ context.Context, prefix, after string, limit int) ([]kumquatlug.Row, error) {
 	if t := f.drawFault(); t == faultUnavailable || t == faultAnswerLost {
-		return nil, errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
+		return nil, errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
 	}
 	var rows []kumquatlug.Row
 	for key, row := range f.rows {
@@ -68,10 +69,10 @@
 }
 
 func (f *fakeTable) Commit(_ context.Context, tx kumquatlug.Tx) error {
-	lost := errors.Mark(errors.New("no answer"), kumquatlug.ErrLost)
+	lost := errors.Mark(errors.New("response lost"), kumquatlug.ErrLost)
 	switch f.drawFault() {
 	case faultUnavailable:
-		return errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
+		return errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
 	case faultRequestLost:
 		return lost
 	case faultRequestDelayed:
@@ -84,7 +85,7 @@
 	return f.apply(tx)
 }
 
-// deliverDelayed lets the oldest late transaction reach the table.
+// deliverDelayed applies the oldest delayed transaction to the table.
 func (f *fakeTable) deliverDelayed() {
 	if len(f.delayed) > 0 {
 		tx := f.delayed[0]
@@ -96,7 +97,7 @@
 func (f *fakeTable) apply(tx kumquatlug.Tx) error {
 	for _, c := range tx.Conditions() {
 		if f.rows[c.Key()].Version() != c.Version() {
-			return errors.Mark(errors.New("another write came first"), kumquatlug.ErrConflict)
+			return errors.Mark(errors.New("row version mismatch"), kumquatlug.ErrConflict)
 		}
 	}
 	for _, w := range tx.Writes() {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// fakeObjects is an object store in memory that fails with the table's trouble.
+// fakeObjects is an in-memory object store that fails with the faults of its table.
 type fakeObjects struct {
 	table  *fakeTable
 	bodies map[string][]byte
@@ -121,7 +122,7 @@
 
 func (f *fakeObjects) Put(_ context.Context, name string, body []byte) error {
 	if f.table.drawFault() == faultUnavailable {
-		return errors.Mark(errors.New("store out"), kumquatlug.ErrUnavailable)
+		return errors.Mark(errors.New("object store unavailable"), kumquatlug.ErrUnavailable)
 	}
 	f.bodies[name] = body
 	return nil
@@ -129,7 +130,7 @@
 
 func (f *fakeObjects) Fetch(_ context.Context, name string) ([]byte, error) {
 	if f.table.drawFault() != faultNone {
-		return nil, errors.Mark(errors.New("store out"), kumquatlug.ErrUnavailable)
+		return nil, errors.Mark(errors.New("object store unavailable"), kumquatlug.ErrUnavailable)
 	}
 	body, ok := f.bodies[name]
 	if !ok {
--- a/pkg/kumquatlug/config/proof_test.go
+++ b/pkg/kumquatlug/config/proof_test.go
@@ -15,8 +15,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// step is one step of a proof: what happens, to whom, and the seed of what
-// goes wrong meanwhile.
+// step is one step of a run: its kind, the node or operator that acts, a choice that
+// varies the step, and the seed of the faults during it.
 type step struct {
 	proof.Step
 	kind   string
@@ -25,11 +25,11 @@
 	seed   uint64
 }
 
-// stepKinds lists each kind of step as often as it is to come up among the others.
+// stepKinds lists the kinds of steps. Repetitions are weights.
 var stepKinds = []string{
-	"propose", "propose", "propose", "propose", "resend", "resend", "snapshot", "snapshot", "arrive",
-	"restart", "restart", "poll", "poll", "hear", "hear", "hear", "pull", "pull", "pull", "deliver", "deliver",
-	"wait", "wait", "heal",
+	"propose", "propose", "propose", "propose", "resend", "resend", "snapshot", "snapshot", "deliver-delayed",
+	"restart", "restart", "poll", "poll", "report-head", "report-head", "report-head", "pull", "pull", "pull", "deliver", "deliver",
+	"wait", "wait", "recover",
 }
 
 func genStep() gopter.Gen {
@@ -43,14 +43,14 @@
 func (s step) Run(sut commands.SystemUnderTest) commands.Result { return sut.(*simulation).run(s) }
 func (s step) String() string                                   { return fmt.Sprintf("%s(%d,%d,%d)", s.kind, s.actor, s.choice, s.seed) }
 
-// Two operators change labels while the table is out, loses answers and lets
-// writes arrive late; nodes restart, lag, hear old revisions and are handed old
-// states. An operator would notice an accepted change that is undone or made
-// twice, a refusal whose change comes into force after all, or a node that goes
-// back to older labels and sends work to a target that is leaving.
+// Two operators change labels while the table is unavailable, loses responses and
+// applies writes late; nodes restart, lag, and receive old revisions and old states.
+// The test guards against an accepted change that is undone or applied twice, a
+// refused change that takes effect later, and a node that returns to older labels
+// and sends work to a target that is leaving.
 func TestProofChangesNeverRevert(t *testing.T) {
 	proof.Run(t, proof.Config{
-		Claim: "accepted changes stay, once and everywhere",
+		Claim: "accepted changes are applied once and never reverted",
 		Seed:  1, Runs: 200, Steps: 60,
 		Command: genStep(),
 		World:   func() commands.SystemUnderTest { return newSimulation() },
@@ -62,23 +62,24 @@
 	simulatedKeys  = 4
 )
 
-// simulatedNode is one process that holds the config; highest is what it held at most
-// in this life.
+// simulatedNode is a process that holds the config. maxRevision is the highest revision
+// that it has held since its start.
 type simulatedNode struct {
 	name        string
 	adopter     *Adopter
 	maxRevision Revision
 }
 
-// pullResponse is an answer to a pull on its way: changes, or a whole state.
+// pullResponse is a response to a pull in flight: changes, or a whole state.
 type pullResponse struct {
 	to      int
 	changes []Change
 	state   *State
 }
 
-// simulation is the modules over fakes, with the oracle beside them: states holds
-// what the table's transactions made of the config, revision by revision.
+// simulation runs the store and the adopters over fakes and checks them against an
+// oracle: states holds the state at each revision, as made by the transactions that the
+// table applied. revisionByID and outcomes are keyed by the change's id.
 type simulation struct {
 	table        *fakeTable
 	store        *Store
@@ -130,7 +131,7 @@
 	}
 }
 
-// recordTx is the oracle's own view: it keeps each change that the table took.
+// recordTx updates the oracle with each change that the table applied.
 func (sim *simulation) recordTx(tx kumquatlug.Tx) {
 	for _, write := range tx.Writes() {
 		if write.Deleted() || len(write.Key()) < len(prefixLog) || write.Key()[:len(prefixLog)] != prefixLog {
@@ -138,19 +139,19 @@
 		}
 		change, err := DecodeChange(write.Value())
 		if err != nil {
-			sim.fail("the log holds %q: %v", write.Value(), err)
+			sim.fail("undecodable log row %q: %v", write.Value(), err)
 			return
 		}
 		next, err := sim.states[len(sim.states)-1].Apply(change)
 		if err != nil {
-			sim.fail("the log goes on with %d after %d", change.Revision(), len(sim.changes))
+			sim.fail("log revision %d follows revision %d", change.Revision(), len(sim.changes))
 			return
 		}
 		if revision, duplicate := sim.revisionByID[change.ID()]; duplicate {
-			sim.fail("change %s made revision %d and %d", change.ID(), revision, change.Revision())
+			sim.fail("change %s was committed twice, as revisions %d and %d", change.ID(), revision, change.Revision())
 		}
 		if sim.outcomes[change.ID()] == "refused" {
-			sim.fail("change %s was refused and made revision %d", change.ID(), change.Revision())
+			sim.fail("refused change %s was committed as revision %d", change.ID(), change.Revision())
 		}
 		sim.revisionByID[change.ID()] = change.Revision()
 		sim.states = append(sim.states, next)
@@ -168,11 +169,11 @@
 		if len(sim.proposals) > 0 {
 			sim.commit(sim.proposals[s.choice%len(sim.proposals)])
 		}
-	case "arrive":
+	case "deliver-delayed":
 		sim.table.deliverDelayed()
 	case "wait":
 		sim.now += kumquatlug.Millis(s.choice) * 50
-	case "heal":
+	case "recover":
 		sim.checkConvergence(s)
 	default:
 		sim.runNodeStep(s, s.actor%simulatedNodes)
@@ -193,14 +194,14 @@
 		sim.restart(i)
 	case "poll":
 		sim.poll(n)
-	case "hear":
+	case "report-head":
 		other := sim.nodes[s.choice%simulatedNodes]
 		n.adopter.Learned(sim.now, Report{Peer: other.name, Revision: other.adopter.Holds().Revision(), Age: other.adopter.Age(sim.now)})
 	case "pull":
 		sim.pull(i, s.choice%3 == 0)
 	case "deliver":
 		if len(sim.inFlight) > 0 {
-			// Parcels overtake one another, and some come twice.
+			// Responses are reordered, misdirected or delivered twice.
 			k := s.choice % len(sim.inFlight)
 			p := sim.inFlight[k]
 			if s.actor%7 == 0 {
@@ -214,8 +215,8 @@
 	}
 }
 
-// snapshot stores what a node holds, or what it held long ago when it was
-// paused right before it wrote.
+// snapshot stores the state of a node, or an old state of any node, as after a pause
+// right before the write.
 func (sim *simulation) snapshot(n *simulatedNode, s step) {
 	sim.pastStates = append(sim.pastStates, n.adopter.Holds())
 	state := sim.pastStates[len(sim.pastStates)-1]
@@ -253,8 +254,8 @@
 	return names
 }
 
-// pull asks as the adopter says and puts the answer on its way; now hands it
-// over at once.
+// pull sends the adopter's next pull. The response is delivered at once if immediate is
+// set, else it stays in flight.
 func (sim *simulation) pull(i int, immediate bool) {
 	n := sim.nodes[i]
 	pull, ok := n.adopter.Pull(sim.now)
@@ -306,22 +307,22 @@
 	}
 }
 
-// checkNodes holds every node against the oracle.
+// checkNodes compares every node with the oracle.
 func (sim *simulation) checkNodes() {
 	for _, n := range sim.nodes {
 		holds := n.adopter.Holds()
 		if holds.Revision() < n.maxRevision {
-			sim.fail("%s went back from revision %d to %d", n.name, n.maxRevision, holds.Revision())
+			sim.fail("%s reverted from revision %d to %d", n.name, n.maxRevision, holds.Revision())
 		}
 		n.maxRevision = holds.Revision()
 		if int(n.maxRevision) >= len(sim.states) || !holds.Equal(sim.states[n.maxRevision]) {
-			sim.fail("%s holds something else than revision %d", n.name, n.maxRevision)
+			sim.fail("%s holds a state that differs from the committed revision %d", n.name, n.maxRevision)
 		}
 	}
 }
 
-// chooseIsolated picks a node that loses its peers but reaches the table, if another one
-// reaches it too.
+// chooseIsolated returns the index of a node that loses its peers but reaches the table.
+// It returns -1 if that node or all others are cut off from the table.
 func (sim *simulation) chooseIsolated(cutOff, actor int) int {
 	if reachable := simulatedNodes - bits.OnesCount(uint(cutOff)); reachable < 2 || (cutOff>>(actor%simulatedNodes))&1 == 1 {
 		return -1
@@ -329,13 +330,13 @@
 	return actor % simulatedNodes
 }
 
-// checkConvergence ends all trouble except that some nodes, which may be the chosen
-// readers, stay cut off from the table, and one of the others from its peers.
-// Within 16 s every node holds the head.
+// checkConvergence ends all faults, except that some nodes, possibly the chosen readers,
+// stay cut off from the table and one other node from its peers. It fails unless every
+// node holds the head within 16 s.
 func (sim *simulation) checkConvergence(s step) {
 	sim.table.nextFault = nil
 	if state, err := sim.store.Load(context.Background()); err != nil || int(state.Revision()) != len(sim.changes) {
-		sim.fail("no node could start: loaded %d of %d: %v", state.Revision(), len(sim.changes), err)
+		sim.fail("load after recovery: got revision %d, want %d: %v", state.Revision(), len(sim.changes), err)
 	}
 	cutOff := s.choice % (1<<simulatedNodes - 1)
 	sim.isolated = sim.chooseIsolated(cutOff, s.actor)
@@ -360,7 +361,7 @@
 	}
 	for _, n := range sim.nodes {
 		if int(n.adopter.Holds().Revision()) != len(sim.changes) {
-			sim.fail("%s holds %d, the head is %d, 16 s after the trouble ended", n.name, n.adopter.Holds().Revision(), len(sim.changes))
+			sim.fail("%s holds revision %d 16 s after the faults ended, want the head %d", n.name, n.adopter.Holds().Revision(), len(sim.changes))
 		}
 	}
 }
--- a/pkg/kumquatlug/config/rows.go
+++ b/pkg/kumquatlug/config/rows.go
@@ -10,24 +10,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// Prefixes of the keys, each followed by a name.
+// Key prefixes, each followed by a name.
 const (
-	// PrefixTarget is followed by a target's name; the value is its labels.
+	// PrefixTarget is followed by a target's name; the value is its
+	// [selector.Labels].
 	PrefixTarget = "target/"
 	// PrefixSelector is followed by a selector's name; the value is a
 	// [selector.Config].
 	PrefixSelector = "selector/"
-	// PrefixCaller is followed by an account; the value is a
+	// PrefixCaller is followed by the name of a client account; the value is a
 	// [kumquatlug.CallerConfig].
 	PrefixCaller = "caller/"
 )
 
-// SetLabels returns the write of a target's labels.
+// SetLabels returns the set that writes a target's labels.
 func SetLabels(target string, labels selector.Labels) (Set, error) {
 	return newJSONSet(PrefixTarget+target, labels)
 }
 
-// SetSelector checks c and returns its write.
+// SetSelector validates c and returns the set that writes the selector.
 func SetSelector(c selector.Config) (Set, error) {
 	if _, err := selector.New(c); err != nil {
 		return Set{}, err
@@ -43,8 +44,8 @@
 	return NewSet(key, encoded), nil
 }
 
-// Check reports a set that no node could read, so that it is refused before it
-// is in force.
+// Check returns an error if nodes could not decode the set, so that it is rejected
+// before it is in force.
 func Check(s Set) error {
 	if s.deleted {
 		return nil
@@ -63,7 +64,7 @@
 	return errors.Wrapf(err, "key %q", s.key)
 }
 
-// SetCaller checks c and returns the write of the account.
+// SetCaller validates c and returns the set that writes the client account.
 func SetCaller(c kumquatlug.CallerConfig) (Set, error) {
 	if _, err := kumquatlug.NewCaller(c); err != nil {
 		return Set{}, err
@@ -71,7 +72,7 @@
 	return newJSONSet(PrefixCaller+c.Name, c)
 }
 
-// Labels returns the labels of one target, none when it has no row.
+// Labels returns the labels of a target, empty when it has no row.
 func Labels(s State, target string) (selector.Labels, error) {
 	labels := selector.Labels{}
 	value, ok := s.Get(PrefixTarget + target)
@@ -82,8 +83,8 @@
 	return labels, errors.Wrapf(err, "labels of %s", target)
 }
 
-// Selectors returns all selectors in name order. A row that can't be read is
-// left out and named in the error; the others are returned beside it.
+// Selectors returns all selectors in name order. A row that can't be decoded is left out
+// and named in the error; the others are returned together with the error.
 func Selectors(s State) ([]selector.Selector, error) {
 	var selectors []selector.Selector
 	var decodeErr error
@@ -99,18 +100,18 @@
 	return selectors, decodeErr
 }
 
-// unavailable marks err as one after which nothing took effect.
+// unavailable marks err with ErrUnavailable: nothing took effect.
 func unavailable(err error) error {
 	return errors.Mark(err, kumquatlug.ErrUnavailable)
 }
 
-// LabelGroup is the label by which an operator puts an engine into a group of
-// its own; engines without it are grouped by what they do.
+// LabelGroup is the label by which an operator assigns an engine to a named group.
+// Engines without it are grouped by their kind of work.
 const LabelGroup = "group"
 
-// GroupAmong returns the group whose lease holder gives a target with these
-// labels its orders: the one that its label names, or the first kind of engine
-// work that a selector gives it. It is empty for a target that takes none.
+// GroupAmong returns the group whose lease holder sends orders to a target with these
+// labels: the group in its label, or else the first kind of engine work for which a
+// selector matches. It is empty for a target that no such selector matches.
 func GroupAmong(selectors []selector.Selector, labels selector.Labels) string {
 	if group := labels[LabelGroup]; group != "" {
 		return group
--- a/pkg/kumquatlug/config/spread_test.go
+++ b/pkg/kumquatlug/config/spread_test.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// dataCentre is one data centre in which every node speaks with three others each
-// second, and both tell what they hold; those that lag pull from the other.
+// dataCentre simulates a data centre. Each second, every node exchanges reports with
+// three others, and nodes that lag pull from them.
 type dataCentre struct {
 	store      *Store
 	nodes      []*Adopter
@@ -30,7 +30,7 @@
 	return dc
 }
 
-// tick plays one tenth of a second: a tenth of the nodes speak in it.
+// tick simulates one tenth of a second, in which a tenth of the nodes exchange reports.
 func (dc *dataCentre) tick(now kumquatlug.Millis) {
 	for i, n := range dc.nodes {
 		if n.Poll(now, dc.names) {
@@ -70,7 +70,8 @@
 	}
 }
 
-// propagationTime returns how long it takes from now until all nodes hold revision.
+// propagationTime returns the time in milliseconds from now until all nodes hold
+// revision. It stops after a minute.
 func (dc *dataCentre) propagationTime(now kumquatlug.Millis, revision Revision) kumquatlug.Millis {
 	for at := now; ; at += 100 {
 		dc.tick(at)
@@ -86,9 +87,9 @@
 	}
 }
 
-// An operator marks a target as leaving while everything works, and once more
-// while the three nodes that read the table are all cut off from it. Calls that
-// are sent to the target after the 16 s that were promised may be cut.
+// An operator marks a target as leaving, first without faults and then while the three
+// reader nodes are cut off from the table. Calls that are sent to the target after the
+// guaranteed 16 s may be cut off.
 func TestChangePropagatesWithinSeconds(t *testing.T) {
 	for _, size := range []int{15, 300, 1230} {
 		dc := newDataCentre(size, rand.New(rand.NewSource(1)))
@@ -109,13 +110,13 @@
 		t.Logf("%d nodes: %d reads in 10 s; in force after %d ms, with %d readers cut off after %d ms",
 			size, reads, normalMs, len(dc.cutOff), cutOffMs)
 		if normalMs > 8*kumquatlug.Second || cutOffMs > 16*kumquatlug.Second {
-			t.Errorf("%d nodes: in force after %d ms, with readers cut off %d ms", size, normalMs, cutOffMs)
+			t.Errorf("%d nodes: in force after %d ms, with readers cut off after %d ms", size, normalMs, cutOffMs)
 		}
 	}
 }
 
-// The three nodes that read the table are lost with their rack. Were no other
-// to read it, every change would wait until somebody noticed.
+// A rack failure takes out all three readers. Unless other nodes read the table, no
+// change takes effect until an operator intervenes.
 func TestProofReadersDouble(t *testing.T) {
 	dc := newDataCentre(100, rand.New(rand.NewSource(1)))
 	cases := map[kumquatlug.Millis]int{0: 3, 2000: 3, 2001: 6, 4001: 12, 6001: 24, 8001: 32, kumquatlug.Hour: 32}
@@ -132,8 +133,8 @@
 	}
 }
 
-// The table is out for minutes, and every node notices. Were all of them to ask
-// each second, the table would be held down by them when it comes back.
+// The table is unavailable for minutes and every node falls back to reading it. If all
+// read once a second, their load would keep the table down when it recovers.
 func TestOutageCausesNoThunderingHerd(t *testing.T) {
 	dc := newDataCentre(300, rand.New(rand.NewSource(1)))
 	maxPerSecond, previous := 0, 0
@@ -149,7 +150,7 @@
 	}
 	t.Logf("300 nodes: %d reads in three minutes, at most %d in a second", dc.reads, maxPerSecond)
 	if maxPerSecond > 80 {
-		t.Errorf("%d reads in a second, want at most 30 of the many and 32 of the readers, and some spread", maxPerSecond)
+		t.Errorf("%d reads in a second, want at most 80: 30 by fallback readers, 32 by readers and a margin", maxPerSecond)
 	}
 }
 
--- a/pkg/kumquatlug/config/state.go
+++ b/pkg/kumquatlug/config/state.go
@@ -11,9 +11,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxChunkRows bounds the rows that one change copies. A change copies one chunk
-// and the list of chunks. Chunks are half full when keys come in order, so that
-// 10,000 rows make 156 of them; BenchmarkApply is slower there with smaller ones.
+// maxChunkRows is the maximum number of rows of a chunk. A change copies one chunk and
+// the list of chunks. Chunks are half full when keys are inserted in order, so that
+// 10,000 rows make 156 chunks; BenchmarkApply is slower there with smaller chunks.
 const maxChunkRows = 128
 
 // entry is one row of the state.
@@ -22,16 +22,16 @@
 	value []byte
 }
 
-// State is the config at one revision. It is an immutable value: copying it is
-// free, and Apply returns a new one that shares all but one chunk a key.
+// State is the config at one revision. It is immutable: copying it is cheap, and Apply
+// returns a new state that shares all chunks but one for each changed key.
 type State struct {
 	revision Revision
 	rows     int
 	chunks   [][]entry
 }
 
-// NewState returns the whole state at revision, as a peer or a snapshot gives
-// it. Removals in sets are ignored.
+// NewState returns the whole state at revision, from the sets of a peer or a snapshot.
+// It ignores removals.
 func NewState(revision Revision, sets []Set) State {
 	s := State{}
 	for _, set := range sets {
@@ -49,7 +49,8 @@
 // Len returns the number of keys.
 func (s State) Len() int { return s.rows }
 
-// Get returns the value at key; it must not be changed.
+// Get returns the value at key and whether the key exists. The caller must not modify
+// the value.
 func (s State) Get(key string) ([]byte, bool) {
 	chunk, row, ok := s.find(key)
 	if !ok {
@@ -58,8 +59,7 @@
 	return s.chunks[chunk][row].value, true
 }
 
-// Range calls visit for each key with prefix, in key order, until it returns
-// false.
+// Range calls visit for each key with prefix, in key order, until visit returns false.
 func (s State) Range(prefix string, visit func(key string, value []byte) bool) {
 	if len(s.chunks) == 0 {
 		return
@@ -74,7 +74,8 @@
 	}
 }
 
-// Apply returns the state after change, which must be the next revision.
+// Apply returns the state after change. It returns an error unless change is the next
+// revision.
 func (s State) Apply(change Change) (State, error) {
 	if change.revision != s.revision+1 {
 		return s, errors.Newf("revision %d can't follow revision %d", change.revision, s.revision)
@@ -90,7 +91,8 @@
 	return s, nil
 }
 
-// find returns where key is or would be put. Without any chunk it returns zeros.
+// find returns the chunk and row at which key is or would be inserted, and whether it
+// exists. It returns zeros when the state has no chunks.
 func (s State) find(key string) (chunk, row int, ok bool) {
 	if len(s.chunks) == 0 {
 		return 0, 0, false
@@ -102,6 +104,7 @@
 	return chunk, row, row < len(rows) && rows[row].key == key
 }
 
+// with returns the state with the key of set written.
 func (s State) with(set Set) State {
 	e := entry{key: set.key, value: set.value}
 	if len(s.chunks) == 0 {
@@ -123,6 +126,7 @@
 	return s.replaceChunk(chunk, s.rows+1, inserted[:half:half], inserted[half:])
 }
 
+// without returns the state with key removed.
 func (s State) without(key string) State {
 	chunk, row, ok := s.find(key)
 	if !ok {
@@ -137,15 +141,16 @@
 	return s.replaceChunk(chunk, s.rows-1, remaining)
 }
 
-// replaceChunk returns the state with the chunk at i replaced by parts, none of
-// which is empty. The old list of chunks is copied, never written.
+// replaceChunk returns the state with the given number of rows and the chunk at i
+// replaced by parts, none of which may be empty. It copies the list of chunks and never
+// writes to the old one.
 func (s State) replaceChunk(i, rows int, parts ...[]entry) State {
 	chunks := make([][]entry, 0, len(s.chunks)+1)
 	chunks = append(append(append(chunks, s.chunks[:i]...), parts...), s.chunks[i+1:]...)
 	return State{revision: s.revision, rows: rows, chunks: chunks}
 }
 
-// Sets returns the whole state as sets in key order, as a peer sends it.
+// Sets returns the whole state as sets in key order, the form in which peers send it.
 func (s State) Sets() []Set {
 	sets := make([]Set, 0, s.rows)
 	s.Range("", func(key string, value []byte) bool {
@@ -155,7 +160,7 @@
 	return sets
 }
 
-// Equal reports whether both hold the same revision and rows.
+// Equal reports whether both states have the same revision and rows.
 func (s State) Equal(o State) bool {
 	if s.revision != o.revision || s.rows != o.rows {
 		return false
@@ -181,14 +186,14 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Encode returns the state as JSON, the same bytes for equal states.
+// Encode returns the state as JSON. Equal states have the same encoding.
 func (s State) Encode() ([]byte, error) {
 	body := storedState{Revision: s.revision, Rows: storedRows(s.Sets())}
 	encoded, err := json.Marshal(body)
 	return encoded, errors.Wrap(err, "encode the config")
 }
 
-// DecodeState reads what [State.Encode] wrote.
+// DecodeState decodes the JSON of [State.Encode].
 func DecodeState(encoded []byte) (State, error) {
 	var body storedState
 	if err := json.Unmarshal(encoded, &body); err != nil {
@@ -197,7 +202,7 @@
 	return NewState(body.Revision, setsFromRows(body.Rows)), nil
 }
 
-// storedChange is the JSON form of a change, one row of the log.
+// storedChange is the JSON form of a change, the value of a log row and of an id row.
 type storedChange struct {
 	Revision Revision    `json:"revision"`
 	ID       string      `json:"id"`
@@ -212,7 +217,7 @@
 	return encoded, errors.Wrap(err, "encode a config change")
 }
 
-// DecodeChange reads what [Change.Encode] wrote.
+// DecodeChange decodes the JSON of [Change.Encode].
 func DecodeChange(encoded []byte) (Change, error) {
 	var body storedChange
 	if err := json.Unmarshal(encoded, &body); err != nil {
@@ -237,7 +242,7 @@
 	return sets
 }
 
-// notFoundf marks err as about something that is no longer there.
+// notFoundf returns an error marked with ErrNotFound.
 func notFoundf(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), kumquatlug.ErrNotFound)
 }
--- a/pkg/kumquatlug/config/state_test.go
+++ b/pkg/kumquatlug/config/state_test.go
@@ -12,9 +12,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// A state is compared with a map through 3,000 changes, and each tenth is kept
-// and looked at again at the end: were rows shared with a later change, a node
-// that still answers under an older revision would answer by half a change.
+// A state is compared with a map after 3,000 changes, and every tenth state is compared
+// with its encoding at the end. If Apply modified rows that an older state shares, a node
+// that still uses the older revision would see part of a change.
 func TestStateEqualsMap(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
 	state, want := State{}, map[string]string{}
@@ -54,7 +54,7 @@
 		text, _ := s.Encode()
 		decoded, err := DecodeState(text)
 		if err != nil || string(text) != encoded[i] || !decoded.Equal(s) {
-			t.Fatalf("revision %d changed after it was made: %v", s.Revision(), err)
+			t.Fatalf("revision %d changed after it was created: %v", s.Revision(), err)
 		}
 	}
 }
@@ -83,26 +83,26 @@
 		NewSet("caller/a", []byte("[]")), NewSet("other/a", []byte("{}")),
 	} {
 		if Check(s) == nil {
-			t.Errorf("%s = %s was accepted", s.Key(), s.Value())
+			t.Errorf("Check accepted %s = %s", s.Key(), s.Value())
 		}
 	}
 }
 
-// An account is written that entries can't read: it has no name, no hash, or a
-// figure of the wrong kind. The write is accepted and in force, entries pass the
-// row over, and the caller's key is refused without a word of why.
+// An account is written that entries can't decode: it has no name, no hash, or a number
+// of the wrong type. If Check accepted the write, entries would skip the row and reject
+// the caller's key without a reason.
 func TestCheckRejectsInvalidCallers(t *testing.T) {
 	hash := kumquatlug.HashKey("k")
 	cases := map[string]struct {
 		value string
 		want  bool
 	}{
-		"whole":            {`{"name":"a","key_hash":"` + hash + `","weight":2}`, true},
-		"no name":          {`{"key_hash":"` + hash + `"}`, false},
-		"no hash":          {`{"name":"a"}`, false},
-		"short hash":       {`{"name":"a","key_hash":"00"}`, false},
-		"part of a weight": {`{"name":"a","key_hash":"` + hash + `","weight":1.5}`, false},
-		"negative bound":   {`{"name":"a","key_hash":"` + hash + `","concurrency":-1}`, false},
+		"valid":             {`{"name":"a","key_hash":"` + hash + `","weight":2}`, true},
+		"no name":           {`{"key_hash":"` + hash + `"}`, false},
+		"no hash":           {`{"name":"a"}`, false},
+		"short hash":        {`{"name":"a","key_hash":"00"}`, false},
+		"fractional weight": {`{"name":"a","key_hash":"` + hash + `","weight":1.5}`, false},
+		"negative limit":    {`{"name":"a","key_hash":"` + hash + `","concurrency":-1}`, false},
 	}
 	for name, c := range cases {
 		if err := Check(NewSet(PrefixCaller+"a", []byte(c.value))); (err == nil) != c.want {
--- a/pkg/kumquatlug/config/steps_test.go
+++ b/pkg/kumquatlug/config/steps_test.go
@@ -10,7 +10,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// drawFault decides what goes wrong with a call, and lets others act in between.
+// drawFault selects the fault of a call and may interleave an action of another process
+// before it.
 func (sim *simulation) drawFault() fault {
 	if sim.nested == 0 {
 		sim.nested++
@@ -41,8 +42,8 @@
 	return faultNone
 }
 
-// commitBurst is a pause of whoever calls: others make more changes than the log
-// keeps, and the log is trimmed.
+// commitBurst simulates a pause of the caller, during which others make more changes
+// than the log retains and the log is trimmed.
 func (sim *simulation) commitBurst() {
 	nextFault := sim.table.nextFault
 	sim.table.nextFault = nil
@@ -53,7 +54,7 @@
 	sim.table.nextFault = nextFault
 }
 
-// propose makes a proposal by what one node holds, which may be old.
+// propose makes a proposal based on the state of one node, which may be old.
 func (sim *simulation) propose(s step) {
 	base := sim.nodes[s.actor%simulatedNodes].adopter.Holds().Revision()
 	if len(sim.changes) > 0 {
@@ -62,7 +63,7 @@
 	sim.proposeKeys(s.actor%2, base, s.choice)
 }
 
-// proposeKeys proposes to set the keys whose bits are in choice.
+// proposeKeys proposes to set the keys whose bits are set in choice.
 func (sim *simulation) proposeKeys(operator int, base Revision, choice int) {
 	id := fmt.Sprintf("change-%d", len(sim.proposals))
 	var sets []Set
@@ -82,16 +83,16 @@
 	sim.commit(p)
 }
 
-// commit sends a proposal and holds the answer against the table. An answer
-// speaks for its own send only: after one send was lost, a later one that fails
-// for want of the table says nothing of the first.
+// commit sends a proposal and checks the result against the table. A result applies to
+// its own send only: if the response to one send was lost, a later send that fails with
+// ErrUnavailable doesn't tell the outcome of the first.
 func (sim *simulation) commit(p Proposal) {
 	previous := sim.outcomes[p.ID()]
 	if sim.revisionByID[p.ID()] != 0 && p.Base() == 0 {
-		// Without a base a resend is known only for as long as the log keeps it.
+		// Without a base, a resend is recognised only while the log retains the change.
 		return
 	}
-	// The same proposal may be on its way through another entry meanwhile.
+	// The same proposal may be in progress through another process.
 	exclusive := !sim.committing[p.ID()]
 	if exclusive {
 		sim.outcomes[p.ID()] = ""
@@ -106,21 +107,21 @@
 	case errors.Is(err, kumquatlug.ErrLost):
 		sim.outcomes[p.ID()] = "lost"
 	case errors.As(err, &conflict) && !conflict.Compacted():
-		sim.recordRejected(p, err)
+		sim.recordRefused(p, err)
 		sim.checkConflict(p, conflict)
 	case previous == "lost" || previous == "accepted":
 		sim.outcomes[p.ID()] = previous
 	case conflict == nil && !errors.Is(err, kumquatlug.ErrUnavailable):
 		sim.fail("change %s: %v", p.ID(), err)
 	case exclusive && sim.outcomes[p.ID()] == "":
-		sim.recordRejected(p, err)
+		sim.recordRefused(p, err)
 	}
 }
 
 func (sim *simulation) checkAccepted(p Proposal, change Change) {
 	revision, found := sim.revisionByID[p.ID()]
 	if !found || revision != change.Revision() || !reflect.DeepEqual(sim.changes[revision-1], change) {
-		sim.fail("change %s was accepted as %d, the table has %d", p.ID(), change.Revision(), revision)
+		sim.fail("change %s was accepted as revision %d, the table has %d", p.ID(), change.Revision(), revision)
 		return
 	}
 	sim.outcomes[p.ID()] = "accepted"
@@ -129,12 +130,12 @@
 	}
 	for _, other := range sim.changes[p.Base() : revision-1] {
 		if shareKey(other.Sets(), p.Sets()) {
-			sim.fail("change %s at %d undid %s at %d, unseen at %d", p.ID(), revision, other.ID(), other.Revision(), p.Base())
+			sim.fail("change %s at revision %d overwrote change %s at %d, which is newer than its base %d", p.ID(), revision, other.ID(), other.Revision(), p.Base())
 		}
 	}
 }
 
-// shareKey is the oracle's own look at what conflicts.
+// shareKey reports whether two changes conflict, independently of the code under test.
 func shareKey(a, b []Set) bool {
 	for _, x := range a {
 		for _, y := range b {
@@ -146,23 +147,23 @@
 	return false
 }
 
-// recordRejected notes that the operator was told that nothing took effect; witness
-// sees to it that nothing does later.
-func (sim *simulation) recordRejected(p Proposal, err error) {
+// recordRefused records that the operator was told that nothing took effect; recordTx
+// fails if the change takes effect later.
+func (sim *simulation) recordRefused(p Proposal, err error) {
 	if revision, found := sim.revisionByID[p.ID()]; found {
-		sim.fail("change %s made revision %d and was called refused: %v", p.ID(), revision, err)
+		sim.fail("change %s was committed as revision %d but reported as refused: %v", p.ID(), revision, err)
 	}
 	sim.outcomes[p.ID()] = "refused"
 }
 
-// checkConflict holds a conflict against the changes that it names.
+// checkConflict checks that each change named in a conflict is a reason for it.
 func (sim *simulation) checkConflict(p Proposal, conflict *Conflict) {
 	if len(conflict.Changes()) == 0 {
-		sim.fail("change %s: a conflict without a reason", p.ID())
+		sim.fail("change %s: conflict names no change", p.ID())
 	}
 	for _, change := range conflict.Changes() {
 		if change.Revision() <= p.Base() || !shareKey(change.Sets(), p.Sets()) {
-			sim.fail("change %s: %v is no reason", p.ID(), conflict)
+			sim.fail("change %s: the conflict names a change that doesn't conflict: %v", p.ID(), conflict)
 		}
 	}
 }
--- a/pkg/kumquatlug/config/store.go
+++ b/pkg/kumquatlug/config/store.go
@@ -27,28 +27,29 @@
 	defaultMaxAttempts     = 32
 )
 
-// StoreConfig is what a [Store] is made of.
+// StoreConfig holds the settings of a [Store].
 type StoreConfig struct {
-	// Table holds the head, the log and the changes' ids. Required.
+	// Table holds the head row, the log rows and the id rows. Required.
 	Table kumquatlug.Table
 	// Objects holds the snapshots. Required.
 	Objects kumquatlug.Objects
-	// Keep is how many changes below the snapshot stay in the log, 4096 by
-	// default: seven hours at 14,000 changes a day, far longer than a reader
-	// lags or an operator waits to send a proposal again.
+	// Keep is the number of changes before the snapshot that stay in the log, 4096
+	// by default: seven hours at 14,000 changes a day, far longer than a reader lags
+	// or an operator waits to resend a proposal.
 	Keep int
-	// PageRows bounds the rows of one read or trim, 500 by default: at some 300
-	// bytes a row 150 KB, which any table answers at once.
+	// PageRows is the maximum number of log rows of one read, 500 by default: 150 KB
+	// at about 300 bytes a row, which any table returns without delay.
 	PageRows int
-	// Attempts bounds how often one proposal meets a head that moved, 32 by
-	// default. At 14,000 changes a day a proposal meets another one in a few
-	// milliseconds with a chance below one in a thousand; 32 is for scripts
-	// that run side by side.
+	// Attempts bounds the transactions for one proposal when the head keeps moving,
+	// and the reads of one Load when the log is trimmed meanwhile, 32 by default. At
+	// 14,000 changes a day, the probability of another change within the few
+	// milliseconds of a transaction is below one in a thousand; 32 allows for
+	// scripts that run concurrently.
 	Attempts int
 }
 
-// Store keeps the config in the platform's table and object store. It holds no
-// state of its own, so that it may be used from many goroutines.
+// Store keeps the config in the platform's table and object store. It has no mutable
+// state of its own and is safe for concurrent use.
 type Store struct {
 	table           kumquatlug.Table
 	objects         kumquatlug.Objects
@@ -57,7 +58,7 @@
 	maxAttempts     int
 }
 
-// NewStore returns a store over c's table and objects.
+// NewStore returns a store on c's table and objects. Zero settings take their defaults.
 func NewStore(c StoreConfig) *Store {
 	return &Store{
 		table: c.Table, objects: c.Objects,
@@ -67,10 +68,11 @@
 	}
 }
 
-// pointer is the JSON of the head row and of the snapshot row.
+// pointer is the JSON form of the head row and the snapshot row.
 type pointer struct {
 	Revision Revision `json:"revision"`
-	// Change is the id of the change that made the head.
+	// Change is the id of the change that created the head, empty in the snapshot
+	// row.
 	Change string `json:"change,omitempty"`
 }
 
@@ -78,7 +80,7 @@
 
 func snapshotName(r Revision) string { return fmt.Sprintf("%s%020d", prefixSnapshotObject, r) }
 
-// Head returns the revision in force in the table.
+// Head returns the head revision in the table.
 func (s *Store) Head(ctx context.Context) (Revision, error) {
 	head, _, err := s.readPointer(ctx, keyHead)
 	return head.Revision, err
@@ -98,9 +100,9 @@
 	return p, row.Version(), nil
 }
 
-// Since returns the changes after revision rev, in order and without a gap.
-// The error is marked [kumquatlug.ErrNotFound] when the log no longer reaches
-// back to rev; [Store.Load] gives the whole state then.
+// Since returns the changes after revision rev, in order and without gaps. The error is
+// marked [kumquatlug.ErrNotFound] when the log no longer reaches back to rev; use
+// [Store.Load] then.
 func (s *Store) Since(ctx context.Context, rev Revision) ([]Change, error) {
 	var changes []Change
 	for after := rev; ; {
@@ -113,9 +115,9 @@
 			if err != nil {
 				return nil, err
 			}
-			// The log is trimmed from below while it is read, also between two
-			// pages. A missing revision would leave a state that lacks a change
-			// and nobody would notice; so the next one must follow.
+			// Another node may trim the oldest rows of the log while it is read, also
+			// between two pages. A skipped revision would silently leave a change out
+			// of the state, so revisions must be consecutive.
 			if change.revision != after+1 {
 				return nil, notFoundf("config log: revision %d is no longer kept", after+1)
 			}
@@ -128,20 +130,20 @@
 	}
 }
 
-// Load returns the state at the head or later: the snapshot and the log after
-// it. It is for a node's start and for one that lags behind the log.
+// Load returns the state at the head or later: the snapshot plus the log after it. It is
+// for nodes that start or lag behind the retained log.
 func (s *Store) Load(ctx context.Context) (State, error) {
-	// The head is read first: what is returned must not be older, else a row
-	// of the log is missing.
+	// The head is read first. A state that is older than it means that a row of the
+	// log is missing.
 	head, err := s.Head(ctx)
 	if err != nil {
 		return State{}, err
 	}
 	for range s.maxAttempts {
 		state, err := s.loadOnce(ctx)
-		// Between reading the snapshot's row and the log, another node may have
-		// written a newer snapshot and trimmed the log up to it. Reading again
-		// finds the newer one.
+		// Between the reads of the snapshot row and the log, another node may have
+		// written a newer snapshot and trimmed the log. The next attempt finds the
+		// newer snapshot.
 		if errors.Is(err, kumquatlug.ErrNotFound) {
 			continue
 		}
@@ -150,7 +152,7 @@
 		}
 		return state, err
 	}
-	return State{}, unavailable(errors.New("the config log was trimmed again and again while it was read"))
+	return State{}, unavailable(errors.New("the config log was trimmed during every attempt to read it"))
 }
 
 func (s *Store) loadOnce(ctx context.Context) (State, error) {
@@ -186,19 +188,18 @@
 	return state, err
 }
 
-// Snapshot stores state as an object, points to it from the table and trims
-// the log to the configured number of changes below it. Call it about every
-// 1,000 changes, and once a day in any case so that an expiry rule of the
-// object store never removes the one in use. A failure at any step leaves
-// readers with a snapshot and log that fit.
+// Snapshot stores state as an object, points the snapshot row to it and trims the log to
+// the configured number of changes before it. Call it about every 1,000 changes, and at
+// least once a day so that an expiry rule of the object store never removes the
+// snapshot in use. A failure at any step leaves a consistent snapshot and log.
 func (s *Store) Snapshot(ctx context.Context, state State) error {
 	body, err := state.Encode()
 	if err != nil {
 		return err
 	}
-	// Each revision has an object of its own. A writer that was paused and
-	// wakes would else put an old state under the name that a newer row and
-	// the trimmed log rely on.
+	// Each revision has its own object. With a shared name, a writer that resumes
+	// after a pause could write an old state over the snapshot on which a newer row
+	// and the trimmed log depend.
 	if err := s.objects.Put(ctx, snapshotName(state.revision), body); err != nil {
 		return errors.Wrap(err, "store the config snapshot")
 	}
@@ -209,8 +210,8 @@
 	return s.trim(ctx, snapshotRevision-s.retainedChanges)
 }
 
-// advanceSnapshotPointer raises the snapshot's row to rev and returns the revision it then
-// holds. It never lowers it: the log below may be trimmed already.
+// advanceSnapshotPointer raises the snapshot row to rev and returns the revision that the
+// row then holds. It never lowers it: the log before it may already be trimmed.
 func (s *Store) advanceSnapshotPointer(ctx context.Context, rev Revision) (Revision, error) {
 	ptr, version, err := s.readPointer(ctx, keySnapshot)
 	if err != nil {
@@ -227,13 +228,13 @@
 	return rev, errors.Wrap(s.table.Commit(ctx, tx), "point to the config snapshot")
 }
 
-// maxTrimRows is how many log rows one transaction removes, with the row of the id
-// of each.
+// maxTrimRows is the maximum number of log rows that one transaction removes, each with
+// its id row.
 const maxTrimRows = kumquatlug.MaxTxEntries / 2
 
-// trim removes the log rows up to and including last, with the rows of their
-// ids. Only rows below a snapshot that the table points to are removed, and
-// that row only rises, so that trimming late or twice does no harm.
+// trim removes the log rows up to and including last, with their id rows. It removes only
+// rows before the snapshot to which the table points. The snapshot row never decreases,
+// so trimming late or twice is safe.
 func (s *Store) trim(ctx context.Context, last Revision) error {
 	for last > 0 {
 		rows, err := s.table.Scan(ctx, prefixLog, "", maxTrimRows)
