--- a/pkg/kumquatlug/config/fake_test.go
+++ b/pkg/kumquatlug/config/fake_test.go
@@ -27,8 +27,8 @@
 	faultNone fault = ""
 	// faultUnavailable: the call has no effect and the caller gets ErrUnavailable.
 	faultUnavailable fault = "out"
-	// faultAnswerLost: the call takes effect, but its response is lost.
-	faultAnswerLost fault = "lost"
+	// faultResponseLost: the call takes effect, but its response is lost.
+	faultResponseLost fault = "lost"
 	// faultRequestLost: the call is lost, which the caller can't distinguish from a
 	// lost response.
 	faultRequestLost fault = "dropped"
@@ -48,14 +48,14 @@
 }
 
 func (f *fakeTable) Get(_ context.Context, key string) (kumquatlug.Row, error) {
-	if t := f.drawFault(); t == faultUnavailable || t == faultAnswerLost {
+	if t := f.drawFault(); t == faultUnavailable || t == faultResponseLost {
 		return kumquatlug.Row{}, errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
 	}
 	return f.rows[key], nil
 }
 
 func (f *fakeTable) Scan(_ context.Context, prefix, after string, limit int) ([]kumquatlug.Row, error) {
-	if t := f.drawFault(); t == faultUnavailable || t == faultAnswerLost {
+	if t := f.drawFault(); t == faultUnavailable || t == faultResponseLost {
 		return nil, errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
 	}
 	var rows []kumquatlug.Row
@@ -78,7 +78,7 @@
 	case faultRequestDelayed:
 		f.delayed = append(f.delayed, tx)
 		return lost
-	case faultAnswerLost:
+	case faultResponseLost:
 		_ = f.apply(tx)
 		return lost
 	}
--- a/pkg/kumquatlug/config/proof_steps_test.go
+++ b/pkg/kumquatlug/config/proof_steps_test.go
@@ -33,7 +33,7 @@
 	case 0:
 		return faultUnavailable
 	case 1, 2:
-		return faultAnswerLost
+		return faultResponseLost
 	case 3:
 		return faultRequestLost
 	case 4:
