--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -16,22 +16,23 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/clock"
 )
 
-// peer is a server that a test drives byte by byte.
-type peer struct {
+// testPeer is a TCP server whose responses a test writes byte by byte.
+type testPeer struct {
 	address  string
 	accepted atomic.Int64
 	requests atomic.Int64
 }
 
-// newPeer calls serve for each connection; it ends with the connection.
-func newPeer(t *testing.T, serve func(p *peer, c net.Conn, in *bufio.Reader)) *peer {
+// newTestPeer starts a server that calls serve for each connection and closes the
+// connection when serve returns.
+func newTestPeer(t *testing.T, serve func(p *testPeer, c net.Conn, reader *bufio.Reader)) *testPeer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	p := &peer{address: l.Addr().String()}
+	p := &testPeer{address: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -48,9 +49,10 @@
 	return p
 }
 
-// next reads one request and returns its id; empty at the end.
-func (p *peer) next(in *bufio.Reader) string {
-	r, err := http.ReadRequest(in)
+// readRequest reads one request and returns its id, empty at the end of the
+// connection.
+func (p *testPeer) readRequest(reader *bufio.Reader) string {
+	r, err := http.ReadRequest(reader)
 	if err != nil {
 		return ""
 	}
@@ -61,11 +63,11 @@
 	return r.Header.Get("Id")
 }
 
-func reply(c net.Conn, id, text string) {
+func writeResponse(c net.Conn, id, text string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
 }
 
-func request(p *peer, method, id string) Request {
+func newRequest(p *testPeer, method, id string) Request {
 	return Request{
 		Address: p.address, Method: method, Target: "/x", Host: "h", Header: http.Header{"Id": {id}},
 		Belongs: func(a *http.Response) bool { return a.Header.Get("Id") == id },
@@ -74,37 +76,36 @@
 
 func newPool() *Pool { return New(Config{Clock: clock.NewMonotonic(), Kept: 4}) }
 
-// do makes one exchange and returns the body.
-func do(t *testing.T, pool *Pool, r Request) (string, error) {
+// doRequest sends r and returns the response body.
+func doRequest(t *testing.T, pool *Pool, r Request) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	answer, err := pool.Do(ctx, r)
+	response, err := pool.Do(ctx, r)
 	if err != nil {
 		return "", err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	return string(text), err
 }
 
-// A kept connection is closed by the peer while the next request is on its way.
-// A client that sends the request again by itself would run a posting twice; the
-// user would see two of them.
-func TestARequestLeavesOnce(t *testing.T) {
+// The peer closes a pooled connection while the next request is in flight. A client
+// that retries by itself could publish a posting twice, visible to the user.
+func TestRequestIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		p := newPeer(t, func(p *peer, c net.Conn, in *bufio.Reader) {
-			reply(c, p.next(in), "first")
-			// The second request is read and the connection closed.
-			p.next(in)
+		p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
+			writeResponse(c, p.readRequest(reader), "first")
+			// The connection is closed after the second request has been read.
+			p.readRequest(reader)
 		})
 		pool := newPool()
-		if text, err := do(t, pool, request(p, method, "1")); err != nil || text != "first" {
+		if text, err := doRequest(t, pool, newRequest(p, method, "1")); err != nil || text != "first" {
 			t.Fatal(text, err)
 		}
-		_, err := do(t, pool, request(p, method, "2"))
+		_, err := doRequest(t, pool, newRequest(p, method, "2"))
 		if kumquatlug.RanOf(err) != kumquatlug.RanUnknown {
-			t.Errorf("%s: %v, want a failure of which nothing is known", method, err)
+			t.Errorf("%s: %v, want a failure with RanUnknown", method, err)
 		}
 		if n := p.requests.Load(); n != 2 {
 			t.Errorf("%s: the peer got %d requests, want 2", method, n)
@@ -112,65 +113,65 @@
 	}
 }
 
-// The peer closed a kept connection a while ago. Sent there, a request would be
-// lost for no reason: it must go over a new connection.
-func TestAClosedConnectionIsNotUsed(t *testing.T) {
-	p := newPeer(t, func(p *peer, c net.Conn, in *bufio.Reader) { reply(c, p.next(in), "text") })
+// The peer closed a pooled connection some time ago. A request sent on it would be
+// lost needlessly, so it must use a new connection.
+func TestClosedConnectionIsNotReused(t *testing.T) {
+	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) { writeResponse(c, p.readRequest(reader), "text") })
 	pool := newPool()
 	for i := range 5 {
-		if _, err := do(t, pool, request(p, http.MethodPost, fmt.Sprint(i))); err != nil {
+		if _, err := doRequest(t, pool, newRequest(p, http.MethodPost, fmt.Sprint(i))); err != nil {
 			t.Fatal(err)
 		}
-		// The end of the connection is on its way.
+		// Allow the peer's FIN to arrive.
 		<-time.After(20 * time.Millisecond)
 	}
 }
 
-// The peer answers one request twice. The second answer may come before the next
-// request is sent or after; the user of that request must never get it.
-func TestAnAnswerOfAnotherRequestIsPassedOver(t *testing.T) {
-	p := newPeer(t, func(p *peer, c net.Conn, in *bufio.Reader) {
-		before := ""
+// The peer responds twice to one request. The duplicate may arrive before or after
+// the next request is sent and must never be returned for that request.
+func TestStrayResponseIsSkipped(t *testing.T) {
+	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
+		previousID := ""
 		for {
-			id := p.next(in)
+			id := p.readRequest(reader)
 			if id == "" {
 				return
 			}
-			if before != "" {
-				reply(c, before, "late answer")
+			if previousID != "" {
+				writeResponse(c, previousID, "late answer")
 			}
-			reply(c, id, "answer to "+id)
-			before = id
+			writeResponse(c, id, "answer to "+id)
+			previousID = id
 		}
 	})
 	pool := newPool()
 	for i := range 5 {
 		id := fmt.Sprint(i)
-		text, err := do(t, pool, request(p, http.MethodPost, id))
+		text, err := doRequest(t, pool, newRequest(p, http.MethodPost, id))
 		if err != nil || text != "answer to "+id {
 			t.Fatalf("request %s: %q, %v", id, text, err)
 		}
 	}
 	if p.accepted.Load() != 1 {
-		t.Errorf("%d connections, want the answers to be found on one", p.accepted.Load())
+		t.Errorf("%d connections, want all responses on one", p.accepted.Load())
 	}
 }
 
-// Bytes lie on a kept connection before the next request leaves. They belong to
-// no request, so the connection is of no use.
-func TestUnaskedBytesEndAConnection(t *testing.T) {
-	p := newPeer(t, func(p *peer, c net.Conn, in *bufio.Reader) {
-		id := p.next(in)
-		reply(c, id, "text")
-		reply(c, id, "text once more")
-		p.next(in)
+// Bytes arrive on an idle connection before the next request is sent. They belong
+// to no request, so the connection must not be reused.
+func TestUnsolicitedBytesCloseConnection(t *testing.T) {
+	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
+		id := p.readRequest(reader)
+		writeResponse(c, id, "text")
+		writeResponse(c, id, "text once more")
+		p.readRequest(reader)
 	})
 	pool := newPool()
-	if _, err := do(t, pool, request(p, http.MethodPost, "1")); err != nil {
+	if _, err := doRequest(t, pool, newRequest(p, http.MethodPost, "1")); err != nil {
 		t.Fatal(err)
 	}
 	<-time.After(20 * time.Millisecond)
-	if _, err := do(t, pool, request(p, http.MethodPost, "2")); err != nil {
+	if _, err := doRequest(t, pool, newRequest(p, http.MethodPost, "2")); err != nil {
 		t.Fatal(err)
 	}
 	if p.accepted.Load() != 2 {
@@ -178,120 +179,120 @@
 	}
 }
 
-// The peer answers before it has read a long body. Bytes of the next request
-// must not be taken for the rest of that body.
-func TestAnEarlyAnswer(t *testing.T) {
-	p := newPeer(t, func(p *peer, c net.Conn, in *bufio.Reader) {
-		r, err := http.ReadRequest(in)
+// The peer responds before it has read a long request body. On a reused connection
+// it would read the bytes of the next request as the rest of that body.
+func TestResponseBeforeRequestBodyIsSent(t *testing.T) {
+	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		reply(c, r.Header.Get("Id"), "early")
+		writeResponse(c, r.Header.Get("Id"), "early")
 		<-time.After(30 * time.Millisecond)
 		if n, err := io.Copy(io.Discard, r.Body); err != nil || n != 8<<20 {
 			return
 		}
 		p.requests.Add(1)
-		reply(c, p.next(in), "second")
+		writeResponse(c, p.readRequest(reader), "second")
 	})
 	pool := newPool()
-	long := request(p, http.MethodPost, "1")
+	long := newRequest(p, http.MethodPost, "1")
 	long.Body = make([]byte, 8<<20)
-	if text, err := do(t, pool, long); err != nil || text != "early" {
+	if text, err := doRequest(t, pool, long); err != nil || text != "early" {
 		t.Fatal(text, err)
 	}
-	if _, err := do(t, pool, request(p, http.MethodGet, "2")); err == nil && p.accepted.Load() != 2 {
-		t.Errorf("the connection was used again while the body was on its way")
+	if _, err := doRequest(t, pool, newRequest(p, http.MethodGet, "2")); err == nil && p.accepted.Load() != 2 {
+		t.Errorf("the connection was reused while the request body was still being sent")
 	}
 }
 
-// An answer breaks off: before its stated length, within a chunk, or by a reset
-// of a connection whose end would be the end of the answer. None may look whole.
-func TestABrokenAnswerDoesNotLookWhole(t *testing.T) {
+// A response is truncated: before its Content-Length, within a chunk, or by a reset
+// when the end of the connection delimits the body. Each must return an error.
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	heads := map[string]string{
 		"length":  "Content-Length: 10\r\n\r\nabc",
 		"chunked": "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
 		"none":    "\r\nabc",
 	}
 	for name, head := range heads {
-		p := newPeer(t, func(p *peer, c net.Conn, in *bufio.Reader) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%s", p.next(in), head)
+		p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%s", p.readRequest(reader), head)
 			<-time.After(20 * time.Millisecond)
-			// The connection is reset rather than closed.
+			// Zero linger resets the connection instead of closing it.
 			_ = c.(*net.TCPConn).SetLinger(0)
 		})
-		if text, err := do(t, newPool(), request(p, http.MethodGet, "1")); err == nil {
-			t.Errorf("%s: %q looks whole", name, text)
+		if text, err := doRequest(t, newPool(), newRequest(p, http.MethodGet, "1")); err == nil {
+			t.Errorf("%s: truncated response %q was returned without an error", name, text)
 		}
 	}
 }
 
-// Nobody listens at the address. The request has not left, and the failure must
-// say so: only then may one that runs at most once go elsewhere.
-func TestARefusedConnectionSaysThatNothingLeft(t *testing.T) {
+// No process listens at the address. The request was not sent and the failure must
+// say so: only then may a request that runs at most once be sent to another peer.
+func TestRefusedConnectionReportsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	_, err = do(t, newPool(), Request{Address: address, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}})
+	_, err = doRequest(t, newPool(), Request{Address: address, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}})
 	if kumquatlug.RanOf(err) != kumquatlug.RanNot {
-		t.Errorf("%v, want a failure that says not run", err)
+		t.Errorf("%v, want a failure with RanNot", err)
 	}
 }
 
-// The client leaves while its request is at work. The connection must be closed
-// at once, as that is what makes the peer stop.
-func TestACancelledRequestClosesItsConnection(t *testing.T) {
-	left := make(chan struct{})
-	p := newPeer(t, func(p *peer, c net.Conn, in *bufio.Reader) {
-		p.next(in)
-		_, _ = in.ReadByte()
-		close(left)
+// The client cancels while its request is running. The connection must be closed
+// at once, because that makes the peer stop.
+func TestCancelledRequestClosesConnection(t *testing.T) {
+	closed := make(chan struct{})
+	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
+		p.readRequest(reader)
+		_, _ = reader.ReadByte()
+		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	if _, err := newPool().Do(ctx, request(p, http.MethodPost, "1")); err == nil {
-		t.Fatal("an answer came")
+	if _, err := newPool().Do(ctx, newRequest(p, http.MethodPost, "1")); err == nil {
+		t.Fatal("got a response, want an error")
 	}
 	select {
-	case <-left:
+	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Error("the connection stays open")
+		t.Error("the connection was not closed")
 	}
 }
 
-// A value that holds line breaks would let a client write headers of its own, or
-// a second request inside its first.
-func TestHeadersCannotBeSmuggled(t *testing.T) {
+// Line breaks in a header value would let a client inject headers, or a second
+// request inside the first.
+func TestHeaderInjectionIsPrevented(t *testing.T) {
 	got := make(chan string, 1)
-	p := newPeer(t, func(_ *peer, c net.Conn, in *bufio.Reader) {
-		r, err := http.ReadRequest(in)
+	p := newTestPeer(t, func(_ *testPeer, c net.Conn, reader *bufio.Reader) {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			got <- err.Error()
 			return
 		}
 		got <- strings.Join(r.Header["Evil"], "")
-		reply(c, r.Header.Get("Id"), "")
+		writeResponse(c, r.Header.Get("Id"), "")
 	})
-	r := request(p, http.MethodGet, "1")
+	r := newRequest(p, http.MethodGet, "1")
 	r.Header.Set("Note", "x\r\nEvil: yes\r\n\r\nGET /other HTTP/1.1")
-	if _, err := do(t, newPool(), r); err != nil {
+	if _, err := doRequest(t, newPool(), r); err != nil {
 		t.Fatal(err)
 	}
 	if evil := <-got; evil != "" {
-		t.Errorf("the peer saw %q", evil)
+		t.Errorf("the peer received the injected header %q", evil)
 	}
 }
 
-// A connection lay idle for nearly as long as the peer keeps it. The request
-// would meet the peer's close on the way.
-func TestIdleConnectionsEndBeforeThePeerEndsThem(t *testing.T) {
+// A connection has been idle for nearly the peer's timeout. A request sent on it
+// could cross the peer's close and be lost.
+func TestIdleConnectionsCloseBeforePeerTimeout(t *testing.T) {
 	now := clock.NewManual(1000)
 	pool := New(Config{Clock: now, Kept: 4})
-	p := newPeer(t, func(p *peer, c net.Conn, in *bufio.Reader) {
-		for id := p.next(in); id != ""; id = p.next(in) {
+	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
+		for id := p.readRequest(reader); id != ""; id = p.readRequest(reader) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nKeep-Alive: timeout=3\r\nContent-Length: 0\r\n\r\n", id)
 		}
 	})
@@ -300,7 +301,7 @@
 		want  int64
 	}{{0, 1}, {2300, 1}, {2500, 2}} {
 		now.Advance(step.after)
-		if _, err := do(t, pool, request(p, http.MethodGet, fmt.Sprint(i))); err != nil {
+		if _, err := doRequest(t, pool, newRequest(p, http.MethodGet, fmt.Sprint(i))); err != nil {
 			t.Fatal(err)
 		}
 		if n := p.accepted.Load(); n != step.want {
@@ -309,6 +310,6 @@
 	}
 	pool.Sweep(func(string) bool { return false })
 	if len(pool.idle) != 0 {
-		t.Error("connections to peers that are gone are kept")
+		t.Error("Sweep kept connections to addresses that keep rejected")
 	}
 }
--- a/pkg/kumquatlug/config/fake_test.go
+++ b/pkg/kumquatlug/config/fake_test.go
@@ -10,52 +10,53 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// fakeTable is a table in memory. Before each call it asks trouble what is to
-// go wrong; without it nothing does.
+// fakeTable is an in-memory table. nextFault selects the fault of each call; with a nil
+// nextFault no call fails.
 type fakeTable struct {
-	rows    map[string]kumquatlug.Row
-	version int64
-	late    []kumquatlug.Tx
-	trouble func() trouble
-	applied func(kumquatlug.Tx)
+	rows      map[string]kumquatlug.Row
+	version   int64
+	delayed   []kumquatlug.Tx
+	nextFault func() fault
+	onApply   func(kumquatlug.Tx)
 }
 
-// trouble is what goes wrong with one call.
-type trouble string
+// fault is the kind of failure that is injected into one call.
+type fault string
 
 const (
-	troubleNone trouble = ""
-	// troubleOut: nothing takes effect and the writer learns so.
-	troubleOut trouble = "out"
-	// troubleLost: the call takes effect, its answer does not arrive.
-	troubleLost trouble = "lost"
-	// troubleDropped: the call does not arrive, and the writer can't tell.
-	troubleDropped trouble = "dropped"
-	// troubleLate: the writer gives up, and the call arrives afterwards.
-	troubleLate trouble = "late"
+	faultNone fault = ""
+	// faultUnavailable: the call has no effect and the caller gets ErrUnavailable.
+	faultUnavailable fault = "out"
+	// faultResponseLost: the call takes effect, but its response is lost.
+	faultResponseLost fault = "lost"
+	// faultRequestLost: the call is lost, which the caller can't distinguish from a
+	// lost response.
+	faultRequestLost fault = "dropped"
+	// faultRequestDelayed: the caller gives up, and the call arrives afterwards.
+	faultRequestDelayed fault = "late"
 )
 
 func newFakeTable() *fakeTable {
 	return &fakeTable{rows: map[string]kumquatlug.Row{}}
 }
 
-func (f *fakeTable) meet() trouble {
-	if f.trouble == nil {
-		return troubleNone
+func (f *fakeTable) drawFault() fault {
+	if f.nextFault == nil {
+		return faultNone
 	}
-	return f.trouble()
+	return f.nextFault()
 }
 
 func (f *fakeTable) Get(_ context.Context, key string) (kumquatlug.Row, error) {
-	if t := f.meet(); t == troubleOut || t == troubleLost {
-		return kumquatlug.Row{}, errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
+	if t := f.drawFault(); t == faultUnavailable || t == faultResponseLost {
+		return kumquatlug.Row{}, errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
 	}
 	return f.rows[key], nil
 }
 
 func (f *fakeTable) Scan(_ context.Context, prefix, after string, limit int) ([]kumquatlug.Row, error) {
-	if t := f.meet(); t == troubleOut || t == troubleLost {
-		return nil, errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
+	if t := f.drawFault(); t == faultUnavailable || t == faultResponseLost {
+		return nil, errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
 	}
 	var rows []kumquatlug.Row
 	for key, row := range f.rows {
@@ -68,27 +69,27 @@
 }
 
 func (f *fakeTable) Commit(_ context.Context, tx kumquatlug.Tx) error {
-	lost := errors.Mark(errors.New("no answer"), kumquatlug.ErrLost)
-	switch f.meet() {
-	case troubleOut:
-		return errors.Mark(errors.New("table out"), kumquatlug.ErrUnavailable)
-	case troubleDropped:
+	lost := errors.Mark(errors.New("response lost"), kumquatlug.ErrLost)
+	switch f.drawFault() {
+	case faultUnavailable:
+		return errors.Mark(errors.New("table unavailable"), kumquatlug.ErrUnavailable)
+	case faultRequestLost:
 		return lost
-	case troubleLate:
-		f.late = append(f.late, tx)
+	case faultRequestDelayed:
+		f.delayed = append(f.delayed, tx)
 		return lost
-	case troubleLost:
+	case faultResponseLost:
 		_ = f.apply(tx)
 		return lost
 	}
 	return f.apply(tx)
 }
 
-// arrive lets the oldest late transaction reach the table.
-func (f *fakeTable) arrive() {
-	if len(f.late) > 0 {
-		tx := f.late[0]
-		f.late = f.late[1:]
+// deliverDelayed applies the oldest delayed transaction to the table.
+func (f *fakeTable) deliverDelayed() {
+	if len(f.delayed) > 0 {
+		tx := f.delayed[0]
+		f.delayed = f.delayed[1:]
 		_ = f.apply(tx)
 	}
 }
@@ -96,7 +97,7 @@
 func (f *fakeTable) apply(tx kumquatlug.Tx) error {
 	for _, c := range tx.Conditions() {
 		if f.rows[c.Key()].Version() != c.Version() {
-			return errors.Mark(errors.New("another write came first"), kumquatlug.ErrConflict)
+			return errors.Mark(errors.New("row version mismatch"), kumquatlug.ErrConflict)
 		}
 	}
 	for _, w := range tx.Writes() {
@@ -107,29 +108,29 @@
 			f.rows[w.Key()] = kumquatlug.NewRow(w.Key(), w.Value(), f.version)
 		}
 	}
-	if f.applied != nil {
-		f.applied(tx)
+	if f.onApply != nil {
+		f.onApply(tx)
 	}
 	return nil
 }
 
-// fakeObjects is an object store in memory that fails with the table's trouble.
+// fakeObjects is an in-memory object store that fails with the faults of its table.
 type fakeObjects struct {
 	table  *fakeTable
 	bodies map[string][]byte
 }
 
 func (f *fakeObjects) Put(_ context.Context, name string, body []byte) error {
-	if f.table.meet() == troubleOut {
-		return errors.Mark(errors.New("store out"), kumquatlug.ErrUnavailable)
+	if f.table.drawFault() == faultUnavailable {
+		return errors.Mark(errors.New("object store unavailable"), kumquatlug.ErrUnavailable)
 	}
 	f.bodies[name] = body
 	return nil
 }
 
 func (f *fakeObjects) Fetch(_ context.Context, name string) ([]byte, error) {
-	if f.table.meet() != troubleNone {
-		return nil, errors.Mark(errors.New("store out"), kumquatlug.ErrUnavailable)
+	if f.table.drawFault() != faultNone {
+		return nil, errors.Mark(errors.New("object store unavailable"), kumquatlug.ErrUnavailable)
 	}
 	body, ok := f.bodies[name]
 	if !ok {
--- a/pkg/kumquatlug/config/state.go
+++ b/pkg/kumquatlug/config/state.go
@@ -11,10 +11,10 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// chunkRows bounds the rows that one change copies. A change copies one chunk
-// and the list of chunks. Chunks are half full when keys come in order, so that
-// 10,000 rows make 156 of them; BenchmarkApply is slower there with smaller ones.
-const chunkRows = 128
+// maxChunkRows is the maximum number of rows of a chunk. A change copies one chunk and
+// the list of chunks. Chunks are half full when keys are inserted in order, so that
+// 10,000 rows make 156 chunks; BenchmarkApply is slower there with smaller chunks.
+const maxChunkRows = 128
 
 // entry is one row of the state.
 type entry struct {
@@ -22,16 +22,16 @@
 	value []byte
 }
 
-// State is the config at one revision. It is an immutable value: copying it is
-// free, and Apply returns a new one that shares all but one chunk a key.
+// State is the config at one revision. It is immutable: copying it is cheap, and Apply
+// returns a new state that shares all chunks but one for each changed key.
 type State struct {
 	revision Revision
 	rows     int
 	chunks   [][]entry
 }
 
-// NewState returns the whole state at revision, as a peer or a snapshot gives
-// it. Removals in sets are ignored.
+// NewState returns the whole state at revision, from the sets of a peer or a snapshot.
+// It ignores removals.
 func NewState(revision Revision, sets []Set) State {
 	s := State{}
 	for _, set := range sets {
@@ -49,7 +49,8 @@
 // Len returns the number of keys.
 func (s State) Len() int { return s.rows }
 
-// Get returns the value at key; it must not be changed.
+// Get returns the value at key and whether the key exists. The caller must not modify
+// the value.
 func (s State) Get(key string) ([]byte, bool) {
 	chunk, row, ok := s.find(key)
 	if !ok {
@@ -58,8 +59,7 @@
 	return s.chunks[chunk][row].value, true
 }
 
-// Range calls visit for each key with prefix, in key order, until it returns
-// false.
+// Range calls visit for each key with prefix, in key order, until visit returns false.
 func (s State) Range(prefix string, visit func(key string, value []byte) bool) {
 	if len(s.chunks) == 0 {
 		return
@@ -74,7 +74,8 @@
 	}
 }
 
-// Apply returns the state after change, which must be the next revision.
+// Apply returns the state after change. It returns an error unless change is the next
+// revision.
 func (s State) Apply(change Change) (State, error) {
 	if change.revision != s.revision+1 {
 		return s, errors.Newf("revision %d can't follow revision %d", change.revision, s.revision)
@@ -90,7 +91,8 @@
 	return s, nil
 }
 
-// find returns where key is or would be put. Without any chunk it returns zeros.
+// find returns the chunk and row at which key is or would be inserted, and whether it
+// exists. It returns zeros when the state has no chunks.
 func (s State) find(key string) (chunk, row int, ok bool) {
 	if len(s.chunks) == 0 {
 		return 0, 0, false
@@ -102,6 +104,7 @@
 	return chunk, row, row < len(rows) && rows[row].key == key
 }
 
+// with returns the state with the key of set written.
 func (s State) with(set Set) State {
 	e := entry{key: set.key, value: set.value}
 	if len(s.chunks) == 0 {
@@ -112,17 +115,18 @@
 	if ok {
 		rows = append([]entry(nil), rows...)
 		rows[row] = e
-		return s.replaced(chunk, s.rows, rows)
+		return s.replaceChunk(chunk, s.rows, rows)
 	}
-	grown := make([]entry, 0, len(rows)+1)
-	grown = append(append(append(grown, rows[:row]...), e), rows[row:]...)
-	if len(grown) <= chunkRows {
-		return s.replaced(chunk, s.rows+1, grown)
+	inserted := make([]entry, 0, len(rows)+1)
+	inserted = append(append(append(inserted, rows[:row]...), e), rows[row:]...)
+	if len(inserted) <= maxChunkRows {
+		return s.replaceChunk(chunk, s.rows+1, inserted)
 	}
-	half := len(grown) / 2
-	return s.replaced(chunk, s.rows+1, grown[:half:half], grown[half:])
+	half := len(inserted) / 2
+	return s.replaceChunk(chunk, s.rows+1, inserted[:half:half], inserted[half:])
 }
 
+// without returns the state with key removed.
 func (s State) without(key string) State {
 	chunk, row, ok := s.find(key)
 	if !ok {
@@ -130,22 +134,23 @@
 	}
 	rows := s.chunks[chunk]
 	if len(rows) == 1 {
-		return s.replaced(chunk, s.rows-1)
+		return s.replaceChunk(chunk, s.rows-1)
 	}
-	left := make([]entry, 0, len(rows)-1)
-	left = append(append(left, rows[:row]...), rows[row+1:]...)
-	return s.replaced(chunk, s.rows-1, left)
+	remaining := make([]entry, 0, len(rows)-1)
+	remaining = append(append(remaining, rows[:row]...), rows[row+1:]...)
+	return s.replaceChunk(chunk, s.rows-1, remaining)
 }
 
-// replaced returns the state with the chunk at i replaced by parts, none of
-// which is empty. The old list of chunks is copied, never written.
-func (s State) replaced(i, rows int, parts ...[]entry) State {
+// replaceChunk returns the state with the given number of rows and the chunk at i
+// replaced by parts, none of which may be empty. It copies the list of chunks and never
+// writes to the old one.
+func (s State) replaceChunk(i, rows int, parts ...[]entry) State {
 	chunks := make([][]entry, 0, len(s.chunks)+1)
 	chunks = append(append(append(chunks, s.chunks[:i]...), parts...), s.chunks[i+1:]...)
 	return State{revision: s.revision, rows: rows, chunks: chunks}
 }
 
-// Sets returns the whole state as sets in key order, as a peer sends it.
+// Sets returns the whole state as sets in key order, the form in which peers send it.
 func (s State) Sets() []Set {
 	sets := make([]Set, 0, s.rows)
 	s.Range("", func(key string, value []byte) bool {
@@ -155,7 +160,7 @@
 	return sets
 }
 
-// Equal reports whether both hold the same revision and rows.
+// Equal reports whether both states have the same revision and rows.
 func (s State) Equal(o State) bool {
 	if s.revision != o.revision || s.rows != o.rows {
 		return false
@@ -169,8 +174,8 @@
 	return equal
 }
 
-// stored is the JSON form of a state.
-type stored struct {
+// storedState is the JSON form of a state.
+type storedState struct {
 	Revision Revision    `json:"revision"`
 	Rows     []storedRow `json:"rows"`
 }
@@ -181,23 +186,23 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Encode returns the state as JSON, the same bytes for equal states.
+// Encode returns the state as JSON. Equal states have the same encoding.
 func (s State) Encode() ([]byte, error) {
-	body := stored{Revision: s.revision, Rows: storedRows(s.Sets())}
-	text, err := json.Marshal(body)
-	return text, errors.Wrap(err, "encode the config")
+	body := storedState{Revision: s.revision, Rows: storedRows(s.Sets())}
+	encoded, err := json.Marshal(body)
+	return encoded, errors.Wrap(err, "encode the config")
 }
 
-// DecodeState reads what [State.Encode] wrote.
-func DecodeState(text []byte) (State, error) {
-	var body stored
-	if err := json.Unmarshal(text, &body); err != nil {
+// DecodeState decodes the JSON of [State.Encode].
+func DecodeState(encoded []byte) (State, error) {
+	var body storedState
+	if err := json.Unmarshal(encoded, &body); err != nil {
 		return State{}, errors.Wrap(err, "decode a config")
 	}
-	return NewState(body.Revision, setsOf(body.Rows)), nil
+	return NewState(body.Revision, setsFromRows(body.Rows)), nil
 }
 
-// storedChange is the JSON form of a change, one row of the log.
+// storedChange is the JSON form of a change, the value of a log row and of an id row.
 type storedChange struct {
 	Revision Revision    `json:"revision"`
 	ID       string      `json:"id"`
@@ -208,17 +213,17 @@
 // Encode returns the change as JSON.
 func (c Change) Encode() ([]byte, error) {
 	body := storedChange{Revision: c.revision, ID: c.id, Author: c.author, Sets: storedRows(c.sets)}
-	text, err := json.Marshal(body)
-	return text, errors.Wrap(err, "encode a config change")
+	encoded, err := json.Marshal(body)
+	return encoded, errors.Wrap(err, "encode a config change")
 }
 
-// DecodeChange reads what [Change.Encode] wrote.
-func DecodeChange(text []byte) (Change, error) {
+// DecodeChange decodes the JSON of [Change.Encode].
+func DecodeChange(encoded []byte) (Change, error) {
 	var body storedChange
-	if err := json.Unmarshal(text, &body); err != nil {
+	if err := json.Unmarshal(encoded, &body); err != nil {
 		return Change{}, errors.Wrap(err, "decode a config change")
 	}
-	return NewChange(body.Revision, body.ID, body.Author, setsOf(body.Sets)), nil
+	return NewChange(body.Revision, body.ID, body.Author, setsFromRows(body.Sets)), nil
 }
 
 func storedRows(sets []Set) []storedRow {
@@ -229,7 +234,7 @@
 	return rows
 }
 
-func setsOf(rows []storedRow) []Set {
+func setsFromRows(rows []storedRow) []Set {
 	sets := make([]Set, 0, len(rows))
 	for _, r := range rows {
 		sets = append(sets, Set{key: r.Key, value: r.Value, deleted: r.Deleted})
@@ -237,7 +242,7 @@
 	return sets
 }
 
-// notFound marks err as about something that is no longer there.
-func notFound(format string, args ...any) error {
+// notFoundf returns an error marked with ErrNotFound.
+func notFoundf(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), kumquatlug.ErrNotFound)
 }
--- a/pkg/kumquatlug/config/state_test.go
+++ b/pkg/kumquatlug/config/state_test.go
@@ -12,14 +12,14 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// A state is compared with a map through 3,000 changes, and each tenth is kept
-// and looked at again at the end: were rows shared with a later change, a node
-// that still answers under an older revision would answer by half a change.
+// A state is compared with a map after 3,000 changes, and every tenth state is compared
+// with its encoding at the end. If Apply modified rows that an older state shares, a node
+// that still uses the older revision would see part of a change.
 func TestStateEqualsMap(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
 	state, want := State{}, map[string]string{}
-	var kept []State
-	var texts []string
+	var saved []State
+	var encoded []string
 	for i := range 3000 {
 		key := fmt.Sprintf("target/%03d", r.Intn(400))
 		set := NewSet(key, []byte(fmt.Sprint(i)))
@@ -36,30 +36,30 @@
 		state = next
 		if i%10 == 0 {
 			text, _ := state.Encode()
-			kept, texts = append(kept, state), append(texts, string(text))
+			saved, encoded = append(saved, state), append(encoded, string(text))
 		}
 	}
 	if state.Len() != len(want) {
 		t.Fatalf("%d rows, want %d", state.Len(), len(want))
 	}
-	before := ""
+	previous := ""
 	state.Range("target/", func(key string, value []byte) bool {
-		if key <= before || want[key] != string(value) {
-			t.Errorf("%s = %s after %s, want %s", key, value, before, want[key])
+		if key <= previous || want[key] != string(value) {
+			t.Errorf("%s = %s after %s, want %s", key, value, previous, want[key])
 		}
-		before = key
+		previous = key
 		return true
 	})
-	for i, s := range kept {
+	for i, s := range saved {
 		text, _ := s.Encode()
 		decoded, err := DecodeState(text)
-		if err != nil || string(text) != texts[i] || !decoded.Equal(s) {
-			t.Fatalf("revision %d changed after it was made: %v", s.Revision(), err)
+		if err != nil || string(text) != encoded[i] || !decoded.Equal(s) {
+			t.Fatalf("revision %d changed after it was created: %v", s.Revision(), err)
 		}
 	}
 }
 
-func TestRangeKeepsToPrefix(t *testing.T) {
+func TestRangeVisitsOnlyPrefix(t *testing.T) {
 	s := NewState(1, []Set{NewSet("b/2", nil), NewSet("a/1", nil), NewSet("b/1", nil), NewSet("c", nil)})
 	cases := map[string]string{"a/": "a/1 ", "b/": "b/1 b/2 ", "b/2": "b/2 ", "d": "", "": "a/1 b/1 b/2 c "}
 	for prefix, want := range cases {
@@ -77,32 +77,32 @@
 	}
 }
 
-func TestCheckRefusesWhatNoNodeCouldRead(t *testing.T) {
+func TestCheckRejectsUndecodableValues(t *testing.T) {
 	for _, s := range []Set{
 		NewSet("target/a", []byte("{")), NewSet("selector/a", []byte(`{"name":"a"}`)),
 		NewSet("caller/a", []byte("[]")), NewSet("other/a", []byte("{}")),
 	} {
 		if Check(s) == nil {
-			t.Errorf("%s = %s was accepted", s.Key(), s.Value())
+			t.Errorf("Check accepted %s = %s", s.Key(), s.Value())
 		}
 	}
 }
 
-// An account is written that entries can't read: it has no name, no hash, or a
-// figure of the wrong kind. The write is accepted and in force, entries pass the
-// row over, and the caller's key is refused without a word of why.
-func TestCheckRefusesAnAccountThatEntriesPassOver(t *testing.T) {
+// An account is written that entries can't decode: it has no name, no hash, or a number
+// of the wrong type. If Check accepted the write, entries would skip the row and reject
+// the caller's key without a reason.
+func TestCheckRejectsInvalidCallers(t *testing.T) {
 	hash := kumquatlug.HashKey("k")
 	cases := map[string]struct {
 		value string
 		want  bool
 	}{
-		"whole":            {`{"name":"a","key_hash":"` + hash + `","weight":2}`, true},
-		"no name":          {`{"key_hash":"` + hash + `"}`, false},
-		"no hash":          {`{"name":"a"}`, false},
-		"short hash":       {`{"name":"a","key_hash":"00"}`, false},
-		"part of a weight": {`{"name":"a","key_hash":"` + hash + `","weight":1.5}`, false},
-		"negative bound":   {`{"name":"a","key_hash":"` + hash + `","concurrency":-1}`, false},
+		"valid":             {`{"name":"a","key_hash":"` + hash + `","weight":2}`, true},
+		"no name":           {`{"key_hash":"` + hash + `"}`, false},
+		"no hash":           {`{"name":"a"}`, false},
+		"short hash":        {`{"name":"a","key_hash":"00"}`, false},
+		"fractional weight": {`{"name":"a","key_hash":"` + hash + `","weight":1.5}`, false},
+		"negative limit":    {`{"name":"a","key_hash":"` + hash + `","concurrency":-1}`, false},
 	}
 	for name, c := range cases {
 		if err := Check(NewSet(PrefixCaller+"a", []byte(c.value))); (err == nil) != c.want {
@@ -151,7 +151,7 @@
 	// true changed since you looked: revision 2 by binu target/vm-1;
 }
 
-func rows(n int) State {
+func stateWithRows(n int) State {
 	sets := make([]Set, 0, n)
 	for i := range n {
 		sets = append(sets, NewSet(fmt.Sprintf("target/vm-%05d", i), []byte(`{"pool":"draft","zone":"a"}`)))
@@ -162,7 +162,7 @@
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{15, 1000, 10000} {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
-			state := rows(n)
+			state := stateWithRows(n)
 			set := []Set{NewSet("target/vm-00007", []byte(`{"pool":"post"}`))}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -173,7 +173,7 @@
 }
 
 func BenchmarkGet(b *testing.B) {
-	state := rows(10000)
+	state := stateWithRows(10000)
 	b.ReportAllocs()
 	for b.Loop() {
 		state.Get("target/vm-07777")
@@ -181,7 +181,7 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	state := rows(10000)
+	state := stateWithRows(10000)
 	var text []byte
 	for b.Loop() {
 		text, _ = state.Encode()
