--- a/internal/gateway/account.go
+++ b/internal/gateway/account.go
@@ -9,69 +9,69 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routes"
 )
 
-// quietSpan is for how long a store that serves this front may say nothing: it answers
+// maxFeedSilence is for how long a store that serves this front may say nothing: it answers
 // at the end of each wait, and a call may take that much longer.
-const quietSpan = feedWait + storeCall
+const maxFeedSilence = feedPollWait + storeCallTimeout
 
 // authenticate finds the account of a request by its key, or the answer to a request
 // that has no right to its route. An account on a public route is known only if its
 // key is.
 func (g *Gateway) authenticate(
-	table *routes.Table, route kumquatlug.Route, ask kumquatlug.Ask,
+	table *routes.Table, route kumquatlug.Route, request kumquatlug.Ask,
 ) (kumquatlug.Caller, *kumquatlug.Failure) {
-	book := table.Accounts()
-	if book == nil {
+	accountIndex := table.Accounts()
+	if accountIndex == nil {
 		return kumquatlug.Caller{}, nil
 	}
-	account, verdict := book.Find(ask.Credential())
+	account, verdict := accountIndex.Find(request.Credential())
 	switch {
 	case route.Public():
 		return account, nil
-	case g.c.FailClosed && g.unheard() > g.c.RevokeSpan:
-		return kumquatlug.Caller{}, refusal("authenticate", "keys_stale", http.StatusServiceUnavailable, startRetry)
+	case g.c.FailClosed && g.configAge() > g.c.RevokeSpan:
+		return kumquatlug.Caller{}, refusal("authenticate", "keys_stale", http.StatusServiceUnavailable, noConfigRetryAfter)
 	case verdict == accounts.VerdictKnown:
 		return account, nil
 	}
 	g.metrics.denied.WithLabelValues(string(verdict)).Inc()
 	denied := refusal("authenticate", string(verdict), http.StatusUnauthorized, 0)
 	if verdict == accounts.VerdictUnknownKey {
-		denied = g.unlessStale(denied)
+		denied = g.deniedUnlessStale(denied)
 	}
 	return kumquatlug.Caller{}, denied
 }
 
-// unheard returns for how long the store has not told what config is in force.
-func (g *Gateway) unheard() kumquatlug.Millis {
-	return g.c.Awake.Now() - kumquatlug.Millis(g.configAt.Load())
+// configAge returns for how long the store has not told what config is in force.
+func (g *Gateway) configAge() kumquatlug.Millis {
+	return g.c.Awake.Now() - kumquatlug.Millis(g.configConfirmedAt.Load())
 }
 
-// unlessStale returns the final answer to a request that the config in force does not
+// deniedUnlessStale returns the final answer to a request that the config in force does not
 // allow. A client does not try again after one. A front that was cut off from the
 // store may not know the config that allows it, and sends the client to another
 // front instead.
-func (g *Gateway) unlessStale(denied *kumquatlug.Failure) *kumquatlug.Failure {
-	if g.c.ConfigSpan == 0 || g.unheard() <= max(g.c.ConfigSpan, quietSpan) {
+func (g *Gateway) deniedUnlessStale(denied *kumquatlug.Failure) *kumquatlug.Failure {
+	if g.c.ConfigSpan == 0 || g.configAge() <= max(g.c.ConfigSpan, maxFeedSilence) {
 		return denied
 	}
-	return refusal(denied.Step(), "config_stale", http.StatusServiceUnavailable, startRetry)
+	return refusal(denied.Step(), "config_stale", http.StatusServiceUnavailable, noConfigRetryAfter)
 }
 
-// stillAllowed looks at the key again right before something is sent to a worker, as
+// reauthenticate looks at the key again right before something is sent to a worker, as
 // it may have been taken away, or have gone to another account, while the request
 // waited. Nothing is begun for a key that is gone; an answer of which the client has
 // a part is finished, as the account had a right to it when it began.
-func (f *inflight) stillAllowed(s stage, t *placement.Ticket) *tried {
+func (f *inflight) reauthenticate(s stage, a *placement.Ticket) *attemptFailure {
 	table := f.g.table.Load()
-	if f.begun || table == nil || table.Version() == f.version && !f.g.c.FailClosed {
+	if f.responseStarted || table == nil || table.Version() == f.configVersion && !f.g.c.FailClosed {
 		return nil
 	}
-	account, denied := f.g.authenticate(table, f.route, f.ask)
+	account, denied := f.g.authenticate(table, f.route, f.request)
 	if denied != nil {
-		f.end(s, t, placement.OutcomeSilent)
-		return &tried{whole: true, failure: denied}
+		f.endAttempt(s, a, placement.OutcomeSilent)
+		return &attemptFailure{permanent: true, failure: denied}
 	}
-	if account.Name() != f.ask.Account() {
-		f.account, f.ask = account, f.ask.WithAccount(account.Name())
+	if account.Name() != f.request.Account() {
+		f.account, f.request = account, f.request.WithAccount(account.Name())
 	}
 	return nil
 }
--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -13,8 +13,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routes"
 )
 
-// keyed returns a table whose accounts have these keys, by key.
-func keyed(t *testing.T, version int64, accounts map[string]string) *routes.Table {
+// tableWithKeys returns a table whose accounts have these keys, by key.
+func tableWithKeys(t *testing.T, version int64, accounts map[string]string) *routes.Table {
 	t.Helper()
 	c := testConfig(version)
 	c.Keyed = true
@@ -33,58 +33,60 @@
 	return routes.NewTable(c)
 }
 
-func newKeyedFront(t *testing.T, w *fakeWorkers) *front {
-	f := newFront(t, w, manyRepeats)
-	f.g.table.Store(keyed(t, 7, map[string]string{"k1": "north"}))
-	f.g.configAt.Store(int64(f.g.c.Awake.Now()))
+func newGatewayWithKeys(t *testing.T, w *fakeWorkers) *testGateway {
+	f := newTestGateway(t, w, manyRetries)
+	f.g.table.Store(tableWithKeys(t, 7, map[string]string{"k1": "north"}))
+	f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now()))
 	return f
 }
 
-func answersAlways() *fakeWorkers {
-	return &fakeWorkers{run: func(context.Context, int, call) (kumquatlug.Reply, error) { return whole(200, "done"), nil }}
+func respondingWorkers() *fakeWorkers {
+	return &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
+		return wholeResponse(200, "done"), nil
+	}}
 }
 
 // Without a key, with two or with one that nobody has a request is none of a client;
 // run all the same it would be billed to somebody.
-func TestNothingRunsWithoutAKnownKey(t *testing.T) {
-	w := answersAlways()
-	f := newKeyedFront(t, w)
+func TestUnknownKeysAreDenied(t *testing.T) {
+	w := respondingWorkers()
+	f := newGatewayWithKeys(t, w)
 	for _, keys := range [][]string{nil, {"k1", "k1"}, {"k2"}} {
-		answer := f.ask(t.Context(), http.MethodPost, post, keys...)
-		if answer.status != http.StatusUnauthorized || answer.header.Get("Ran") != string(kumquatlug.RanNot) {
-			t.Errorf("%q: %+v", keys, answer)
+		response := f.do(t.Context(), http.MethodPost, postRoute, keys...)
+		if response.status != http.StatusUnauthorized || response.header.Get("Ran") != string(kumquatlug.RanNot) {
+			t.Errorf("%q: %+v", keys, response)
 		}
 	}
-	if made := w.made(); len(made) != 0 {
-		t.Fatalf("sent %+v", made)
+	if calls := w.recorded(); len(calls) != 0 {
+		t.Fatalf("sent %+v", calls)
 	}
-	if answer := f.ask(t.Context(), http.MethodPost, post, "k1"); answer.status != http.StatusOK {
-		t.Errorf("%+v", answer)
+	if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != http.StatusOK {
+		t.Errorf("%+v", response)
 	}
-	if answer := f.ask(t.Context(), http.MethodGet, "/open/"); answer.status != http.StatusOK {
-		t.Errorf("a route for all: %+v", answer)
+	if response := f.do(t.Context(), http.MethodGet, "/open/"); response.status != http.StatusOK {
+		t.Errorf("a route for all: %+v", response)
 	}
-	if made := w.made(); len(made) != 2 || made[0].ask.Account() != "north" || made[1].ask.Account() != "" {
-		t.Errorf("sent %+v", made)
+	if calls := w.recorded(); len(calls) != 2 || calls[0].request.Account() != "north" || calls[1].request.Account() != "" {
+		t.Errorf("sent %+v", calls)
 	}
 }
 
 // An account has a rank of its own. Ranked by their routes, its requests would go
 // before those of accounts that the operator put first.
-func TestTheRankOfAnAccountGoesBeforeItsRoutes(t *testing.T) {
-	w := answersAlways()
-	f := newKeyedFront(t, w)
-	f.ask(t.Context(), http.MethodPost, post, "k1")
-	f.ask(t.Context(), http.MethodGet, "/open/")
-	if made := w.made(); made[0].sending.Urgency != urgencyInTime+2 || made[1].sending.Urgency != urgencyInTime {
-		t.Errorf("urgencies %d and %d", made[0].sending.Urgency, made[1].sending.Urgency)
+func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
+	w := respondingWorkers()
+	f := newGatewayWithKeys(t, w)
+	f.do(t.Context(), http.MethodPost, postRoute, "k1")
+	f.do(t.Context(), http.MethodGet, "/open/")
+	if calls := w.recorded(); calls[0].options.Urgency != priorityOnTime+2 || calls[1].options.Urgency != priorityOnTime {
+		t.Errorf("urgencies %d and %d", calls[0].options.Urgency, calls[1].options.Urgency)
 	}
 }
 
 // While a prompt is read its client's key is taken away, or goes to another account.
 // Begun all the same its output would run for a client that has no right to it, or be
 // billed to the wrong account.
-func TestNothingIsBegunForAKeyThatWasTakenAway(t *testing.T) {
+func TestRevokedKeyStartsNothing(t *testing.T) {
 	for _, c := range []struct {
 		now    map[string]string
 		status int
@@ -93,24 +95,24 @@
 		{map[string]string{"k2": "north"}, http.StatusUnauthorized, 0},
 		{map[string]string{"k1": "south"}, http.StatusOK, 1},
 	} {
-		w := &fakeWorkers{run: func(context.Context, int, call) (kumquatlug.Reply, error) { return streamed(1, 3), nil }}
-		f := newKeyedFront(t, w)
-		w.prefill = func(context.Context, int, call) (kumquatlug.KVCache, kumquatlug.Reply, error) {
-			f.g.table.Store(keyed(t, 8, c.now))
-			return kumquatlug.NewKVCache("10.0.0.1:1", "h"), whole(200, ""), nil
+		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 3), nil }}
+		f := newGatewayWithKeys(t, w)
+		w.prefill = func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+			f.g.table.Store(tableWithKeys(t, 8, c.now))
+			return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 		}
-		answer := f.ask(t.Context(), http.MethodPost, long, "k1")
-		if answer.status != c.status {
-			t.Errorf("%v: %+v", c.now, answer)
+		response := f.do(t.Context(), http.MethodPost, longRoute, "k1")
+		if response.status != c.status {
+			t.Errorf("%v: %+v", c.now, response)
 		}
 		runs := 0
-		for _, made := range w.made() {
-			if made.prefill {
+		for _, calls := range w.recorded() {
+			if calls.prefill {
 				continue
 			}
 			runs++
-			if made.ask.Account() != "south" {
-				t.Errorf("%v: run for %q", c.now, made.ask.Account())
+			if calls.request.Account() != "south" {
+				t.Errorf("%v: run for %q", c.now, calls.request.Account())
 			}
 		}
 		if runs != c.runs {
@@ -121,89 +123,89 @@
 
 // A key is taken away while its client reads a stream that breaks off. The client
 // had a right to the answer when it began; broken off it would look like a fault.
-func TestABegunAnswerIsFinishedWithoutItsKey(t *testing.T) {
+func TestStartedResponseOutlivesItsKey(t *testing.T) {
 	w := &fakeWorkers{}
-	f := newKeyedFront(t, w)
-	w.run = func(_ context.Context, n int, _ call) (kumquatlug.Reply, error) {
+	f := newGatewayWithKeys(t, w)
+	w.run = func(_ context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
 		if n == 1 {
-			f.g.table.Store(keyed(t, 8, nil))
-			return cut(events(1, 2), -1), nil
+			f.g.table.Store(tableWithKeys(t, 8, nil))
+			return truncatedResponse(events(1, 2), -1), nil
 		}
-		return streamed(3, 5), nil
+		return streamResponse(3, 5), nil
 	}
-	answer := f.ask(t.Context(), http.MethodPost, long, "k1")
-	if answer.err != nil || answer.body != events(1, 5) {
-		t.Errorf("%+v", answer)
+	response := f.do(t.Context(), http.MethodPost, longRoute, "k1")
+	if response.err != nil || response.body != events(1, 5) {
+		t.Errorf("%+v", response)
 	}
 }
 
 // A front is cut off from the store while the operator adds a key. A client does not
 // come back after a denial; sent to another front it is served at once.
-func TestAFrontThatMayNotKnowTheKeySendsItsClientElsewhere(t *testing.T) {
-	f := newKeyedFront(t, answersAlways())
+func TestStaleGatewayDeniesWithRetry(t *testing.T) {
+	f := newGatewayWithKeys(t, respondingWorkers())
 	f.g.c.ConfigSpan = 2000
-	f.g.configAt.Store(int64(f.g.c.Awake.Now() - 2500))
-	if answer := f.ask(t.Context(), http.MethodPost, "/added/", "k1"); answer.status != http.StatusNotFound {
-		t.Errorf("a route that is not there, at a quiet store: %+v", answer)
+	f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 2500))
+	if response := f.do(t.Context(), http.MethodPost, "/added/", "k1"); response.status != http.StatusNotFound {
+		t.Errorf("a route that is not there, at a quiet store: %+v", response)
 	}
-	f.g.configAt.Store(int64(f.g.c.Awake.Now() - 3600))
-	for path, key := range map[string]string{post: "k2", "/added/": "k1"} {
-		answer := f.ask(t.Context(), http.MethodPost, path, key)
-		if answer.status != http.StatusServiceUnavailable || answer.header.Get("Retry-After") == "" || answer.header.Get("Ran") != string(kumquatlug.RanNot) {
-			t.Errorf("%s with %s: %+v", path, key, answer)
+	f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 3600))
+	for path, key := range map[string]string{postRoute: "k2", "/added/": "k1"} {
+		response := f.do(t.Context(), http.MethodPost, path, key)
+		if response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" || response.header.Get("Ran") != string(kumquatlug.RanNot) {
+			t.Errorf("%s with %s: %+v", path, key, response)
 		}
 	}
-	if answer := f.ask(t.Context(), http.MethodPost, post, "k1"); answer.status != http.StatusOK {
-		t.Errorf("a key that it knows: %+v", answer)
+	if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != http.StatusOK {
+		t.Errorf("a key that it knows: %+v", response)
 	}
 }
 
 // Where keys must not outlast their taking away, a front that has not heard from the
 // store for too long serves nobody by a key; elsewhere it goes on.
-func TestAFrontOutOfTouchFailsClosedWhereItMust(t *testing.T) {
+func TestStaleGatewayFailsClosed(t *testing.T) {
 	for _, closed := range []bool{false, true} {
-		w := answersAlways()
-		f := newKeyedFront(t, w)
+		w := respondingWorkers()
+		f := newGatewayWithKeys(t, w)
 		f.g.c.FailClosed, f.g.c.RevokeSpan, f.g.c.ConfigSpan = closed, 5000, 3000
-		f.g.configAt.Store(int64(f.g.c.Awake.Now() - 4500))
-		if answer := f.ask(t.Context(), http.MethodPost, post, "k1"); answer.status != http.StatusOK {
-			t.Errorf("closed %v, within the bound: %+v", closed, answer)
+		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 4500))
+		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != http.StatusOK {
+			t.Errorf("closed %v, within the bound: %+v", closed, response)
 		}
-		f.g.configAt.Store(int64(f.g.c.Awake.Now() - 5500))
+		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 5500))
 		want, sent := http.StatusOK, 2
 		if closed {
 			want, sent = http.StatusServiceUnavailable, 1
 		}
-		if answer := f.ask(t.Context(), http.MethodPost, post, "k1"); answer.status != want {
-			t.Errorf("closed %v, beyond it: %+v", closed, answer)
+		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != want {
+			t.Errorf("closed %v, beyond it: %+v", closed, response)
 		}
-		if answer := f.ask(t.Context(), http.MethodGet, "/open/"); answer.status != http.StatusOK {
-			t.Errorf("closed %v, a route for all: %+v", closed, answer)
+		if response := f.do(t.Context(), http.MethodGet, "/open/"); response.status != http.StatusOK {
+			t.Errorf("closed %v, a route for all: %+v", closed, response)
 		}
-		if made := w.made(); len(made) != sent+1 {
-			t.Errorf("closed %v: %d sent", closed, len(made))
+		if calls := w.recorded(); len(calls) != sent+1 {
+			t.Errorf("closed %v: %d sent", closed, len(calls))
 		}
 	}
 }
 
 // A prompt that waits for its turn while the front falls out of touch is not begun
 // either where the front fails closed.
-func TestAWaitingPromptIsNotBegunOnceTheFrontMustFailClosed(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, call) (kumquatlug.Reply, error) { return streamed(1, 3), nil }}
-	f := newKeyedFront(t, w)
+func TestQueuedPromptFailsClosed(t *testing.T) {
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 3), nil }}
+	f := newGatewayWithKeys(t, w)
 	f.g.c.FailClosed, f.g.c.RevokeSpan = true, 5000
 	var prompts atomic.Int32
-	w.prefill = func(context.Context, int, call) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+	w.prefill = func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
 		prompts.Add(1)
-		f.g.configAt.Store(int64(f.g.c.Awake.Now() - 6000))
-		return kumquatlug.NewKVCache("10.0.0.1:1", "h"), whole(200, ""), nil
+		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 6000))
+		return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 	}
-	answer := f.ask(t.Context(), http.MethodPost, long, "k1")
-	if answer.status != http.StatusServiceUnavailable || prompts.Load() != 1 || answer.took > time.Second {
-		t.Errorf("%+v after %d prompts", answer, prompts.Load())
+	response := f.do(t.Context(), http.MethodPost, longRoute, "k1")
+	if response.status != http.StatusServiceUnavailable || prompts.Load() != 1 || response.duration > time.Second {
+		t.Errorf("%+v after %d prompts", response, prompts.Load())
 	}
-	for _, made := range w.made() {
-		if !made.prefill {
+	for _, calls := range w.recorded() {
+		if !calls.prefill {
 			t.Error("the output was begun")
 		}
 	}
@@ -211,10 +213,10 @@
 
 // A front that must fail closed can't reach the store, while another front that can says
 // that the config in force is the newest. Both know as much, so that it serves on.
-func TestAFrontThatHearsFromOthersIsInTouch(t *testing.T) {
-	f := newKeyedFront(t, answersAlways())
-	f.g.c.FailClosed, f.g.c.RevokeSpan, f.g.c.Fronts = true, 5000, noLink{}
-	f.g.fetch.held.Store(&configCopy{version: 7})
+func TestPeersConfirmConfig(t *testing.T) {
+	f := newGatewayWithKeys(t, respondingWorkers())
+	f.g.c.FailClosed, f.g.c.RevokeSpan, f.g.c.Fronts = true, 5000, noPeers{}
+	f.g.configFetch.current.Store(&configCopy{version: 7})
 	for _, c := range []struct {
 		state  kumquatlug.ConfigState
 		status int
@@ -224,26 +226,26 @@
 		{kumquatlug.ConfigState{Version: 8, Age: 100}, http.StatusServiceUnavailable},
 		{kumquatlug.ConfigState{Version: 7, Age: 900}, http.StatusOK},
 	} {
-		f.g.configAt.Store(int64(f.g.c.Awake.Now() - 6000))
+		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 6000))
 		f.g.ConfigHeard("front-2", c.state)
-		if answer := f.ask(t.Context(), http.MethodPost, post, "k1"); answer.status != c.status {
-			t.Errorf("%+v: %+v", c.state, answer)
+		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != c.status {
+			t.Errorf("%+v: %+v", c.state, response)
 		}
 	}
 }
 
-// quickWorkers answers without keeping what was sent.
-type quickWorkers struct{ kumquatlug.Workers }
+// statelessWorkers answers without keeping what was sent.
+type statelessWorkers struct{ kumquatlug.Workers }
 
-func (quickWorkers) Run(context.Context, kumquatlug.Worker, kumquatlug.Ask, kumquatlug.Sending) (kumquatlug.Reply, error) {
-	return whole(200, "done"), nil
+func (statelessWorkers) Run(context.Context, kumquatlug.Worker, kumquatlug.Ask, kumquatlug.Sending) (kumquatlug.Reply, error) {
+	return wholeResponse(200, "done"), nil
 }
 
 // BenchmarkServe is what a request costs a front, with accounts and without.
 func BenchmarkServe(b *testing.B) {
 	for _, keys := range []int{0, 20_000} {
-		f := newFront(b, answersAlways(), manyRepeats)
-		f.g.c.Workers = quickWorkers{f.workers}
+		f := newTestGateway(b, respondingWorkers(), manyRetries)
+		f.g.c.Workers = statelessWorkers{f.workers}
 		c := testConfig(8)
 		for i := range keys {
 			caller, err := kumquatlug.NewCaller(kumquatlug.CallerConfig{
@@ -256,15 +258,15 @@
 		}
 		c.Keyed = keys > 0
 		f.g.table.Store(routes.NewTable(c))
-		f.g.configAt.Store(int64(f.g.c.Awake.Now()))
+		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now()))
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			for b.Loop() {
-				r := httptest.NewRequest(http.MethodPost, post, http.NoBody)
+				r := httptest.NewRequest(http.MethodPost, postRoute, http.NoBody)
 				r.Header["Secret"] = []string{"key-77"}
-				answer := httptest.NewRecorder()
-				f.g.ServeHTTP(answer, r)
-				if answer.Code != http.StatusOK {
-					b.Fatal(answer.Code)
+				response := httptest.NewRecorder()
+				f.g.ServeHTTP(response, r)
+				if response.Code != http.StatusOK {
+					b.Fatal(response.Code)
 				}
 			}
 		})
--- a/internal/gateway/controller_test.go
+++ b/internal/gateway/controller_test.go
@@ -14,10 +14,10 @@
 // An engine is announced to change its role, and then refuses the order, or its
 // answer is lost and it never took it. Left announced it would get nothing from
 // any front for eight seconds, although it works as before.
-func TestAnOrderThatIsNotTakenIsRetracted(t *testing.T) {
+func TestRejectedOrderIsRetracted(t *testing.T) {
 	for name, order := range map[string]func() (bool, error){
 		"refused":    func() (bool, error) { return false, nil },
-		"unanswered": func() (bool, error) { return false, lost() },
+		"unanswered": func() (bool, error) { return false, lostConnection() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var asked atomic.Int32
@@ -27,24 +27,24 @@
 				},
 				order: func() (bool, error) { asked.Add(1); return order() },
 			}
-			f := newFront(t, w, manyRepeats)
-			store := &planTable{Memory: platform.NewMemory(), plans: make(chan string, 64)}
+			f := newTestGateway(t, w, manyRetries)
+			store := &planRecorder{Memory: platform.NewMemory(), plans: make(chan string, 64)}
 			f.g.c.Table, f.g.c.ReadPart = store, 0.75
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			go f.g.control(ctx)
-			var told []string
+			go f.g.runController(ctx)
+			var published []string
 			end := time.After(8 * time.Second)
-			for len(told) < 2 {
+			for len(published) < 2 {
 				select {
 				case <-end:
-					t.Fatalf("plans %v, %d orders", told, asked.Load())
+					t.Fatalf("plans %v, %d orders", published, asked.Load())
 				case plan := <-store.plans:
-					told = append(told, plan)
+					published = append(published, plan)
 				}
 			}
-			if !strings.Contains(told[0], "prefill") || strings.Contains(told[1], "prefill") || asked.Load() == 0 {
-				t.Errorf("plans %v after %d orders", told, asked.Load())
+			if !strings.Contains(published[0], "prefill") || strings.Contains(published[1], "prefill") || asked.Load() == 0 {
+				t.Errorf("plans %v after %d orders", published, asked.Load())
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 // The front that gives orders can't reach the store for a moment. An engine that
 // were ordered then would refuse for three seconds what all other fronts go on
 // sending there. The order must wait until they know.
-func TestNoOrderIsGivenThatNobodyIsTold(t *testing.T) {
+func TestOrderWaitsForPublishedPlan(t *testing.T) {
 	var ordered atomic.Int32
 	w := &fakeWorkers{
 		state: func() (kumquatlug.EngineState, error) {
@@ -61,13 +61,13 @@
 		},
 		order: func() (bool, error) { ordered.Add(1); return true, nil },
 	}
-	f := newFront(t, w, manyRepeats)
-	store := &planTable{Memory: platform.NewMemory(), plans: make(chan string, 64)}
-	store.away.Store(true)
+	f := newTestGateway(t, w, manyRetries)
+	store := &planRecorder{Memory: platform.NewMemory(), plans: make(chan string, 64)}
+	store.failPlans.Store(true)
 	f.g.c.Table, f.g.c.ReadPart = store, 0.75
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go f.g.control(ctx)
+	go f.g.runController(ctx)
 	for range 2 {
 		select {
 		case <-time.After(8 * time.Second):
@@ -78,7 +78,7 @@
 	if n := ordered.Load(); n != 0 {
 		t.Errorf("%d orders that no other front knows of", n)
 	}
-	store.away.Store(false)
+	store.failPlans.Store(false)
 	for end := time.Now().Add(8 * time.Second); ordered.Load() == 0; {
 		if time.Now().After(end) {
 			t.Fatal("no order after the store's return")
@@ -90,19 +90,19 @@
 	}
 }
 
-// planTable is a table that tells the plans written to it.
-type planTable struct {
+// planRecorder is a table that tells the plans written to it.
+type planRecorder struct {
 	*platform.Memory
 	plans chan string
-	// away has writes of plans fail.
-	away atomic.Bool
+	// failPlans has writes of plans fail.
+	failPlans atomic.Bool
 }
 
-func (p *planTable) Commit(ctx context.Context, tx kumquatlug.Tx) error {
+func (p *planRecorder) Commit(ctx context.Context, tx kumquatlug.Tx) error {
 	for _, w := range tx.Writes() {
 		if strings.HasPrefix(w.Key(), planPrefix) {
 			p.plans <- string(w.Value())
-			if p.away.Load() {
+			if p.failPlans.Load() {
 				return kumquatlug.ErrUnavailable
 			}
 		}
--- a/internal/gateway/departure_test.go
+++ b/internal/gateway/departure_test.go
@@ -9,15 +9,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// saysItLeaves returns a reply with the mark of a worker that leaves.
-func saysItLeaves(r kumquatlug.Reply) kumquatlug.Reply {
+// shuttingDownResponse returns a reply with the mark of a worker that leaves.
+func shuttingDownResponse(r kumquatlug.Reply) kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: r.Status(), Header: r.Header(), Length: r.Length(), Body: r.Body(), Refused: r.Refused(), Leaving: true,
 	})
 }
 
-// states returns what each worker counts as.
-func (w *watched) states() map[string]kumquatlug.MemberState {
+// memberStates returns what each worker counts as.
+func (w *watchHarness) memberStates() map[string]kumquatlug.MemberState {
 	states := map[string]kumquatlug.MemberState{}
 	for _, members := range w.g.members.Load().byService {
 		for _, m := range members {
@@ -29,20 +29,20 @@
 
 // A worker said that it leaves, and the store, back from an outage, tells its old row, loses
 // it and tells it again. Put back by the row, it would be sent requests until its end.
-func TestAnOldRowDoesNotPutBackAWorkerThatLeaves(t *testing.T) {
-	w := newWatched()
-	w.step()
-	w.g.departures.note(w.now.Now(), "a", 0)
+func TestOldRowDoesNotReadmitDrainingWorker(t *testing.T) {
+	w := newWatchHarness()
+	w.poll()
+	w.g.draining.note(w.now.Now(), "a", 0)
 	w.g.republish()
 	read := func() {
 		w.feed.version++
-		w.follower.known = false
+		w.watcher.synced = false
 		w.now.Advance(10 * kumquatlug.Second)
-		w.step()
+		w.poll()
 	}
 	want := func(when string) {
 		t.Helper()
-		if got := w.states(); got["a"] != kumquatlug.MemberDraining || got["b"] != kumquatlug.MemberReady {
+		if got := w.memberStates(); got["a"] != kumquatlug.MemberDraining || got["b"] != kumquatlug.MemberReady {
 			t.Errorf("%s: %v", when, got)
 		}
 	}
@@ -59,8 +59,8 @@
 
 // A worker starts again under its name. Taken for the one that left, it would be idle for
 // good.
-func TestAWorkerThatStartsAgainIsReady(t *testing.T) {
-	d := newDepartures()
+func TestRestartedWorkerIsReady(t *testing.T) {
+	d := newDrainingWorkers()
 	d.note(0, "a", 100)
 	again := member("a", "")
 	again.Born = 200
@@ -73,22 +73,24 @@
 
 // Whatever a worker answers, a refusal, a failure or a prompt that was read, it may say that
 // it leaves. The next request must go elsewhere, and with nobody left be refused at once.
-func TestAnyAnswerMayTellThatAWorkerLeaves(t *testing.T) {
-	for name, reply := range map[string]func() kumquatlug.Reply{
-		"answer": func() kumquatlug.Reply { return whole(http.StatusOK, "done") }, "refusal": refusedReply,
-		"failure": func() kumquatlug.Reply { return whole(http.StatusInternalServerError, "") },
+func TestAnyResponseMayAnnounceShutdown(t *testing.T) {
+	for name, response := range map[string]func() kumquatlug.Reply{
+		"answer": func() kumquatlug.Reply { return wholeResponse(http.StatusOK, "done") }, "refusal": refusedResponse,
+		"failure": func() kumquatlug.Reply { return wholeResponse(http.StatusInternalServerError, "") },
 	} {
-		w := &fakeWorkers{run: func(context.Context, int, call) (kumquatlug.Reply, error) { return saysItLeaves(reply()), nil }}
-		f := newFront(t, w, manyRepeats)
+		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
+			return shuttingDownResponse(response()), nil
+		}}
+		f := newTestGateway(t, w, manyRetries)
 		for range 2 {
-			f.ask(context.Background(), http.MethodPost, post)
+			f.do(context.Background(), http.MethodPost, postRoute)
 		}
-		got := f.ask(context.Background(), http.MethodPost, post)
-		if got.status != http.StatusServiceUnavailable || got.header.Get("Ran") != "not-run" || got.took > time.Second {
+		got := f.do(context.Background(), http.MethodPost, postRoute)
+		if got.status != http.StatusServiceUnavailable || got.header.Get("Ran") != "not-run" || got.duration > time.Second {
 			t.Errorf("%s: %+v", name, got)
 		}
 		sent := map[string]int{}
-		for _, c := range w.made() {
+		for _, c := range w.recorded() {
 			sent[c.worker]++
 		}
 		if sent["s1"] != 1 || sent["s2"] != 1 {
@@ -96,17 +98,17 @@
 		}
 	}
 	w := &fakeWorkers{
-		run: func(context.Context, int, call) (kumquatlug.Reply, error) { return streamed(1, 2), nil },
-		prefill: func(context.Context, int, call) (kumquatlug.KVCache, kumquatlug.Reply, error) {
-			return kumquatlug.NewKVCache("10.0.0.1:1", "h"), saysItLeaves(whole(http.StatusOK, "")), nil
+		run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil },
+		prefill: func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+			return kumquatlug.NewKVCache("10.0.0.1:1", "h"), shuttingDownResponse(wholeResponse(http.StatusOK, "")), nil
 		},
 	}
-	f := newFront(t, w, manyRepeats)
+	f := newTestGateway(t, w, manyRetries)
 	for range 4 {
-		f.ask(context.Background(), http.MethodPost, long)
+		f.do(context.Background(), http.MethodPost, longRoute)
 	}
 	read := map[string]int{}
-	for _, c := range w.made() {
+	for _, c := range w.recorded() {
 		if c.prefill {
 			read[c.worker]++
 		}
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -20,27 +20,27 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/retry"
 )
 
-// call is one sending that the front made.
-type call struct {
+// workerCall is one sending that the front made.
+type workerCall struct {
 	worker  string
-	ask     kumquatlug.Ask
-	sending kumquatlug.Sending
+	request kumquatlug.Ask
+	options kumquatlug.Sending
 	prefill bool
 }
 
 // fakeWorkers answers sendings as a test says.
 type fakeWorkers struct {
 	mu      sync.Mutex
-	calls   []call
+	calls   []workerCall
 	freed   []kumquatlug.KVCache
-	run     func(ctx context.Context, n int, c call) (kumquatlug.Reply, error)
-	prefill func(ctx context.Context, n int, c call) (kumquatlug.KVCache, kumquatlug.Reply, error)
+	run     func(ctx context.Context, n int, c workerCall) (kumquatlug.Reply, error)
+	prefill func(ctx context.Context, n int, c workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error)
 	move    func(ctx context.Context, from, to string) (kumquatlug.KVCache, error)
 	state   func() (kumquatlug.EngineState, error)
 	order   func() (bool, error)
 }
 
-func (w *fakeWorkers) note(c call) int {
+func (w *fakeWorkers) record(c workerCall) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls = append(w.calls, c)
@@ -53,29 +53,29 @@
 	return n
 }
 
-// made returns the sendings so far.
-func (w *fakeWorkers) made() []call {
+// recorded returns the sendings so far.
+func (w *fakeWorkers) recorded() []workerCall {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]call(nil), w.calls...)
+	return append([]workerCall(nil), w.calls...)
 }
 
 func (w *fakeWorkers) Run(
 	ctx context.Context, to kumquatlug.Worker, a kumquatlug.Ask, s kumquatlug.Sending,
 ) (kumquatlug.Reply, error) {
-	c := call{worker: to.ID(), ask: a, sending: s}
-	return w.run(ctx, w.note(c), c)
+	c := workerCall{worker: to.ID(), request: a, options: s}
+	return w.run(ctx, w.record(c), c)
 }
 
 func (w *fakeWorkers) Prefill(
 	ctx context.Context, to kumquatlug.Worker, a kumquatlug.Ask, s kumquatlug.Sending,
 ) (kumquatlug.KVCache, kumquatlug.Reply, error) {
-	c := call{worker: to.ID(), ask: a, sending: s, prefill: true}
-	n := w.note(c)
+	c := workerCall{worker: to.ID(), request: a, options: s, prefill: true}
+	n := w.record(c)
 	if w.prefill != nil {
 		return w.prefill(ctx, n, c)
 	}
-	return kumquatlug.NewKVCache("10.0.0.1:1", "h"), whole(200, ""), nil
+	return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 }
 
 func (w *fakeWorkers) Free(_ context.Context, k kumquatlug.KVCache) error {
@@ -108,17 +108,17 @@
 	return false, nil
 }
 
-// whole is a worker's whole answer.
-func whole(status int, text string) kumquatlug.Reply {
+// wholeResponse is a worker's whole answer.
+func wholeResponse(status int, text string) kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: status, Header: http.Header{"Stamp": {"s"}}, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text)),
 	})
 }
 
-// cutBody ends with an error instead of its end.
-type cutBody struct{ io.Reader }
+// truncatedBody ends with an error instead of its end.
+type truncatedBody struct{ io.Reader }
 
-func (c cutBody) Read(p []byte) (int, error) {
+func (c truncatedBody) Read(p []byte) (int, error) {
 	n, err := c.Reader.Read(p)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -126,12 +126,12 @@
 	return n, err
 }
 
-func (cutBody) Close() error { return nil }
+func (truncatedBody) Close() error { return nil }
 
-// cut is an answer that breaks off after text; a stream has no length.
-func cut(text string, length int64) kumquatlug.Reply {
+// truncatedResponse is an answer that breaks off after text; a stream has no length.
+func truncatedResponse(text string, length int64) kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
-		Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: length, Body: cutBody{strings.NewReader(text)},
+		Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: length, Body: truncatedBody{strings.NewReader(text)},
 	})
 }
 
@@ -144,21 +144,21 @@
 	return b.String()
 }
 
-func streamed(from, to int) kumquatlug.Reply {
+func streamResponse(from, to int) kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: -1, Body: io.NopCloser(strings.NewReader(events(from, to))),
 	})
 }
 
-// refusedReply says that the worker ran nothing.
-func refusedReply() kumquatlug.Reply {
+// refusedResponse says that the worker ran nothing.
+func refusedResponse() kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: 503, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("")), Refused: true,
 	})
 }
 
-// lost is a failure of which nothing is known.
-func lost() error {
+// lostConnection is a failure of which nothing is known.
+func lostConnection() error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "exchange", Reason: "peer_failed", Ran: kumquatlug.RanUnknown})
 }
 
@@ -186,12 +186,12 @@
 	}), nil
 }
 
-func (plainIngress) Head(w http.ResponseWriter, reply kumquatlug.Reply) {
-	w.Header().Set("Stamp", reply.Header().Get("Stamp"))
-	if reply.Length() >= 0 {
-		w.Header().Set("Content-Length", fmt.Sprint(reply.Length()))
+func (plainIngress) Head(w http.ResponseWriter, response kumquatlug.Reply) {
+	w.Header().Set("Stamp", response.Header().Get("Stamp"))
+	if response.Length() >= 0 {
+		w.Header().Set("Content-Length", fmt.Sprint(response.Length()))
 	}
-	w.WriteHeader(reply.Status())
+	w.WriteHeader(response.Status())
 }
 
 func (plainIngress) Refuse(w http.ResponseWriter, _ kumquatlug.Ask, f *kumquatlug.Failure) {
@@ -230,37 +230,39 @@
 	}
 }
 
-// noTable is a store that is away.
-type noTable struct{}
+// unavailableTable is a store that is away.
+type unavailableTable struct{}
 
-func (noTable) Get(context.Context, string) (kumquatlug.Row, error) {
+func (unavailableTable) Get(context.Context, string) (kumquatlug.Row, error) {
 	return kumquatlug.Row{}, kumquatlug.ErrUnavailable
 }
 
-func (noTable) Scan(context.Context, string, string, int) ([]kumquatlug.Row, error) {
+func (unavailableTable) Scan(context.Context, string, string, int) ([]kumquatlug.Row, error) {
 	return nil, kumquatlug.ErrUnavailable
 }
-func (noTable) Commit(context.Context, kumquatlug.Tx) error { return kumquatlug.ErrUnavailable }
+func (unavailableTable) Commit(context.Context, kumquatlug.Tx) error {
+	return kumquatlug.ErrUnavailable
+}
 
-// front is a gateway behind a listener, with members and routes given at once.
-type front struct {
+// testGateway is a gateway behind a listener, with members and routes given at once.
+type testGateway struct {
 	g       *Gateway
 	workers *fakeWorkers
 	url     string
 }
 
-func newFront(t testing.TB, w *fakeWorkers, floor int) *front {
+func newTestGateway(t testing.TB, w *fakeWorkers, floor int) *testGateway {
 	t.Helper()
 	now := clock.NewMonotonic()
 	g := New(Config{
-		Name: "n", Zone: "z", Incarnation: "i", Ingress: plainIngress{}, Directory: jsonDirectory{}, Workers: w, Table: noTable{},
+		Name: "n", Zone: "z", Incarnation: "i", Ingress: plainIngress{}, Directory: jsonDirectory{}, Workers: w, Table: unavailableTable{},
 		Clock: now, Awake: now, Grace: 4000, OrderTurn: 100,
 		Repeats:   retry.SharedConfig{Floor: floor, Window: 10_000},
 		MaxBodies: 1000,
 		ReadPart:  0.5, Sweep: func(func(string) bool) {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
 	g.table.Store(testTable(7))
-	set := &memberSet{known: true, byService: map[string][]kumquatlug.Member{
+	set := &memberSet{loaded: true, byService: map[string][]kumquatlug.Member{
 		"engines": {
 			member("p1", kumquatlug.RolePrefill), member("p2", kumquatlug.RolePrefill),
 			member("d1", kumquatlug.RoleDecode), member("d2", kumquatlug.RoleDecode),
@@ -268,7 +270,7 @@
 		"desk": {member("s1", ""), member("s2", "")},
 	}}
 	g.members.Store(set)
-	g.scheduler.sync(now.Now(), set.byService)
+	g.scheduler.syncMembers(now.Now(), set.byService)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -276,32 +278,32 @@
 	server := &http.Server{Handler: g, ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
-	return &front{g: g, workers: w, url: "http://" + l.Addr().String()}
+	return &testGateway{g: g, workers: w, url: "http://" + l.Addr().String()}
 }
 
-// got is what a client received.
-type got struct {
-	status int
-	header http.Header
-	body   string
-	err    error
-	took   time.Duration
+// clientResponse is what a client received.
+type clientResponse struct {
+	status   int
+	header   http.Header
+	body     string
+	err      error
+	duration time.Duration
 }
 
-func (f *front) ask(ctx context.Context, method, path string, keys ...string) got {
+func (f *testGateway) do(ctx context.Context, method, path string, keys ...string) clientResponse {
 	begun := time.Now()
 	r, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader("body"))
 	if err != nil {
-		return got{err: err}
+		return clientResponse{err: err}
 	}
 	r.Header.Set("Id", "r1")
 	r.Header["Secret"] = keys
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Do(r)
+	response, err := client.Do(r)
 	if err != nil {
-		return got{err: err, took: time.Since(begun)}
+		return clientResponse{err: err, duration: time.Since(begun)}
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	return got{status: answer.StatusCode, header: answer.Header, body: string(body), err: err, took: time.Since(begun)}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return clientResponse{status: response.StatusCode, header: response.Header, body: string(body), err: err, duration: time.Since(begun)}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -112,40 +112,40 @@
 	c       Config
 	table   atomic.Pointer[routes.Table]
 	members atomic.Pointer[memberSet]
-	// publishing is held while members are put in force.
-	publishing sync.Mutex
-	scheduler  *scheduler
-	metrics    *metrics
-	crashes    *crashes
-	// departures are the workers that said that they leave.
-	departures *departures
-	// leaveAt is when a front that was told to stop ends, zero for the others.
-	leaveAt atomic.Int64
-	held    atomic.Int64
-	// configAt is when the store last told what config is in force, by Awake.
-	configAt atomic.Int64
-	// adopting is held while a config is put in force; fetch gets one from other fronts.
-	adopting sync.Mutex
-	fetch    configFetch
+	// publishMu is held while members are put in force.
+	publishMu sync.Mutex
+	scheduler *scheduler
+	metrics   *metrics
+	crashes   *crashes
+	// draining are the workers that said that they leave.
+	draining *drainingWorkers
+	// exitAt is when a front that was told to stop ends, zero for the others.
+	exitAt   atomic.Int64
+	inFlight atomic.Int64
+	// configConfirmedAt is when the store last told what config is in force, by Awake.
+	configConfirmedAt atomic.Int64
+	// adoptMu is held while a config is put in force; fetch gets one from other fronts.
+	adoptMu     sync.Mutex
+	configFetch configFetch
 	// usage counts what began here; term is the lease that this front holds.
-	usage  usageCount
-	served served
-	term   atomic.Pointer[lease.Term]
-	// bodies is how many bytes of bodies are in hand.
-	bodies atomic.Int64
-	// unused are KV caches that nobody will take.
-	unused chan kumquatlug.KVCache
+	usage    usageState
+	accounts accountStats
+	term     atomic.Pointer[lease.Term]
+	// bodyBytes is how many bytes of bodies are in hand.
+	bodyBytes atomic.Int64
+	// unusedCaches are KV caches that nobody will take.
+	unusedCaches chan kumquatlug.KVCache
 }
 
-// cleanupRing bounds the caches that wait to be freed; an engine drops them by
+// maxUnusedCaches bounds the caches that wait to be freed; an engine drops them by
 // itself some seconds later.
-const cleanupRing = 256
+const maxUnusedCaches = 256
 
 // New returns a front.
 func New(c Config) *Gateway {
 	g := &Gateway{
 		c: c, scheduler: newScheduler(c), metrics: newMetrics(c.Registry), crashes: newCrashes(),
-		departures: newDepartures(), unused: make(chan kumquatlug.KVCache, cleanupRing),
+		draining: newDrainingWorkers(), unusedCaches: make(chan kumquatlug.KVCache, maxUnusedCaches),
 	}
 	g.members.Store(&memberSet{})
 	g.usage.counter = usage.NewCounter(c.UsageWindows)
@@ -160,8 +160,8 @@
 	// idleTimeout is far above what clients leave a connection idle: closing one
 	// that a client is about to use costs that client its request.
 	idleTimeout = 30 * kumquatlug.Second
-	// maxHeader bounds the headers of a request, in bytes.
-	maxHeader = 16 << 10
+	// maxHeaderBytes bounds the headers of a request, in bytes.
+	maxHeaderBytes = 16 << 10
 )
 
 // Run serves until ctx ends, then finishes what is in hand.
@@ -174,26 +174,26 @@
 	}
 	server := &http.Server{
 		Handler: g, ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration(),
-		MaxHeaderBytes: maxHeader, ErrorLog: zap.NewStdLog(g.c.Logger.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: zap.NewStdLog(g.c.Logger.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
 	}
 	group.Add(func() error { return g.serveUntil(ctx, server) }, func(error) { _ = server.Close() })
 	control := &http.Server{Handler: g.controlHandler(), ReadHeaderTimeout: headerTimeout.Duration()}
-	group.Add(func() error { return closed(control.Serve(g.c.Control)) }, func(error) { _ = control.Close() })
+	group.Add(func() error { return ignoreServerClosed(control.Serve(g.c.Control)) }, func(error) { _ = control.Close() })
 	if g.c.Metrics != nil {
 		m := &http.Server{Handler: g.metrics.handler(g.c.Registry), ReadHeaderTimeout: headerTimeout.Duration()}
-		group.Add(func() error { return closed(m.Serve(g.c.Metrics)) }, func(error) { _ = m.Close() })
+		group.Add(func() error { return ignoreServerClosed(m.Serve(g.c.Metrics)) }, func(error) { _ = m.Close() })
 	}
-	loop(g.followConfig)
-	loop(g.followMembers)
-	loop(g.control)
-	loop(g.keepHouse)
-	loop(g.freeCaches)
-	loop(g.watchQueues)
-	loop(g.spreadCrashes)
-	loop(g.followCrashes)
-	loop(g.followPlans)
+	loop(g.watchConfig)
+	loop(g.watchMembers)
+	loop(g.runController)
+	loop(g.runMaintenance)
+	loop(g.releaseCaches)
+	loop(g.runTimers)
+	loop(g.publishCrashes)
+	loop(g.watchCrashes)
+	loop(g.watchPlans)
 	if g.reportsUsage() {
-		loop(g.tellUsage)
+		loop(g.writeTallies)
 		loop(g.reportUsage)
 	}
 	if g.c.Scales {
@@ -208,7 +208,7 @@
 	return err
 }
 
-func closed(err error) error {
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -224,59 +224,59 @@
 	balancerLag = 2600 * kumquatlug.Millis(1)
 	// exitMargin is what is left of the grace for leaving.
 	exitMargin = 500 * kumquatlug.Millis(1)
-	// lastRequests is how long before that no more connections are taken; nearly
+	// finalDrainTime is how long before that no more connections are taken; nearly
 	// all requests but long streams end within it.
-	lastRequests = 700 * kumquatlug.Millis(1)
-	// idleLook is how often a stopping front looks whether it is idle.
-	idleLook = 100 * kumquatlug.Millis(1)
+	finalDrainTime = 700 * kumquatlug.Millis(1)
+	// idlePollInterval is how often a stopping front looks whether it is idle.
+	idlePollInterval = 100 * kumquatlug.Millis(1)
 )
 
 // serveUntil serves clients until ctx ends. Then it goes on for as long as the
 // grace lasts, while clients may still come: closed at once it would reset the
 // connections that are on their way, and where no other front is near nobody
 // would be served until the next start. Requests that can't end in time are
-// refused meanwhile, see [inflight.outlasts].
+// refused meanwhile, see [inflight.outlastsShutdown].
 func (g *Gateway) serveUntil(ctx context.Context, server *http.Server) error {
 	failed := make(chan error, 1)
-	go func() { failed <- closed(server.Serve(g.c.Clients)) }()
+	go func() { failed <- ignoreServerClosed(server.Serve(g.c.Clients)) }()
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
 	begun := g.c.Clock.Now()
-	leave := begun + g.c.Grace - exitMargin
-	g.leaveAt.Store(int64(leave))
+	exit := begun + g.c.Grace - exitMargin
+	g.exitAt.Store(int64(exit))
 	g.stopCoordinating()
-	g.c.Logger.Info("stopping", zap.Int64("grace_ms", int64(g.c.Grace)), zap.Int64("in_hand", g.held.Load()))
-	for now := begun; now < leave-lastRequests; now = g.c.Clock.Now() {
-		if now-begun >= balancerLag && g.held.Load() == 0 {
+	g.c.Logger.Info("stopping", zap.Int64("grace_ms", int64(g.c.Grace)), zap.Int64("in_hand", g.inFlight.Load()))
+	for now := begun; now < exit-finalDrainTime; now = g.c.Clock.Now() {
+		if now-begun >= balancerLag && g.inFlight.Load() == 0 {
 			break
 		}
 		select {
 		case err := <-failed:
 			return err
-		case <-time.After(idleLook.Duration()):
+		case <-time.After(idlePollInterval.Duration()):
 		}
 	}
-	left := max(leave-g.c.Clock.Now(), 0)
+	left := max(exit-g.c.Clock.Now(), 0)
 	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), left.Duration())
 	defer cancel()
 	if err := server.Shutdown(last); err != nil {
-		g.c.Logger.Warn("stopped with requests in hand", zap.Int64("in_hand", g.held.Load()), logs.Error(err))
+		g.c.Logger.Warn("stopped with requests in hand", zap.Int64("in_hand", g.inFlight.Load()), logs.Error(err))
 	}
 	if g.reportsUsage() {
-		g.tellTally(context.WithoutCancel(ctx), lastTell, true, true)
+		g.writeTally(context.WithoutCancel(ctx), finalTallyTimeout, true, true)
 	}
 	return nil
 }
 
 // stopping reports that this front has been told to stop.
-func (g *Gateway) stopping() bool { return g.leaveAt.Load() != 0 }
+func (g *Gateway) stopping() bool { return g.exitAt.Load() != 0 }
 
 // ready reports that this front can serve what the config allows.
 func (g *Gateway) ready() bool {
-	return !g.stopping() && g.table.Load() != nil && g.members.Load().known
+	return !g.stopping() && g.table.Load() != nil && g.members.Load().loaded
 }
 
 func (g *Gateway) controlHandler() http.Handler {
@@ -289,15 +289,15 @@
 	return mux
 }
 
-// freeCaches drops KV caches that nobody will take, so that their engines have
+// releaseCaches drops KV caches that nobody will take, so that their engines have
 // the memory back.
-func (g *Gateway) freeCaches(ctx context.Context) {
+func (g *Gateway) releaseCaches(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case cache := <-g.unused:
-			call, cancel := context.WithTimeout(ctx, freeTimeout.Duration())
+		case cache := <-g.unusedCaches:
+			call, cancel := context.WithTimeout(ctx, cacheReleaseTimeout.Duration())
 			if err := g.c.Workers.Free(call, cache); err != nil {
 				g.c.Logger.Info("cache not freed", zap.String("engine", cache.Engine()), logs.Error(err))
 			}
@@ -306,12 +306,12 @@
 	}
 }
 
-func (g *Gateway) free(k kumquatlug.KVCache) {
+func (g *Gateway) releaseCache(k kumquatlug.KVCache) {
 	if k.Handle() == "" {
 		return
 	}
 	select {
-	case g.unused <- k:
+	case g.unusedCaches <- k:
 	default:
 		// The engine drops it by itself.
 	}
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -15,153 +15,153 @@
 type inflight struct {
 	g       *Gateway
 	w       http.ResponseWriter
-	ask     kumquatlug.Ask
+	request kumquatlug.Ask
 	account kumquatlug.Caller
 	route   kumquatlug.Route
 	service kumquatlug.Service
-	// version is the config's.
-	version int64
-	arrived kumquatlug.Millis
-	// until is when the client gives up or the route's timeout ends.
-	until kumquatlug.Millis
-	// trying is how long the client has been trying before this request.
-	trying kumquatlug.Millis
-	// worth is what the request is worth beside the mean one of its route.
-	worth float64
+	// configVersion is the config's.
+	configVersion int64
+	arrived       kumquatlug.Millis
+	// deadline is when the client gives up or the route's timeout ends.
+	deadline kumquatlug.Millis
+	// retryingFor is how long the client has been trying before this request.
+	retryingFor kumquatlug.Millis
+	// value is what the request is worth beside the mean one of its route.
+	value float64
 
 	exclude []string
 	// cacheZone is the data centre of the engine that read the prompt.
 	cacheZone string
-	// place is what an engine with a limit keeps for the output of the prompt.
-	place placement.Place
-	// refused is the KV cache of the prompt that a generating engine refused to
+	// reservation is what an engine with a limit keeps for the output of the prompt.
+	reservation placement.Place
+	// refusedCache is the KV cache of the prompt that a generating engine refused to
 	// take on; the next one may have it. reused says that one was given such a cache.
-	refused kumquatlug.KVCache
-	reused  bool
-	// erred says that the last try ended with a worker's own error.
-	erred bool
-	// counted says that the request was counted as begun.
-	counted bool
-	// tries counts all tries, runs the workers that may have run the request.
-	tries, runs int
-	// arrivals counts the sendings that a worker received, but for the first
+	refusedCache kumquatlug.KVCache
+	cacheReused  bool
+	// workerErrored says that the last try ended with a worker's own error.
+	workerErrored bool
+	// usageCounted says that the request was counted as begun.
+	usageCounted bool
+	// attempts counts all tries, runs the workers that may have run the request.
+	attempts, possibleRuns int
+	// deliveries counts the sendings that a worker received, but for the first
 	// one after which it had read the prompt; read says that there was one.
-	arrivals int
-	read     bool
-	// begun says that the head of the answer was written, last is the number of
+	deliveries int
+	prefilled  bool
+	// responseStarted says that the head of the answer was written, last is the number of
 	// the last event that the client has.
-	begun bool
-	last  int64
-	// heard is called at the first output of an attempt.
-	heard func()
-	// times are when each step of the last attempt was done.
-	times times
+	responseStarted bool
+	lastEventID     int64
+	// onFirstOutput is called at the first output of an attempt.
+	onFirstOutput func()
+	// timings are when each step of the last attempt was done.
+	timings timings
 }
 
-// times are when the steps of a request were done, zero for those that were not.
-type times struct {
-	// entered: its turn at an engine came; read: its prompt was read apart;
+// timings are when the steps of a request were done, zero for those that were not.
+type timings struct {
+	// permittedAt: its turn at an engine came; read: its prompt was read apart;
 	// first: its first output came.
-	entered, read, first kumquatlug.Millis
-	// passed is when the last events went on, gap the longest pause before any.
-	passed, gap kumquatlug.Millis
-	// pausedAt is the worker at which that pause was longer than the route allows, and
+	permittedAt, prefilledAt, firstOutputAt kumquatlug.Millis
+	// lastOutputAt is when the last events went on, gap the longest pause before any.
+	lastOutputAt, longestPause kumquatlug.Millis
+	// pausedWorker is the worker at which that pause was longer than the route allows, and
 	// beside what it had in hand besides.
-	pausedAt string
-	beside   placement.Beside
+	pausedWorker     string
+	pausedWorkerLoad placement.Beside
 	// events counts those that went on.
 	events int
-	// expected is how long reading was expected to take.
-	expected kumquatlug.Millis
-	reader   string
+	// expectedPrefill is how long reading was expected to take.
+	expectedPrefill kumquatlug.Millis
+	prefillWorker   string
 }
 
 // serve makes attempts until the client has its final answer.
 func (f *inflight) serve(ctx context.Context) {
-	patience := f.ask.Deadline()
-	if patience <= 0 {
-		patience = defaultPatience
+	clientTimeout := f.request.Deadline()
+	if clientTimeout <= 0 {
+		clientTimeout = defaultClientTimeout
 	}
-	f.trying = f.g.scheduler.arrive(f.arrived, f.service.Name(), f.route.Name(), patience)
-	f.worth = f.g.scheduler.worth(f.arrived, f.service.Name(), f.route.Name(), f.ask.Account(), f.ask.Prompt())
-	f.until = f.arrived + patience
+	f.retryingFor = f.g.scheduler.recordArrival(f.arrived, f.service.Name(), f.route.Name(), clientTimeout)
+	f.value = f.g.scheduler.requestValue(f.arrived, f.service.Name(), f.route.Name(), f.request.Account(), f.request.Prompt())
+	f.deadline = f.arrived + clientTimeout
 	if timeout := f.route.Timeout(); timeout > 0 {
-		f.until = min(f.until, f.arrived+timeout)
+		f.deadline = min(f.deadline, f.arrived+timeout)
 	}
-	ctx, cancel := context.WithTimeout(ctx, f.left().Duration())
+	ctx, cancel := context.WithTimeout(ctx, f.timeLeft().Duration())
 	defer cancel()
-	defer func() { f.g.free(f.refused) }()
+	defer func() { f.g.releaseCache(f.refusedCache) }()
 	for {
-		failed := f.attempt(ctx)
+		failed := f.tryOnce(ctx)
 		if failed == nil {
 			return
 		}
-		if final := f.next(ctx, failed); final != nil {
-			f.finish(ctx, final)
+		if final := f.finalFailure(ctx, failed); final != nil {
+			f.sendFailure(ctx, final)
 			return
 		}
 	}
 }
 
-// left returns how long the client still waits.
-func (f *inflight) left() kumquatlug.Millis { return f.until - f.g.c.Clock.Now() }
+// timeLeft returns how long the client still waits.
+func (f *inflight) timeLeft() kumquatlug.Millis { return f.deadline - f.g.c.Clock.Now() }
 
-// reasonRefused is the reason of an attempt that its worker refused to take on.
-const reasonRefused = "worker_refused"
+// reasonWorkerRefused is the reason of an attempt that its worker refused to take on.
+const reasonWorkerRefused = "worker_refused"
 
-// reasonErred is the reason of an attempt that its worker answered with an error
+// reasonWorkerFailed is the reason of an attempt that its worker answered with an error
 // of its own.
-const reasonErred = "worker_failed"
+const reasonWorkerFailed = "worker_failed"
 
-// tried is how one attempt failed.
-type tried struct {
+// attemptFailure is how one attempt failed.
+type attemptFailure struct {
 	failure *kumquatlug.Failure
 	worker  string
-	// whole says that nothing would be gained by another worker.
-	whole bool
+	// permanent says that nothing would be gained by another worker.
+	permanent bool
 }
 
-// next decides what follows a failed attempt: nil for another one, or the final
+// finalFailure decides what follows a failed attempt: nil for another one, or the final
 // answer.
-func (f *inflight) next(ctx context.Context, t *tried) *kumquatlug.Failure {
-	f.tries++
-	f.erred = t.failure.Reason() == reasonErred
+func (f *inflight) finalFailure(ctx context.Context, t *attemptFailure) *kumquatlug.Failure {
+	f.attempts++
+	f.workerErrored = t.failure.Reason() == reasonWorkerFailed
 	if t.worker != "" {
 		f.exclude = append(f.exclude, t.worker)
 	}
 	if t.failure.Ran() != kumquatlug.RanNot {
-		f.runs++
+		f.possibleRuns++
 	}
-	f.log("attempt failed", t)
+	f.logFailure("attempt failed", t)
 	switch {
-	case ctx.Err() != nil || f.left() <= 0:
-		return f.over(ctx, t.failure)
-	case t.whole || f.tries >= maxTries:
+	case ctx.Err() != nil || f.timeLeft() <= 0:
+		return f.contextFailure(ctx, t.failure)
+	case t.permanent || f.attempts >= maxAttempts:
 		return t.failure
-	case f.runs > 0 && !f.route.Repeatable():
+	case f.possibleRuns > 0 && !f.route.Repeatable():
 		return t.failure
-	case f.runs >= f.route.Workers():
+	case f.possibleRuns >= f.route.Workers():
 		return t.failure
 	}
-	if cut := f.cutShort(); cut != nil {
-		return cut.failure
+	if stopping := f.stoppingFailure(); stopping != nil {
+		return stopping.failure
 	}
 	return nil
 }
 
-// pay pays for a sending that is not the first to arrive. It tells what to
+// takeRetryBudget pays for a sending that is not the first to arrive. It tells what to
 // answer when the budget of repeats is used up.
-func (f *inflight) pay() *tried {
-	if f.arrivals == 0 || f.g.scheduler.repeat(f.g.c.Clock.Now(), f.service.Name()) {
+func (f *inflight) takeRetryBudget() *attemptFailure {
+	if f.deliveries == 0 || f.g.scheduler.takeRetry(f.g.c.Clock.Now(), f.service.Name()) {
 		return nil
 	}
-	return &tried{whole: true, failure: f.truthful(refusal("repeat", "repeats_used_up", 0, 0), "repeats_used_up")}
+	return &attemptFailure{permanent: true, failure: f.clientFailure(refusal("repeat", "repeats_used_up", 0, 0), "repeats_used_up")}
 }
 
-// truthful gives a failure another reason; it promises that nothing ran only
+// clientFailure gives a failure another reason; it promises that nothing ran only
 // where no attempt may have run.
-func (f *inflight) truthful(cause *kumquatlug.Failure, reason string) *kumquatlug.Failure {
-	if cause.Status() == http.StatusUnauthorized && f.runs == 0 {
+func (f *inflight) clientFailure(cause *kumquatlug.Failure, reason string) *kumquatlug.Failure {
+	if cause.Status() == http.StatusUnauthorized && f.possibleRuns == 0 {
 		return cause
 	}
 	c := kumquatlug.FailureConfig{
@@ -171,18 +171,18 @@
 	if cause.Status() == http.StatusGatewayTimeout {
 		c.Status = cause.Status()
 	}
-	if f.runs == 0 {
+	if f.possibleRuns == 0 {
 		c.Ran, c.Status, c.RetryAfter = kumquatlug.RanNot, http.StatusServiceUnavailable, cause.RetryAfter()
 		if c.RetryAfter == 0 {
-			c.RetryAfter = f.comeBack(mostRetry)
+			c.RetryAfter = f.retryAfter(maxRetryAfter)
 		}
 	}
 	return kumquatlug.NewFailure(c)
 }
 
-// over is the answer of a request whose time is over, or whose client or front
+// contextFailure is the answer of a request whose time is over, or whose client or front
 // is going.
-func (f *inflight) over(ctx context.Context, cause *kumquatlug.Failure) *kumquatlug.Failure {
+func (f *inflight) contextFailure(ctx context.Context, cause *kumquatlug.Failure) *kumquatlug.Failure {
 	reason := "deadline"
 	switch {
 	case !errors.Is(ctx.Err(), context.Canceled):
@@ -191,7 +191,7 @@
 	default:
 		reason = "client_left"
 	}
-	if f.runs == 0 {
+	if f.possibleRuns == 0 {
 		return refusal("serve", reason, http.StatusServiceUnavailable, 0)
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
@@ -199,46 +199,46 @@
 	})
 }
 
-// comeBack bounds when a refused client is asked to come back.
-func (f *inflight) comeBack(after kumquatlug.Millis) kumquatlug.Millis {
-	after = min(max(after, leastRetry), mostRetry)
-	return min(after, max(f.left()/retryPart, 1))
+// retryAfter bounds when a refused client is asked to come back.
+func (f *inflight) retryAfter(delay kumquatlug.Millis) kumquatlug.Millis {
+	delay = min(max(delay, minRetryAfter), maxRetryAfter)
+	return min(delay, max(f.timeLeft()/retryAfterDivisor, 1))
 }
 
-// finish gives the client its final answer. Where a part of an answer was sent,
+// sendFailure gives the client its final answer. Where a part of an answer was sent,
 // the connection is broken off: it must not look whole.
-func (f *inflight) finish(ctx context.Context, final *kumquatlug.Failure) {
-	if f.begun || !errors.Is(ctx.Err(), context.Canceled) {
-		f.g.served.note(f.g.c.Clock.Now(), f.ask.Account(), false)
+func (f *inflight) sendFailure(ctx context.Context, final *kumquatlug.Failure) {
+	if f.responseStarted || !errors.Is(ctx.Err(), context.Canceled) {
+		f.g.accounts.note(f.g.c.Clock.Now(), f.request.Account(), false)
 	}
-	if f.begun {
-		f.g.metrics.answers.WithLabelValues("broken_off").Inc()
-		f.log("broken off", &tried{failure: final})
+	if f.responseStarted {
+		f.g.metrics.responses.WithLabelValues("broken_off").Inc()
+		f.logFailure("broken off", &attemptFailure{failure: final})
 		panic(http.ErrAbortHandler)
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
-		f.g.metrics.answers.WithLabelValues("client_left").Inc()
+		f.g.metrics.responses.WithLabelValues("client_left").Inc()
 		return
 	}
-	f.g.refuse(f.w, f.ask, f.truthful(final, final.Reason()), f.about()...)
+	f.g.refuse(f.w, f.request, f.clientFailure(final, final.Reason()), f.logFields()...)
 }
 
-// about tells of a request what its log lines have in common: the route, the account and the
+// logFields tells of a request what its log lines have in common: the route, the account and the
 // version of the config that chose it, and the time taken and left.
-func (f *inflight) about() []zap.Field {
+func (f *inflight) logFields() []zap.Field {
 	now := f.g.c.Clock.Now()
 	return []zap.Field{
-		zap.String("route", f.route.Name()), zap.String("account", f.ask.Account()), zap.Int64("config", f.version),
-		zap.Int64("took_ms", int64(now-f.arrived)), zap.Int64("left_ms", int64(f.until-now)),
+		zap.String("route", f.route.Name()), zap.String("account", f.request.Account()), zap.Int64("config", f.configVersion),
+		zap.Int64("took_ms", int64(now-f.arrived)), zap.Int64("left_ms", int64(f.deadline-now)),
 	}
 }
 
-// log writes one line on what became of an attempt.
-func (f *inflight) log(what string, t *tried) {
-	f.g.c.Logger.Info(what, append([]zap.Field{
-		zap.String("request", f.ask.ID()), zap.String("worker", t.worker),
+// logFailure writes one line on what became of an attempt.
+func (f *inflight) logFailure(message string, t *attemptFailure) {
+	f.g.c.Logger.Info(message, append([]zap.Field{
+		zap.String("request", f.request.ID()), zap.String("worker", t.worker),
 		zap.String("step", t.failure.Step()), zap.String("reason", t.failure.Reason()),
-		zap.String("ran", string(t.failure.Ran())), zap.Int("tries", f.tries),
+		zap.String("ran", string(t.failure.Ran())), zap.Int("tries", f.attempts),
 		zap.String("cause", t.failure.CauseText()),
-	}, f.about()...)...)
+	}, f.logFields()...)...)
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -9,28 +9,28 @@
 
 // metrics are the counters of one front.
 type metrics struct {
-	answers  *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	store    *prometheus.CounterVec
-	orders   *prometheus.CounterVec
-	silent   prometheus.Counter
-	config   prometheus.Gauge
-	learnt   *prometheus.GaugeVec
-	turns    *prometheus.CounterVec
-	denied   *prometheus.CounterVec
-	lease    prometheus.Gauge
-	reports  *prometheus.CounterVec
+	responses     *prometheus.CounterVec
+	attempts      *prometheus.CounterVec
+	latency       *prometheus.HistogramVec
+	storeReads    *prometheus.CounterVec
+	orders        *prometheus.CounterVec
+	unresponsive  prometheus.Counter
+	configVersion prometheus.Gauge
+	estimates     *prometheus.GaugeVec
+	permits       *prometheus.CounterVec
+	denied        *prometheus.CounterVec
+	leaseNumber   prometheus.Gauge
+	usageReports  *prometheus.CounterVec
 	// usageOpen counts windows that are fixed and not known to be reported.
 	usageOpen prometheus.Gauge
-	// worst is the part in time of the accounts that fare worst.
-	worst *prometheus.GaugeVec
+	// worstAccounts is the part in time of the accounts that fare worst.
+	worstAccounts *prometheus.GaugeVec
 	// limit and limitSent tell of the workers that name a limit of their rate.
 	limit, limitSent *prometheus.GaugeVec
-	// leaving counts the workers that said in an answer that they leave.
-	leaving prometheus.Counter
-	// era counts how often the store came back from an older copy.
-	era prometheus.Gauge
+	// shuttingDown counts the workers that said in an answer that they leave.
+	shuttingDown prometheus.Counter
+	// storeEra counts how often the store came back from an older copy.
+	storeEra prometheus.Gauge
 }
 
 // latencyBuckets are in seconds: from an idle answer to the longest deadline.
@@ -38,7 +38,7 @@
 
 func newMetrics(r prometheus.Registerer) *metrics {
 	m := &metrics{
-		answers: prometheus.NewCounterVec(prometheus.CounterOpts{
+		responses: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_answers_total", Help: "Final answers by how they came about.",
 		}, []string{"outcome"}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -47,37 +47,37 @@
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "kumquatlug_gateway_first_output_seconds", Help: "Time to the first output.", Buckets: latencyBuckets,
 		}, []string{"priority"}),
-		store: prometheus.NewCounterVec(prometheus.CounterOpts{
+		storeReads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_store_reads_total", Help: "Calls that follow a table, by outcome.",
 		}, []string{"table", "outcome"}),
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_orders_total", Help: "Orders to engines by outcome.",
 		}, []string{"outcome"}),
-		silent: prometheus.NewCounter(prometheus.CounterOpts{
+		unresponsive: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_silent_workers_total", Help: "Times at which a worker with work in hand fell silent.",
 		}),
-		config: prometheus.NewGauge(prometheus.GaugeOpts{
+		configVersion: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "kumquatlug_gateway_config_version", Help: "Version of the config in force.",
 		}),
-		learnt: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		estimates: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "kumquatlug_gateway_learnt", Help: "What the workers of a service are believed to do, by figure.",
 		}, []string{"service", "figure"}),
-		turns: prometheus.NewCounterVec(prometheus.CounterOpts{
+		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_turns_total", Help: "Messages of other fronts about turns at engines, by step.",
 		}, []string{"direction", "step"}),
 		denied: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_denied_total", Help: "Requests whose key gives no right to their route, by reason.",
 		}, []string{"reason"}),
-		lease: prometheus.NewGauge(prometheus.GaugeOpts{
+		leaseNumber: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "kumquatlug_gateway_lease_number", Help: "Fencing number of the lease that this front holds, 0 for none.",
 		}),
-		reports: prometheus.NewCounterVec(prometheus.CounterOpts{
+		usageReports: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_usage_reports_total", Help: "Usage reports by outcome; incomplete ones lacked the counts of a front.",
 		}, []string{"outcome"}),
 		usageOpen: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "kumquatlug_gateway_usage_open_windows", Help: "Windows whose usage is fixed and not known to be reported.",
 		}),
-		worst: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		worstAccounts: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "kumquatlug_gateway_worst_accounts_in_time", Help: "Part of the requests in time of the accounts that fare worst here.",
 		}, []string{"account"}),
 		limit: prometheus.NewGaugeVec(prometheus.GaugeOpts{
@@ -86,10 +86,10 @@
 		limitSent: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "kumquatlug_gateway_worker_limit_sent", Help: "Requests that this front sent to a worker since it first heard of its limit.",
 		}, []string{"worker"}),
-		leaving: prometheus.NewCounter(prometheus.CounterOpts{
+		shuttingDown: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_leaving_workers_total", Help: "Workers that said in an answer that they leave.",
 		}),
-		era: prometheus.NewGauge(prometheus.GaugeOpts{
+		storeEra: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "kumquatlug_gateway_store_era", Help: "How often the store came back from an older copy.",
 		}),
 	}
@@ -100,8 +100,8 @@
 // collectors returns all metrics.
 func (m *metrics) collectors() []prometheus.Collector {
 	return []prometheus.Collector{
-		m.answers, m.attempts, m.latency, m.store, m.orders, m.silent, m.config, m.learnt, m.turns, m.denied,
-		m.lease, m.reports, m.usageOpen, m.worst, m.limit, m.limitSent, m.leaving, m.era,
+		m.responses, m.attempts, m.latency, m.storeReads, m.orders, m.unresponsive, m.configVersion, m.estimates, m.permits, m.denied,
+		m.leaseNumber, m.usageReports, m.usageOpen, m.worstAccounts, m.limit, m.limitSent, m.shuttingDown, m.storeEra,
 	}
 }
 
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -11,7 +11,7 @@
 
 // An engineer on call looks for a metric that the page names. One that was renamed
 // would leave an alarm silent for ever; one that the page lacks is found by nobody.
-func TestThePagesNameTheMetricsThatThereAre(t *testing.T) {
+func TestMetricsAreDocumented(t *testing.T) {
 	m := newMetrics(prometheus.NewRegistry())
 	descriptions := make(chan *prometheus.Desc, len(m.collectors()))
 	for _, c := range m.collectors() {
--- a/internal/gateway/pause_test.go
+++ b/internal/gateway/pause_test.go
@@ -9,9 +9,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// wantsPause is a refusal of a worker that wants nothing more for a while.
-func wantsPause(pause kumquatlug.Millis) kumquatlug.Reply {
-	r := refusedReply()
+// pauseResponse is a refusal of a worker that wants nothing more for a while.
+func pauseResponse(pause kumquatlug.Millis) kumquatlug.Reply {
+	r := refusedResponse()
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: r.Status(), Header: r.Header(), Body: r.Body(), Refused: true, Pause: pause,
 	})
@@ -19,24 +19,24 @@
 
 // A worker turns a request away and says for how long it wants nothing more. Asked again
 // sooner, it spends on refusals what it lacks for its work.
-func TestAWorkerIsLeftAloneForAsLongAsItAsks(t *testing.T) {
+func TestWorkerBackoffIsHonored(t *testing.T) {
 	const pause = 1500 * kumquatlug.Millis(1)
-	w := &fakeWorkers{run: func(_ context.Context, _ int, c call) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
 		if c.worker == "s1" {
-			return wantsPause(pause), nil
+			return pauseResponse(pause), nil
 		}
-		return whole(http.StatusOK, "done"), nil
+		return wholeResponse(http.StatusOK, "done"), nil
 	}}
-	f := newFront(t, w, manyRepeats)
+	f := newTestGateway(t, w, manyRetries)
 	begun := time.Now()
 	for time.Since(begun) < pause.Duration()-100*time.Millisecond {
-		if got := f.ask(context.Background(), http.MethodPost, post); got.status != http.StatusOK {
+		if got := f.do(context.Background(), http.MethodPost, postRoute); got.status != http.StatusOK {
 			t.Fatalf("%+v", got)
 		}
 		<-time.After(5 * time.Millisecond)
 	}
 	sent := 0
-	for _, c := range w.made() {
+	for _, c := range w.recorded() {
 		if c.worker == "s1" {
 			sent++
 		}
@@ -48,22 +48,22 @@
 
 // All workers of a service want nothing for a while. Who asks must be told at once when the
 // first of them takes work again.
-func TestARefusalTellsWhenTheFirstWorkerIsBack(t *testing.T) {
+func TestRefusalNamesEndOfBackoff(t *testing.T) {
 	const pause = 400 * kumquatlug.Millis(1)
-	w := &fakeWorkers{run: func(context.Context, int, call) (kumquatlug.Reply, error) { return wantsPause(pause), nil }}
-	f := newFront(t, w, manyRepeats)
-	f.ask(context.Background(), http.MethodPost, post)
-	sent := len(w.made())
-	got := f.ask(context.Background(), http.MethodPost, post)
-	if got.status != http.StatusServiceUnavailable || got.header.Get("Reason") != "worker_limit" || got.took > time.Second {
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return pauseResponse(pause), nil }}
+	f := newTestGateway(t, w, manyRetries)
+	f.do(context.Background(), http.MethodPost, postRoute)
+	sent := len(w.recorded())
+	got := f.do(context.Background(), http.MethodPost, postRoute)
+	if got.status != http.StatusServiceUnavailable || got.header.Get("Reason") != "worker_limit" || got.duration > time.Second {
 		t.Errorf("%+v", got)
 	}
-	if len(w.made()) != sent {
-		t.Errorf("%d sent", len(w.made())-sent)
+	if len(w.recorded()) != sent {
+		t.Errorf("%d sent", len(w.recorded())-sent)
 	}
 	<-time.After(pause.Duration())
-	f.ask(context.Background(), http.MethodPost, post)
-	if len(w.made()) == sent {
+	f.do(context.Background(), http.MethodPost, postRoute)
+	if len(w.recorded()) == sent {
 		t.Error("nobody is asked after the pause")
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -19,110 +19,110 @@
 
 // Figures of handing answers on.
 const (
-	// wholeBytes is up to which length a plain answer is read before its first
+	// maxBufferedBytes is up to which length a plain answer is read before its first
 	// byte goes on: one that breaks off can then still be had elsewhere, or be
 	// told as a failure.
-	wholeBytes = 256 << 10
-	// eventBuffer is what is read of a stream at once; an event has some 300
+	maxBufferedBytes = 256 << 10
+	// readBufferBytes is what is read of a stream at once; an event has some 300
 	// bytes.
-	eventBuffer = 4 << 10
-	// shortOutput is up to which output, in tokens, a stream is not moved: it has
+	readBufferBytes = 4 << 10
+	// shortOutputTokens is up to which output, in tokens, a stream is not moved: it has
 	// ended by itself when the engine could be told.
-	shortOutput = 256
-	// maxEvent bounds an event that is held back until it is complete.
-	maxEvent = 1 << 20
+	shortOutputTokens = 256
+	// maxEventBytes bounds an event that is held back until it is complete.
+	maxEventBytes = 1 << 20
 )
 
-// attempt is one that a worker began to answer.
-type attempt struct {
-	// ctx is the request's context, call the attempt's.
-	ctx, call context.Context
-	choice    placement.Choice
-	ticket    *placement.Ticket
-	reply     kumquatlug.Reply
+// relayedAttempt is one that a worker began to answer.
+type relayedAttempt struct {
+	// requestCtx is the request's context, call the attempt's.
+	requestCtx, attemptCtx context.Context
+	choice                 placement.Choice
+	attempt                *placement.Ticket
+	response               kumquatlug.Reply
 	// transfer is the stream's way to another engine, nil while there is none;
 	// over says that nobody waits for one any more.
 	transfer atomic.Pointer[transfer]
-	over     atomic.Bool
+	done     atomic.Bool
 }
 
 // worker returns the worker's name.
-func (a *attempt) worker() string { return a.choice.Worker().ID() }
+func (a *relayedAttempt) worker() string { return a.choice.Worker().ID() }
 
 // relay hands a worker's answer on to the client.
-func (f *inflight) relay(a *attempt) *tried {
-	defer a.reply.Body().Close()
+func (f *inflight) relay(a *relayedAttempt) *attemptFailure {
+	defer a.response.Body().Close()
 	defer f.abandon(a)
 	if !f.service.Engine() {
 		f.countUsage()
 	}
-	if f.route.Stream() && a.reply.Status() == http.StatusOK {
+	if f.route.Stream() && a.response.Status() == http.StatusOK {
 		return f.relayStream(a)
 	}
-	if failed := f.again(a); failed != nil {
+	if failed := f.retryWorkerError(a); failed != nil {
 		return failed
 	}
-	return f.relayWhole(a)
+	return f.relayPlain(a)
 }
 
-// again turns a worker's own failure into a failed attempt where another worker
+// retryWorkerError turns a worker's own failure into a failed attempt where another worker
 // may do better: the request may run twice and nothing of an answer was sent.
-func (f *inflight) again(a *attempt) *tried {
-	if status := a.reply.Status(); status < http.StatusInternalServerError || status == http.StatusGatewayTimeout {
+func (f *inflight) retryWorkerError(a *relayedAttempt) *attemptFailure {
+	if status := a.response.Status(); status < http.StatusInternalServerError || status == http.StatusGatewayTimeout {
 		return nil
 	}
-	if f.begun || !f.route.Repeatable() || f.runs+1 >= f.route.Workers() || f.tries+1 >= maxTries {
+	if f.responseStarted || !f.route.Repeatable() || f.possibleRuns+1 >= f.route.Workers() || f.attempts+1 >= maxAttempts {
 		return nil
 	}
-	f.end(stageOutput, a.ticket, placement.OutcomeFailed)
-	return &tried{worker: a.worker(), failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "run", Peer: a.worker(), Reason: reasonErred, Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway,
-		Cause: errors.Newf("status %d", a.reply.Status()),
+	f.endAttempt(stageOutput, a.attempt, placement.OutcomeFailed)
+	return &attemptFailure{worker: a.worker(), failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
+		Step: "run", Peer: a.worker(), Reason: reasonWorkerFailed, Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway,
+		Cause: errors.Newf("status %d", a.response.Status()),
 	})}
 }
 
-// relayWhole hands on an answer that is no stream.
-func (f *inflight) relayWhole(a *attempt) *tried {
-	status := a.reply.Status()
-	if f.begun {
+// relayPlain hands on an answer that is no stream.
+func (f *inflight) relayPlain(a *relayedAttempt) *attemptFailure {
+	status := a.response.Status()
+	if f.responseStarted {
 		// A stream that was to go on elsewhere met a failure there.
-		return f.brokenOff(a, errors.Newf("status %d instead of the rest of a stream", status))
+		return f.responseBroken(a, errors.Newf("status %d instead of the rest of a stream", status))
 	}
-	head, err := io.ReadAll(io.LimitReader(a.reply.Body(), wholeBytes))
+	head, err := io.ReadAll(io.LimitReader(a.response.Body(), maxBufferedBytes))
 	if err != nil {
-		return f.brokenOff(a, err)
+		return f.responseBroken(a, err)
 	}
-	f.heard()
-	f.begun = true
-	f.g.c.Ingress.Head(f.w, a.reply)
+	f.onFirstOutput()
+	f.responseStarted = true
+	f.g.c.Ingress.Head(f.w, a.response)
 	if _, err := f.w.Write(head); err != nil {
-		return f.clientGone(a, err)
+		return f.clientDisconnected(a, err)
 	}
-	if failed := f.rest(a, len(head)); failed != nil {
+	if failed := f.relayRest(a, len(head)); failed != nil {
 		return failed
 	}
 	outcome := placement.OutcomeGood
 	if status >= http.StatusInternalServerError {
 		outcome = placement.OutcomeFailed
 	}
-	f.end(stageOutput, a.ticket, outcome)
-	f.answered(a.choice, status)
+	f.endAttempt(stageOutput, a.attempt, outcome)
+	f.recordAnswered(a.choice, status)
 	return nil
 }
 
-// rest hands on what follows the first part of an answer.
-func (f *inflight) rest(a *attempt, head int) *tried {
-	if head < wholeBytes {
+// relayRest hands on what follows the first part of an answer.
+func (f *inflight) relayRest(a *relayedAttempt, head int) *attemptFailure {
+	if head < maxBufferedBytes {
 		return nil
 	}
 	out := &clientWriter{w: f.w}
-	_, err := io.Copy(out, a.reply.Body())
+	_, err := io.Copy(out, a.response.Body())
 	switch {
 	case out.err != nil:
-		return f.clientGone(a, out.err)
+		return f.clientDisconnected(a, out.err)
 	case err != nil:
-		failed := f.brokenOff(a, err)
-		failed.whole = true
+		failed := f.responseBroken(a, err)
+		failed.permanent = true
 		return failed
 	}
 	return nil
@@ -141,50 +141,50 @@
 	return n, err
 }
 
-// brokenOff records an answer that ended before its end.
-func (f *inflight) brokenOff(a *attempt, err error) *tried {
-	f.ended(stageOutput, a.choice, a.ticket, blame(a.ctx, a.call), kumquatlug.RanUnknown)
-	return &tried{worker: a.worker(), failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
+// responseBroken records an answer that ended before its end.
+func (f *inflight) responseBroken(a *relayedAttempt, err error) *attemptFailure {
+	f.endFailedAttempt(stageOutput, a.choice, a.attempt, endCauseOf(a.requestCtx, a.attemptCtx), kumquatlug.RanUnknown)
+	return &attemptFailure{worker: a.worker(), failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: "relay", Peer: a.worker(), Reason: "answer_broken", Ran: kumquatlug.RanUnknown,
 		Status: http.StatusBadGateway, Cause: err,
 	})}
 }
 
-// clientGone records an answer that its client no longer takes, which says
+// clientDisconnected records an answer that its client no longer takes, which says
 // nothing of the worker.
-func (f *inflight) clientGone(a *attempt, err error) *tried {
-	f.ended(stageOutput, a.choice, a.ticket, blamedClient, kumquatlug.RanUnknown)
-	return &tried{worker: a.worker(), whole: true, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
+func (f *inflight) clientDisconnected(a *relayedAttempt, err error) *attemptFailure {
+	f.endFailedAttempt(stageOutput, a.choice, a.attempt, endedByClient, kumquatlug.RanUnknown)
+	return &attemptFailure{worker: a.worker(), permanent: true, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: "relay", Reason: "client_left", Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway, Cause: err,
 	})}
 }
 
 // relayStream hands events on as they come, each whole: a stream that is cut
 // goes on elsewhere behind the last event that the client has.
-func (f *inflight) relayStream(a *attempt) *tried {
-	if f.ask.Prompt().Output() > shortOutput {
+func (f *inflight) relayStream(a *relayedAttempt) *attemptFailure {
+	if f.request.Prompt().Output() > shortOutputTokens {
 		// Taken here, as a move is made by another goroutine.
-		q := f.query()
+		q := f.placementQuery()
 		q.Exclude = append(slices.Clone(q.Exclude), a.worker())
-		ask := f.ask
-		f.g.scheduler.onMove(f.service.Name(), a.ticket, func() { f.move(a, ask, q) })
+		request := f.request
+		f.g.scheduler.onMove(f.service.Name(), a.attempt, func() { f.move(a, request, q) })
 	}
 	var pending []byte
-	buffer := make([]byte, eventBuffer)
+	buffer := make([]byte, readBufferBytes)
 	flush := http.NewResponseController(f.w)
 	for {
-		n, err := a.reply.Body().Read(buffer)
+		n, err := a.response.Body().Read(buffer)
 		pending = append(pending, buffer[:n]...)
-		whole := wholeEvents(pending)
-		if err == io.EOF && a.transfer.Load() == nil || len(pending) > maxEvent {
-			whole = len(pending)
+		complete := completeEvents(pending)
+		if err == io.EOF && a.transfer.Load() == nil || len(pending) > maxEventBytes {
+			complete = len(pending)
 		}
-		if whole > 0 {
+		if complete > 0 {
 			f.firstOutput(a)
-			if failed := f.pass(a, flush, pending[:whole]); failed != nil {
+			if failed := f.forwardEvents(a, flush, pending[:complete]); failed != nil {
 				return failed
 			}
-			pending = pending[:copy(pending, pending[whole:])]
+			pending = pending[:copy(pending, pending[complete:])]
 		}
 		if err != nil {
 			return f.streamEnded(a, flush, pending, err)
@@ -195,103 +195,103 @@
 // streamEnded does what follows the end of an engine's answer: the stream goes on
 // where it was moved to, or has come to its end, or broke off. The bytes that are
 // pending are no whole event; they were held back while it might have been moved.
-func (f *inflight) streamEnded(a *attempt, flush *http.ResponseController, pending []byte, end error) *tried {
-	if t := f.moved(a); t != nil {
-		f.end(stageOutput, a.ticket, placement.OutcomeGood)
+func (f *inflight) streamEnded(a *relayedAttempt, flush *http.ResponseController, pending []byte, end error) *attemptFailure {
+	if t := f.takeTransfer(a); t != nil {
+		f.endAttempt(stageOutput, a.attempt, placement.OutcomeGood)
 		if !f.route.Repeatable() {
 			// From here on it is the one run that it may have.
-			f.runs = max(f.runs, 1)
+			f.possibleRuns = max(f.possibleRuns, 1)
 		}
-		return f.run(a.ctx, t.choice, t.ticket, t.cache)
+		return f.run(a.requestCtx, t.choice, t.attempt, t.cache)
 	}
 	if !errors.Is(end, io.EOF) {
-		return f.brokenOff(a, end)
+		return f.responseBroken(a, end)
 	}
 	f.firstOutput(a)
 	if len(pending) > 0 {
-		if failed := f.pass(a, flush, pending); failed != nil {
+		if failed := f.forwardEvents(a, flush, pending); failed != nil {
 			return failed
 		}
 	}
-	f.end(stageOutput, a.ticket, placement.OutcomeGood)
-	f.answered(a.choice, a.reply.Status())
+	f.endAttempt(stageOutput, a.attempt, placement.OutcomeGood)
+	f.recordAnswered(a.choice, a.response.Status())
 	return nil
 }
 
 // firstOutput writes the head before the first event.
-func (f *inflight) firstOutput(a *attempt) {
+func (f *inflight) firstOutput(a *relayedAttempt) {
 	now := f.g.c.Clock.Now()
-	f.g.scheduler.read(now, f.service.Name(), a.ticket)
-	f.heard()
+	f.g.scheduler.prefillDone(now, f.service.Name(), a.attempt)
+	f.onFirstOutput()
 	f.countUsage()
-	if f.begun {
+	if f.responseStarted {
 		return
 	}
-	f.begun = true
-	f.times.first = now
+	f.responseStarted = true
+	f.timings.firstOutputAt = now
 	f.g.metrics.latency.WithLabelValues(strconv.Itoa(f.priority())).Observe((now - f.arrived).Duration().Seconds())
-	f.g.c.Ingress.Head(f.w, a.reply)
+	f.g.c.Ingress.Head(f.w, a.response)
 }
 
-// pass writes events to the client.
-func (f *inflight) pass(a *attempt, flush *http.ResponseController, events []byte) *tried {
+// forwardEvents writes events to the client.
+func (f *inflight) forwardEvents(a *relayedAttempt, flush *http.ResponseController, events []byte) *attemptFailure {
 	now := f.g.c.Clock.Now()
-	f.g.scheduler.heard(now, f.service.Name(), a.ticket)
+	f.g.scheduler.recordOutput(now, f.service.Name(), a.attempt)
 	_, err := f.w.Write(events)
 	if err == nil {
 		err = flush.Flush()
 	}
 	if err != nil {
-		return f.clientGone(a, err)
+		return f.clientDisconnected(a, err)
 	}
-	if id, found := lastID(events); found {
-		f.last = id
+	if id, found := lastEventID(events); found {
+		f.lastEventID = id
 	}
-	if f.times.passed != 0 {
-		f.sawPause(a, now-f.times.passed)
+	if f.timings.lastOutputAt != 0 {
+		f.recordPause(a, now-f.timings.lastOutputAt)
 	}
-	f.times.passed = now
-	f.times.events += bytes.Count(events, []byte("\n\n"))
+	f.timings.lastOutputAt = now
+	f.timings.events += bytes.Count(events, []byte("\n\n"))
 	return nil
 }
 
-// sawPause keeps the longest pause between events. Where it is longer than the route
+// recordPause keeps the longest pause between events. Where it is longer than the route
 // allows, what else the worker had to do is kept for the log.
-func (f *inflight) sawPause(a *attempt, pause kumquatlug.Millis) {
-	if pause <= f.times.gap {
+func (f *inflight) recordPause(a *relayedAttempt, pause kumquatlug.Millis) {
+	if pause <= f.timings.longestPause {
 		return
 	}
-	f.times.gap = pause
+	f.timings.longestPause = pause
 	if allowed := f.route.Gap(); allowed > 0 && pause > allowed {
-		f.times.pausedAt = a.worker()
-		f.times.beside = f.g.scheduler.beside(f.g.c.Clock.Now(), f.service.Name(), a.worker())
+		f.timings.pausedWorker = a.worker()
+		f.timings.pausedWorkerLoad = f.g.scheduler.workInFlight(f.g.c.Clock.Now(), f.service.Name(), a.worker())
 	}
 }
 
-// answered tells that the client has a worker's answer.
-func (f *inflight) answered(c placement.Choice, status int) {
-	f.g.metrics.answers.WithLabelValues("answered").Inc()
-	inTime := status < http.StatusInternalServerError && (f.route.Target() == 0 || f.toFirst() <= f.route.Target())
-	f.g.served.note(f.g.c.Clock.Now(), f.ask.Account(), inTime)
+// recordAnswered tells that the client has a worker's answer.
+func (f *inflight) recordAnswered(c placement.Choice, status int) {
+	f.g.metrics.responses.WithLabelValues("answered").Inc()
+	onTime := status < http.StatusInternalServerError && (f.route.Target() == 0 || f.timeToFirstOutput() <= f.route.Target())
+	f.g.accounts.note(f.g.c.Clock.Now(), f.request.Account(), onTime)
 	f.g.c.Logger.Info("answered", append([]zap.Field{
-		zap.String("request", f.ask.ID()), zap.String("worker", c.Worker().ID()),
-		zap.Int("status", status), zap.Int("tries", f.tries+1), zap.Object("steps", f.steps()),
-		zap.Int64("first_ms", int64(f.toFirst())), zap.Int64("target_ms", int64(f.route.Target())),
-	}, f.about()...)...)
+		zap.String("request", f.request.ID()), zap.String("worker", c.Worker().ID()),
+		zap.Int("status", status), zap.Int("tries", f.attempts+1), zap.Object("steps", f.stepDurations()),
+		zap.Int64("first_ms", int64(f.timeToFirstOutput())), zap.Int64("target_ms", int64(f.route.Target())),
+	}, f.logFields()...)...)
 }
 
-// toFirst is how long the client waited for its first output, earlier tries
+// timeToFirstOutput is how long the client waited for its first output, earlier tries
 // counted.
-func (f *inflight) toFirst() kumquatlug.Millis {
-	first := f.times.first
+func (f *inflight) timeToFirstOutput() kumquatlug.Millis {
+	first := f.timings.firstOutputAt
 	if first == 0 {
 		first = f.g.c.Clock.Now()
 	}
-	return f.trying + first - f.arrived
+	return f.retryingFor + first - f.arrived
 }
 
-// steps tells how long each step of a request took, in milliseconds.
-func (f *inflight) steps() zapcore.ObjectMarshalerFunc {
+// stepDurations tells how long each step of a request took, in milliseconds.
+func (f *inflight) stepDurations() zapcore.ObjectMarshalerFunc {
 	return func(e zapcore.ObjectEncoder) error {
 		before := f.arrived
 		add := func(name string, at kumquatlug.Millis) {
@@ -300,42 +300,42 @@
 				before = at
 			}
 		}
-		add("queued", f.times.entered)
-		add("read", f.times.read)
-		add("first", f.times.first)
-		if f.times.passed != 0 {
-			e.AddInt64("longest_pause", int64(f.times.gap))
-			e.AddInt64("events", int64(f.times.events))
+		add("queued", f.timings.permittedAt)
+		add("read", f.timings.prefilledAt)
+		add("first", f.timings.firstOutputAt)
+		if f.timings.lastOutputAt != 0 {
+			e.AddInt64("longest_pause", int64(f.timings.longestPause))
+			e.AddInt64("events", int64(f.timings.events))
 			e.AddInt64("pause_allowed", int64(f.route.Gap()))
 		}
-		if f.times.pausedAt != "" {
-			e.AddString("paused_at", f.times.pausedAt)
-			e.AddInt("beside_tokens", f.times.beside.Tokens())
-			e.AddInt("beside_requests", f.times.beside.Requests())
+		if f.timings.pausedWorker != "" {
+			e.AddString("paused_at", f.timings.pausedWorker)
+			e.AddInt("beside_tokens", f.timings.pausedWorkerLoad.Tokens())
+			e.AddInt("beside_requests", f.timings.pausedWorkerLoad.Requests())
 		}
-		if f.times.read != 0 {
-			e.AddInt64("read_expected", int64(f.times.expected))
-			e.AddString("reader", f.times.reader)
+		if f.timings.prefilledAt != 0 {
+			e.AddInt64("read_expected", int64(f.timings.expectedPrefill))
+			e.AddString("reader", f.timings.prefillWorker)
 		}
 		return nil
 	}
 }
 
-// wholeEvents returns how many leading bytes are whole events: up to and with
+// completeEvents returns how many leading bytes are whole events: up to and with
 // the last empty line.
-func wholeEvents(b []byte) int {
-	whole := bytes.LastIndex(b, []byte("\n\n")) + 2
-	if crlf := bytes.LastIndex(b, []byte("\r\n\r\n")) + 4; crlf > whole && crlf >= 4 {
-		whole = crlf
+func completeEvents(b []byte) int {
+	complete := bytes.LastIndex(b, []byte("\n\n")) + 2
+	if crlf := bytes.LastIndex(b, []byte("\r\n\r\n")) + 4; crlf > complete && crlf >= 4 {
+		complete = crlf
 	}
-	if whole < 2 {
+	if complete < 2 {
 		return 0
 	}
-	return whole
+	return complete
 }
 
-// lastID returns the number of the last event that bears one.
-func lastID(events []byte) (int64, bool) {
+// lastEventID returns the number of the last event that bears one.
+func lastEventID(events []byte) (int64, bool) {
 	field := []byte("id:")
 	for at := len(events); at > 0; {
 		at = bytes.LastIndex(events[:at], field)
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -19,39 +19,39 @@
 type scheduler struct {
 	mu       sync.Mutex
 	c        Config
-	fronts   int
-	services map[string]*group
+	gateways int
+	services map[string]*serviceState
 	lastKey  uint64
 	// coordinators tells which front orders the prompts at an engine, nil where fronts
 	// can't speak with each other.
 	coordinators *coordinator.Fronts
-	// shares divide the rate limits of workers among the fronts.
-	shares *ratelimit.Shares
+	// limitShares divide the rate limits of workers among the fronts.
+	limitShares *ratelimit.Shares
 }
 
-// group is what is kept of one service.
-type group struct {
+// serviceState is what is kept of one service.
+type serviceState struct {
 	placer *placement.Placer
 	// engines says that its workers are engines.
-	engines bool
-	repeats *retry.Shared
-	// patience is the longest that a client of a route has said to wait.
-	patience map[string]kumquatlug.Millis
-	// sizes are the mean sizes of a route's requests.
-	sizes map[string]float64
-	// shares tell which accounts ask for more than usual.
-	shares *fairshare.Shares
-	// giveUps end attempts that can go on elsewhere.
-	giveUps map[*placement.Ticket]func()
+	engines     bool
+	retryBudget *retry.Shared
+	// maxClientTimeout is the longest that a client of a route has said to wait.
+	maxClientTimeout map[string]kumquatlug.Millis
+	// meanSizes are the mean sizes of a route's requests.
+	meanSizes map[string]float64
+	// accountShares tell which accounts ask for more than usual.
+	accountShares *fairshare.Shares
+	// cancels end attempts that can go on elsewhere.
+	cancels map[*placement.Ticket]func()
 	// moves take streams to other engines.
 	moves map[*placement.Ticket]func()
-	// turns tell the requests that wait for an engine that their turn has come.
-	turns map[uint64]chan placement.Due
+	// waiting tell the requests that wait for an engine that their turn has come.
+	waiting map[uint64]chan placement.Due
 }
 
 func newScheduler(c Config) *scheduler {
 	return &scheduler{
-		c: c, fronts: 1, services: map[string]*group{}, coordinators: newCoordinators(c), shares: ratelimit.NewShares(c.Name),
+		c: c, gateways: 1, services: map[string]*serviceState{}, coordinators: newCoordinators(c), limitShares: ratelimit.NewShares(c.Name),
 	}
 }
 
@@ -62,171 +62,171 @@
 	// out within half a second.
 	failureLimit = 4
 	// probeAfter is when it is tried again: a worker restarts within seconds.
-	probeAfter = 1500 * kumquatlug.Millis(1)
-	probeLimit = 6 * kumquatlug.Second
+	probeAfter    = 1500 * kumquatlug.Millis(1)
+	maxProbeDelay = 6 * kumquatlug.Second
 	// slowStart is the span in which one that is back grows to its full share.
 	slowStart = 2 * kumquatlug.Second
 )
 
-// at returns what is kept of a service; the lock must be held.
-func (sc *scheduler) at(service string) *group {
+// service returns what is kept of a service; the lock must be held.
+func (sc *scheduler) service(service string) *serviceState {
 	s, known := sc.services[service]
 	if !known {
 		c := sc.c.Placement
 		c.Zone = sc.c.Zone
-		c.Coordinators = sc.coordinatorsOf()
-		c.Shares = sc.shares
+		c.Coordinators = sc.placerCoordinators()
+		c.Shares = sc.limitShares
 		c.Health = health.Config{
-			FailureLimit: failureLimit, ProbeAfter: probeAfter, ProbeLimit: probeLimit, SlowStart: slowStart,
+			FailureLimit: failureLimit, ProbeAfter: probeAfter, ProbeLimit: maxProbeDelay, SlowStart: slowStart,
 		}
-		s = &group{
-			placer:   placement.New(c),
-			repeats:  retry.NewShared(sc.c.Repeats),
-			patience: map[string]kumquatlug.Millis{},
-			sizes:    map[string]float64{},
-			shares:   fairshare.New(),
-			giveUps:  map[*placement.Ticket]func(){},
-			moves:    map[*placement.Ticket]func(){},
-			turns:    map[uint64]chan placement.Due{},
+		s = &serviceState{
+			placer:           placement.New(c),
+			retryBudget:      retry.NewShared(sc.c.Repeats),
+			maxClientTimeout: map[string]kumquatlug.Millis{},
+			meanSizes:        map[string]float64{},
+			accountShares:    fairshare.New(),
+			cancels:          map[*placement.Ticket]func(){},
+			moves:            map[*placement.Ticket]func(){},
+			waiting:          map[uint64]chan placement.Due{},
 		}
-		s.repeats.SetFronts(sc.fronts)
+		s.retryBudget.SetFronts(sc.gateways)
 		sc.services[service] = s
 	}
 	return s
 }
 
-func (sc *scheduler) setFronts(names []string) {
+func (sc *scheduler) setGateways(names []string) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.fronts = max(len(names), 1)
-	sc.shares.Meet(names)
+	sc.gateways = max(len(names), 1)
+	sc.limitShares.Meet(names)
 	for _, s := range sc.services {
-		s.repeats.SetFronts(sc.fronts)
+		s.retryBudget.SetFronts(sc.gateways)
 	}
 }
 
-// setNew says that the other fronts may not count this one until a moment.
-func (sc *scheduler) setNew(until kumquatlug.Millis) {
+// setUncountedUntil says that the other fronts may not count this one until a moment.
+func (sc *scheduler) setUncountedUntil(until kumquatlug.Millis) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.shares.SetNew(until)
+	sc.limitShares.SetNew(until)
 }
 
-// frontCount is how many fronts there are.
-func (sc *scheduler) frontCount() int {
+// gatewayCount is how many fronts there are.
+func (sc *scheduler) gatewayCount() int {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.fronts
+	return sc.gateways
 }
 
-// sync takes the members of all services.
-func (sc *scheduler) sync(now kumquatlug.Millis, byService map[string][]kumquatlug.Member) {
+// syncMembers takes the members of all services.
+func (sc *scheduler) syncMembers(now kumquatlug.Millis, byService map[string][]kumquatlug.Member) {
 	sc.mu.Lock()
-	defer sc.unlock()
+	defer sc.unlockAndSend()
 	for name, members := range byService {
-		g := sc.at(name)
-		sc.moveLater(g, g.placer.Sync(now, members))
+		state := sc.service(name)
+		sc.moveBeforeExit(state, state.placer.Sync(now, members))
 	}
-	for name, g := range sc.services {
-		if _, still := byService[name]; !still {
-			g.placer.Sync(now, nil)
+	for name, state := range sc.services {
+		if _, present := byService[name]; !present {
+			state.placer.Sync(now, nil)
 		}
 	}
 }
 
-// describe takes what the config says of the services.
-func (sc *scheduler) describe(table *routes.Table) {
+// applyConfig takes what the config says of the services.
+func (sc *scheduler) applyConfig(table *routes.Table) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	for _, name := range table.Services() {
 		s, _ := table.Service(name)
-		g := sc.at(name)
-		g.placer.SetMemory(s.Memory())
-		g.engines = s.Engine()
+		state := sc.service(name)
+		state.placer.SetMemory(s.Memory())
+		state.engines = s.Engine()
 	}
 }
 
-// samePatience is the part of the longest wait of a route's clients from which
+// sameTimeoutFraction is the part of the longest wait of a route's clients from which
 // on one counts as another client's own. Clients differ by a sixth; one that was
 // refused and comes back has less than two thirds left.
-const samePatience = 0.8
+const sameTimeoutFraction = 0.8
 
-// arrive records a request for a service and returns how long its client has
+// recordArrival records a request for a service and returns how long its client has
 // been trying already: clients that come back say a much shorter time to wait.
-func (sc *scheduler) arrive(now kumquatlug.Millis, service, route string, waits kumquatlug.Millis) kumquatlug.Millis {
+func (sc *scheduler) recordArrival(now kumquatlug.Millis, service, route string, timeout kumquatlug.Millis) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	s := sc.at(service)
-	s.repeats.Request(now)
-	if waits > s.patience[route] {
-		s.patience[route] = waits
+	s := sc.service(service)
+	s.retryBudget.Request(now)
+	if timeout > s.maxClientTimeout[route] {
+		s.maxClientTimeout[route] = timeout
 	}
-	if float64(waits) >= samePatience*float64(s.patience[route]) {
+	if float64(timeout) >= sameTimeoutFraction*float64(s.maxClientTimeout[route]) {
 		return 0
 	}
-	return s.patience[route] - waits
+	return s.maxClientTimeout[route] - timeout
 }
 
 // What a request of an engine is worth: in part for being there, in part by its size.
 // A token that is generated counts as several that are read.
 const (
-	plainWorth   = 0.3
-	outputWeight = 10
-	// sizeStep is the weight of a new size in the mean of its route.
-	sizeStep = 1.0 / 64
+	baseValue         = 0.3
+	outputTokenWeight = 10
+	// sizeSmoothing is the weight of a new size in the mean of its route.
+	sizeSmoothing = 1.0 / 64
 )
 
-// worth returns what a request of an account is worth beside the mean one of its route.
+// requestValue returns what a request of an account is worth beside the mean one of its route.
 // Sizes of different routes don't compare: a short answer is as much to its client as
 // a long one to another. What an account asks for beyond its usual share counts less.
-func (sc *scheduler) worth(now kumquatlug.Millis, service, route, account string, prompt kumquatlug.Prompt) float64 {
-	size := float64(prompt.Input() + outputWeight*prompt.Output())
+func (sc *scheduler) requestValue(now kumquatlug.Millis, service, route, account string, prompt kumquatlug.Prompt) float64 {
+	size := float64(prompt.Input() + outputTokenWeight*prompt.Output())
 	if size <= 0 {
 		return 1
 	}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	part := 1.0
+	share := 1.0
 	if account != "" {
-		part = sc.at(service).shares.Asked(now, account, size)
+		share = sc.service(service).accountShares.Asked(now, account, size)
 	}
-	sizes := sc.at(service).sizes
+	sizes := sc.service(service).meanSizes
 	mean, known := sizes[route]
 	if !known {
 		mean = size
 	}
-	sizes[route] = mean + sizeStep*(size-mean)
-	return part * (plainWorth + (1-plainWorth)*size/mean)
+	sizes[route] = mean + sizeSmoothing*(size-mean)
+	return share * (baseValue + (1-baseValue)*size/mean)
 }
 
-// repeat pays for one more arrival at a worker of a service.
-func (sc *scheduler) repeat(now kumquatlug.Millis, service string) bool {
+// takeRetry pays for one more arrival at a worker of a service.
+func (sc *scheduler) takeRetry(now kumquatlug.Millis, service string) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.at(service).repeats.Take(now)
+	return sc.service(service).retryBudget.Take(now)
 }
 
-// noteRepeat records an arrival that turned out to be a repeat.
-func (sc *scheduler) noteRepeat(now kumquatlug.Millis, service string) {
+// noteRetry records an arrival that turned out to be a repeat.
+func (sc *scheduler) noteRetry(now kumquatlug.Millis, service string) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.at(service).repeats.Note(now)
+	sc.service(service).retryBudget.Note(now)
 }
 
 // stage is the part of the work that a worker is wanted for.
 type stage string
 
 const (
-	stageWhole  stage = "whole"
-	stagePrompt stage = "prompt"
-	stageOutput stage = "output"
+	stageWhole   stage = "whole"
+	stagePrefill stage = "prompt"
+	stageOutput  stage = "output"
 )
 
 // choose picks a worker and counts the attempt as in hand there.
 func (sc *scheduler) choose(now kumquatlug.Millis, service string, s stage, q placement.Query) (placement.Choice, *placement.Ticket) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	p := sc.at(service).placer
+	p := sc.service(service).placer
 	pick := p.Plain
 	if s == stageOutput {
 		pick = p.Output
@@ -238,89 +238,89 @@
 	return c, p.Begin(now, c, q.Prompt)
 }
 
-// turn is a prompt's way into an engine.
-type turn struct {
-	entry  placement.Entry
-	choice placement.Choice
-	ticket *placement.Ticket
+// pendingPrompt is a prompt's way into an engine.
+type pendingPrompt struct {
+	admission placement.Entry
+	choice    placement.Choice
+	attempt   *placement.Ticket
 	// key and due are set while it waits.
-	key uint64
-	due chan placement.Due
+	key   uint64
+	grant chan placement.Due
 }
 
-// enter brings a prompt to the engines.
-func (sc *scheduler) enter(now kumquatlug.Millis, service string, q placement.Query) turn {
+// submit brings a prompt to the engines.
+func (sc *scheduler) submit(now kumquatlug.Millis, service string, q placement.Query) pendingPrompt {
 	sc.mu.Lock()
-	defer sc.unlock()
-	g := sc.at(service)
+	defer sc.unlockAndSend()
+	state := sc.service(service)
 	sc.lastKey++
-	t := turn{key: sc.lastKey}
-	t.entry, t.choice, t.ticket = g.placer.Enter(now, t.key, q)
-	if t.entry == placement.EntryWaits {
-		t.due = make(chan placement.Due, 1)
-		g.turns[t.key] = t.due
+	p := pendingPrompt{key: sc.lastKey}
+	p.admission, p.choice, p.attempt = state.placer.Enter(now, p.key, q)
+	if p.admission == placement.EntryWaits {
+		p.grant = make(chan placement.Due, 1)
+		state.waiting[p.key] = p.grant
 	}
-	sc.pump(now, g)
-	return t
+	sc.deliverGrants(now, state)
+	return p
 }
 
-// leave takes a prompt out of the queues. Its turn may have come meanwhile; the
+// cancel takes a prompt out of the queues. Its turn may have come meanwhile; the
 // attempt that was begun is then ended.
-func (sc *scheduler) leave(now kumquatlug.Millis, service string, t turn) {
+func (sc *scheduler) cancel(now kumquatlug.Millis, service string, p pendingPrompt) {
 	sc.mu.Lock()
-	defer sc.unlock()
-	g := sc.at(service)
-	g.placer.Leave(t.key)
-	delete(g.turns, t.key)
+	defer sc.unlockAndSend()
+	state := sc.service(service)
+	state.placer.Leave(p.key)
+	delete(state.waiting, p.key)
 	select {
-	case due := <-t.due:
-		if due.Ticket() != nil {
-			g.placer.End(now, due.Ticket(), placement.OutcomeSilent)
+	case grant := <-p.grant:
+		if grant.Ticket() != nil {
+			state.placer.End(now, grant.Ticket(), placement.OutcomeSilent)
 		}
 	default:
 	}
-	sc.pump(now, g)
+	sc.deliverGrants(now, state)
 }
 
-// pump tells those whose turn has come; the lock must be held.
-func (sc *scheduler) pump(now kumquatlug.Millis, g *group) {
-	if g.placer.Waiting() == 0 {
+// deliverGrants tells those whose turn has come; the lock must be held.
+func (sc *scheduler) deliverGrants(now kumquatlug.Millis, state *serviceState) {
+	if state.placer.Waiting() == 0 {
 		return
 	}
-	for _, due := range g.placer.Due(now) {
-		g.tell(due)
+	for _, grant := range state.placer.Due(now) {
+		state.deliver(grant)
 	}
 }
 
-// pressure tells how much is asked of a service's engines.
-func (sc *scheduler) pressure(service string) placement.Pressure {
+// load tells how much is asked of a service's engines.
+func (sc *scheduler) load(service string) placement.Pressure {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.at(service).placer.Pressure()
+	return sc.service(service).placer.Pressure()
 }
 
-// occupied tells how much of a service's workers is taken, by data centre.
-func (sc *scheduler) occupied(now kumquatlug.Millis, service string) map[string]placement.Occupancy {
+// occupancy tells how much of a service's workers is taken, by data centre.
+func (sc *scheduler) occupancy(now kumquatlug.Millis, service string) map[string]placement.Occupancy {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.at(service).placer.Occupied(now)
+	return sc.service(service).placer.Occupied(now)
 }
 
-// said takes what a worker said of itself in the answer to an attempt, and reports whether
+// recordWorkerStatus takes what a worker said of itself in the answer to an attempt, and reports whether
 // its limit is news.
-func (sc *scheduler) said(
-	now kumquatlug.Millis, service string, t *placement.Ticket, worker string, reply kumquatlug.Reply,
+func (sc *scheduler) recordWorkerStatus(
+	now kumquatlug.Millis, service string, a *placement.Ticket, worker string, response kumquatlug.Reply,
 ) (placement.LimitNews, bool) {
 	sc.mu.Lock()
-	defer sc.unlock()
-	g := sc.at(service)
-	p := g.placer
-	p.Report(now, worker, reply.Load())
-	if reply.Pause() > 0 {
-		p.Pause(now, t, reply.Pause())
-		sc.pump(now, g)
+	defer sc.unlockAndSend()
+	state := sc.service(service)
+	p := state.placer
+	p.Report(now, worker, response.Load())
+	if response.Pause() > 0 {
+		p.Pause(now, a, response.Pause())
+		sc.deliverGrants(now, state)
 	}
-	return p.Limited(now, t, reply.Limit(), reply.Status() < http.StatusMultipleChoices)
+	return p.Limited(now, a, response.Limit(), response.Status() < http.StatusMultipleChoices)
 }
 
 // limits returns the workers that are known to have a limit.
@@ -328,55 +328,55 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	var all []placement.LimitNews
-	for _, g := range sc.services {
-		all = append(all, g.placer.Limits()...)
+	for _, state := range sc.services {
+		all = append(all, state.placer.Limits()...)
 	}
 	return all
 }
 
-// beside tells what a worker has in hand.
-func (sc *scheduler) beside(now kumquatlug.Millis, service, worker string) placement.Beside {
+// workInFlight tells what a worker has in hand.
+func (sc *scheduler) workInFlight(now kumquatlug.Millis, service, worker string) placement.Beside {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.at(service).placer.Beside(now, worker)
+	return sc.service(service).placer.Beside(now, worker)
 }
 
-// patience tells how long the first output of an attempt may take.
-func (sc *scheduler) patience(service string, t *placement.Ticket) kumquatlug.Millis {
+// attemptTimeout tells how long the first output of an attempt may take.
+func (sc *scheduler) attemptTimeout(service string, a *placement.Ticket) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.at(service).placer.Patience(t)
+	return sc.service(service).placer.Patience(a)
 }
 
-// takes tells how long nearly all requests take at an engine, by the greatest
+// maxDuration tells how long nearly all requests take at an engine, by the greatest
 // output.
-func (sc *scheduler) takes(service string, output int) kumquatlug.Millis {
+func (sc *scheduler) maxDuration(service string, output int) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.at(service).placer.Takes(output)
+	return sc.service(service).placer.Takes(output)
 }
 
-// runs tells how long nearly all requests generate, by the greatest output.
-func (sc *scheduler) runs(service string, output int) kumquatlug.Millis {
+// maxDecodeTime tells how long nearly all requests generate, by the greatest output.
+func (sc *scheduler) maxDecodeTime(service string, output int) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.at(service).placer.Runs(output)
+	return sc.service(service).placer.Runs(output)
 }
 
-func (sc *scheduler) read(now kumquatlug.Millis, service string, t *placement.Ticket) {
+func (sc *scheduler) prefillDone(now kumquatlug.Millis, service string, a *placement.Ticket) {
 	sc.mu.Lock()
-	defer sc.unlock()
-	g := sc.at(service)
-	g.placer.Read(now, t)
-	sc.pump(now, g)
+	defer sc.unlockAndSend()
+	state := sc.service(service)
+	state.placer.Read(now, a)
+	sc.deliverGrants(now, state)
 }
 
-func (sc *scheduler) end(now kumquatlug.Millis, service string, t *placement.Ticket, o placement.Outcome) {
+func (sc *scheduler) endAttempt(now kumquatlug.Millis, service string, a *placement.Ticket, o placement.Outcome) {
 	sc.mu.Lock()
-	defer sc.unlock()
-	g := sc.at(service)
-	delete(g.giveUps, t)
-	delete(g.moves, t)
-	g.placer.End(now, t, o)
-	sc.pump(now, g)
+	defer sc.unlockAndSend()
+	state := sc.service(service)
+	delete(state.cancels, a)
+	delete(state.moves, a)
+	state.placer.End(now, a, o)
+	sc.deliverGrants(now, state)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -10,84 +10,84 @@
 
 // Figures of serving.
 const (
-	// maxBody bounds a body until the operator's limit is known, in bytes.
-	maxBody = 4 << 20
-	// defaultPatience is how long a client that says nothing is taken to wait.
-	defaultPatience = 15 * kumquatlug.Second
-	// maxTries bounds the tries to reach workers for one request, those included
+	// defaultMaxBodyBytes bounds a body until the operator's limit is known, in bytes.
+	defaultMaxBodyBytes = 4 << 20
+	// defaultClientTimeout is how long a client that says nothing is taken to wait.
+	defaultClientTimeout = 15 * kumquatlug.Second
+	// maxAttempts bounds the tries to reach workers for one request, those included
 	// that reached none.
-	maxTries = 4
-	// retryPart is the part of the time left after which a refused client may be
+	maxAttempts = 4
+	// retryAfterDivisor is the part of the time left after which a refused client may be
 	// asked to come back: clients honour no longer wait than a third.
-	retryPart = 3
-	// leastRetry and mostRetry bound that wait: the queue at one engine changes
+	retryAfterDivisor = 3
+	// minRetryAfter and maxRetryAfter bound that wait: the queue at one engine changes
 	// within tenths of a second, an overload lasts for seconds, and a client that
 	// comes back into it is turned away for good.
-	leastRetry = 100 * kumquatlug.Millis(1)
-	mostRetry  = 1600 * kumquatlug.Millis(1)
-	// stopRetry is when a client that a stopping front refused comes back: at
+	minRetryAfter = 100 * kumquatlug.Millis(1)
+	maxRetryAfter = 1600 * kumquatlug.Millis(1)
+	// stoppingRetryAfter is when a client that a stopping front refused comes back: at
 	// once, as another front can still answer it within its target latency.
-	stopRetry = 20 * kumquatlug.Millis(1)
-	// startRetry is when a client of a front that knows no config comes back.
-	startRetry = 300 * kumquatlug.Millis(1)
+	stoppingRetryAfter = 20 * kumquatlug.Millis(1)
+	// noConfigRetryAfter is when a client of a front that knows no config comes back.
+	noConfigRetryAfter = 300 * kumquatlug.Millis(1)
 )
 
 // ServeHTTP serves one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.held.Add(1)
-	defer g.held.Add(-1)
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
 	arrived := g.c.Clock.Now()
 	table := g.table.Load()
-	limit := int64(maxBody)
+	limit := int64(defaultMaxBodyBytes)
 	if table != nil && table.Limits().BodyBytes > 0 {
 		limit = table.Limits().BodyBytes
 	}
-	if g.bodies.Load()+max(r.ContentLength, 0) > g.c.MaxBodies {
-		g.refuse(w, kumquatlug.Ask{}, refusal("read request", "bodies", http.StatusServiceUnavailable, leastRetry))
+	if g.bodyBytes.Load()+max(r.ContentLength, 0) > g.c.MaxBodies {
+		g.refuse(w, kumquatlug.Ask{}, refusal("read request", "bodies", http.StatusServiceUnavailable, minRetryAfter))
 		return
 	}
-	ask, err := g.c.Ingress.Decode(r, limit)
+	request, err := g.c.Ingress.Decode(r, limit)
 	if err != nil {
-		g.refuse(w, ask, kumquatlug.FailureOf(err))
+		g.refuse(w, request, kumquatlug.FailureOf(err))
 		return
 	}
-	g.bodies.Add(int64(len(ask.Body())))
-	defer g.bodies.Add(-int64(len(ask.Body())))
+	g.bodyBytes.Add(int64(len(request.Body())))
+	defer g.bodyBytes.Add(-int64(len(request.Body())))
 	if table == nil {
-		g.refuse(w, ask, refusal("find route", "no_config", http.StatusServiceUnavailable, startRetry))
+		g.refuse(w, request, refusal("find route", "no_config", http.StatusServiceUnavailable, noConfigRetryAfter))
 		return
 	}
-	route, found := table.Match(ask.Host(), ask.Path())
+	route, found := table.Match(request.Host(), request.Path())
 	if !found {
-		g.refuse(w, ask, g.unlessStale(refusal("find route", "no_route", http.StatusNotFound, 0)))
+		g.refuse(w, request, g.deniedUnlessStale(refusal("find route", "no_route", http.StatusNotFound, 0)))
 		return
 	}
-	account, denied := g.authenticate(table, route, ask)
+	account, denied := g.authenticate(table, route, request)
 	if denied != nil {
-		g.refuse(w, ask, denied)
+		g.refuse(w, request, denied)
 		return
 	}
-	ask = ask.WithAccount(account.Name())
-	service, found := table.Service(route.Service(ask.ID()))
+	request = request.WithAccount(account.Name())
+	service, found := table.Service(route.Service(request.ID()))
 	if !found {
-		g.refuse(w, ask, refusal("find service", "no_service", http.StatusServiceUnavailable, mostRetry))
+		g.refuse(w, request, refusal("find service", "no_service", http.StatusServiceUnavailable, maxRetryAfter))
 		return
 	}
 	f := &inflight{
-		g: g, w: w, ask: ask, account: account, route: route, service: service, version: table.Version(),
-		arrived: arrived, last: ask.Resume(),
+		g: g, w: w, request: request, account: account, route: route, service: service, configVersion: table.Version(),
+		arrived: arrived, lastEventID: request.Resume(),
 	}
-	if leave := kumquatlug.Millis(g.leaveAt.Load()); leave != 0 {
+	if exit := kumquatlug.Millis(g.exitAt.Load()); exit != 0 {
 		// The client's next request comes over a new connection, to a front that
 		// stays.
 		w.Header().Set("Connection", "close")
-		if f.outlasts(leave) {
-			g.refuse(w, ask, refusal("stop", "stopping", http.StatusServiceUnavailable, stopRetry))
+		if f.outlastsShutdown(exit) {
+			g.refuse(w, request, refusal("stop", "stopping", http.StatusServiceUnavailable, stoppingRetryAfter))
 			return
 		}
 	}
-	if f.suspected() {
-		g.refuse(w, ask, refusal("quarantine", "quarantined", http.StatusServiceUnavailable, mostRetry))
+	if f.quarantined() {
+		g.refuse(w, request, refusal("quarantine", "quarantined", http.StatusServiceUnavailable, maxRetryAfter))
 		return
 	}
 	f.serve(r.Context())
@@ -95,57 +95,57 @@
 
 // Figures of how long a request takes at most places.
 const (
-	// plainTime is how long nearly all other requests take.
-	plainTime = 500 * kumquatlug.Millis(1)
+	// plainRequestTime is how long nearly all other requests take.
+	plainRequestTime = 500 * kumquatlug.Millis(1)
 )
 
-// outlasts reports that the answer would not be whole when this front leaves.
+// outlastsShutdown reports that the answer would not be whole when this front leaves.
 // Another front can still begin it; here it would be cut off.
-func (f *inflight) outlasts(leave kumquatlug.Millis) bool {
-	takes := plainTime
+func (f *inflight) outlastsShutdown(exit kumquatlug.Millis) bool {
+	duration := plainRequestTime
 	if f.service.Engine() {
-		takes += f.g.scheduler.takes(f.service.Name(), f.ask.Prompt().Output())
+		duration += f.g.scheduler.maxDuration(f.service.Name(), f.request.Prompt().Output())
 	}
-	return f.arrived+takes > leave
+	return f.arrived+duration > exit
 }
 
-// cutShort is the failure of a request that would have been whole in time when it
+// stoppingFailure is the failure of a request that would have been whole in time when it
 // came to a stopping front, and won't be any more since attempts were given up. While
 // nothing of it has run another front can still answer it; begun here, its answer
 // would be cut when this front leaves.
-func (f *inflight) cutShort() *tried {
-	if !f.g.stopping() || f.mayRead() > 0 {
+func (f *inflight) stoppingFailure() *attemptFailure {
+	if !f.g.stopping() || f.timeToStartOutput() > 0 {
 		return nil
 	}
-	return &tried{whole: true, failure: refusal("stop", "stopping", http.StatusServiceUnavailable, stopRetry)}
+	return &attemptFailure{permanent: true, failure: refusal("stop", "stopping", http.StatusServiceUnavailable, stoppingRetryAfter)}
 }
 
-// mayRead is how long it may still take until the output of a request is begun. At a
+// timeToStartOutput is how long it may still take until the output of a request is begun. At a
 // stopping front that ends in time for the output to be whole; what is still being
 // read then would end without an answer when the front leaves.
-func (f *inflight) mayRead() kumquatlug.Millis {
-	leave := kumquatlug.Millis(f.g.leaveAt.Load())
-	if leave == 0 || f.runs > 0 || f.begun || !f.service.Engine() {
-		return f.left()
+func (f *inflight) timeToStartOutput() kumquatlug.Millis {
+	exit := kumquatlug.Millis(f.g.exitAt.Load())
+	if exit == 0 || f.possibleRuns > 0 || f.responseStarted || !f.service.Engine() {
+		return f.timeLeft()
 	}
-	run := f.g.scheduler.runs(f.service.Name(), f.ask.Prompt().Output())
-	return min(f.left(), leave-plainTime-run-f.g.c.Clock.Now())
+	decode := f.g.scheduler.maxDecodeTime(f.service.Name(), f.request.Prompt().Output())
+	return min(f.timeLeft(), exit-plainRequestTime-decode-f.g.c.Clock.Now())
 }
 
 // refusal returns a final answer for a request that did not run.
-func refusal(step, reason string, status int, retry kumquatlug.Millis) *kumquatlug.Failure {
+func refusal(step, reason string, status int, retryAfter kumquatlug.Millis) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status, RetryAfter: retry,
+		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status, RetryAfter: retryAfter,
 	})
 }
 
 // refuse gives a final answer of our own.
-func (g *Gateway) refuse(w http.ResponseWriter, ask kumquatlug.Ask, f *kumquatlug.Failure, about ...zap.Field) {
-	g.metrics.answers.WithLabelValues(f.Reason()).Inc()
+func (g *Gateway) refuse(w http.ResponseWriter, request kumquatlug.Ask, f *kumquatlug.Failure, fields ...zap.Field) {
+	g.metrics.responses.WithLabelValues(f.Reason()).Inc()
 	g.c.Logger.Info("refused", append([]zap.Field{
-		zap.String("request", ask.ID()), zap.String("step", f.Step()),
+		zap.String("request", request.ID()), zap.String("step", f.Step()),
 		zap.String("reason", f.Reason()), zap.String("ran", string(f.Ran())), zap.Int("status", f.Status()),
 		zap.Int64("retry_after_ms", int64(f.RetryAfter())), zap.String("cause", f.CauseText()),
-	}, about...)...)
-	g.c.Ingress.Refuse(w, ask, f)
+	}, fields...)...)
+	g.c.Ingress.Refuse(w, request, f)
 }
--- a/internal/gateway/served.go
+++ b/internal/gateway/served.go
@@ -11,35 +11,35 @@
 
 // Figures of what is shown of accounts.
 const (
-	// servedSpan is the span over which the answers of an account are averaged, in ms.
-	servedSpan = 30_000.0
-	// leastServed is from how many requests in that span on an account is judged.
-	leastServed = 20.0
-	// worstShown bounds the accounts that the metrics name.
-	worstShown = 8
+	// accountDecayMs is the span over which the answers of an account are averaged, in ms.
+	accountDecayMs = 30_000.0
+	// minJudgedRequests is from how many requests in that span on an account is judged.
+	minJudgedRequests = 20.0
+	// maxWorstAccounts bounds the accounts that the metrics name.
+	maxWorstAccounts = 8
 )
 
-// served follows which part of each account's requests is answered in time.
-type served struct {
+// accountStats follows which part of each account's requests is answered in time.
+type accountStats struct {
 	mu       sync.Mutex
-	accounts map[string]*servedAccount
+	accounts map[string]*accountCounts
 }
 
-// servedAccount are decaying counts at a moment.
-type servedAccount struct {
-	asked, inTime float64
+// accountCounts are decaying counts at a moment.
+type accountCounts struct {
+	total, onTime float64
 	at            kumquatlug.Millis
 }
 
-func (a *servedAccount) fade(now kumquatlug.Millis) {
-	kept := math.Exp(-float64(now-a.at) / servedSpan)
-	a.asked *= kept
-	a.inTime *= kept
+func (a *accountCounts) decay(now kumquatlug.Millis) {
+	factor := math.Exp(-float64(now-a.at) / accountDecayMs)
+	a.total *= factor
+	a.onTime *= factor
 	a.at = now
 }
 
 // note counts the end of a request.
-func (s *served) note(now kumquatlug.Millis, account string, inTime bool) {
+func (s *accountStats) note(now kumquatlug.Millis, account string, onTime bool) {
 	if account == "" {
 		return
 	}
@@ -48,49 +48,49 @@
 	a, known := s.accounts[account]
 	if !known {
 		if s.accounts == nil {
-			s.accounts = map[string]*servedAccount{}
+			s.accounts = map[string]*accountCounts{}
 		}
-		a = &servedAccount{at: now}
+		a = &accountCounts{at: now}
 		s.accounts[account] = a
 	}
-	a.fade(now)
-	a.asked++
-	if inTime {
-		a.inTime++
+	a.decay(now)
+	a.total++
+	if onTime {
+		a.onTime++
 	}
 }
 
 // worst returns the part in time of the accounts that fare worst, and forgets those that
 // asked for nothing lately.
-func (s *served) worst(now kumquatlug.Millis) map[string]float64 {
+func (s *accountStats) worst(now kumquatlug.Millis) map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	type one struct {
+	type accountShare struct {
 		name string
 		part float64
 	}
-	var all []one
+	var all []accountShare
 	for name, a := range s.accounts {
-		a.fade(now)
+		a.decay(now)
 		switch {
-		case a.asked >= leastServed:
-			all = append(all, one{name, a.inTime / a.asked})
-		case a.asked < 0.01:
+		case a.total >= minJudgedRequests:
+			all = append(all, accountShare{name, a.onTime / a.total})
+		case a.total < 0.01:
 			delete(s.accounts, name)
 		}
 	}
-	slices.SortFunc(all, func(a, b one) int { return cmp.Or(cmp.Compare(a.part, b.part), cmp.Compare(a.name, b.name)) })
-	parts := map[string]float64{}
-	for _, a := range all[:min(len(all), worstShown)] {
-		parts[a.name] = a.part
+	slices.SortFunc(all, func(a, b accountShare) int { return cmp.Or(cmp.Compare(a.part, b.part), cmp.Compare(a.name, b.name)) })
+	shares := map[string]float64{}
+	for _, a := range all[:min(len(all), maxWorstAccounts)] {
+		shares[a.name] = a.part
 	}
-	return parts
+	return shares
 }
 
-// showWorst shows the accounts that fare worst.
-func (g *Gateway) showWorst() {
-	g.metrics.worst.Reset()
-	for account, part := range g.served.worst(g.c.Clock.Now()) {
-		g.metrics.worst.WithLabelValues(account).Set(part)
+// exportWorstAccounts shows the accounts that fare worst.
+func (g *Gateway) exportWorstAccounts() {
+	g.metrics.worstAccounts.Reset()
+	for account, share := range g.accounts.worst(g.c.Clock.Now()) {
+		g.metrics.worstAccounts.WithLabelValues(account).Set(share)
 	}
 }
--- a/internal/gateway/served_test.go
+++ b/internal/gateway/served_test.go
@@ -7,14 +7,14 @@
 
 // One of hundreds of accounts is served badly, which no sum over all of them shows. It
 // must be named, the others must not fill the metrics, and who left is forgotten.
-func TestTheAccountsThatFareWorstAreNamed(t *testing.T) {
-	s := &served{}
+func TestWorstAccountsAreReported(t *testing.T) {
+	s := &accountStats{}
 	for i := range 9000 {
 		account := fmt.Sprint("a", i%300)
 		s.note(100, account, account != "a7" || i%2 == 0)
 	}
 	worst := s.worst(200)
-	if len(worst) != worstShown || worst["a7"] > 0.6 {
+	if len(worst) != maxWorstAccounts || worst["a7"] > 0.6 {
 		t.Errorf("%v", worst)
 	}
 	s.worst(600_000)
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -17,18 +17,18 @@
 // A look-up that many users make is slow at one worker, so that this front gives
 // up on it there and asks another one. Taken for crashes, three such moments
 // would have the look-up refused to everybody for a minute.
-func TestGivingUpOnAWorkerIsNoCrash(t *testing.T) {
-	w := &fakeWorkers{run: func(ctx context.Context, n int, _ call) (kumquatlug.Reply, error) {
+func TestTimeoutIsNotACrash(t *testing.T) {
+	w := &fakeWorkers{run: func(ctx context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
 		if n%2 == 1 {
 			<-ctx.Done()
-			return kumquatlug.Reply{}, lost()
+			return kumquatlug.Reply{}, lostConnection()
 		}
-		return whole(200, "done"), nil
+		return wholeResponse(200, "done"), nil
 	}}
-	f := newFront(t, w, manyRepeats)
+	f := newTestGateway(t, w, manyRetries)
 	for i := range 4 {
-		if answer := f.ask(context.Background(), http.MethodGet, look); answer.status != 200 {
-			t.Fatalf("time %d: %+v", i+1, answer)
+		if response := f.do(context.Background(), http.MethodGet, lookupRoute); response.status != 200 {
+			t.Fatalf("time %d: %+v", i+1, response)
 		}
 	}
 }
@@ -36,11 +36,11 @@
 // A user leaves while an answer is written, and the front notices it by the
 // write that fails. The worker did its work: it must not be judged by that, nor
 // the request be taken for one that ends its workers.
-func TestALeavingClientDoesNotSpeakAgainstItsWorker(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, call) (kumquatlug.Reply, error) { return streamed(1, 3), nil }}
-	f := newFront(t, w, manyRepeats)
+func TestClientDisconnectIsNotACrash(t *testing.T) {
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 3), nil }}
+	f := newTestGateway(t, w, manyRetries)
 	for range 4 {
-		r := httptest.NewRequest(http.MethodPost, chat, strings.NewReader("body"))
+		r := httptest.NewRequest(http.MethodPost, chatRoute, strings.NewReader("body"))
 		r.Header.Set("Id", "r1")
 		func() {
 			defer func() {
@@ -48,49 +48,49 @@
 					panic(cause)
 				}
 			}()
-			f.g.ServeHTTP(goneClient{httptest.NewRecorder()}, r)
+			f.g.ServeHTTP(disconnectedClient{httptest.NewRecorder()}, r)
 		}()
 	}
-	if answer := f.ask(context.Background(), http.MethodPost, chat); answer.status != 200 {
-		t.Errorf("the request of another user: %+v", answer)
+	if response := f.do(context.Background(), http.MethodPost, chatRoute); response.status != 200 {
+		t.Errorf("the request of another user: %+v", response)
 	}
-	if n := len(f.g.crashes.untold); n != 0 {
+	if n := len(f.g.crashes.unpublished); n != 0 {
 		t.Errorf("%d crashes are told", n)
 	}
 }
 
-// goneClient is a client that takes nothing any more.
-type goneClient struct{ *httptest.ResponseRecorder }
+// disconnectedClient is a client that takes nothing any more.
+type disconnectedClient struct{ *httptest.ResponseRecorder }
 
-func (goneClient) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
+func (disconnectedClient) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
 // One of two engines goes dark with streams in hand. Their users would see them
 // stand still until they give up; instead they go on at the other engine after a
 // short pause, and each user sees one whole stream.
-func TestStreamsOfADarkEngineGoOnElsewhere(t *testing.T) {
+func TestStreamsOfUnresponsiveEngineResume(t *testing.T) {
 	const last = 30
-	w := &fakeWorkers{run: func(ctx context.Context, _ int, c call) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(ctx context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
 		end := last
 		if c.worker == "d1" {
 			end = 2
 		}
 		return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 			Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: -1,
-			Body: &pacedBody{ctx: ctx, next: int(c.sending.Resume) + 1, last: end, dark: end != last},
+			Body: &pacedBody{ctx: ctx, next: int(c.options.Resume) + 1, last: end, stalls: end != last},
 		}), nil
 	}}
-	f := newFront(t, w, manyRepeats)
+	f := newTestGateway(t, w, manyRetries)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go f.g.watchQueues(ctx)
-	answers := make(chan got, 4)
+	go f.g.runTimers(ctx)
+	responses := make(chan clientResponse, 4)
 	for range 4 {
-		go func() { answers <- f.ask(ctx, http.MethodPost, "/long/?tokens=220,104") }()
+		go func() { responses <- f.do(ctx, http.MethodPost, "/long/?tokens=220,104") }()
 	}
 	for range 4 {
-		answer := <-answers
-		if answer.err != nil || answer.body != events(1, last) || answer.took > 1100*time.Millisecond {
-			t.Errorf("%d of %d bytes after %s: %v", len(answer.body), len(events(1, last)), answer.took, answer.err)
+		response := <-responses
+		if response.err != nil || response.body != events(1, last) || response.duration > 1100*time.Millisecond {
+			t.Errorf("%d of %d bytes after %s: %v", len(response.body), len(events(1, last)), response.duration, response.err)
 		}
 	}
 }
@@ -100,11 +100,11 @@
 type pacedBody struct {
 	ctx        context.Context
 	next, last int
-	dark       bool
+	stalls     bool
 }
 
 func (b *pacedBody) Read(p []byte) (int, error) {
-	if b.next > b.last && !b.dark {
+	if b.next > b.last && !b.stalls {
 		return 0, io.EOF
 	}
 	event := time.After(20 * time.Millisecond)
--- a/internal/gateway/transfer.go
+++ b/internal/gateway/transfer.go
@@ -14,8 +14,8 @@
 // transfer is a stream's way from an engine that is to do something else to
 // another one that goes on with its memory.
 type transfer struct {
-	choice placement.Choice
-	ticket *placement.Ticket
+	choice  placement.Choice
+	attempt *placement.Ticket
 	// done is closed when the rest is known: cache is what the other engine
 	// goes on with, none when the stream stays where it is.
 	done  chan struct{}
@@ -28,36 +28,36 @@
 
 // move takes the stream of an attempt for ask to another engine, as q asks for it. The
 // engine ends it there, which the goroutine that reads it notices.
-func (f *inflight) move(a *attempt, ask kumquatlug.Ask, q placement.Query) {
-	choice, ticket := f.g.scheduler.choose(f.g.c.Clock.Now(), f.service.Name(), stageOutput, q)
-	if ticket == nil {
+func (f *inflight) move(a *relayedAttempt, request kumquatlug.Ask, q placement.Query) {
+	choice, attempt := f.g.scheduler.choose(f.g.c.Clock.Now(), f.service.Name(), stageOutput, q)
+	if attempt == nil {
 		return
 	}
-	if choice.Wait() > 0 || a.over.Load() {
+	if choice.Wait() > 0 || a.done.Load() {
 		// It would stand still there until a slot is free, or it has ended.
-		f.end(stageOutput, ticket, placement.OutcomeSilent)
+		f.endAttempt(stageOutput, attempt, placement.OutcomeSilent)
 		return
 	}
-	t := &transfer{choice: choice, ticket: ticket, done: make(chan struct{})}
+	t := &transfer{choice: choice, attempt: attempt, done: make(chan struct{})}
 	a.transfer.Store(t)
-	call, cancel := context.WithTimeout(a.ctx, moveTimeout.Duration())
+	call, cancel := context.WithTimeout(a.requestCtx, moveTimeout.Duration())
 	defer cancel()
-	cache, err := f.g.c.Workers.Move(call, a.choice.Worker(), ask, choice.Worker())
+	cache, err := f.g.c.Workers.Move(call, a.choice.Worker(), request, choice.Worker())
 	if err != nil {
-		f.end(stageOutput, ticket, placement.OutcomeSilent)
-		f.g.c.Logger.Info("stream not moved", zap.String("request", ask.ID()), zap.String("worker", a.worker()),
+		f.endAttempt(stageOutput, attempt, placement.OutcomeSilent)
+		f.g.c.Logger.Info("stream not moved", zap.String("request", request.ID()), zap.String("worker", a.worker()),
 			zap.String("to", choice.Worker().ID()), logs.Error(err))
 	} else {
 		t.cache = cache
 	}
 	close(t.done)
-	if a.over.Load() && a.transfer.CompareAndSwap(t, nil) {
+	if a.done.Load() && a.transfer.CompareAndSwap(t, nil) {
 		f.discard(t)
 	}
 }
 
-// moved returns where the stream of an attempt goes on, nil where it does not.
-func (f *inflight) moved(a *attempt) *transfer {
+// takeTransfer returns where the stream of an attempt goes on, nil where it does not.
+func (f *inflight) takeTransfer(a *relayedAttempt) *transfer {
 	t := a.transfer.Swap(nil)
 	if t == nil {
 		return nil
@@ -66,7 +66,7 @@
 	switch {
 	case t.cache.Handle() == "":
 		return nil
-	case a.ctx.Err() != nil:
+	case a.requestCtx.Err() != nil:
 		f.discard(t)
 		return nil
 	}
@@ -76,8 +76,8 @@
 // abandon notes that an attempt is over. A copy that was made of its memory would
 // hold a slot and its room at the other engine for seconds, and its ticket would
 // make that engine look fuller for ever.
-func (f *inflight) abandon(a *attempt) {
-	a.over.Store(true)
+func (f *inflight) abandon(a *relayedAttempt) {
+	a.done.Store(true)
 	if t := a.transfer.Swap(nil); t != nil {
 		go func() {
 			<-t.done
@@ -91,55 +91,55 @@
 	if t.cache.Handle() == "" {
 		return
 	}
-	f.end(stageOutput, t.ticket, placement.OutcomeSilent)
-	f.g.free(t.cache)
+	f.endAttempt(stageOutput, t.attempt, placement.OutcomeSilent)
+	f.g.releaseCache(t.cache)
 }
 
 // onMove has move called when the attempt's engine is to do something else.
-func (sc *scheduler) onMove(service string, t *placement.Ticket, move func()) {
+func (sc *scheduler) onMove(service string, a *placement.Ticket, move func()) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.at(service).moves[t] = move
+	sc.service(service).moves[a] = move
 }
 
-// announce takes which engines of a service are about to change their role, and
+// setRoleChanges takes which engines of a service are about to change their role, and
 // has the streams there moved away. It returns how many, and whether anything was
 // new.
-func (sc *scheduler) announce(now kumquatlug.Millis, service string, roles map[string]kumquatlug.Role) (int, bool) {
+func (sc *scheduler) setRoleChanges(now kumquatlug.Millis, service string, roles map[string]kumquatlug.Role) (int, bool) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	g := sc.at(service)
-	streams, news := g.placer.Announce(now, roles)
-	moved := g.moveAway(streams)
-	sc.pump(now, g)
-	return moved, news
+	state := sc.service(service)
+	streams, changed := state.placer.Announce(now, roles)
+	moved := state.moveStreams(streams)
+	sc.deliverGrants(now, state)
+	return moved, changed
 }
 
-// moveLater has the streams of workers that leave moved away shortly before they
+// moveBeforeExit has the streams of workers that leave moved away shortly before they
 // may be gone. Until then they are best served where they are: moved at once
 // they crowd the engines that stay.
-func (sc *scheduler) moveLater(g *group, streams []*placement.Ticket) {
+func (sc *scheduler) moveBeforeExit(state *serviceState, streams []*placement.Ticket) {
 	if len(streams) == 0 {
 		return
 	}
-	time.AfterFunc((sc.c.LeaveSpan * leavePart / 100).Duration(), func() {
+	time.AfterFunc((sc.c.LeaveSpan * moveAtPercent / 100).Duration(), func() {
 		sc.mu.Lock()
 		defer sc.mu.Unlock()
-		g.moveAway(streams)
+		state.moveStreams(streams)
 	})
 }
 
-// leavePart is the part of the span, in hundredths, after which the streams of a
+// moveAtPercent is the part of the span, in hundredths, after which the streams of a
 // worker that leaves are moved away: a copy takes milliseconds, and fronts know of
 // the leaving some milliseconds late.
-const leavePart = 80
+const moveAtPercent = 80
 
-// moveAway has streams moved to other engines and returns how many can be.
-func (g *group) moveAway(streams []*placement.Ticket) int {
+// moveStreams has streams moved to other engines and returns how many can be.
+func (state *serviceState) moveStreams(streams []*placement.Ticket) int {
 	moved := 0
 	for _, t := range streams {
-		if move, can := g.moves[t]; can {
-			delete(g.moves, t)
+		if move, can := state.moves[t]; can {
+			delete(state.moves, t)
 			moved++
 			go move()
 		}
--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -13,28 +13,28 @@
 
 // Turn takes a message of another front about a turn.
 func (g *Gateway) Turn(m kumquatlug.TurnMessage) {
-	g.metrics.turns.WithLabelValues("received", string(m.Turn.Step)).Inc()
-	g.scheduler.turn(g.c.Clock.Now(), m)
+	g.metrics.permits.WithLabelValues("received", string(m.Turn.Step)).Inc()
+	g.scheduler.handlePermit(g.c.Clock.Now(), m)
 }
 
 // Met takes that another front made itself known.
-func (g *Gateway) Met(front string) { g.scheduler.met(front) }
+func (g *Gateway) Met(peer string) { g.scheduler.peerJoined(peer) }
 
 // Left takes that another front stops.
-func (g *Gateway) Left(front string) {
-	g.c.Logger.Info("front stops", zap.String("front", front))
-	g.scheduler.left(front)
+func (g *Gateway) Left(peer string) {
+	g.c.Logger.Info("front stops", zap.String("front", peer))
+	g.scheduler.peerLeft(peer)
 }
 
-// meetFronts takes the rows of all fronts.
-func (g *Gateway) meetFronts(rows map[string][]byte) {
-	g.scheduler.setFronts(slices.Collect(maps.Keys(rows)))
+// updatePeers takes the rows of all fronts.
+func (g *Gateway) updatePeers(rows map[string][]byte) {
+	g.scheduler.setGateways(slices.Collect(maps.Keys(rows)))
 	if g.c.Fronts == nil {
 		return
 	}
-	there, anew := g.c.Fronts.Meet(rows)
-	g.scheduler.meet(there, anew)
-	g.c.Logger.Info("fronts met", zap.Int("rows", len(rows)), zap.Int("there", len(there)))
+	reachable, restarted := g.c.Fronts.Meet(rows)
+	g.scheduler.setPeers(reachable, restarted)
+	g.c.Logger.Info("fronts met", zap.Int("rows", len(rows)), zap.Int("there", len(reachable)))
 }
 
 // stopCoordinating leaves the order of prompts to the other fronts.
@@ -55,95 +55,95 @@
 	return coordinator.New(c.Name)
 }
 
-// coordinatorsOf returns the same as the interface that a placer takes.
-func (sc *scheduler) coordinatorsOf() kumquatlug.Coordinators {
+// placerCoordinators returns the same as the interface that a placer takes.
+func (sc *scheduler) placerCoordinators() kumquatlug.Coordinators {
 	if sc.coordinators == nil {
 		return nil
 	}
 	return sc.coordinators
 }
 
-// meet takes the names of the fronts that can be asked, and which of them started
+// setPeers takes the names of the fronts that can be asked, and which of them started
 // anew. One of these may have said that it stops, and nothing to this front since;
 // without its row the two would name different coordinators for good.
-func (sc *scheduler) meet(there, anew []string) {
+func (sc *scheduler) setPeers(reachable, restarted []string) {
 	sc.mu.Lock()
-	defer sc.unlock()
-	sc.coordinators.Set(there)
-	for _, front := range anew {
-		sc.coordinators.Add(front)
+	defer sc.unlockAndSend()
+	sc.coordinators.Set(reachable)
+	for _, peer := range restarted {
+		sc.coordinators.Add(peer)
 	}
 }
 
-func (sc *scheduler) met(front string) {
+func (sc *scheduler) peerJoined(peer string) {
 	sc.mu.Lock()
-	defer sc.unlock()
-	sc.coordinators.Add(front)
+	defer sc.unlockAndSend()
+	sc.coordinators.Add(peer)
 }
 
-func (sc *scheduler) left(front string) {
+func (sc *scheduler) peerLeft(peer string) {
 	sc.mu.Lock()
-	defer sc.unlock()
-	sc.coordinators.Left(front)
+	defer sc.unlockAndSend()
+	sc.coordinators.Left(peer)
 }
 
 // stopCoordinating sends the prompts of other fronts to their next coordinators.
 func (sc *scheduler) stopCoordinating() {
 	sc.mu.Lock()
-	defer sc.unlock()
+	defer sc.unlockAndSend()
 	sc.coordinators.Leave()
-	for _, g := range sc.services {
-		g.placer.StopCoordinating()
+	for _, state := range sc.services {
+		state.placer.StopCoordinating()
 	}
 }
 
-// turn takes a message of another front: to this one as a coordinator, or the answer of
+// handlePermit takes a message of another front: to this one as a coordinator, or the answer of
 // one that coordinates an engine.
-func (sc *scheduler) turn(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
+func (sc *scheduler) handlePermit(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
 	sc.mu.Lock()
-	defer sc.unlock()
-	g, known := sc.services[m.Turn.Service]
+	defer sc.unlockAndSend()
+	state, known := sc.services[m.Turn.Service]
 	if !known {
 		return
 	}
 	switch m.Turn.Step {
 	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
-		g.placer.Requested(now, m)
+		state.placer.Requested(now, m)
 	default:
-		if due, ended := g.placer.Answered(now, m); ended {
-			g.tell(due)
+		if grant, ended := state.placer.Answered(now, m); ended {
+			state.deliver(grant)
 		}
 	}
-	sc.pump(now, g)
+	sc.deliverGrants(now, state)
 }
 
-// tell tells a prompt that waits that its turn has come, or that it is given up.
-func (g *group) tell(due placement.Due) {
-	if tell, waits := g.turns[due.Key()]; waits {
-		delete(g.turns, due.Key())
-		tell <- due
+// deliver tells a prompt that waits that its turn has come, or that it is given up.
+func (state *serviceState) deliver(grant placement.Due) {
+	if waiting, waits := state.waiting[grant.Key()]; waits {
+		delete(state.waiting, grant.Key())
+		waiting <- grant
 	}
 }
 
-// unlock gives the lock back and sends what was to be said to other fronts. It
+// unlockAndSend gives the lock back and sends what was to be said to other fronts. It
 // sends outside of the lock, as each message is a call to the system.
-func (sc *scheduler) unlock() {
+func (sc *scheduler) unlockAndSend() {
 	var out []kumquatlug.TurnMessage
-	for name, g := range sc.services {
-		for _, m := range g.placer.Outbox() {
+	for name, state := range sc.services {
+		for _, m := range state.placer.Outbox() {
 			m.Turn.Service = name
 			out = append(out, m)
 		}
 	}
-	var news []coordinator.News
+	var events []coordinator.News
 	if sc.coordinators != nil {
-		news = sc.coordinators.News()
+		events = sc.coordinators.News()
 	}
 	sc.mu.Unlock()
 	for _, m := range out {
 		sc.c.Fronts.Send(m)
 	}
-	for _, n := range news {
-		sc.c.Logger.Info(n.What(), zap.String("front", n.Front()), zap.Int("unanswered", n.Misses()))
+	for _, e := range events {
+		sc.c.Logger.Info(e.What(), zap.String("front", e.Front()), zap.Int("unanswered", e.Misses()))
 	}
 }
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -16,29 +16,29 @@
 
 // Figures of usage.
 const (
-	// tellParts is into how many parts a window is cut by the writes of a front: so
+	// tallyWritesPerWindow is into how many parts a window is cut by the writes of a front: so
 	// much of it is lost at most with a front that is killed.
-	tellParts = 4
-	// mostTells bounds the writes of all fronts together in a second, as long as each
+	tallyWritesPerWindow = 4
+	// maxTallyWritesPerSecond bounds the writes of all fronts together in a second, as long as each
 	// can still write once a window.
-	mostTells = 20
-	// tellSpread is over which span the writes of the fronts are spread, from the end
+	maxTallyWritesPerSecond = 20
+	// tallyWriteSpread is over which span the writes of the fronts are spread, from the end
 	// of a part on.
-	tellSpread = 300 * kumquatlug.Millis(1)
-	// lastTell bounds the last write of a front that ends.
-	lastTell = 300 * kumquatlug.Millis(1)
-	// reportEvery is how often the holder of the lease looks for what is due.
-	reportEvery = 200 * kumquatlug.Millis(1)
-	// reportSteps bounds the calls of one look; the service takes some tens a second.
-	reportSteps = 4
+	tallyWriteSpread = 300 * kumquatlug.Millis(1)
+	// finalTallyTimeout bounds the last write of a front that ends.
+	finalTallyTimeout = 300 * kumquatlug.Millis(1)
+	// reportInterval is how often the holder of the lease looks for what is due.
+	reportInterval = 200 * kumquatlug.Millis(1)
+	// maxReportSteps bounds the calls of one look; the service takes some tens a second.
+	maxReportSteps = 4
 )
 
-// usageCount counts what began at this front, for all goroutines.
-type usageCount struct {
+// usageState counts what began at this front, for all goroutines.
+type usageState struct {
 	mu      sync.Mutex
 	counter *usage.Counter
-	// written says that the last tally in the store was not a last one.
-	written bool
+	// lastTallyOpen says that the last tally in the store was not a last one.
+	lastTallyOpen bool
 	// changed says that something began since.
 	changed bool
 }
@@ -49,11 +49,11 @@
 // countUsage counts a request of an account that began to run, once for each try of a
 // client however often it is sent.
 func (f *inflight) countUsage() {
-	account := f.ask.Account()
-	if f.counted || !f.g.reportsUsage() || account == "" {
+	account := f.request.Account()
+	if f.usageCounted || !f.g.reportsUsage() || account == "" {
 		return
 	}
-	f.counted = true
+	f.usageCounted = true
 	u := &f.g.usage
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -61,36 +61,36 @@
 	u.changed = true
 }
 
-// tellUsage keeps this front's counts in the store.
-func (g *Gateway) tellUsage(ctx context.Context) {
-	spread := kumquatlug.Millis(xxhash.Sum64String(g.c.Name) % uint64(tellSpread))
+// writeTallies keeps this front's counts in the store.
+func (g *Gateway) writeTallies(ctx context.Context) {
+	spread := kumquatlug.Millis(xxhash.Sum64String(g.c.Name) % uint64(tallyWriteSpread))
 	for window := g.c.UsageWindows.At(g.c.Wall.Now()); ; {
-		part := g.tellPart()
+		part := g.tallyInterval()
 		now := g.c.Wall.Now() - spread
 		if !sleep(ctx, part-now%part) {
 			return
 		}
-		k := g.c.UsageWindows.At(g.c.Wall.Now() - spread)
-		g.tellTally(ctx, storeCall, k != window, false)
-		window = k
+		current := g.c.UsageWindows.At(g.c.Wall.Now() - spread)
+		g.writeTally(ctx, storeCallTimeout, current != window, false)
+		window = current
 	}
 }
 
-// tellPart is how long after one write of this front the next one follows.
-func (g *Gateway) tellPart() kumquatlug.Millis {
+// tallyInterval is how long after one write of this front the next one follows.
+func (g *Gateway) tallyInterval() kumquatlug.Millis {
 	span := g.c.UsageWindows.Span
-	room := int(span) * mostTells / int(kumquatlug.Second) / g.scheduler.frontCount()
-	return span / kumquatlug.Millis(min(max(room, 1), tellParts))
+	writes := int(span) * maxTallyWritesPerSecond / int(kumquatlug.Second) / g.scheduler.gatewayCount()
+	return span / kumquatlug.Millis(min(max(writes, 1), tallyWritesPerWindow))
 }
 
-// tellTally writes the counts. In the middle of a window it does so only if they
+// writeTally writes the counts. In the middle of a window it does so only if they
 // changed.
-func (g *Gateway) tellTally(ctx context.Context, timeout kumquatlug.Millis, whole, last bool) {
+func (g *Gateway) writeTally(ctx context.Context, timeout kumquatlug.Millis, windowEnded, final bool) {
 	u := &g.usage
-	g.dropFixed(ctx)
+	g.dropFixedWindows(ctx)
 	u.mu.Lock()
-	tally := u.counter.Tally(g.c.Wall.Now(), last)
-	due := u.changed || u.written && (whole || last)
+	tally := u.counter.Tally(g.c.Wall.Now(), final)
+	due := u.changed || u.lastTallyOpen && (windowEnded || final)
 	changed := u.changed
 	u.changed = false
 	u.mu.Unlock()
@@ -111,11 +111,11 @@
 		return
 	}
 	u.counter.Told(tally)
-	u.written = !tally.Left()
+	u.lastTallyOpen = !tally.Left()
 }
 
-// dropFixed forgets the windows whose sums are fixed, once there are some.
-func (g *Gateway) dropFixed(ctx context.Context) {
+// dropFixedWindows forgets the windows whose sums are fixed, once there are some.
+func (g *Gateway) dropFixedWindows(ctx context.Context) {
 	u := &g.usage
 	u.mu.Lock()
 	old := u.counter.Old(g.c.Wall.Now())
@@ -123,7 +123,7 @@
 	if !old {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, storeCall.Duration())
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	row, err := g.c.Table.Get(call, usage.NextKey)
 	next := usage.Window(0)
@@ -143,29 +143,29 @@
 func (g *Gateway) reportUsage(ctx context.Context) {
 	r := usage.NewReporter(g.c.UsageWindows, g.c.Incarnation)
 	era := g.c.Feed.Era()
-	for sleep(ctx, reportEvery) {
-		if now := g.c.Feed.Era(); now != era && (era < 0 || g.writeReportsAgain(ctx, r)) {
+	for sleep(ctx, reportInterval) {
+		if now := g.c.Feed.Era(); now != era && (era < 0 || g.rewriteReports(ctx, r)) {
 			era = now
 		}
 		r.Hold(int64(g.leaseTerm().Number()))
-		for steps := 0; steps < reportSteps && g.reportStep(ctx, r); steps++ {
+		for steps := 0; steps < maxReportSteps && g.reportStep(ctx, r); steps++ {
 		}
 		g.metrics.usageOpen.Set(float64(r.Open()))
 	}
 }
 
-// writeReportsAgain writes the fixed reports again that a store may have lost which came
+// rewriteReports writes the fixed reports again that a store may have lost which came
 // back from an older copy, and reports whether that is done.
-func (g *Gateway) writeReportsAgain(ctx context.Context, r *usage.Reporter) bool {
+func (g *Gateway) rewriteReports(ctx context.Context, r *usage.Reporter) bool {
 	rows, err := g.scan(ctx, usage.ReportPrefix)
 	if err == nil {
 		if tx, due := r.Again(g.c.Wall.Now(), rows); due {
-			call, cancel := context.WithTimeout(ctx, storeCall.Duration())
+			call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 			defer cancel()
 			err = g.c.Table.Commit(call, tx)
 		}
 	}
-	g.noteUsage("reports not written again", err)
+	g.logUsageError("reports not written again", err)
 	return err == nil
 }
 
@@ -175,14 +175,14 @@
 	switch i.Action() {
 	case usage.ActionLoad:
 		rows, err := g.scan(ctx, usage.ReportPrefix)
-		g.noteUsage("reports not read", r.Loaded(g.c.Wall.Now(), rows, err))
+		g.logUsageError("reports not read", r.Loaded(g.c.Wall.Now(), rows, err))
 	case usage.ActionLook:
 		rows, err := g.scan(ctx, usage.TallyPrefix)
-		g.noteUsage("counts not read", r.Looked(g.c.Wall.Now(), rows, err))
+		g.logUsageError("counts not read", r.Looked(g.c.Wall.Now(), rows, err))
 	case usage.ActionFix:
-		g.fixUsage(ctx, r, i)
+		g.fixWindow(ctx, r, i)
 	case usage.ActionSend:
-		return g.sendUsage(ctx, r, i.Report())
+		return g.sendReport(ctx, r, i.Report())
 	default:
 		return false
 	}
@@ -190,38 +190,38 @@
 }
 
 func (g *Gateway) scan(ctx context.Context, prefix string) ([]kumquatlug.Row, error) {
-	call, cancel := context.WithTimeout(ctx, storeCall.Duration())
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	return g.c.Table.Scan(call, prefix, "", 0)
 }
 
-func (g *Gateway) noteUsage(what string, err error) {
+func (g *Gateway) logUsageError(message string, err error) {
 	if err != nil {
-		g.c.Logger.Warn(what, logs.Error(err))
+		g.c.Logger.Warn(message, logs.Error(err))
 	}
 }
 
-// fixUsage writes the sum of a window, which no holder changes after that.
-func (g *Gateway) fixUsage(ctx context.Context, r *usage.Reporter, i usage.Intent) {
-	call, cancel := context.WithTimeout(ctx, storeCall.Duration())
+// fixWindow writes the sum of a window, which no holder changes after that.
+func (g *Gateway) fixWindow(ctx context.Context, r *usage.Reporter, i usage.Intent) {
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	err := g.c.Table.Commit(call, i.Tx())
 	r.Fixed(g.c.Wall.Now(), err)
 	if i.Missing() > 0 {
-		g.metrics.reports.WithLabelValues("incomplete").Inc()
+		g.metrics.usageReports.WithLabelValues("incomplete").Inc()
 	}
 	g.c.Logger.Info("usage fixed", windowField(i.Report()), zap.Int64("requests", i.Report().Counts().Total()),
 		zap.Int("missing_fronts", i.Missing()), logs.Error(err))
 }
 
-// sendUsage sends a report, if it arrives before the lease can have gone to another
+// sendReport sends a report, if it arrives before the lease can have gone to another
 // front, and reports whether it was sent.
-func (g *Gateway) sendUsage(ctx context.Context, r *usage.Reporter, report usage.Report) bool {
-	duty, may := g.mayAct()
-	if !may {
+func (g *Gateway) sendReport(ctx context.Context, r *usage.Reporter, report usage.Report) bool {
+	duty, allowed := g.leaderLease()
+	if !allowed {
 		return false
 	}
-	call, cancel := context.WithTimeout(ctx, dutyTimeout.Duration())
+	call, cancel := context.WithTimeout(ctx, leaderCallTimeout.Duration())
 	defer cancel()
 	err := g.c.Duties.ReportUsage(call, duty, int64(report.Window()), report.Counts())
 	r.Sent(g.c.Wall.Now(), report, err)
@@ -232,7 +232,7 @@
 	case err != nil:
 		outcome = "failed"
 	}
-	g.metrics.reports.WithLabelValues(outcome).Inc()
+	g.metrics.usageReports.WithLabelValues(outcome).Inc()
 	g.c.Logger.Info("usage report", windowField(report), zap.String("outcome", outcome), zap.Int64("fence", duty.Fence), logs.Error(err))
 	return err == nil
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -14,110 +14,110 @@
 
 // Figures of following the store.
 const (
-	// feedWait is how long the store is asked to wait for a change. A connection
+	// feedPollWait is how long the store is asked to wait for a change. A connection
 	// that went silent looks like a quiet store until the wait and its slack are
 	// over, and a change must be in force five seconds after that at the latest.
-	feedWait = 2500 * kumquatlug.Millis(1)
-	// crashWait is the same for what fronts tell each other of crashes; to learn
+	feedPollWait = 2500 * kumquatlug.Millis(1)
+	// crashPollWait is the same for what fronts tell each other of crashes; to learn
 	// of one late costs one more try of a request.
-	crashWait = 10 * kumquatlug.Second
-	// feedRetry is the wait after a failure; with a few fronts it is a small part
+	crashPollWait = 10 * kumquatlug.Second
+	// feedRetryDelay is the wait after a failure; with a few fronts it is a small part
 	// of the 2,000 reads a second that the store takes.
-	feedRetry = 250 * kumquatlug.Millis(1)
-	// rereadSpan is the time for each front in which it reads its tables anew: four
+	feedRetryDelay = 250 * kumquatlug.Millis(1)
+	// rereadSpreadPerGateway is the time for each front in which it reads its tables anew: four
 	// reads, half of what the store takes.
-	rereadSpan = 4 * kumquatlug.Millis(1)
-	// returnSpan is how long after the store's return an entry that lapsed while
+	rereadSpreadPerGateway = 4 * kumquatlug.Millis(1)
+	// storeReturnGrace is how long after the store's return an entry that lapsed while
 	// it was away may still be missing: workers write it anew within two seconds.
-	returnSpan = 2300 * kumquatlug.Millis(1)
-	// leastPace and mostPace bound how long a front lets changes of a table gather
+	storeReturnGrace = 2300 * kumquatlug.Millis(1)
+	// minGatherDelay and maxGatherDelay bound how long a front lets changes of a table gather
 	// until it asks for more. Workers that start or leave together come some tens
 	// of milliseconds apart, and each change alone would be a call of every front
 	// and a look at all workers. A change must be in force within two seconds.
-	leastPace = 40 * kumquatlug.Millis(1)
-	mostPace  = 600 * kumquatlug.Millis(1)
-	// crashPace is the same for what fronts tell each other of crashes. While
+	minGatherDelay = 40 * kumquatlug.Millis(1)
+	maxGatherDelay = 600 * kumquatlug.Millis(1)
+	// crashGatherDelay is the same for what fronts tell each other of crashes. While
 	// answers are lost a row comes each half second, and each wakes every front:
 	// half of all calls of eleven fronts on a day with lost answers. With
-	// spreadEvery a request that ended its third worker is known everywhere
+	// crashPublishInterval a request that ended its third worker is known everywhere
 	// after two seconds; the users' rules leave three.
-	crashPace = 1500 * kumquatlug.Millis(1)
-	// returnWait is the wait within that span, so that its end is noticed.
-	returnWait = 300 * kumquatlug.Millis(1)
+	crashGatherDelay = 1500 * kumquatlug.Millis(1)
+	// returnPollWait is the wait within that span, so that its end is noticed.
+	returnPollWait = 300 * kumquatlug.Millis(1)
 )
 
-// follower keeps a copy of one table.
-type follower struct {
+// tableWatcher keeps a copy of one table.
+type tableWatcher struct {
 	g     *Gateway
 	table string
-	// wait is how long the store waits for a change, pace how long changes gather
+	// pollWait is how long the store waits for a change, pace how long changes gather
 	// before the next question. While one follows the other pace doubles up to most.
-	wait, pace, most kumquatlug.Millis
-	// gather is how long they gather now.
-	gather  kumquatlug.Millis
-	version int64
-	known   bool
-	rows    map[string]kumquatlug.Row
+	pollWait, minDelay, maxDelay kumquatlug.Millis
+	// gatherDelay is how long they gather now.
+	gatherDelay kumquatlug.Millis
+	version     int64
+	synced      bool
+	rows        map[string]kumquatlug.Row
 	// changed are the rows of the last answer, removed ones without a value;
 	// whole says that these are all rows of the table.
-	changed []kumquatlug.Row
-	whole   bool
-	// failedAt is when the store last failed; zero for never.
-	failedAt kumquatlug.Millis
-	lost     bool
-	// unsure says that the rows were looked at last while the store was returning:
+	changed  []kumquatlug.Row
+	fullRead bool
+	// lastFailureAt is when the store last failed; zero for never.
+	lastFailureAt kumquatlug.Millis
+	unavailable   bool
+	// recheck says that the rows were looked at last while the store was returning:
 	// some that were missing then were kept.
-	unsure bool
+	recheck bool
 }
 
-// follow calls apply after each change of the table, and at least each feedWait.
-func (f *follower) follow(ctx context.Context, apply func(now kumquatlug.Millis)) {
+// watch calls apply after each change of the table, and at least each feedPollWait.
+func (f *tableWatcher) watch(ctx context.Context, apply func(now kumquatlug.Millis)) {
 	f.rows = map[string]kumquatlug.Row{}
 	for ctx.Err() == nil {
 		asked := f.g.c.Clock.Now()
-		err := f.step(ctx)
+		err := f.read(ctx)
 		now := f.g.c.Clock.Now()
 		if err == nil {
-			f.regained(now)
+			f.readSucceeded(now)
 			apply(now)
 			if len(f.changed) > 0 {
-				f.paceAfter(now - asked)
-				sleep(ctx, f.gather)
+				f.updateGatherDelay(now - asked)
+				sleep(ctx, f.gatherDelay)
 			}
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		f.missed(now, err)
+		f.readFailed(now, err)
 		apply(now)
-		sleep(ctx, f.retry(err))
+		sleep(ctx, f.retryDelay(err))
 	}
 }
 
-// retry is how long the follower waits after a failure. Where the history is gone, as
+// retryDelay is how long the follower waits after a failure. Where the history is gone, as
 // after the store came back from an older copy, all fronts read all tables at once; their
 // reads are spread over as long as the store needs for them.
-func (f *follower) retry(err error) kumquatlug.Millis {
+func (f *tableWatcher) retryDelay(err error) kumquatlug.Millis {
 	if !errors.Is(err, kumquatlug.ErrNotFound) {
-		return feedRetry
+		return feedRetryDelay
 	}
-	spread := rereadSpan * kumquatlug.Millis(f.g.scheduler.frontCount())
-	return feedRetry + kumquatlug.Millis(xxhash.Sum64String(f.table+f.g.c.Name)%uint64(spread))
+	spread := rereadSpreadPerGateway * kumquatlug.Millis(f.g.scheduler.gatewayCount())
+	return feedRetryDelay + kumquatlug.Millis(xxhash.Sum64String(f.table+f.g.c.Name)%uint64(spread))
 }
 
-// paceAfter sets how long changes gather after some that the store waited for. One
+// updateGatherDelay sets how long changes gather after some that the store waited for. One
 // that comes after a quiet span is followed up at once.
-func (f *follower) paceAfter(waited kumquatlug.Millis) {
-	if waited > f.gather {
-		f.gather = 0
+func (f *tableWatcher) updateGatherDelay(waited kumquatlug.Millis) {
+	if waited > f.gatherDelay {
+		f.gatherDelay = 0
 	}
-	f.gather = min(max(f.pace, 2*f.gather), max(f.pace, f.most))
+	f.gatherDelay = min(max(f.minDelay, 2*f.gatherDelay), max(f.minDelay, f.maxDelay))
 }
 
-// step reads the whole table, or waits for its next change.
-func (f *follower) step(ctx context.Context) error {
-	if !f.known {
+// read reads the whole table, or waits for its next change.
+func (f *tableWatcher) read(ctx context.Context) error {
+	if !f.synced {
 		rows, version, err := f.g.c.Feed.Snapshot(ctx, f.table)
 		if err != nil {
 			return err
@@ -126,14 +126,14 @@
 		for _, r := range rows {
 			f.rows[r.Key()] = r
 		}
-		f.version, f.known, f.changed, f.whole = version, true, rows, true
+		f.version, f.synced, f.changed, f.fullRead = version, true, rows, true
 		return nil
 	}
-	rows, version, err := f.g.c.Feed.Changes(ctx, f.table, f.version, f.nextWait(f.g.c.Clock.Now()))
+	rows, version, err := f.g.c.Feed.Changes(ctx, f.table, f.version, f.nextPollWait(f.g.c.Clock.Now()))
 	if err != nil {
 		return err
 	}
-	f.changed, f.whole = rows, false
+	f.changed, f.fullRead = rows, false
 	for _, r := range rows {
 		if r.Exists() {
 			f.rows[r.Key()] = r
@@ -145,57 +145,57 @@
 	return nil
 }
 
-// nextWait is how long the store is to wait for a change. A row that went while the
+// nextPollWait is how long the store is to wait for a change. A row that went while the
 // store was returning was kept, and is looked at again as soon as that is over; by
 // the usual wait its worker would be given work until it ends.
-func (f *follower) nextWait(now kumquatlug.Millis) kumquatlug.Millis {
-	if f.unsure || f.returning(now) {
-		return returnWait
+func (f *tableWatcher) nextPollWait(now kumquatlug.Millis) kumquatlug.Millis {
+	if f.recheck || f.storeReturning(now) {
+		return returnPollWait
 	}
-	return f.wait
+	return f.pollWait
 }
 
-// returning reports that the store was away a moment ago.
-func (f *follower) returning(now kumquatlug.Millis) bool {
-	return f.failedAt > 0 && now-f.failedAt < returnSpan
+// storeReturning reports that the store was away a moment ago.
+func (f *tableWatcher) storeReturning(now kumquatlug.Millis) bool {
+	return f.lastFailureAt > 0 && now-f.lastFailureAt < storeReturnGrace
 }
 
-// missed notes a failure. The table is read anew after any: what was missed
+// readFailed notes a failure. The table is read anew after any: what was missed
 // meanwhile may no longer be in the store's history.
-func (f *follower) missed(now kumquatlug.Millis, err error) {
-	f.failedAt = now
-	f.known = false
+func (f *tableWatcher) readFailed(now kumquatlug.Millis, err error) {
+	f.lastFailureAt = now
+	f.synced = false
 	f.changed = nil
-	f.g.metrics.store.WithLabelValues(f.table, "failed").Inc()
-	if f.lost && !errors.Is(err, kumquatlug.ErrNotFound) {
+	f.g.metrics.storeReads.WithLabelValues(f.table, "failed").Inc()
+	if f.unavailable && !errors.Is(err, kumquatlug.ErrNotFound) {
 		return
 	}
-	f.lost = true
+	f.unavailable = true
 	f.g.c.Logger.Warn("store lost", zap.String("table", f.table), logs.Error(err))
 }
 
-func (f *follower) regained(now kumquatlug.Millis) {
-	f.g.metrics.store.WithLabelValues(f.table, "answered").Inc()
-	f.unsure = f.returning(now)
-	if f.lost {
-		f.lost = false
-		f.g.c.Logger.Info("store regained", zap.String("table", f.table), zap.Int64("after_ms", int64(now-f.failedAt)))
+func (f *tableWatcher) readSucceeded(now kumquatlug.Millis) {
+	f.g.metrics.storeReads.WithLabelValues(f.table, "answered").Inc()
+	f.recheck = f.storeReturning(now)
+	if f.unavailable {
+		f.unavailable = false
+		f.g.c.Logger.Info("store regained", zap.String("table", f.table), zap.Int64("after_ms", int64(now-f.lastFailureAt)))
 	}
 }
 
-// followConfig keeps the operator's config in force.
-func (g *Gateway) followConfig(ctx context.Context) {
-	f := &follower{g: g, table: g.c.ConfigTable, wait: feedWait}
-	seen := int64(0)
-	f.follow(ctx, func(kumquatlug.Millis) {
-		if f.known {
+// watchConfig keeps the operator's config in force.
+func (g *Gateway) watchConfig(ctx context.Context) {
+	f := &tableWatcher{g: g, table: g.c.ConfigTable, pollWait: feedPollWait}
+	adopted := int64(0)
+	f.watch(ctx, func(kumquatlug.Millis) {
+		if f.synced {
 			g.confirmConfig(g.c.Awake.Now())
 		}
 		row, there := f.rows[g.c.ConfigKey]
-		if !there || row.Version() == seen {
+		if !there || row.Version() == adopted {
 			return
 		}
-		seen = row.Version()
+		adopted = row.Version()
 		g.adoptRow(row)
 	})
 }
@@ -213,8 +213,8 @@
 // adopt puts a config in force, unless it is older than the one that is. It comes from
 // the store or from another front.
 func (g *Gateway) adopt(config kumquatlug.OperatorConfig, text []byte) {
-	g.adopting.Lock()
-	defer g.adopting.Unlock()
+	g.adoptMu.Lock()
+	defer g.adoptMu.Unlock()
 	table, inForce := routes.NewTable(config), g.table.Load()
 	if inForce != nil && table.Version() == inForce.Version() {
 		return
@@ -224,11 +224,11 @@
 		return
 	}
 	g.table.Store(table)
-	g.fetch.held.Store(&configCopy{version: table.Version(), text: text})
-	g.fetch.mu.Lock()
-	g.fetch.fetch.Have(table.Version())
-	g.fetch.mu.Unlock()
-	g.scheduler.describe(table)
-	g.metrics.config.Set(float64(table.Version()))
+	g.configFetch.current.Store(&configCopy{version: table.Version(), text: text})
+	g.configFetch.mu.Lock()
+	g.configFetch.fetcher.Have(table.Version())
+	g.configFetch.mu.Unlock()
+	g.scheduler.applyConfig(table)
+	g.metrics.configVersion.Set(float64(table.Version()))
 	g.c.Logger.Info("config in force", zap.Int64("version", table.Version()), zap.Int("routes", len(config.Routes)), zap.Int("keys", len(config.Accounts)))
 }
