--- a/internal/gateway/account.go
+++ b/internal/gateway/account.go
@@ -9,13 +9,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routes"
 )
 
-// maxFeedSilence is for how long a store that serves this front may say nothing: it answers
-// at the end of each wait, and a call may take that much longer.
+// maxFeedSilence is the longest time, in ms, for which a working store may send nothing:
+// it responds at the end of each poll, and a call may take storeCallTimeout longer.
 const maxFeedSilence = feedPollWait + storeCallTimeout
 
-// authenticate finds the account of a request by its key, or the answer to a request
-// that has no right to its route. An account on a public route is known only if its
-// key is.
+// authenticate returns the account of the request's key, or the failure to send if the
+// request may not use its route. On a public route the account is set only if the key is
+// known.
 func (g *Gateway) authenticate(
 	table *routes.Table, route kumquatlug.Route, request kumquatlug.Ask,
 ) (kumquatlug.Caller, *kumquatlug.Failure) {
@@ -40,15 +40,15 @@
 	return kumquatlug.Caller{}, denied
 }
 
-// configAge returns for how long the store has not told what config is in force.
+// configAge returns the time in ms since the store last confirmed the config in force.
 func (g *Gateway) configAge() kumquatlug.Millis {
 	return g.c.Awake.Now() - kumquatlug.Millis(g.configConfirmedAt.Load())
 }
 
-// deniedUnlessStale returns the final answer to a request that the config in force does not
-// allow. A client does not try again after one. A front that was cut off from the
-// store may not know the config that allows it, and sends the client to another
-// front instead.
+// deniedUnlessStale returns the final response to a request that the config in force
+// does not allow. A client does not retry after it. A gateway that is cut off from the
+// store may not have the config that allows the request; it responds 503 instead, so
+// that the client retries at another gateway.
 func (g *Gateway) deniedUnlessStale(denied *kumquatlug.Failure) *kumquatlug.Failure {
 	if g.c.ConfigSpan == 0 || g.configAge() <= max(g.c.ConfigSpan, maxFeedSilence) {
 		return denied
@@ -56,10 +56,10 @@
 	return refusal(denied.Step(), "config_stale", http.StatusServiceUnavailable, noConfigRetryAfter)
 }
 
-// reauthenticate looks at the key again right before something is sent to a worker, as
-// it may have been taken away, or have gone to another account, while the request
-// waited. Nothing is begun for a key that is gone; an answer of which the client has
-// a part is finished, as the account had a right to it when it began.
+// reauthenticate checks the key again immediately before an attempt is sent to a worker:
+// it may have been revoked or assigned to another account while the request was queued.
+// Nothing is started for a revoked key. A response of which the client has received a
+// part is completed, because the account was entitled to it when it started.
 func (f *inflight) reauthenticate(s stage, a *placement.Ticket) *attemptFailure {
 	table := f.g.table.Load()
 	if f.responseStarted || table == nil || table.Version() == f.configVersion && !f.g.c.FailClosed {
@@ -76,10 +76,11 @@
 	return nil
 }
 
-// priority returns the rank of a request, 0 first: its account's, or its route's.
+// priority returns the priority of the request, 0 is the highest: the account's, if it
+// has one, else the route's.
 func (f *inflight) priority() int {
-	if rank, ranked := f.account.Priority(); ranked {
-		return rank
+	if priority, ok := f.account.Priority(); ok {
+		return priority
 	}
 	return f.route.Priority()
 }
--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -13,7 +13,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routes"
 )
 
-// tableWithKeys returns a table whose accounts have these keys, by key.
+// tableWithKeys returns a table whose accounts have these keys; the map is from key to
+// account name.
 func tableWithKeys(t *testing.T, version int64, accounts map[string]string) *routes.Table {
 	t.Helper()
 	c := testConfig(version)
@@ -46,8 +47,8 @@
 	}}
 }
 
-// Without a key, with two or with one that nobody has a request is none of a client;
-// run all the same it would be billed to somebody.
+// Checks that requests without a key, with two keys or with an unknown key do not run:
+// they belong to no account, and would be billed to another one.
 func TestUnknownKeysAreDenied(t *testing.T) {
 	w := respondingWorkers()
 	f := newGatewayWithKeys(t, w)
@@ -64,27 +65,27 @@
 		t.Errorf("%+v", response)
 	}
 	if response := f.do(t.Context(), http.MethodGet, "/open/"); response.status != http.StatusOK {
-		t.Errorf("a route for all: %+v", response)
+		t.Errorf("public route: %+v", response)
 	}
 	if calls := w.recorded(); len(calls) != 2 || calls[0].request.Account() != "north" || calls[1].request.Account() != "" {
 		t.Errorf("sent %+v", calls)
 	}
 }
 
-// An account has a rank of its own. Ranked by their routes, its requests would go
-// before those of accounts that the operator put first.
+// An account's priority takes precedence over that of the route. Otherwise its requests
+// would go before those of accounts that the operator ranked higher.
 func TestAccountPriorityOverridesRoutePriority(t *testing.T) {
 	w := respondingWorkers()
 	f := newGatewayWithKeys(t, w)
 	f.do(t.Context(), http.MethodPost, postRoute, "k1")
 	f.do(t.Context(), http.MethodGet, "/open/")
 	if calls := w.recorded(); calls[0].options.Urgency != priorityOnTime+2 || calls[1].options.Urgency != priorityOnTime {
-		t.Errorf("urgencies %d and %d", calls[0].options.Urgency, calls[1].options.Urgency)
+		t.Errorf("priorities %d and %d", calls[0].options.Urgency, calls[1].options.Urgency)
 	}
 }
 
-// While a prompt is read its client's key is taken away, or goes to another account.
-// Begun all the same its output would run for a client that has no right to it, or be
+// A key is revoked or moves to another account while the prompt is prefilled. If the
+// output were started with the old key, it would run for a client without access, or be
 // billed to the wrong account.
 func TestRevokedKeyStartsNothing(t *testing.T) {
 	for _, c := range []struct {
@@ -121,8 +122,8 @@
 	}
 }
 
-// A key is taken away while its client reads a stream that breaks off. The client
-// had a right to the answer when it began; broken off it would look like a fault.
+// A key is revoked while its client receives a stream that breaks off. The client was
+// entitled to the response when it started, so that the stream must resume.
 func TestStartedResponseOutlivesItsKey(t *testing.T) {
 	w := &fakeWorkers{}
 	f := newGatewayWithKeys(t, w)
@@ -139,14 +140,14 @@
 	}
 }
 
-// A front is cut off from the store while the operator adds a key. A client does not
-// come back after a denial; sent to another front it is served at once.
+// A gateway is cut off from the store while the operator adds a key. Clients do not
+// retry after a denial; after a 503 they retry at another gateway, which serves them.
 func TestStaleGatewayDeniesWithRetry(t *testing.T) {
 	f := newGatewayWithKeys(t, respondingWorkers())
 	f.g.c.ConfigSpan = 2000
 	f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 2500))
 	if response := f.do(t.Context(), http.MethodPost, "/added/", "k1"); response.status != http.StatusNotFound {
-		t.Errorf("a route that is not there, at a quiet store: %+v", response)
+		t.Errorf("unknown route, recent confirmation: %+v", response)
 	}
 	f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 3600))
 	for path, key := range map[string]string{postRoute: "k2", "/added/": "k1"} {
@@ -156,12 +157,13 @@
 		}
 	}
 	if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != http.StatusOK {
-		t.Errorf("a key that it knows: %+v", response)
+		t.Errorf("known key: %+v", response)
 	}
 }
 
-// Where keys must not outlast their taking away, a front that has not heard from the
-// store for too long serves nobody by a key; elsewhere it goes on.
+// With FailClosed, a gateway without confirmation of its config for RevokeSpan serves no
+// request that needs a key, so that no key stays valid after its revocation. Otherwise
+// it keeps serving.
 func TestStaleGatewayFailsClosed(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		w := respondingWorkers()
@@ -169,7 +171,7 @@
 		f.g.c.FailClosed, f.g.c.RevokeSpan, f.g.c.ConfigSpan = closed, 5000, 3000
 		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 4500))
 		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != http.StatusOK {
-			t.Errorf("closed %v, within the bound: %+v", closed, response)
+			t.Errorf("fail closed %v, within RevokeSpan: %+v", closed, response)
 		}
 		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 5500))
 		want, sent := http.StatusOK, 2
@@ -177,19 +179,19 @@
 			want, sent = http.StatusServiceUnavailable, 1
 		}
 		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != want {
-			t.Errorf("closed %v, beyond it: %+v", closed, response)
+			t.Errorf("fail closed %v, after RevokeSpan: %+v", closed, response)
 		}
 		if response := f.do(t.Context(), http.MethodGet, "/open/"); response.status != http.StatusOK {
-			t.Errorf("closed %v, a route for all: %+v", closed, response)
+			t.Errorf("fail closed %v, public route: %+v", closed, response)
 		}
 		if calls := w.recorded(); len(calls) != sent+1 {
-			t.Errorf("closed %v: %d sent", closed, len(calls))
+			t.Errorf("fail closed %v: %d attempts", closed, len(calls))
 		}
 	}
 }
 
-// A prompt that waits for its turn while the front falls out of touch is not begun
-// either where the front fails closed.
+// A prompt that is queued while the config of the gateway becomes stale must not be
+// started with FailClosed.
 func TestQueuedPromptFailsClosed(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 3), nil }}
 	f := newGatewayWithKeys(t, w)
@@ -202,20 +204,20 @@
 	}
 	response := f.do(t.Context(), http.MethodPost, longRoute, "k1")
 	if response.status != http.StatusServiceUnavailable || prompts.Load() != 1 || response.duration > time.Second {
-		t.Errorf("%+v after %d prompts", response, prompts.Load())
+		t.Errorf("%+v after %d prefills", response, prompts.Load())
 	}
 	for _, calls := range w.recorded() {
 		if !calls.prefill {
-			t.Error("the output was begun")
+			t.Error("the output was started")
 		}
 	}
 }
 
-// A front that must fail closed can't reach the store, while another front that can says
-// that the config in force is the newest. Both know as much, so that it serves on.
+// A gateway with FailClosed can't reach the store, but a peer that can confirms that the
+// config in force is the newest. The gateway must keep serving.
 func TestPeersConfirmConfig(t *testing.T) {
 	f := newGatewayWithKeys(t, respondingWorkers())
-	f.g.c.FailClosed, f.g.c.RevokeSpan, f.g.c.Fronts = true, 5000, noPeers{}
+	f.g.c.FailClosed, f.g.c.RevokeSpan, f.g.c.Fronts = true, 5000, noLink{}
 	f.g.configFetch.current.Store(&configCopy{version: 7})
 	for _, c := range []struct {
 		state  kumquatlug.ConfigState
@@ -234,14 +236,15 @@
 	}
 }
 
-// statelessWorkers answers without keeping what was sent.
+// statelessWorkers responds without recording the calls.
 type statelessWorkers struct{ kumquatlug.Workers }
 
 func (statelessWorkers) Run(context.Context, kumquatlug.Worker, kumquatlug.Ask, kumquatlug.Sending) (kumquatlug.Reply, error) {
 	return wholeResponse(200, "done"), nil
 }
 
-// BenchmarkServe is what a request costs a front, with accounts and without.
+// BenchmarkServe measures the cost of a request to the gateway, with and without
+// accounts.
 func BenchmarkServe(b *testing.B) {
 	for _, keys := range []int{0, 20_000} {
 		f := newTestGateway(b, respondingWorkers(), manyRetries)
--- a/internal/gateway/apart_test.go
+++ b/internal/gateway/apart_test.go
@@ -9,12 +9,12 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// A prompt is read apart, its cache is taken along, and its engine answers
-// nothing to the client.
+// A long prompt is prefilled on one engine and decoded on another, which gets the KV
+// cache. The response of the prefill must not reach the client.
 func TestLongPromptIsPrefilledOnAnotherEngine(t *testing.T) {
 	w := &fakeWorkers{run: func(_ context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
 		if c.options.Cache.Handle() != "h" {
-			t.Errorf("without the cache: %+v", c.options)
+			t.Errorf("attempt without the KV cache: %+v", c.options)
 		}
 		return streamResponse(1, 3), nil
 	}}
@@ -27,8 +27,8 @@
 	}
 }
 
-// Every engine that reads prompts fails. Nothing of the request has run, whatever
-// became of the reading, and the user is told so with a time to come back.
+// Every prefill fails. The request has not run, whatever became of the prefills, and the
+// client must be told so with a Retry-After.
 func TestFailedPrefillHasNotRun(t *testing.T) {
 	w := &fakeWorkers{prefill: func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
 		return kumquatlug.KVCache{}, kumquatlug.Reply{}, lostConnection()
@@ -39,12 +39,12 @@
 	}
 }
 
-// chatPrefill is a request that may run once and has a prompt long enough to be
-// read apart.
+// chatPrefill is a request that may run once and has a prompt long enough for a separate
+// prefill.
 const chatPrefill = "/chat/?tokens=9000,400"
 
-// The cache of a prompt was read and the engine that should take it refuses. The
-// cache must be freed, or the engine that keeps it has less memory for seconds.
+// A prompt was prefilled, and the engine that should take its KV cache refuses. The
+// cache must be released; otherwise its engine lacks the memory for seconds.
 func TestUnusedCacheIsReleased(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
 	f := newTestGateway(t, w, manyRetries)
@@ -54,29 +54,28 @@
 	f.do(ctx, http.MethodPost, chatPrefill)
 	for end := time.Now().Add(5 * time.Second); ; {
 		w.mu.Lock()
-		freed := len(w.freed)
+		released := len(w.released)
 		w.mu.Unlock()
-		if freed > 0 {
+		if released > 0 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the cache was not freed")
+			t.Fatal("the KV cache was not released")
 		}
 		<-time.After(5 * time.Millisecond)
 	}
 }
 
-// All streams of an engine that was lost, or of fronts that were killed, go on at
-// the same moment. Each has some thousand tokens to be read again; read by the
-// engines that generate they would make every other stream there pause, so that
-// they are read apart like any long prompt.
+// All streams of a failed engine, or of killed gateways, resume at the same time. Each
+// has some thousand tokens to prefill. On decode engines, that would pause every other
+// stream there, so that these prompts are prefilled separately like any long prompt.
 func TestResumedStreamIsPrefilledOnAnotherEngine(t *testing.T) {
 	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.Reply, error) {
 		if n == 1 {
 			return truncatedResponse(events(1, 100), -1), nil
 		}
 		if c.options.Cache.Handle() == "" || c.options.Resume != 100 {
-			t.Errorf("goes on with cache %q behind event %d", c.options.Cache.Handle(), c.options.Resume)
+			t.Errorf("resumed with cache %q after event %d", c.options.Cache.Handle(), c.options.Resume)
 		}
 		return streamResponse(101, 102), nil
 	}}
@@ -90,9 +89,9 @@
 	}
 }
 
-// An engine crashes with hundreds of streams, and each goes on elsewhere. The first
-// reading of a prompt is no repeat; paid for as one, each stream costs two, and half of
-// them break off for want of what the fronts may send again.
+// An engine crashes with hundreds of streams, and each resumes elsewhere. The first
+// separate prefill of a prompt is not a retry. If it were counted as one, each stream
+// would cost two retries, and half of them would break off for lack of budget.
 func TestResumedStreamCostsOneRetry(t *testing.T) {
 	const oneRepeat = 2
 	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
@@ -107,9 +106,9 @@
 	}
 }
 
-// A prompt is read, its output refused, and the cache gone; reading it a second time is a
-// repeat, and so is a first reading that was refused. Not paid for, the workers get more
-// than all fronts may send.
+// A prompt is prefilled, its decode refused, and the KV cache is gone. Prefilling it
+// again is a retry, and so is a first prefill that was refused. If these were not
+// counted, the workers would get more attempts than the budget allows.
 func TestRepeatedPrefillCountsAsRetry(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
 	w.prefill = func(_ context.Context, n int, _ workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
@@ -123,19 +122,19 @@
 	for range 10 {
 		f.do(context.Background(), http.MethodPost, longRoute)
 	}
-	// Each request has its first arrival, and the first reading that was taken, for free.
+	// The first delivery and the first accepted prefill of each request are not retries.
 	if n, free := len(w.recorded()), 2*10; n > free+repeats {
-		t.Errorf("%d sendings for 10 requests with %d repeats", n, repeats)
+		t.Errorf("%d attempts for 10 requests with %d retries", n, repeats)
 	}
 }
 
-// A generating engine is on its way to another role and refuses a request whose
-// prompt was read apart. Another engine must take the same cache: read again, the
-// prompt would take its reader's time twice and its user would wait for it.
+// A decode engine is changing its role and refuses a request that was prefilled
+// elsewhere. Another engine must take the same KV cache: a second prefill would double
+// the load of the prefill engine and delay the client.
 func TestRefusedDecodeKeepsCache(t *testing.T) {
 	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.Reply, error) {
 		if c.options.Cache.Handle() != "h" {
-			t.Errorf("without the cache: %+v", c.options)
+			t.Errorf("attempt without the KV cache: %+v", c.options)
 		}
 		if n == 1 {
 			return refusedResponse(), nil
@@ -152,6 +151,6 @@
 		t.Errorf("%+v", calls)
 	}
 	if n := len(f.g.unusedCaches); n != 0 {
-		t.Errorf("%d caches to free", n)
+		t.Errorf("%d caches to release", n)
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// tryOnce makes one attempt; nil means that the client has its answer.
+// tryOnce makes one attempt. It returns nil when the client has its response.
 func (f *inflight) tryOnce(ctx context.Context) *attemptFailure {
 	if f.service.Engine() {
 		return f.generate(ctx)
@@ -23,15 +23,16 @@
 	return f.run(ctx, choice, attempt, kumquatlug.KVCache{})
 }
 
-// tokensPerEvent is how many tokens an event is taken to hold. Engines don't tell, and
-// differ by a factor of four; too many make a stream that goes on look long, which
-// has it read where no stream waits for it.
+// tokensPerEvent is the number of tokens assumed per streamed event. Engines do not
+// report it, and their values differ by a factor of four. An estimate that is too high
+// makes a resumed stream look long, so that it is prefilled on an engine where no stream
+// is delayed by it.
 const tokensPerEvent = 50
 
-// remainingPrompt is what an engine has to read: the client's prompt, and what was
-// generated of the answer so far. Without the latter all streams that go on after
-// a loss look short, are read by the engines that generate, and hold every stream
-// there up for a quarter of a second.
+// remainingPrompt returns what an engine has to prefill: the client's prompt and the
+// output that was generated so far. Without that output, all streams that resume after a
+// failure would look short, be prefilled on decode engines and delay every stream there
+// by a quarter of a second.
 func (f *inflight) remainingPrompt() kumquatlug.Prompt {
 	p := f.request.Prompt()
 	if f.lastEventID == 0 {
@@ -48,7 +49,7 @@
 	return q
 }
 
-// generate has the prompt read and the output made, at one engine or at two.
+// generate prefills the prompt and decodes the output, on one engine or on two.
 func (f *inflight) generate(ctx context.Context) *attemptFailure {
 	if cache := f.refusedCache; cache.Handle() != "" {
 		f.refusedCache, f.cacheReused = kumquatlug.KVCache{}, true
@@ -71,9 +72,9 @@
 	return f.decode(ctx, cache)
 }
 
-// decode has the answer generated from a prompt's KV cache. An engine that changes
-// its role or is full refuses it; another one then takes the same cache. Read
-// again, the prompt would be late, and so would those that wait behind it.
+// decode generates the output from a prompt's KV cache. An engine that changes its role
+// or is full refuses it, and another engine then takes the same cache: prefilling again
+// would delay this prompt and those queued behind it.
 func (f *inflight) decode(ctx context.Context, cache kumquatlug.KVCache) *attemptFailure {
 	if failed := f.stoppingFailure(); failed != nil {
 		f.g.releaseCache(cache)
@@ -96,7 +97,8 @@
 	return failed
 }
 
-// choose picks a worker, or tells that there is none.
+// choose selects a worker and starts an attempt there. It returns a failure if there is
+// no worker.
 func (f *inflight) choose(s stage) (*placement.Ticket, placement.Choice, *attemptFailure) {
 	if failed := f.takeRetryBudget(); failed != nil {
 		return nil, placement.Choice{}, failed
@@ -104,9 +106,8 @@
 	q := f.placementQuery()
 	choice, attempt := f.g.scheduler.choose(f.g.c.Clock.Now(), f.service.Name(), s, q)
 	if attempt == nil && f.workerErrored {
-		// There is nobody but those that were tried. One that answered with an
-		// error may do better the second time: some workers fail one request in
-		// seven, whatever it is.
+		// All workers have been tried. One that responded with an error may succeed on a
+		// second attempt: some workers fail one request in seven, whatever the request.
 		q.Exclude = nil
 		choice, attempt = f.g.scheduler.choose(f.g.c.Clock.Now(), f.service.Name(), s, q)
 	}
@@ -120,8 +121,8 @@
 	return attempt, choice, nil
 }
 
-// noWorkerFailure is the failure of a request for which there is no worker, or none that takes
-// it soon enough, as the choice tells.
+// noWorkerFailure returns the failure of a request for which there is no worker, or none
+// that accepts it soon enough, as c.Delay reports.
 func (f *inflight) noWorkerFailure(c placement.Choice) *attemptFailure {
 	reason, retryAfter := "no_worker", kumquatlug.Millis(0)
 	if c.Delay() > 0 {
@@ -130,8 +131,8 @@
 	return &attemptFailure{permanent: true, failure: f.clientFailure(refusal("place", reason, 0, retryAfter), reason)}
 }
 
-// overloadFailure is the failure of a request that no worker can begin in time. It can
-// only be late when it comes back, so that it comes as late as clients allow: an
+// overloadFailure returns the failure of a request that no worker can start in time. A
+// retry of it is late in any case, so that Retry-After is as long as clients accept: an
 // overload lasts for seconds.
 func (f *inflight) overloadFailure(c placement.Choice) *attemptFailure {
 	return &attemptFailure{permanent: true, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
@@ -140,8 +141,9 @@
 	})}
 }
 
-// submitPrompt brings the prompt to an engine, when its turn has come. What is sent there may
-// be a repeat: the first reading of a prompt apart is none, but all others are.
+// submitPrompt waits for a permit and returns the engine to which the prompt is sent.
+// The attempt may count as a retry: the first prefill on a separate engine does not, all
+// others do.
 func (f *inflight) submitPrompt(ctx context.Context) (*placement.Ticket, placement.Choice, *attemptFailure) {
 	if f.prefilled {
 		if failed := f.takeRetryBudget(); failed != nil {
@@ -157,7 +159,7 @@
 	return attempt, choice, failed
 }
 
-// awaitPermit waits until the prompt has its turn at an engine.
+// awaitPermit waits until the prompt may be sent to an engine.
 func (f *inflight) awaitPermit(ctx context.Context) (*placement.Ticket, placement.Choice, *attemptFailure) {
 	p := f.g.scheduler.submit(f.g.c.Clock.Now(), f.service.Name(), f.placementQuery())
 	switch p.admission {
@@ -185,7 +187,7 @@
 	}
 }
 
-// waitTimeoutFailure is the failure of a request whose turn did not come in time.
+// waitTimeoutFailure returns the failure of a request that received no permit in time.
 func (f *inflight) waitTimeoutFailure() *attemptFailure {
 	if failed := f.stoppingFailure(); failed != nil {
 		return failed
@@ -193,9 +195,9 @@
 	return &attemptFailure{permanent: true, failure: refusal("wait", "deadline", http.StatusServiceUnavailable, 0)}
 }
 
-// Urgencies at an engine, 0 first. Requests that can still make their target
-// latency go before those that can't: serving the late ones first would make
-// the others late, too.
+// Priorities at an engine, 0 is the highest. Requests that can still meet their target
+// latency go before those that can't: serving late requests first would make the others
+// late as well.
 const (
 	priorityOnTime = 3
 	priorityLate   = 6
@@ -214,13 +216,13 @@
 	}
 }
 
-// attemptTimeout is how long an attempt may take until its first output, where
-// another worker could still answer in time.
+// attemptTimeout returns how long an attempt may take until its first output, in ms, if
+// another worker could still respond in time.
 func (f *inflight) attemptTimeout(a *placement.Ticket) kumquatlug.Millis {
 	return min(f.timeLeft(), f.g.scheduler.attemptTimeout(f.service.Name(), a))
 }
 
-// prefill has an engine read the prompt.
+// prefill computes the prompt's KV cache on an engine.
 func (f *inflight) prefill(ctx context.Context, c placement.Choice, a *placement.Ticket) (kumquatlug.KVCache, *attemptFailure) {
 	if denied := f.reauthenticate(stagePrefill, a); denied != nil {
 		return kumquatlug.KVCache{}, denied
@@ -230,9 +232,9 @@
 	f.g.scheduler.onUnresponsive(f.service.Name(), a, cancel)
 	cache, response, err := f.g.c.Workers.Prefill(call, c.Worker(), f.request, f.attemptOptions(c))
 	if err != nil {
-		// It may have been read; the next reading is then a repeat.
+		// The prompt may have been prefilled; the next prefill then counts as a retry.
 		f.prefilled = f.prefilled || kumquatlug.RanOf(err) != kumquatlug.RanNot
-		// Reading a prompt runs nothing, whatever became of it.
+		// A prefill does not run the request, whatever its result.
 		failed := f.attemptFailed(stagePrefill, c, a, endCauseOf(ctx, call), err)
 		failed.failure = failed.failure.WithRan(kumquatlug.RanNot)
 		return cache, failed
@@ -240,7 +242,8 @@
 	f.recordWorkerStatus(c, a, response)
 	if response.Status() != http.StatusOK || cache.Handle() == "" {
 		if !f.prefilled && f.deliveries > 0 {
-			// It was sent as a first reading, and is a repeat as it was refused.
+			// It was sent as a first prefill, but counts as a retry because it was
+			// refused.
 			f.g.scheduler.noteRetry(f.g.c.Clock.Now(), f.service.Name())
 		}
 		failed := f.attemptRefused(stagePrefill, c, a, response)
@@ -255,26 +258,26 @@
 	return cache, nil
 }
 
-// endAttempt records the end of an attempt.
+// endAttempt records the outcome of an attempt.
 func (f *inflight) endAttempt(s stage, a *placement.Ticket, o placement.Outcome) {
 	f.g.metrics.attempts.WithLabelValues(string(s), string(o)).Inc()
 	f.g.scheduler.endAttempt(f.g.c.Clock.Now(), f.service.Name(), a, o)
 }
 
-// endCause is whose doing the end of an attempt was.
+// endCause is what ended an attempt.
 type endCause string
 
 const (
 	// endedByWorker: the worker ended it.
 	endedByWorker endCause = "worker"
-	// endedByTimeout: this front gave it up, as the worker said nothing.
+	// endedByTimeout: this gateway canceled it because the worker sent nothing.
 	endedByTimeout endCause = "silence"
-	// endedByClient: the client left, or the time of the request is over.
+	// endedByClient: the client disconnected or the request's deadline passed.
 	endedByClient endCause = "client"
 )
 
-// endCauseOf tells whose doing it was that an attempt failed; ctx is the request's
-// context, call the attempt's.
+// endCauseOf returns what ended a failed attempt. ctx is the context of the request,
+// call that of the attempt.
 func endCauseOf(ctx, call context.Context) endCause {
 	switch {
 	case ctx.Err() != nil:
@@ -285,8 +288,8 @@
 	return endedByWorker
 }
 
-// endFailedAttempt records the end of an attempt that failed once it may have run. Only an
-// end that the worker itself made makes its request suspect of having ended it.
+// endFailedAttempt records the end of a failed attempt that may have run. The request is
+// recorded as a possible cause of a crash only if the worker itself ended the attempt.
 func (f *inflight) endFailedAttempt(s stage, c placement.Choice, a *placement.Ticket, cause endCause, ran kumquatlug.Ran) {
 	if cause == endedByClient {
 		f.endAttempt(s, a, placement.OutcomeSilent)
@@ -298,21 +301,22 @@
 	}
 }
 
-// attemptFailed records an attempt that brought no answer.
+// attemptFailed records an attempt that received no response.
 func (f *inflight) attemptFailed(s stage, c placement.Choice, a *placement.Ticket, cause endCause, err error) *attemptFailure {
 	failure := kumquatlug.FailureOf(err)
 	f.endFailedAttempt(s, c, a, cause, failure.Ran())
 	if failure.Ran() != kumquatlug.RanNot {
 		f.deliveries++
 		if !f.service.Engine() {
-			// An engine begins with its first output; a plain worker most likely began.
+			// An engine starts the request at its first output. A plain worker has most
+			// likely started it.
 			f.countUsage()
 		}
 	}
 	return &attemptFailure{failure: failure, worker: c.Worker().ID()}
 }
 
-// attemptRefused records an attempt that the worker refused, and drops its answer.
+// attemptRefused records an attempt that the worker refused and closes the response.
 func (f *inflight) attemptRefused(s stage, c placement.Choice, a *placement.Ticket, response kumquatlug.Reply) *attemptFailure {
 	response.Body().Close()
 	f.deliveries++
@@ -323,7 +327,7 @@
 	})}
 }
 
-// run makes an attempt that runs the request, and hands the answer on.
+// run makes an attempt that runs the request, and relays the response.
 func (f *inflight) run(ctx context.Context, c placement.Choice, a *placement.Ticket, cache kumquatlug.KVCache) *attemptFailure {
 	if failed := f.awaitWorkerLimit(ctx, c, a); failed != nil {
 		return failed
@@ -337,7 +341,7 @@
 	defer cancel()
 	if f.route.Repeatable() && f.possibleRuns+1 < f.route.Workers() {
 		f.g.scheduler.onUnresponsive(f.service.Name(), a, cancel)
-		// A worker that is silent holds the request until its deadline.
+		// An unresponsive worker would hold the request until its deadline.
 		stop := time.AfterFunc(f.attemptTimeout(a).Duration(), cancel)
 		defer stop.Stop()
 		f.onFirstOutput = func() { stop.Stop() }
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -11,21 +11,21 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/catchup"
 )
 
-// configCopy is the text of the config in force, for fronts that can't read the store.
+// configCopy is the text of the config in force, for gateways that can't read the store.
 type configCopy struct {
 	version int64
 	text    []byte
 }
 
-// configFetch fetches the config from other fronts.
+// configFetch fetches the config from peer gateways.
 type configFetch struct {
 	mu      sync.Mutex
 	fetcher catchup.Fetch
-	// current is what is in force here, nil for nothing.
+	// current is the config in force, nil if there is none.
 	current atomic.Pointer[configCopy]
 }
 
-// ConfigState returns which config is in force here.
+// ConfigState returns the version and age of the config in force.
 func (g *Gateway) ConfigState() kumquatlug.ConfigState {
 	current := g.configFetch.current.Load()
 	if current == nil {
@@ -34,8 +34,8 @@
 	return kumquatlug.ConfigState{Version: current.version, Age: g.configAge()}
 }
 
-// ConfigHeard takes which config another front has in force. The same one, if the store
-// told that front lately, is as good as if it had told this one.
+// ConfigHeard handles the config state of a peer gateway. If the peer has the same
+// version and the store confirmed it there recently, this also confirms it here.
 func (g *Gateway) ConfigHeard(peer string, s kumquatlug.ConfigState) {
 	current := g.configFetch.current.Load()
 	if current != nil && s.Version == current.version {
@@ -43,7 +43,7 @@
 		return
 	}
 	if current != nil && s.Version < current.version {
-		// It may be one that the store turns away.
+		// The peer may be one that can't read the store.
 		g.c.Fronts.TellConfig(peer)
 		return
 	}
@@ -52,7 +52,7 @@
 	g.configFetch.fetcher.Heard(g.c.Clock.Now(), peer, s.Version)
 }
 
-// confirmConfig notes when the store said that the config in force is the newest.
+// confirmConfig records when the store confirmed that the config in force is the newest.
 func (g *Gateway) confirmConfig(at kumquatlug.Millis) {
 	for {
 		before := g.configConfirmedAt.Load()
@@ -62,7 +62,7 @@
 	}
 }
 
-// ConfigAsked answers a front that wants the text of the config.
+// ConfigAsked responds to a peer gateway that requests the text of the config.
 func (g *Gateway) ConfigAsked(peer string, request kumquatlug.ConfigAsk) {
 	current := g.configFetch.current.Load()
 	if current == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// ConfigGiven takes a part of the text of a config.
+// ConfigGiven handles a part of the text of a config.
 func (g *Gateway) ConfigGiven(peer string, part kumquatlug.ConfigPart) {
 	g.configFetch.mu.Lock()
 	text, complete := g.configFetch.fetcher.Took(peer, part)
@@ -84,14 +84,14 @@
 	}
 	config, err := g.c.Directory.Config(text)
 	if err != nil || config.Version != part.Version {
-		g.c.Logger.Warn("config of another front can't be read", zap.String("front", peer), logs.Error(err))
+		g.c.Logger.Warn("invalid config from a peer gateway ignored", zap.String("front", peer), logs.Error(err))
 		return
 	}
 	g.c.Logger.Info("config from another front", zap.String("front", peer), zap.Int64("version", part.Version))
 	g.adopt(config, text)
 }
 
-// requestConfig asks for what is due.
+// requestConfig requests the next part of a newer config from a peer, if one is due.
 func (g *Gateway) requestConfig() {
 	if g.c.Fronts == nil {
 		return
--- a/internal/gateway/controller.go
+++ b/internal/gateway/controller.go
@@ -13,54 +13,56 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/planner"
 )
 
-// Figures of ordering engines.
+// Parameters of the controller that assigns roles to engines.
 const (
-	// controlInterval is how often the lease and the roles are looked at.
+	// controlInterval is how often the lease and the roles are checked.
 	controlInterval = 250 * kumquatlug.Millis(1)
-	// The lease: taken over within seven seconds of a holder's death, in which
-	// requests flow on; renewed by two calls each 1.5 s.
+	// The lease is taken over within seven seconds of a holder's death, while requests
+	// are still served. It is renewed by two calls each 1.5 s.
 	leaseTTL           = 4500 * kumquatlug.Millis(1)
 	leaseMargin        = 700 * kumquatlug.Millis(1)
 	leaseRenewInterval = 1500 * kumquatlug.Millis(1)
 	leaseRetryDelay    = 500 * kumquatlug.Millis(1)
-	// leasePollersPerRenewal is how many fronts watch the lease at each renewal, all together;
-	// with more of them each looks more seldom. maxLeasePollers bounds that.
+	// leasePollersPerRenewal is how many gateways in total read the lease per renewal
+	// interval; with more gateways, each polls less often. maxLeasePollers bounds the
+	// poll interval.
 	leasePollersPerRenewal = 3
 	maxLeasePollers        = 100
-	// handoverMargin is added to the least time between orders of two holders: an
-	// order that left last may have been on its way.
+	// handoverMargin is added to the minimum time between orders of two holders: the
+	// last order of the previous holder may still be in transit.
 	handoverMargin = 1 * kumquatlug.Second
-	// orderTimeout bounds one call to an engine.
+	// orderTimeout is the timeout of one call to an engine.
 	orderTimeout = 800 * kumquatlug.Millis(1)
-	// minMismatch is how long a split is wrong before an order is given.
+	// minMismatch is how long a split must differ from the wanted one before an order is
+	// sent.
 	minMismatch = 1 * kumquatlug.Second
-	// orderCompletionTimeout is how long an order counts as on its way. Some engines carry
-	// orders out twelve seconds late; a second order meanwhile is not wrong, as
-	// it names the count of orders that it presumes.
+	// orderCompletionTimeout is how long an order counts as in progress. Some engines
+	// execute orders twelve seconds late. A second order in that time is safe, because
+	// it names the order count that it expects.
 	orderCompletionTimeout = 5 * kumquatlug.Second
-	// refusedOrderDelay is how long an engine that refused an order is not asked again:
-	// an order that it carries out takes three seconds.
+	// refusedOrderDelay is how long an engine that refused an order gets no other one:
+	// executing an order takes three seconds.
 	refusedOrderDelay = 4 * kumquatlug.Second
-	// unreachableOrderDelay is the same for one that could not be asked.
+	// unreachableOrderDelay is the same for an engine that could not be reached.
 	unreachableOrderDelay = 1 * kumquatlug.Second
 )
 
-// controller gives orders to engines while this front holds the lease.
+// controller sends role orders to engines while this gateway holds the lease.
 type controller struct {
 	g      *Gateway
 	holder *lease.Holder
-	// splits follow the load of each service.
+	// splits follow the load, by service.
 	splits map[string]*planner.Swing
-	// leaseNumber is the present lease's fencing number, zero without one.
+	// leaseNumber is the fencing number of the current lease, zero without a lease.
 	leaseNumber lease.Number
-	// deferredUntil are engines that refused an order, with the time until which they
-	// are not asked again.
+	// deferredUntil is the time until which an engine that refused an order gets no
+	// other one, by engine.
 	deferredUntil map[string]kumquatlug.Millis
-	// announcedRoles are the roles of the last plan, by service.
+	// announcedRoles are the roles in the last published plan, by service and engine.
 	announcedRoles map[string]map[string]kumquatlug.Role
-	// pendingOrders are the roles ordered and not yet seen, with the time.
+	// pendingOrders are the orders that have not taken effect yet, by engine.
 	pendingOrders map[string]pendingOrder
-	// mismatchSince is since when each service has had another split than wanted.
+	// mismatchSince is when the split of a service began to differ from the wanted one.
 	mismatchSince map[string]kumquatlug.Millis
 }
 
@@ -76,10 +78,10 @@
 	at   kumquatlug.Millis
 }
 
-// engineLeaseGroup names the one group of engines that a site has.
+// engineLeaseGroup is the lease group for all engines of a site.
 const engineLeaseGroup = "engines"
 
-// runController keeps the lease and the roles of engines.
+// runController maintains the lease and the roles of the engines.
 func (g *Gateway) runController(ctx context.Context) {
 	holder, err := lease.New(lease.Config{
 		Group: engineLeaseGroup, Me: g.c.VM + "/" + g.c.Incarnation, Predecessors: g.c.VM + "/",
@@ -87,13 +89,13 @@
 		Renew: leaseRenewInterval, Retry: leaseRetryDelay, Timeout: storeCallTimeout,
 	})
 	if err != nil {
-		g.c.Logger.Error("no orders will be given", logs.Error(err))
+		g.c.Logger.Error("role orders disabled: invalid lease config", logs.Error(err))
 		return
 	}
 	v := newController(g, holder)
 	for sleep(ctx, controlInterval) {
 		if g.stopping() {
-			// Nobody acts by the lease once it may be given back.
+			// Stop acting on the lease before it may be released.
 			g.term.Store(nil)
 		}
 		holder.Want(!g.stopping())
@@ -108,20 +110,20 @@
 	}
 }
 
-// maintainLease makes the calls to the store that the lease asks for.
+// maintainLease makes the store calls that the lease requires.
 func (v *controller) maintainLease(ctx context.Context) {
 	c := v.g.c
-	for i := v.holder.Next(c.Awake.Now()); i.Action() != lease.ActionNone; {
+	for intent := v.holder.Next(c.Awake.Now()); intent.Action() != lease.ActionNone; {
 		call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 		var row kumquatlug.Row
 		var err error
-		if i.Action() == lease.ActionRead {
-			row, err = c.Table.Get(call, i.Key())
+		if intent.Action() == lease.ActionRead {
+			row, err = c.Table.Get(call, intent.Key())
 		} else {
-			err = c.Table.Commit(call, i.Tx())
+			err = c.Table.Commit(call, intent.Tx())
 		}
 		cancel()
-		i = v.holder.Answered(c.Awake.Now(), i, row, err)
+		intent = v.holder.Answered(c.Awake.Now(), intent, row, err)
 	}
 	now := c.Awake.Now()
 	fence, held := v.holder.Held(now)
@@ -138,7 +140,7 @@
 	}
 }
 
-// applySplits brings the engines of each service to their split.
+// applySplits sends the orders that bring the engines of each service to their split.
 func (v *controller) applySplits(ctx context.Context) {
 	table := v.g.table.Load()
 	if table == nil {
@@ -156,9 +158,9 @@
 			continue
 		}
 		if announced := v.announceRoles(ctx, name, workers, changes); !announced && hasBothRoles(engines) {
-			// Fronts that don't know of a change go on sending there, and what they
-			// send is refused for as long as it takes. The split can wait for the
-			// store, unless nobody is left on one side.
+			// Gateways that don't know of a role change would keep sending to the engine
+			// and be refused until the change is done. The order can wait for the store,
+			// unless one role has no engine left.
 			v.g.applyPlan(name, rolePlan{Roles: v.announcedRoles[name]})
 			continue
 		}
@@ -167,12 +169,13 @@
 				v.sendOrder(ctx, workers[change.Target()], change)
 			}
 		}
-		// What took no order works as before.
+		// Engines that did not accept their order keep their role: retract the
+		// announcement.
 		v.announceRoles(ctx, name, workers, nil)
 	}
 }
 
-// hasBothRoles reports whether engines of both roles are there.
+// hasBothRoles reports whether there are engines of both roles.
 func hasBothRoles(engines []planner.SplitEngine) bool {
 	roles := map[kumquatlug.Role]bool{}
 	for _, e := range engines {
@@ -181,16 +184,16 @@
 	return roles[kumquatlug.RolePrefill] && roles[kumquatlug.RoleDecode]
 }
 
-// announceRoles tells all fronts which of a service's engines are about to change their
-// role, and reports whether they know. A plan that was not told is told again with
-// the next look.
+// announceRoles publishes to all gateways which engines of a service are about to change
+// their role, and reports whether that succeeded. A plan that could not be published is
+// published again in the next interval.
 func (v *controller) announceRoles(
 	ctx context.Context, service string, engines map[string]kumquatlug.Worker, changes []kumquatlug.RoleChange,
 ) bool {
 	p := rolePlan{Roles: map[string]kumquatlug.Role{}}
-	for id, o := range v.pendingOrders {
-		if _, ours := engines[id]; ours {
-			p.Roles[id] = o.role
+	for id, order := range v.pendingOrders {
+		if _, known := engines[id]; known {
+			p.Roles[id] = order.role
 		}
 	}
 	for _, change := range changes {
@@ -206,7 +209,7 @@
 	return published
 }
 
-// prefillShare returns the part of a service's engines that should read prompts.
+// prefillShare returns the share of a service's engines that should run prefill, 0 to 1.
 func (v *controller) prefillShare(now kumquatlug.Millis, service string, engines []planner.SplitEngine) float64 {
 	split, known := v.splits[service]
 	if !known {
@@ -223,7 +226,7 @@
 		}
 	}
 	if load.Readers+load.Writers > 1 && split.Look(now, load) {
-		// The swing has seen for how long it lasts.
+		// The adaptive split has already checked that the mismatch persists.
 		v.mismatchSince[service] = now - minMismatch
 		v.g.c.Logger.Info("split", zap.String("service", service), zap.Float64("part", split.Part()),
 			zap.Int("readers", load.Readers), zap.Int("writers", load.Writers), zap.Float64("reading", load.Reading),
@@ -232,9 +235,10 @@
 	return split.Part()
 }
 
-// mismatchPersists reports that a split has been wrong for a while. While engines are
-// replaced one after the other each moment looks wrong in another way, and an
-// engine that was ordered away from its streams is gone for many seconds.
+// mismatchPersists reports whether a split has differed from the wanted one for
+// minMismatch. During a rolling replacement of engines the mismatch changes all the
+// time, and an engine that is ordered away from its streams is unavailable for many
+// seconds.
 func (v *controller) mismatchPersists(now kumquatlug.Millis, service string, mismatch bool) bool {
 	since, known := v.mismatchSince[service]
 	switch {
@@ -248,8 +252,8 @@
 	return now-since >= minMismatch
 }
 
-// engines returns the engines that take work, in the roles that they have or
-// are on their way to.
+// engines returns the engines that accept work, with their current role or the one that
+// they are changing to.
 func (v *controller) engines(
 	now kumquatlug.Millis, members []kumquatlug.Member, use map[string]placement.Use,
 ) ([]planner.SplitEngine, map[string]kumquatlug.Worker) {
@@ -257,15 +261,15 @@
 	workers := map[string]kumquatlug.Worker{}
 	for _, m := range members {
 		if m.State != kumquatlug.MemberReady || m.Role == "" {
-			// An engine that names no role takes no orders to change it.
+			// An engine that reports no role can't be ordered to change it.
 			continue
 		}
 		id, role := m.Worker.ID(), m.Role
-		if o, pending := v.pendingOrders[id]; pending {
-			if o.role == role || now-o.at > orderCompletionTimeout {
+		if order, pending := v.pendingOrders[id]; pending {
+			if order.role == role || now-order.at > orderCompletionTimeout {
 				delete(v.pendingOrders, id)
 			} else {
-				role = o.role
+				role = order.role
 			}
 		}
 		if use[id] == placement.UseSilent {
@@ -282,9 +286,9 @@
 	return engines, workers
 }
 
-// orderAccepted asks an engine whether it took an order whose answer was lost. One that did
-// not may carry it out seconds later; it then counts as one more change that the
-// split did not want.
+// orderAccepted asks an engine whether it accepted an order whose response was lost. An
+// engine that had not accepted it may still execute it seconds later; that counts as one
+// more unwanted change of the split.
 func (v *controller) orderAccepted(ctx context.Context, w kumquatlug.Worker, before int64) bool {
 	call, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
@@ -292,8 +296,8 @@
 	return err == nil && (state.Busy || state.Orders > before)
 }
 
-// sendOrder gives one order, after asking the engine what it has been ordered so
-// far: an order whose answer was lost may have been taken.
+// sendOrder sends one order. It reads the engine's order count first, because an earlier
+// order whose response was lost may have been accepted.
 func (v *controller) sendOrder(ctx context.Context, w kumquatlug.Worker, change kumquatlug.RoleChange) {
 	c := v.g.c
 	call, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
@@ -303,14 +307,14 @@
 	switch {
 	case err != nil:
 		v.deferredUntil[w.ID()] = now + unreachableOrderDelay
-		c.Logger.Info("order put off", zap.String("worker", w.ID()), logs.Error(err))
+		c.Logger.Info("role order deferred", zap.String("worker", w.ID()), logs.Error(err))
 		return
 	case state.Busy, state.Role == change.To():
-		// An earlier order is being carried out, most likely the same one: while
-		// its streams end an engine says nothing new. With another engine in its
-		// place the split would be wrong by two.
+		// An earlier order is in progress, most likely the same one: an engine reports
+		// no progress while its streams end. Ordering another engine instead would make
+		// the split wrong by two.
 		v.pendingOrders[w.ID()] = pendingOrder{role: change.To(), at: now}
-		c.Logger.Info("order put off", zap.String("worker", w.ID()), zap.Bool("busy", state.Busy))
+		c.Logger.Info("role order deferred", zap.String("worker", w.ID()), zap.Bool("busy", state.Busy))
 		return
 	}
 	fence, held := v.holder.Held(now)
--- a/internal/gateway/controller_test.go
+++ b/internal/gateway/controller_test.go
@@ -11,21 +11,22 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// An engine is announced to change its role, and then refuses the order, or its
-// answer is lost and it never took it. Left announced it would get nothing from
-// any front for eight seconds, although it works as before.
+// An engine is announced to change its role and then refuses the order, or the response
+// is lost and it never accepted the order. If the announcement were not retracted, the
+// engine would get no requests from any gateway for eight seconds, although it works as
+// before.
 func TestRejectedOrderIsRetracted(t *testing.T) {
 	for name, order := range map[string]func() (bool, error){
 		"refused":    func() (bool, error) { return false, nil },
 		"unanswered": func() (bool, error) { return false, lostConnection() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var asked atomic.Int32
+			var orders atomic.Int32
 			w := &fakeWorkers{
 				state: func() (kumquatlug.EngineState, error) {
 					return kumquatlug.EngineState{Role: kumquatlug.RoleDecode, Orders: 3}, nil
 				},
-				order: func() (bool, error) { asked.Add(1); return order() },
+				order: func() (bool, error) { orders.Add(1); return order() },
 			}
 			f := newTestGateway(t, w, manyRetries)
 			store := &planRecorder{Memory: platform.NewMemory(), plans: make(chan string, 64)}
@@ -38,28 +39,28 @@
 			for len(published) < 2 {
 				select {
 				case <-end:
-					t.Fatalf("plans %v, %d orders", published, asked.Load())
+					t.Fatalf("plans %v, %d orders", published, orders.Load())
 				case plan := <-store.plans:
 					published = append(published, plan)
 				}
 			}
-			if !strings.Contains(published[0], "prefill") || strings.Contains(published[1], "prefill") || asked.Load() == 0 {
-				t.Errorf("plans %v after %d orders", published, asked.Load())
+			if !strings.Contains(published[0], "prefill") || strings.Contains(published[1], "prefill") || orders.Load() == 0 {
+				t.Errorf("plans %v after %d orders", published, orders.Load())
 			}
 		})
 	}
 }
 
-// The front that gives orders can't reach the store for a moment. An engine that
-// were ordered then would refuse for three seconds what all other fronts go on
-// sending there. The order must wait until they know.
+// The lease holder briefly can't reach the store. An engine that is ordered to change
+// its role then would refuse for three seconds what all other gateways keep sending
+// there. The order must wait until the plan is published.
 func TestOrderWaitsForPublishedPlan(t *testing.T) {
-	var ordered atomic.Int32
+	var orders atomic.Int32
 	w := &fakeWorkers{
 		state: func() (kumquatlug.EngineState, error) {
 			return kumquatlug.EngineState{Role: kumquatlug.RoleDecode}, nil
 		},
-		order: func() (bool, error) { ordered.Add(1); return true, nil },
+		order: func() (bool, error) { orders.Add(1); return true, nil },
 	}
 	f := newTestGateway(t, w, manyRetries)
 	store := &planRecorder{Memory: platform.NewMemory(), plans: make(chan string, 64)}
@@ -75,13 +76,13 @@
 		case <-store.plans:
 		}
 	}
-	if n := ordered.Load(); n != 0 {
-		t.Errorf("%d orders that no other front knows of", n)
+	if n := orders.Load(); n != 0 {
+		t.Errorf("%d orders before the plan was published", n)
 	}
 	store.failPlans.Store(false)
-	for end := time.Now().Add(8 * time.Second); ordered.Load() == 0; {
+	for end := time.Now().Add(8 * time.Second); orders.Load() == 0; {
 		if time.Now().After(end) {
-			t.Fatal("no order after the store's return")
+			t.Fatal("no order after the store became available")
 		}
 		select {
 		case <-store.plans:
@@ -90,11 +91,11 @@
 	}
 }
 
-// planRecorder is a table that tells the plans written to it.
+// planRecorder is a table that records the plans written to it.
 type planRecorder struct {
 	*platform.Memory
 	plans chan string
-	// failPlans has writes of plans fail.
+	// failPlans makes writes of plans fail.
 	failPlans atomic.Bool
 }
 
--- a/internal/gateway/count_test.go
+++ b/internal/gateway/count_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// failingTable is a store that fails a few times before it tells three fronts.
+// failingTable is a store that fails some scans before it returns three gateways.
 type failingTable struct {
 	unavailableTable
 	failures atomic.Int64
@@ -26,8 +26,8 @@
 	return rows, nil
 }
 
-// The store does not answer while a front starts. Taken for alone until the next count, a
-// third of a minute later, it would use the whole of what all fronts share.
+// The store does not respond while a gateway starts. If the gateway assumed to be alone
+// until the next count, 20 seconds later, it would use the whole shared budget.
 func TestPeersAreCountedOnceStoreResponds(t *testing.T) {
 	f := newTestGateway(t, &fakeWorkers{}, manyRetries)
 	table := &failingTable{}
@@ -38,7 +38,7 @@
 	go f.g.runMaintenance(ctx)
 	for end := time.Now().Add(10 * time.Second); f.g.scheduler.gatewayCount() != 3; {
 		if time.Now().After(end) {
-			t.Fatalf("%d fronts are counted", f.g.scheduler.gatewayCount())
+			t.Fatalf("%d gateways counted, want 3", f.g.scheduler.gatewayCount())
 		}
 		<-time.After(20 * time.Millisecond)
 	}
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -13,26 +13,26 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// Figures of telling crashes.
+// Parameters of crash records.
 const (
-	// crashPrefix starts the keys of rows that tell of crashes.
+	// crashPrefix is the prefix of the keys of crash rows.
 	crashPrefix = "crash/"
-	// crashPublishInterval is how often what this front saw is told, in one call: a
-	// request that is sent again meets the other fronts within seconds.
+	// crashPublishInterval is how often the crashes seen here are published, in one
+	// call: a retried request reaches the other gateways within seconds.
 	crashPublishInterval = 500 * kumquatlug.Millis(1)
-	// maxCrashRowsPerCommit bounds the new rows of one call, and those that it removes: the
-	// store takes a hundred in all.
+	// maxCrashRowsPerCommit bounds the rows that one call adds, and those that it
+	// removes. The store accepts a hundred in total.
 	maxCrashRowsPerCommit = 50
-	// maxCrashRows bounds the rows of this front; the oldest give way.
+	// maxCrashRows bounds the rows of this gateway; the oldest are removed.
 	maxCrashRows = 400
 )
 
-// crashes are the requests that ended their workers, as all fronts saw them.
+// crashes are the requests that crashed their workers, as seen by all gateways.
 type crashes struct {
 	mu      sync.Mutex
 	counter *quarantine.Suspects
-	// unpublished are the names of crashes that the others don't know yet, told those
-	// whose rows this front wrote.
+	// unpublished are the names of crashes that the other gateways don't know yet,
+	// published those with a row written by this gateway.
 	unpublished []string
 	published   []string
 	recorded    int
@@ -42,12 +42,12 @@
 	return &crashes{counter: quarantine.NewSuspects(quarantine.SuspectsConfig{})}
 }
 
-// fingerprint tells requests apart by path and body, whoever sends them.
+// fingerprint identifies a request by path and body, independent of its client.
 func (f *inflight) fingerprint() quarantine.Fingerprint {
 	return quarantine.NewFingerprint(f.request.Target(), kumquatlug.NewKind(kumquatlug.ProtocolService, f.service.Name()), f.request.Body())
 }
 
-// quarantined reports that a request has ended its workers too often.
+// quarantined reports whether a request has crashed too many workers.
 func (f *inflight) quarantined() bool {
 	c := f.g.crashes
 	c.mu.Lock()
@@ -62,7 +62,7 @@
 	return c.counter.Refused(f.g.c.Clock.Now(), fingerprint)
 }
 
-// recordCrash notes that a worker ended its connection without an answer.
+// recordCrash records that a worker closed the connection without a response.
 func (f *inflight) recordCrash(worker string) {
 	fingerprint := f.fingerprint()
 	c := f.g.crashes
@@ -76,7 +76,7 @@
 	}
 }
 
-// publishCrashes tells the other fronts what this one saw.
+// publishCrashes publishes the crashes seen here to the other gateways.
 func (g *Gateway) publishCrashes(ctx context.Context) {
 	for sleep(ctx, crashPublishInterval) {
 		g.crashes.mu.Lock()
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	if err := g.c.Table.Commit(ctx, tx); err != nil {
-		g.c.Logger.Warn("crashes not told", zap.Int("count", len(names)), logs.Error(err))
+		g.c.Logger.Warn("failed to publish crash records", zap.Int("count", len(names)), logs.Error(err))
 		return
 	}
 	g.crashes.mu.Lock()
@@ -110,13 +110,13 @@
 	g.crashes.published = append(g.crashes.published[len(old):], names...)
 }
 
-// watchCrashes takes in what other fronts saw.
+// watchCrashes applies the crashes that other gateways saw.
 func (g *Gateway) watchCrashes(ctx context.Context) {
-	f := &tableWatcher{g: g, table: g.c.CrashTable, pollWait: crashPollWait, minDelay: crashGatherDelay}
-	f.watch(ctx, func(now kumquatlug.Millis) {
+	w := &tableWatcher{g: g, table: g.c.CrashTable, pollWait: crashPollWait, minDelay: crashGatherDelay}
+	w.watch(ctx, func(now kumquatlug.Millis) {
 		g.crashes.mu.Lock()
 		defer g.crashes.mu.Unlock()
-		for _, row := range f.changed {
+		for _, row := range w.changed {
 			name := strings.TrimPrefix(row.Key(), crashPrefix)
 			if text, _, ok := strings.Cut(name, "/"); ok && row.Exists() {
 				g.crashes.counter.Crashed(now, quarantine.Fingerprint(text), name)
--- a/internal/gateway/departure.go
+++ b/internal/gateway/departure.go
@@ -9,19 +9,19 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// drainingRetention is for how long it is remembered that a worker said it leaves. It ends
-// within seconds, but its row may say that it is ready for as long as the store is out
-// of reach.
+// drainingRetention is how long the shutdown of a worker is remembered. The worker ends
+// within seconds, but its row may say that it is ready for as long as the store is
+// unavailable.
 const drainingRetention = 600 * kumquatlug.Second
 
-// drainingWorkers are the incarnations of workers that said in an answer, or in their row,
-// that they leave.
+// drainingWorkers are the worker incarnations that announced their shutdown in a
+// response or in their row.
 type drainingWorkers struct {
 	mu       sync.Mutex
 	byWorker map[string]drainingWorker
 }
 
-// drainingWorker is one of them, by the start of its worker.
+// drainingWorker is one of them, identified by the start time of the worker.
 type drainingWorker struct {
 	startedAt int64
 	notedAt   kumquatlug.Millis
@@ -31,7 +31,7 @@
 	return &drainingWorkers{byWorker: map[string]drainingWorker{}}
 }
 
-// note records that a worker leaves and reports whether that is news.
+// note records that a worker shuts down and reports whether that was not known before.
 func (d *drainingWorkers) note(now kumquatlug.Millis, worker string, born int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,8 +47,9 @@
 	return true
 }
 
-// mark has members that said that they leave count as draining. It goes by the
-// incarnation, whatever its row says: an old row may come back with the store.
+// mark sets members that announced their shutdown to draining. It matches the
+// incarnation and ignores the state in the row, because a restored store may contain an
+// old row.
 func (d *drainingWorkers) mark(members []kumquatlug.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// recordShutdown takes that the worker of an attempt says it leaves.
+// recordShutdown handles a response in which the worker announces its shutdown.
 func (f *inflight) recordShutdown(a *placement.Ticket) {
 	if !f.g.draining.note(f.g.c.Clock.Now(), a.Worker(), a.Born()) {
 		return
--- a/internal/gateway/departure_test.go
+++ b/internal/gateway/departure_test.go
@@ -9,14 +9,14 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// shuttingDownResponse returns a reply with the mark of a worker that leaves.
+// shuttingDownResponse returns the response r with the announcement of a shutdown.
 func shuttingDownResponse(r kumquatlug.Reply) kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: r.Status(), Header: r.Header(), Length: r.Length(), Body: r.Body(), Refused: r.Refused(), Leaving: true,
 	})
 }
 
-// memberStates returns what each worker counts as.
+// memberStates returns the state of each worker by name.
 func (w *watchHarness) memberStates() map[string]kumquatlug.MemberState {
 	states := map[string]kumquatlug.MemberState{}
 	for _, members := range w.g.members.Load().byService {
@@ -27,8 +27,9 @@
 	return states
 }
 
-// A worker said that it leaves, and the store, back from an outage, tells its old row, loses
-// it and tells it again. Put back by the row, it would be sent requests until its end.
+// A worker announced its shutdown. The store returns its old row after an outage, loses
+// it and returns it again. If the row readmitted the worker, it would get requests until
+// it exits.
 func TestOldRowDoesNotReadmitDrainingWorker(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
@@ -46,7 +47,7 @@
 			t.Errorf("%s: %v", when, got)
 		}
 	}
-	want("at once")
+	want("immediately")
 	read()
 	want("after its row was read again")
 	row := w.feed.rows["a"]
@@ -54,25 +55,26 @@
 	read()
 	w.feed.rows["a"] = row
 	read()
-	want("after its row was gone and is back")
+	want("after its row was removed and restored")
 }
 
-// A worker starts again under its name. Taken for the one that left, it would be idle for
-// good.
+// A worker restarts under its name. If it were taken for the incarnation that shut down,
+// it would stay unused.
 func TestRestartedWorkerIsReady(t *testing.T) {
 	d := newDrainingWorkers()
 	d.note(0, "a", 100)
-	again := member("a", "")
-	again.Born = 200
-	members := []kumquatlug.Member{again}
+	restarted := member("a", "")
+	restarted.Born = 200
+	members := []kumquatlug.Member{restarted}
 	d.mark(members)
 	if members[0].State != kumquatlug.MemberReady {
 		t.Errorf("%+v", members[0])
 	}
 }
 
-// Whatever a worker answers, a refusal, a failure or a prompt that was read, it may say that
-// it leaves. The next request must go elsewhere, and with nobody left be refused at once.
+// Any response of a worker may announce its shutdown: a success, a refusal, an error or
+// a prefill. The next request must go elsewhere, and be refused at once if there is no
+// other worker.
 func TestAnyResponseMayAnnounceShutdown(t *testing.T) {
 	for name, response := range map[string]func() kumquatlug.Reply{
 		"answer": func() kumquatlug.Reply { return wholeResponse(http.StatusOK, "done") }, "refusal": refusedResponse,
@@ -114,6 +116,6 @@
 		}
 	}
 	if len(read) != 2 || read["p1"] != 1 || read["p2"] != 1 {
-		t.Errorf("prompts read: %v", read)
+		t.Errorf("prefills: %v", read)
 	}
 }
--- a/internal/gateway/duty.go
+++ b/internal/gateway/duty.go
@@ -11,15 +11,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/scaling"
 )
 
-// Figures of what one front does for all.
+// Parameters of what the leader does on behalf of all gateways.
 const (
-	// leaderCallTimeout bounds one call. It ends before the lease does.
+	// leaderCallTimeout is the timeout of one call. The call ends before the lease does.
 	leaderCallTimeout = 500 * kumquatlug.Millis(1)
-	// scaleInterval is how often the numbers of workers are looked at.
+	// scaleInterval is how often the number of workers is checked.
 	scaleInterval = 1 * kumquatlug.Second
 )
 
-// leaseTerm returns the lease that this front holds, the zero term for none.
+// leaseTerm returns the lease that this gateway holds, the zero term if it holds none.
 func (g *Gateway) leaseTerm() lease.Term {
 	term := g.term.Load()
 	if term == nil || !term.MayHold(g.c.Awake.Now()) {
@@ -28,8 +28,9 @@
 	return *term
 }
 
-// leaderLease returns under which name and number this front may act for all now: what it
-// sends arrives before the lease can have gone to another one.
+// leaderLease returns the holder name and fencing number under which this gateway acts
+// on behalf of all, and whether it may do so now: a call sent now arrives before the
+// lease can have moved to another gateway.
 func (g *Gateway) leaderLease() (kumquatlug.Duty, bool) {
 	term := g.leaseTerm()
 	duty := kumquatlug.Duty{Holder: g.c.Name, Fence: int64(term.Number())}
@@ -39,8 +40,9 @@
 // serviceZone is a service in one data centre.
 type serviceZone struct{ service, zone string }
 
-// scaleServices orders the numbers of workers while this front holds the lease. All
-// fronts look, so that a new holder knows the load of the last minute.
+// scaleServices sets the number of workers of each service while this gateway holds the
+// lease. All gateways observe the load, so that a new holder knows that of the last
+// minute.
 func (g *Gateway) scaleServices(ctx context.Context) {
 	zones := map[serviceZone]*scaling.Zone{}
 	for sleep(ctx, scaleInterval) {
@@ -56,11 +58,11 @@
 	}
 }
 
-// scaleService looks at one service in all data centres.
+// scaleService checks one service in all data centres.
 func (g *Gateway) scaleService(ctx context.Context, zones map[serviceZone]*scaling.Zone, s kumquatlug.Service) {
 	now := g.c.Awake.Now()
-	occupied := g.scheduler.occupancy(g.c.Clock.Now(), s.Name())
-	for zone := range occupied {
+	byZone := g.scheduler.occupancy(g.c.Clock.Now(), s.Name())
+	for zone := range byZone {
 		key := serviceZone{service: s.Name(), zone: zone}
 		if _, known := zones[key]; !known {
 			zones[key] = scaling.New(s.Scaling())
@@ -70,8 +72,8 @@
 		if key.service != s.Name() {
 			continue
 		}
-		// One in which no worker is left counts as well.
-		occupancy := occupied[key.zone]
+		// A data centre without workers counts as well.
+		occupancy := byZone[key.zone]
 		z.SetBounds(s.Scaling())
 		wanted, changed := z.Look(now, scaling.View{Workers: occupancy.Workers(), Busy: occupancy.Busy()})
 		duty, allowed := g.leaderLease()
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -20,7 +20,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/retry"
 )
 
-// workerCall is one sending that the front made.
+// workerCall is one attempt that the gateway made at a worker.
 type workerCall struct {
 	worker  string
 	request kumquatlug.Ask
@@ -28,16 +28,16 @@
 	prefill bool
 }
 
-// fakeWorkers answers sendings as a test says.
+// fakeWorkers records attempts and responds to them with the functions of a test.
 type fakeWorkers struct {
-	mu      sync.Mutex
-	calls   []workerCall
-	freed   []kumquatlug.KVCache
-	run     func(ctx context.Context, n int, c workerCall) (kumquatlug.Reply, error)
-	prefill func(ctx context.Context, n int, c workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error)
-	move    func(ctx context.Context, from, to string) (kumquatlug.KVCache, error)
-	state   func() (kumquatlug.EngineState, error)
-	order   func() (bool, error)
+	mu       sync.Mutex
+	calls    []workerCall
+	released []kumquatlug.KVCache
+	run      func(ctx context.Context, n int, c workerCall) (kumquatlug.Reply, error)
+	prefill  func(ctx context.Context, n int, c workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error)
+	move     func(ctx context.Context, from, to string) (kumquatlug.KVCache, error)
+	state    func() (kumquatlug.EngineState, error)
+	order    func() (bool, error)
 }
 
 func (w *fakeWorkers) record(c workerCall) int {
@@ -53,7 +53,7 @@
 	return n
 }
 
-// recorded returns the sendings so far.
+// recorded returns the attempts so far.
 func (w *fakeWorkers) recorded() []workerCall {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +81,7 @@
 func (w *fakeWorkers) Free(_ context.Context, k kumquatlug.KVCache) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.freed = append(w.freed, k)
+	w.released = append(w.released, k)
 	return nil
 }
 
@@ -108,14 +108,14 @@
 	return false, nil
 }
 
-// wholeResponse is a worker's whole answer.
+// wholeResponse returns a complete response of a worker.
 func wholeResponse(status int, text string) kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: status, Header: http.Header{"Stamp": {"s"}}, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text)),
 	})
 }
 
-// truncatedBody ends with an error instead of its end.
+// truncatedBody returns an error instead of io.EOF.
 type truncatedBody struct{ io.Reader }
 
 func (c truncatedBody) Read(p []byte) (int, error) {
@@ -128,14 +128,15 @@
 
 func (truncatedBody) Close() error { return nil }
 
-// truncatedResponse is an answer that breaks off after text; a stream has no length.
+// truncatedResponse returns a response that breaks off after text. A stream has length
+// -1.
 func truncatedResponse(text string, length int64) kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: length, Body: truncatedBody{strings.NewReader(text)},
 	})
 }
 
-// events is a whole stream of the events from one number to another.
+// events returns a complete stream with the events numbered from through to.
 func events(from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
@@ -150,19 +151,20 @@
 	})
 }
 
-// refusedResponse says that the worker ran nothing.
+// refusedResponse returns a response that states that the worker did not run the
+// request.
 func refusedResponse() kumquatlug.Reply {
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 		Status: 503, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("")), Refused: true,
 	})
 }
 
-// lostConnection is a failure of which nothing is known.
+// lostConnection returns a failure after which the request may have run.
 func lostConnection() error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "exchange", Reason: "peer_failed", Ran: kumquatlug.RanUnknown})
 }
 
-// plainIngress reads what tests send.
+// plainIngress decodes the requests that tests send.
 type plainIngress struct{}
 
 func (plainIngress) Decode(r *http.Request, _ int64) (kumquatlug.Ask, error) {
@@ -203,7 +205,7 @@
 	w.WriteHeader(f.Status())
 }
 
-// jsonDirectory reads rows in the project's own form.
+// jsonDirectory decodes the JSON rows that tests write.
 type jsonDirectory struct{}
 
 func (jsonDirectory) Config(value []byte) (kumquatlug.OperatorConfig, error) {
@@ -230,7 +232,7 @@
 	}
 }
 
-// unavailableTable is a store that is away.
+// unavailableTable is a store that can't be reached.
 type unavailableTable struct{}
 
 func (unavailableTable) Get(context.Context, string) (kumquatlug.Row, error) {
@@ -240,24 +242,25 @@
 func (unavailableTable) Scan(context.Context, string, string, int) ([]kumquatlug.Row, error) {
 	return nil, kumquatlug.ErrUnavailable
 }
+
 func (unavailableTable) Commit(context.Context, kumquatlug.Tx) error {
 	return kumquatlug.ErrUnavailable
 }
 
-// testGateway is a gateway behind a listener, with members and routes given at once.
+// testGateway is a gateway behind a listener, with a fixed set of members and routes.
 type testGateway struct {
 	g       *Gateway
 	workers *fakeWorkers
 	url     string
 }
 
-func newTestGateway(t testing.TB, w *fakeWorkers, floor int) *testGateway {
+func newTestGateway(t testing.TB, w *fakeWorkers, retryFloor int) *testGateway {
 	t.Helper()
 	now := clock.NewMonotonic()
 	g := New(Config{
 		Name: "n", Zone: "z", Incarnation: "i", Ingress: plainIngress{}, Directory: jsonDirectory{}, Workers: w, Table: unavailableTable{},
 		Clock: now, Awake: now, Grace: 4000, OrderTurn: 100,
-		Repeats:   retry.SharedConfig{Floor: floor, Window: 10_000},
+		Repeats:   retry.SharedConfig{Floor: retryFloor, Window: 10_000},
 		MaxBodies: 1000,
 		ReadPart:  0.5, Sweep: func(func(string) bool) {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
@@ -291,7 +294,7 @@
 }
 
 func (f *testGateway) do(ctx context.Context, method, path string, keys ...string) clientResponse {
-	begun := time.Now()
+	start := time.Now()
 	r, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader("body"))
 	if err != nil {
 		return clientResponse{err: err}
@@ -301,9 +304,9 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(r)
 	if err != nil {
-		return clientResponse{err: err, duration: time.Since(begun)}
+		return clientResponse{err: err, duration: time.Since(start)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return clientResponse{status: response.StatusCode, header: response.Header, body: string(body), err: err, duration: time.Since(begun)}
+	return clientResponse{status: response.StatusCode, header: response.Header, body: string(body), err: err, duration: time.Since(start)}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,12 +1,12 @@
-// Package gateway is a front that calls targets directly: it takes requests of
-// clients, follows the operator's config and the members in the platform's
-// store, and makes attempts at workers.
+// Package gateway implements a gateway that calls targets directly: it receives client
+// requests, watches the operator's config and the worker rows in the platform's store,
+// and makes attempts at workers.
 //
-// It speaks to clients, workers and the store through the interfaces of package
-// kumquatlug and knows none of their names. What it decides lies in packages
-// routes, placement, retry, planner and lease. One goroutine serves each
-// request; one each follows the config, follows the members, gives orders to
-// engines, hears other fronts and keeps house.
+// It reaches clients, workers and the store through the interfaces of package kumquatlug
+// and does not depend on a platform. Decisions are made in packages routes, placement,
+// retry, planner and lease. One goroutine serves each request. Further goroutines watch
+// the config, watch the workers, send orders to engines, receive messages of peer
+// gateways and run periodic maintenance.
 package gateway
 
 import (
@@ -31,117 +31,128 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/usage"
 )
 
-// Config is what a [Gateway] is made of.
+// Config configures a [Gateway].
 type Config struct {
-	// Name is the VM's name, Zone its data centre.
+	// Name is the name of the VM, Zone its data centre.
 	Name string
 	Zone string
-	// VM names the machine that the process runs on: no two processes with this
-	// name run at one time.
+	// VM identifies the machine that the process runs on: no two processes with the same
+	// value run at the same time.
 	VM string
 	// Incarnation is unique to this start of the process.
 	Incarnation string
-	// Clients and Control are the listeners for clients and for the balancer.
+	// Clients and Control are the listeners for clients and for the load balancer.
 	Clients net.Listener
 	Control net.Listener
-	// ReadyPath is what the balancer asks on Control.
+	// ReadyPath is the path of the readiness check on Control.
 	ReadyPath string
-	// Metrics serves the metrics, nil for nobody.
+	// Metrics is the listener of the metrics endpoint, nil for none.
 	Metrics net.Listener
 
+	// Ingress decodes client requests and writes responses, Workers calls workers, and
+	// Directory decodes the rows of the operator and of the workers.
 	Ingress   kumquatlug.Ingress
 	Workers   kumquatlug.Workers
 	Directory kumquatlug.Directory
-	Table     kumquatlug.Table
-	Feed      kumquatlug.Feed
-	// Fronts reaches the other fronts, nil where each goes by itself.
+	// Table is the platform's store, Feed its change feed.
+	Table kumquatlug.Table
+	Feed  kumquatlug.Feed
+	// Fronts exchanges messages with peer gateways, nil if gateways do not communicate.
 	Fronts kumquatlug.FrontLink
-	// ConfigTable and ConfigKey name the operator's row, MemberTable the
-	// workers' rows.
+	// ConfigTable and ConfigKey identify the operator's row, MemberTable holds the rows
+	// of the workers.
 	ConfigTable, ConfigKey, MemberTable string
-	// CrashTable is the table in which fronts tell each other of crashes.
+	// CrashTable is the table through which gateways share crash records.
 	CrashTable string
-	// PlanTable is the table in which the front that gives orders tells the
-	// others which engines change their role.
+	// PlanTable is the table in which the leader publishes which engines are about to
+	// change their role.
 	PlanTable string
 
+	// Clock is a monotonic clock.
 	Clock kumquatlug.Clock
-	// Awake is a clock that also counts the time in which the VM was suspended;
-	// leases go by it.
+	// Awake is a clock that also counts the time in which the VM was suspended. Leases
+	// use it.
 	Awake kumquatlug.Clock
-	// Grace is the span from the order to stop to the kill.
+	// Grace is the time in ms from the stop signal to the kill.
 	Grace kumquatlug.Millis
-	// LeaveSpan is how long a worker that said that it leaves serves on at least.
+	// LeaveSpan is the minimum time in ms for which a worker still serves after it has
+	// announced its shutdown.
 	LeaveSpan kumquatlug.Millis
-	// OrderTurn is the least time between orders of two holders to one engine.
+	// OrderTurn is the minimum time in ms between orders of two lease holders to one
+	// engine.
 	OrderTurn kumquatlug.Millis
-	// ConfigSpan is how long a config may take to come into force. A front that has
-	// not heard from the store for longer can't tell that a key or a route is not
-	// there. Zero for no bound.
+	// ConfigSpan is the maximum time in ms in which a config must come into force. A
+	// gateway that has had no confirmation from the store for longer can't tell that a
+	// key or a route does not exist. Zero means no maximum.
 	ConfigSpan kumquatlug.Millis
-	// FailClosed says that a front that has not heard from the store for RevokeSpan
-	// serves nobody by a key.
+	// FailClosed makes a gateway that has had no confirmation from the store for
+	// RevokeSpan, in ms, refuse all requests that need a key.
 	FailClosed bool
 	RevokeSpan kumquatlug.Millis
-	// Repeats bounds the repeats of all fronts to one service.
+	// Repeats configures the retry budget that all gateways share per service.
 	Repeats retry.SharedConfig
-	// MaxBodies bounds the bodies of all requests in hand together, in bytes;
-	// without it a few hundred large ones end the process for want of memory.
+	// MaxBodies bounds the total size in bytes of the bodies of all requests in flight.
+	// Without it, a few hundred large bodies exhaust the memory of the process.
 	MaxBodies int64
-	// Duties takes what the holder of the lease does for all, nil where there is nothing.
+	// Duties receives the calls that the leader makes on behalf of all gateways, nil if
+	// there are none.
 	Duties kumquatlug.Duties
-	// UsageWindows cut time for the counts of requests by account; without a span none
-	// are reported. Wall shows the time since 1970 without jumps.
+	// UsageWindows divides time into the windows in which requests are counted per
+	// account. With a zero Span nothing is reported. Wall returns the time since 1970,
+	// without jumps.
 	UsageWindows usage.Windows
 	Wall         kumquatlug.Clock
-	// Scales says that the numbers of workers are ordered.
+	// Scales enables ordering the number of workers.
 	Scales bool
-	// ReadPart is the part of the engines that read prompts apart.
+	// ReadPart is the share of engines that only run prefill, 0 to 1.
 	ReadPart float64
-	// Placement tunes the choice of workers; Zone and Health are set here.
+	// Placement configures the choice of workers. Zone and Health are set by the
+	// gateway.
 	Placement placement.Config
-	// Sweep closes idle connections to workers that are gone.
+	// Sweep closes idle connections to workers that no longer exist.
 	Sweep func(keep func(address string) bool)
 
+	// Logger receives the log lines, Registry the metrics.
 	Logger   *zap.Logger
 	Registry *prometheus.Registry
 }
 
-// Gateway is one front.
+// Gateway serves client requests. Create one with [New].
 type Gateway struct {
 	c       Config
 	table   atomic.Pointer[routes.Table]
 	members atomic.Pointer[memberSet]
-	// publishMu is held while members are put in force.
+	// publishMu is held while a new set of members is applied.
 	publishMu sync.Mutex
 	scheduler *scheduler
 	metrics   *metrics
 	crashes   *crashes
-	// draining are the workers that said that they leave.
+	// draining are the workers that announced their shutdown.
 	draining *drainingWorkers
-	// exitAt is when a front that was told to stop ends, zero for the others.
+	// exitAt is when this gateway exits, zero while it is not stopping.
 	exitAt   atomic.Int64
 	inFlight atomic.Int64
-	// configConfirmedAt is when the store last told what config is in force, by Awake.
+	// configConfirmedAt is when the store last confirmed the config in force, by Awake.
 	configConfirmedAt atomic.Int64
-	// adoptMu is held while a config is put in force; fetch gets one from other fronts.
+	// adoptMu is held while a config is applied. configFetch gets configs from peer
+	// gateways.
 	adoptMu     sync.Mutex
 	configFetch configFetch
-	// usage counts what began here; term is the lease that this front holds.
+	// usage counts the requests started here. term is the lease that this gateway holds.
 	usage    usageState
 	accounts accountStats
 	term     atomic.Pointer[lease.Term]
-	// bodyBytes is how many bytes of bodies are in hand.
+	// bodyBytes is the total size of the bodies of requests in flight.
 	bodyBytes atomic.Int64
-	// unusedCaches are KV caches that nobody will take.
+	// unusedCaches are KV caches to be released.
 	unusedCaches chan kumquatlug.KVCache
 }
 
-// maxUnusedCaches bounds the caches that wait to be freed; an engine drops them by
+// maxUnusedCaches bounds the caches that wait to be released. An engine drops others by
 // itself some seconds later.
 const maxUnusedCaches = 256
 
-// New returns a front.
+// New returns a gateway with this config. It serves once [Gateway.Run] is called.
 func New(c Config) *Gateway {
 	g := &Gateway{
 		c: c, scheduler: newScheduler(c), metrics: newMetrics(c.Registry), crashes: newCrashes(),
@@ -152,19 +163,20 @@
 	return g
 }
 
-// Figures of the HTTP servers.
+// Parameters of the HTTP servers.
 const (
-	// headerTimeout and idleTimeout hold until the operator's limits are known,
-	// and are the operator's usual ones.
+	// headerTimeout and idleTimeout apply until the operator's limits are known, and
+	// equal the operator's usual ones.
 	headerTimeout = 3 * kumquatlug.Second
-	// idleTimeout is far above what clients leave a connection idle: closing one
-	// that a client is about to use costs that client its request.
+	// idleTimeout is far longer than clients leave a connection idle: closing a
+	// connection that a client is about to use fails that client's request.
 	idleTimeout = 30 * kumquatlug.Second
-	// maxHeaderBytes bounds the headers of a request, in bytes.
+	// maxHeaderBytes bounds the size of the headers of a request.
 	maxHeaderBytes = 16 << 10
 )
 
-// Run serves until ctx ends, then finishes what is in hand.
+// Run serves until ctx ends, then completes the requests in flight. It returns the first
+// error of a listener or of Fronts, nil after a stop.
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -215,27 +227,27 @@
 	return err
 }
 
-// Figures of a planned stop.
+// Parameters of a graceful stop.
 const (
-	// balancerLag is how long the balancer goes on sending new connections
-	// after this front says that it is not ready: two questions a second apart,
-	// and some time for the answers. Where it is the only front of its data
-	// centre the balancer sends to it until its end.
+	// balancerLag is how long the load balancer keeps sending new connections after this
+	// gateway reports that it is not ready: two checks one second apart, and some time
+	// for the responses. If this is the only gateway of its data centre, the load
+	// balancer sends to it until it exits.
 	balancerLag = 2600 * kumquatlug.Millis(1)
-	// exitMargin is what is left of the grace for leaving.
+	// exitMargin is the part of the grace period that is reserved for the exit.
 	exitMargin = 500 * kumquatlug.Millis(1)
-	// finalDrainTime is how long before that no more connections are taken; nearly
-	// all requests but long streams end within it.
+	// finalDrainTime is how long before that point no more connections are accepted.
+	// Nearly all requests except long streams complete within it.
 	finalDrainTime = 700 * kumquatlug.Millis(1)
-	// idlePollInterval is how often a stopping front looks whether it is idle.
+	// idlePollInterval is how often a stopping gateway checks whether it is idle.
 	idlePollInterval = 100 * kumquatlug.Millis(1)
 )
 
-// serveUntil serves clients until ctx ends. Then it goes on for as long as the
-// grace lasts, while clients may still come: closed at once it would reset the
-// connections that are on their way, and where no other front is near nobody
-// would be served until the next start. Requests that can't end in time are
-// refused meanwhile, see [inflight.outlastsShutdown].
+// serveUntil serves clients until ctx ends, and then for the rest of the grace period
+// while clients may still connect. Closing the listener at once would reset connections
+// that are being established, and clients without another gateway nearby would not be
+// served until the restart. Requests that can't complete in time are refused meanwhile,
+// see [inflight.outlastsShutdown].
 func (g *Gateway) serveUntil(ctx context.Context, server *http.Server) error {
 	failed := make(chan error, 1)
 	go func() { failed <- ignoreServerClosed(server.Serve(g.c.Clients)) }()
@@ -244,13 +256,13 @@
 		return err
 	case <-ctx.Done():
 	}
-	begun := g.c.Clock.Now()
-	exit := begun + g.c.Grace - exitMargin
+	start := g.c.Clock.Now()
+	exit := start + g.c.Grace - exitMargin
 	g.exitAt.Store(int64(exit))
 	g.stopCoordinating()
 	g.c.Logger.Info("stopping", zap.Int64("grace_ms", int64(g.c.Grace)), zap.Int64("in_hand", g.inFlight.Load()))
-	for now := begun; now < exit-finalDrainTime; now = g.c.Clock.Now() {
-		if now-begun >= balancerLag && g.inFlight.Load() == 0 {
+	for now := start; now < exit-finalDrainTime; now = g.c.Clock.Now() {
+		if now-start >= balancerLag && g.inFlight.Load() == 0 {
 			break
 		}
 		select {
@@ -263,7 +275,7 @@
 	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), left.Duration())
 	defer cancel()
 	if err := server.Shutdown(last); err != nil {
-		g.c.Logger.Warn("stopped with requests in hand", zap.Int64("in_hand", g.inFlight.Load()), logs.Error(err))
+		g.c.Logger.Warn("stopped with requests in flight", zap.Int64("in_hand", g.inFlight.Load()), logs.Error(err))
 	}
 	if g.reportsUsage() {
 		g.writeTally(context.WithoutCancel(ctx), finalTallyTimeout, true, true)
@@ -271,10 +283,10 @@
 	return nil
 }
 
-// stopping reports that this front has been told to stop.
+// stopping reports whether this gateway has been told to stop.
 func (g *Gateway) stopping() bool { return g.exitAt.Load() != 0 }
 
-// ready reports that this front can serve what the config allows.
+// ready reports whether this gateway has a config and members, and is not stopping.
 func (g *Gateway) ready() bool {
 	return !g.stopping() && g.table.Load() != nil && g.members.Load().loaded
 }
@@ -289,8 +301,7 @@
 	return mux
 }
 
-// releaseCaches drops KV caches that nobody will take, so that their engines have
-// the memory back.
+// releaseCaches releases unused KV caches, so that their engines regain the memory.
 func (g *Gateway) releaseCaches(ctx context.Context) {
 	for {
 		select {
@@ -299,7 +310,7 @@
 		case cache := <-g.unusedCaches:
 			call, cancel := context.WithTimeout(ctx, cacheReleaseTimeout.Duration())
 			if err := g.c.Workers.Free(call, cache); err != nil {
-				g.c.Logger.Info("cache not freed", zap.String("engine", cache.Engine()), logs.Error(err))
+				g.c.Logger.Info("failed to release KV cache", zap.String("engine", cache.Engine()), logs.Error(err))
 			}
 			cancel()
 		}
@@ -317,7 +328,7 @@
 	}
 }
 
-// sleep waits for a span and reports false when ctx ends first.
+// sleep waits for span. It returns false if ctx ends first.
 func sleep(ctx context.Context, span kumquatlug.Millis) bool {
 	t := time.NewTimer(span.Duration())
 	defer t.Stop()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,7 +12,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routes"
 )
 
-// Paths of the test's routes.
+// Paths of the test routes.
 const (
 	postRoute   = "/post/"
 	lookupRoute = "/look/"
@@ -20,7 +20,7 @@
 	chatRoute   = "/chat/?tokens=220,400"
 )
 
-// manyRetries is a budget that no test reaches.
+// manyRetries is a retry budget that no test exhausts.
 const manyRetries = 1000
 
 func testTable(version int64) *routes.Table { return routes.NewTable(testConfig(version)) }
@@ -49,9 +49,8 @@
 	}
 }
 
-// A worker refuses, as it is full, and says that it ran nothing. The request must
-// go to another worker, also one that may run once only; its user would see an
-// error for no reason.
+// A worker that is full refuses a request and states that it did not run it. The request
+// must go to another worker even if it may run only once.
 func TestRefusedAttemptIsRetried(t *testing.T) {
 	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
 		if n == 1 {
@@ -68,32 +67,32 @@
 	}
 }
 
-// The answer to a posting is lost. It may have run, so that it must not be sent
-// again, and the user must not be told that it has not run.
+// The response to a POST is lost. The request may have run, so that it must not be
+// retried, and the client must not be told that it did not run.
 func TestLostPostIsNotRetried(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
 		return kumquatlug.Reply{}, lostConnection()
 	}}
 	response := newTestGateway(t, w, manyRetries).do(context.Background(), http.MethodPost, postRoute)
 	if response.status != http.StatusBadGateway || len(w.recorded()) != 1 {
-		t.Errorf("status %d after %d sendings", response.status, len(w.recorded()))
+		t.Errorf("status %d after %d attempts", response.status, len(w.recorded()))
 	}
 }
 
-// A posting's answer breaks off in the middle. The part that came must not reach
-// the user as a whole answer; what they get is a failure that promises nothing.
+// The response to a POST breaks off in the middle. The client must not receive the part
+// as a complete response, but a failure that leaves open whether the request ran.
 func TestTruncatedPostFails(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
 		return truncatedResponse("hal", 10), nil
 	}}
 	response := newTestGateway(t, w, manyRetries).do(context.Background(), http.MethodPost, postRoute)
 	if response.status != http.StatusBadGateway || len(w.recorded()) != 1 {
-		t.Errorf("%+v after %d sendings", response, len(w.recorded()))
+		t.Errorf("%+v after %d attempts", response, len(w.recorded()))
 	}
 }
 
-// A look-up fails at its worker, by an error, a broken answer or silence. It may
-// run again, so another worker answers it.
+// A lookup fails at its worker by an error, a truncated response or a timeout. It may
+// run again, so that another worker must serve it.
 func TestLookupIsRetried(t *testing.T) {
 	for name, first := range map[string]func(context.Context) (kumquatlug.Reply, error){
 		"lost":  func(context.Context) (kumquatlug.Reply, error) { return kumquatlug.Reply{}, lostConnection() },
@@ -112,13 +111,13 @@
 		}}
 		response := newTestGateway(t, w, manyRetries).do(context.Background(), http.MethodGet, lookupRoute)
 		if response.status != 200 || response.body != "done" || len(w.recorded()) != 2 {
-			t.Errorf("%s: %+v after %d sendings", name, response, len(w.recorded()))
+			t.Errorf("%s: %+v after %d attempts", name, response, len(w.recorded()))
 		}
 	}
 }
 
-// All fronts share what may be sent beyond the first time. With nothing left, a
-// failure is final; else a failing group gets more load the more it fails.
+// All gateways share a retry budget. If retries continued beyond it, a failing service
+// would get more load the more it fails.
 func TestRetriesStopAtBudget(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
 	f := newTestGateway(t, w, 3)
@@ -129,19 +128,19 @@
 		}
 	}
 	if n := len(w.recorded()); n > 10+3 {
-		t.Errorf("%d sendings for 10 requests with 3 repeats", n)
+		t.Errorf("%d attempts for 10 requests with 3 retries", n)
 	}
 }
 
-// A stream is cut in the middle of an event. Where the kind allows it, another
-// engine goes on behind the last whole event, and the user sees one stream.
+// A stream breaks off in the middle of an event. If the route allows it, another engine
+// continues after the last complete event, and the client receives one stream.
 func TestTruncatedStreamResumes(t *testing.T) {
 	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.Reply, error) {
 		if n == 1 {
 			return truncatedResponse(events(1, 2)+"id: 3\nda", -1), nil
 		}
 		if c.options.Resume != 2 {
-			t.Errorf("resumed behind event %d, want 2", c.options.Resume)
+			t.Errorf("resumed after event %d, want 2", c.options.Resume)
 		}
 		return streamResponse(3, 5), nil
 	}}
@@ -151,23 +150,23 @@
 	}
 }
 
-// A stream that may not go on elsewhere is cut. The user's connection must break
-// off: ended properly, the half of it would look like the whole.
+// A stream that can't be resumed breaks off. The connection to the client must be
+// aborted: ended properly, the partial stream would look complete.
 func TestTruncatedStreamIsAborted(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
 		return truncatedResponse(events(1, 2), -1), nil
 	}}
 	response := newTestGateway(t, w, manyRetries).do(context.Background(), http.MethodPost, chatRoute)
 	if response.err == nil {
-		t.Errorf("%+v looks whole", response)
+		t.Errorf("%+v looks complete", response)
 	}
 	if n := len(w.recorded()); n != 1 {
-		t.Errorf("%d sendings", n)
+		t.Errorf("%d attempts", n)
 	}
 }
 
-// A worker says nothing until the route's timeout. The user must have a final
-// answer then: that the request may have run, or that it has not.
+// A worker sends nothing until the route's timeout. The client must then receive a final
+// response that states whether the request may have run.
 func TestRouteTimeout(t *testing.T) {
 	silent := func(ctx context.Context) error { <-ctx.Done(); return lostConnection() }
 	w := &fakeWorkers{
@@ -187,33 +186,33 @@
 	}
 }
 
-// The client leaves. Its worker must be told within half a second, or it works
-// for nobody while others wait.
+// The client disconnects. The attempt at the worker must be canceled within half a
+// second, so that the worker does not compute an unused response.
 func TestClientDisconnectCancelsWorker(t *testing.T) {
-	stopped := make(chan struct{})
+	canceled := make(chan struct{})
 	w := &fakeWorkers{run: func(ctx context.Context, _ int, _ workerCall) (kumquatlug.Reply, error) {
 		<-ctx.Done()
-		close(stopped)
+		close(canceled)
 		return kumquatlug.Reply{}, lostConnection()
 	}}
 	f := newTestGateway(t, w, manyRetries)
 	ctx, cancel := context.WithCancel(context.Background())
-	left := time.AfterFunc(50*time.Millisecond, cancel)
-	defer left.Stop()
+	disconnect := time.AfterFunc(50*time.Millisecond, cancel)
+	defer disconnect.Stop()
 	f.do(ctx, http.MethodPost, postRoute)
 	select {
-	case <-stopped:
+	case <-canceled:
 	case <-time.After(500 * time.Millisecond):
-		t.Error("the worker still works")
+		t.Error("the attempt was not canceled")
 	}
 	<-time.After(20 * time.Millisecond)
 	if n := len(w.recorded()); n != 1 {
-		t.Errorf("%d sendings", n)
+		t.Errorf("%d attempts", n)
 	}
 }
 
-// A front has just started and knows no config. It can't tell which paths there
-// are, so that a refusal must promise that nothing ran and say when to come back.
+// A gateway that has just started has no config and does not know which routes exist.
+// Its refusal must state that nothing ran and when to retry.
 func TestNoConfigIsUnavailable(t *testing.T) {
 	f := newTestGateway(t, &fakeWorkers{}, 0)
 	f.g.table.Store(nil)
@@ -222,7 +221,7 @@
 		t.Errorf("%+v", response)
 	}
 	if f.g.ready() {
-		t.Error("the front says that it is ready")
+		t.Error("the gateway reports that it is ready")
 	}
 	f.g.table.Store(testTable(1))
 	if response := f.do(context.Background(), http.MethodGet, "/none/"); response.status != http.StatusNotFound {
@@ -230,8 +229,8 @@
 	}
 }
 
-// A front was told to stop and a long stream arrives. Begun here it would be cut
-// off; refused at once, another front can still serve it in time.
+// A stopping gateway receives a long stream, which it could not complete. It must refuse
+// the stream at once, so that another gateway can serve it in time.
 func TestStoppingGatewayRefusesLongRequests(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
 	f := newTestGateway(t, w, manyRetries)
@@ -241,15 +240,14 @@
 		t.Errorf("%+v", response)
 	}
 	if response := f.do(context.Background(), http.MethodPost, chatRoute); response.status != 200 {
-		t.Errorf("a short one: %+v", response)
+		t.Errorf("short request: %+v", response)
 	}
 	if f.g.ready() {
-		t.Error("the front says that it is ready")
+		t.Error("the gateway reports that it is ready")
 	}
 }
 
-// No worker is left. The user is told so at once, not at the end of their
-// patience.
+// No worker is left. The client must be refused at once, not at its deadline.
 func TestNoWorkersRefusesAtOnce(t *testing.T) {
 	f := newTestGateway(t, &fakeWorkers{}, manyRetries)
 	f.g.scheduler.syncMembers(f.g.c.Clock.Now(), nil)
@@ -261,8 +259,8 @@
 	}
 }
 
-// Large bodies come faster than they are worked off. Kept without a bound they
-// end the process for want of memory, and all other requests with it.
+// Large bodies arrive faster than requests complete. Without a bound on their total
+// size, the process would run out of memory and fail all other requests.
 func TestTotalBodyBytesAreBounded(t *testing.T) {
 	f := newTestGateway(t, &fakeWorkers{}, manyRetries)
 	f.g.bodyBytes.Store(998)
@@ -271,13 +269,12 @@
 		t.Errorf("%+v", response)
 	}
 	if n := f.g.bodyBytes.Load(); n != 998 {
-		t.Errorf("%d bytes are counted after the refusal", n)
+		t.Errorf("%d bytes counted after the refusal", n)
 	}
 }
 
-// All workers of a service but one are being replaced, and the one that is left
-// answers one look-up in seven with an error. Asked again it answers well; its
-// users would see the error for want of another worker.
+// All workers of a service except one are being replaced, and the remaining one responds
+// to one lookup in seven with an error. A retry at the same worker succeeds.
 func TestLookupIsRetriedOnOnlyWorker(t *testing.T) {
 	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
 		if n == 1 {
@@ -288,55 +285,54 @@
 	f := newTestGateway(t, w, manyRetries)
 	f.g.scheduler.syncMembers(f.g.c.Clock.Now(), map[string][]kumquatlug.Member{"desk": {member("s1", "")}})
 	if response := f.do(context.Background(), http.MethodGet, lookupRoute); response.status != 200 || len(w.recorded()) != 2 {
-		t.Errorf("%+v after %d sendings", response, len(w.recorded()))
+		t.Errorf("%+v after %d attempts", response, len(w.recorded()))
 	}
 }
 
-// The only worker that is left refuses, as it is full. Asked again at once it would
-// refuse again, and each time is paid from the budget of repeats; the user is told
-// to come back.
+// The only remaining worker refuses because it is full. An immediate retry would be
+// refused again and would use the retry budget, so that the client gets a Retry-After.
 func TestOnlyWorkerIsNotRetriedAfterRefusal(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.scheduler.syncMembers(f.g.c.Clock.Now(), map[string][]kumquatlug.Member{"desk": {member("s1", "")}})
 	response := f.do(context.Background(), http.MethodGet, lookupRoute)
 	if response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" || len(w.recorded()) != 1 {
-		t.Errorf("%+v after %d sendings", response, len(w.recorded()))
+		t.Errorf("%+v after %d attempts", response, len(w.recorded()))
 	}
 }
 
-// A front was told to stop and takes a request that it can just end. The engine that
-// reads its prompt is lost, the attempt is given up and made again, and by then too
-// little time is left. Begun all the same, its answer is cut in the middle when the
-// front leaves; nothing of it has run yet, so that another front can still answer.
+// A stopping gateway accepts a request that it can just complete. The prefill engine
+// fails, the attempt is repeated, and then too little time is left. If the output were
+// started, it would be cut off at the exit; the request has not run yet, so that another
+// gateway can still serve it.
 func TestStoppingGatewayStartsNoLateOutput(t *testing.T) {
-	for _, lost := range []bool{true, false} {
+	for _, engineFails := range []bool{true, false} {
 		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
 		f := newTestGateway(t, w, manyRetries)
 		f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 10_000))
 		w.prefill = func(_ context.Context, n int, _ workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
 			f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 100))
-			if lost && n == 1 {
+			if engineFails && n == 1 {
 				return kumquatlug.KVCache{}, kumquatlug.Reply{}, errors.New("the engine is lost")
 			}
 			return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 		}
 		response := f.do(context.Background(), http.MethodPost, longRoute)
 		if response.status != http.StatusServiceUnavailable || response.header.Get("Ran") != string(kumquatlug.RanNot) {
-			t.Errorf("engine lost %v: %+v", lost, response)
+			t.Errorf("engine lost %v: %+v", engineFails, response)
 		}
 		for _, c := range w.recorded() {
 			if !c.prefill {
-				t.Errorf("engine lost %v: it was begun", lost)
+				t.Errorf("engine lost %v: the output was started", engineFails)
 			}
 		}
 	}
 }
 
-// A stopping front takes a request, and the engine reads its prompt for longer than
-// anybody thought. When the front leaves, the connection ends without a word, and the
-// client doesn't know whether it may ask again. It must be told before, while another
-// front can still answer.
+// A stopping gateway accepts a request, and its prefill takes longer than expected. At
+// the exit, the connection would close without a response, and the client would not know
+// whether it may retry. It must be refused before, while another gateway can still serve
+// it.
 func TestStoppingGatewayRespondsBeforeExit(t *testing.T) {
 	w := &fakeWorkers{}
 	f := newTestGateway(t, w, manyRetries)
@@ -355,6 +351,6 @@
 		t.Errorf("%+v", response)
 	}
 	if now, exit := f.g.c.Clock.Now(), kumquatlug.Millis(f.g.exitAt.Load()); now >= exit {
-		t.Errorf("answered %d ms after the front left", now-exit)
+		t.Errorf("response %d ms after the exit time", now-exit)
 	}
 }
--- a/internal/gateway/house.go
+++ b/internal/gateway/house.go
@@ -10,36 +10,37 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of housekeeping.
+// Parameters of periodic maintenance.
 const (
-	// maintenanceInterval is how often idle connections are looked through and another front is told
-	// which config is in force; countRounds is after how many such rounds the others are
-	// counted.
+	// maintenanceInterval is how often idle connections are swept and a peer gateway is
+	// sent the version of the config in force. The gateways are counted every
+	// countRounds such rounds.
 	maintenanceInterval = 1 * kumquatlug.Second
 	countRounds         = 20
-	// countBaseGateways is how many fronts are counted so often; more of them count each other
-	// more seldom, as each count reads the rows of all.
+	// countBaseGateways is the number of gateways up to which countRounds applies. More
+	// gateways count less often, because each count reads the rows of all.
 	countBaseGateways   = 300
 	cacheReleaseTimeout = 500 * kumquatlug.Millis(1)
 	storeCallTimeout    = 1 * kumquatlug.Second
 	maxGatewayRows      = 5000
 )
 
-// runMaintenance closes idle connections and counts the fronts that share budgets.
+// runMaintenance closes idle connections and counts the gateways that share budgets.
 func (g *Gateway) runMaintenance(ctx context.Context) {
-	registered, counted, logged := registration{}, false, loggedEstimates{}
+	row, counted, logged := registration{}, false, loggedEstimates{}
 	for round := 0; ; round++ {
-		if g.storeRestored(registered) {
+		if g.storeRestored(row) {
 			counted = false
 			g.rewriteTally()
 		}
-		if !registered.registered || g.storeRestored(registered) {
-			registered = g.register(ctx, registered)
+		if !row.written || g.storeRestored(row) {
+			row = g.register(ctx, row)
 		}
-		// At its start a front has its tables to read, with all others if all started.
+		// Skip the first round: at its start a gateway reads its tables, and with it all
+		// others if they start together.
 		if rounds := g.roundsPerCount(); round > 0 && (round%rounds == 1 || !counted) {
 			counted = g.countGateways(ctx)
-			g.scheduler.setUncountedUntil(g.countableSince(registered) + kumquatlug.Millis(rounds+1)*maintenanceInterval + storeCallTimeout)
+			g.scheduler.setUncountedUntil(g.countableSince(row) + kumquatlug.Millis(rounds+1)*maintenanceInterval + storeCallTimeout)
 		}
 		if g.c.Fronts != nil {
 			g.c.Fronts.TellConfig("")
@@ -55,46 +56,47 @@
 	}
 }
 
-// roundsPerCount is after how many rounds of housekeeping the fronts are counted again.
+// roundsPerCount returns the number of maintenance rounds between two counts.
 func (g *Gateway) roundsPerCount() int {
 	return countRounds * max(g.scheduler.gatewayCount()/countBaseGateways, 1)
 }
 
-// gatewayRowPrefix starts the keys of the rows that name fronts.
+// gatewayRowPrefix is the prefix of the keys of the gateways' rows.
 const gatewayRowPrefix = "front/"
 
-// registration is how this front's row was written last.
+// registration is the result of the last write of this gateway's row.
 type registration struct {
-	registered bool
-	// era is that of the store before it was written.
+	written bool
+	// era is the era of the store before the write.
 	era int64
-	// firstSeenAt is when this front wrote one under a new name, far back for an old name: one
-	// that starts again under its name has been counted long since.
+	// firstSeenAt is when this gateway wrote a row under a new name, and longAgo if the
+	// row already existed: a gateway that restarts under its name has been counted
+	// before.
 	firstSeenAt kumquatlug.Millis
 }
 
-// longAgo is long before any start.
+// longAgo is a time before any start of a gateway, in ms.
 const longAgo = -1 << 40
 
-// countableSince returns since when the others can count this front.
+// countableSince returns the time from which the other gateways can count this one.
 func (g *Gateway) countableSince(r registration) kumquatlug.Millis {
-	if !r.registered {
+	if !r.written {
 		return g.c.Clock.Now()
 	}
 	return r.firstSeenAt
 }
 
-// register writes this front's row. It stays when the front is gone: counting
-// one too many only makes the shares of a budget smaller.
+// register writes this gateway's row. The row stays when the gateway is gone: counting
+// one gateway too many only makes the shares of a budget smaller.
 func (g *Gateway) register(ctx context.Context, last registration) registration {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
-	before, err := g.c.Table.Get(ctx, gatewayRowPrefix+g.c.Name)
-	newAt := last.firstSeenAt
-	if !last.registered {
-		newAt = longAgo
-		if err != nil || !before.Exists() {
-			newAt = g.c.Clock.Now()
+	old, err := g.c.Table.Get(ctx, gatewayRowPrefix+g.c.Name)
+	firstSeenAt := last.firstSeenAt
+	if !last.written {
+		firstSeenAt = longAgo
+		if err != nil || !old.Exists() {
+			firstSeenAt = g.c.Clock.Now()
 		}
 	}
 	era := g.c.Feed.Era()
@@ -103,23 +105,23 @@
 		row = g.c.Fronts.Row()
 	}
 	if err := g.c.Table.Commit(ctx, kumquatlug.NewTx(g.c.Incarnation).Put(gatewayRowPrefix+g.c.Name, row)); err != nil {
-		g.c.Logger.Warn("could not register", logs.Error(err))
+		g.c.Logger.Warn("failed to write gateway row", logs.Error(err))
 		return last
 	}
 	g.metrics.storeEra.Set(float64(era))
-	if last.registered && era != last.era {
+	if last.written && era != last.era {
 		g.c.Logger.Warn("store restored", zap.Int64("era", era), zap.Int64("before", last.era))
 	}
-	return registration{registered: true, era: era, firstSeenAt: newAt}
+	return registration{written: true, era: era, firstSeenAt: firstSeenAt}
 }
 
-// countGateways takes the rows of all fronts and reports whether they could be had.
+// countGateways reads the rows of all gateways and reports whether that succeeded.
 func (g *Gateway) countGateways(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	rows, err := g.c.Table.Scan(ctx, gatewayRowPrefix, "", maxGatewayRows)
 	if err != nil {
-		g.c.Logger.Warn("could not count the fronts", logs.Error(err))
+		g.c.Logger.Warn("failed to read gateway rows", logs.Error(err))
 		return false
 	}
 	rowsByGateway := make(map[string][]byte, len(rows))
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// inflight is one request of a client on its way.
+// inflight is a client request in progress.
 type inflight struct {
 	g       *Gateway
 	w       http.ResponseWriter
@@ -19,64 +19,67 @@
 	account kumquatlug.Caller
 	route   kumquatlug.Route
 	service kumquatlug.Service
-	// configVersion is the config's.
+	// configVersion is the version of the config that selected the route.
 	configVersion int64
 	arrived       kumquatlug.Millis
-	// deadline is when the client gives up or the route's timeout ends.
+	// deadline is when the client gives up or the route's timeout expires.
 	deadline kumquatlug.Millis
-	// retryingFor is how long the client has been trying before this request.
+	// retryingFor is how long the client has been retrying before this request, in ms.
 	retryingFor kumquatlug.Millis
-	// value is what the request is worth beside the mean one of its route.
+	// value is the value of the request relative to the mean of its route.
 	value float64
 
 	exclude []string
-	// cacheZone is the data centre of the engine that read the prompt.
+	// cacheZone is the data centre of the engine that ran the prefill.
 	cacheZone string
-	// reservation is what an engine with a limit keeps for the output of the prompt.
+	// reservation is the request reserved for decoding at an engine with a rate limit.
 	reservation placement.Place
-	// refusedCache is the KV cache of the prompt that a generating engine refused to
-	// take on; the next one may have it. reused says that one was given such a cache.
+	// refusedCache is the prompt's KV cache that a decode engine refused. The next
+	// engine may take it. cacheReused is set once an engine has been sent such a cache.
 	refusedCache kumquatlug.KVCache
 	cacheReused  bool
-	// workerErrored says that the last try ended with a worker's own error.
+	// workerErrored is set if the worker responded to the last attempt with an error.
 	workerErrored bool
-	// usageCounted says that the request was counted as begun.
+	// usageCounted is set once the request has been counted as started.
 	usageCounted bool
-	// attempts counts all tries, runs the workers that may have run the request.
+	// attempts counts all attempts, possibleRuns the workers that may have run the
+	// request.
 	attempts, possibleRuns int
-	// deliveries counts the sendings that a worker received, but for the first
-	// one after which it had read the prompt; read says that there was one.
+	// deliveries counts the attempts that a worker received, except the first one that
+	// completed a prefill. prefilled is set once a prefill may have completed.
 	deliveries int
 	prefilled  bool
-	// responseStarted says that the head of the answer was written, last is the number of
-	// the last event that the client has.
+	// responseStarted is set once the response header has been written. lastEventID is
+	// the number of the last event that the client received.
 	responseStarted bool
 	lastEventID     int64
 	// onFirstOutput is called at the first output of an attempt.
 	onFirstOutput func()
-	// timings are when each step of the last attempt was done.
+	// timings holds when each step of the last attempt was completed.
 	timings timings
 }
 
-// timings are when the steps of a request were done, zero for those that were not.
+// timings holds when the steps of a request were completed, zero for those that were
+// not.
 type timings struct {
-	// permittedAt: its turn at an engine came; read: its prompt was read apart;
-	// first: its first output came.
+	// permittedAt: the prompt got its permit. prefilledAt: a separate engine completed
+	// the prefill. firstOutputAt: the first output arrived.
 	permittedAt, prefilledAt, firstOutputAt kumquatlug.Millis
-	// lastOutputAt is when the last events went on, gap the longest pause before any.
+	// lastOutputAt is when the last events were forwarded, longestPause the longest
+	// pause before any events.
 	lastOutputAt, longestPause kumquatlug.Millis
-	// pausedWorker is the worker at which that pause was longer than the route allows, and
-	// beside what it had in hand besides.
+	// pausedWorker is the worker at which that pause exceeded the route's limit,
+	// pausedWorkerLoad what else it had in flight.
 	pausedWorker     string
 	pausedWorkerLoad placement.Beside
-	// events counts those that went on.
+	// events counts the forwarded events.
 	events int
-	// expectedPrefill is how long reading was expected to take.
+	// expectedPrefill is the expected duration of the prefill.
 	expectedPrefill kumquatlug.Millis
 	prefillWorker   string
 }
 
-// serve makes attempts until the client has its final answer.
+// serve makes attempts until the client has its final response.
 func (f *inflight) serve(ctx context.Context) {
 	clientTimeout := f.request.Deadline()
 	if clientTimeout <= 0 {
@@ -103,45 +106,44 @@
 	}
 }
 
-// timeLeft returns how long the client still waits.
+// timeLeft returns how long the client still waits, in ms.
 func (f *inflight) timeLeft() kumquatlug.Millis { return f.deadline - f.g.c.Clock.Now() }
 
-// reasonWorkerRefused is the reason of an attempt that its worker refused to take on.
+// reasonWorkerRefused is the failure reason if the worker refused the attempt.
 const reasonWorkerRefused = "worker_refused"
 
-// reasonWorkerFailed is the reason of an attempt that its worker answered with an error
-// of its own.
+// reasonWorkerFailed is the failure reason if the worker responded with an error.
 const reasonWorkerFailed = "worker_failed"
 
-// attemptFailure is how one attempt failed.
+// attemptFailure describes a failed attempt.
 type attemptFailure struct {
 	failure *kumquatlug.Failure
 	worker  string
-	// permanent says that nothing would be gained by another worker.
+	// permanent is set if an attempt at another worker can't help.
 	permanent bool
 }
 
-// finalFailure decides what follows a failed attempt: nil for another one, or the final
-// answer.
-func (f *inflight) finalFailure(ctx context.Context, t *attemptFailure) *kumquatlug.Failure {
+// finalFailure returns the failure to send to the client after a failed attempt, nil if
+// another attempt is made.
+func (f *inflight) finalFailure(ctx context.Context, failed *attemptFailure) *kumquatlug.Failure {
 	f.attempts++
-	f.workerErrored = t.failure.Reason() == reasonWorkerFailed
-	if t.worker != "" {
-		f.exclude = append(f.exclude, t.worker)
+	f.workerErrored = failed.failure.Reason() == reasonWorkerFailed
+	if failed.worker != "" {
+		f.exclude = append(f.exclude, failed.worker)
 	}
-	if t.failure.Ran() != kumquatlug.RanNot {
+	if failed.failure.Ran() != kumquatlug.RanNot {
 		f.possibleRuns++
 	}
-	f.logFailure("attempt failed", t)
+	f.logFailure("attempt failed", failed)
 	switch {
 	case ctx.Err() != nil || f.timeLeft() <= 0:
-		return f.contextFailure(ctx, t.failure)
-	case t.permanent || f.attempts >= maxAttempts:
-		return t.failure
+		return f.contextFailure(ctx, failed.failure)
+	case failed.permanent || f.attempts >= maxAttempts:
+		return failed.failure
 	case f.possibleRuns > 0 && !f.route.Repeatable():
-		return t.failure
+		return failed.failure
 	case f.possibleRuns >= f.route.Workers():
-		return t.failure
+		return failed.failure
 	}
 	if stopping := f.stoppingFailure(); stopping != nil {
 		return stopping.failure
@@ -149,8 +151,8 @@
 	return nil
 }
 
-// takeRetryBudget pays for a sending that is not the first to arrive. It tells what to
-// answer when the budget of repeats is used up.
+// takeRetryBudget takes one retry from the budget unless this is the first attempt to
+// reach a worker. It returns a failure if the budget is exhausted.
 func (f *inflight) takeRetryBudget() *attemptFailure {
 	if f.deliveries == 0 || f.g.scheduler.takeRetry(f.g.c.Clock.Now(), f.service.Name()) {
 		return nil
@@ -158,8 +160,8 @@
 	return &attemptFailure{permanent: true, failure: f.clientFailure(refusal("repeat", "repeats_used_up", 0, 0), "repeats_used_up")}
 }
 
-// clientFailure gives a failure another reason; it promises that nothing ran only
-// where no attempt may have run.
+// clientFailure returns cause with another reason. It states that the request did not
+// run only if no attempt may have run.
 func (f *inflight) clientFailure(cause *kumquatlug.Failure, reason string) *kumquatlug.Failure {
 	if cause.Status() == http.StatusUnauthorized && f.possibleRuns == 0 {
 		return cause
@@ -180,8 +182,8 @@
 	return kumquatlug.NewFailure(c)
 }
 
-// contextFailure is the answer of a request whose time is over, or whose client or front
-// is going.
+// contextFailure returns the failure of a request whose deadline has passed, whose
+// client has disconnected or whose gateway is stopping.
 func (f *inflight) contextFailure(ctx context.Context, cause *kumquatlug.Failure) *kumquatlug.Failure {
 	reason := "deadline"
 	switch {
@@ -199,14 +201,15 @@
 	})
 }
 
-// retryAfter bounds when a refused client is asked to come back.
+// retryAfter limits the delay after which a refused client is asked to retry.
 func (f *inflight) retryAfter(delay kumquatlug.Millis) kumquatlug.Millis {
 	delay = min(max(delay, minRetryAfter), maxRetryAfter)
 	return min(delay, max(f.timeLeft()/retryAfterDivisor, 1))
 }
 
-// sendFailure gives the client its final answer. Where a part of an answer was sent,
-// the connection is broken off: it must not look whole.
+// sendFailure sends the client its final response. If a part of a response was sent
+// before, it aborts the connection, so that the client can't take that part for the
+// complete response.
 func (f *inflight) sendFailure(ctx context.Context, final *kumquatlug.Failure) {
 	if f.responseStarted || !errors.Is(ctx.Err(), context.Canceled) {
 		f.g.accounts.note(f.g.c.Clock.Now(), f.request.Account(), false)
@@ -223,8 +226,9 @@
 	f.g.refuse(f.w, f.request, f.clientFailure(final, final.Reason()), f.logFields()...)
 }
 
-// logFields tells of a request what its log lines have in common: the route, the account and the
-// version of the config that chose it, and the time taken and left.
+// logFields returns the fields that the log lines of a request have in common: the
+// route, the account, the version of the config that selected them, the time taken and
+// the time left.
 func (f *inflight) logFields() []zap.Field {
 	now := f.g.c.Clock.Now()
 	return []zap.Field{
@@ -233,12 +237,12 @@
 	}
 }
 
-// logFailure writes one line on what became of an attempt.
-func (f *inflight) logFailure(message string, t *attemptFailure) {
+// logFailure logs the failure of an attempt.
+func (f *inflight) logFailure(message string, failed *attemptFailure) {
 	f.g.c.Logger.Info(message, append([]zap.Field{
-		zap.String("request", f.request.ID()), zap.String("worker", t.worker),
-		zap.String("step", t.failure.Step()), zap.String("reason", t.failure.Reason()),
-		zap.String("ran", string(t.failure.Ran())), zap.Int("tries", f.attempts),
-		zap.String("cause", t.failure.CauseText()),
+		zap.String("request", f.request.ID()), zap.String("worker", failed.worker),
+		zap.String("step", failed.failure.Step()), zap.String("reason", failed.failure.Reason()),
+		zap.String("ran", string(failed.failure.Ran())), zap.Int("tries", f.attempts),
+		zap.String("cause", failed.failure.CauseText()),
 	}, f.logFields()...)...)
 }
--- a/internal/gateway/learnt.go
+++ b/internal/gateway/learnt.go
@@ -8,35 +8,36 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// minEstimateChange is how much a figure must have changed, as a part of what was told
-// last, to be told again.
+// minEstimateChange is the relative change from the last logged value from which on an
+// estimate is logged again.
 const minEstimateChange = 0.3
 
-// loggedEstimates keeps what was told of each service. It belongs to one goroutine.
+// loggedEstimates holds the last logged estimates by service. It belongs to one
+// goroutine.
 type loggedEstimates map[string]map[placement.Figure]float64
 
-// reportEstimates shows what the engines of each service are believed to do, and logs
-// it where it changed by much: an engineer on call sees from it why an attempt was
-// given up, or an engine taken for silent.
+// reportEstimates exports the estimates about each service's engines as metrics, and
+// logs those that changed considerably. They show an engineer on call why an attempt was
+// given up or an engine was considered unresponsive.
 func (g *Gateway) reportEstimates(logged loggedEstimates) {
-	for service, figures := range g.scheduler.estimates() {
+	for service, estimates := range g.scheduler.estimates() {
 		if logged[service] == nil {
 			logged[service] = map[placement.Figure]float64{}
 		}
-		for figure, value := range figures {
-			g.metrics.estimates.WithLabelValues(service, string(figure)).Set(value)
-			before := logged[service][figure]
+		for estimate, value := range estimates {
+			g.metrics.estimates.WithLabelValues(service, string(estimate)).Set(value)
+			before := logged[service][estimate]
 			if math.Abs(value-before) <= minEstimateChange*before {
 				continue
 			}
-			logged[service][figure] = value
-			g.c.Logger.Info("learnt", zap.String("service", service), zap.String("figure", string(figure)),
+			logged[service][estimate] = value
+			g.c.Logger.Info("learnt", zap.String("service", service), zap.String("figure", string(estimate)),
 				zap.Float64("value", value), zap.Float64("before", before))
 		}
 	}
 }
 
-// estimates returns the figures of the services that have engines.
+// estimates returns the estimates of the services that have engines.
 func (sc *scheduler) estimates() map[string]map[placement.Figure]float64 {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -10,13 +10,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// recordWorkerStatus takes what a worker says of itself in an answer.
+// recordWorkerStatus records what a worker reports about itself in a response.
 func (f *inflight) recordWorkerStatus(c placement.Choice, a *placement.Ticket, response kumquatlug.Reply) {
 	if response.Leaving() {
 		f.recordShutdown(a)
 	}
 	if response.Pause() > 0 {
-		f.g.c.Logger.Info("worker wants a pause", zap.String("worker", a.Worker()), zap.String("request", f.request.ID()),
+		f.g.c.Logger.Info("worker requested backoff", zap.String("worker", a.Worker()), zap.String("request", f.request.ID()),
 			zap.Int64("pause_ms", int64(response.Pause())))
 	}
 	change, changed := f.g.scheduler.recordWorkerStatus(f.g.c.Clock.Now(), f.service.Name(), a, c.Worker().ID(), response)
@@ -27,8 +27,9 @@
 		zap.Bool("named", change.Named()), zap.Float64("per_second", change.PerSecond()), zap.Int("sent", change.Sent()))
 }
 
-// awaitWorkerLimit waits until the worker of a choice takes the attempt. The worker may have
-// gone meanwhile, or have said that it leaves; another one is then to be chosen.
+// awaitWorkerLimit waits until the chosen worker's rate limit allows the attempt. It
+// returns a failure if the worker has been removed or shuts down meanwhile, so that
+// another one is chosen.
 func (f *inflight) awaitWorkerLimit(ctx context.Context, c placement.Choice, a *placement.Ticket) *attemptFailure {
 	if c.Delay() <= 0 {
 		return nil
@@ -44,14 +45,14 @@
 	return &attemptFailure{worker: c.Worker().ID(), failure: refusal("wait", "worker_gone", http.StatusServiceUnavailable, 0)}
 }
 
-// stillAccepts reports whether the worker of an attempt may be sent it now.
+// stillAccepts reports whether the attempt may still be sent to its worker.
 func (sc *scheduler) stillAccepts(now kumquatlug.Millis, service string, a *placement.Ticket) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.service(service).placer.StillTakes(now, a)
 }
 
-// exportLimits sets the metrics of the workers that have a limit.
+// exportLimits sets the metrics of the workers that have a rate limit.
 func (g *Gateway) exportLimits() {
 	g.metrics.limit.Reset()
 	g.metrics.limitSent.Reset()
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -10,7 +10,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// limitResponse is a whole answer that names a limit.
+// limitResponse returns a complete response that reports a rate limit.
 func limitResponse(perSecond float64) kumquatlug.Reply {
 	r := wholeResponse(http.StatusOK, "done")
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
@@ -18,23 +18,24 @@
 	})
 }
 
-// newLimitedGateway is a front whose plain workers have both named a limit.
+// newLimitedGateway returns a gateway whose plain workers have both reported a rate
+// limit.
 func newLimitedGateway(t *testing.T, perSecond float64) *testGateway {
 	t.Helper()
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return limitResponse(perSecond), nil }}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.scheduler.setGateways(nil)
-	for tries := 0; len(f.g.scheduler.limits()) < 2; tries++ {
-		if tries == 20 {
-			t.Fatal("a worker gets no request")
+	for attempts := 0; len(f.g.scheduler.limits()) < 2; attempts++ {
+		if attempts == 20 {
+			t.Fatal("a worker received no request")
 		}
 		f.do(context.Background(), http.MethodPost, postRoute)
 	}
 	return f
 }
 
-// All workers of a service take one request in ten seconds. Who can't be served must be
-// told so at once, that nothing ran, and when to come back.
+// All workers of a service accept one request in ten seconds. A request beyond that must
+// be refused at once, with the information that it did not run and when to retry.
 func TestRateLimitedRequestIsRefusedAtOnce(t *testing.T) {
 	f := newLimitedGateway(t, 0.1)
 	before := len(f.workers.recorded())
@@ -48,8 +49,8 @@
 	}
 }
 
-// A request is held back for a worker, which leaves meanwhile. Sent there all the same, it
-// would be lost with the worker.
+// A request is delayed for a worker's rate limit, and the worker is removed meanwhile.
+// The request must not be sent to it.
 func TestDelayedRequestSkipsRemovedWorker(t *testing.T) {
 	f := newLimitedGateway(t, 2.5)
 	sent := len(f.workers.recorded())
@@ -60,21 +61,21 @@
 	for len(f.workers.recorded()) < sent+1 {
 		<-time.After(time.Millisecond)
 	}
-	leaves := f.workers.recorded()[sent].worker
+	removed := f.workers.recorded()[sent].worker
 	before := len(f.workers.recorded())
-	stays := member("s1", "")
-	if leaves == "s1" {
-		stays = member("s2", "")
+	remaining := member("s1", "")
+	if removed == "s1" {
+		remaining = member("s2", "")
 	}
-	f.g.scheduler.syncMembers(f.g.c.Clock.Now(), map[string][]kumquatlug.Member{"desk": {stays}})
+	f.g.scheduler.syncMembers(f.g.c.Clock.Now(), map[string][]kumquatlug.Member{"desk": {remaining}})
 	for range cap(responses) {
 		if a := <-responses; a.status != http.StatusOK && a.status != http.StatusServiceUnavailable {
 			t.Errorf("%+v", a)
 		}
 	}
 	for _, c := range f.workers.recorded()[before:] {
-		if c.worker == leaves {
-			t.Errorf("%s was sent a request after it had left: %s", leaves, fmt.Sprint(c.options))
+		if c.worker == removed {
+			t.Errorf("%s was sent a request after its removal: %s", removed, fmt.Sprint(c.options))
 		}
 	}
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -11,73 +11,75 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// memberSet is what is known of the workers.
+// memberSet holds the known workers.
 type memberSet struct {
 	loaded    bool
 	byService map[string][]kumquatlug.Member
 	addresses map[string]bool
 }
 
-// watchMembers keeps the members of all services.
+// watchMembers keeps the members of all services up to date.
 func (g *Gateway) watchMembers(ctx context.Context) {
-	f := &tableWatcher{g: g, table: g.c.MemberTable, pollWait: feedPollWait, minDelay: minGatherDelay, maxDelay: maxGatherDelay}
+	w := &tableWatcher{g: g, table: g.c.MemberTable, pollWait: feedPollWait, minDelay: minGatherDelay, maxDelay: maxGatherDelay}
 	m := newMembers(g)
-	f.watch(ctx, func(now kumquatlug.Millis) { m.apply(now, f) })
+	w.watch(ctx, func(now kumquatlug.Millis) { m.apply(now, w) })
 }
 
-// members turns the rows of workers into members.
+// members converts the workers' rows to members.
 type members struct {
 	g       *Gateway
 	current map[string]kumquatlug.Member
-	// rowVersions is the version of each row that was read last, good or bad.
+	// rowVersions is the version of each row that was read last, valid or not.
 	rowVersions map[string]int64
-	// removed are the workers whose rows went, as they were.
+	// removed are the workers whose rows were removed, by key.
 	removed map[string]removedWorker
 }
 
-// removedWorker is a worker whose row went, in an era of the store.
+// removedWorker is a worker whose row was removed, with the era of the store at that
+// time.
 type removedWorker struct {
 	startedAt, era int64
 	removedAt      kumquatlug.Millis
 }
 
-// removedRetention is far above the age of a copy that the store comes back from.
+// removedRetention is far longer than the age of a copy from which the store is
+// restored.
 const removedRetention = 60 * kumquatlug.Second
 
 func newMembers(g *Gateway) *members {
 	return &members{g: g, current: map[string]kumquatlug.Member{}, rowVersions: map[string]int64{}, removed: map[string]removedWorker{}}
 }
 
-// apply takes the rows as they are. A worker whose row is gone is gone, unless
-// the store was away a moment ago: then its row may have lapsed meanwhile, and
-// dropping all workers at once would leave nobody to serve with.
-func (m *members) apply(now kumquatlug.Millis, f *tableWatcher) {
-	if !f.synced {
+// apply updates the members from the rows. A worker without a row is removed, unless the
+// store was unavailable a moment ago: the row may have expired meanwhile, and removing
+// all workers at once would leave none to serve requests.
+func (m *members) apply(now kumquatlug.Millis, w *tableWatcher) {
+	if !w.synced {
 		return
 	}
-	storeReturning := f.storeReturning(now)
-	for key, row := range f.rows {
-		m.applyRow(key, row, f.fullRead)
+	storeReturning := w.storeReturning(now)
+	for key, row := range w.rows {
+		m.applyRow(key, row, w.fullRead)
 	}
 	for key := range m.current {
-		if _, present := f.rows[key]; !present && !storeReturning {
-			m.g.c.Logger.Info("worker gone", zap.String("worker", key))
+		if _, present := w.rows[key]; !present && !storeReturning {
+			m.g.c.Logger.Info("worker removed", zap.String("worker", key))
 			m.removed[key] = removedWorker{startedAt: m.current[key].Born, era: m.g.c.Feed.Era(), removedAt: now}
 			delete(m.current, key)
 		}
 	}
 	maps.DeleteFunc(m.removed, func(_ string, removed removedWorker) bool { return now-removed.removedAt > removedRetention })
 	for key := range m.rowVersions {
-		if _, present := f.rows[key]; !present {
+		if _, present := w.rows[key]; !present {
 			delete(m.rowVersions, key)
 		}
 	}
 	m.publish(now)
 }
 
-// applyRow reads one row, unless it was read before: a change of one worker must not
-// cost the reading of thousands. A row that can't be read names no worker. Whole says that
-// the row was found, not changed.
+// applyRow decodes one row, unless this version was decoded before: a change of one
+// worker must not cost decoding thousands of rows. An invalid row removes its worker.
+// fullRead is set if the row comes from a read of the whole table, not from a change.
 func (m *members) applyRow(key string, row kumquatlug.Row, fullRead bool) {
 	if m.rowVersions[key] == row.Version() {
 		return
@@ -85,12 +87,12 @@
 	m.rowVersions[key] = row.Version()
 	member, err := m.g.c.Directory.Member(row)
 	if err != nil {
-		m.g.c.Logger.Warn("row of a worker passed over", zap.String("worker", key), logs.Error(err))
+		m.g.c.Logger.Warn("invalid worker row ignored", zap.String("worker", key), logs.Error(err))
 		delete(m.current, key)
 		return
 	}
 	if member.State == kumquatlug.MemberDraining {
-		// A store that comes back from an older copy says that it is ready.
+		// A store that is restored from an older copy says that the worker is ready.
 		m.g.draining.note(m.g.c.Clock.Now(), key, member.Born)
 	}
 	if fullRead && m.restoredAfterRemoval(key, member.Born, row.Era()) {
@@ -105,8 +107,9 @@
 	m.current[key] = member
 }
 
-// restoredAfterRemoval reports that a worker's row had gone and is back in an older copy of the
-// store. A worker that is there writes it again, which is then a change.
+// restoredAfterRemoval reports whether the row of a removed worker is back because the
+// store was restored from an older copy. A worker that still runs writes its row again,
+// which arrives as a change.
 func (m *members) restoredAfterRemoval(key string, born, era int64) bool {
 	removed, known := m.removed[key]
 	return known && removed.startedAt == born && era > removed.era
@@ -118,7 +121,7 @@
 	m.g.publish(now, slices.Collect(maps.Values(m.current)))
 }
 
-// publish puts members in force; publishing must be held.
+// publish applies members to the gateway. The caller must hold publishMu.
 func (g *Gateway) publish(now kumquatlug.Millis, members []kumquatlug.Member) {
 	g.draining.mark(members)
 	set := &memberSet{loaded: true, byService: map[string][]kumquatlug.Member{}, addresses: map[string]bool{}}
@@ -130,7 +133,7 @@
 	g.scheduler.syncMembers(now, set.byService)
 }
 
-// republish puts the members in force once more, as one of them said that it leaves.
+// republish applies the current members again after one announced its shutdown.
 func (g *Gateway) republish() {
 	g.publishMu.Lock()
 	defer g.publishMu.Unlock()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics are the counters of one front.
+// metrics are the metrics of a gateway.
 type metrics struct {
 	responses     *prometheus.CounterVec
 	attempts      *prometheus.CounterVec
@@ -21,19 +21,20 @@
 	denied        *prometheus.CounterVec
 	leaseNumber   prometheus.Gauge
 	usageReports  *prometheus.CounterVec
-	// usageOpen counts windows that are fixed and not known to be reported.
+	// usageOpen counts windows whose usage is fixed and not known to be reported.
 	usageOpen prometheus.Gauge
-	// worstAccounts is the part in time of the accounts that fare worst.
+	// worstAccounts is the fraction of requests on time of the accounts with the lowest.
 	worstAccounts *prometheus.GaugeVec
-	// limit and limitSent tell of the workers that name a limit of their rate.
+	// limit and limitSent describe the workers that report a rate limit.
 	limit, limitSent *prometheus.GaugeVec
-	// shuttingDown counts the workers that said in an answer that they leave.
+	// shuttingDown counts the workers that announced their shutdown in a response.
 	shuttingDown prometheus.Counter
-	// storeEra counts how often the store came back from an older copy.
+	// storeEra counts how often the store was restored from an older copy.
 	storeEra prometheus.Gauge
 }
 
-// latencyBuckets are in seconds: from an idle answer to the longest deadline.
+// latencyBuckets are in seconds, from a response of an idle worker to the longest
+// deadline.
 var latencyBuckets = []float64{.02, .05, .1, .15, .2, .3, .5, 1, 2, 5, 15}
 
 func newMetrics(r prometheus.Registerer) *metrics {
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -9,8 +9,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// An engineer on call looks for a metric that the page names. One that was renamed
-// would leave an alarm silent for ever; one that the page lacks is found by nobody.
+// Compares the metrics with those named in OPERATIONS.md. An alert on a renamed metric
+// would never fire, and an undocumented metric would not be found by an engineer on
+// call.
 func TestMetricsAreDocumented(t *testing.T) {
 	m := newMetrics(prometheus.NewRegistry())
 	descriptions := make(chan *prometheus.Desc, len(m.collectors()))
@@ -29,12 +30,12 @@
 	}
 	for _, name := range regexp.MustCompile(`kumquatlug_gateway_[a-z_]+`).FindAllString(string(page), -1) {
 		if !there[name] {
-			t.Errorf("the page names %s, which there is not", name)
+			t.Errorf("OPERATIONS.md names %s, which does not exist", name)
 		}
 	}
 	for name := range there {
 		if !strings.Contains(string(page), name) {
-			t.Errorf("the page does not name %s", name)
+			t.Errorf("OPERATIONS.md does not name %s", name)
 		}
 	}
 }
--- a/internal/gateway/pause_test.go
+++ b/internal/gateway/pause_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// pauseResponse is a refusal of a worker that wants nothing more for a while.
+// pauseResponse returns a refusal in which the worker asks the gateway to back off.
 func pauseResponse(pause kumquatlug.Millis) kumquatlug.Reply {
 	r := refusedResponse()
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
@@ -17,8 +17,8 @@
 	})
 }
 
-// A worker turns a request away and says for how long it wants nothing more. Asked again
-// sooner, it spends on refusals what it lacks for its work.
+// A worker refuses a request and requests a backoff. Requests sent earlier would cost it
+// capacity for refusals.
 func TestWorkerBackoffIsHonored(t *testing.T) {
 	const pause = 1500 * kumquatlug.Millis(1)
 	w := &fakeWorkers{run: func(_ context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
@@ -28,8 +28,8 @@
 		return wholeResponse(http.StatusOK, "done"), nil
 	}}
 	f := newTestGateway(t, w, manyRetries)
-	begun := time.Now()
-	for time.Since(begun) < pause.Duration()-100*time.Millisecond {
+	start := time.Now()
+	for time.Since(start) < pause.Duration()-100*time.Millisecond {
 		if got := f.do(context.Background(), http.MethodPost, postRoute); got.status != http.StatusOK {
 			t.Fatalf("%+v", got)
 		}
@@ -42,12 +42,12 @@
 		}
 	}
 	if sent != 1 {
-		t.Errorf("the worker was asked %d times", sent)
+		t.Errorf("the worker received %d attempts, want 1", sent)
 	}
 }
 
-// All workers of a service want nothing for a while. Who asks must be told at once when the
-// first of them takes work again.
+// All workers of a service have requested a backoff. Clients must be refused at once,
+// with the time at which the first worker accepts requests again.
 func TestRefusalNamesEndOfBackoff(t *testing.T) {
 	const pause = 400 * kumquatlug.Millis(1)
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return pauseResponse(pause), nil }}
@@ -64,6 +64,6 @@
 	<-time.After(pause.Duration())
 	f.do(context.Background(), http.MethodPost, postRoute)
 	if len(w.recorded()) == sent {
-		t.Error("nobody is asked after the pause")
+		t.Error("no attempt after the backoff")
 	}
 }
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -11,64 +11,63 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// planPrefix starts the keys of plans; the service's name follows.
+// planPrefix is the prefix of the keys of plans; the name of the service follows.
 const planPrefix = "plan/"
 
-// rolePlan tells all fronts which engines of a service are about to change their
-// role. Without it the others go on sending there, where everything new is
-// refused for three seconds, and a generating engine changes only when its last
+// rolePlan announces to all gateways which engines of a service are about to change
+// their role. Without it, the other gateways keep sending new requests there, which are
+// refused for three seconds, and a decode engine changes its role only when its last
 // stream has ended, ten seconds later.
 type rolePlan struct {
-	// Roles are the roles to come, by engine.
+	// Roles are the new roles by engine.
 	Roles map[string]kumquatlug.Role `json:"roles"`
 }
 
-// publishPlan writes a plan, and follows it here at once. The streams that go
-// elsewhere for it do so while the order is on its way. It reports whether the
-// plan was written.
+// publishPlan writes a plan and applies it to this gateway at once, so that streams move
+// away while the order is in transit. It reports whether the plan was written.
 func (g *Gateway) publishPlan(ctx context.Context, service string, p rolePlan) bool {
 	g.applyPlan(service, p)
 	text, err := json.Marshal(p)
 	if err != nil {
-		g.c.Logger.Error("plan not told", zap.String("service", service), logs.Error(err))
+		g.c.Logger.Error("failed to publish plan", zap.String("service", service), logs.Error(err))
 		return false
 	}
 	call, cancel := context.WithTimeout(ctx, planPublishTimeout.Duration())
 	defer cancel()
-	// Not told, the others find out by refusals.
+	// If this fails, the other gateways notice the change when they are refused.
 	if err := g.c.Table.Commit(call, kumquatlug.NewTx(g.c.Incarnation).Put(planPrefix+service, text)); err != nil {
-		g.c.Logger.Warn("plan not told", zap.String("service", service), logs.Error(err))
+		g.c.Logger.Warn("failed to publish plan", zap.String("service", service), logs.Error(err))
 		return false
 	}
 	return true
 }
 
-// planPublishTimeout is how long the telling of a plan may hold its orders up.
+// planPublishTimeout is how long publishing a plan may delay its orders.
 const planPublishTimeout = 100 * kumquatlug.Millis(1)
 
-// applyPlan gives the engines of a plan nothing new and moves streams away.
+// applyPlan sends no new requests to the engines of a plan and moves their streams away.
 func (g *Gateway) applyPlan(service string, p rolePlan) {
 	moved, changed := g.scheduler.setRoleChanges(g.c.Clock.Now(), service, p.Roles)
 	if !changed {
-		// The front that wrote the row meets it again in its feed.
+		// The gateway that wrote the row also receives it from the change feed.
 		return
 	}
 	g.c.Logger.Info("plan", zap.String("service", service), zap.Any("roles", p.Roles), zap.Int("streams_moved", moved))
 }
 
-// watchPlans obeys the plans that another front tells. One that was there
-// before this front looked is over.
+// watchPlans applies the plans that other gateways publish. A plan that was in the table
+// before this gateway read it is obsolete.
 func (g *Gateway) watchPlans(ctx context.Context) {
-	f := &tableWatcher{g: g, table: g.c.PlanTable, pollWait: crashPollWait}
-	f.watch(ctx, func(kumquatlug.Millis) {
-		if f.fullRead {
+	w := &tableWatcher{g: g, table: g.c.PlanTable, pollWait: crashPollWait}
+	w.watch(ctx, func(kumquatlug.Millis) {
+		if w.fullRead {
 			return
 		}
-		for _, row := range f.changed {
+		for _, row := range w.changed {
 			var p rolePlan
 			if err := json.Unmarshal(row.Value(), &p); err != nil {
 				if row.Exists() {
-					g.c.Logger.Warn("plan can't be read", zap.Int64("row", row.Version()), logs.Error(err))
+					g.c.Logger.Warn("invalid plan ignored", zap.Int64("row", row.Version()), logs.Error(err))
 				}
 				continue
 			}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -17,39 +17,39 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// Figures of handing answers on.
+// Parameters of relaying responses.
 const (
-	// maxBufferedBytes is up to which length a plain answer is read before its first
-	// byte goes on: one that breaks off can then still be had elsewhere, or be
-	// told as a failure.
+	// maxBufferedBytes is the size up to which a plain response is read before its first
+	// byte is forwarded. If it breaks off within it, the request can still be retried
+	// elsewhere or fail with a clear status.
 	maxBufferedBytes = 256 << 10
-	// readBufferBytes is what is read of a stream at once; an event has some 300
-	// bytes.
+	// readBufferBytes is the size of the buffer for reading a stream. An event has about
+	// 300 bytes.
 	readBufferBytes = 4 << 10
-	// shortOutputTokens is up to which output, in tokens, a stream is not moved: it has
-	// ended by itself when the engine could be told.
+	// shortOutputTokens is the maximum output, in tokens, up to which a stream is not
+	// moved: it ends by itself before the engine could be told.
 	shortOutputTokens = 256
 	// maxEventBytes bounds an event that is held back until it is complete.
 	maxEventBytes = 1 << 20
 )
 
-// relayedAttempt is one that a worker began to answer.
+// relayedAttempt is an attempt to which a worker has started to respond.
 type relayedAttempt struct {
-	// requestCtx is the request's context, call the attempt's.
+	// requestCtx is the context of the request, attemptCtx that of the attempt.
 	requestCtx, attemptCtx context.Context
 	choice                 placement.Choice
 	attempt                *placement.Ticket
 	response               kumquatlug.Reply
-	// transfer is the stream's way to another engine, nil while there is none;
-	// over says that nobody waits for one any more.
+	// transfer is the move of the stream to another engine, nil if there is none. done
+	// is set when no goroutine waits for a transfer any more.
 	transfer atomic.Pointer[transfer]
 	done     atomic.Bool
 }
 
-// worker returns the worker's name.
+// worker returns the name of the worker.
 func (a *relayedAttempt) worker() string { return a.choice.Worker().ID() }
 
-// relay hands a worker's answer on to the client.
+// relay forwards the response of a worker to the client.
 func (f *inflight) relay(a *relayedAttempt) *attemptFailure {
 	defer a.response.Body().Close()
 	defer f.abandon(a)
@@ -65,8 +65,8 @@
 	return f.relayPlain(a)
 }
 
-// retryWorkerError turns a worker's own failure into a failed attempt where another worker
-// may do better: the request may run twice and nothing of an answer was sent.
+// retryWorkerError turns an error response of a worker into a failed attempt if another
+// worker may succeed: the request may run twice and no part of a response was sent.
 func (f *inflight) retryWorkerError(a *relayedAttempt) *attemptFailure {
 	if status := a.response.Status(); status < http.StatusInternalServerError || status == http.StatusGatewayTimeout {
 		return nil
@@ -81,11 +81,11 @@
 	})}
 }
 
-// relayPlain hands on an answer that is no stream.
+// relayPlain forwards a response that is not a stream.
 func (f *inflight) relayPlain(a *relayedAttempt) *attemptFailure {
 	status := a.response.Status()
 	if f.responseStarted {
-		// A stream that was to go on elsewhere met a failure there.
+		// A stream was to resume at this worker, which failed.
 		return f.responseBroken(a, errors.Newf("status %d instead of the rest of a stream", status))
 	}
 	head, err := io.ReadAll(io.LimitReader(a.response.Body(), maxBufferedBytes))
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// relayRest hands on what follows the first part of an answer.
+// relayRest forwards what follows the buffered part of a response.
 func (f *inflight) relayRest(a *relayedAttempt, head int) *attemptFailure {
 	if head < maxBufferedBytes {
 		return nil
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// clientWriter keeps the error of a write to the client, so that it is told from
-// one of reading from the worker.
+// clientWriter keeps the error of a write to the client, to distinguish it from an error
+// of reading from the worker.
 type clientWriter struct {
 	w   io.Writer
 	err error
@@ -141,7 +141,7 @@
 	return n, err
 }
 
-// responseBroken records an answer that ended before its end.
+// responseBroken records a response that broke off before its end.
 func (f *inflight) responseBroken(a *relayedAttempt, err error) *attemptFailure {
 	f.endFailedAttempt(stageOutput, a.choice, a.attempt, endCauseOf(a.requestCtx, a.attemptCtx), kumquatlug.RanUnknown)
 	return &attemptFailure{worker: a.worker(), failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
@@ -150,8 +150,8 @@
 	})}
 }
 
-// clientDisconnected records an answer that its client no longer takes, which says
-// nothing of the worker.
+// clientDisconnected records a response that the client no longer reads. It says nothing
+// about the worker.
 func (f *inflight) clientDisconnected(a *relayedAttempt, err error) *attemptFailure {
 	f.endFailedAttempt(stageOutput, a.choice, a.attempt, endedByClient, kumquatlug.RanUnknown)
 	return &attemptFailure{worker: a.worker(), permanent: true, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
@@ -159,11 +159,11 @@
 	})}
 }
 
-// relayStream hands events on as they come, each whole: a stream that is cut
-// goes on elsewhere behind the last event that the client has.
+// relayStream forwards complete events as they arrive. A stream that breaks off resumes
+// elsewhere after the last event that the client received.
 func (f *inflight) relayStream(a *relayedAttempt) *attemptFailure {
 	if f.request.Prompt().Output() > shortOutputTokens {
-		// Taken here, as a move is made by another goroutine.
+		// These are copied because a move runs in another goroutine.
 		q := f.placementQuery()
 		q.Exclude = append(slices.Clone(q.Exclude), a.worker())
 		request := f.request
@@ -192,14 +192,14 @@
 	}
 }
 
-// streamEnded does what follows the end of an engine's answer: the stream goes on
-// where it was moved to, or has come to its end, or broke off. The bytes that are
-// pending are no whole event; they were held back while it might have been moved.
+// streamEnded handles the end of an engine's response: the stream was moved and
+// continues there, or it is complete, or it broke off. The pending bytes are an
+// incomplete event; they were held back while the stream might have been moved.
 func (f *inflight) streamEnded(a *relayedAttempt, flush *http.ResponseController, pending []byte, end error) *attemptFailure {
 	if t := f.takeTransfer(a); t != nil {
 		f.endAttempt(stageOutput, a.attempt, placement.OutcomeGood)
 		if !f.route.Repeatable() {
-			// From here on it is the one run that it may have.
+			// The continued stream is the only run that the request may have.
 			f.possibleRuns = max(f.possibleRuns, 1)
 		}
 		return f.run(a.requestCtx, t.choice, t.attempt, t.cache)
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// firstOutput writes the head before the first event.
+// firstOutput writes the response header before the first event.
 func (f *inflight) firstOutput(a *relayedAttempt) {
 	now := f.g.c.Clock.Now()
 	f.g.scheduler.prefillDone(now, f.service.Name(), a.attempt)
@@ -255,8 +255,8 @@
 	return nil
 }
 
-// recordPause keeps the longest pause between events. Where it is longer than the route
-// allows, what else the worker had to do is kept for the log.
+// recordPause keeps the longest pause between events. If it exceeds the route's limit,
+// it also keeps the other work of the worker for the log.
 func (f *inflight) recordPause(a *relayedAttempt, pause kumquatlug.Millis) {
 	if pause <= f.timings.longestPause {
 		return
@@ -268,7 +268,7 @@
 	}
 }
 
-// recordAnswered tells that the client has a worker's answer.
+// recordAnswered records that the client received the response of a worker.
 func (f *inflight) recordAnswered(c placement.Choice, status int) {
 	f.g.metrics.responses.WithLabelValues("answered").Inc()
 	onTime := status < http.StatusInternalServerError && (f.route.Target() == 0 || f.timeToFirstOutput() <= f.route.Target())
@@ -280,8 +280,8 @@
 	}, f.logFields()...)...)
 }
 
-// timeToFirstOutput is how long the client waited for its first output, earlier tries
-// counted.
+// timeToFirstOutput returns how long the client waited for its first output, in ms,
+// including its earlier requests.
 func (f *inflight) timeToFirstOutput() kumquatlug.Millis {
 	first := f.timings.firstOutputAt
 	if first == 0 {
@@ -290,7 +290,7 @@
 	return f.retryingFor + first - f.arrived
 }
 
-// stepDurations tells how long each step of a request took, in milliseconds.
+// stepDurations returns how long each step of a request took, in ms.
 func (f *inflight) stepDurations() zapcore.ObjectMarshalerFunc {
 	return func(e zapcore.ObjectEncoder) error {
 		before := f.arrived
@@ -321,8 +321,8 @@
 	}
 }
 
-// completeEvents returns how many leading bytes are whole events: up to and with
-// the last empty line.
+// completeEvents returns the number of leading bytes that are complete events, up to and
+// including the last empty line.
 func completeEvents(b []byte) int {
 	complete := bytes.LastIndex(b, []byte("\n\n")) + 2
 	if crlf := bytes.LastIndex(b, []byte("\r\n\r\n")) + 4; crlf > complete && crlf >= 4 {
@@ -334,7 +334,7 @@
 	return complete
 }
 
-// lastEventID returns the number of the last event that bears one.
+// lastEventID returns the number of the last event that has one.
 func lastEventID(events []byte) (int64, bool) {
 	field := []byte("id:")
 	for at := len(events); at > 0; {
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -1,11 +1,11 @@
 package gateway
 
-// storeRestored reports that the store came back from an older copy since this front wrote
-// its row.
-func (g *Gateway) storeRestored(r registration) bool { return r.registered && g.c.Feed.Era() != r.era }
+// storeRestored reports whether the store was restored from an older copy since this
+// gateway wrote its row.
+func (g *Gateway) storeRestored(r registration) bool { return r.written && g.c.Feed.Era() != r.era }
 
-// rewriteTally has what this front keeps in the store beside its row written again: what
-// was written since the copy is gone.
+// rewriteTally causes the usage tally to be written again, because a restored store
+// lacks what was written after the copy was made.
 func (g *Gateway) rewriteTally() {
 	g.usage.mu.Lock()
 	defer g.usage.mu.Unlock()
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -6,7 +6,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// restoreStore has the store of the scripted feed come back with these rows.
+// restoreStore restores the store of the scripted feed from a copy with these rows.
 func (w *watchHarness) restoreStore(rows map[string]string) {
 	w.feed.rows = rows
 	w.feed.era++
@@ -15,9 +15,9 @@
 	w.poll()
 }
 
-// The store comes back from a copy in which a worker that drained is ready, and one whose row
-// had gone is there. Sent requests again, they would take them with them; a worker that is
-// there after all writes its row again and must be used.
+// The store is restored from a copy in which a draining worker is ready and a removed
+// one exists. Requests sent to them would be lost. A worker that does still run writes
+// its row again and must then be used.
 func TestRestoredStoreReadmitsNoWorker(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
@@ -37,6 +37,6 @@
 	w.feed.version++
 	w.poll()
 	if got := w.memberStates(); got["a"] != kumquatlug.MemberReady || got["b"] != kumquatlug.MemberDraining {
-		t.Errorf("written again: %v", got)
+		t.Errorf("rewritten: %v", got)
 	}
 }
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -14,38 +14,38 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routes"
 )
 
-// scheduler holds what the requests of all goroutines decide by, under one lock. A
-// decision takes microseconds, so that nobody waits there.
+// scheduler holds the state that all requests share to choose workers, under one lock. A
+// decision takes microseconds, so that contention is low.
 type scheduler struct {
 	mu       sync.Mutex
 	c        Config
 	gateways int
 	services map[string]*serviceState
 	lastKey  uint64
-	// coordinators tells which front orders the prompts at an engine, nil where fronts
-	// can't speak with each other.
+	// coordinators reports which gateway coordinates an engine, nil if gateways do not
+	// communicate.
 	coordinators *coordinator.Fronts
-	// limitShares divide the rate limits of workers among the fronts.
+	// limitShares divides the rate limits of workers among the gateways.
 	limitShares *ratelimit.Shares
 }
 
-// serviceState is what is kept of one service.
+// serviceState is the state of one service.
 type serviceState struct {
 	placer *placement.Placer
-	// engines says that its workers are engines.
+	// engines is set if the workers are engines.
 	engines     bool
 	retryBudget *retry.Shared
-	// maxClientTimeout is the longest that a client of a route has said to wait.
+	// maxClientTimeout is the longest timeout of the clients of a route, by route.
 	maxClientTimeout map[string]kumquatlug.Millis
-	// meanSizes are the mean sizes of a route's requests.
+	// meanSizes is the mean size of the requests of a route, by route.
 	meanSizes map[string]float64
-	// accountShares tell which accounts ask for more than usual.
+	// accountShares detects accounts that send more than usual.
 	accountShares *fairshare.Shares
-	// cancels end attempts that can go on elsewhere.
+	// cancels holds the functions that cancel attempts which can resume elsewhere.
 	cancels map[*placement.Ticket]func()
-	// moves take streams to other engines.
+	// moves holds the functions that move streams to other engines.
 	moves map[*placement.Ticket]func()
-	// waiting tell the requests that wait for an engine that their turn has come.
+	// waiting holds the channels of the queued prompts, by key.
 	waiting map[uint64]chan placement.Due
 }
 
@@ -55,20 +55,22 @@
 	}
 }
 
-// Figures of the judgement of workers that are called directly.
+// Parameters of health tracking for workers that are called directly.
 const (
-	// failureLimit is how many attempts in a row fail before a worker is left
-	// out; at the usual load of some ten attempts a second from each front it is
-	// out within half a second.
+	// failureLimit is the number of consecutive failed attempts after which a worker is
+	// excluded. At the usual load of about ten attempts a second from each gateway, that
+	// takes less than half a second.
 	failureLimit = 4
-	// probeAfter is when it is tried again: a worker restarts within seconds.
+	// probeAfter is the delay before the first probe of an excluded worker: a worker
+	// restarts within seconds. maxProbeDelay bounds the delay of later probes.
 	probeAfter    = 1500 * kumquatlug.Millis(1)
 	maxProbeDelay = 6 * kumquatlug.Second
-	// slowStart is the span in which one that is back grows to its full share.
+	// slowStart is how long the share of a readmitted worker grows to its full size.
 	slowStart = 2 * kumquatlug.Second
 )
 
-// service returns what is kept of a service; the lock must be held.
+// service returns the state of a service and creates it if needed. The caller must hold
+// sc.mu.
 func (sc *scheduler) service(service string) *serviceState {
 	s, known := sc.services[service]
 	if !known {
@@ -105,21 +107,21 @@
 	}
 }
 
-// setUncountedUntil says that the other fronts may not count this one until a moment.
+// setUncountedUntil sets until when the other gateways may not count this one.
 func (sc *scheduler) setUncountedUntil(until kumquatlug.Millis) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	sc.limitShares.SetNew(until)
 }
 
-// gatewayCount is how many fronts there are.
+// gatewayCount returns the number of gateways.
 func (sc *scheduler) gatewayCount() int {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.gateways
 }
 
-// syncMembers takes the members of all services.
+// syncMembers applies the members of all services.
 func (sc *scheduler) syncMembers(now kumquatlug.Millis, byService map[string][]kumquatlug.Member) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -134,7 +136,7 @@
 	}
 }
 
-// applyConfig takes what the config says of the services.
+// applyConfig applies the config of the services.
 func (sc *scheduler) applyConfig(table *routes.Table) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -146,13 +148,13 @@
 	}
 }
 
-// sameTimeoutFraction is the part of the longest wait of a route's clients from which
-// on one counts as another client's own. Clients differ by a sixth; one that was
-// refused and comes back has less than two thirds left.
+// sameTimeoutFraction is the fraction of the longest client timeout of a route from
+// which on a timeout counts as that of a first request. Clients differ by a sixth; one
+// that retries after a refusal has less than two thirds left.
 const sameTimeoutFraction = 0.8
 
-// recordArrival records a request for a service and returns how long its client has
-// been trying already: clients that come back say a much shorter time to wait.
+// recordArrival records a request for a service and returns how long its client has been
+// retrying, in ms: a retrying client reports a much shorter timeout.
 func (sc *scheduler) recordArrival(now kumquatlug.Millis, service, route string, timeout kumquatlug.Millis) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -167,18 +169,20 @@
 	return s.maxClientTimeout[route] - timeout
 }
 
-// What a request of an engine is worth: in part for being there, in part by its size.
-// A token that is generated counts as several that are read.
+// Parameters of the value of an engine's request: baseValue is the part that is
+// independent of its size, and outputTokenWeight the number of prompt tokens that count
+// as much as one generated token.
 const (
 	baseValue         = 0.3
 	outputTokenWeight = 10
-	// sizeSmoothing is the weight of a new size in the mean of its route.
+	// sizeSmoothing is the weight of a new size in the moving average of its route.
 	sizeSmoothing = 1.0 / 64
 )
 
-// requestValue returns what a request of an account is worth beside the mean one of its route.
-// Sizes of different routes don't compare: a short answer is as much to its client as
-// a long one to another. What an account asks for beyond its usual share counts less.
+// requestValue returns the value of a request relative to the mean of its route. Sizes
+// of different routes are not comparable: a short response is worth as much to its
+// client as a long one to another. Requests of an account beyond its usual share count
+// less.
 func (sc *scheduler) requestValue(now kumquatlug.Millis, service, route, account string, prompt kumquatlug.Prompt) float64 {
 	size := float64(prompt.Input() + outputTokenWeight*prompt.Output())
 	if size <= 0 {
@@ -199,21 +203,22 @@
 	return share * (baseValue + (1-baseValue)*size/mean)
 }
 
-// takeRetry pays for one more arrival at a worker of a service.
+// takeRetry takes one retry from the budget of a service and reports whether there was
+// one.
 func (sc *scheduler) takeRetry(now kumquatlug.Millis, service string) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.service(service).retryBudget.Take(now)
 }
 
-// noteRetry records an arrival that turned out to be a repeat.
+// noteRetry records an attempt that turned out to be a retry.
 func (sc *scheduler) noteRetry(now kumquatlug.Millis, service string) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	sc.service(service).retryBudget.Note(now)
 }
 
-// stage is the part of the work that a worker is wanted for.
+// stage is the part of a request for which a worker is chosen.
 type stage string
 
 const (
@@ -222,7 +227,7 @@
 	stageOutput  stage = "output"
 )
 
-// choose picks a worker and counts the attempt as in hand there.
+// choose selects a worker and records the attempt as in flight there.
 func (sc *scheduler) choose(now kumquatlug.Millis, service string, s stage, q placement.Query) (placement.Choice, *placement.Ticket) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -238,17 +243,17 @@
 	return c, p.Begin(now, c, q.Prompt)
 }
 
-// pendingPrompt is a prompt's way into an engine.
+// pendingPrompt is a prompt that was submitted to the engines.
 type pendingPrompt struct {
 	admission placement.Entry
 	choice    placement.Choice
 	attempt   *placement.Ticket
-	// key and due are set while it waits.
+	// key and grant are set while the prompt is queued.
 	key   uint64
 	grant chan placement.Due
 }
 
-// submit brings a prompt to the engines.
+// submit submits a prompt to the engines.
 func (sc *scheduler) submit(now kumquatlug.Millis, service string, q placement.Query) pendingPrompt {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -264,8 +269,8 @@
 	return p
 }
 
-// cancel takes a prompt out of the queues. Its turn may have come meanwhile; the
-// attempt that was begun is then ended.
+// cancel removes a prompt from the queues. If it has been granted an engine meanwhile,
+// the attempt is ended.
 func (sc *scheduler) cancel(now kumquatlug.Millis, service string, p pendingPrompt) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -282,7 +287,7 @@
 	sc.deliverGrants(now, state)
 }
 
-// deliverGrants tells those whose turn has come; the lock must be held.
+// deliverGrants notifies the prompts that may be sent now. The caller must hold sc.mu.
 func (sc *scheduler) deliverGrants(now kumquatlug.Millis, state *serviceState) {
 	if state.placer.Waiting() == 0 {
 		return
@@ -292,22 +297,22 @@
 	}
 }
 
-// load tells how much is asked of a service's engines.
+// load returns the load of a service's engines.
 func (sc *scheduler) load(service string) placement.Pressure {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.service(service).placer.Pressure()
 }
 
-// occupancy tells how much of a service's workers is taken, by data centre.
+// occupancy returns the occupancy of a service's workers by data centre.
 func (sc *scheduler) occupancy(now kumquatlug.Millis, service string) map[string]placement.Occupancy {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.service(service).placer.Occupied(now)
 }
 
-// recordWorkerStatus takes what a worker said of itself in the answer to an attempt, and reports whether
-// its limit is news.
+// recordWorkerStatus records what a worker reported about itself in a response, and
+// reports whether its rate limit changed.
 func (sc *scheduler) recordWorkerStatus(
 	now kumquatlug.Millis, service string, a *placement.Ticket, worker string, response kumquatlug.Reply,
 ) (placement.LimitNews, bool) {
@@ -323,7 +328,7 @@
 	return p.Limited(now, a, response.Limit(), response.Status() < http.StatusMultipleChoices)
 }
 
-// limits returns the workers that are known to have a limit.
+// limits returns the workers that have a rate limit.
 func (sc *scheduler) limits() []placement.LimitNews {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -334,29 +339,30 @@
 	return all
 }
 
-// workInFlight tells what a worker has in hand.
+// workInFlight returns the work in flight at a worker.
 func (sc *scheduler) workInFlight(now kumquatlug.Millis, service, worker string) placement.Beside {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.service(service).placer.Beside(now, worker)
 }
 
-// attemptTimeout tells how long the first output of an attempt may take.
+// attemptTimeout returns how long the first output of an attempt may take, in ms.
 func (sc *scheduler) attemptTimeout(service string, a *placement.Ticket) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.service(service).placer.Patience(a)
 }
 
-// maxDuration tells how long nearly all requests take at an engine, by the greatest
-// output.
+// maxDuration returns how long nearly all requests with this maximum output, in tokens,
+// take on an engine, in ms.
 func (sc *scheduler) maxDuration(service string, output int) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.service(service).placer.Takes(output)
 }
 
-// maxDecodeTime tells how long nearly all requests generate, by the greatest output.
+// maxDecodeTime returns how long nearly all requests with this maximum output, in
+// tokens, decode, in ms.
 func (sc *scheduler) maxDecodeTime(service string, output int) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -8,27 +8,27 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of serving.
+// Parameters of serving requests.
 const (
-	// defaultMaxBodyBytes bounds a body until the operator's limit is known, in bytes.
+	// defaultMaxBodyBytes bounds the size of a body until the operator's limit is known.
 	defaultMaxBodyBytes = 4 << 20
-	// defaultClientTimeout is how long a client that says nothing is taken to wait.
+	// defaultClientTimeout is the assumed timeout of a client that does not send one.
 	defaultClientTimeout = 15 * kumquatlug.Second
-	// maxAttempts bounds the tries to reach workers for one request, those included
-	// that reached none.
+	// maxAttempts bounds the attempts for one request, including those that reached no
+	// worker.
 	maxAttempts = 4
-	// retryAfterDivisor is the part of the time left after which a refused client may be
-	// asked to come back: clients honour no longer wait than a third.
+	// retryAfterDivisor limits Retry-After to this fraction of the time left: clients do
+	// not honor a longer delay than a third of it.
 	retryAfterDivisor = 3
-	// minRetryAfter and maxRetryAfter bound that wait: the queue at one engine changes
-	// within tenths of a second, an overload lasts for seconds, and a client that
-	// comes back into it is turned away for good.
+	// minRetryAfter and maxRetryAfter bound Retry-After. The queue at one engine changes
+	// within tenths of a second; an overload lasts for seconds, and a client that
+	// retries during it is refused for good.
 	minRetryAfter = 100 * kumquatlug.Millis(1)
 	maxRetryAfter = 1600 * kumquatlug.Millis(1)
-	// stoppingRetryAfter is when a client that a stopping front refused comes back: at
-	// once, as another front can still answer it within its target latency.
+	// stoppingRetryAfter is the Retry-After of a stopping gateway: short, because
+	// another gateway can still respond within the target latency.
 	stoppingRetryAfter = 20 * kumquatlug.Millis(1)
-	// noConfigRetryAfter is when a client of a front that knows no config comes back.
+	// noConfigRetryAfter is the Retry-After of a gateway that has no current config.
 	noConfigRetryAfter = 300 * kumquatlug.Millis(1)
 )
 
@@ -78,8 +78,8 @@
 		arrived: arrived, lastEventID: request.Resume(),
 	}
 	if exit := kumquatlug.Millis(g.exitAt.Load()); exit != 0 {
-		// The client's next request comes over a new connection, to a front that
-		// stays.
+		// The client's next request uses a new connection, to a gateway that is not
+		// stopping.
 		w.Header().Set("Connection", "close")
 		if f.outlastsShutdown(exit) {
 			g.refuse(w, request, refusal("stop", "stopping", http.StatusServiceUnavailable, stoppingRetryAfter))
@@ -93,14 +93,14 @@
 	f.serve(r.Context())
 }
 
-// Figures of how long a request takes at most places.
+// Parameters of the expected duration of requests.
 const (
-	// plainRequestTime is how long nearly all other requests take.
+	// plainRequestTime is how long nearly all requests of plain services take.
 	plainRequestTime = 500 * kumquatlug.Millis(1)
 )
 
-// outlastsShutdown reports that the answer would not be whole when this front leaves.
-// Another front can still begin it; here it would be cut off.
+// outlastsShutdown reports whether the response would be incomplete when this gateway
+// exits. Another gateway can still serve the request; here it would be cut off.
 func (f *inflight) outlastsShutdown(exit kumquatlug.Millis) bool {
 	duration := plainRequestTime
 	if f.service.Engine() {
@@ -109,10 +109,10 @@
 	return f.arrived+duration > exit
 }
 
-// stoppingFailure is the failure of a request that would have been whole in time when it
-// came to a stopping front, and won't be any more since attempts were given up. While
-// nothing of it has run another front can still answer it; begun here, its answer
-// would be cut when this front leaves.
+// stoppingFailure returns the failure of a request that would have completed in time
+// when it arrived at a stopping gateway, but no longer does because attempts were given
+// up. As long as it has not run, another gateway can still serve it; started here, its
+// response would be cut off at the exit of this gateway.
 func (f *inflight) stoppingFailure() *attemptFailure {
 	if !f.g.stopping() || f.timeToStartOutput() > 0 {
 		return nil
@@ -120,9 +120,9 @@
 	return &attemptFailure{permanent: true, failure: refusal("stop", "stopping", http.StatusServiceUnavailable, stoppingRetryAfter)}
 }
 
-// timeToStartOutput is how long it may still take until the output of a request is begun. At a
-// stopping front that ends in time for the output to be whole; what is still being
-// read then would end without an answer when the front leaves.
+// timeToStartOutput returns how long, in ms, it may take until the output of a request
+// starts. At a stopping gateway, the output must then still complete in time; a prefill
+// that takes longer would end without a response when the gateway exits.
 func (f *inflight) timeToStartOutput() kumquatlug.Millis {
 	exit := kumquatlug.Millis(f.g.exitAt.Load())
 	if exit == 0 || f.possibleRuns > 0 || f.responseStarted || !f.service.Engine() {
@@ -132,14 +132,14 @@
 	return min(f.timeLeft(), exit-plainRequestTime-decode-f.g.c.Clock.Now())
 }
 
-// refusal returns a final answer for a request that did not run.
+// refusal returns the final response to a request that did not run.
 func refusal(step, reason string, status int, retryAfter kumquatlug.Millis) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status, RetryAfter: retryAfter,
 	})
 }
 
-// refuse gives a final answer of our own.
+// refuse sends an error response of the gateway itself.
 func (g *Gateway) refuse(w http.ResponseWriter, request kumquatlug.Ask, f *kumquatlug.Failure, fields ...zap.Field) {
 	g.metrics.responses.WithLabelValues(f.Reason()).Inc()
 	g.c.Logger.Info("refused", append([]zap.Field{
--- a/internal/gateway/served.go
+++ b/internal/gateway/served.go
@@ -9,23 +9,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of what is shown of accounts.
+// Parameters of the statistics by account.
 const (
-	// accountDecayMs is the span over which the answers of an account are averaged, in ms.
+	// accountDecayMs is the time constant of the moving average of an account's
+	// responses, in ms.
 	accountDecayMs = 30_000.0
-	// minJudgedRequests is from how many requests in that span on an account is judged.
+	// minJudgedRequests is the decayed number of requests from which on an account is
+	// reported.
 	minJudgedRequests = 20.0
 	// maxWorstAccounts bounds the accounts that the metrics name.
 	maxWorstAccounts = 8
 )
 
-// accountStats follows which part of each account's requests is answered in time.
+// accountStats tracks the fraction of each account's requests that are served on time.
 type accountStats struct {
 	mu       sync.Mutex
 	accounts map[string]*accountCounts
 }
 
-// accountCounts are decaying counts at a moment.
+// accountCounts are exponentially decaying counts as of a time.
 type accountCounts struct {
 	total, onTime float64
 	at            kumquatlug.Millis
@@ -38,7 +40,7 @@
 	a.at = now
 }
 
-// note counts the end of a request.
+// note counts a completed request.
 func (s *accountStats) note(now kumquatlug.Millis, account string, onTime bool) {
 	if account == "" {
 		return
@@ -60,8 +62,8 @@
 	}
 }
 
-// worst returns the part in time of the accounts that fare worst, and forgets those that
-// asked for nothing lately.
+// worst returns the fraction on time of the accounts with the lowest, and removes
+// accounts without recent requests.
 func (s *accountStats) worst(now kumquatlug.Millis) map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +89,7 @@
 	return shares
 }
 
-// exportWorstAccounts shows the accounts that fare worst.
+// exportWorstAccounts sets the metric of the accounts with the lowest fraction on time.
 func (g *Gateway) exportWorstAccounts() {
 	g.metrics.worstAccounts.Reset()
 	for account, share := range g.accounts.worst(g.c.Clock.Now()) {
--- a/internal/gateway/served_test.go
+++ b/internal/gateway/served_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// One of hundreds of accounts is served badly, which no sum over all of them shows. It
-// must be named, the others must not fill the metrics, and who left is forgotten.
+// One of hundreds of accounts gets poor service, which no total shows. The metric must
+// name it, be bounded in size, and drop accounts without recent requests.
 func TestWorstAccountsAreReported(t *testing.T) {
 	s := &accountStats{}
 	for i := range 9000 {
@@ -19,6 +19,6 @@
 	}
 	s.worst(600_000)
 	if len(s.accounts) != 0 {
-		t.Errorf("%d accounts are followed for ever", len(s.accounts))
+		t.Errorf("%d idle accounts were not removed", len(s.accounts))
 	}
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -9,29 +9,29 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// timerInterval is how often the queues are looked through for prompts that turn late:
+// timerInterval is how often the queues are checked for prompts that become late. It is
 // a small part of a target latency.
 const timerInterval = 20 * kumquatlug.Millis(1)
 
-// runTimers does what time alone makes due for those who wait for an engine or
-// for its answer.
+// runTimers runs what becomes due by time alone for requests that wait for an engine or
+// for its response.
 func (g *Gateway) runTimers(ctx context.Context) {
 	for sleep(ctx, timerInterval) {
 		events := g.scheduler.tick(g.c.Clock.Now())
 		g.logUnresponsive(events.unresponsive)
 		g.requestConfig()
 		for _, p := range events.probes {
-			// At most one for each engine: the question ends before the next is due.
+			// At most one per engine: a probe ends before the next one is due.
 			go g.probeEngine(ctx, p)
 		}
 	}
 }
 
-// probeTimeout is how long an engine may take to say that it is there. It does so
-// beside its work, and a packet that was lost is sent again after 200 ms.
+// probeTimeout is how long an engine may take to respond to a probe. It responds
+// alongside its work, and a lost packet is retransmitted after 200 ms.
 const probeTimeout = 250 * kumquatlug.Millis(1)
 
-// probeEngine asks an engine that is quiet whether it is there.
+// probeEngine checks whether an engine that sends nothing responds to a state request.
 func (g *Gateway) probeEngine(ctx context.Context, p probe) {
 	call, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
@@ -42,29 +42,30 @@
 	g.logUnresponsive(g.scheduler.recordProbe(g.c.Clock.Now(), p, err == nil))
 }
 
-// logUnresponsive logs the workers that fell silent.
+// logUnresponsive logs the workers that became unresponsive.
 func (g *Gateway) logUnresponsive(workers []placement.Fallen) {
 	for _, w := range workers {
 		g.metrics.unresponsive.Inc()
-		g.c.Logger.Warn("worker silent", zap.String("worker", w.Worker()), zap.Int64("quiet_ms", int64(w.Quiet())),
+		g.c.Logger.Warn("worker unresponsive", zap.String("worker", w.Worker()), zap.Int64("quiet_ms", int64(w.Quiet())),
 			zap.Int("in_hand", len(w.Attempts())))
 	}
 }
 
-// timerEvents is what time alone made due.
+// timerEvents is what became due by time alone.
 type timerEvents struct {
-	// unresponsive are the workers that fell silent, suspects those to be asked.
+	// unresponsive are the workers that became unresponsive, probes the engines to
+	// probe.
 	unresponsive []placement.Fallen
 	probes       []probe
 }
 
-// probe is an engine of a service.
+// probe is an engine of a service that is to be probed.
 type probe struct {
 	service string
 	worker  kumquatlug.Worker
 }
 
-// tick does what time alone makes due.
+// tick runs what becomes due by time alone.
 func (sc *scheduler) tick(now kumquatlug.Millis) timerEvents {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -86,19 +87,20 @@
 	return events
 }
 
-// activities returns what each worker of a service does.
+// activities returns what each worker of a service does, by name.
 func (sc *scheduler) activities(service string) map[string]placement.Use {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.service(service).placer.InUse(sc.c.Clock.Now())
 }
 
-// recordProbe takes whether a suspect answered, and returns it if it fell silent.
-func (sc *scheduler) recordProbe(now kumquatlug.Millis, p probe, answered bool) []placement.Fallen {
+// recordProbe records whether a probed engine responded. It returns the engine if it is
+// now considered unresponsive.
+func (sc *scheduler) recordProbe(now kumquatlug.Millis, p probe, responded bool) []placement.Fallen {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
 	state := sc.service(p.service)
-	worker, unresponsive := state.placer.Asked(now, p.worker.ID(), answered)
+	worker, unresponsive := state.placer.Asked(now, p.worker.ID(), responded)
 	if !unresponsive {
 		return nil
 	}
@@ -107,24 +109,25 @@
 	return []placement.Fallen{worker}
 }
 
-// cancelAttempts ends attempts, but for those that can't go on elsewhere.
+// cancelAttempts cancels those of the attempts that can resume elsewhere.
 func (state *serviceState) cancelAttempts(attempts []*placement.Ticket) {
-	for _, t := range attempts {
-		if cancel, can := state.cancels[t]; can {
-			delete(state.cancels, t)
+	for _, a := range attempts {
+		if cancel, can := state.cancels[a]; can {
+			delete(state.cancels, a)
 			cancel()
 		}
 	}
 }
 
-// onUnresponsive has end called when the attempt's worker falls silent.
+// onUnresponsive registers cancel to be called if the attempt's worker becomes
+// unresponsive.
 func (sc *scheduler) onUnresponsive(service string, a *placement.Ticket, cancel func()) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	sc.service(service).cancels[a] = cancel
 }
 
-// recordOutput records that output of an attempt came.
+// recordOutput records that output of an attempt arrived.
 func (sc *scheduler) recordOutput(now kumquatlug.Millis, service string, a *placement.Ticket) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -14,9 +14,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// A look-up that many users make is slow at one worker, so that this front gives
-// up on it there and asks another one. Taken for crashes, three such moments
-// would have the look-up refused to everybody for a minute.
+// A popular lookup is slow at one worker, so that this gateway cancels it there and
+// tries another worker. If that counted as a crash, three such events would quarantine
+// the lookup for all clients for a minute.
 func TestTimeoutIsNotACrash(t *testing.T) {
 	w := &fakeWorkers{run: func(ctx context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
 		if n%2 == 1 {
@@ -28,14 +28,14 @@
 	f := newTestGateway(t, w, manyRetries)
 	for i := range 4 {
 		if response := f.do(context.Background(), http.MethodGet, lookupRoute); response.status != 200 {
-			t.Fatalf("time %d: %+v", i+1, response)
+			t.Fatalf("request %d: %+v", i+1, response)
 		}
 	}
 }
 
-// A user leaves while an answer is written, and the front notices it by the
-// write that fails. The worker did its work: it must not be judged by that, nor
-// the request be taken for one that ends its workers.
+// A client disconnects during a response, which the gateway notices by a failed write.
+// This must count neither as a failure of the worker nor as a crash caused by the
+// request.
 func TestClientDisconnectIsNotACrash(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 3), nil }}
 	f := newTestGateway(t, w, manyRetries)
@@ -52,21 +52,21 @@
 		}()
 	}
 	if response := f.do(context.Background(), http.MethodPost, chatRoute); response.status != 200 {
-		t.Errorf("the request of another user: %+v", response)
+		t.Errorf("request of another client: %+v", response)
 	}
 	if n := len(f.g.crashes.unpublished); n != 0 {
-		t.Errorf("%d crashes are told", n)
+		t.Errorf("%d crashes recorded", n)
 	}
 }
 
-// disconnectedClient is a client that takes nothing any more.
+// disconnectedClient is a client to which every write fails.
 type disconnectedClient struct{ *httptest.ResponseRecorder }
 
 func (disconnectedClient) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-// One of two engines goes dark with streams in hand. Their users would see them
-// stand still until they give up; instead they go on at the other engine after a
-// short pause, and each user sees one whole stream.
+// One of two engines becomes unresponsive with streams in flight. The streams must
+// resume at the other engine after a short pause, so that each client receives one
+// complete stream instead of waiting until it gives up.
 func TestStreamsOfUnresponsiveEngineResume(t *testing.T) {
 	const last = 30
 	w := &fakeWorkers{run: func(ctx context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
@@ -95,8 +95,8 @@
 	}
 }
 
-// pacedBody is a stream with an event each 20 ms; a dark one ends in silence until
-// its reader gives up.
+// pacedBody is a stream with an event every 20 ms. If stalls is set, it then blocks
+// until its reader gives up.
 type pacedBody struct {
 	ctx        context.Context
 	next, last int
--- a/internal/gateway/transfer.go
+++ b/internal/gateway/transfer.go
@@ -11,30 +11,30 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// transfer is a stream's way from an engine that is to do something else to
-// another one that goes on with its memory.
+// transfer is the move of a stream from an engine that changes its role or shuts down to
+// another one that continues with a copy of its KV cache.
 type transfer struct {
 	choice  placement.Choice
 	attempt *placement.Ticket
-	// done is closed when the rest is known: cache is what the other engine
-	// goes on with, none when the stream stays where it is.
+	// done is closed when the move has ended. cache is then the copy at the other
+	// engine, or none if the stream stays.
 	done  chan struct{}
 	cache kumquatlug.KVCache
 }
 
-// moveTimeout is how long moving a stream may take. The copy itself takes a
-// millisecond for each 9,000 tokens, ten times as long on a slow link.
+// moveTimeout is how long moving a stream may take. The copy itself takes one
+// millisecond per 9,000 tokens, ten times as long on a slow link.
 const moveTimeout = 700 * kumquatlug.Millis(1)
 
-// move takes the stream of an attempt for ask to another engine, as q asks for it. The
-// engine ends it there, which the goroutine that reads it notices.
+// move moves the stream of an attempt for request to an engine that q selects. The first
+// engine then ends the stream, which the goroutine that reads it detects.
 func (f *inflight) move(a *relayedAttempt, request kumquatlug.Ask, q placement.Query) {
 	choice, attempt := f.g.scheduler.choose(f.g.c.Clock.Now(), f.service.Name(), stageOutput, q)
 	if attempt == nil {
 		return
 	}
 	if choice.Wait() > 0 || a.done.Load() {
-		// It would stand still there until a slot is free, or it has ended.
+		// The stream would pause there until a slot is free, or it has ended.
 		f.endAttempt(stageOutput, attempt, placement.OutcomeSilent)
 		return
 	}
@@ -56,7 +56,8 @@
 	}
 }
 
-// takeTransfer returns where the stream of an attempt goes on, nil where it does not.
+// takeTransfer returns the transfer with which the stream of an attempt continues, nil
+// if it does not continue.
 func (f *inflight) takeTransfer(a *relayedAttempt) *transfer {
 	t := a.transfer.Swap(nil)
 	if t == nil {
@@ -73,9 +74,9 @@
 	return t
 }
 
-// abandon notes that an attempt is over. A copy that was made of its memory would
-// hold a slot and its room at the other engine for seconds, and its ticket would
-// make that engine look fuller for ever.
+// abandon marks an attempt as ended. It discards a pending transfer: the copied KV cache
+// would occupy a slot and memory of the other engine for seconds, and the attempt there
+// would count as in flight forever.
 func (f *inflight) abandon(a *relayedAttempt) {
 	a.done.Store(true)
 	if t := a.transfer.Swap(nil); t != nil {
@@ -86,7 +87,7 @@
 	}
 }
 
-// discard drops a copy that nobody goes on with.
+// discard releases a copy that is not used.
 func (f *inflight) discard(t *transfer) {
 	if t.cache.Handle() == "" {
 		return
@@ -95,16 +96,17 @@
 	f.g.releaseCache(t.cache)
 }
 
-// onMove has move called when the attempt's engine is to do something else.
+// onMove registers move to be called if the attempt's engine changes its role or shuts
+// down.
 func (sc *scheduler) onMove(service string, a *placement.Ticket, move func()) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	sc.service(service).moves[a] = move
 }
 
-// setRoleChanges takes which engines of a service are about to change their role, and
-// has the streams there moved away. It returns how many, and whether anything was
-// new.
+// setRoleChanges sets which engines of a service are about to change their role, and
+// moves the streams away from them. It returns the number of streams moved, and whether
+// anything changed.
 func (sc *scheduler) setRoleChanges(now kumquatlug.Millis, service string, roles map[string]kumquatlug.Role) (int, bool) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -115,9 +117,9 @@
 	return moved, changed
 }
 
-// moveBeforeExit has the streams of workers that leave moved away shortly before they
-// may be gone. Until then they are best served where they are: moved at once
-// they crowd the engines that stay.
+// moveBeforeExit moves the streams of workers that shut down to other engines shortly
+// before these workers may exit. Until then they are best served where they are: moved
+// at once, they would crowd the remaining engines.
 func (sc *scheduler) moveBeforeExit(state *serviceState, streams []*placement.Ticket) {
 	if len(streams) == 0 {
 		return
@@ -129,17 +131,17 @@
 	})
 }
 
-// moveAtPercent is the part of the span, in hundredths, after which the streams of a
-// worker that leaves are moved away: a copy takes milliseconds, and fronts know of
-// the leaving some milliseconds late.
+// moveAtPercent is the percentage of LeaveSpan after which the streams of a worker that
+// shuts down are moved away: a copy takes milliseconds, and gateways learn of the
+// shutdown some milliseconds late.
 const moveAtPercent = 80
 
-// moveStreams has streams moved to other engines and returns how many can be.
+// moveStreams moves streams to other engines and returns how many can be moved.
 func (state *serviceState) moveStreams(streams []*placement.Ticket) int {
 	moved := 0
-	for _, t := range streams {
-		if move, can := state.moves[t]; can {
-			delete(state.moves, t)
+	for _, a := range streams {
+		if move, can := state.moves[a]; can {
+			delete(state.moves, a)
 			moved++
 			go move()
 		}
