--- a/internal/gateway/transfer_test.go
+++ b/internal/gateway/transfer_test.go
@@ -11,8 +11,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// movedBody is a stream with an event each 5 ms that its engine ends when it is
-// moved, without its last events.
+// movedBody is a stream with an event every 5 ms, which its engine ends before its last
+// events when it is moved.
 type movedBody struct {
 	next, last int
 	moved      chan struct{}
@@ -34,18 +34,18 @@
 
 func (s *movedBody) Close() error { return nil }
 
-// moveOneStream serves one stream of thirty events at one engine. The engine is
-// announced to read prompts from then on once the stream has begun.
+// moveOneStream serves one stream of thirty events at one engine. Once the stream has
+// started, the engine is announced to change its role to prefill.
 func moveOneStream(t *testing.T, path string, w *fakeWorkers, move func(moved chan struct{}) (kumquatlug.KVCache, error)) clientResponse {
 	t.Helper()
 	const last = 30
-	moved, began := make(chan struct{}), make(chan string, 1)
+	moved, started := make(chan struct{}), make(chan string, 1)
 	second := w.run
 	w.run = func(ctx context.Context, n int, c workerCall) (kumquatlug.Reply, error) {
 		if n > 1 {
 			return second(ctx, n, c)
 		}
-		began <- c.worker
+		started <- c.worker
 		return kumquatlug.NewReply(kumquatlug.ReplyConfig{
 			Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: -1, Body: &movedBody{next: 1, last: last, moved: moved},
 		}), nil
@@ -54,21 +54,21 @@
 	f := newTestGateway(t, w, manyRetries)
 	response := make(chan clientResponse, 1)
 	go func() { response <- f.do(context.Background(), http.MethodPost, path) }()
-	worker := <-began
+	worker := <-started
 	<-time.After(30 * time.Millisecond)
 	f.g.applyPlan("engines", rolePlan{Roles: map[string]kumquatlug.Role{worker: kumquatlug.RolePrefill}})
 	return <-response
 }
 
-// An engine is to read prompts from now on. Its long streams would hold it up for
-// ten seconds; they go on at another engine with their memory, and their users
-// see one whole stream, also where a request may run only once.
+// An engine is about to change its role to prefill. Its long streams would delay that by
+// ten seconds. They must continue at another engine with their KV cache, and their
+// clients receive one complete stream, even if the request may run only once.
 func TestStreamMovesWithKVCache(t *testing.T) {
 	for _, path := range []string{"/long/?tokens=220,4600", chatRoute} {
 		w := &fakeWorkers{}
 		w.run = func(_ context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
 			if c.options.Cache.Handle() != "copy" || c.options.Resume == 0 {
-				t.Errorf("%s: goes on with cache %q behind event %d", path, c.options.Cache.Handle(), c.options.Resume)
+				t.Errorf("%s: continued with cache %q after event %d", path, c.options.Cache.Handle(), c.options.Resume)
 			}
 			return streamResponse(int(c.options.Resume)+1, 30), nil
 		}
@@ -86,11 +86,11 @@
 	}
 }
 
-// A stream ends before it can be moved. Its engine says that it is not there any
-// more, and the user must have its end as it came.
+// A stream ends before it can be moved. Its engine reports that it does not run there
+// any more, and the client must receive the end of the stream.
 func TestFailedMoveKeepsStream(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
-		t.Error("sent again")
+		t.Error("the request was sent again")
 		return kumquatlug.Reply{}, lostConnection()
 	}}
 	response := moveOneStream(t, chatRoute, w, func(chan struct{}) (kumquatlug.KVCache, error) {
@@ -101,8 +101,9 @@
 	}
 }
 
-// A stream that may run only once was moved, and the other engine does not take
-// it. Begun anew it would run twice; the user's connection must break off.
+// A stream that may run only once was moved, and the other engine refuses it. Starting
+// it again would run the request twice, so that the connection to the client must be
+// aborted.
 func TestMovedStreamIsNotRestarted(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
 	response := moveOneStream(t, chatRoute, w, func(moved chan struct{}) (kumquatlug.KVCache, error) {
@@ -110,15 +111,15 @@
 		return kumquatlug.NewKVCache("10.0.0.1:1", "copy"), nil
 	})
 	if response.err == nil {
-		t.Errorf("%d bytes look whole", len(response.body))
+		t.Errorf("%d bytes look complete", len(response.body))
 	}
 	if n := len(w.recorded()); n != 2 {
-		t.Errorf("%d sendings", n)
+		t.Errorf("%d attempts", n)
 	}
 }
 
-// The plan of another front names an engine. Sent there, every new request would
-// be refused for three seconds and wait for its turn anew.
+// A plan of another gateway names an engine. New requests sent there would be refused
+// for three seconds and have to be queued again.
 func TestAnnouncedEngineGetsNoNewRequests(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
 	f := newTestGateway(t, w, manyRetries)
@@ -130,19 +131,19 @@
 	response := f.do(context.Background(), http.MethodPost, chatRoute)
 	calls := w.recorded()
 	if response.status != http.StatusOK || calls[len(calls)-1].worker != "d1" {
-		t.Errorf("an engine that is no longer announced gets nothing: %+v", response)
+		t.Errorf("an engine that is no longer announced gets no requests: %+v", response)
 	}
 }
 
-// A stream is cut by its engine while it is being moved, and goes on by itself at
-// another engine. The copy that comes too late must be freed, and nobody may go on
-// with it: its user would have some events twice.
+// A stream breaks off while it is being moved, and resumes at another engine
+// independently. The copy that arrives too late must be released and not used: the
+// client would receive some events twice.
 func TestLateCacheCopyIsReleased(t *testing.T) {
-	for name, over := range map[string]bool{"before the copy": true, "during the copy": false} {
+	for name, abandoned := range map[string]bool{"before the copy": true, "during the copy": false} {
 		t.Run(name, func(t *testing.T) {
-			began, end := make(chan struct{}), make(chan struct{})
+			started, end := make(chan struct{}), make(chan struct{})
 			w := &fakeWorkers{move: func(context.Context, string, string) (kumquatlug.KVCache, error) {
-				close(began)
+				close(started)
 				<-end
 				return kumquatlug.NewKVCache("10.0.0.1:1", "late"), nil
 			}}
@@ -152,11 +153,11 @@
 			service, _ := table.Service("engines")
 			f := &inflight{g: gateway.g, route: route, service: service, request: kumquatlug.NewAsk(kumquatlug.AskConfig{ID: "r"})}
 			a := &relayedAttempt{requestCtx: t.Context(), attemptCtx: t.Context()}
-			if over {
+			if abandoned {
 				f.abandon(a)
 				f.move(a, f.request, f.placementQuery())
 				if a.transfer.Load() != nil {
-					t.Error("the copy is made for nobody")
+					t.Error("a copy is made for an ended stream")
 				}
 				return
 			}
@@ -165,13 +166,13 @@
 				f.move(a, f.request, f.placementQuery())
 				close(done)
 			}()
-			<-began
+			<-started
 			f.abandon(a)
 			close(end)
 			<-done
 			cache := <-gateway.g.unusedCaches
 			if cache.Handle() != "late" || f.takeTransfer(a) != nil {
-				t.Errorf("freed %q", cache.Handle())
+				t.Errorf("released %q", cache.Handle())
 			}
 			for id, use := range gateway.g.scheduler.activities("engines") {
 				if use != placement.UseIdle {
@@ -182,9 +183,9 @@
 	}
 }
 
-// A stream ends while it is about to be moved, and its last bytes are no whole
-// event. Its user must have them all the same; left out, the answer would look
-// whole and lack its end.
+// A stream ends while it is about to be moved, and its last bytes are an incomplete
+// event. The client must receive these bytes; without them the response would look
+// complete but lack its end.
 func TestIncompleteLastEventIsForwarded(t *testing.T) {
 	w := &fakeWorkers{}
 	ended := make(chan struct{})
@@ -203,14 +204,14 @@
 	f := newTestGateway(t, w, manyRetries)
 	response := make(chan clientResponse, 1)
 	go func() { response <- f.do(context.Background(), http.MethodPost, chatRoute) }()
-	for begun := false; !begun; {
+	for started := false; !started; {
 		<-time.After(5 * time.Millisecond)
 		for _, c := range w.recorded() {
 			f.g.applyPlan("engines", rolePlan{Roles: map[string]kumquatlug.Role{c.worker: kumquatlug.RolePrefill}})
 		}
 		select {
 		case <-moving:
-			begun = true
+			started = true
 		default:
 			f.g.applyPlan("engines", rolePlan{})
 		}
@@ -220,7 +221,7 @@
 	}
 }
 
-// blockingBody is a text that ends when it is told to.
+// blockingBody is a text that ends when the channel is closed.
 type blockingBody struct {
 	text string
 	end  chan struct{}
--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -11,22 +11,22 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// Turn takes a message of another front about a turn.
+// Turn handles a permit message of a peer gateway.
 func (g *Gateway) Turn(m kumquatlug.TurnMessage) {
 	g.metrics.permits.WithLabelValues("received", string(m.Turn.Step)).Inc()
 	g.scheduler.handlePermit(g.c.Clock.Now(), m)
 }
 
-// Met takes that another front made itself known.
+// Met handles the announcement of a peer gateway.
 func (g *Gateway) Met(peer string) { g.scheduler.peerJoined(peer) }
 
-// Left takes that another front stops.
+// Left handles the stop of a peer gateway.
 func (g *Gateway) Left(peer string) {
 	g.c.Logger.Info("front stops", zap.String("front", peer))
 	g.scheduler.peerLeft(peer)
 }
 
-// updatePeers takes the rows of all fronts.
+// updatePeers applies the rows of all gateways.
 func (g *Gateway) updatePeers(rows map[string][]byte) {
 	g.scheduler.setGateways(slices.Collect(maps.Keys(rows)))
 	if g.c.Fronts == nil {
@@ -37,7 +37,7 @@
 	g.c.Logger.Info("fronts met", zap.Int("rows", len(rows)), zap.Int("there", len(reachable)))
 }
 
-// stopCoordinating leaves the order of prompts to the other fronts.
+// stopCoordinating hands the coordination of engines over to the other gateways.
 func (g *Gateway) stopCoordinating() {
 	if g.c.Fronts == nil {
 		return
@@ -46,8 +46,8 @@
 	g.c.Fronts.Leave()
 }
 
-// newCoordinators returns what tells which front coordinates an engine, nil where fronts can't
-// speak with each other.
+// newCoordinators returns the assignment of engines to coordinators, nil if gateways do
+// not communicate.
 func newCoordinators(c Config) *coordinator.Fronts {
 	if c.Fronts == nil {
 		return nil
@@ -55,7 +55,7 @@
 	return coordinator.New(c.Name)
 }
 
-// placerCoordinators returns the same as the interface that a placer takes.
+// placerCoordinators returns sc.coordinators as the interface that a placer expects.
 func (sc *scheduler) placerCoordinators() kumquatlug.Coordinators {
 	if sc.coordinators == nil {
 		return nil
@@ -63,9 +63,10 @@
 	return sc.coordinators
 }
 
-// setPeers takes the names of the fronts that can be asked, and which of them started
-// anew. One of these may have said that it stops, and nothing to this front since;
-// without its row the two would name different coordinators for good.
+// setPeers sets the names of the reachable gateways, and which of them have restarted. A
+// restarted gateway may have announced its stop before and may have sent nothing to this
+// gateway since; without its row the two would disagree about the coordinators
+// permanently.
 func (sc *scheduler) setPeers(reachable, restarted []string) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -87,7 +88,7 @@
 	sc.coordinators.Left(peer)
 }
 
-// stopCoordinating sends the prompts of other fronts to their next coordinators.
+// stopCoordinating sends the prompts of other gateways to their next coordinators.
 func (sc *scheduler) stopCoordinating() {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -97,8 +98,8 @@
 	}
 }
 
-// handlePermit takes a message of another front: to this one as a coordinator, or the answer of
-// one that coordinates an engine.
+// handlePermit handles a permit message: a request to this gateway as the coordinator of
+// an engine, or the reply of another coordinator.
 func (sc *scheduler) handlePermit(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -117,16 +118,16 @@
 	sc.deliverGrants(now, state)
 }
 
-// deliver tells a prompt that waits that its turn has come, or that it is given up.
+// deliver notifies a queued prompt that it may be sent, or that it was refused.
 func (state *serviceState) deliver(grant placement.Due) {
-	if waiting, waits := state.waiting[grant.Key()]; waits {
+	if waiting, found := state.waiting[grant.Key()]; found {
 		delete(state.waiting, grant.Key())
 		waiting <- grant
 	}
 }
 
-// unlockAndSend gives the lock back and sends what was to be said to other fronts. It
-// sends outside of the lock, as each message is a call to the system.
+// unlockAndSend releases the lock and sends the pending messages to other gateways. It
+// sends without the lock because each message is a system call.
 func (sc *scheduler) unlockAndSend() {
 	var out []kumquatlug.TurnMessage
 	for name, state := range sc.services {
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -14,40 +14,42 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/usage"
 )
 
-// Figures of usage.
+// Parameters of usage reporting.
 const (
-	// tallyWritesPerWindow is into how many parts a window is cut by the writes of a front: so
-	// much of it is lost at most with a front that is killed.
+	// tallyWritesPerWindow is how often a gateway writes its counts per window. A
+	// gateway that is killed loses the counts of at most one such part of a window.
 	tallyWritesPerWindow = 4
-	// maxTallyWritesPerSecond bounds the writes of all fronts together in a second, as long as each
-	// can still write once a window.
+	// maxTallyWritesPerSecond bounds the writes of all gateways together, as long as
+	// each can still write once per window.
 	maxTallyWritesPerSecond = 20
-	// tallyWriteSpread is over which span the writes of the fronts are spread, from the end
-	// of a part on.
+	// tallyWriteSpread is the interval over which the writes of the gateways are spread,
+	// from the end of a part of a window on.
 	tallyWriteSpread = 300 * kumquatlug.Millis(1)
-	// finalTallyTimeout bounds the last write of a front that ends.
+	// finalTallyTimeout is the timeout of the last write of a stopping gateway.
 	finalTallyTimeout = 300 * kumquatlug.Millis(1)
-	// reportInterval is how often the holder of the lease looks for what is due.
+	// reportInterval is how often the lease holder checks what is due.
 	reportInterval = 200 * kumquatlug.Millis(1)
-	// maxReportSteps bounds the calls of one look; the service takes some tens a second.
+	// maxReportSteps bounds the calls per check; the service accepts some tens per
+	// second.
 	maxReportSteps = 4
 )
 
-// usageState counts what began at this front, for all goroutines.
+// usageState counts the requests started at this gateway. It is shared by all
+// goroutines.
 type usageState struct {
 	mu      sync.Mutex
 	counter *usage.Counter
-	// lastTallyOpen says that the last tally in the store was not a last one.
+	// lastTallyOpen is set if the last tally in the store was not marked as final.
 	lastTallyOpen bool
-	// changed says that something began since.
+	// changed is set if a request started since the last write.
 	changed bool
 }
 
-// reportsUsage reports that usage is counted and reported.
+// reportsUsage reports whether usage is counted and reported.
 func (g *Gateway) reportsUsage() bool { return g.c.Duties != nil && g.c.UsageWindows.Span > 0 }
 
-// countUsage counts a request of an account that began to run, once for each try of a
-// client however often it is sent.
+// countUsage counts a request of an account that started to run, once per request of a
+// client, however many attempts are made for it.
 func (f *inflight) countUsage() {
 	account := f.request.Account()
 	if f.usageCounted || !f.g.reportsUsage() || account == "" {
@@ -61,13 +63,13 @@
 	u.changed = true
 }
 
-// writeTallies keeps this front's counts in the store.
+// writeTallies writes the counts of this gateway to the store periodically.
 func (g *Gateway) writeTallies(ctx context.Context) {
 	spread := kumquatlug.Millis(xxhash.Sum64String(g.c.Name) % uint64(tallyWriteSpread))
 	for window := g.c.UsageWindows.At(g.c.Wall.Now()); ; {
-		part := g.tallyInterval()
+		interval := g.tallyInterval()
 		now := g.c.Wall.Now() - spread
-		if !sleep(ctx, part-now%part) {
+		if !sleep(ctx, interval-now%interval) {
 			return
 		}
 		current := g.c.UsageWindows.At(g.c.Wall.Now() - spread)
@@ -76,15 +78,14 @@
 	}
 }
 
-// tallyInterval is how long after one write of this front the next one follows.
+// tallyInterval returns the time between two writes of this gateway, in ms.
 func (g *Gateway) tallyInterval() kumquatlug.Millis {
 	span := g.c.UsageWindows.Span
 	writes := int(span) * maxTallyWritesPerSecond / int(kumquatlug.Second) / g.scheduler.gatewayCount()
 	return span / kumquatlug.Millis(min(max(writes, 1), tallyWritesPerWindow))
 }
 
-// writeTally writes the counts. In the middle of a window it does so only if they
-// changed.
+// writeTally writes the counts. Within a window it does so only if they changed.
 func (g *Gateway) writeTally(ctx context.Context, timeout kumquatlug.Millis, windowEnded, final bool) {
 	u := &g.usage
 	g.dropFixedWindows(ctx)
@@ -107,20 +108,20 @@
 	defer u.mu.Unlock()
 	if err != nil {
 		u.changed = u.changed || changed
-		g.c.Logger.Warn("counts not told", logs.Error(err))
+		g.c.Logger.Warn("failed to write usage counts", logs.Error(err))
 		return
 	}
 	u.counter.Told(tally)
 	u.lastTallyOpen = !tally.Left()
 }
 
-// dropFixedWindows forgets the windows whose sums are fixed, once there are some.
+// dropFixedWindows removes the windows whose sums are fixed, if there are any old ones.
 func (g *Gateway) dropFixedWindows(ctx context.Context) {
 	u := &g.usage
 	u.mu.Lock()
-	old := u.counter.Old(g.c.Wall.Now())
+	expired := u.counter.Old(g.c.Wall.Now())
 	u.mu.Unlock()
-	if !old {
+	if !expired {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
@@ -131,7 +132,7 @@
 		next, err = usage.DecodeNext(row)
 	}
 	if err != nil {
-		g.c.Logger.Warn("windows not dropped", logs.Error(err))
+		g.c.Logger.Warn("failed to drop fixed usage windows", logs.Error(err))
 		return
 	}
 	u.mu.Lock()
@@ -139,7 +140,7 @@
 	u.counter.Fixed(next)
 }
 
-// reportUsage has the holder of the lease fix and send the counts of all fronts.
+// reportUsage fixes and sends the counts of all gateways while this one holds the lease.
 func (g *Gateway) reportUsage(ctx context.Context) {
 	r := usage.NewReporter(g.c.UsageWindows, g.c.Incarnation)
 	era := g.c.Feed.Era()
@@ -154,8 +155,8 @@
 	}
 }
 
-// rewriteReports writes the fixed reports again that a store may have lost which came
-// back from an older copy, and reports whether that is done.
+// rewriteReports writes the fixed reports again that the store may have lost when it was
+// restored from an older copy, and reports whether that succeeded.
 func (g *Gateway) rewriteReports(ctx context.Context, r *usage.Reporter) bool {
 	rows, err := g.scan(ctx, usage.ReportPrefix)
 	if err == nil {
@@ -165,7 +166,7 @@
 			err = g.c.Table.Commit(call, tx)
 		}
 	}
-	g.logUsageError("reports not written again", err)
+	g.logUsageError("failed to rewrite usage reports", err)
 	return err == nil
 }
 
@@ -175,10 +176,10 @@
 	switch i.Action() {
 	case usage.ActionLoad:
 		rows, err := g.scan(ctx, usage.ReportPrefix)
-		g.logUsageError("reports not read", r.Loaded(g.c.Wall.Now(), rows, err))
+		g.logUsageError("failed to read usage reports", r.Loaded(g.c.Wall.Now(), rows, err))
 	case usage.ActionLook:
 		rows, err := g.scan(ctx, usage.TallyPrefix)
-		g.logUsageError("counts not read", r.Looked(g.c.Wall.Now(), rows, err))
+		g.logUsageError("failed to read usage counts", r.Looked(g.c.Wall.Now(), rows, err))
 	case usage.ActionFix:
 		g.fixWindow(ctx, r, i)
 	case usage.ActionSend:
@@ -201,7 +202,7 @@
 	}
 }
 
-// fixWindow writes the sum of a window, which no holder changes after that.
+// fixWindow writes the sum of a window, which no later holder changes.
 func (g *Gateway) fixWindow(ctx context.Context, r *usage.Reporter, i usage.Intent) {
 	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
@@ -210,12 +211,12 @@
 	if i.Missing() > 0 {
 		g.metrics.usageReports.WithLabelValues("incomplete").Inc()
 	}
-	g.c.Logger.Info("usage fixed", windowField(i.Report()), zap.Int64("requests", i.Report().Counts().Total()),
+	g.c.Logger.Info("usage window fixed", windowField(i.Report()), zap.Int64("requests", i.Report().Counts().Total()),
 		zap.Int("missing_fronts", i.Missing()), logs.Error(err))
 }
 
-// sendReport sends a report, if it arrives before the lease can have gone to another
-// front, and reports whether it was sent.
+// sendReport sends a report if it arrives before the lease can have moved to another
+// gateway, and reports whether it was sent.
 func (g *Gateway) sendReport(ctx context.Context, r *usage.Reporter, report usage.Report) bool {
 	duty, allowed := g.leaderLease()
 	if !allowed {
@@ -237,7 +238,8 @@
 	return err == nil
 }
 
-// windowField names a window as a text, so that it is found in logs like a request.
+// windowField returns the window as a string, so that log searches find it like a
+// request id.
 func windowField(r usage.Report) zap.Field {
 	return zap.String("window", strconv.FormatInt(int64(r.Window()), 10))
 }
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -12,7 +12,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/clock"
 )
 
-// scriptedFeed is a store whose table a test changes by hand.
+// scriptedFeed is a change feed whose table is set by a test.
 type scriptedFeed struct {
 	rows    map[string]string
 	version int64
@@ -37,7 +37,7 @@
 
 func (f *scriptedFeed) Era() int64 { return f.era }
 
-// watchHarness is a front that follows the scripted feed step by step.
+// watchHarness runs the watch of a gateway on the scripted feed step by step.
 type watchHarness struct {
 	g       *Gateway
 	feed    *scriptedFeed
@@ -52,14 +52,14 @@
 	g := New(Config{
 		Zone: "z", Directory: jsonDirectory{}, Feed: feed, Clock: now, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
-	f := &tableWatcher{g: g, table: "members", pollWait: feedPollWait, rows: map[string]kumquatlug.Row{}}
+	w := &tableWatcher{g: g, table: "members", pollWait: feedPollWait, rows: map[string]kumquatlug.Row{}}
 	return &watchHarness{
-		g: g, feed: feed, now: now, watcher: f,
+		g: g, feed: feed, now: now, watcher: w,
 		members: newMembers(g),
 	}
 }
 
-// poll is what follow does in one round.
+// poll runs one round of the watch loop.
 func (w *watchHarness) poll() {
 	err := w.watcher.read(context.Background())
 	if err != nil {
@@ -70,7 +70,7 @@
 	w.members.apply(w.now.Now(), w.watcher)
 }
 
-// currentWorkers returns the known workers in order of their names.
+// currentWorkers returns the names of the known workers in order.
 func (w *watchHarness) currentWorkers() string {
 	var names []string
 	for _, key := range []string{"a", "b", "c", "d"} {
@@ -81,9 +81,9 @@
 	return strings.Join(names, "")
 }
 
-// The store was away so long that all entries of workers lapsed, though the
-// workers live. Dropped at once, they leave nobody to serve with, for seconds;
-// kept for ever, those that did die get requests that are lost.
+// The store was unavailable for so long that the rows of all workers expired, although
+// the workers run. If they were removed at once, no worker would be left for seconds; if
+// they were kept forever, requests to workers that did exit would be lost.
 func TestExpiredRowsSurviveStoreOutage(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
@@ -99,24 +99,24 @@
 	w.now.Advance(100)
 	w.poll()
 	if w.currentWorkers() != "abc" {
-		t.Fatalf("right after the return: %q", w.currentWorkers())
+		t.Fatalf("right after the store returned: %q", w.currentWorkers())
 	}
 	w.feed.rows = map[string]string{"a": `"prefill"`, "c": `""`}
 	w.feed.version++
 	w.now.Advance(1900)
 	w.poll()
 	if w.currentWorkers() != "abc" {
-		t.Fatalf("within the time of the workers: %q", w.currentWorkers())
+		t.Fatalf("within storeReturnGrace: %q", w.currentWorkers())
 	}
 	w.now.Advance(400)
 	w.poll()
 	if w.currentWorkers() != "ac" {
-		t.Errorf("after it: %q, want that b is gone", w.currentWorkers())
+		t.Errorf("after storeReturnGrace: %q, want b removed", w.currentWorkers())
 	}
 }
 
-// In calm times an entry that goes means that its worker leaves, though it never
-// said so. It must get nothing from then on.
+// In normal operation, a removed row means that its worker exits, even if it announced
+// no shutdown. The worker must get no more requests.
 func TestRemovedRowRemovesWorker(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
@@ -129,8 +129,8 @@
 	}
 }
 
-// Another writer spoils a row of a worker. It names no worker from then on, and
-// the others stay.
+// Another writer corrupts the row of a worker. That worker must be removed, and the
+// others must stay.
 func TestInvalidRowIsSkipped(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
@@ -142,9 +142,9 @@
 	}
 }
 
-// A connection to the store that lags brings an older version of the config after
-// a newer one. Adopted, it would send requests to services that no longer may
-// have them.
+// A lagging connection to the store returns an older version of the config after a newer
+// one. If it were adopted, requests would go to services that may no longer receive
+// them.
 func TestOlderConfigIsIgnored(t *testing.T) {
 	w := newWatchHarness()
 	w.g.adoptRow(kumquatlug.NewRow("config", []byte("9"), 30))
@@ -154,7 +154,7 @@
 	}
 	w.g.adoptRow(kumquatlug.NewRow("config", []byte("{"), 32))
 	if v := w.g.table.Load().Version(); v != 9 {
-		t.Errorf("version %d is in force after one that can't be read, want 9", v)
+		t.Errorf("version %d is in force after an invalid one, want 9", v)
 	}
 }
 
@@ -175,36 +175,35 @@
 	}
 }
 
-// All workers of a site start together, fifty milliseconds after each other, and
-// each row alone would wake every front: of thirty fronts' calls to the store half
-// would go into that. A change after a quiet span must still be known at once, and
-// one in the midst of others within maxGatherDelay.
+// All workers of a site start together, 50 ms apart. If each row woke every gateway,
+// half of the store calls of thirty gateways would be caused by that. A change after a
+// quiet period must still be known at once, and one among others within maxGatherDelay.
 func TestChangesAreBatched(t *testing.T) {
-	f := &tableWatcher{minDelay: minGatherDelay, maxDelay: maxGatherDelay}
+	w := &tableWatcher{minDelay: minGatherDelay, maxDelay: maxGatherDelay}
 	now, calls, oldest := kumquatlug.Millis(0), 0, kumquatlug.Millis(0)
 	for change := kumquatlug.Millis(0); change < 3200; change += 50 {
 		if change < now {
 			continue
 		}
-		f.updateGatherDelay(change - now)
+		w.updateGatherDelay(change - now)
 		calls++
-		now = change + f.gatherDelay
-		oldest = max(oldest, f.gatherDelay)
+		now = change + w.gatherDelay
+		oldest = max(oldest, w.gatherDelay)
 	}
 	if calls > 16 || oldest > maxGatherDelay {
 		t.Errorf("%d calls for 64 changes, one known after %d ms", calls, oldest)
 	}
-	f.updateGatherDelay(5000) // nothing came for five seconds
-	if f.gatherDelay != minGatherDelay {
-		t.Errorf("after a quiet span changes gather for %d ms", f.gatherDelay)
+	w.updateGatherDelay(5000) // No change for five seconds.
+	if w.gatherDelay != minGatherDelay {
+		t.Errorf("gather delay of %d ms after a quiet period", w.gatherDelay)
 	}
 }
 
-// The store turned this front away, and a worker leaves without a word two seconds
-// after it is back: its row goes, and is kept since rows come back late. While the
-// changes that came with it gather, that span ends. If the store were then asked to
-// wait for the next change as usual, the worker would get requests for two and a
-// half seconds more, and they would be cut off with it.
+// The store refused this gateway, and a worker exits without announcement two seconds
+// after the store is back. Its removed row is ignored, since rows may come back late,
+// and that grace period ends while further changes are gathered. With the usual poll
+// wait, the worker would get requests for two and a half seconds more, which would be
+// lost.
 func TestRowRemovedDuringStoreReturnIsRechecked(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
@@ -217,13 +216,13 @@
 	w.poll()
 	w.now.Advance(maxGatherDelay)
 	if wait := w.watcher.nextPollWait(w.now.Now()); wait > returnPollWait {
-		t.Errorf("the store is asked to wait for %d ms while %q are kept", wait, w.currentWorkers())
+		t.Errorf("poll wait of %d ms while %q are kept", wait, w.currentWorkers())
 	}
 	w.poll()
 	if w.currentWorkers() != "ac" {
 		t.Errorf("workers %q", w.currentWorkers())
 	}
 	if wait := w.watcher.nextPollWait(w.now.Now()); wait != w.watcher.pollWait {
-		t.Errorf("later on it is asked to wait for %d ms", wait)
+		t.Errorf("poll wait of %d ms after the grace period", wait)
 	}
 }
