--- /dev/null
+++ b/internal/gateway/draining.go
@@ -0,0 +1,71 @@
+package gateway
+
+import (
+	"sync"
+
+	"go.uber.org/zap"
+
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
+)
+
+// drainingRetention is how long the shutdown of a worker is remembered. The worker ends
+// within seconds, but its row may say that it is ready for as long as the store is
+// unavailable.
+const drainingRetention = 600 * kumquatlug.Second
+
+// drainingWorkers are the worker incarnations that announced their shutdown in a
+// response or in their row.
+type drainingWorkers struct {
+	mu       sync.Mutex
+	byWorker map[string]drainingWorker
+}
+
+// drainingWorker is one of them, identified by the start time of the worker.
+type drainingWorker struct {
+	startedAt int64
+	notedAt   kumquatlug.Millis
+}
+
+func newDrainingWorkers() *drainingWorkers {
+	return &drainingWorkers{byWorker: map[string]drainingWorker{}}
+}
+
+// note records that a worker shuts down and reports whether that was not known before.
+func (d *drainingWorkers) note(now kumquatlug.Millis, worker string, born int64) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for id, worker := range d.byWorker {
+		if now-worker.notedAt > drainingRetention {
+			delete(d.byWorker, id)
+		}
+	}
+	if worker, known := d.byWorker[worker]; known && worker.startedAt == born {
+		return false
+	}
+	d.byWorker[worker] = drainingWorker{startedAt: born, notedAt: now}
+	return true
+}
+
+// mark sets members that announced their shutdown to draining. It matches the
+// incarnation and ignores the state in the row, because a restored store may contain an
+// old row.
+func (d *drainingWorkers) mark(members []kumquatlug.Member) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for i, m := range members {
+		if worker, known := d.byWorker[m.Worker.ID()]; known && worker.startedAt == m.Born && m.State == kumquatlug.MemberReady {
+			members[i].State = kumquatlug.MemberDraining
+		}
+	}
+}
+
+// recordShutdown handles a response in which the worker announces its shutdown.
+func (f *inflight) recordShutdown(a *placement.Ticket) {
+	if !f.g.draining.note(f.g.c.Clock.Now(), a.Worker(), a.Born()) {
+		return
+	}
+	f.g.metrics.shuttingDown.Inc()
+	f.g.c.Logger.Info("worker leaves", zap.String("worker", a.Worker()), zap.String("request", f.request.ID()))
+	f.g.republish()
+}
--- /dev/null
+++ b/internal/gateway/peers.go
@@ -0,0 +1,150 @@
+package gateway
+
+import (
+	"maps"
+	"slices"
+
+	"go.uber.org/zap"
+
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/coordinator"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
+)
+
+// Turn handles a permit message of a peer gateway.
+func (g *Gateway) Turn(m kumquatlug.TurnMessage) {
+	g.metrics.permits.WithLabelValues("received", string(m.Turn.Step)).Inc()
+	g.scheduler.handlePermit(g.c.Clock.Now(), m)
+}
+
+// Met handles the announcement of a peer gateway.
+func (g *Gateway) Met(peer string) { g.scheduler.peerJoined(peer) }
+
+// Left handles the stop of a peer gateway.
+func (g *Gateway) Left(peer string) {
+	g.c.Logger.Info("front stops", zap.String("front", peer))
+	g.scheduler.peerLeft(peer)
+}
+
+// updatePeers applies the rows of all gateways.
+func (g *Gateway) updatePeers(rows map[string][]byte) {
+	g.scheduler.setGateways(slices.Collect(maps.Keys(rows)))
+	if g.c.Fronts == nil {
+		return
+	}
+	reachable, restarted := g.c.Fronts.Meet(rows)
+	g.scheduler.setPeers(reachable, restarted)
+	g.c.Logger.Info("fronts met", zap.Int("rows", len(rows)), zap.Int("there", len(reachable)))
+}
+
+// stopCoordinating hands the coordination of engines over to the other gateways.
+func (g *Gateway) stopCoordinating() {
+	if g.c.Fronts == nil {
+		return
+	}
+	g.scheduler.stopCoordinating()
+	g.c.Fronts.Leave()
+}
+
+// newCoordinators returns the assignment of engines to coordinators, nil if gateways do
+// not communicate.
+func newCoordinators(c Config) *coordinator.Fronts {
+	if c.Fronts == nil {
+		return nil
+	}
+	return coordinator.New(c.Name)
+}
+
+// placerCoordinators returns sc.coordinators as the interface that a placer expects.
+func (sc *scheduler) placerCoordinators() kumquatlug.Coordinators {
+	if sc.coordinators == nil {
+		return nil
+	}
+	return sc.coordinators
+}
+
+// setPeers sets the names of the reachable gateways, and which of them have restarted. A
+// restarted gateway may have announced its stop before and may have sent nothing to this
+// gateway since; without its row the two would disagree about the coordinators
+// permanently.
+func (sc *scheduler) setPeers(reachable, restarted []string) {
+	sc.mu.Lock()
+	defer sc.unlockAndSend()
+	sc.coordinators.Set(reachable)
+	for _, peer := range restarted {
+		sc.coordinators.Add(peer)
+	}
+}
+
+func (sc *scheduler) peerJoined(peer string) {
+	sc.mu.Lock()
+	defer sc.unlockAndSend()
+	sc.coordinators.Add(peer)
+}
+
+func (sc *scheduler) peerLeft(peer string) {
+	sc.mu.Lock()
+	defer sc.unlockAndSend()
+	sc.coordinators.Left(peer)
+}
+
+// stopCoordinating sends the prompts of other gateways to their next coordinators.
+func (sc *scheduler) stopCoordinating() {
+	sc.mu.Lock()
+	defer sc.unlockAndSend()
+	sc.coordinators.Leave()
+	for _, state := range sc.services {
+		state.placer.StopCoordinating()
+	}
+}
+
+// handlePermit handles a permit message: a request to this gateway as the coordinator of
+// an engine, or the reply of another coordinator.
+func (sc *scheduler) handlePermit(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
+	sc.mu.Lock()
+	defer sc.unlockAndSend()
+	state, known := sc.services[m.Turn.Service]
+	if !known {
+		return
+	}
+	switch m.Turn.Step {
+	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
+		state.placer.Requested(now, m)
+	default:
+		if grant, ended := state.placer.Answered(now, m); ended {
+			state.deliver(grant)
+		}
+	}
+	sc.deliverGrants(now, state)
+}
+
+// deliver notifies a queued prompt that it may be sent, or that it was refused.
+func (state *serviceState) deliver(grant placement.Due) {
+	if waiting, found := state.waiting[grant.Key()]; found {
+		delete(state.waiting, grant.Key())
+		waiting <- grant
+	}
+}
+
+// unlockAndSend releases the lock and sends the pending messages to other gateways. It
+// sends without the lock because each message is a system call.
+func (sc *scheduler) unlockAndSend() {
+	var out []kumquatlug.TurnMessage
+	for name, state := range sc.services {
+		for _, m := range state.placer.Outbox() {
+			m.Turn.Service = name
+			out = append(out, m)
+		}
+	}
+	var events []coordinator.News
+	if sc.coordinators != nil {
+		events = sc.coordinators.News()
+	}
+	sc.mu.Unlock()
+	for _, m := range out {
+		sc.c.Fronts.Send(m)
+	}
+	for _, e := range events {
+		sc.c.Logger.Info(e.What(), zap.String("front", e.Front()), zap.Int("unanswered", e.Misses()))
+	}
+}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -14,46 +14,48 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/usage"
 )
 
-// Figures of usage.
+// Parameters of usage reporting.
 const (
-	// tellParts is into how many parts a window is cut by the writes of a front: so
-	// much of it is lost at most with a front that is killed.
-	tellParts = 4
-	// mostTells bounds the writes of all fronts together in a second, as long as each
-	// can still write once a window.
-	mostTells = 20
-	// tellSpread is over which span the writes of the fronts are spread, from the end
-	// of a part on.
-	tellSpread = 300 * kumquatlug.Millis(1)
-	// lastTell bounds the last write of a front that ends.
-	lastTell = 300 * kumquatlug.Millis(1)
-	// reportEvery is how often the holder of the lease looks for what is due.
-	reportEvery = 200 * kumquatlug.Millis(1)
-	// reportSteps bounds the calls of one look; the service takes some tens a second.
-	reportSteps = 4
+	// tallyWritesPerWindow is how often a gateway writes its counts per window. A
+	// gateway that is killed loses the counts of at most one such part of a window.
+	tallyWritesPerWindow = 4
+	// maxTallyWritesPerSecond bounds the writes of all gateways together, as long as
+	// each can still write once per window.
+	maxTallyWritesPerSecond = 20
+	// tallyWriteSpread is the interval over which the writes of the gateways are spread,
+	// from the end of a part of a window on.
+	tallyWriteSpread = 300 * kumquatlug.Millis(1)
+	// finalTallyTimeout is the timeout of the last write of a stopping gateway.
+	finalTallyTimeout = 300 * kumquatlug.Millis(1)
+	// reportInterval is how often the lease holder checks what is due.
+	reportInterval = 200 * kumquatlug.Millis(1)
+	// maxReportSteps bounds the calls per check; the service accepts some tens per
+	// second.
+	maxReportSteps = 4
 )
 
-// usageCount counts what began at this front, for all goroutines.
-type usageCount struct {
+// usageState counts the requests started at this gateway. It is shared by all
+// goroutines.
+type usageState struct {
 	mu      sync.Mutex
 	counter *usage.Counter
-	// written says that the last tally in the store was not a last one.
-	written bool
-	// changed says that something began since.
+	// lastTallyOpen is set if the last tally in the store was not marked as final.
+	lastTallyOpen bool
+	// changed is set if a request started since the last write.
 	changed bool
 }
 
-// reportsUsage reports that usage is counted and reported.
+// reportsUsage reports whether usage is counted and reported.
 func (g *Gateway) reportsUsage() bool { return g.c.Duties != nil && g.c.UsageWindows.Span > 0 }
 
-// countUsage counts a request of an account that began to run, once for each try of a
-// client however often it is sent.
+// countUsage counts a request of an account that started to run, once per request of a
+// client, however many attempts are made for it.
 func (f *inflight) countUsage() {
-	account := f.ask.Account()
-	if f.counted || !f.g.reportsUsage() || account == "" {
+	account := f.request.Account()
+	if f.usageCounted || !f.g.reportsUsage() || account == "" {
 		return
 	}
-	f.counted = true
+	f.usageCounted = true
 	u := &f.g.usage
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -61,36 +63,35 @@
 	u.changed = true
 }
 
-// tellUsage keeps this front's counts in the store.
-func (g *Gateway) tellUsage(ctx context.Context) {
-	spread := kumquatlug.Millis(xxhash.Sum64String(g.c.Name) % uint64(tellSpread))
+// writeTallies writes the counts of this gateway to the store periodically.
+func (g *Gateway) writeTallies(ctx context.Context) {
+	spread := kumquatlug.Millis(xxhash.Sum64String(g.c.Name) % uint64(tallyWriteSpread))
 	for window := g.c.UsageWindows.At(g.c.Wall.Now()); ; {
-		part := g.tellPart()
+		interval := g.tallyInterval()
 		now := g.c.Wall.Now() - spread
-		if !sleep(ctx, part-now%part) {
+		if !sleep(ctx, interval-now%interval) {
 			return
 		}
-		k := g.c.UsageWindows.At(g.c.Wall.Now() - spread)
-		g.tellTally(ctx, storeCall, k != window, false)
-		window = k
+		current := g.c.UsageWindows.At(g.c.Wall.Now() - spread)
+		g.writeTally(ctx, storeCallTimeout, current != window, false)
+		window = current
 	}
 }
 
-// tellPart is how long after one write of this front the next one follows.
-func (g *Gateway) tellPart() kumquatlug.Millis {
+// tallyInterval returns the time between two writes of this gateway, in ms.
+func (g *Gateway) tallyInterval() kumquatlug.Millis {
 	span := g.c.UsageWindows.Span
-	room := int(span) * mostTells / int(kumquatlug.Second) / g.scheduler.frontCount()
-	return span / kumquatlug.Millis(min(max(room, 1), tellParts))
+	writes := int(span) * maxTallyWritesPerSecond / int(kumquatlug.Second) / g.scheduler.gatewayCount()
+	return span / kumquatlug.Millis(min(max(writes, 1), tallyWritesPerWindow))
 }
 
-// tellTally writes the counts. In the middle of a window it does so only if they
-// changed.
-func (g *Gateway) tellTally(ctx context.Context, timeout kumquatlug.Millis, whole, last bool) {
+// writeTally writes the counts. Within a window it does so only if they changed.
+func (g *Gateway) writeTally(ctx context.Context, timeout kumquatlug.Millis, windowEnded, final bool) {
 	u := &g.usage
-	g.dropFixed(ctx)
+	g.dropFixedWindows(ctx)
 	u.mu.Lock()
-	tally := u.counter.Tally(g.c.Wall.Now(), last)
-	due := u.changed || u.written && (whole || last)
+	tally := u.counter.Tally(g.c.Wall.Now(), final)
+	due := u.changed || u.lastTallyOpen && (windowEnded || final)
 	changed := u.changed
 	u.changed = false
 	u.mu.Unlock()
@@ -107,23 +108,23 @@
 	defer u.mu.Unlock()
 	if err != nil {
 		u.changed = u.changed || changed
-		g.c.Logger.Warn("counts not told", logs.Error(err))
+		g.c.Logger.Warn("failed to write usage counts", logs.Error(err))
 		return
 	}
 	u.counter.Told(tally)
-	u.written = !tally.Left()
+	u.lastTallyOpen = !tally.Left()
 }
 
-// dropFixed forgets the windows whose sums are fixed, once there are some.
-func (g *Gateway) dropFixed(ctx context.Context) {
+// dropFixedWindows removes the windows whose sums are fixed, if there are any old ones.
+func (g *Gateway) dropFixedWindows(ctx context.Context) {
 	u := &g.usage
 	u.mu.Lock()
-	old := u.counter.Old(g.c.Wall.Now())
+	expired := u.counter.Old(g.c.Wall.Now())
 	u.mu.Unlock()
-	if !old {
+	if !expired {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, storeCall.Duration())
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	row, err := g.c.Table.Get(call, usage.NextKey)
 	next := usage.Window(0)
@@ -131,7 +132,7 @@
 		next, err = usage.DecodeNext(row)
 	}
 	if err != nil {
-		g.c.Logger.Warn("windows not dropped", logs.Error(err))
+		g.c.Logger.Warn("failed to drop fixed usage windows", logs.Error(err))
 		return
 	}
 	u.mu.Lock()
@@ -139,33 +140,33 @@
 	u.counter.Fixed(next)
 }
 
-// reportUsage has the holder of the lease fix and send the counts of all fronts.
+// reportUsage fixes and sends the counts of all gateways while this one holds the lease.
 func (g *Gateway) reportUsage(ctx context.Context) {
 	r := usage.NewReporter(g.c.UsageWindows, g.c.Incarnation)
 	era := g.c.Feed.Era()
-	for sleep(ctx, reportEvery) {
-		if now := g.c.Feed.Era(); now != era && (era < 0 || g.writeReportsAgain(ctx, r)) {
+	for sleep(ctx, reportInterval) {
+		if now := g.c.Feed.Era(); now != era && (era < 0 || g.rewriteReports(ctx, r)) {
 			era = now
 		}
 		r.Hold(int64(g.leaseTerm().Number()))
-		for steps := 0; steps < reportSteps && g.reportStep(ctx, r); steps++ {
+		for steps := 0; steps < maxReportSteps && g.reportStep(ctx, r); steps++ {
 		}
 		g.metrics.usageOpen.Set(float64(r.Open()))
 	}
 }
 
-// writeReportsAgain writes the fixed reports again that a store may have lost which came
-// back from an older copy, and reports whether that is done.
-func (g *Gateway) writeReportsAgain(ctx context.Context, r *usage.Reporter) bool {
+// rewriteReports writes the fixed reports again that the store may have lost when it was
+// restored from an older copy, and reports whether that succeeded.
+func (g *Gateway) rewriteReports(ctx context.Context, r *usage.Reporter) bool {
 	rows, err := g.scan(ctx, usage.ReportPrefix)
 	if err == nil {
 		if tx, due := r.Again(g.c.Wall.Now(), rows); due {
-			call, cancel := context.WithTimeout(ctx, storeCall.Duration())
+			call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 			defer cancel()
 			err = g.c.Table.Commit(call, tx)
 		}
 	}
-	g.noteUsage("reports not written again", err)
+	g.logUsageError("failed to rewrite usage reports", err)
 	return err == nil
 }
 
@@ -175,14 +176,14 @@
 	switch i.Action() {
 	case usage.ActionLoad:
 		rows, err := g.scan(ctx, usage.ReportPrefix)
-		g.noteUsage("reports not read", r.Loaded(g.c.Wall.Now(), rows, err))
+		g.logUsageError("failed to read usage reports", r.Loaded(g.c.Wall.Now(), rows, err))
 	case usage.ActionLook:
 		rows, err := g.scan(ctx, usage.TallyPrefix)
-		g.noteUsage("counts not read", r.Looked(g.c.Wall.Now(), rows, err))
+		g.logUsageError("failed to read usage counts", r.Looked(g.c.Wall.Now(), rows, err))
 	case usage.ActionFix:
-		g.fixUsage(ctx, r, i)
+		g.fixWindow(ctx, r, i)
 	case usage.ActionSend:
-		return g.sendUsage(ctx, r, i.Report())
+		return g.sendReport(ctx, r, i.Report())
 	default:
 		return false
 	}
@@ -190,38 +191,38 @@
 }
 
 func (g *Gateway) scan(ctx context.Context, prefix string) ([]kumquatlug.Row, error) {
-	call, cancel := context.WithTimeout(ctx, storeCall.Duration())
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	return g.c.Table.Scan(call, prefix, "", 0)
 }
 
-func (g *Gateway) noteUsage(what string, err error) {
+func (g *Gateway) logUsageError(message string, err error) {
 	if err != nil {
-		g.c.Logger.Warn(what, logs.Error(err))
+		g.c.Logger.Warn(message, logs.Error(err))
 	}
 }
 
-// fixUsage writes the sum of a window, which no holder changes after that.
-func (g *Gateway) fixUsage(ctx context.Context, r *usage.Reporter, i usage.Intent) {
-	call, cancel := context.WithTimeout(ctx, storeCall.Duration())
+// fixWindow writes the sum of a window, which no later holder changes.
+func (g *Gateway) fixWindow(ctx context.Context, r *usage.Reporter, i usage.Intent) {
+	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	err := g.c.Table.Commit(call, i.Tx())
 	r.Fixed(g.c.Wall.Now(), err)
 	if i.Missing() > 0 {
-		g.metrics.reports.WithLabelValues("incomplete").Inc()
+		g.metrics.usageReports.WithLabelValues("incomplete").Inc()
 	}
-	g.c.Logger.Info("usage fixed", windowField(i.Report()), zap.Int64("requests", i.Report().Counts().Total()),
+	g.c.Logger.Info("usage window fixed", windowField(i.Report()), zap.Int64("requests", i.Report().Counts().Total()),
 		zap.Int("missing_fronts", i.Missing()), logs.Error(err))
 }
 
-// sendUsage sends a report, if it arrives before the lease can have gone to another
-// front, and reports whether it was sent.
-func (g *Gateway) sendUsage(ctx context.Context, r *usage.Reporter, report usage.Report) bool {
-	duty, may := g.mayAct()
-	if !may {
+// sendReport sends a report if it arrives before the lease can have moved to another
+// gateway, and reports whether it was sent.
+func (g *Gateway) sendReport(ctx context.Context, r *usage.Reporter, report usage.Report) bool {
+	duty, allowed := g.leaderLease()
+	if !allowed {
 		return false
 	}
-	call, cancel := context.WithTimeout(ctx, dutyTimeout.Duration())
+	call, cancel := context.WithTimeout(ctx, leaderCallTimeout.Duration())
 	defer cancel()
 	err := g.c.Duties.ReportUsage(call, duty, int64(report.Window()), report.Counts())
 	r.Sent(g.c.Wall.Now(), report, err)
@@ -232,12 +233,13 @@
 	case err != nil:
 		outcome = "failed"
 	}
-	g.metrics.reports.WithLabelValues(outcome).Inc()
+	g.metrics.usageReports.WithLabelValues(outcome).Inc()
 	g.c.Logger.Info("usage report", windowField(report), zap.String("outcome", outcome), zap.Int64("fence", duty.Fence), logs.Error(err))
 	return err == nil
 }
 
-// windowField names a window as a text, so that it is found in logs like a request.
+// windowField returns the window as a string, so that log searches find it like a
+// request id.
 func windowField(r usage.Report) zap.Field {
 	return zap.String("window", strconv.FormatInt(int64(r.Window()), 10))
 }
