--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -11,27 +11,27 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxKey bounds an idempotency key, in bytes.
-const maxKey = 255
+// maxKeyBytes bounds an idempotency key, in bytes.
+const maxKeyBytes = 255
 
-// madeKeyPrefix starts the keys that we make for calls without one.
-const madeKeyPrefix = "made-"
+// generatedKeyPrefix starts the keys that we make for calls without one.
+const generatedKeyPrefix = "made-"
 
-// copyBuffer is how much of an answer is held at once while it is passed on.
-const copyBuffer = 32 << 10
+// copyBufferBytes is how much of an answer is held at once while it is passed on.
+const copyBufferBytes = 32 << 10
 
 // ServiceCall is one call to a plain service.
 type ServiceCall struct {
-	id      string
-	account kumquatlug.Caller
-	kind    kumquatlug.Kind
-	method  string
-	path    string
-	header  http.Header
-	body    []byte
-	key     string
-	own     bool
-	timeout kumquatlug.Millis
+	id        string
+	account   kumquatlug.Caller
+	kind      kumquatlug.Kind
+	method    string
+	path      string
+	header    http.Header
+	body      []byte
+	key       string
+	callerKey bool
+	timeout   kumquatlug.Millis
 }
 
 // ID returns the request's id.
@@ -61,40 +61,40 @@
 // OwnKey reports whether the caller sent the key. A call under a key that we
 // made is never sent twice: nobody else knows the key, so that a second sending
 // could only be our own.
-func (c ServiceCall) OwnKey() bool { return c.own }
+func (c ServiceCall) OwnKey() bool { return c.callerKey }
 
 // Timeout returns the caller's time, zero when it named none.
 func (c ServiceCall) Timeout() kumquatlug.Millis { return c.timeout }
 
 // call serves any method below /services/NAME/.
 func (h *Handler) call(w http.ResponseWriter, r *http.Request) {
-	from := originOf(r)
+	state := requestStateOf(r)
 	c, failure := h.readCall(w, r)
 	if failure != nil {
-		h.refuse(w, from.id, failure)
+		h.refuse(w, state.id, failure)
 		return
 	}
 	w.Header().Set(peer.KeyHeader, c.key)
-	answer, err := h.desk.Call(r.Context(), c)
+	response, err := h.backend.Call(r.Context(), c)
 	if err != nil {
-		h.refuse(w, from.id, kumquatlug.FailureOf(err))
+		h.refuse(w, state.id, kumquatlug.FailureOf(err))
 		return
 	}
-	defer answer.Body().Close()
-	h.passOn(w, answer)
+	defer response.Body().Close()
+	h.relay(w, response)
 }
 
 func (h *Handler) readCall(w http.ResponseWriter, r *http.Request) (ServiceCall, *kumquatlug.Failure) {
-	from := originOf(r)
+	state := requestStateOf(r)
 	key := r.Header.Get(peer.KeyHeader)
-	own := key != ""
-	if !own {
-		key = madeKeyPrefix + from.id
+	fromCaller := key != ""
+	if !fromCaller {
+		key = generatedKeyPrefix + state.id
 	}
-	if len(key) > maxKey {
-		return ServiceCall{}, refusal("read idempotency key", "key_too_long", http.StatusBadRequest)
+	if len(key) > maxKeyBytes {
+		return ServiceCall{}, newRefusal("read idempotency key", "key_too_long", http.StatusBadRequest)
 	}
-	timeout, failure := timeoutOf(r.Header)
+	timeout, failure := parseTimeout(r.Header)
 	if failure != nil {
 		return ServiceCall{}, failure
 	}
@@ -105,9 +105,9 @@
 	header := http.Header{}
 	peer.CopyHeaders(header, r.Header)
 	return ServiceCall{
-		id: from.id, account: from.account, kind: kumquatlug.NewKind(kumquatlug.ProtocolService, r.PathValue("name")),
+		id: state.id, account: state.account, kind: kumquatlug.NewKind(kumquatlug.ProtocolService, r.PathValue("name")),
 		method: r.Method, path: servicePath(r), header: header, body: body,
-		key: key, own: own, timeout: timeout,
+		key: key, callerKey: fromCaller, timeout: timeout,
 	}, nil
 }
 
@@ -121,19 +121,19 @@
 	return path
 }
 
-// passOn writes a target's answer to the caller. An answer that stops before
+// relay writes a target's answer to the caller. An answer that stops before
 // its end closes the caller's connection in the middle, so that the caller
 // can't take the part for the whole.
-func (h *Handler) passOn(w http.ResponseWriter, answer kumquatlug.Answer) {
-	peer.CopyHeaders(w.Header(), answer.Header())
+func (h *Handler) relay(w http.ResponseWriter, response kumquatlug.Answer) {
+	peer.CopyHeaders(w.Header(), response.Header())
 	w.Header().Set(peer.HeaderRan, string(kumquatlug.RanDone))
-	w.WriteHeader(answer.Status())
-	control := http.NewResponseController(w)
-	buffer := make([]byte, copyBuffer)
+	w.WriteHeader(response.Status())
+	controller := http.NewResponseController(w)
+	buffer := make([]byte, copyBufferBytes)
 	for {
-		n, err := answer.Body().Read(buffer)
-		_ = control.SetWriteDeadline(time.Now().Add(h.writeTimeout.Duration()))
-		if _, werr := w.Write(buffer[:n]); werr != nil {
+		n, err := response.Body().Read(buffer)
+		_ = controller.SetWriteDeadline(time.Now().Add(h.writeTimeout.Duration()))
+		if _, writeErr := w.Write(buffer[:n]); writeErr != nil {
 			return
 		}
 		if errors.Is(err, io.EOF) {
@@ -142,6 +142,6 @@
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		_ = control.Flush()
+		_ = controller.Flush()
 	}
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -76,27 +76,27 @@
 
 // Handler is the callers' API.
 type Handler struct {
-	desk         Desk
-	logger       *zap.Logger
-	maxBody      int64
-	maxHeld      int64
-	held         atomic.Int64
-	bodyTimeout  kumquatlug.Millis
-	writeTimeout kumquatlug.Millis
-	mux          *http.ServeMux
+	backend          Desk
+	logger           *zap.Logger
+	maxBodyBytes     int64
+	maxReservedBytes int64
+	reservedBytes    atomic.Int64
+	bodyTimeout      kumquatlug.Millis
+	writeTimeout     kumquatlug.Millis
+	mux              *http.ServeMux
 }
 
 // New returns the API that c describes.
 func New(c Config) *Handler {
 	h := &Handler{
-		desk: c.Desk, logger: c.Logger, maxBody: c.MaxBody, maxHeld: c.MaxHeld,
+		backend: c.Desk, logger: c.Logger, maxBodyBytes: c.MaxBody, maxReservedBytes: c.MaxHeld,
 		bodyTimeout: c.BodyTimeout, writeTimeout: c.WriteTimeout, mux: http.NewServeMux(),
 	}
-	if h.maxBody == 0 {
-		h.maxBody = DefaultMaxBody
+	if h.maxBodyBytes == 0 {
+		h.maxBodyBytes = DefaultMaxBody
 	}
-	if h.maxHeld == 0 {
-		h.maxHeld = DefaultMaxHeld
+	if h.maxReservedBytes == 0 {
+		h.maxReservedBytes = DefaultMaxHeld
 	}
 	if h.bodyTimeout == 0 {
 		h.bodyTimeout = DefaultBodyTimeout
@@ -116,47 +116,47 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := ulid.Make().String()
 	w.Header().Set(peer.HeaderRequest, id)
-	account, ok := h.account(r)
+	account, ok := h.authenticate(r)
 	if !ok {
 		h.refuse(w, id, kumquatlug.NewFailure(kumquatlug.FailureConfig{
 			Step: "authenticate", Reason: "invalid_api_key", Ran: kumquatlug.RanNot, Status: http.StatusUnauthorized,
 		}))
 		return
 	}
-	from := &origin{id: id, account: account}
-	defer func() { h.held.Add(-from.held) }()
-	ctx := context.WithValue(r.Context(), originKey{}, from)
+	state := &requestState{id: id, account: account}
+	defer func() { h.reservedBytes.Add(-state.reservedBytes) }()
+	ctx := context.WithValue(r.Context(), requestStateKey{}, state)
 	h.mux.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// originKey finds the origin of a request in its context.
-type originKey struct{}
+// requestStateKey finds the origin of a request in its context.
+type requestStateKey struct{}
 
-// origin is who sent a request, the id it was given and how many bytes of the
+// requestState is who sent a request, the id it was given and how many bytes of the
 // bound on bodies it holds. The request's own goroutine owns it.
-type origin struct {
-	id      string
-	account kumquatlug.Caller
-	held    int64
+type requestState struct {
+	id            string
+	account       kumquatlug.Caller
+	reservedBytes int64
 }
 
-func originOf(r *http.Request) *origin {
-	if o, ok := r.Context().Value(originKey{}).(*origin); ok {
+func requestStateOf(r *http.Request) *requestState {
+	if o, ok := r.Context().Value(requestStateKey{}).(*requestState); ok {
 		return o
 	}
-	return &origin{}
+	return &requestState{}
 }
 
-func (h *Handler) account(r *http.Request) (kumquatlug.Caller, bool) {
+func (h *Handler) authenticate(r *http.Request) (kumquatlug.Caller, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return kumquatlug.Caller{}, false
 	}
-	return h.desk.Authenticate(kumquatlug.HashKey(strings.TrimSpace(key)))
+	return h.backend.Authenticate(kumquatlug.HashKey(strings.TrimSpace(key)))
 }
 
 func (h *Handler) notFound(w http.ResponseWriter, r *http.Request) {
-	h.refuse(w, originOf(r).id, refusal("find path", "unknown_path", http.StatusNotFound))
+	h.refuse(w, requestStateOf(r).id, newRefusal("find path", "unknown_path", http.StatusNotFound))
 }
 
 // models lists the models that some selector hands out.
@@ -167,7 +167,7 @@
 		OwnedBy string `json:"owned_by"`
 	}
 	list := []model{}
-	for _, kind := range h.desk.Kinds() {
+	for _, kind := range h.backend.Kinds() {
 		if kind.Protocol() == kumquatlug.ProtocolEngine {
 			list = append(list, model{ID: kind.Name(), Object: "model", OwnedBy: "kumquatlug"})
 		}
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -20,15 +20,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// desk is an entry that answers at once.
-type desk struct {
+// fakeBackend is an entry that answers at once.
+type fakeBackend struct {
 	generate func(ctx context.Context, g Generation, sink Sink) error
 	call     func(c ServiceCall) (kumquatlug.Answer, error)
 }
 
-func (d *desk) Authenticate(hash string) (kumquatlug.Caller, bool) {
+func (b *fakeBackend) Authenticate(hash string) (kumquatlug.Caller, bool) {
 	if hash != kumquatlug.HashKey("good") {
 		return kumquatlug.Caller{}, false
 	}
@@ -36,19 +36,21 @@
 	return account, err == nil
 }
 
-func (d *desk) Kinds() []kumquatlug.Kind {
+func (b *fakeBackend) Kinds() []kumquatlug.Kind {
 	return []kumquatlug.Kind{kumquatlug.NewKind(kumquatlug.ProtocolEngine, "m"), kumquatlug.NewKind(kumquatlug.ProtocolService, "s")}
 }
 
-func (d *desk) Generate(ctx context.Context, g Generation, sink Sink) error {
-	return d.generate(ctx, g, sink)
+func (b *fakeBackend) Generate(ctx context.Context, g Generation, sink Sink) error {
+	return b.generate(ctx, g, sink)
 }
 
-func (d *desk) Call(_ context.Context, c ServiceCall) (kumquatlug.Answer, error) { return d.call(c) }
+func (b *fakeBackend) Call(_ context.Context, c ServiceCall) (kumquatlug.Answer, error) {
+	return b.call(c)
+}
 
-func newServer(t *testing.T, d *desk, c Config) *httptest.Server {
+func newServer(t *testing.T, backend *fakeBackend, c Config) *httptest.Server {
 	t.Helper()
-	c.Desk, c.Logger = d, zap.NewNop()
+	c.Desk, c.Logger = backend, zap.NewNop()
 	server := httptest.NewUnstartedServer(New(c))
 	peer.ServerTimeouts(server.Config)
 	server.Start()
@@ -75,17 +77,17 @@
 	return response, string(text)
 }
 
-func token(text string) engine.Chunk {
+func textChunk(text string) engine.Chunk {
 	return engine.Chunk{Object: "text_completion", Choices: []engine.Choice{{Text: &text}}}
 }
 
-func TestRefusalsAreTruthfulAndComplete(t *testing.T) {
-	d := &desk{generate: func(context.Context, Generation, Sink) error {
+func TestRefusalCarriesStatusHeadersAndErrorBody(t *testing.T) {
+	backend := &fakeBackend{generate: func(context.Context, Generation, Sink) error {
 		return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 			Step: "wait", Peer: "engine-7", Reason: "queue_full", Ran: kumquatlug.RanNot, Status: 503, RetryAfter: 1500,
 		})
 	}}
-	response, text := send(t, newServer(t, d, Config{}), http.MethodPost, "/v1/completions", `{"model":"m","prompt":"p"}`, nil)
+	response, text := send(t, newServer(t, backend, Config{}), http.MethodPost, "/v1/completions", `{"model":"m","prompt":"p"}`, nil)
 	if response.StatusCode != 503 || response.Header.Get("Retry-After") != "2" || response.Header.Get("Kumquatlug-Ran") != "not-run" {
 		t.Errorf("status %d, headers %v", response.StatusCode, response.Header)
 	}
@@ -100,12 +102,12 @@
 
 // A stream fails in the middle, when its status has long been sent. A caller
 // that saw an end mark would take the part for the whole.
-func TestFailureInMidStreamLeavesTheEndMarkOut(t *testing.T) {
-	d := &desk{generate: func(_ context.Context, _ Generation, sink Sink) error {
-		_ = sink.Chunk(token("half"))
+func TestMidStreamFailureOmitsDoneEvent(t *testing.T) {
+	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error {
+		_ = sink.Chunk(textChunk("half"))
 		return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "send", Reason: "attempts"})
 	}}
-	_, text := send(t, newServer(t, d, Config{}), http.MethodPost, "/v1/completions", `{"model":"m","prompt":"p","stream":true}`, nil)
+	_, text := send(t, newServer(t, backend, Config{}), http.MethodPost, "/v1/completions", `{"model":"m","prompt":"p","stream":true}`, nil)
 	if !strings.Contains(text, "half") || !strings.Contains(text, `"code":"attempts"`) || strings.Contains(text, "[DONE]") {
 		t.Errorf("stream %q", text)
 	}
@@ -113,12 +115,12 @@
 
 // A service's answer breaks off after its status was passed on. An orderly end
 // of the connection would make the caller believe in the part it has.
-func TestBrokenServiceAnswerBreaksTheCallersConnection(t *testing.T) {
-	d := &desk{call: func(ServiceCall) (kumquatlug.Answer, error) {
+func TestTruncatedServiceResponseAbortsConnection(t *testing.T) {
+	backend := &fakeBackend{call: func(ServiceCall) (kumquatlug.Answer, error) {
 		body := io.MultiReader(strings.NewReader("part"), errorReader{})
 		return kumquatlug.NewAnswer(200, http.Header{}, io.NopCloser(body)), nil
 	}}
-	server := newServer(t, d, Config{})
+	server := newServer(t, backend, Config{})
 	request, err := http.NewRequest(http.MethodGet, server.URL+"/services/s/x", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -138,13 +140,13 @@
 
 func (errorReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func TestServiceCallKeepsItsPathAndGetsAKey(t *testing.T) {
+func TestServiceCallKeepsPathAndGetsIdempotencyKey(t *testing.T) {
 	var got ServiceCall
-	d := &desk{call: func(c ServiceCall) (kumquatlug.Answer, error) {
+	backend := &fakeBackend{call: func(c ServiceCall) (kumquatlug.Answer, error) {
 		got = c
 		return kumquatlug.NewAnswer(201, http.Header{"X-Own": {"1"}}, io.NopCloser(bytes.NewReader(nil))), nil
 	}}
-	server := newServer(t, d, Config{})
+	server := newServer(t, backend, Config{})
 	response, _ := send(t, server, http.MethodPut, "/services/s/a%2Fb/c?d=e", "body", http.Header{"Prefer": {"wait=3"}})
 	if got.Path() != "/a%2Fb/c?d=e" || got.Method() != http.MethodPut || got.Timeout() != 3000 || got.OwnKey() {
 		t.Errorf("path %q, method %s, timeout %d", got.Path(), got.Method(), got.Timeout())
@@ -159,17 +161,17 @@
 
 // A caller opens a stream and stops reading. Its engine would write into full
 // buffers for as long as the caller likes.
-func TestCallerThatDoesNotReadIsGivenUp(t *testing.T) {
+func TestStreamToStalledCallerIsAborted(t *testing.T) {
 	ended := make(chan error, 1)
-	d := &desk{generate: func(_ context.Context, _ Generation, sink Sink) error {
+	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error {
 		var err error
 		for err == nil {
-			err = sink.Chunk(token(strings.Repeat("x", 64<<10)))
+			err = sink.Chunk(textChunk(strings.Repeat("x", 64<<10)))
 		}
 		ended <- err
 		return err
 	}}
-	server := newServer(t, d, Config{WriteTimeout: 200})
+	server := newServer(t, backend, Config{WriteTimeout: 200})
 	conn := dial(t, server)
 	body := `{"model":"m","prompt":"p","stream":true}`
 	write(t, conn, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\nContent-Length: "+itoa(len(body))+"\r\n\r\n"+body)
@@ -178,16 +180,16 @@
 		if err == nil {
 			t.Error("the write that was given up brought no error")
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the stream went on")
 	}
 }
 
 // A caller sends its body a byte now and then. It must be told in time, and
 // nobody else may wait for it.
-func TestSlowBodyIsRefusedAndHarmsNobody(t *testing.T) {
-	d := &desk{generate: func(_ context.Context, _ Generation, sink Sink) error { return sink.Chunk(token("ok")) }}
-	server := newServer(t, d, Config{BodyTimeout: 200})
+func TestSlowBodyTimesOutWithoutBlockingOthers(t *testing.T) {
+	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error { return sink.Chunk(textChunk("ok")) }}
+	server := newServer(t, backend, Config{BodyTimeout: 200})
 	slow := dial(t, server)
 	write(t, slow, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\nContent-Length: 100\r\n\r\n{")
 	if response, _ := send(t, server, http.MethodPost, "/v1/completions", `{"model":"m","prompt":"p"}`, nil); response.StatusCode != 200 {
@@ -205,21 +207,21 @@
 
 // Many callers send large bodies at once. Without a bound on all together they
 // fill the memory of the entry, and everybody's answers end with it.
-func TestBodiesTogetherAreBounded(t *testing.T) {
-	inHand, release := make(chan bool), make(chan bool)
-	d := &desk{generate: func(_ context.Context, _ Generation, sink Sink) error {
-		inHand <- true
+func TestTotalBodyBytesAreBounded(t *testing.T) {
+	started, release := make(chan bool), make(chan bool)
+	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error {
+		started <- true
 		<-release
-		return sink.Chunk(token("ok"))
+		return sink.Chunk(textChunk("ok"))
 	}}
-	server := newServer(t, d, Config{MaxHeld: 3000})
+	server := newServer(t, backend, Config{MaxHeld: 3000})
 	body := `{"model":"m","prompt":"` + strings.Repeat("x", 2000) + `"}`
 	first := make(chan int, 1)
 	go func() {
 		response, _ := send(t, server, http.MethodPost, "/v1/completions", body, nil)
 		first <- response.StatusCode
 	}()
-	<-inHand
+	<-started
 	response, text := send(t, server, http.MethodPost, "/v1/completions", body, nil)
 	if response.StatusCode != 503 || !strings.Contains(text, "bodies_full") || response.Header.Get("Retry-After") == "" {
 		t.Errorf("the second got %d, %s", response.StatusCode, text)
@@ -228,7 +230,7 @@
 	if got := <-first; got != 200 {
 		t.Errorf("the first got %d", got)
 	}
-	go func() { <-inHand; release <- true }()
+	go func() { <-started; release <- true }()
 	if response, _ := send(t, server, http.MethodPost, "/v1/completions", body, nil); response.StatusCode != 200 {
 		t.Errorf("after the first has ended another got %d", response.StatusCode)
 	}
@@ -236,11 +238,11 @@
 
 // A client opens a connection and sends half a header. Without a bound a few
 // thousand of these hold every connection that the entry may have.
-func TestSlowHeaderIsHungUpOn(t *testing.T) {
-	server := newServer(t, &desk{}, Config{})
+func TestSlowHeaderClosesConnection(t *testing.T) {
+	server := newServer(t, &fakeBackend{}, Config{})
 	conn := dial(t, server)
 	write(t, conn, "POST /v1/completions HTTP/1.1\r\nHost: h\r\n")
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, err := io.ReadAll(conn); err != nil {
 		t.Fatalf("the connection stays open: %v, %q", err, text)
 	}
@@ -277,7 +279,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		g, _, failure := parse("/v1/completions", body)
+		g, _, failure := parseRequest("/v1/completions", body)
 		if failure != nil {
 			if failure.Ran() != kumquatlug.RanNot || failure.Status() >= 500 {
 				t.Fatalf("refused as %d, %s", failure.Status(), failure.Ran())
--- a/internal/caller/completions.go
+++ b/internal/caller/completions.go
@@ -14,138 +14,138 @@
 
 // completions serves both completions and chat completions.
 func (h *Handler) completions(w http.ResponseWriter, r *http.Request) {
-	from := originOf(r)
+	state := requestStateOf(r)
 	body, failure := h.readBody(w, r)
 	if failure != nil {
-		h.refuse(w, from.id, failure)
+		h.refuse(w, state.id, failure)
 		return
 	}
-	g, wish, failure := parse(r.URL.Path, body)
+	g, req, failure := parseRequest(r.URL.Path, body)
 	if failure != nil {
-		h.refuse(w, from.id, failure)
+		h.refuse(w, state.id, failure)
 		return
 	}
-	g.id, g.account = from.id, from.account
-	g.timeout, failure = timeoutOf(r.Header)
+	g.id, g.account = state.id, state.account
+	g.timeout, failure = parseTimeout(r.Header)
 	if failure != nil {
-		h.refuse(w, from.id, failure)
+		h.refuse(w, state.id, failure)
 		return
 	}
-	h.answer(w, r, g, wish)
+	h.respond(w, r, g, req)
 }
 
-func (h *Handler) answer(w http.ResponseWriter, r *http.Request, g Generation, wish wishes) {
-	if !wish.Stream {
-		h.answerWhole(w, r, g)
+func (h *Handler) respond(w http.ResponseWriter, r *http.Request, g Generation, req completionRequest) {
+	if !req.Stream {
+		h.respondBuffered(w, r, g)
 		return
 	}
 	s := &streamSink{
-		id: "cmpl-" + g.id, created: time.Now().Unix(), writer: w, control: http.NewResponseController(w),
-		timeout: h.writeTimeout, usage: wish.StreamOptions != nil && wish.StreamOptions.Usage,
+		id: "cmpl-" + g.id, created: time.Now().Unix(), writer: w, controller: http.NewResponseController(w),
+		timeout: h.writeTimeout, includeUsage: req.StreamOptions != nil && req.StreamOptions.Usage,
 	}
-	err := h.desk.Generate(r.Context(), g, s)
+	err := h.backend.Generate(r.Context(), g, s)
 	if err == nil {
-		s.end()
+		s.finish()
 		return
 	}
 	f := kumquatlug.FailureOf(err)
-	if !s.begun {
+	if !s.started {
 		h.refuse(w, g.id, f)
 		return
 	}
 	h.logger.Warn("stream failed", zap.String("request", g.id), zap.String("step", f.Step()),
 		zap.String("peer", f.Peer()), zap.String("reason", f.Reason()), zap.String("cause", f.CauseText()))
-	s.fail(bodyOf(g.id, f))
+	s.writeError(newErrorBody(g.id, f))
 }
 
-func (h *Handler) answerWhole(w http.ResponseWriter, r *http.Request, g Generation) {
-	s := &wholeSink{}
-	if err := h.desk.Generate(r.Context(), g, s); err != nil {
+func (h *Handler) respondBuffered(w http.ResponseWriter, r *http.Request, g Generation) {
+	s := &bufferedSink{}
+	if err := h.backend.Generate(r.Context(), g, s); err != nil {
 		h.refuse(w, g.id, kumquatlug.FailureOf(err))
 		return
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.writeTimeout.Duration()))
 	w.Header().Set(peer.HeaderRan, string(kumquatlug.RanDone))
-	writeJSON(w, http.StatusOK, s.body("cmpl-"+g.id, time.Now().Unix(), g.kind.Name()))
+	writeJSON(w, http.StatusOK, s.responseBody("cmpl-"+g.id, time.Now().Unix(), g.kind.Name()))
 }
 
 // streamSink writes each chunk to the caller as a server-sent event.
 type streamSink struct {
-	id      string
-	created int64
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	timeout kumquatlug.Millis
-	usage   bool
-	begun   bool
-	// held says that something was written since the last flush.
-	held bool
-	// line is used for each event again.
-	line []byte
+	id           string
+	created      int64
+	writer       http.ResponseWriter
+	controller   *http.ResponseController
+	timeout      kumquatlug.Millis
+	includeUsage bool
+	started      bool
+	// unflushed says that something was written since the last flush.
+	unflushed bool
+	// buffer is used for each event again.
+	buffer []byte
 }
 
 // Marks of a server-sent event.
 const (
-	eventStart = "data: "
-	eventEnd   = "\n\n"
+	eventPrefix = "data: "
+	eventSuffix = "\n\n"
 )
 
 // Chunk writes c under the request's own id, so that an answer which two
 // engines wrote reads as one.
 func (s *streamSink) Chunk(c engine.Chunk) error {
-	if len(c.Choices) == 0 && !s.usage {
+	if len(c.Choices) == 0 && !s.includeUsage {
 		return nil
 	}
 	if len(c.Choices) > 0 {
 		c.Usage = nil
 	}
 	c.ID, c.Created = s.id, s.created
-	line, err := c.AppendJSON(append(s.line[:0], eventStart...))
-	s.line = line
+	event, err := c.AppendJSON(append(s.buffer[:0], eventPrefix...))
+	s.buffer = event
 	if err != nil {
 		return err
 	}
-	return s.send(append(line, eventEnd...))
+	return s.writeBytes(append(event, eventSuffix...))
 }
 
-func (s *streamSink) event(body any) error {
-	text, err := json.Marshal(body)
+func (s *streamSink) writeJSONEvent(body any) error {
+	data, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	return s.write(text)
+	return s.writeEvent(data)
 }
 
-func (s *streamSink) write(text []byte) error {
-	s.line = append(append(append(s.line[:0], eventStart...), text...), eventEnd...)
-	return s.send(s.line)
+func (s *streamSink) writeEvent(data []byte) error {
+	s.buffer = append(append(append(s.buffer[:0], eventPrefix...), data...), eventSuffix...)
+	return s.writeBytes(s.buffer)
 }
 
-// send writes one event. It leaves with the next flush, or when the buffer of
+// writeBytes writes one event. It leaves with the next flush, or when the buffer of
 // the connection is full.
-func (s *streamSink) send(line []byte) error {
-	if !s.begun {
-		s.begin()
+func (s *streamSink) writeBytes(event []byte) error {
+	if !s.started {
+		s.writeHeader()
 	}
-	if !s.held {
-		s.held = true
-		_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout.Duration()))
+	if !s.unflushed {
+		s.unflushed = true
+		_ = s.controller.SetWriteDeadline(time.Now().Add(s.timeout.Duration()))
 	}
-	_, err := s.writer.Write(line)
+	_, err := s.writer.Write(event)
 	return err
 }
 
 // Flush sends the events written so far to the caller.
 func (s *streamSink) Flush() error {
-	if !s.held {
+	if !s.unflushed {
 		return nil
 	}
-	s.held = false
-	return s.control.Flush()
+	s.unflushed = false
+	return s.controller.Flush()
 }
 
-func (s *streamSink) begin() {
-	s.begun = true
+func (s *streamSink) writeHeader() {
+	s.started = true
 	h := s.writer.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
@@ -153,29 +153,29 @@
 	s.writer.WriteHeader(http.StatusOK)
 }
 
-// end writes the mark by which a caller knows that the answer is whole.
-func (s *streamSink) end() {
-	_ = s.write([]byte("[DONE]"))
+// finish writes the mark by which a caller knows that the answer is whole.
+func (s *streamSink) finish() {
+	_ = s.writeEvent([]byte("[DONE]"))
 	_ = s.Flush()
 }
 
-// fail tells of a failure in the middle of a stream, and leaves the end mark
+// writeError tells of a failure in the middle of a stream, and leaves the end mark
 // out, so that no caller takes the part for the whole.
-func (s *streamSink) fail(body errorBody) {
-	_ = s.event(body)
+func (s *streamSink) writeError(body errorBody) {
+	_ = s.writeJSONEvent(body)
 	_ = s.Flush()
 }
 
-// wholeSink gathers the chunks of an answer that is given in one piece.
-type wholeSink struct {
-	text   []byte
-	chat   bool
-	finish string
-	usage  *engine.Usage
+// bufferedSink gathers the chunks of an answer that is given in one piece.
+type bufferedSink struct {
+	text         []byte
+	chat         bool
+	finishReason string
+	usage        *engine.Usage
 }
 
 // Chunk appends the text of c.
-func (s *wholeSink) Chunk(c engine.Chunk) error {
+func (s *bufferedSink) Chunk(c engine.Chunk) error {
 	if c.Usage != nil {
 		s.usage = c.Usage
 	}
@@ -184,7 +184,7 @@
 	}
 	choice := c.Choices[0]
 	if choice.Finish != nil {
-		s.finish = *choice.Finish
+		s.finishReason = *choice.Finish
 	}
 	if choice.Text != nil {
 		s.text = append(s.text, *choice.Text...)
@@ -204,11 +204,11 @@
 }
 
 // Flush does nothing: the answer leaves in one piece.
-func (s *wholeSink) Flush() error { return nil }
+func (s *bufferedSink) Flush() error { return nil }
 
-// body returns the answer in the shape of the API that was called.
-func (s *wholeSink) body(id string, created int64, model string) any {
-	type answer struct {
+// responseBody returns the answer in the shape of the API that was called.
+func (s *bufferedSink) responseBody(id string, created int64, model string) any {
+	type response struct {
 		ID      string        `json:"id"`
 		Object  string        `json:"object"`
 		Created int64         `json:"created"`
@@ -217,20 +217,20 @@
 		Usage   *engine.Usage `json:"usage,omitempty"`
 	}
 	if !s.chat {
-		return answer{id, "text_completion", created, model, []any{struct {
+		return response{id, "text_completion", created, model, []any{struct {
 			Index    int    `json:"index"`
 			Text     string `json:"text"`
 			Logprobs any    `json:"logprobs"`
 			Finish   string `json:"finish_reason"`
-		}{0, string(s.text), nil, s.finish}}, s.usage}
+		}{0, string(s.text), nil, s.finishReason}}, s.usage}
 	}
 	type message struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
 	}
-	return answer{id, "chat.completion", created, model, []any{struct {
+	return response{id, "chat.completion", created, model, []any{struct {
 		Index   int     `json:"index"`
 		Message message `json:"message"`
 		Finish  string  `json:"finish_reason"`
-	}{0, message{"assistant", string(s.text)}, s.finish}}, s.usage}
+	}{0, message{"assistant", string(s.text)}, s.finishReason}}, s.usage}
 }
--- a/internal/caller/generation.go
+++ b/internal/caller/generation.go
@@ -12,10 +12,10 @@
 
 // Figures for estimating what a request costs before it runs.
 const (
-	// bytesAToken is the usual length of a token of English or Spanish text.
-	bytesAToken = 4
-	// maxOutput refuses a bound that no engine could meet.
-	maxOutput = 1 << 20
+	// bytesPerToken is the usual length of a token of English or Spanish text.
+	bytesPerToken = 4
+	// maxOutputTokens refuses a bound that no engine could meet.
+	maxOutputTokens = 1 << 20
 )
 
 // Generation is one request to a model.
@@ -49,7 +49,7 @@
 func (g Generation) Prompt() string { return g.prompt }
 
 // PromptTokens returns the estimated length of the prompt in tokens.
-func (g Generation) PromptTokens() int64 { return int64(len(g.prompt))/bytesAToken + 1 }
+func (g Generation) PromptTokens() int64 { return int64(len(g.prompt))/bytesPerToken + 1 }
 
 // OutputBound returns the bound that the caller set on the answer, in tokens,
 // zero when it set none.
@@ -77,8 +77,8 @@
 	return body, errors.Wrap(err, "encode request")
 }
 
-// wishes are the fields of a request that we read ourselves.
-type wishes struct {
+// completionRequest are the fields of a request that we read ourselves.
+type completionRequest struct {
 	Model         string          `json:"model"`
 	Prompt        json.RawMessage `json:"prompt"`
 	Messages      []message       `json:"messages"`
@@ -97,66 +97,66 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// ownFields may not come from callers: they would reorder other callers' work
+// reservedFields may not come from callers: they would reorder other callers' work
 // or ask for half an answer.
-var ownFields = []string{"priority", "resume_tokens"}
+var reservedFields = []string{"priority", "resume_tokens"}
 
 func badRequest(cause error) *kumquatlug.Failure {
-	return refusalFor("read request", "invalid_request", http.StatusBadRequest, cause)
+	return newRefusalWithCause("read request", "invalid_request", http.StatusBadRequest, cause)
 }
 
-// parse reads a request's body; path tells completions from chat.
-func parse(path string, body []byte) (Generation, wishes, *kumquatlug.Failure) {
-	var w wishes
+// parseRequest reads a request's body; path tells completions from chat.
+func parseRequest(path string, body []byte) (Generation, completionRequest, *kumquatlug.Failure) {
+	var req completionRequest
 	g := Generation{path: path}
-	if err := json.Unmarshal(body, &w); err != nil {
-		return g, w, badRequest(err)
+	if err := json.Unmarshal(body, &req); err != nil {
+		return g, req, badRequest(err)
 	}
 	if err := json.Unmarshal(body, &g.fields); err != nil {
-		return g, w, badRequest(err)
+		return g, req, badRequest(err)
 	}
-	for _, name := range ownFields {
+	for _, name := range reservedFields {
 		delete(g.fields, name)
 	}
-	if w.Model == "" {
-		return g, w, badRequest(errors.New("model is missing"))
+	if req.Model == "" {
+		return g, req, badRequest(errors.New("model is missing"))
 	}
-	g.kind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, w.Model)
-	if err := w.unsupported(); err != nil {
-		return g, w, badRequest(err)
+	g.kind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, req.Model)
+	if err := req.checkSupported(); err != nil {
+		return g, req, badRequest(err)
 	}
-	prompt, err := w.text()
+	prompt, err := req.promptText()
 	if err != nil {
-		return g, w, badRequest(err)
+		return g, req, badRequest(err)
 	}
 	g.prompt = prompt
-	g.maxTokens, err = w.bound()
+	g.maxTokens, err = req.outputLimit()
 	if err != nil {
-		return g, w, badRequest(err)
+		return g, req, badRequest(err)
 	}
-	return g, w, nil
+	return g, req, nil
 }
 
-func (w wishes) unsupported() error {
-	if w.N != nil && *w.N != 1 {
+func (req completionRequest) checkSupported() error {
+	if req.N != nil && *req.N != 1 {
 		return errors.New("n other than 1 is not supported")
 	}
-	if len(w.Tools) > 0 && string(w.Tools) != "null" {
+	if len(req.Tools) > 0 && string(req.Tools) != "null" {
 		return errors.New("tools are not supported")
 	}
 	return nil
 }
 
-// text returns what the engine reads, as far as affinity and cost need it.
-func (w wishes) text() (string, error) {
-	if w.Messages != nil {
-		return chatText(w.Messages)
+// promptText returns what the engine reads, as far as affinity and cost need it.
+func (req completionRequest) promptText() (string, error) {
+	if req.Messages != nil {
+		return chatText(req.Messages)
 	}
 	var prompt string
-	if len(w.Prompt) == 0 {
+	if len(req.Prompt) == 0 {
 		return "", errors.New("prompt or messages is missing")
 	}
-	if err := json.Unmarshal(w.Prompt, &prompt); err != nil {
+	if err := json.Unmarshal(req.Prompt, &prompt); err != nil {
 		return "", errors.New("prompt must be one string")
 	}
 	return prompt, nil
@@ -165,7 +165,7 @@
 func chatText(messages []message) (string, error) {
 	var all strings.Builder
 	for i, m := range messages {
-		text, err := m.text()
+		text, err := m.contentText()
 		if err != nil {
 			return "", errors.Wrapf(err, "message %d", i)
 		}
@@ -175,9 +175,9 @@
 	return all.String(), nil
 }
 
-// text returns the content of a message, which is a string, a list of text
+// contentText returns the content of a message, which is a string, a list of text
 // parts, or null.
-func (m message) text() (string, error) {
+func (m message) contentText() (string, error) {
 	var text string
 	if len(m.Content) == 0 || json.Unmarshal(m.Content, &text) == nil {
 		return text, nil
@@ -198,16 +198,16 @@
 	return text, nil
 }
 
-func (w wishes) bound() (int64, error) {
-	bound := w.MaxTokens
-	if w.MaxCompletion != nil {
-		bound = w.MaxCompletion
+func (req completionRequest) outputLimit() (int64, error) {
+	limit := req.MaxTokens
+	if req.MaxCompletion != nil {
+		limit = req.MaxCompletion
 	}
-	if bound == nil {
+	if limit == nil {
 		return 0, nil
 	}
-	if *bound < 1 || *bound > maxOutput {
-		return 0, errors.Newf("max_tokens must be 1 to %d", maxOutput)
+	if *limit < 1 || *limit > maxOutputTokens {
+		return 0, errors.Newf("max_tokens must be 1 to %d", maxOutputTokens)
 	}
-	return *bound, nil
+	return *limit, nil
 }
--- a/internal/caller/refuse.go
+++ b/internal/caller/refuse.go
@@ -11,14 +11,14 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// refusal is a failure before anything was sent to a target.
-func refusal(step, reason string, status int) *kumquatlug.Failure {
+// newRefusal is a failure before anything was sent to a target.
+func newRefusal(step, reason string, status int) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status,
 	})
 }
 
-func refusalFor(step, reason string, status int, cause error) *kumquatlug.Failure {
+func newRefusalWithCause(step, reason string, status int, cause error) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status, Cause: cause,
 	})
@@ -39,16 +39,16 @@
 	RetryAfter int64          `json:"retry_after_ms,omitempty"`
 }
 
-func bodyOf(id string, f *kumquatlug.Failure) errorBody {
+func newErrorBody(id string, f *kumquatlug.Failure) errorBody {
 	return errorBody{errorDetail{
-		Message: messageOf(f), Type: typeOf(f.Status()), Code: f.Reason(),
+		Message: errorMessage(f), Type: errorType(f.Status()), Code: f.Reason(),
 		Ran: f.Ran(), Request: id, RetryAfter: int64(f.RetryAfter()),
 	}}
 }
 
-// messageOf tells the step and the reason. The cause goes along only when the
+// errorMessage tells the step and the reason. The cause goes along only when the
 // caller's own request is at fault; otherwise it would name processes inside.
-func messageOf(f *kumquatlug.Failure) string {
+func errorMessage(f *kumquatlug.Failure) string {
 	text := f.Step() + ": " + f.Reason()
 	if f.Unwrap() != nil && f.Status() < http.StatusInternalServerError {
 		text += ": " + f.Unwrap().Error()
@@ -56,7 +56,7 @@
 	return text
 }
 
-func typeOf(status int) string {
+func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized || status == http.StatusForbidden:
 		return "authentication_error"
@@ -76,23 +76,23 @@
 		zap.Int64("retry_after_ms", int64(f.RetryAfter())), zap.String("cause", f.CauseText()))
 	w.Header().Set(peer.HeaderRan, string(f.Ran()))
 	if f.RetryAfter() > 0 {
-		w.Header().Set("Retry-After", strconv.FormatInt(wholeSeconds(f.RetryAfter()), 10))
+		w.Header().Set("Retry-After", strconv.FormatInt(ceilSeconds(f.RetryAfter()), 10))
 	}
-	writeJSON(w, f.Status(), bodyOf(id, f))
+	writeJSON(w, f.Status(), newErrorBody(id, f))
 }
 
-// wholeSeconds rounds up, so that nobody comes back too early.
-func wholeSeconds(m kumquatlug.Millis) int64 {
+// ceilSeconds rounds up, so that nobody comes back too early.
+func ceilSeconds(m kumquatlug.Millis) int64 {
 	return int64((m + kumquatlug.Second - 1) / kumquatlug.Second)
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
-	text, err := json.Marshal(body)
+	data, err := json.Marshal(body)
 	if err != nil {
-		status, text = http.StatusInternalServerError, []byte(`{"error":{"code":"internal"}}`)
+		status, data = http.StatusInternalServerError, []byte(`{"error":{"code":"internal"}}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
-	w.Write(text)
+	w.Write(data)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -69,39 +69,39 @@
 
 // Entry is the process behind the balancer.
 type Entry struct {
-	c           Config
+	cfg         Config
 	incarnation string
 	address     string
 	dialer      *peer.Dialer
 	follower    *peer.Follower
-	store       *config.Store
+	configStore *config.Store
 	ledger      *ledger.Ledger
-	keeper      *ledger.Keeper
+	eraKeeper   *ledger.Keeper
 	loop        *loop
-	attempts    *attempts
-	plans       *plans
-	view        atomic.Pointer[view]
-	listed      atomic.Pointer[[]kumquatlug.VM]
+	attempts    *attemptTracker
+	roles       *roleController
+	view        atomic.Pointer[configView]
+	listedVMs   atomic.Pointer[[]kumquatlug.VM]
 	metrics     *metrics
-	notReady    atomic.Bool
-	inHand      atomic.Int64
+	draining    atomic.Bool
+	inFlight    atomic.Int64
 }
 
 // New returns an entry that is ready to run.
 func New(c Config) (*Entry, error) {
-	e := &Entry{c: c, incarnation: kumquatlug.NewIncarnation(c.Name), address: c.PeerAddress, dialer: peer.NewDialer(c.Keys), attempts: newAttempts()}
+	e := &Entry{cfg: c, incarnation: kumquatlug.NewIncarnation(c.Name), address: c.PeerAddress, dialer: peer.NewDialer(c.Keys), attempts: newAttemptTracker()}
 	if e.address == "" {
 		e.address = c.Peers.Addr().String()
 	}
 	e.metrics = newMetrics(c.Registry)
-	e.store = config.NewStore(config.StoreConfig{Table: c.Table, Objects: c.Objects})
-	e.listed.Store(&[]kumquatlug.VM{})
-	e.c.Dispatch.Entry, e.c.Dispatch.Zone = c.Name, c.Zone
+	e.configStore = config.NewStore(config.StoreConfig{Table: c.Table, Objects: c.Objects})
+	e.listedVMs.Store(&[]kumquatlug.VM{})
+	e.cfg.Dispatch.Entry, e.cfg.Dispatch.Zone = c.Name, c.Zone
 	e.loop = newLoop(e)
-	e.plans = newPlans(e)
+	e.roles = newRoleController(e)
 	e.follower = peer.NewFollower(peer.FollowerConfig{
-		Me: c.Name, Dialer: e.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger, Store: e.store,
-		Live: e.neighbours, OnState: e.configure,
+		Me: c.Name, Dialer: e.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger, Store: e.configStore,
+		Live: e.localEntries, OnState: e.applyConfig,
 	})
 	return e, e.openLedger()
 }
@@ -109,26 +109,26 @@
 func (e *Entry) openLedger() error {
 	var err error
 	e.ledger, err = ledger.New(ledger.Config{
-		Table: e.c.Table, Objects: e.c.Objects, Clock: e.c.Clock, Target: e.c.Name, Incarnation: e.incarnation,
+		Table: e.cfg.Table, Objects: e.cfg.Objects, Clock: e.cfg.Clock, Target: e.cfg.Name, Incarnation: e.incarnation,
 	})
 	if err != nil {
 		return errors.Wrap(err, "open the ledger")
 	}
-	e.keeper, err = ledger.NewKeeper(ledger.KeeperConfig{Table: e.c.Table, Clock: e.c.Clock, Incarnation: e.incarnation})
+	e.eraKeeper, err = ledger.NewKeeper(ledger.KeeperConfig{Table: e.cfg.Table, Clock: e.cfg.Clock, Incarnation: e.incarnation})
 	return errors.Wrap(err, "open the ledger")
 }
 
-// configure hands a config that came into force to those who decide by it.
-func (e *Entry) configure(state config.State) {
-	e.view.Store(newView(state))
-	e.loop.post(configured{state})
+// applyConfig hands a config that came into force to those who decide by it.
+func (e *Entry) applyConfig(state config.State) {
+	e.view.Store(newConfigView(state))
+	e.loop.post(configChanged{state})
 }
 
-// neighbours returns the entries of this data centre, by the platform's list.
-func (e *Entry) neighbours() []string {
+// localEntries returns the entries of this data centre, by the platform's list.
+func (e *Entry) localEntries() []string {
 	var names []string
-	for _, vm := range *e.listed.Load() {
-		if vm.Role() == kumquatlug.VMEntry && vm.Zone() == e.c.Zone {
+	for _, vm := range *e.listedVMs.Load() {
+		if vm.Role() == kumquatlug.VMEntry && vm.Zone() == e.cfg.Zone {
 			names = append(names, vm.Name())
 		}
 	}
@@ -142,11 +142,11 @@
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var group run.Group
-	for _, duty := range []func(context.Context) error{
-		e.loop.run, e.follower.Run, e.readList, e.heartbeats, e.ledger.Run, e.keeper.Run, e.snapshots, e.plans.run,
+	for _, task := range []func(context.Context) error{
+		e.loop.run, e.follower.Run, e.pollVMs, e.runHeartbeats, e.ledger.Run, e.eraKeeper.Run, e.runSnapshots, e.roles.run,
 		e.presence().Run,
 	} {
-		peer.AddDuty(background, &group, duty)
+		peer.AddDuty(background, &group, task)
 	}
 	e.addServers(&group)
 	group.Add(func() error {
@@ -154,61 +154,61 @@
 		e.drain(background)
 		return ctx.Err()
 	}, func(error) { cancel() })
-	e.c.Logger.Info("entry serves", zap.String("name", e.c.Name), zap.String("callers", e.c.Callers.Addr().String()),
-		zap.String("peers", e.address), zap.String("operators", e.c.Operators.Addr().String()))
+	e.cfg.Logger.Info("entry serves", zap.String("name", e.cfg.Name), zap.String("callers", e.cfg.Callers.Addr().String()),
+		zap.String("peers", e.address), zap.String("operators", e.cfg.Operators.Addr().String()))
 	defer e.dialer.Close()
 	return peer.RunGroup(&group)
 }
 
 // presence is the entry's own on the list of VMs.
 func (e *Entry) presence() peer.Presence {
-	return peer.Presence{VMs: e.c.VMs, Logger: e.c.Logger, VM: kumquatlug.NewVM(kumquatlug.VMConfig{
-		Name: e.c.Name, Role: kumquatlug.VMEntry, Address: e.address, Zone: e.c.Zone, State: kumquatlug.VMLive,
+	return peer.Presence{VMs: e.cfg.VMs, Logger: e.cfg.Logger, VM: kumquatlug.NewVM(kumquatlug.VMConfig{
+		Name: e.cfg.Name, Role: kumquatlug.VMEntry, Address: e.address, Zone: e.cfg.Zone, State: kumquatlug.VMLive,
 	})}
 }
 
 // drain waits until the balancer sends nothing more and nothing is in hand.
 func (e *Entry) drain(ctx context.Context) {
-	e.notReady.Store(true)
-	e.c.Ring.Add(timeline.Record{Name: timeline.StateChanged, Detail: "stopping"})
-	e.c.Logger.Info("entry stops: not ready, finishing what it has", zap.Int64("in_hand", e.inHand.Load()))
+	e.draining.Store(true)
+	e.cfg.Ring.Add(timeline.Record{Name: timeline.StateChanged, Detail: "stopping"})
+	e.cfg.Logger.Info("entry stops: not ready, finishing what it has", zap.Int64("in_hand", e.inFlight.Load()))
 	select {
-	case <-time.After(e.c.BalancerLag.Duration()):
+	case <-time.After(e.cfg.BalancerLag.Duration()):
 	case <-ctx.Done():
 		return
 	}
-	peer.WaitUntil(ctx, func() bool { return e.inHand.Load() == 0 })
-	e.c.Logger.Info("entry has finished its requests and stops")
+	peer.WaitUntil(ctx, func() bool { return e.inFlight.Load() == 0 })
+	e.cfg.Logger.Info("entry has finished its requests and stops")
 }
 
 func (e *Entry) addServers(group *run.Group) {
-	callers := caller.New(caller.Config{Desk: e, Logger: e.c.Logger, MaxBody: e.c.MaxBody, MaxHeld: e.c.MaxHeld})
+	callers := caller.New(caller.Config{Desk: e, Logger: e.cfg.Logger, MaxBody: e.cfg.MaxBody, MaxHeld: e.cfg.MaxHeld})
 	public := http.NewServeMux()
 	e.addProbes(public)
-	public.Handle("/", e.counted(callers))
-	e.addServer(group, "serve callers", public, e.c.Callers, e.c.CallerTLS.Server())
+	public.Handle("/", e.countInFlight(callers))
+	e.addServer(group, "serve callers", public, e.cfg.Callers, e.cfg.CallerTLS.Server())
 
 	peers := http.NewServeMux()
-	path, service := peerv1connect.NewPeerServiceHandler(peer.NewService(e.follower, e.c.Ring), peer.HandlerOptions())
-	peers.Handle(path, e.c.Keys.Only(service, peer.RoleEntry, peer.RoleAgent))
-	path, service = peerv1connect.NewEntryServiceHandler(&offers{e.plans}, peer.HandlerOptions())
-	peers.Handle(path, e.c.Keys.Only(service, peer.RoleEntry))
-	e.addServer(group, "serve peers", peers, e.c.Peers, e.c.Keys.Server())
+	path, service := peerv1connect.NewPeerServiceHandler(peer.NewService(e.follower, e.cfg.Ring), peer.HandlerOptions())
+	peers.Handle(path, e.cfg.Keys.Only(service, peer.RoleEntry, peer.RoleAgent))
+	path, service = peerv1connect.NewEntryServiceHandler(&demandService{e.roles}, peer.HandlerOptions())
+	peers.Handle(path, e.cfg.Keys.Only(service, peer.RoleEntry))
+	e.addServer(group, "serve peers", peers, e.cfg.Peers, e.cfg.Keys.Server())
 
 	operators := http.NewServeMux()
 	e.addProbes(operators)
-	operators.Handle("/metrics", promhttp.HandlerFor(e.c.Registry, promhttp.HandlerOpts{}))
-	path, service = operator.NewHandler(operator.HandlerConfig{Desk: e, Keys: e.c.OperatorKeys, Logger: e.c.Logger})
+	operators.Handle("/metrics", promhttp.HandlerFor(e.cfg.Registry, promhttp.HandlerOpts{}))
+	path, service = operator.NewHandler(operator.HandlerConfig{Desk: e, Keys: e.cfg.OperatorKeys, Logger: e.cfg.Logger})
 	operators.Handle(path, service)
-	e.addServer(group, "serve operators", operators, e.c.Operators, e.c.CallerTLS.Server())
+	e.addServer(group, "serve operators", operators, e.cfg.Operators, e.cfg.CallerTLS.Server())
 }
 
-// counted counts the callers' requests in hand, so that a planned stop can wait
+// countInFlight counts the callers' requests in hand, so that a planned stop can wait
 // for the last one.
-func (e *Entry) counted(next http.Handler) http.Handler {
+func (e *Entry) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.metrics.inHand.Set(float64(e.inHand.Add(1)))
-		defer func() { e.metrics.inHand.Set(float64(e.inHand.Add(-1))) }()
+		e.metrics.inFlight.Set(float64(e.inFlight.Add(1)))
+		defer func() { e.metrics.inFlight.Set(float64(e.inFlight.Add(-1))) }()
 		next.ServeHTTP(w, r)
 	})
 }
@@ -217,7 +217,7 @@
 func (e *Entry) addProbes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if reason := e.unready(); reason != "" {
+		if reason := e.notReadyReason(); reason != "" {
 			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
@@ -225,10 +225,10 @@
 	})
 }
 
-// unready says why the balancer should send callers elsewhere.
-func (e *Entry) unready() string {
+// notReadyReason says why the balancer should send callers elsewhere.
+func (e *Entry) notReadyReason() string {
 	switch {
-	case e.notReady.Load():
+	case e.draining.Load():
 		return "stopping"
 	case e.view.Load().revision == 0:
 		return "no config yet"
@@ -237,6 +237,6 @@
 	}
 }
 
-func (e *Entry) addServer(group *run.Group, step string, handler http.Handler, l net.Listener, keys *tls.Config) {
-	peer.AddServer(group, step, &http.Server{Handler: handler, TLSConfig: keys, ErrorLog: zap.NewStdLog(e.c.Logger)}, l)
+func (e *Entry) addServer(group *run.Group, step string, handler http.Handler, l net.Listener, tlsConfig *tls.Config) {
+	peer.AddServer(group, step, &http.Server{Handler: handler, TLSConfig: tlsConfig, ErrorLog: zap.NewStdLog(e.cfg.Logger)}, l)
 }
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -18,20 +18,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/stream"
 )
 
-// progressEvery is after how many tokens the loop is told of a stream's
+// progressIntervalTokens is after how many tokens the loop is told of a stream's
 // progress: often enough for the router's view of a target's load, and a
 // sixteenth of the messages.
-const progressEvery = 16
+const progressIntervalTokens = 16
 
 // maxAttempts bounds the attempts of one answer in the assembler. It is out of
 // reach: the loop gives up by the retry policy and the deadline, and a request
 // that waits its turn among suspects is refused five times a second meanwhile.
 const maxAttempts = 1 << 16
 
-// restTimeout bounds how long the end of an answer is waited for once its end
+// trailerTimeout bounds how long the end of an answer is waited for once its end
 // mark is there. It comes with the mark; a target that holds it back costs its
 // caller no more than this and its agent one connection.
-const restTimeout = 100 * time.Millisecond
+const trailerTimeout = 100 * time.Millisecond
 
 // Generate runs one request to a model until its answer is whole, on as many
 // engines as that takes.
@@ -41,162 +41,162 @@
 	if err != nil {
 		return err
 	}
-	r.print = quarantine.NewFingerprint(g.Caller().Name(), g.Kind(), body)
-	r.note(timeline.Admitted, "", g.Kind().String())
-	r.begin(dispatch.RequestConfig{
+	r.fingerprint = quarantine.NewFingerprint(g.Caller().Name(), g.Kind(), body)
+	r.record(timeline.Admitted, "", g.Kind().String())
+	r.submit(dispatch.RequestConfig{
 		Role: kumquatlug.RoleBoth, Prefix: prefixKeys(g.Prompt()),
 		PrefillTokens: g.PromptTokens(), DecodeTokens: g.OutputBound(),
 	})
 	defer func() { r.close(err) }()
-	answer, err := stream.New(stream.Config{Request: g.ID(), Attempts: maxAttempts})
+	assembler, err := stream.New(stream.Config{Request: g.ID(), Attempts: maxAttempts})
 	if err != nil {
 		return err
 	}
-	s := &streaming{request: r, generation: g, sink: sink, answer: answer}
+	s := &responseStream{request: r, generation: g, sink: sink, assembler: assembler}
 	return s.run(ctx)
 }
 
-// streaming is one answer in the making.
-type streaming struct {
-	request    *request
-	generation caller.Generation
-	sink       caller.Sink
-	answer     *stream.Answer
-	told       int64
-	handle     string
-	model      engine.Chunk
-	last       engine.Chunk
-	// unsent is why what was written could not be sent to the caller.
-	unsent error
+// responseStream is one answer in the making.
+type responseStream struct {
+	request        *request
+	generation     caller.Generation
+	sink           caller.Sink
+	assembler      *stream.Answer
+	reportedTokens int64
+	kvHandle       string
+	template       engine.Chunk
+	last           engine.Chunk
+	// writeErr is why what was written could not be sent to the caller.
+	writeErr error
 }
 
 // flush sends the tokens written so far to the caller.
-func (s *streaming) flush() error {
-	s.unsent = s.sink.Flush()
-	return s.unsent
+func (s *responseStream) flush() error {
+	s.writeErr = s.sink.Flush()
+	return s.writeErr
 }
 
-// sendingOn reads an attempt's answer, and sends on what was made of it so far
+// flushingReader reads an attempt's answer, and sends on what was made of it so far
 // before it waits for more. Tokens that arrive together leave together: each
 // for itself, a write to the caller's connection is the greater part of what a
 // token costs. None waits for one that is not there yet.
-type sendingOn struct {
-	streaming *streaming
-	body      io.Reader
+type flushingReader struct {
+	stream *responseStream
+	body   io.Reader
 }
 
 // Read reads on once all before it is on its way.
-func (r sendingOn) Read(p []byte) (int, error) {
-	if err := r.streaming.flush(); err != nil {
+func (r flushingReader) Read(p []byte) (int, error) {
+	if err := r.stream.flush(); err != nil {
 		return 0, err
 	}
 	return r.body.Read(p)
 }
 
 // run makes attempts until the answer is whole or the loop gives it up.
-func (s *streaming) run(ctx context.Context) error {
+func (s *responseStream) run(ctx context.Context) error {
 	for {
-		attempt, err := s.request.next(ctx)
+		attempt, err := s.request.nextAttempt(ctx)
 		if err != nil {
-			return s.stopped(err)
+			return s.finalError(err)
 		}
-		failed, err := s.attempt(ctx, attempt)
+		failed, err := s.runAttempt(ctx, attempt)
 		if err != nil {
 			return err
 		}
 		switch {
 		case failed != nil:
-			s.request.fail(attempt, *failed)
+			s.request.reportFailure(attempt, *failed)
 		case attempt.Role() == kumquatlug.RolePrefill:
-			s.request.entry.loop.post(linked{s.request.id})
+			s.request.entry.loop.post(prefillDone{s.request.id})
 		default:
 			return nil
 		}
 	}
 }
 
-// stopped makes the final failure of a stream truthful: once the caller has
+// finalError makes the final failure of a stream truthful: once the caller has
 // tokens, the work ran.
-func (s *streaming) stopped(err error) error {
+func (s *responseStream) finalError(err error) error {
 	f := kumquatlug.FailureOf(err)
-	if len(s.answer.Sent()) == 0 || f.Ran() == kumquatlug.RanDone {
+	if len(s.assembler.Sent()) == 0 || f.Ran() == kumquatlug.RanDone {
 		return err
 	}
 	return f.WithRan(kumquatlug.RanUnknown)
 }
 
-// attempt runs one attempt. It returns no failure when the answer is whole, and
+// runAttempt runs one attempt. It returns no failure when the answer is whole, and
 // an error when the caller is gone.
-func (s *streaming) attempt(ctx context.Context, a dispatch.Attempt) (*dispatch.Failed, error) {
+func (s *responseStream) runAttempt(ctx context.Context, a dispatch.Attempt) (*dispatch.Failed, error) {
 	if a.Role() == kumquatlug.RolePrefill {
 		return s.prefill(ctx, a)
 	}
-	number, at, ok := s.answer.Start()
+	number, offset, ok := s.assembler.Start()
 	if !ok {
-		return nil, s.failure(a, "attempts", nil)
+		return nil, s.readFailure(a, "attempts", nil)
 	}
-	body, err := s.generation.Body(int64(at), s.request.enginePriority())
+	body, err := s.generation.Body(int64(offset), s.request.enginePriority())
 	if err != nil {
 		return nil, err
 	}
-	attemptCtx, end := s.request.entry.attempts.begin(ctx, a.Target())
+	attemptCtx, end := s.request.entry.attempts.start(ctx, a.Target())
 	defer end()
-	answer, refused := s.request.send(attemptCtx, a, outgoing{
+	response, refused := s.request.send(attemptCtx, a, agentRequest{
 		method: http.MethodPost, path: s.generation.Path(), body: body,
-		header: jsonHeader(), handle: s.handle,
+		header: jsonHeader(), kvHandle: s.kvHandle,
 	})
 	if refused != nil {
-		return s.refused(ctx, number, refused)
+		return s.attemptRefused(ctx, number, refused)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return nil, s.engineError(a, answer)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return nil, s.engineError(a, response)
 	}
-	failed, err := s.read(ctx, a, number, engine.NewReader(sendingOn{s, answer.Body}))
+	failed, err := s.relay(ctx, a, number, engine.NewReader(flushingReader{s, response.Body}))
 	if err != nil {
 		return nil, err
 	}
 	if failed != nil {
 		// The trailer is there only once the body was read to its end.
-		_, _ = io.Copy(io.Discard, answer.Body)
-		failed.Notices = noticesOf(answer.Trailer)
+		_, _ = io.Copy(io.Discard, response.Body)
+		failed.Notices = noticesFrom(response.Trailer)
 		_ = s.flush()
 		return failed, nil
 	}
 	if err := s.flush(); err != nil {
-		return nil, s.request.gone("write answer", err)
+		return nil, s.request.callerGone("write answer", err)
 	}
-	readRest(answer.Body, end)
+	drainBody(response.Body, end)
 	return nil, nil
 }
 
-// readRest reads what follows the end mark of an answer, so that its connection
+// drainBody reads what follows the end mark of an answer, so that its connection
 // can be used again. Closed before its end it would be thrown away, and each
 // request would pay for a connection and a handshake of its own; one notices by
 // handshakes in the processor time of entry and agents. end ends the attempt
 // when the rest does not come.
-func readRest(body io.Reader, end func()) {
-	slow := time.AfterFunc(restTimeout, end)
-	defer slow.Stop()
+func drainBody(body io.Reader, end func()) {
+	timer := time.AfterFunc(trailerTimeout, end)
+	defer timer.Stop()
 	_, _ = io.Copy(io.Discard, body)
 }
 
-func (s *streaming) refused(ctx context.Context, number int, refused *refusal) (*dispatch.Failed, error) {
-	s.answer.Cut(s.request.id, number)
+func (s *responseStream) attemptRefused(ctx context.Context, number int, refused *refusal) (*dispatch.Failed, error) {
+	s.assembler.Cut(s.request.id, number)
 	if ctx.Err() != nil {
-		return nil, s.request.gone("send work", ctx.Err())
+		return nil, s.request.callerGone("send work", ctx.Err())
 	}
-	failed := refused.failed()
+	failed := refused.attemptFailure()
 	failed.Resumable = true
 	return &failed, nil
 }
 
 // engineError passes an engine's own refusal of the request on to the caller.
 // Another engine would say the same of the same request.
-func (s *streaming) engineError(a dispatch.Attempt, answer *http.Response) error {
-	const maxText = 4096
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxText))
-	status := answer.StatusCode
+func (s *responseStream) engineError(a dispatch.Attempt, response *http.Response) error {
+	const maxErrorBytes = 4096
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+	status := response.StatusCode
 	if status < http.StatusBadRequest {
 		status = http.StatusBadGateway
 	}
@@ -206,85 +206,85 @@
 	})
 }
 
-func (s *streaming) failure(a dispatch.Attempt, reason string, cause error) *kumquatlug.Failure {
+func (s *responseStream) readFailure(a dispatch.Attempt, reason string, cause error) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: "read answer", Peer: a.Target(), Reason: reason, Ran: kumquatlug.RanUnknown,
 		Status: http.StatusBadGateway, Cause: cause,
 	})
 }
 
-// read passes the tokens of one attempt on until the answer is whole or cut.
-func (s *streaming) read(ctx context.Context, a dispatch.Attempt, number int, chunks *engine.Reader) (*dispatch.Failed, error) {
+// relay passes the tokens of one attempt on until the answer is whole or cut.
+func (s *responseStream) relay(ctx context.Context, a dispatch.Attempt, number int, chunks *engine.Reader) (*dispatch.Failed, error) {
 	for {
 		chunk, err := chunks.Next()
 		if errors.Is(err, io.EOF) {
 			return s.end(a, number)
 		}
 		if ctx.Err() != nil {
-			return nil, s.request.gone("read answer", ctx.Err())
+			return nil, s.request.callerGone("read answer", ctx.Err())
 		}
-		if s.unsent != nil {
-			return nil, s.request.gone("write answer", s.unsent)
+		if s.writeErr != nil {
+			return nil, s.request.callerGone("write answer", s.writeErr)
 		}
 		if err != nil {
-			s.answer.Cut(s.request.id, number)
-			return s.cut(a, err), nil
+			s.assembler.Cut(s.request.id, number)
+			return s.streamCut(a, err), nil
 		}
-		if err := s.take(number, chunk); err != nil {
-			return nil, s.request.gone("write answer", err)
+		if err := s.relayChunk(number, chunk); err != nil {
+			return nil, s.request.callerGone("write answer", err)
 		}
 	}
 }
 
-func (s *streaming) cut(a dispatch.Attempt, cause error) *dispatch.Failed {
-	return &dispatch.Failed{Failure: s.failure(a, "stream_cut", cause), Resumable: true}
+func (s *responseStream) streamCut(a dispatch.Attempt, cause error) *dispatch.Failed {
+	return &dispatch.Failed{Failure: s.readFailure(a, "stream_cut", cause), Resumable: true}
 }
 
-// take forwards what of a chunk the caller does not have yet.
-func (s *streaming) take(number int, chunk engine.Chunk) error {
-	s.last.Usage = keepUsage(s.last.Usage, chunk.Usage)
-	text, isToken := textOf(chunk)
+// relayChunk forwards what of a chunk the caller does not have yet.
+func (s *responseStream) relayChunk(number int, chunk engine.Chunk) error {
+	s.last.Usage = latestUsage(s.last.Usage, chunk.Usage)
+	text, isToken := tokenText(chunk)
 	if len(chunk.Choices) > 0 {
 		s.last.Choices = chunk.Choices
 	}
-	if s.model.Object == "" && len(chunk.Choices) > 0 {
-		s.model = chunk
+	if s.template.Object == "" && len(chunk.Choices) > 0 {
+		s.template = chunk
 	}
 	if !isToken {
 		return nil
 	}
-	step := s.answer.Chunk(stream.NewChunk(s.request.id, number, int(chunk.Tokens())-1, text))
+	step := s.assembler.Chunk(stream.NewChunk(s.request.id, number, int(chunk.Tokens())-1, text))
 	for _, token := range step.Tokens() {
-		if err := s.sink.Chunk(s.chunkOf(token)); err != nil {
+		if err := s.sink.Chunk(s.tokenChunk(token)); err != nil {
 			return err
 		}
 	}
-	return s.tell()
+	return s.reportProgress()
 }
 
-// tell reports progress to the loop, at the first token and then in portions.
-func (s *streaming) tell() error {
-	tokens := int64(len(s.answer.Sent()))
-	if s.told == 0 && tokens > 0 {
+// reportProgress reports progress to the loop, at the first token and then in portions.
+func (s *responseStream) reportProgress() error {
+	tokens := int64(len(s.assembler.Sent()))
+	if s.reportedTokens == 0 && tokens > 0 {
 		s.request.entry.metrics.firstToken.WithLabelValues(s.request.kind.String()).Observe(s.request.age().Seconds())
 	}
-	if tokens > 0 && (s.told == 0 || tokens-s.told >= progressEvery) {
-		s.told = tokens
-		s.request.entry.loop.post(progressed{s.request.id, tokens})
+	if tokens > 0 && (s.reportedTokens == 0 || tokens-s.reportedTokens >= progressIntervalTokens) {
+		s.reportedTokens = tokens
+		s.request.entry.loop.post(requestProgressed{s.request.id, tokens})
 	}
 	return nil
 }
 
-func keepUsage(known, told *engine.Usage) *engine.Usage {
-	if told == nil {
-		return known
+func latestUsage(current, latest *engine.Usage) *engine.Usage {
+	if latest == nil {
+		return current
 	}
-	return told
+	return latest
 }
 
-// textOf returns the token that a chunk carries, and false when it carries
+// tokenText returns the token that a chunk carries, and false when it carries
 // none: a role, a finish reason or a usage alone.
-func textOf(c engine.Chunk) (string, bool) {
+func tokenText(c engine.Chunk) (string, bool) {
 	if len(c.Choices) == 0 {
 		return "", false
 	}
@@ -301,16 +301,16 @@
 	return *delta.Content, c.Tokens() > 0 && (*delta.Content != "" || choice.Finish == nil)
 }
 
-// chunkOf renders a token in the shape of the API that was called.
-func (s *streaming) chunkOf(token string) engine.Chunk {
+// tokenChunk renders a token in the shape of the API that was called.
+func (s *responseStream) tokenChunk(token string) engine.Chunk {
 	return s.render(token, nil)
 }
 
-func (s *streaming) render(token string, finish *string) engine.Chunk {
-	c := engine.Chunk{Object: s.model.Object, Model: s.generation.Kind().Name()}
+func (s *responseStream) render(token string, finish *string) engine.Chunk {
+	c := engine.Chunk{Object: s.template.Object, Model: s.generation.Kind().Name()}
 	choice := engine.Choice{Finish: finish}
-	if len(s.model.Choices) > 0 && s.model.Choices[0].Text == nil {
-		choice.Delta = delta(token, len(s.answer.Sent()) <= 1 && finish == nil)
+	if len(s.template.Choices) > 0 && s.template.Choices[0].Text == nil {
+		choice.Delta = chatDelta(token, len(s.assembler.Sent()) <= 1 && finish == nil)
 	} else {
 		choice.Text = &token
 	}
@@ -318,8 +318,8 @@
 	return c
 }
 
-// delta is the part of a chat message that one token adds.
-func delta(token string, first bool) json.RawMessage {
+// chatDelta is the part of a chat message that one token adds.
+func chatDelta(token string, first bool) json.RawMessage {
 	body := struct {
 		Role    string `json:"role,omitempty"`
 		Content string `json:"content"`
@@ -335,7 +335,7 @@
 }
 
 // end takes the end mark: the answer is whole if no token is missing.
-func (s *streaming) end(a dispatch.Attempt, number int) (*dispatch.Failed, error) {
+func (s *responseStream) end(a dispatch.Attempt, number int) (*dispatch.Failed, error) {
 	usage := s.last.Usage
 	if usage == nil {
 		usage = &engine.Usage{}
@@ -345,18 +345,18 @@
 		cached = usage.PromptDetails.CachedTokens
 	}
 	reason := s.last.Finish()
-	step := s.answer.End(stream.NewEnd(s.request.id, number, int(usage.CompletionTokens), reason,
+	step := s.assembler.End(stream.NewEnd(s.request.id, number, int(usage.CompletionTokens), reason,
 		stream.NewUsage(int(usage.PromptTokens), int(cached), int(usage.CompletionTokens))))
 	if step.Verdict() != stream.VerdictWhole {
-		s.answer.Cut(s.request.id, number)
-		return s.cut(a, engine.ErrNoEnd), nil
+		s.assembler.Cut(s.request.id, number)
+		return s.streamCut(a, engine.ErrNoEnd), nil
 	}
 	s.request.finish(dispatch.Done{Tokens: usage.CompletionTokens, Cached: cached})
 	if err := s.sink.Chunk(s.render("", &reason)); err != nil {
-		return nil, s.request.gone("write answer", err)
+		return nil, s.request.callerGone("write answer", err)
 	}
-	if err := s.sink.Chunk(engine.Chunk{Object: s.model.Object, Model: s.generation.Kind().Name(), Choices: []engine.Choice{}, Usage: usage}); err != nil {
-		return nil, s.request.gone("write answer", err)
+	if err := s.sink.Chunk(engine.Chunk{Object: s.template.Object, Model: s.generation.Kind().Name(), Choices: []engine.Choice{}, Usage: usage}); err != nil {
+		return nil, s.request.callerGone("write answer", err)
 	}
 	return nil, nil
 }
--- a/internal/entry/generate_test.go
+++ b/internal/entry/generate_test.go
@@ -16,7 +16,7 @@
 // chunk of the connection still unread. The connection could not be used again,
 // and every request made a new one. A user notices nothing but the time; entry
 // and agents spend most of theirs on handshakes.
-func TestConnectionIsUsedAgainAfterTheEndMark(t *testing.T) {
+func TestConnectionIsReusedAfterDoneEvent(t *testing.T) {
 	var connections atomic.Int64
 	agent := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Trailer", "End")
@@ -32,17 +32,17 @@
 	agent.Start()
 	defer agent.Close()
 	for range 20 {
-		answer, err := agent.Client().Get(agent.URL)
+		response, err := agent.Client().Get(agent.URL)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := engine.NewReader(answer.Body).Next(); !errors.Is(err, io.EOF) {
+		if _, err := engine.NewReader(response.Body).Next(); !errors.Is(err, io.EOF) {
 			t.Fatalf("no end mark: %v", err)
 		}
-		readRest(answer.Body, func() {})
-		_ = answer.Body.Close()
-		if answer.Trailer.Get("End") != "whole" {
-			t.Fatalf("trailer %v", answer.Trailer)
+		drainBody(response.Body, func() {})
+		_ = response.Body.Close()
+		if response.Trailer.Get("End") != "whole" {
+			t.Fatalf("trailer %v", response.Trailer)
 		}
 	}
 	if n := connections.Load(); n != 1 {
@@ -52,8 +52,8 @@
 
 // A target holds the end of its answer back. Without a bound its caller would
 // wait for it, with the whole answer at hand.
-func TestRestThatDoesNotComeIsGivenUp(t *testing.T) {
-	body, hold := io.Pipe()
-	defer func() { _ = hold.Close() }()
-	readRest(body, func() { _ = body.CloseWithError(io.ErrUnexpectedEOF) })
+func TestDrainBodyIsBounded(t *testing.T) {
+	body, writer := io.Pipe()
+	defer func() { _ = writer.Close() }()
+	drainBody(body, func() { _ = body.CloseWithError(io.ErrUnexpectedEOF) })
 }
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -21,7 +21,7 @@
 
 // Messages to the loop.
 type (
-	arrived struct {
+	requestArrived struct {
 		request dispatch.RequestConfig
 		reply   chan dispatch.Decision
 	}
@@ -29,32 +29,32 @@
 		id     string
 		failed dispatch.Failed
 	}
-	progressed struct {
+	requestProgressed struct {
 		id     string
 		tokens int64
 	}
-	finished struct {
+	requestFinished struct {
 		id   string
 		done dispatch.Done
 	}
-	linked     struct{ id string }
-	cancelled  struct{ id string }
-	configured struct{ state config.State }
-	vmsListed  struct{ vms []kumquatlug.VM }
-	heard      struct {
+	prefillDone       struct{ id string }
+	requestCancelled  struct{ id string }
+	configChanged     struct{ state config.State }
+	vmsListed         struct{ vms []kumquatlug.VM }
+	heartbeatAnswered struct {
 		name    string
 		report  dispatch.Report
 		notices []quarantine.Notice
 		cache   []*peerv1.CacheEvent
 	}
-	missed struct{ name string }
-	// asked lets another goroutine look at the dispatcher between two events.
-	asked struct {
-		look func(*dispatch.Dispatcher)
+	heartbeatMissed struct{ name string }
+	// loopQuery lets another goroutine look at the dispatcher between two events.
+	loopQuery struct {
+		fn   func(*dispatch.Dispatcher)
 		done chan struct{}
-		// taken is set by whoever comes first: the loop that looks, or the caller
+		// claimed is set by whoever comes first: the loop that looks, or the caller
 		// that gives up.
-		taken *atomic.Bool
+		claimed *atomic.Bool
 	}
 )
 
@@ -69,7 +69,7 @@
 
 func newLoop(e *Entry) *loop {
 	return &loop{
-		entry: e, dispatcher: dispatch.New(e.c.Dispatch), inbox: make(chan any, inboxSize),
+		entry: e, dispatcher: dispatch.New(e.cfg.Dispatch), inbox: make(chan any, inboxSize),
 		stopped: make(chan struct{}), replies: map[string]chan dispatch.Decision{},
 	}
 }
@@ -83,25 +83,25 @@
 	}
 }
 
-// ask runs look between two events and returns when it is done. After an error
+// query runs look between two events and returns when it is done. After an error
 // look has not run and never will: what it writes is its caller's again. A look
 // that ran after its caller had given up would write while the caller reads.
-func (l *loop) ask(ctx context.Context, look func(*dispatch.Dispatcher)) error {
-	a := asked{look: look, done: make(chan struct{}), taken: &atomic.Bool{}}
-	l.post(a)
+func (l *loop) query(ctx context.Context, fn func(*dispatch.Dispatcher)) error {
+	q := loopQuery{fn: fn, done: make(chan struct{}), claimed: &atomic.Bool{}}
+	l.post(q)
 	select {
-	case <-a.done:
+	case <-q.done:
 		return nil
 	case <-l.stopped:
 		return context.Canceled
 	case <-ctx.Done():
 	}
-	if a.taken.CompareAndSwap(false, true) {
+	if q.claimed.CompareAndSwap(false, true) {
 		return ctx.Err()
 	}
 	// The loop is at it.
 	select {
-	case <-a.done:
+	case <-q.done:
 		return nil
 	case <-l.stopped:
 		return context.Canceled
@@ -114,56 +114,56 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		now := l.entry.c.Clock.Now()
+		now := l.entry.cfg.Clock.Now()
 		timer.Reset((l.dispatcher.Wake(now) - now).Duration())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case message := <-l.inbox:
-			l.carryOut(l.take(l.entry.c.Clock.Now(), message))
+			l.deliver(l.handle(l.entry.cfg.Clock.Now(), message))
 		case <-timer.C:
-			l.entry.countTargets(l.dispatcher)
-			l.carryOut(l.dispatcher.Tick(l.entry.c.Clock.Now()))
+			l.entry.updateTargetCounts(l.dispatcher)
+			l.deliver(l.dispatcher.Tick(l.entry.cfg.Clock.Now()))
 		}
 	}
 }
 
-func (l *loop) take(now kumquatlug.Millis, message any) []dispatch.Decision {
+func (l *loop) handle(now kumquatlug.Millis, message any) []dispatch.Decision {
 	switch m := message.(type) {
-	case arrived:
+	case requestArrived:
 		l.replies[m.request.ID] = m.reply
 		return l.dispatcher.Arrive(now, m.request)
 	case attemptFailed:
 		return l.dispatcher.AttemptFailed(now, m.id, m.failed)
-	case progressed:
+	case requestProgressed:
 		return l.dispatcher.Progress(now, m.id, m.tokens)
-	case finished:
+	case requestFinished:
 		delete(l.replies, m.id)
 		return l.dispatcher.Finished(now, m.id, m.done)
-	case linked:
+	case prefillDone:
 		return l.dispatcher.Linked(now, m.id)
-	case cancelled:
+	case requestCancelled:
 		delete(l.replies, m.id)
 		return l.dispatcher.Cancelled(now, m.id)
-	case configured:
+	case configChanged:
 		l.entry.metrics.revision.Set(float64(m.state.Revision()))
 		return l.dispatcher.Configure(now, m.state)
 	case vmsListed:
 		return l.dispatcher.Listed(now, m.vms)
-	case heard:
-		return l.heard(now, m)
-	case missed:
-		return l.missed(now, m)
-	case asked:
-		if m.taken.CompareAndSwap(false, true) {
-			m.look(l.dispatcher)
+	case heartbeatAnswered:
+		return l.handleHeartbeat(now, m)
+	case heartbeatMissed:
+		return l.handleMissedHeartbeat(now, m)
+	case loopQuery:
+		if m.claimed.CompareAndSwap(false, true) {
+			m.fn(l.dispatcher)
 		}
 		close(m.done)
 	}
 	return nil
 }
 
-func (l *loop) heard(now kumquatlug.Millis, m heard) []dispatch.Decision {
+func (l *loop) handleHeartbeat(now kumquatlug.Millis, m heartbeatAnswered) []dispatch.Decision {
 	l.dispatcher.Merge(now, m.notices)
 	for _, event := range m.cache {
 		if prefix, err := strconv.ParseUint(event.GetPrefix(), 16, 64); err == nil {
@@ -172,26 +172,26 @@
 	}
 	change, changed, decisions := l.dispatcher.Heard(now, m.name, m.report)
 	if changed {
-		l.entry.c.Ring.Add(timeline.Record{Name: timeline.TargetUp, Peer: m.name, Detail: "was " + string(change.From())})
+		l.entry.cfg.Ring.Add(timeline.Record{Name: timeline.TargetUp, Peer: m.name, Detail: "was " + string(change.From())})
 	}
 	return decisions
 }
 
-func (l *loop) missed(now kumquatlug.Millis, m missed) []dispatch.Decision {
+func (l *loop) handleMissedHeartbeat(now kumquatlug.Millis, m heartbeatMissed) []dispatch.Decision {
 	_, changed, decisions := l.dispatcher.Missed(now, m.name)
 	if changed {
-		l.entry.attempts.cut(m.name)
-		l.entry.c.Ring.Add(timeline.Record{Name: timeline.TargetDown, Peer: m.name, Detail: "heartbeats missed"})
+		l.entry.attempts.cancelTarget(m.name)
+		l.entry.cfg.Ring.Add(timeline.Record{Name: timeline.TargetDown, Peer: m.name, Detail: "heartbeats missed"})
 	}
 	return decisions
 }
 
-// carryOut hands each decision to the goroutine of its request. A request has
+// deliver hands each decision to the goroutine of its request. A request has
 // at most one decision that it has not read, so that no hand-over waits.
-func (l *loop) carryOut(decisions []dispatch.Decision) {
+func (l *loop) deliver(decisions []dispatch.Decision) {
 	for _, d := range decisions {
-		reply, waits := l.replies[d.ID()]
-		if !waits {
+		reply, waiting := l.replies[d.ID()]
+		if !waiting {
 			continue
 		}
 		if d.Verdict() == dispatch.VerdictRefuse {
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,26 +9,26 @@
 // metrics are the entry's counters. Labels are bounded: kinds come from the
 // config, reasons from constants; callers are counted nowhere by name.
 type metrics struct {
-	answered   *prometheus.CounterVec
-	refused    *prometheus.CounterVec
-	attempts   *prometheus.CounterVec
-	firstToken *prometheus.HistogramVec
-	whole      *prometheus.HistogramVec
-	wait       *prometheus.HistogramVec
-	revision   prometheus.Gauge
-	inHand     prometheus.Gauge
-	members    *prometheus.GaugeVec
+	answered     *prometheus.CounterVec
+	refused      *prometheus.CounterVec
+	attempts     *prometheus.CounterVec
+	firstToken   *prometheus.HistogramVec
+	responseTime *prometheus.HistogramVec
+	queueTime    *prometheus.HistogramVec
+	revision     prometheus.Gauge
+	inFlight     prometheus.Gauge
+	targets      *prometheus.GaugeVec
 }
 
-// countTargets tells how many of the entry's targets are in which state.
-func (e *Entry) countTargets(d *dispatch.Dispatcher) {
+// updateTargetCounts tells how many of the entry's targets are in which state.
+func (e *Entry) updateTargetCounts(d *dispatch.Dispatcher) {
 	counts := map[string]int{}
 	for _, name := range d.Watched() {
-		counts[nodeState(d, name)]++
+		counts[targetState(d, name)]++
 	}
-	e.metrics.members.Reset()
+	e.metrics.targets.Reset()
 	for state, count := range counts {
-		e.metrics.members.WithLabelValues(state).Set(float64(count))
+		e.metrics.targets.WithLabelValues(state).Set(float64(count))
 	}
 }
 
@@ -47,19 +47,19 @@
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_entry_attempts_total", Help: "Attempts at targets, by kind and outcome.",
 		}, []string{"kind", "outcome"}),
-		firstToken: histogram("kumquatlug_entry_first_token_seconds", "Time from a request's arrival to its first token."),
-		whole:      histogram("kumquatlug_entry_answer_seconds", "Time from a request's arrival to the end of its answer."),
-		wait:       histogram("kumquatlug_entry_wait_seconds", "Time from a request's arrival to its first attempt."),
+		firstToken:   histogram("kumquatlug_entry_first_token_seconds", "Time from a request's arrival to its first token."),
+		responseTime: histogram("kumquatlug_entry_answer_seconds", "Time from a request's arrival to the end of its answer."),
+		queueTime:    histogram("kumquatlug_entry_wait_seconds", "Time from a request's arrival to its first attempt."),
 		revision: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "kumquatlug_entry_config_revision", Help: "Revision of the config in force.",
 		}),
-		inHand: prometheus.NewGauge(prometheus.GaugeOpts{
+		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "kumquatlug_entry_in_hand", Help: "Requests that wait or are being answered.",
 		}),
-		members: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		targets: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "kumquatlug_entry_targets", Help: "Targets that this entry speaks to, by state.",
 		}, []string{"state"}),
 	}
-	registry.MustRegister(m.answered, m.refused, m.attempts, m.firstToken, m.whole, m.wait, m.revision, m.inHand, m.members)
+	registry.MustRegister(m.answered, m.refused, m.attempts, m.firstToken, m.responseTime, m.queueTime, m.revision, m.inFlight, m.targets)
 	return m
 }
--- a/internal/entry/offer.go
+++ b/internal/entry/offer.go
@@ -13,78 +13,78 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// takeOffer shares the demand for a kind out over its groups by their engines;
+// handleDemand shares the demand for a kind out over its groups by their engines;
 // an operator may have put engines of one kind into several.
-func (p *plans) takeOffer(m offered) {
+func (c *roleController) handleDemand(m demandReport) {
 	engines := 0
-	for _, g := range p.groups {
+	for _, g := range c.groups {
 		if g.kind == m.kind {
 			engines += len(g.engines)
 		}
 	}
-	for _, g := range p.groups {
+	for _, g := range c.groups {
 		if g.kind != m.kind || engines == 0 {
 			continue
 		}
-		share := m.offer
+		share := m.demand
 		share.PrefillTokens *= float64(len(g.engines)) / float64(engines)
 		share.DecodeTokens *= float64(len(g.engines)) / float64(engines)
-		g.planner.Offered(p.now(), share)
+		g.planner.Offered(c.now(), share)
 	}
 }
 
-// tellOffers tells the demand of this entry to those that may hold the leases.
-func (p *plans) tellOffers(ctx context.Context, span kumquatlug.Millis) {
-	brought := map[string]dispatch.Offered{}
+// reportDemand tells the demand of this entry to those that may hold the leases.
+func (c *roleController) reportDemand(ctx context.Context, span kumquatlug.Millis) {
+	demand := map[string]dispatch.Offered{}
 	var entries []string
-	_ = p.entry.loop.ask(ctx, func(d *dispatch.Dispatcher) {
+	_ = c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) {
 		entries = append(entries, d.Entries()...)
-		d.TakeOffers(func(kind kumquatlug.Kind, o dispatch.Offered) { brought[kind.Name()] = o })
+		d.TakeOffers(func(kind kumquatlug.Kind, o dispatch.Offered) { demand[kind.Name()] = o })
 	})
 	addresses := map[string]string{}
-	for _, vm := range p.entry.others() {
+	for _, vm := range c.entry.otherEntries() {
 		addresses[vm.Name()] = vm.Address()
 	}
-	for group, o := range brought {
+	for kind, o := range demand {
 		offer := kumquatlug.Offer{
-			Entry: p.entry.c.Name, Span: span, PrefillTokens: float64(o.Prefill), DecodeTokens: float64(o.Decode),
+			Entry: c.entry.cfg.Name, Span: span, PrefillTokens: float64(o.Prefill), DecodeTokens: float64(o.Decode),
 		}
-		for i, name := range routing.ServiceOrder(group, entries) {
-			if i >= candidates {
+		for i, name := range routing.ServiceOrder(kind, entries) {
+			if i >= leaseCandidates {
 				break
 			}
-			p.tell(ctx, name, addresses[name], group, offer)
+			c.sendDemand(ctx, name, addresses[name], kind, offer)
 		}
 	}
 }
 
-func (p *plans) tell(ctx context.Context, entry, address, kind string, o kumquatlug.Offer) {
-	if entry == p.entry.c.Name {
-		p.post(offered{kind, o})
+func (c *roleController) sendDemand(ctx context.Context, entry, address, kind string, o kumquatlug.Offer) {
+	if entry == c.entry.cfg.Name {
+		c.post(demandReport{kind, o})
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+		ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 		defer cancel()
-		_, err := p.entry.dialer.Entry(address).Offer(ctx, connect.NewRequest(&peerv1.OfferRequest{
+		_, err := c.entry.dialer.Entry(address).Offer(ctx, connect.NewRequest(&peerv1.OfferRequest{
 			Entry: o.Entry, Kind: kind, SpanMs: int64(o.Span), PrefillTokens: o.PrefillTokens, DecodeTokens: o.DecodeTokens,
 		}))
 		if err != nil {
-			p.entry.c.Logger.Debug("can't tell the demand", zap.String("peer", entry), timeline.ErrorField(err))
+			c.entry.cfg.Logger.Debug("can't tell the demand", zap.String("peer", entry), timeline.ErrorField(err))
 		}
 	}()
 }
 
-// offers serves what other entries tell of their demand.
-type offers struct {
-	plans *plans
+// demandService serves what other entries tell of their demand.
+type demandService struct {
+	controller *roleController
 }
 
 // Offer takes the demand of another entry.
-func (s *offers) Offer(
+func (s *demandService) Offer(
 	_ context.Context, r *connect.Request[peerv1.OfferRequest],
 ) (*connect.Response[peerv1.OfferResponse], error) {
-	s.plans.post(offered{r.Msg.GetKind(), kumquatlug.Offer{
+	s.controller.post(demandReport{r.Msg.GetKind(), kumquatlug.Offer{
 		Entry: r.Msg.GetEntry(), Span: kumquatlug.Millis(r.Msg.GetSpanMs()),
 		PrefillTokens: r.Msg.GetPrefillTokens(), DecodeTokens: r.Msg.GetDecodeTokens(),
 	}})
--- a/internal/entry/operate.go
+++ b/internal/entry/operate.go
@@ -17,18 +17,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/membership"
 )
 
-// gatherTimeout bounds how long an operator's question waits for peers.
-const gatherTimeout = 2 * time.Second
+// fanOutTimeout bounds how long an operator's question waits for peers.
+const fanOutTimeout = 2 * time.Second
 
 var _ operator.Desk = (*Entry)(nil)
 
 // Change makes a proposal the next revision and brings it into force here.
 func (e *Entry) Change(ctx context.Context, p config.Proposal) (config.Change, error) {
-	change, err := e.store.Commit(ctx, p)
+	change, err := e.configStore.Commit(ctx, p)
 	if err != nil {
 		return change, err
 	}
-	e.c.Ring.Add(timeline.Record{Name: timeline.ConfigChanged, Peer: p.Author(), Detail: "revision " + revisionText(change.Revision())})
+	e.cfg.Ring.Add(timeline.Record{Name: timeline.ConfigChanged, Peer: p.Author(), Detail: "revision " + revisionText(change.Revision())})
 	e.follower.LearnedHead(change.Revision())
 	return change, nil
 }
@@ -39,36 +39,36 @@
 // Explain says for each target whether it may take a kind of work.
 func (e *Entry) Explain(ctx context.Context, kind kumquatlug.Kind) ([]dispatch.Explanation, error) {
 	var list []dispatch.Explanation
-	err := e.loop.ask(ctx, func(d *dispatch.Dispatcher) { list = d.Explain(kind) })
+	err := e.loop.query(ctx, func(d *dispatch.Dispatcher) { list = d.Explain(kind) })
 	return list, err
 }
 
 // Status returns every node with the config revision in force there.
 func (e *Entry) Status(ctx context.Context) ([]*peerv1.NodeStatus, error) {
-	nodes, err := e.targetStatus(ctx)
+	nodes, err := e.targetStatuses(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return append(e.entryStatus(ctx), nodes...), nil
+	return append(e.entryStatuses(ctx), nodes...), nil
 }
 
-func (e *Entry) targetStatus(ctx context.Context) ([]*peerv1.NodeStatus, error) {
+func (e *Entry) targetStatuses(ctx context.Context) ([]*peerv1.NodeStatus, error) {
 	var nodes []*peerv1.NodeStatus
-	now := e.c.Clock.Now()
-	err := e.loop.ask(ctx, func(d *dispatch.Dispatcher) {
+	now := e.cfg.Clock.Now()
+	err := e.loop.query(ctx, func(d *dispatch.Dispatcher) {
 		for _, name := range d.Members() {
-			nodes = append(nodes, targetNode(d, name, now))
+			nodes = append(nodes, targetNodeStatus(d, name, now))
 		}
 	})
 	return nodes, err
 }
 
-func targetNode(d *dispatch.Dispatcher, name string, now kumquatlug.Millis) *peerv1.NodeStatus {
+func targetNodeStatus(d *dispatch.Dispatcher, name string, now kumquatlug.Millis) *peerv1.NodeStatus {
 	m, _ := d.Member(name)
 	report := d.LastReport(name)
 	node := &peerv1.NodeStatus{
 		Name: name, Role: string(kumquatlug.VMTarget), Zone: m.VM().Zone(), Address: m.VM().Address(),
-		State: nodeState(d, name), Revision: int64(report.Revision), Labels: d.Labels(name).String(),
+		State: targetState(d, name), Revision: int64(report.Revision), Labels: d.Labels(name).String(),
 		Running: report.Running, HeartbeatAgeMs: -1, TargetRole: string(report.Role),
 	}
 	if m.HeardAt() > 0 {
@@ -77,8 +77,8 @@
 	return node
 }
 
-// nodeState is what an agent says of its target, or why it says nothing.
-func nodeState(d *dispatch.Dispatcher, name string) string {
+// targetState is what an agent says of its target, or why it says nothing.
+func targetState(d *dispatch.Dispatcher, name string) string {
 	m, _ := d.Member(name)
 	if m.State() == membership.StateUp {
 		return string(d.LastReport(name).State)
@@ -86,79 +86,79 @@
 	return string(m.State())
 }
 
-// entryStatus asks every entry in the platform's list for its revision.
-func (e *Entry) entryStatus(ctx context.Context) []*peerv1.NodeStatus {
+// entryStatuses asks every entry in the platform's list for its revision.
+func (e *Entry) entryStatuses(ctx context.Context) []*peerv1.NodeStatus {
 	var nodes []*peerv1.NodeStatus
 	own := &peerv1.NodeStatus{
-		Name: e.c.Name, Role: string(kumquatlug.VMEntry), Zone: e.c.Zone, Address: e.address, State: "up",
-		Revision: int64(e.State().Revision()), Running: e.inHand.Load(),
+		Name: e.cfg.Name, Role: string(kumquatlug.VMEntry), Zone: e.cfg.Zone, Address: e.address, State: "up",
+		Revision: int64(e.State().Revision()), Running: e.inFlight.Load(),
 	}
 	nodes = append(nodes, own)
-	others := e.others()
-	found := make([]*peerv1.NodeStatus, len(others))
-	e.gather(ctx, len(others), func(ctx context.Context, i int) {
-		found[i] = e.askEntry(ctx, others[i])
+	others := e.otherEntries()
+	statuses := make([]*peerv1.NodeStatus, len(others))
+	e.fanOut(ctx, len(others), func(ctx context.Context, i int) {
+		statuses[i] = e.queryEntry(ctx, others[i])
 	})
-	return append(nodes, found...)
+	return append(nodes, statuses...)
 }
 
-func (e *Entry) askEntry(ctx context.Context, vm kumquatlug.VM) *peerv1.NodeStatus {
+func (e *Entry) queryEntry(ctx context.Context, vm kumquatlug.VM) *peerv1.NodeStatus {
 	node := &peerv1.NodeStatus{
 		Name: vm.Name(), Role: string(kumquatlug.VMEntry), Zone: vm.Zone(), Address: vm.Address(), State: "unreachable", HeartbeatAgeMs: -1,
 	}
-	answer, err := e.dialer.Peer(peer.RoleEntry, vm.Address()).Pull(ctx,
-		connect.NewRequest(&peerv1.PullRequest{Since: int64(e.State().Revision()), Node: e.c.Name}))
+	response, err := e.dialer.Peer(peer.RoleEntry, vm.Address()).Pull(ctx,
+		connect.NewRequest(&peerv1.PullRequest{Since: int64(e.State().Revision()), Node: e.cfg.Name}))
 	if err != nil {
 		return node
 	}
-	node.State, node.Revision, node.HeartbeatAgeMs = "up", answer.Msg.GetRevision(), 0
+	node.State, node.Revision, node.HeartbeatAgeMs = "up", response.Msg.GetRevision(), 0
 	return node
 }
 
-// others returns the entries in the platform's list but this one.
-func (e *Entry) others() []kumquatlug.VM {
+// otherEntries returns the entries in the platform's list but this one.
+func (e *Entry) otherEntries() []kumquatlug.VM {
 	var others []kumquatlug.VM
-	for _, vm := range *e.listed.Load() {
-		if vm.Role() == kumquatlug.VMEntry && vm.Name() != e.c.Name {
+	for _, vm := range *e.listedVMs.Load() {
+		if vm.Role() == kumquatlug.VMEntry && vm.Name() != e.cfg.Name {
 			others = append(others, vm)
 		}
 	}
 	return others
 }
 
-// gather runs ask for every index at once and waits for all, within a bound.
-func (e *Entry) gather(ctx context.Context, count int, ask func(ctx context.Context, i int)) {
-	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
+// fanOut runs ask for every index at once and waits for all, within a bound.
+func (e *Entry) fanOut(ctx context.Context, count int, call func(ctx context.Context, i int)) {
+	ctx, cancel := context.WithTimeout(ctx, fanOutTimeout)
 	defer cancel()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range count {
-		all.Go(func() { ask(ctx, i) })
+		wg.Go(func() { call(ctx, i) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // Timeline merges the events of all processes into one line, and names those
 // that could not be asked.
 func (e *Entry) Timeline(ctx context.Context, requestID string) (*peerv1.EventsResponse, error) {
-	vms := append(e.others(), e.targetVMs()...)
-	answers := make([]*peerv1.EventsResponse, len(vms))
-	e.gather(ctx, len(vms), func(ctx context.Context, i int) {
-		answer, err := e.dialer.Peer(roleOf(vms[i]), vms[i].Address()).Events(ctx,
+	vms := append(e.otherEntries(), e.targetVMs()...)
+	responses := make([]*peerv1.EventsResponse, len(vms))
+	e.fanOut(ctx, len(vms), func(ctx context.Context, i int) {
+		response, err := e.dialer.Peer(peerRole(vms[i]), vms[i].Address()).Events(ctx,
 			connect.NewRequest(&peerv1.EventsRequest{RequestId: requestID}))
 		if err == nil {
-			answers[i] = answer.Msg
+			responses[i] = response.Msg
 		}
 	})
-	own, lost := e.c.Ring.After(0, requestID)
+	own, lost := e.cfg.Ring.After(0, requestID)
 	merged := &peerv1.EventsResponse{Lost: lost}
 	rings := [][]*peerv1.Event{own}
-	for i, answer := range answers {
-		if answer == nil {
+	for i, response := range responses {
+		if response == nil {
 			merged.Unreachable = append(merged.Unreachable, vms[i].Name())
 			continue
 		}
-		merged.Lost += answer.GetLost()
-		rings = append(rings, answer.GetEvents())
+		merged.Lost += response.GetLost()
+		rings = append(rings, response.GetEvents())
 	}
 	merged.Events = timeline.Merge(rings...)
 	return merged, nil
@@ -166,7 +166,7 @@
 
 func (e *Entry) targetVMs() []kumquatlug.VM {
 	var targets []kumquatlug.VM
-	for _, vm := range *e.listed.Load() {
+	for _, vm := range *e.listedVMs.Load() {
 		if vm.Role() == kumquatlug.VMTarget {
 			targets = append(targets, vm)
 		}
@@ -174,7 +174,7 @@
 	return targets
 }
 
-func roleOf(vm kumquatlug.VM) peer.Role {
+func peerRole(vm kumquatlug.VM) peer.Role {
 	if vm.Role() == kumquatlug.VMEntry {
 		return peer.RoleEntry
 	}
--- a/internal/entry/order.go
+++ b/internal/entry/order.go
@@ -14,81 +14,81 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/planner"
 )
 
-func (p *plans) takeReply(m orderAnswered) {
-	g, known := p.groups[m.group]
+func (c *roleController) handleOrderReply(m orderReply) {
+	g, known := c.groups[m.group]
 	if !known || m.err != nil {
 		return
 	}
-	if settled, ended := g.sender.Answered(m.target, m.id, m.reply); ended {
-		p.settled(g, settled)
+	if settlement, ended := g.sender.Answered(m.target, m.id, m.reply); ended {
+		c.orderSettled(g, settlement)
 	}
 }
 
-func (p *plans) settled(g *groupPlan, s order.Settlement) {
-	p.entry.c.Logger.Info("order settled", zap.String("group", g.name), zap.String("target", s.Target()),
+func (c *roleController) orderSettled(g *engineGroup, s order.Settlement) {
+	c.entry.cfg.Logger.Info("order settled", zap.String("group", g.name), zap.String("target", s.Target()),
 		zap.String("order", s.Order().ID().String()), zap.String("outcome", string(s.Outcome())))
 	if s.Outcome() != order.OutcomeApplied {
-		g.planner.Refused(p.now(), s.Target())
+		g.planner.Refused(c.now(), s.Target())
 	}
 }
 
-// order plans and sends orders while the lease is held.
-func (p *plans) order(ctx context.Context, g *groupPlan) {
-	number, held := g.holder.Held(p.now())
-	if held && number != g.number {
-		g.number = number
-		g.sender.Granted(number)
-		p.entry.c.Ring.Add(timeline.Record{Name: timeline.LeaseTaken, Peer: g.name, Detail: "number " + itoa(int64(number))})
+// syncOrders plans and sends orders while the lease is held.
+func (c *roleController) syncOrders(ctx context.Context, g *engineGroup) {
+	leaseNumber, held := g.holder.Held(c.now())
+	if held && leaseNumber != g.leaseNumber {
+		g.leaseNumber = leaseNumber
+		g.sender.Granted(leaseNumber)
+		c.entry.cfg.Ring.Add(timeline.Record{Name: timeline.LeaseTaken, Peer: g.name, Detail: "number " + itoa(int64(leaseNumber))})
 	}
-	if !held && g.number != 0 {
-		g.number = 0
-		p.entry.c.Ring.Add(timeline.Record{Name: timeline.LeaseLost, Peer: g.name})
+	if !held && g.leaseNumber != 0 {
+		g.leaseNumber = 0
+		c.entry.cfg.Ring.Add(timeline.Record{Name: timeline.LeaseLost, Peer: g.name})
 	}
 	if held {
-		p.give(g)
+		c.issueOrders(g)
 	}
-	for _, out := range g.sender.Due(p.now(), number, held) {
-		p.send(ctx, g, out)
+	for _, out := range g.sender.Due(c.now(), leaseNumber, held) {
+		c.sendOrder(ctx, g, out)
 	}
 }
 
-// give turns the planner's changes, and first roles, into orders.
-func (p *plans) give(g *groupPlan) {
-	for _, change := range append(planner.FirstRoles(g.reports), g.planner.Plan(p.now())...) {
+// issueOrders turns the planner's changes, and first roles, into orders.
+func (c *roleController) issueOrders(g *engineGroup) {
+	for _, change := range append(planner.FirstRoles(g.reports), g.planner.Plan(c.now())...) {
 		o, err := g.sender.Give(change.Target(), order.VerbRole, string(change.To()))
 		if err != nil {
-			g.planner.Refused(p.now(), change.Target())
+			g.planner.Refused(c.now(), change.Target())
 			continue
 		}
-		p.entry.c.Ring.Add(timeline.Record{
+		c.entry.cfg.Ring.Add(timeline.Record{
 			Name: timeline.OrderSent, Peer: change.Target(), Detail: o.ID().String() + " role " + o.Argument() + ": " + change.Reason(),
 		})
 	}
 }
 
-func (p *plans) send(ctx context.Context, g *groupPlan, out order.Outgoing) {
+func (c *roleController) sendOrder(ctx context.Context, g *engineGroup, out order.Outgoing) {
 	address := g.engines[out.Target()].address
 	if address == "" {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+		ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 		defer cancel()
 		o := out.Order()
-		m := orderAnswered{group: g.name, target: out.Target(), id: o.ID()}
-		answer, err := p.entry.dialer.Agent(address).Order(ctx, connect.NewRequest(&peerv1.OrderRequest{
-			Id: o.ID().String(), Group: g.name, Holder: p.entry.c.Name, Verb: string(o.Verb()), Argument: o.Argument(),
+		m := orderReply{group: g.name, target: out.Target(), id: o.ID()}
+		response, err := c.entry.dialer.Agent(address).Order(ctx, connect.NewRequest(&peerv1.OrderRequest{
+			Id: o.ID().String(), Group: g.name, Holder: c.entry.cfg.Name, Verb: string(o.Verb()), Argument: o.Argument(),
 		}))
 		if m.err = err; err == nil {
-			m.reply = order.NewReply(order.Verdict(answer.Msg.GetVerdict()), order.Outcome(answer.Msg.GetOutcome()), lease.Number(answer.Msg.GetFence()))
+			m.reply = order.NewReply(order.Verdict(response.Msg.GetVerdict()), order.Outcome(response.Msg.GetOutcome()), lease.Number(response.Msg.GetFence()))
 		}
-		p.post(m)
+		c.post(m)
 	}()
 }
 
-// going is the role that an engine was ordered to take, by this holder or, as
+// orderedRole is the role that an engine was ordered to take, by this holder or, as
 // its phase shows, by another.
-func (p *plans) going(g *groupPlan, target string) kumquatlug.Role {
+func (c *roleController) orderedRole(g *engineGroup, target string) kumquatlug.Role {
 	if o, outstanding := g.sender.Outstanding(target); outstanding {
 		return kumquatlug.Role(o.Argument())
 	}
--- a/internal/entry/plan.go
+++ b/internal/entry/plan.go
@@ -15,89 +15,89 @@
 
 // Figures of the duty that plans roles.
 const (
-	// planTick is how often leases and orders are looked at; leases are kept by
+	// roleTickInterval is how often leases and orders are looked at; leases are kept by
 	// seconds, orders take seconds.
-	planTick = 250 * time.Millisecond
-	// planLook is how often groups, engines and demand are read.
-	planLook = kumquatlug.Second
-	// offerEvery is how often an entry tells its demand.
-	offerEvery = 2 * kumquatlug.Second
-	// candidates is how many entries look after a group's lease: one may be gone
+	roleTickInterval = 250 * time.Millisecond
+	// groupRefreshInterval is how often groups, engines and demand are read.
+	groupRefreshInterval = kumquatlug.Second
+	// demandReportInterval is how often an entry tells its demand.
+	demandReportInterval = 2 * kumquatlug.Second
+	// leaseCandidates is how many entries look after a group's lease: one may be gone
 	// and one paused, and the third still takes over.
-	candidates = 3
-	// planInbox bounds the answers that wait for the planner; what finds it full
+	leaseCandidates = 3
+	// roleInboxSize bounds the answers that wait for the planner; what finds it full
 	// is repeated by its sender.
-	planInbox = 256
-	// orderTimeout bounds the sending of one order.
-	orderTimeout = 2 * time.Second
+	roleInboxSize = 256
+	// controlTimeout bounds the sending of one order.
+	controlTimeout = 2 * time.Second
 )
 
-// groupPlan is what this entry does for one group of engines.
-type groupPlan struct {
+// engineGroup is what this entry does for one group of engines.
+type engineGroup struct {
 	name string
 	// kind is the model whose prompts and outputs the group shares out.
-	kind    string
-	holder  *lease.Holder
-	sender  *order.Sender
-	planner kumquatlug.RolePlanner
-	number  lease.Number
-	engines map[string]engineView
+	kind        string
+	holder      *lease.Holder
+	sender      *order.Sender
+	planner     kumquatlug.RolePlanner
+	leaseNumber lease.Number
+	engines     map[string]engineState
 	// reports are what the registered engines last told, in name order.
 	reports []kumquatlug.EngineReport
 }
 
-// engineView is one engine of a group as the last heartbeat told it.
-type engineView struct {
+// engineState is one engine of a group as the last heartbeat told it.
+type engineState struct {
 	address string
 	report  dispatch.Report
 }
 
 // Messages to the planner's goroutine.
 type (
-	leaseAnswered struct {
+	leaseReply struct {
 		group  string
 		intent lease.Intent
 		row    kumquatlug.Row
 		err    error
 	}
-	orderAnswered struct {
+	orderReply struct {
 		group  string
 		target string
 		id     order.ID
 		reply  order.Reply
 		err    error
 	}
-	offered struct {
-		kind  string
-		offer kumquatlug.Offer
+	demandReport struct {
+		kind   string
+		demand kumquatlug.Offer
 	}
 )
 
-// plans keeps the leases of groups and gives their engines orders. One goroutine
+// roleController keeps the leases of groups and gives their engines orders. One goroutine
 // owns it.
-type plans struct {
+type roleController struct {
 	entry  *Entry
 	inbox  chan any
-	groups map[string]*groupPlan
-	// known are the groups of targets at a revision of the config.
-	known     map[string]string
-	knownAt   config.Revision
-	watching  []string
-	lookedAt  kumquatlug.Millis
-	offeredAt kumquatlug.Millis
+	groups map[string]*engineGroup
+	// groupByTarget are the groups of targets at a revision of the config.
+	groupByTarget    map[string]string
+	groupsRevision   config.Revision
+	watchedTargets   []string
+	refreshedAt      kumquatlug.Millis
+	demandReportedAt kumquatlug.Millis
 }
 
-func newPlans(e *Entry) *plans {
-	return &plans{entry: e, inbox: make(chan any, planInbox), groups: map[string]*groupPlan{}}
+func newRoleController(e *Entry) *roleController {
+	return &roleController{entry: e, inbox: make(chan any, roleInboxSize), groups: map[string]*engineGroup{}}
 }
 
-func (p *plans) now() kumquatlug.Millis { return p.entry.c.Clock.Now() }
+func (c *roleController) now() kumquatlug.Millis { return c.entry.cfg.Clock.Now() }
 
 // post hands a message to the planner's goroutine, or drops it when there are
 // too many: table and agents are asked again, demand is told again.
-func (p *plans) post(message any) {
+func (c *roleController) post(message any) {
 	select {
-	case p.inbox <- message:
+	case c.inbox <- message:
 	default:
 	}
 }
@@ -105,148 +105,148 @@
 // run plans until ctx ends. A stopping entry no longer wants its leases from the
 // moment it says that it is not ready (see look), so that the next holder need
 // not wait for them to lapse.
-func (p *plans) run(ctx context.Context) error {
-	tick := time.NewTicker(planTick)
-	defer tick.Stop()
+func (c *roleController) run(ctx context.Context) error {
+	ticker := time.NewTicker(roleTickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case message := <-p.inbox:
-			p.take(ctx, message)
-		case <-tick.C:
-			p.act(ctx)
+		case message := <-c.inbox:
+			c.handle(ctx, message)
+		case <-ticker.C:
+			c.tick(ctx)
 		}
 	}
 }
 
-func (p *plans) take(ctx context.Context, message any) {
+func (c *roleController) handle(ctx context.Context, message any) {
 	switch m := message.(type) {
-	case leaseAnswered:
-		if g, known := p.groups[m.group]; known {
-			p.ask(ctx, g, g.holder.Answered(p.now(), m.intent, m.row, m.err))
+	case leaseReply:
+		if g, known := c.groups[m.group]; known {
+			c.execute(ctx, g, g.holder.Answered(c.now(), m.intent, m.row, m.err))
 		}
-	case orderAnswered:
-		p.takeReply(m)
-	case offered:
-		p.takeOffer(m)
+	case orderReply:
+		c.handleOrderReply(m)
+	case demandReport:
+		c.handleDemand(m)
 	}
 }
 
-// act does what is due.
-func (p *plans) act(ctx context.Context) {
-	now := p.now()
-	if now-p.lookedAt >= planLook {
-		p.lookedAt = now
-		p.look(ctx, now)
+// tick does what is due.
+func (c *roleController) tick(ctx context.Context) {
+	now := c.now()
+	if now-c.refreshedAt >= groupRefreshInterval {
+		c.refreshedAt = now
+		c.refresh(ctx, now)
 	}
-	if now-p.offeredAt >= offerEvery {
-		p.tellOffers(ctx, now-p.offeredAt)
-		p.offeredAt = now
+	if now-c.demandReportedAt >= demandReportInterval {
+		c.reportDemand(ctx, now-c.demandReportedAt)
+		c.demandReportedAt = now
 	}
-	for _, g := range p.groups {
-		p.ask(ctx, g, g.holder.Next(now))
-		p.order(ctx, g)
+	for _, g := range c.groups {
+		c.execute(ctx, g, g.holder.Next(now))
+		c.syncOrders(ctx, g)
 	}
 }
 
-// look reads which groups there are and what their engines reported.
-func (p *plans) look(ctx context.Context, now kumquatlug.Millis) {
-	state := p.entry.State()
-	engines := map[string]map[string]engineView{}
+// refresh reads which groups there are and what their engines reported.
+func (c *roleController) refresh(ctx context.Context, now kumquatlug.Millis) {
+	state := c.entry.State()
+	engines := map[string]map[string]engineState{}
 	kinds := map[string]string{}
-	var entries, watch []string
-	err := p.entry.loop.ask(ctx, func(d *dispatch.Dispatcher) {
+	var entries, targets []string
+	err := c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) {
 		entries = append(entries, d.Entries()...)
 		for _, name := range d.Members() {
-			group := p.plannedGroup(state, d, name)
+			group := c.plannedGroup(state, d, name)
 			if group == "" {
 				continue
 			}
 			if engines[group] == nil {
-				engines[group] = map[string]engineView{}
+				engines[group] = map[string]engineState{}
 				kind, _ := d.Flexible(name)
 				kinds[group] = kind.Name()
 			}
 			m, _ := d.Member(name)
-			engines[group][name] = engineView{address: m.VM().Address(), report: d.LastReport(name)}
+			engines[group][name] = engineState{address: m.VM().Address(), report: d.LastReport(name)}
 		}
 	})
 	if err != nil {
 		return
 	}
 	for name, members := range engines {
-		g := p.group(name)
+		g := c.ensureGroup(name)
 		g.kind = kinds[name]
-		g.holder.Want(p.candidate(name, entries) && !p.entry.notReady.Load())
-		p.report(now, g, members)
+		g.holder.Want(c.isLeaseCandidate(name, entries) && !c.entry.draining.Load())
+		c.updateEngines(now, g, members)
 		if _, held := g.holder.Held(now); held {
 			for target := range members {
-				watch = append(watch, target)
+				targets = append(targets, target)
 			}
 		}
 	}
-	for name, g := range p.groups {
+	for name, g := range c.groups {
 		if engines[name] == nil {
 			g.holder.Want(false)
 		}
 	}
-	slices.Sort(watch)
-	if slices.Equal(watch, p.watching) {
+	slices.Sort(targets)
+	if slices.Equal(targets, c.watchedTargets) {
 		return
 	}
-	p.watching = watch
-	_ = p.entry.loop.ask(ctx, func(d *dispatch.Dispatcher) { d.WatchAlso(now, watch) })
+	c.watchedTargets = targets
+	_ = c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) { d.WatchAlso(now, targets) })
 }
 
 // plannedGroup returns the group of an engine whose role may change: one that
 // selectors give both prompts and outputs.
-func (p *plans) plannedGroup(state config.State, d *dispatch.Dispatcher, target string) string {
-	if p.knownAt != state.Revision() || p.known == nil {
+func (c *roleController) plannedGroup(state config.State, d *dispatch.Dispatcher, target string) string {
+	if c.groupsRevision != state.Revision() || c.groupByTarget == nil {
 		// Found anew each second for each of ten thousand targets the groups
 		// took a third of a core (docs/CAPACITY.md).
-		p.known, p.knownAt = map[string]string{}, state.Revision()
+		c.groupByTarget, c.groupsRevision = map[string]string{}, state.Revision()
 	}
-	group, found := p.known[target]
+	group, found := c.groupByTarget[target]
 	if !found {
 		if _, flexible := d.Flexible(target); flexible {
 			group = d.Group(target)
 		}
-		p.known[target] = group
+		c.groupByTarget[target] = group
 	}
 	return group
 }
 
-func (p *plans) candidate(group string, entries []string) bool {
+func (c *roleController) isLeaseCandidate(group string, entries []string) bool {
 	for i, name := range routing.ServiceOrder(group, entries) {
-		if i < candidates && name == p.entry.c.Name {
+		if i < leaseCandidates && name == c.entry.cfg.Name {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *plans) group(name string) *groupPlan {
-	if g, known := p.groups[name]; known {
+func (c *roleController) ensureGroup(name string) *engineGroup {
+	if g, known := c.groups[name]; known {
 		return g
 	}
-	holder, err := lease.New(lease.Config{Group: name, Me: p.entry.c.Name + "/" + p.entry.incarnation})
+	holder, err := lease.New(lease.Config{Group: name, Me: c.entry.cfg.Name + "/" + c.entry.incarnation})
 	if err != nil {
 		// Only an empty name is refused, and groups have names.
 		panic(err)
 	}
-	g := &groupPlan{
-		name: name, holder: holder, sender: order.NewSender(order.SenderConfig{}), planner: p.entry.c.Planner(),
-		engines: map[string]engineView{},
+	g := &engineGroup{
+		name: name, holder: holder, sender: order.NewSender(order.SenderConfig{}), planner: c.entry.cfg.Planner(),
+		engines: map[string]engineState{},
 	}
-	p.groups[name] = g
+	c.groups[name] = g
 	return g
 }
 
-// report hands what engines told to the sender and the planner.
-func (p *plans) report(now kumquatlug.Millis, g *groupPlan, members map[string]engineView) {
+// updateEngines hands what engines told to the sender and the planner.
+func (c *roleController) updateEngines(now kumquatlug.Millis, g *engineGroup, members map[string]engineState) {
 	for name := range g.engines {
-		if _, still := members[name]; !still {
+		if _, present := members[name]; !present {
 			g.planner.Remove(now, name)
 		}
 	}
@@ -254,15 +254,15 @@
 	g.reports = g.reports[:0]
 	for _, name := range sortedNames(members) {
 		e := members[name]
-		settled, ended := g.sender.Heard(order.Report{
+		settlement, ended := g.sender.Heard(order.Report{
 			Target: name, Incarnation: order.Incarnation(e.report.Starts), Number: lease.Number(e.report.Fence),
 			Phase: order.Phase(e.report.Phase),
 		})
 		if ended {
-			p.settled(g, settled)
+			c.orderSettled(g, settlement)
 		}
 		report := kumquatlug.EngineReport{
-			Target: name, Role: e.report.Role, Going: p.going(g, name), TakenAt: e.report.Asked - e.report.Age,
+			Target: name, Role: e.report.Role, Going: c.orderedRole(g, name), TakenAt: e.report.Asked - e.report.Age,
 			InHand: int(e.report.Running), Waiting: int(e.report.Waiting),
 			PrefillRate: e.report.PrefillRate, DecodeRate: e.report.DecodeRate,
 		}
@@ -274,23 +274,23 @@
 	}
 }
 
-// ask sends an intent to the table and brings the answer back.
-func (p *plans) ask(ctx context.Context, g *groupPlan, i lease.Intent) {
+// execute sends an intent to the table and brings the answer back.
+func (c *roleController) execute(ctx context.Context, g *engineGroup, i lease.Intent) {
 	if i.Action() == lease.ActionNone {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+		ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 		defer cancel()
-		m := leaseAnswered{group: g.name, intent: i}
+		m := leaseReply{group: g.name, intent: i}
 		if i.Action() == lease.ActionRead {
-			m.row, m.err = p.entry.c.Table.Get(ctx, i.Key())
+			m.row, m.err = c.entry.cfg.Table.Get(ctx, i.Key())
 		} else {
-			m.err = p.entry.c.Table.Commit(ctx, i.Tx())
+			m.err = c.entry.cfg.Table.Commit(ctx, i.Tx())
 		}
 		select {
-		case p.inbox <- m:
-		case <-p.entry.loop.stopped:
+		case c.inbox <- m:
+		case <-c.entry.loop.stopped:
 		}
 	}()
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -11,24 +11,24 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// view is what requests look up in the config: accounts and the terms of each
+// configView is what requests look up in the config: accounts and the terms of each
 // kind. It is made once for each revision and read without a lock.
-type view struct {
+type configView struct {
 	revision config.Revision
 	accounts *accounts.Book
-	terms    map[kumquatlug.Kind]terms
+	policies map[kumquatlug.Kind]kindPolicy
 	kinds    []kumquatlug.Kind
 }
 
-// terms are on what conditions a kind of work is taken.
-type terms struct {
+// kindPolicy are on what conditions a kind of work is taken.
+type kindPolicy struct {
 	repeatable bool
-	deadline   kumquatlug.Millis
+	timeout    kumquatlug.Millis
 	priority   int
 }
 
-func newView(state config.State) *view {
-	v := &view{revision: state.Revision(), terms: map[kumquatlug.Kind]terms{}}
+func newConfigView(state config.State) *configView {
+	v := &configView{revision: state.Revision(), policies: map[kumquatlug.Kind]kindPolicy{}}
 	var callers []kumquatlug.Caller
 	state.Range(config.PrefixCaller, func(_ string, value []byte) bool {
 		if account, err := kumquatlug.DecodeCaller(value); err == nil {
@@ -39,21 +39,21 @@
 	v.accounts = accounts.NewBook(callers)
 	selectors, _ := config.Selectors(state)
 	for _, s := range selectors {
-		v.add(s)
+		v.addSelector(s)
 	}
 	return v
 }
 
-// add takes one selector's terms. Where several selectors hand out a kind the
+// addSelector takes one selector's terms. Where several selectors hand out a kind the
 // first by name decides, but a kind may be repeated only if all say so.
-func (v *view) add(s selector.Selector) {
-	known, twice := v.terms[s.Kind()]
-	if twice {
-		known.repeatable = known.repeatable && s.Repeatable()
-		v.terms[s.Kind()] = known
+func (v *configView) addSelector(s selector.Selector) {
+	existing, found := v.policies[s.Kind()]
+	if found {
+		existing.repeatable = existing.repeatable && s.Repeatable()
+		v.policies[s.Kind()] = existing
 		return
 	}
-	v.terms[s.Kind()] = terms{repeatable: s.Repeatable(), deadline: s.Deadline(), priority: s.Priority()}
+	v.policies[s.Kind()] = kindPolicy{repeatable: s.Repeatable(), timeout: s.Deadline(), priority: s.Priority()}
 	v.kinds = append(v.kinds, s.Kind())
 }
 
@@ -61,6 +61,6 @@
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-func sortedNames(engines map[string]engineView) []string {
+func sortedNames(engines map[string]engineState) []string {
 	return slices.Sorted(maps.Keys(engines))
 }
