--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -13,8 +13,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// readBody reads the whole body before the request takes a place anywhere, so
-// that a caller that sends slowly holds nothing but its own connection.
+// readBody reads the whole body before the request is admitted, so that a slow
+// sender occupies only its own connection.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *kumquatlug.Failure) {
 	if failure := h.reserveBody(r); failure != nil {
 		w.Header().Set("Connection", "close")
@@ -27,10 +27,11 @@
 		_ = controller.SetReadDeadline(time.Time{})
 		return body, nil
 	}
-	// Before it answers, net/http reads the rest of a body to keep the
-	// connection. With the deadline lifted it would wait for a slow sender for
-	// ever and the refusal would never go out; so the deadline stays, and the
-	// connection is closed, which skips that reading.
+	// net/http reads the rest of a request body before it sends the response,
+	// to keep the connection alive. Without the read deadline it would wait
+	// indefinitely for a slow sender and the refusal would never be sent. The
+	// deadline therefore stays set, and the connection is closed, which skips
+	// that read.
 	w.Header().Set("Connection", "close")
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -40,9 +41,10 @@
 	return nil, newRefusalWithCause("read body", "body_not_read", http.StatusRequestTimeout, err)
 }
 
-// reserveBody counts the body against the bound of all bodies before a byte of it is
-// read. Some hundred callers that each send a body just under its own bound would
-// else fill the memory, and everybody's answers would end with the process.
+// reserveBody counts the body against the total limit on buffered bodies before
+// any byte of it is read. Without the limit, some hundred callers that each
+// send a body just under the per-request limit would exhaust memory and take
+// down every response in flight with the process.
 func (h *Handler) reserveBody(r *http.Request) *kumquatlug.Failure {
 	size := r.ContentLength
 	if size < 0 {
@@ -60,12 +62,12 @@
 	return nil
 }
 
-// maxTimeout bounds what a caller may ask for: a day.
+// maxTimeout is the longest timeout that a caller may request: one day.
 const maxTimeout = 24 * kumquatlug.Hour
 
-// parseTimeout returns the time that the caller gives the request, zero when it
-// names none: in milliseconds by our own header, or in seconds by the standard
-// "Prefer: wait=N" (RFC 7240).
+// parseTimeout returns the timeout that the caller requested, or zero if there
+// is none. It is given in milliseconds in the header [peer.HeaderTimeout] or in
+// seconds in the standard header "Prefer: wait=N" (RFC 7240).
 func parseTimeout(h http.Header) (kumquatlug.Millis, *kumquatlug.Failure) {
 	value, unit := h.Get(peer.HeaderTimeout), kumquatlug.Millis(1)
 	if wait, ok := strings.CutPrefix(h.Get("Prefer"), "wait="); ok && value == "" {
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -11,16 +11,17 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxKeyBytes bounds an idempotency key, in bytes.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 255
 
-// generatedKeyPrefix starts the keys that we make for calls without one.
+// generatedKeyPrefix is the prefix of idempotency keys generated for calls that
+// have none.
 const generatedKeyPrefix = "made-"
 
-// copyBufferBytes is how much of an answer is held at once while it is passed on.
+// copyBufferBytes is the size of the buffer used to relay a response.
 const copyBufferBytes = 32 << 10
 
-// ServiceCall is one call to a plain service.
+// ServiceCall is a call to a plain HTTP service.
 type ServiceCall struct {
 	id        string
 	account   kumquatlug.Caller
@@ -34,39 +35,41 @@
 	timeout   kumquatlug.Millis
 }
 
-// ID returns the request's id.
+// ID returns the request ID.
 func (c ServiceCall) ID() string { return c.id }
 
-// Caller returns the account that calls.
+// Caller returns the account of the caller.
 func (c ServiceCall) Caller() kumquatlug.Caller { return c.account }
 
-// Kind returns the service.
+// Kind returns the service that is called.
 func (c ServiceCall) Kind() kumquatlug.Kind { return c.kind }
 
 // Method returns the HTTP method.
 func (c ServiceCall) Method() string { return c.method }
 
-// Path returns the service's own path, query included.
+// Path returns the path below /services/NAME, including the query.
 func (c ServiceCall) Path() string { return c.path }
 
-// Header returns the headers to pass on.
+// Header returns the headers to forward.
 func (c ServiceCall) Header() http.Header { return c.header }
 
-// Body returns the whole body.
+// Body returns the complete request body.
 func (c ServiceCall) Body() []byte { return c.body }
 
-// Key returns the idempotency key: the caller's, or one made for this call.
+// Key returns the idempotency key: the caller's own, or one generated for this
+// call.
 func (c ServiceCall) Key() string { return c.key }
 
-// OwnKey reports whether the caller sent the key. A call under a key that we
-// made is never sent twice: nobody else knows the key, so that a second sending
-// could only be our own.
+// OwnKey reports whether the caller supplied the key. A caller never repeats a
+// call under a generated key, because nobody else knows it; a second request
+// under such a key can only be a resend by this process.
 func (c ServiceCall) OwnKey() bool { return c.callerKey }
 
-// Timeout returns the caller's time, zero when it named none.
+// Timeout returns the timeout that the caller requested, in milliseconds, or
+// zero if there is none.
 func (c ServiceCall) Timeout() kumquatlug.Millis { return c.timeout }
 
-// call serves any method below /services/NAME/.
+// call serves requests of any method below /services/NAME/.
 func (h *Handler) call(w http.ResponseWriter, r *http.Request) {
 	state := requestStateOf(r)
 	c, failure := h.readCall(w, r)
@@ -111,7 +114,7 @@
 	}, nil
 }
 
-// servicePath cuts /services/NAME off and keeps the rest as it was escaped.
+// servicePath removes /services/NAME and keeps the escaping of the rest.
 func servicePath(r *http.Request) string {
 	const parts = 4 // "", "services", NAME, the rest
 	path := "/" + strings.SplitN(r.URL.EscapedPath(), "/", parts)[parts-1]
@@ -121,9 +124,9 @@
 	return path
 }
 
-// relay writes a target's answer to the caller. An answer that stops before
-// its end closes the caller's connection in the middle, so that the caller
-// can't take the part for the whole.
+// relay writes a target's response to the caller. If the response ends early,
+// relay aborts the caller's connection, so that the caller can't mistake a
+// truncated response for a complete one.
 func (h *Handler) relay(w http.ResponseWriter, response kumquatlug.Answer) {
 	peer.CopyHeaders(w.Header(), response.Header())
 	w.Header().Set(peer.HeaderRan, string(kumquatlug.RanDone))
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,11 +1,11 @@
-// Package caller speaks to callers: an OpenAI-compatible API for engines and
-// plain HTTP for services below /services/NAME/.
+// Package caller implements the public API: an OpenAI-compatible API for models
+// and plain HTTP for services below /services/NAME/.
 //
-// Everything a caller can send wrong is answered here, at once and without a
-// place in any queue, so that it harms nobody else: a wrong key, bad JSON, an
-// unknown model, an oversized or slow body. Every refusal has a status, a JSON
-// error in the OpenAI shape, a header that says whether the work ran, and
-// Retry-After where coming back helps.
+// Invalid input is refused here at once, before the request takes a place in
+// any queue, so that it can't affect other callers: a wrong API key, malformed
+// JSON, an unknown model, an oversized or slow body. Every refusal has a status
+// code, a JSON error in the OpenAI format, a header that says whether the work
+// ran, and Retry-After where a retry can succeed.
 package caller
 
 import (
@@ -22,59 +22,66 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Desk is what the API needs from the entry behind it.
+// Desk is the backend that serves the requests of the API.
 type Desk interface {
-	// Authenticate returns the account whose key has this hash.
+	// Authenticate returns the account whose API key has this hash.
 	Authenticate(keyHash string) (kumquatlug.Caller, bool)
-	// Kinds returns every kind of work that some selector hands out.
+	// Kinds returns every kind of work (model or service) that some selector
+	// routes.
 	Kinds() []kumquatlug.Kind
-	// Generate runs g and hands its chunks to sink in order, each once. It
-	// returns when the answer is whole, or with a *kumquatlug.Failure.
+	// Generate runs g and passes its chunks to sink in order, each exactly
+	// once. It returns nil once the response is complete, or a
+	// *kumquatlug.Failure.
 	Generate(ctx context.Context, g Generation, sink Sink) error
-	// Call makes a call to a plain service.
+	// Call makes a call to a plain HTTP service. Its error is a
+	// *kumquatlug.Failure.
 	Call(ctx context.Context, c ServiceCall) (kumquatlug.Answer, error)
 }
 
-// Sink takes the chunks of one answer. An error says that the caller is gone.
+// Sink receives the chunks of one response. An error means that the caller has
+// disconnected.
 type Sink interface {
-	// Chunk takes the next chunk, which may be held back until Flush.
+	// Chunk receives the next chunk, which may be buffered until Flush.
 	Chunk(c engine.Chunk) error
-	// Flush sends on what was held back.
+	// Flush sends the buffered chunks.
 	Flush() error
 }
 
-// Config says how the API treats callers.
+// Config configures a [Handler].
 type Config struct {
 	Desk   Desk
 	Logger *zap.Logger
-	// MaxBody bounds a request's body in bytes; zero means DefaultMaxBody.
+	// MaxBody is the maximum size of a request body, in bytes; zero means
+	// DefaultMaxBody.
 	MaxBody int64
-	// MaxHeld bounds the bodies of all requests in hand together, in bytes; zero
-	// means DefaultMaxHeld.
+	// MaxHeld is the maximum total size of the bodies of all requests in
+	// flight, in bytes; zero means DefaultMaxHeld.
 	MaxHeld int64
-	// BodyTimeout bounds how long a caller may take to send its body, and
-	// WriteTimeout how long it may leave one write unread, in milliseconds.
+	// BodyTimeout is how long a caller may take to send its body, and
+	// WriteTimeout how long one write to a caller may block, in milliseconds.
+	// Zero means DefaultBodyTimeout and DefaultWriteTimeout.
 	BodyTimeout  kumquatlug.Millis
 	WriteTimeout kumquatlug.Millis
 }
 
 // Defaults of a [Config].
 const (
-	// DefaultMaxBody holds a prompt of about two million tokens of English.
+	// DefaultMaxBody fits a prompt of about two million tokens of English.
 	DefaultMaxBody = 8 << 20
-	// DefaultMaxHeld holds a thousand documents of 32 KB, as many as may wait
-	// for one kind. A body stands about three times in memory (as it came, as
-	// fields, as it is sent), so this is 96 MB of the 128 that a node may spend.
+	// DefaultMaxHeld fits a thousand documents of 32 KB, as many as may be
+	// queued for one kind. A body is in memory about three times (as received,
+	// as parsed fields and as sent), so this limit takes 96 MB of the 128 MB
+	// budget of a node.
 	DefaultMaxHeld = 32 << 20
-	// DefaultBodyTimeout lets 8 MiB arrive over a line of 2.2 Mbit/s.
+	// DefaultBodyTimeout lets 8 MiB arrive over a link of 2.2 Mbit/s.
 	DefaultBodyTimeout = 30 * kumquatlug.Second
 	// DefaultWriteTimeout is how long a caller may read nothing at all. The
-	// socket buffers some hundred kilobytes, so only one that has stopped
-	// reading meets it; its engine is then freed for others.
+	// socket buffers some hundred kilobytes, so only a caller that has stopped
+	// reading reaches it; its engine is then freed for others.
 	DefaultWriteTimeout = 30 * kumquatlug.Second
 )
 
-// Handler is the callers' API.
+// Handler is the [http.Handler] of the public API.
 type Handler struct {
 	backend          Desk
 	logger           *zap.Logger
@@ -86,7 +93,7 @@
 	mux              *http.ServeMux
 }
 
-// New returns the API that c describes.
+// New returns a handler for the public API.
 func New(c Config) *Handler {
 	h := &Handler{
 		backend: c.Desk, logger: c.Logger, maxBodyBytes: c.MaxBody, maxReservedBytes: c.MaxHeld,
@@ -112,7 +119,8 @@
 	return h
 }
 
-// ServeHTTP gives the request an id, finds its account and serves it.
+// ServeHTTP assigns a request ID, authenticates the caller and serves the
+// request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := ulid.Make().String()
 	w.Header().Set(peer.HeaderRequest, id)
@@ -129,11 +137,12 @@
 	h.mux.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// requestStateKey finds the origin of a request in its context.
+// requestStateKey is the context key of a request's [requestState].
 type requestStateKey struct{}
 
-// requestState is who sent a request, the id it was given and how many bytes of the
-// bound on bodies it holds. The request's own goroutine owns it.
+// requestState holds the ID and the account of a request and how many bytes it
+// has reserved of the total limit on bodies. It is owned by the goroutine that
+// serves the request.
 type requestState struct {
 	id            string
 	account       kumquatlug.Caller
@@ -159,7 +168,7 @@
 	h.refuse(w, requestStateOf(r).id, newRefusal("find path", "unknown_path", http.StatusNotFound))
 }
 
-// models lists the models that some selector hands out.
+// models lists the models that some selector routes.
 func (h *Handler) models(w http.ResponseWriter, _ *http.Request) {
 	type model struct {
 		ID      string `json:"id"`
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -22,7 +22,7 @@
 
 const testTimeout = 30 * time.Second
 
-// fakeBackend is an entry that answers at once.
+// fakeBackend is a backend whose results are given by functions.
 type fakeBackend struct {
 	generate func(ctx context.Context, g Generation, sink Sink) error
 	call     func(c ServiceCall) (kumquatlug.Answer, error)
@@ -96,12 +96,12 @@
 		t.Errorf("body %s", text)
 	}
 	if strings.Contains(text, "engine-7") {
-		t.Error("a caller is told of a process inside")
+		t.Error("error body names an internal process")
 	}
 }
 
-// A stream fails in the middle, when its status has long been sent. A caller
-// that saw an end mark would take the part for the whole.
+// A stream fails after its status has been sent. A caller that received the
+// final [DONE] event would take the partial response for a complete one.
 func TestMidStreamFailureOmitsDoneEvent(t *testing.T) {
 	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error {
 		_ = sink.Chunk(textChunk("half"))
@@ -113,8 +113,9 @@
 	}
 }
 
-// A service's answer breaks off after its status was passed on. An orderly end
-// of the connection would make the caller believe in the part it has.
+// A service's response breaks off after its status was relayed. If the caller's
+// connection ended cleanly, the caller would take the partial response for a
+// complete one.
 func TestTruncatedServiceResponseAbortsConnection(t *testing.T) {
 	backend := &fakeBackend{call: func(ServiceCall) (kumquatlug.Answer, error) {
 		body := io.MultiReader(strings.NewReader("part"), errorReader{})
@@ -132,7 +133,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.ReadAll(response.Body); err == nil {
-		t.Error("the broken answer ended like a whole one")
+		t.Error("truncated response ended without an error")
 	}
 }
 
@@ -152,15 +153,15 @@
 		t.Errorf("path %q, method %s, timeout %d", got.Path(), got.Method(), got.Timeout())
 	}
 	if got.Header().Get("Authorization") != "" {
-		t.Error("the caller's key was passed on")
+		t.Error("Authorization header was forwarded to the service")
 	}
 	if response.StatusCode != 201 || response.Header.Get("X-Own") != "1" || response.Header.Get("Idempotency-Key") != got.Key() {
 		t.Errorf("status %d, headers %v", response.StatusCode, response.Header)
 	}
 }
 
-// A caller opens a stream and stops reading. Its engine would write into full
-// buffers for as long as the caller likes.
+// A caller opens a stream and stops reading. Without a write timeout its engine
+// would block on full buffers for as long as the caller stays connected.
 func TestStreamToStalledCallerIsAborted(t *testing.T) {
 	ended := make(chan error, 1)
 	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error {
@@ -178,22 +179,22 @@
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("the write that was given up brought no error")
+			t.Error("stalled write returned no error")
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the stream went on")
+		t.Fatal("stream to a stalled caller was not aborted")
 	}
 }
 
-// A caller sends its body a byte now and then. It must be told in time, and
-// nobody else may wait for it.
+// A caller sends its body very slowly. It must get an error in time, and no
+// other request may wait for it.
 func TestSlowBodyTimesOutWithoutBlockingOthers(t *testing.T) {
 	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error { return sink.Chunk(textChunk("ok")) }}
 	server := newServer(t, backend, Config{BodyTimeout: 200})
 	slow := dial(t, server)
 	write(t, slow, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\nContent-Length: 100\r\n\r\n{")
 	if response, _ := send(t, server, http.MethodPost, "/v1/completions", `{"model":"m","prompt":"p"}`, nil); response.StatusCode != 200 {
-		t.Errorf("the other caller got %d", response.StatusCode)
+		t.Errorf("other caller: status %d, want 200", response.StatusCode)
 	}
 	response, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil {
@@ -201,12 +202,13 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusRequestTimeout || response.Header.Get("Kumquatlug-Ran") != "not-run" {
-		t.Errorf("the slow caller got %d", response.StatusCode)
+		t.Errorf("slow caller: status %d, headers %v", response.StatusCode, response.Header)
 	}
 }
 
-// Many callers send large bodies at once. Without a bound on all together they
-// fill the memory of the entry, and everybody's answers end with it.
+// Many callers send large bodies at once. Without a limit on their total size
+// they exhaust the memory of the entry node, and all responses in flight are
+// lost.
 func TestTotalBodyBytesAreBounded(t *testing.T) {
 	started, release := make(chan bool), make(chan bool)
 	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error {
@@ -224,27 +226,27 @@
 	<-started
 	response, text := send(t, server, http.MethodPost, "/v1/completions", body, nil)
 	if response.StatusCode != 503 || !strings.Contains(text, "bodies_full") || response.Header.Get("Retry-After") == "" {
-		t.Errorf("the second got %d, %s", response.StatusCode, text)
+		t.Errorf("second request: status %d, body %s", response.StatusCode, text)
 	}
 	release <- true
 	if got := <-first; got != 200 {
-		t.Errorf("the first got %d", got)
+		t.Errorf("first request: status %d, want 200", got)
 	}
 	go func() { <-started; release <- true }()
 	if response, _ := send(t, server, http.MethodPost, "/v1/completions", body, nil); response.StatusCode != 200 {
-		t.Errorf("after the first has ended another got %d", response.StatusCode)
+		t.Errorf("request after the first one ended: status %d, want 200", response.StatusCode)
 	}
 }
 
-// A client opens a connection and sends half a header. Without a bound a few
-// thousand of these hold every connection that the entry may have.
+// A client opens a connection and sends half a header. Without a timeout a few
+// thousand of these occupy every connection that the entry node may have.
 func TestSlowHeaderClosesConnection(t *testing.T) {
 	server := newServer(t, &fakeBackend{}, Config{})
 	conn := dial(t, server)
 	write(t, conn, "POST /v1/completions HTTP/1.1\r\nHost: h\r\n")
 	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, err := io.ReadAll(conn); err != nil {
-		t.Fatalf("the connection stays open: %v, %q", err, text)
+		t.Fatalf("connection was not closed: %v, read %q", err, text)
 	}
 }
 
@@ -270,7 +272,7 @@
 	return string(text)
 }
 
-// FuzzParse feeds bodies that no client library sends.
+// FuzzParse checks parsing of arbitrary request bodies.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","prompt":"p"}`, `{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"}]}],"max_tokens":3}`,
@@ -282,7 +284,7 @@
 		g, _, failure := parseRequest("/v1/completions", body)
 		if failure != nil {
 			if failure.Ran() != kumquatlug.RanNot || failure.Status() >= 500 {
-				t.Fatalf("refused as %d, %s", failure.Status(), failure.Ran())
+				t.Fatalf("refusal: status %d, ran %s, want a status below 500 and not-run", failure.Status(), failure.Ran())
 			}
 			return
 		}
@@ -293,7 +295,7 @@
 			Priority int64 `json:"priority"`
 		}
 		if err != nil || json.Unmarshal(text, &sent) != nil || !sent.Stream || sent.Resume != 3 || sent.Priority != 1 {
-			t.Fatalf("engine is sent %s, %v", text, err)
+			t.Fatalf("engine request body %s, error %v", text, err)
 		}
 	})
 }
--- a/internal/caller/completions.go
+++ b/internal/caller/completions.go
@@ -12,7 +12,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// completions serves both completions and chat completions.
+// completions serves completions and chat completions.
 func (h *Handler) completions(w http.ResponseWriter, r *http.Request) {
 	state := requestStateOf(r)
 	body, failure := h.readBody(w, r)
@@ -78,20 +78,20 @@
 	timeout      kumquatlug.Millis
 	includeUsage bool
 	started      bool
-	// unflushed says that something was written since the last flush.
+	// unflushed is set when something was written since the last flush.
 	unflushed bool
-	// buffer is used for each event again.
+	// buffer is reused for each event.
 	buffer []byte
 }
 
-// Marks of a server-sent event.
+// Framing of a server-sent event.
 const (
 	eventPrefix = "data: "
 	eventSuffix = "\n\n"
 )
 
-// Chunk writes c under the request's own id, so that an answer which two
-// engines wrote reads as one.
+// Chunk writes c with the ID of the request, so that a response produced by two
+// engines looks like one.
 func (s *streamSink) Chunk(c engine.Chunk) error {
 	if len(c.Choices) == 0 && !s.includeUsage {
 		return nil
@@ -121,8 +121,8 @@
 	return s.writeBytes(s.buffer)
 }
 
-// writeBytes writes one event. It leaves with the next flush, or when the buffer of
-// the connection is full.
+// writeBytes writes one event. It is sent at the next flush, or when the buffer
+// of the connection is full.
 func (s *streamSink) writeBytes(event []byte) error {
 	if !s.started {
 		s.writeHeader()
@@ -153,20 +153,21 @@
 	s.writer.WriteHeader(http.StatusOK)
 }
 
-// finish writes the mark by which a caller knows that the answer is whole.
+// finish writes the [DONE] event, which marks the response as complete.
 func (s *streamSink) finish() {
 	_ = s.writeEvent([]byte("[DONE]"))
 	_ = s.Flush()
 }
 
-// writeError tells of a failure in the middle of a stream, and leaves the end mark
-// out, so that no caller takes the part for the whole.
+// writeError writes an error event after the stream has started. It omits the
+// [DONE] event, so that no caller takes the partial response for a complete
+// one.
 func (s *streamSink) writeError(body errorBody) {
 	_ = s.writeJSONEvent(body)
 	_ = s.Flush()
 }
 
-// bufferedSink gathers the chunks of an answer that is given in one piece.
+// bufferedSink collects the chunks of a response that is not streamed.
 type bufferedSink struct {
 	text         []byte
 	chat         bool
@@ -203,10 +204,10 @@
 	return nil
 }
 
-// Flush does nothing: the answer leaves in one piece.
+// Flush does nothing: the response is sent as a whole.
 func (s *bufferedSink) Flush() error { return nil }
 
-// responseBody returns the answer in the shape of the API that was called.
+// responseBody returns the response in the format of the API that was called.
 func (s *bufferedSink) responseBody(id string, created int64, model string) any {
 	type response struct {
 		ID      string        `json:"id"`
--- a/internal/caller/generation.go
+++ b/internal/caller/generation.go
@@ -10,11 +10,12 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures for estimating what a request costs before it runs.
+// Parameters of cost estimation before a request runs.
 const (
-	// bytesPerToken is the usual length of a token of English or Spanish text.
+	// bytesPerToken is the typical length of a token of English or Spanish
+	// text.
 	bytesPerToken = 4
-	// maxOutputTokens refuses a bound that no engine could meet.
+	// maxOutputTokens rejects a max_tokens value that no engine could produce.
 	maxOutputTokens = 1 << 20
 )
 
@@ -30,35 +31,38 @@
 	fields    map[string]json.RawMessage
 }
 
-// ID returns the request's id.
+// ID returns the request ID.
 func (g Generation) ID() string { return g.id }
 
-// Caller returns the account that asks.
+// Caller returns the account of the caller.
 func (g Generation) Caller() kumquatlug.Caller { return g.account }
 
-// Kind returns the model asked for.
+// Kind returns the requested model.
 func (g Generation) Kind() kumquatlug.Kind { return g.kind }
 
 // Path returns the path of the API that was called.
 func (g Generation) Path() string { return g.path }
 
-// Timeout returns the caller's time, zero when it named none.
+// Timeout returns the timeout that the caller requested, in milliseconds, or
+// zero if there is none.
 func (g Generation) Timeout() kumquatlug.Millis { return g.timeout }
 
-// Prompt returns the text that the engine has to read, for affinity.
+// Prompt returns the text that the engine has to prefill, used for prefix
+// affinity.
 func (g Generation) Prompt() string { return g.prompt }
 
 // PromptTokens returns the estimated length of the prompt in tokens.
 func (g Generation) PromptTokens() int64 { return int64(len(g.prompt))/bytesPerToken + 1 }
 
-// OutputBound returns the bound that the caller set on the answer, in tokens,
-// zero when it set none.
+// OutputBound returns the caller's limit on the output, in tokens, or zero if
+// there is none.
 func (g Generation) OutputBound() int64 { return g.maxTokens }
 
-// Body returns what an engine is sent: the caller's own fields, always as a
-// stream that counts its tokens, from the token after resume on. Streaming
-// every answer lets one that was cut go on at another engine without a token
-// lost or doubled, also for a caller who wants it whole.
+// Body returns the request body for an engine: the caller's own fields, but
+// always streamed, with token counts and starting after the first resume
+// tokens. Streaming every response lets an interrupted one continue at another
+// engine without losing or repeating a token, even if the caller did not ask
+// for a stream.
 func (g Generation) Body(resume, priority int64) ([]byte, error) {
 	fields := make(map[string]any, len(g.fields)+4)
 	for name, value := range g.fields {
@@ -77,7 +81,7 @@
 	return body, errors.Wrap(err, "encode request")
 }
 
-// completionRequest are the fields of a request that we read ourselves.
+// completionRequest has the request fields that are interpreted here.
 type completionRequest struct {
 	Model         string          `json:"model"`
 	Prompt        json.RawMessage `json:"prompt"`
@@ -97,15 +101,16 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// reservedFields may not come from callers: they would reorder other callers' work
-// or ask for half an answer.
+// reservedFields are removed from callers' requests: with them a caller could
+// reorder other callers' work or ask for a partial response.
 var reservedFields = []string{"priority", "resume_tokens"}
 
 func badRequest(cause error) *kumquatlug.Failure {
 	return newRefusalWithCause("read request", "invalid_request", http.StatusBadRequest, cause)
 }
 
-// parseRequest reads a request's body; path tells completions from chat.
+// parseRequest parses a request body. The path is that of completions or chat
+// completions.
 func parseRequest(path string, body []byte) (Generation, completionRequest, *kumquatlug.Failure) {
 	var req completionRequest
 	g := Generation{path: path}
@@ -147,7 +152,8 @@
 	return nil
 }
 
-// promptText returns what the engine reads, as far as affinity and cost need it.
+// promptText returns the prompt text as needed for affinity and cost
+// estimation.
 func (req completionRequest) promptText() (string, error) {
 	if req.Messages != nil {
 		return chatText(req.Messages)
@@ -175,8 +181,8 @@
 	return all.String(), nil
 }
 
-// contentText returns the content of a message, which is a string, a list of text
-// parts, or null.
+// contentText returns the content of a message, which is a string, a list of
+// text parts, or null.
 func (m message) contentText() (string, error) {
 	var text string
 	if len(m.Content) == 0 || json.Unmarshal(m.Content, &text) == nil {
--- a/internal/caller/refuse.go
+++ b/internal/caller/refuse.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// newRefusal is a failure before anything was sent to a target.
+// newRefusal returns a failure from before anything was sent to a target.
 func newRefusal(step, reason string, status int) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status,
@@ -24,7 +24,7 @@
 	})
 }
 
-// errorBody is the OpenAI error shape with our own fields behind it.
+// errorBody is the OpenAI error format with additional fields.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -46,8 +46,9 @@
 	}}
 }
 
-// errorMessage tells the step and the reason. The cause goes along only when the
-// caller's own request is at fault; otherwise it would name processes inside.
+// errorMessage returns the step and the reason. The cause is included only if
+// the caller's own request is at fault; otherwise it would name internal
+// processes.
 func errorMessage(f *kumquatlug.Failure) string {
 	text := f.Step() + ": " + f.Reason()
 	if f.Unwrap() != nil && f.Status() < http.StatusInternalServerError {
@@ -69,7 +70,7 @@
 	}
 }
 
-// refuse writes f as the final answer, at once.
+// refuse writes f as the final response.
 func (h *Handler) refuse(w http.ResponseWriter, id string, f *kumquatlug.Failure) {
 	h.logger.Info("refused", zap.String("request", id), zap.String("step", f.Step()), zap.String("peer", f.Peer()),
 		zap.String("reason", f.Reason()), zap.String("ran", string(f.Ran())), zap.Int("status", f.Status()),
@@ -81,7 +82,7 @@
 	writeJSON(w, f.Status(), newErrorBody(id, f))
 }
 
-// ceilSeconds rounds up, so that nobody comes back too early.
+// ceilSeconds rounds up, so that no caller retries too early.
 func ceilSeconds(m kumquatlug.Millis) int64 {
 	return int64((m + kumquatlug.Second - 1) / kumquatlug.Second)
 }
--- a/internal/entry/attempts.go
+++ b/internal/entry/attempts.go
@@ -7,13 +7,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errTargetDown is why the attempts at a target that vanished are cut.
-var errTargetDown = errors.New("the target's heartbeats are not answered")
+// errTargetDown is the cancellation cause of attempts at a target that is down.
+var errTargetDown = errors.New("target does not answer heartbeats")
 
-// attemptTracker knows which attempts are at which target, so that those at a target
-// that vanished can be cut. A VM that is paused or behind a broken link closes
-// no connection: without this a stream from it would wait for its next token
-// until the kernel gives up, minutes later, though the entry knows better.
+// attemptTracker tracks the attempts in flight at each target, so that those at
+// a target that went down can be cancelled. A VM that is paused or behind a
+// broken link closes no connection. Without cancellation a stream from it would
+// wait for its next token until the kernel gives up, minutes after the missed
+// heartbeats.
 type attemptTracker struct {
 	mu       sync.Mutex
 	nextID   int
@@ -24,8 +25,8 @@
 	return &attemptTracker{byTarget: map[string]map[int]context.CancelCauseFunc{}}
 }
 
-// start returns a context for an attempt at target and the function that ends
-// it.
+// start registers an attempt at target. It returns the context of the attempt
+// and a function that ends it.
 func (a *attemptTracker) start(ctx context.Context, target string) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	a.mu.Lock()
@@ -44,7 +45,7 @@
 	}
 }
 
-// cancelTarget ends every attempt at target.
+// cancelTarget cancels every attempt at target.
 func (a *attemptTracker) cancelTarget(target string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -18,17 +18,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// serviceCallTokens is what one service call counts as in the queue and at a target:
-// a middling prompt, so that fair shares mean something beside each other.
+// serviceCallTokens is the cost of one service call in the queue and at a
+// target, in tokens. It is that of a medium-sized prompt, so that fair shares
+// of services and models are comparable.
 const serviceCallTokens = 100
 
-// prefetchBytes is how much of a service's answer is read before the caller
-// hears anything: most answers fit, and a hundred in hand take 6 MB.
+// prefetchBytes is how much of a service's response is read before anything is
+// sent to the caller. Most responses fit, and a hundred in flight take 6 MB.
 const prefetchBytes = 64 << 10
 
-// Call makes one call to a plain service. A call that may not be repeated goes
-// out under a run-once mark and is sent again only when it is known not to have
-// run.
+// Call makes a call to a plain HTTP service. A call that is not repeatable is
+// sent with an at-most-once dispatch ID and is resent only if it is known not
+// to have run.
 func (e *Entry) Call(ctx context.Context, c caller.ServiceCall) (response kumquatlug.Answer, err error) {
 	r := e.newRequest(c.ID(), c.Caller(), c.Kind(), c.Timeout())
 	r.fingerprint = quarantine.NewFingerprint(c.Caller().Name(), c.Kind(), fingerprintInput(c))
@@ -53,13 +54,13 @@
 	return response, err
 }
 
-// fingerprintInput returns all that makes a call what it is.
+// fingerprintInput returns the method, path and body, which identify a call.
 func fingerprintInput(c caller.ServiceCall) []byte {
 	prefix := c.Method() + " " + c.Path() + "\n"
 	return append([]byte(prefix), c.Body()...)
 }
 
-// isSafeMethod reports whether a method asks for nothing but an answer (RFC 9110).
+// isSafeMethod reports whether a method is safe by RFC 9110.
 func isSafeMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
@@ -68,8 +69,9 @@
 	return false
 }
 
-// eraUnknown refuses a call that may not be repeated while the run-once era is not
-// known, as when the table was out since this entry started.
+// eraUnknown returns the refusal of a call that is not repeatable while the era
+// of dispatch IDs is unknown, as when the platform's table has been unavailable
+// since this entry node started.
 func eraUnknown() error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: "claim call", Peer: "platform", Reason: ledger.ReasonTable, Ran: kumquatlug.RanNot,
@@ -77,7 +79,8 @@
 	})
 }
 
-// runCall makes attempts until one brings an answer or the loop gives the call up.
+// runCall makes attempts until one returns a response or the loop refuses the
+// request.
 func (r *request) runCall(ctx context.Context, out agentRequest) (kumquatlug.Answer, error) {
 	for {
 		attempt, err := r.nextAttempt(ctx)
@@ -98,8 +101,8 @@
 	}
 }
 
-// attemptCall makes one attempt and, for a call that may not be repeated, finds out
-// what became of it when it is lost from sight.
+// attemptCall makes one attempt. If the outcome of a call that is not
+// repeatable is unknown, it resolves that outcome.
 func (r *request) attemptCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
 	response, refused := r.sendCall(ctx, a, out)
 	if refused == nil {
@@ -117,15 +120,15 @@
 	return r.resolveOutcome(ctx, a, out, refused)
 }
 
-// isAgentRefusal reports whether a failure is an agent's refusal, which says
-// nothing against its target.
+// isAgentRefusal reports whether a failure is a refusal by an agent, which does
+// not count against its target.
 func isAgentRefusal(f *kumquatlug.Failure) bool {
 	return f.Ran() == kumquatlug.RanNot && f.Reason() != reasonUnreachable && f.Reason() != reasonTargetFailed
 }
 
-// sendCall sends the call to one agent and reads the start of the answer before its
-// caller hears anything, so that one which breaks off early can be asked for
-// again.
+// sendCall sends the call to one agent. It reads the start of the response
+// before anything is sent to the caller, so that a response that breaks off
+// early can be retried.
 func (r *request) sendCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
 	ctx, end := r.entry.attempts.start(ctx, a.Target())
 	response, refused := r.send(ctx, a, out)
@@ -144,11 +147,12 @@
 	return kumquatlug.NewAnswer(response.StatusCode, response.Header, tracked), nil
 }
 
-// resolveOutcome finds out what became of a dispatch that was lost from sight. It
-// blocks the dispatch: either that takes effect, and a late arrival can't run
-// any more, or the row tells what the dispatch became. Telling the caller
-// "not run" without it would be a guess: the dispatch may still lie in a
-// connection or a paused agent and run afterwards.
+// resolveOutcome determines the outcome of a dispatch after its connection was
+// lost. It blocks the dispatch in the ledger: either the block takes effect and
+// a late arrival can no longer run, or the ledger row says what happened to the
+// dispatch. Without the block it would be wrong to report the call as not run:
+// the dispatch may still be buffered in a connection or a paused agent, and run
+// afterwards.
 func (r *request) resolveOutcome(ctx context.Context, a dispatch.Attempt, out agentRequest, lost *refusal) (kumquatlug.Answer, *refusal) {
 	ruling, err := r.entry.ledger.Block(ctx, r.ledgerCall(out))
 	if err != nil {
@@ -186,22 +190,23 @@
 	})}
 }
 
-// replay makes an answer of a kept outcome.
+// replay returns the response recorded in an outcome.
 func (r *request) replay(o ledger.Outcome) kumquatlug.Answer {
 	body := bytes.NewReader(o.Body())
 	return kumquatlug.NewAnswer(o.Status(), o.Header(), &trackedBody{Reader: body, body: io.NopCloser(body), request: r})
 }
 
-// unknownRetryDelay is when asking again under the same key may tell more: a holder
-// that was paused or cut off is back by then, or is known to be gone.
+// unknownRetryDelay is the Retry-After of a call whose outcome is unknown. By
+// then a holder that was paused or partitioned is back, or is known to be gone.
 const unknownRetryDelay = 5 * kumquatlug.Second
 
-// holderRetryDelays are the pauses before the holder of a claim is asked again. Its
-// agent may only have dropped one connection; when it does not come back within
-// two seconds nobody can say soon what became of the run.
+// holderRetryDelays are the delays before each query to the holder of a claim.
+// Its agent may have dropped only one connection; if it does not come back
+// within two seconds, the outcome of the run can't be known soon.
 var holderRetryDelays = []kumquatlug.Millis{0, 100, 400, 1500}
 
-// outcomeFromHolder asks the agent that holds the claim for the outcome of its run.
+// outcomeFromHolder asks the agent that holds the claim for the outcome of its
+// run.
 func (r *request) outcomeFromHolder(ctx context.Context, a dispatch.Attempt, out agentRequest, target string) (kumquatlug.Answer, *refusal) {
 	var last error
 	for _, wait := range holderRetryDelays {
@@ -225,16 +230,17 @@
 	return kumquatlug.Answer{}, r.outcomeUnknown(a, last)
 }
 
-// concernsClaim reports whether a refusal by the holder of a claim speaks of the claim
-// itself. One by an agent that is leaving or full says "not run" of this sending
-// only, while the run that is asked for may be going on there.
+// concernsClaim reports whether a refusal by the holder of a claim is about the
+// claim itself. A refusal by an agent that is draining or full says "not run"
+// only of this dispatch, while the run in question may still be in progress
+// there.
 func concernsClaim(r *refusal) bool {
 	return r.dispatchID != "" || r.failure.Reason() == peer.ReasonUnknown || r.failure.Status() < http.StatusInternalServerError
 }
 
-// holderTimeout is how long the holder of a claim is waited for when it says
-// nothing. Its run may take longer; the caller is then told that the outcome is
-// not known yet, and asks again under the same key.
+// holderTimeout is how long to wait for a response from the holder of a claim.
+// Its run may take longer; the caller is then told that the outcome is not
+// known yet, and retries under the same key.
 const holderTimeout = 10 * kumquatlug.Second
 
 func (r *request) sendCallToHolder(ctx context.Context, holder dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
@@ -248,7 +254,7 @@
 	return response, nil
 }
 
-// sleep waits and reports false when ctx ended.
+// sleep waits and returns false if ctx ends first.
 func sleep(ctx context.Context, wait kumquatlug.Millis) bool {
 	select {
 	case <-time.After(wait.Duration()):
@@ -258,19 +264,20 @@
 	}
 }
 
-// trackedBody ends the request when its answer was read to the end, or was
-// given up.
+// trackedBody ends the request when its response body is closed, after it was
+// read to the end or abandoned.
 type trackedBody struct {
 	io.Reader
 	body     io.Closer
 	request  *request
 	complete bool
-	// release and cancel, either of which may be nil, free what the attempt holds.
+	// release and cancel release the resources of the attempt; either may be
+	// nil.
 	release func()
 	cancel  func()
 }
 
-// Read notes the end of the answer.
+// Read reads from the body and records whether its end was reached.
 func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -279,7 +286,8 @@
 	return n, err
 }
 
-// Close tells the loop how the request ended.
+// Close ends the request and reports to the loop whether the response was
+// complete.
 func (b *trackedBody) Close() error {
 	if b.complete {
 		b.request.finish(dispatch.Done{})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,7 @@
-// Package entry wires the process that callers and operators talk to: their
-// APIs, the loop that owns the decisions, heartbeats to agents, the platform's
-// list of VMs and the config.
+// Package entry implements the entry node, the process that serves callers and
+// operators. It connects their APIs with the event loop that makes the
+// scheduling decisions, the heartbeats to agents, the platform's VM list and
+// the config.
 package entry
 
 import (
@@ -28,46 +29,53 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ledger"
 )
 
-// Config is what an [Entry] is made of.
+// Config configures an [Entry].
 type Config struct {
-	// Name is this VM's name in the platform's list, Zone its data centre.
+	// Name is the name of this VM in the platform's VM list, Zone its data
+	// centre.
 	Name string
 	Zone string
-	// Callers, Peers and Operators are where each of them reaches the entry.
+	// Callers, Peers and Operators are the listeners for each of them.
 	Callers   net.Listener
 	Peers     net.Listener
 	Operators net.Listener
-	// PeerAddress is what peers are told to reach this entry by; empty means
-	// the address of Peers.
+	// PeerAddress is the address advertised to peers; empty means the address
+	// of Peers.
 	PeerAddress string
-	// Keys are the entry's own; nil means plain connections on loopback.
+	// Keys are the TLS keys for connections between nodes; nil means plain
+	// connections on loopback.
 	Keys *peer.Keys
-	// CallerTLS are the keys that callers and operators see; nil means plain.
+	// CallerTLS is the server certificate presented to callers and operators;
+	// nil means plain connections.
 	CallerTLS *peer.PublicKeys
-	// OperatorKeys maps the hash of an operator's key to the operator's name.
+	// OperatorKeys maps the hash of an operator's API key to the operator's
+	// name.
 	OperatorKeys map[string]string
 	Table        kumquatlug.Table
 	Objects      kumquatlug.Objects
 	VMs          kumquatlug.VMs
 	Clock        kumquatlug.Clock
-	// ListEvery is how often the platform's list is read, in milliseconds.
+	// ListEvery is the interval between reads of the platform's VM list, in
+	// milliseconds.
 	ListEvery kumquatlug.Millis
-	// BalancerLag is how long a stopping entry goes on accepting after it
-	// said that it is not ready, in milliseconds.
+	// BalancerLag is how long an entry node that is shutting down still accepts
+	// requests after it reports that it is not ready, in milliseconds.
 	BalancerLag kumquatlug.Millis
-	// MaxBody bounds a caller's request, in bytes; zero means the default.
+	// MaxBody is the maximum size of a caller's request body, in bytes; zero
+	// means the default.
 	MaxBody int64
-	// MaxHeld bounds the bodies of all requests in hand; zero means the default.
+	// MaxHeld is the maximum total size of the bodies of all requests in
+	// flight, in bytes; zero means the default.
 	MaxHeld  int64
 	Dispatch dispatch.Config
-	// Planner makes the planner of a group of engines.
+	// Planner returns a new role planner for a group of engines.
 	Planner  func() kumquatlug.RolePlanner
 	Logger   *zap.Logger
 	Registry *prometheus.Registry
 	Ring     *timeline.Ring
 }
 
-// Entry is the process behind the balancer.
+// Entry is an entry node, which runs behind the load balancer.
 type Entry struct {
 	cfg         Config
 	incarnation string
@@ -87,7 +95,7 @@
 	inFlight    atomic.Int64
 }
 
-// New returns an entry that is ready to run.
+// New returns an entry node that is ready to run.
 func New(c Config) (*Entry, error) {
 	e := &Entry{cfg: c, incarnation: kumquatlug.NewIncarnation(c.Name), address: c.PeerAddress, dialer: peer.NewDialer(c.Keys), attempts: newAttemptTracker()}
 	if e.address == "" {
@@ -112,19 +120,21 @@
 		Table: e.cfg.Table, Objects: e.cfg.Objects, Clock: e.cfg.Clock, Target: e.cfg.Name, Incarnation: e.incarnation,
 	})
 	if err != nil {
-		return errors.Wrap(err, "open the ledger")
+		return errors.Wrap(err, "open ledger")
 	}
 	e.eraKeeper, err = ledger.NewKeeper(ledger.KeeperConfig{Table: e.cfg.Table, Clock: e.cfg.Clock, Incarnation: e.incarnation})
-	return errors.Wrap(err, "open the ledger")
+	return errors.Wrap(err, "open ledger")
 }
 
-// applyConfig hands a config that came into force to those who decide by it.
+// applyConfig passes a config that took effect to the request handlers and the
+// loop.
 func (e *Entry) applyConfig(state config.State) {
 	e.view.Store(newConfigView(state))
 	e.loop.post(configChanged{state})
 }
 
-// localEntries returns the entries of this data centre, by the platform's list.
+// localEntries returns the entry nodes of this data centre in the platform's VM
+// list.
 func (e *Entry) localEntries() []string {
 	var names []string
 	for _, vm := range *e.listedVMs.Load() {
@@ -135,9 +145,9 @@
 	return names
 }
 
-// Run serves until ctx ends, then stops gracefully: it says that it is not
-// ready, goes on accepting until the balancer has noticed, and finishes every
-// request in hand, however long it takes.
+// Run serves until ctx ends, then shuts down gracefully: it reports that it is
+// not ready, accepts requests until the load balancer has noticed, and
+// completes every request in flight, however long that takes.
 func (e *Entry) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -160,25 +170,27 @@
 	return peer.RunGroup(&group)
 }
 
-// presence is the entry's own on the list of VMs.
+// presence returns the registration of this entry node in the platform's VM
+// list.
 func (e *Entry) presence() peer.Presence {
 	return peer.Presence{VMs: e.cfg.VMs, Logger: e.cfg.Logger, VM: kumquatlug.NewVM(kumquatlug.VMConfig{
 		Name: e.cfg.Name, Role: kumquatlug.VMEntry, Address: e.address, Zone: e.cfg.Zone, State: kumquatlug.VMLive,
 	})}
 }
 
-// drain waits until the balancer sends nothing more and nothing is in hand.
+// drain waits until the load balancer sends no more requests and none is in
+// flight.
 func (e *Entry) drain(ctx context.Context) {
 	e.draining.Store(true)
 	e.cfg.Ring.Add(timeline.Record{Name: timeline.StateChanged, Detail: "stopping"})
-	e.cfg.Logger.Info("entry stops: not ready, finishing what it has", zap.Int64("in_hand", e.inFlight.Load()))
+	e.cfg.Logger.Info("entry is shutting down, draining in-flight requests", zap.Int64("in_hand", e.inFlight.Load()))
 	select {
 	case <-time.After(e.cfg.BalancerLag.Duration()):
 	case <-ctx.Done():
 		return
 	}
 	peer.WaitUntil(ctx, func() bool { return e.inFlight.Load() == 0 })
-	e.cfg.Logger.Info("entry has finished its requests and stops")
+	e.cfg.Logger.Info("entry has drained its requests and is stopping")
 }
 
 func (e *Entry) addServers(group *run.Group) {
@@ -203,8 +215,8 @@
 	e.addServer(group, "serve operators", operators, e.cfg.Operators, e.cfg.CallerTLS.Server())
 }
 
-// countInFlight counts the callers' requests in hand, so that a planned stop can wait
-// for the last one.
+// countInFlight counts the callers' requests in flight, so that a graceful
+// shutdown can wait for the last one.
 func (e *Entry) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.metrics.inFlight.Set(float64(e.inFlight.Add(1)))
@@ -213,7 +225,7 @@
 	})
 }
 
-// addProbes adds what a balancer and a supervisor ask.
+// addProbes adds the liveness and readiness probes.
 func (e *Entry) addProbes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -225,7 +237,8 @@
 	})
 }
 
-// notReadyReason says why the balancer should send callers elsewhere.
+// notReadyReason returns why the load balancer should route callers elsewhere,
+// or an empty string if the entry node is ready.
 func (e *Entry) notReadyReason() string {
 	switch {
 	case e.draining.Load():
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -18,29 +18,33 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// Figures of the duties beside the loop.
+// Parameters of the background tasks.
 const (
-	// heartbeatTickInterval is how often heartbeats that are due are looked for.
+	// heartbeatTickInterval is the interval between checks for heartbeats that
+	// are due.
 	heartbeatTickInterval = 50 * time.Millisecond
-	// heartbeatTimeout bounds one heartbeat; peers are a few milliseconds away.
+	// heartbeatTimeout is the timeout of one heartbeat; the network latency
+	// between peers is a few milliseconds.
 	heartbeatTimeout = time.Second
-	// maxHeartbeatsInFlight bounds those in flight: more wait while peers hang.
+	// maxHeartbeatsInFlight limits concurrent heartbeats; more wait while peers
+	// hang.
 	maxHeartbeatsInFlight = 64
-	// snapshotCheckInterval is how often an entry looks whether a snapshot of the
-	// config is due, and snapshotMinChanges after how many changes it is.
+	// snapshotCheckInterval is the interval between checks whether a config
+	// snapshot is due, and snapshotMinChanges the number of changes after which
+	// it is.
 	snapshotCheckInterval = time.Minute
 	snapshotMinChanges    = 1000
 )
 
-// pollVMs follows the platform's list of VMs.
+// pollVMs reads the platform's VM list periodically.
 func (e *Entry) pollVMs(ctx context.Context) error {
 	ticker := time.NewTicker(e.cfg.ListEvery.Duration())
 	defer ticker.Stop()
 	for {
 		vms, err := e.cfg.VMs.List(ctx)
 		if err != nil {
-			// The last list stands: targets that answer heartbeats go on.
-			e.cfg.Logger.Warn("can't read the platform's list of VMs", timeline.ErrorField(err))
+			// Keep the last list: targets that answer heartbeats stay in use.
+			e.cfg.Logger.Warn("failed to read VM list, keeping the last one", timeline.ErrorField(err))
 		} else {
 			e.listedVMs.Store(&vms)
 			e.loop.post(vmsListed{vms})
@@ -53,19 +57,20 @@
 	}
 }
 
-// heartbeatState is what the heartbeats to one target remember between two of them.
+// heartbeatState is the state of the heartbeats to one target.
 type heartbeatState struct {
 	sentAt   kumquatlug.Millis
 	inFlight bool
-	// noticesSent and heard are the versions of the notices that each side has.
+	// noticesSent and noticesReceived are the versions of the crash notices
+	// last sent to the target and received from it.
 	noticesSent     int64
 	noticesReceived int64
-	// lastCacheEvent is the last cache event that was heard.
+	// lastCacheEvent is the sequence number of the last cache event received.
 	lastCacheEvent int64
 }
 
-// runHeartbeats asks each target that the entry speaks to for a report, at the
-// pace that membership.Interval sets.
+// runHeartbeats sends heartbeats to each watched target, at the interval of
+// [membership.Interval]. The response is a report of the target's state.
 func (e *Entry) runHeartbeats(ctx context.Context) error {
 	states := map[string]*heartbeatState{}
 	done := make(chan string, maxHeartbeatsInFlight)
@@ -109,9 +114,10 @@
 	}
 }
 
-// initialPhase spreads the first heartbeats over an interval. An entry that just
-// started would else ask all its targets in one moment, and all entries that
-// start together would ask the same one.
+// initialPhase spreads the first heartbeats over an interval. Otherwise an
+// entry node that just started would send a heartbeat to all its targets at
+// once, and all entry nodes that start together would send theirs to the same
+// target at the same moment.
 func (e *Entry) initialPhase(target string, interval kumquatlug.Millis) kumquatlug.Millis {
 	if interval <= membership.MinInterval {
 		return 0
@@ -119,7 +125,7 @@
 	return kumquatlug.Millis(xxhash.Sum64String(e.cfg.Name+"/"+target) % uint64(interval))
 }
 
-// watchedMembers returns the targets that the entry speaks to.
+// watchedMembers returns the targets to which this entry node sends heartbeats.
 func (e *Entry) watchedMembers(ctx context.Context) []membership.Member {
 	var members []membership.Member
 	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) {
@@ -138,9 +144,9 @@
 	return m, known
 }
 
-// heartbeat asks one agent for a report, and tells it what it may not know yet:
-// the config's head, what the list says of its VM, and requests that were in
-// hand at crashes.
+// heartbeat requests a report from one agent. It sends what the agent may not
+// know yet: the revision of the config head, the state of its VM in the VM
+// list, and notices of requests that were in flight at crashes.
 func (e *Entry) heartbeat(ctx context.Context, m membership.Member, state *heartbeatState) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -154,13 +160,14 @@
 		Notices: peer.NoticesTo(notices), NoticesAfter: state.noticesReceived, CacheAfter: state.lastCacheEvent,
 	}))
 	if err != nil || response.Msg.GetTarget() != m.VM().Name() {
-		// Another agent at the address is as good as none: a VM was replaced
-		// and the list does not know it yet.
+		// A different agent at this address counts as a missed heartbeat: the
+		// VM was replaced and the VM list does not show it yet.
 		e.loop.post(heartbeatMissed{m.VM().Name()})
 		return
 	}
 	if response.Msg.GetIncarnation() != m.Incarnation() {
-		// A new agent knows nothing of what its predecessor was told.
+		// A new incarnation of the agent has none of the notices that were sent
+		// to the previous one.
 		state.noticesSent, version = 0, 0
 	}
 	if events := response.Msg.GetCache(); len(events) > 0 {
@@ -172,8 +179,8 @@
 	e.loop.post(heartbeatAnswered{name: m.VM().Name(), report: newReport(response.Msg, sentAt), notices: peer.NoticesFrom(response.Msg.GetNotices()), cache: response.Msg.GetCache()})
 }
 
-// listedVMState is what the platform's list says of a target's VM, empty when the
-// list does not name it any more.
+// listedVMState returns the state of a target's VM in the platform's VM list,
+// or an empty string if the VM is no longer listed.
 func (e *Entry) listedVMState(m membership.Member) string {
 	for _, vm := range *e.listedVMs.Load() {
 		if vm.Name() == m.VM().Name() {
@@ -195,8 +202,8 @@
 	}
 }
 
-// isPrimary reports whether this entry is the first of all in the order of a duty
-// that one entry is enough for.
+// isPrimary reports whether this entry node is the first in the rendezvous
+// order of a task that a single entry node performs.
 func (e *Entry) isPrimary(ctx context.Context, task string) bool {
 	var entries []string
 	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) { entries = append(entries, d.Entries()...) })
@@ -204,8 +211,8 @@
 	return len(order) > 0 && order[0] == e.cfg.Name
 }
 
-// runSnapshots stores the config as an object after many changes, so that a node
-// that starts need not read a long log.
+// runSnapshots stores a config snapshot as an object after many changes, so
+// that a node that starts does not have to read a long log.
 func (e *Entry) runSnapshots(ctx context.Context) error {
 	ticker := time.NewTicker(snapshotCheckInterval)
 	defer ticker.Stop()
@@ -221,7 +228,7 @@
 			continue
 		}
 		if err := e.configStore.Snapshot(ctx, state); err != nil {
-			e.cfg.Logger.Warn("can't store a snapshot of the config", timeline.ErrorField(err))
+			e.cfg.Logger.Warn("failed to store config snapshot", timeline.ErrorField(err))
 			continue
 		}
 		last = state.Revision()
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -18,23 +18,24 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/stream"
 )
 
-// progressIntervalTokens is after how many tokens the loop is told of a stream's
-// progress: often enough for the router's view of a target's load, and a
-// sixteenth of the messages.
+// progressIntervalTokens is the number of tokens between progress reports to
+// the loop. It is small enough to keep the router's estimate of a target's load
+// current, and takes a sixteenth of the messages of one report per token.
 const progressIntervalTokens = 16
 
-// maxAttempts bounds the attempts of one answer in the assembler. It is out of
-// reach: the loop gives up by the retry policy and the deadline, and a request
-// that waits its turn among suspects is refused five times a second meanwhile.
+// maxAttempts is the limit on attempts per response in the assembler. It is
+// never reached: the loop gives up first, by the retry policy and the deadline.
+// A request held as a crash suspect is refused five times a second while it
+// waits, and each refusal counts as an attempt here.
 const maxAttempts = 1 << 16
 
-// trailerTimeout bounds how long the end of an answer is waited for once its end
-// mark is there. It comes with the mark; a target that holds it back costs its
-// caller no more than this and its agent one connection.
+// trailerTimeout is how long to wait for the end of the body after the [DONE]
+// event. The trailer normally arrives with that event; a target that delays it
+// costs the caller no more than this, and the agent one connection.
 const trailerTimeout = 100 * time.Millisecond
 
-// Generate runs one request to a model until its answer is whole, on as many
-// engines as that takes.
+// Generate runs one request to a model until its response is complete, on as
+// many engines as that takes.
 func (e *Entry) Generate(ctx context.Context, g caller.Generation, sink caller.Sink) (err error) {
 	r := e.newRequest(g.ID(), g.Caller(), g.Kind(), g.Timeout())
 	body, err := g.Body(0, 0)
@@ -56,7 +57,7 @@
 	return s.run(ctx)
 }
 
-// responseStream is one answer in the making.
+// responseStream is the state of one response in progress.
 type responseStream struct {
 	request        *request
 	generation     caller.Generation
@@ -64,9 +65,12 @@
 	assembler      *stream.Answer
 	reportedTokens int64
 	kvHandle       string
-	template       engine.Chunk
-	last           engine.Chunk
-	// writeErr is why what was written could not be sent to the caller.
+	// template is the first chunk with a choice; it sets the format of the
+	// chunks sent to the caller.
+	template engine.Chunk
+	// last has the latest choices and usage received.
+	last engine.Chunk
+	// writeErr is the error of the last flush to the caller.
 	writeErr error
 }
 
@@ -76,16 +80,16 @@
 	return s.writeErr
 }
 
-// flushingReader reads an attempt's answer, and sends on what was made of it so far
-// before it waits for more. Tokens that arrive together leave together: each
-// for itself, a write to the caller's connection is the greater part of what a
-// token costs. None waits for one that is not there yet.
+// flushingReader reads an attempt's response and flushes the output to the
+// caller before each read that may block. Tokens that arrive together are thus
+// sent together, because a write to the caller's connection is most of the cost
+// of a token. No token is delayed for one that has not arrived yet.
 type flushingReader struct {
 	stream *responseStream
 	body   io.Reader
 }
 
-// Read reads on once all before it is on its way.
+// Read flushes all earlier output, then reads from the body.
 func (r flushingReader) Read(p []byte) (int, error) {
 	if err := r.stream.flush(); err != nil {
 		return 0, err
@@ -93,7 +97,8 @@
 	return r.body.Read(p)
 }
 
-// run makes attempts until the answer is whole or the loop gives it up.
+// run makes attempts until the response is complete or the loop refuses the
+// request.
 func (s *responseStream) run(ctx context.Context) error {
 	for {
 		attempt, err := s.request.nextAttempt(ctx)
@@ -115,8 +120,8 @@
 	}
 }
 
-// finalError makes the final failure of a stream truthful: once the caller has
-// tokens, the work ran.
+// finalError corrects the run status of a final failure: once the caller has
+// received tokens, the failure can't claim that the work did not run.
 func (s *responseStream) finalError(err error) error {
 	f := kumquatlug.FailureOf(err)
 	if len(s.assembler.Sent()) == 0 || f.Ran() == kumquatlug.RanDone {
@@ -125,8 +130,9 @@
 	return f.WithRan(kumquatlug.RanUnknown)
 }
 
-// runAttempt runs one attempt. It returns no failure when the answer is whole, and
-// an error when the caller is gone.
+// runAttempt runs one attempt. It returns a nil failure if the response is
+// complete, and an error if the caller disconnected or the request can't be
+// retried.
 func (s *responseStream) runAttempt(ctx context.Context, a dispatch.Attempt) (*dispatch.Failed, error) {
 	if a.Role() == kumquatlug.RolePrefill {
 		return s.prefill(ctx, a)
@@ -157,7 +163,7 @@
 		return nil, err
 	}
 	if failed != nil {
-		// The trailer is there only once the body was read to its end.
+		// The trailer is available only after the body was read to its end.
 		_, _ = io.Copy(io.Discard, response.Body)
 		failed.Notices = noticesFrom(response.Trailer)
 		_ = s.flush()
@@ -170,11 +176,12 @@
 	return nil, nil
 }
 
-// drainBody reads what follows the end mark of an answer, so that its connection
-// can be used again. Closed before its end it would be thrown away, and each
-// request would pay for a connection and a handshake of its own; one notices by
-// handshakes in the processor time of entry and agents. end ends the attempt
-// when the rest does not come.
+// drainBody reads the rest of the body after the [DONE] event, so that the
+// connection can be reused. A body closed before its end discards its
+// connection, and each request would pay for a new connection and its
+// handshake, which shows in the CPU time of entry nodes and agents. drainBody
+// calls end, which cancels the attempt, if the rest does not arrive within
+// trailerTimeout.
 func drainBody(body io.Reader, end func()) {
 	timer := time.AfterFunc(trailerTimeout, end)
 	defer timer.Stop()
@@ -191,8 +198,8 @@
 	return &failed, nil
 }
 
-// engineError passes an engine's own refusal of the request on to the caller.
-// Another engine would say the same of the same request.
+// engineError returns an engine's own rejection of the request as the final
+// failure. Another engine would reject the same request as well.
 func (s *responseStream) engineError(a dispatch.Attempt, response *http.Response) error {
 	const maxErrorBytes = 4096
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
@@ -213,7 +220,8 @@
 	})
 }
 
-// relay passes the tokens of one attempt on until the answer is whole or cut.
+// relay forwards the tokens of one attempt until the response is complete or
+// cut off.
 func (s *responseStream) relay(ctx context.Context, a dispatch.Attempt, number int, chunks *engine.Reader) (*dispatch.Failed, error) {
 	for {
 		chunk, err := chunks.Next()
@@ -240,7 +248,7 @@
 	return &dispatch.Failed{Failure: s.readFailure(a, "stream_cut", cause), Resumable: true}
 }
 
-// relayChunk forwards what of a chunk the caller does not have yet.
+// relayChunk forwards the part of a chunk that the caller does not have yet.
 func (s *responseStream) relayChunk(number int, chunk engine.Chunk) error {
 	s.last.Usage = latestUsage(s.last.Usage, chunk.Usage)
 	text, isToken := tokenText(chunk)
@@ -262,7 +270,8 @@
 	return s.reportProgress()
 }
 
-// reportProgress reports progress to the loop, at the first token and then in portions.
+// reportProgress reports progress to the loop at the first token and then at
+// every progressIntervalTokens.
 func (s *responseStream) reportProgress() error {
 	tokens := int64(len(s.assembler.Sent()))
 	if s.reportedTokens == 0 && tokens > 0 {
@@ -282,8 +291,8 @@
 	return latest
 }
 
-// tokenText returns the token that a chunk carries, and false when it carries
-// none: a role, a finish reason or a usage alone.
+// tokenText returns the token in a chunk, and false if the chunk has none, only
+// a role, a finish reason or usage.
 func tokenText(c engine.Chunk) (string, bool) {
 	if len(c.Choices) == 0 {
 		return "", false
@@ -301,7 +310,7 @@
 	return *delta.Content, c.Tokens() > 0 && (*delta.Content != "" || choice.Finish == nil)
 }
 
-// tokenChunk renders a token in the shape of the API that was called.
+// tokenChunk renders a token in the format of the API that was called.
 func (s *responseStream) tokenChunk(token string) engine.Chunk {
 	return s.render(token, nil)
 }
@@ -318,7 +327,7 @@
 	return c
 }
 
-// chatDelta is the part of a chat message that one token adds.
+// chatDelta returns the delta of a chat message for one token.
 func chatDelta(token string, first bool) json.RawMessage {
 	body := struct {
 		Role    string `json:"role,omitempty"`
@@ -334,7 +343,8 @@
 	return text
 }
 
-// end takes the end mark: the answer is whole if no token is missing.
+// end handles the [DONE] event: the response is complete if no token is
+// missing.
 func (s *responseStream) end(a dispatch.Attempt, number int) (*dispatch.Failed, error) {
 	usage := s.last.Usage
 	if usage == nil {
--- a/internal/entry/generate_test.go
+++ b/internal/entry/generate_test.go
@@ -12,10 +12,9 @@
 	"github.com/kumquatlug/kumquatlug/internal/engine"
 )
 
-// An answer was read up to its end mark, and its body closed with the last
-// chunk of the connection still unread. The connection could not be used again,
-// and every request made a new one. A user notices nothing but the time; entry
-// and agents spend most of theirs on handshakes.
+// A response body was closed after its [DONE] event with the last chunk still
+// unread. Its connection could not be reused and every request opened a new
+// one, so that entry nodes and agents spent most of their time on handshakes.
 func TestConnectionIsReusedAfterDoneEvent(t *testing.T) {
 	var connections atomic.Int64
 	agent := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -37,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if _, err := engine.NewReader(response.Body).Next(); !errors.Is(err, io.EOF) {
-			t.Fatalf("no end mark: %v", err)
+			t.Fatalf("no [DONE] event: %v", err)
 		}
 		drainBody(response.Body, func() {})
 		_ = response.Body.Close()
@@ -46,12 +45,12 @@
 		}
 	}
 	if n := connections.Load(); n != 1 {
-		t.Fatalf("20 requests made %d connections", n)
+		t.Fatalf("20 requests opened %d connections, want 1", n)
 	}
 }
 
-// A target holds the end of its answer back. Without a bound its caller would
-// wait for it, with the whole answer at hand.
+// A target delays the end of its response. Without a timeout the caller would
+// wait for it although the response is complete.
 func TestDrainBodyIsBounded(t *testing.T) {
 	body, writer := io.Pipe()
 	defer func() { _ = writer.Close() }()
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -14,9 +14,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// inboxSize bounds the messages that wait for the loop. A message takes a few
-// microseconds, so a full inbox is some ten milliseconds of work; whoever finds
-// it full waits.
+// inboxSize is the capacity of the loop's inbox. A message takes a few
+// microseconds, so a full inbox is some ten milliseconds of work; senders block
+// while it is full.
 const inboxSize = 4096
 
 // Messages to the loop.
@@ -48,17 +48,19 @@
 		cache   []*peerv1.CacheEvent
 	}
 	heartbeatMissed struct{ name string }
-	// loopQuery lets another goroutine look at the dispatcher between two events.
+	// loopQuery runs a function of another goroutine on the loop, between two
+	// messages.
 	loopQuery struct {
 		fn   func(*dispatch.Dispatcher)
 		done chan struct{}
-		// claimed is set by whoever comes first: the loop that looks, or the caller
-		// that gives up.
+		// claimed is set by whichever is first: the loop when it runs fn, or
+		// the sender when it gives up.
 		claimed *atomic.Bool
 	}
 )
 
-// loop is the one goroutine that owns the entry's decisions.
+// loop is the event loop: the only goroutine that makes the entry node's
+// scheduling decisions.
 type loop struct {
 	entry      *Entry
 	dispatcher *dispatch.Dispatcher
@@ -74,8 +76,8 @@
 	}
 }
 
-// post hands a message to the loop; it waits while the inbox is full and gives
-// up when the loop has stopped.
+// post sends a message to the loop. It blocks while the inbox is full, and
+// drops the message if the loop has stopped.
 func (l *loop) post(message any) {
 	select {
 	case l.inbox <- message:
@@ -83,9 +85,10 @@
 	}
 }
 
-// query runs look between two events and returns when it is done. After an error
-// look has not run and never will: what it writes is its caller's again. A look
-// that ran after its caller had given up would write while the caller reads.
+// query runs fn on the loop, between two messages, and returns when fn is done.
+// After an error fn has not run and never will, so that the variables that it
+// writes belong to the caller again. Without that guarantee fn could write to
+// them while the caller reads them.
 func (l *loop) query(ctx context.Context, fn func(*dispatch.Dispatcher)) error {
 	q := loopQuery{fn: fn, done: make(chan struct{}), claimed: &atomic.Bool{}}
 	l.post(q)
@@ -99,7 +102,7 @@
 	if q.claimed.CompareAndSwap(false, true) {
 		return ctx.Err()
 	}
-	// The loop is at it.
+	// The loop is running fn.
 	select {
 	case <-q.done:
 		return nil
@@ -108,7 +111,7 @@
 	}
 }
 
-// run takes messages and the time until ctx ends.
+// run handles messages and timer ticks until ctx ends.
 func (l *loop) run(ctx context.Context) error {
 	defer close(l.stopped)
 	timer := time.NewTimer(0)
@@ -186,8 +189,8 @@
 	return decisions
 }
 
-// deliver hands each decision to the goroutine of its request. A request has
-// at most one decision that it has not read, so that no hand-over waits.
+// deliver sends each decision to the goroutine of its request. A request has at
+// most one unread decision, so that no send blocks.
 func (l *loop) deliver(decisions []dispatch.Decision) {
 	for _, d := range decisions {
 		reply, waiting := l.replies[d.ID()]
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -6,8 +6,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// metrics are the entry's counters. Labels are bounded: kinds come from the
-// config, reasons from constants; callers are counted nowhere by name.
+// metrics are the Prometheus metrics of the entry node. The cardinality of
+// labels is bounded: kinds come from the config and reasons from constants, and
+// no label has the name of a caller.
 type metrics struct {
 	answered     *prometheus.CounterVec
 	refused      *prometheus.CounterVec
@@ -20,7 +21,7 @@
 	targets      *prometheus.GaugeVec
 }
 
-// updateTargetCounts tells how many of the entry's targets are in which state.
+// updateTargetCounts sets the number of watched targets in each state.
 func (e *Entry) updateTargetCounts(d *dispatch.Dispatcher) {
 	counts := map[string]int{}
 	for _, name := range d.Watched() {
--- a/internal/entry/offer.go
+++ b/internal/entry/offer.go
@@ -13,8 +13,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// handleDemand shares the demand for a kind out over its groups by their engines;
-// an operator may have put engines of one kind into several.
+// handleDemand divides the demand for a kind among its groups in proportion to
+// their engines. An operator may have assigned the engines of one kind to
+// several groups.
 func (c *roleController) handleDemand(m demandReport) {
 	engines := 0
 	for _, g := range c.groups {
@@ -33,7 +34,8 @@
 	}
 }
 
-// reportDemand tells the demand of this entry to those that may hold the leases.
+// reportDemand sends the demand seen by this entry node to the entry nodes that
+// may hold the leases.
 func (c *roleController) reportDemand(ctx context.Context, span kumquatlug.Millis) {
 	demand := map[string]dispatch.Offered{}
 	var entries []string
@@ -70,17 +72,17 @@
 			Entry: o.Entry, Kind: kind, SpanMs: int64(o.Span), PrefillTokens: o.PrefillTokens, DecodeTokens: o.DecodeTokens,
 		}))
 		if err != nil {
-			c.entry.cfg.Logger.Debug("can't tell the demand", zap.String("peer", entry), timeline.ErrorField(err))
+			c.entry.cfg.Logger.Debug("failed to report demand", zap.String("peer", entry), timeline.ErrorField(err))
 		}
 	}()
 }
 
-// demandService serves what other entries tell of their demand.
+// demandService serves the demand reports of other entry nodes.
 type demandService struct {
 	controller *roleController
 }
 
-// Offer takes the demand of another entry.
+// Offer receives the demand seen by another entry node.
 func (s *demandService) Offer(
 	_ context.Context, r *connect.Request[peerv1.OfferRequest],
 ) (*connect.Response[peerv1.OfferResponse], error) {
--- a/internal/entry/operate.go
+++ b/internal/entry/operate.go
@@ -17,12 +17,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/membership"
 )
 
-// fanOutTimeout bounds how long an operator's question waits for peers.
+// fanOutTimeout is how long an operator's query waits for peers.
 const fanOutTimeout = 2 * time.Second
 
 var _ operator.Desk = (*Entry)(nil)
 
-// Change makes a proposal the next revision and brings it into force here.
+// Change commits a proposal as the next revision and applies it on this entry
+// node.
 func (e *Entry) Change(ctx context.Context, p config.Proposal) (config.Change, error) {
 	change, err := e.configStore.Commit(ctx, p)
 	if err != nil {
@@ -33,17 +34,18 @@
 	return change, nil
 }
 
-// State returns the config in force on this entry.
+// State returns the config in effect on this entry node.
 func (e *Entry) State() config.State { return e.follower.State() }
 
-// Explain says for each target whether it may take a kind of work.
+// Explain returns for each target whether it is eligible for a kind of work,
+// and why.
 func (e *Entry) Explain(ctx context.Context, kind kumquatlug.Kind) ([]dispatch.Explanation, error) {
 	var list []dispatch.Explanation
 	err := e.loop.query(ctx, func(d *dispatch.Dispatcher) { list = d.Explain(kind) })
 	return list, err
 }
 
-// Status returns every node with the config revision in force there.
+// Status returns every node with the config revision in effect there.
 func (e *Entry) Status(ctx context.Context) ([]*peerv1.NodeStatus, error) {
 	nodes, err := e.targetStatuses(ctx)
 	if err != nil {
@@ -77,7 +79,8 @@
 	return node
 }
 
-// targetState is what an agent says of its target, or why it says nothing.
+// targetState returns the state that an agent reports of its target, or its
+// membership state if it does not respond.
 func targetState(d *dispatch.Dispatcher, name string) string {
 	m, _ := d.Member(name)
 	if m.State() == membership.StateUp {
@@ -86,7 +89,8 @@
 	return string(m.State())
 }
 
-// entryStatuses asks every entry in the platform's list for its revision.
+// entryStatuses queries every entry node in the platform's VM list for its
+// revision.
 func (e *Entry) entryStatuses(ctx context.Context) []*peerv1.NodeStatus {
 	var nodes []*peerv1.NodeStatus
 	own := &peerv1.NodeStatus{
@@ -115,7 +119,7 @@
 	return node
 }
 
-// otherEntries returns the entries in the platform's list but this one.
+// otherEntries returns the other entry nodes in the platform's VM list.
 func (e *Entry) otherEntries() []kumquatlug.VM {
 	var others []kumquatlug.VM
 	for _, vm := range *e.listedVMs.Load() {
@@ -126,7 +130,8 @@
 	return others
 }
 
-// fanOut runs ask for every index at once and waits for all, within a bound.
+// fanOut calls call for every index concurrently and waits for all, within
+// fanOutTimeout.
 func (e *Entry) fanOut(ctx context.Context, count int, call func(ctx context.Context, i int)) {
 	ctx, cancel := context.WithTimeout(ctx, fanOutTimeout)
 	defer cancel()
@@ -137,8 +142,8 @@
 	wg.Wait()
 }
 
-// Timeline merges the events of all processes into one line, and names those
-// that could not be asked.
+// Timeline merges the events of all processes into one timeline, and names the
+// processes that could not be reached.
 func (e *Entry) Timeline(ctx context.Context, requestID string) (*peerv1.EventsResponse, error) {
 	vms := append(e.otherEntries(), e.targetVMs()...)
 	responses := make([]*peerv1.EventsResponse, len(vms))
--- a/internal/entry/order.go
+++ b/internal/entry/order.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// issueOrders turns the planner's changes, and first roles, into orders.
+// issueOrders turns the planner's role changes and initial roles into orders.
 func (c *roleController) issueOrders(g *engineGroup) {
 	for _, change := range append(planner.FirstRoles(g.reports), g.planner.Plan(c.now())...) {
 		o, err := g.sender.Give(change.Target(), order.VerbRole, string(change.To()))
@@ -86,8 +86,8 @@
 	}()
 }
 
-// orderedRole is the role that an engine was ordered to take, by this holder or, as
-// its phase shows, by another.
+// orderedRole returns the role of the engine's outstanding order, or an empty
+// role if there is none.
 func (c *roleController) orderedRole(g *engineGroup, target string) kumquatlug.Role {
 	if o, outstanding := g.sender.Outstanding(target); outstanding {
 		return kumquatlug.Role(o.Argument())
--- a/internal/entry/plan.go
+++ b/internal/entry/plan.go
@@ -13,46 +13,50 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// Figures of the duty that plans roles.
+// Parameters of role planning.
 const (
-	// roleTickInterval is how often leases and orders are looked at; leases are kept by
-	// seconds, orders take seconds.
+	// roleTickInterval is the interval between checks of leases and orders.
+	// Leases last seconds, and orders take seconds.
 	roleTickInterval = 250 * time.Millisecond
-	// groupRefreshInterval is how often groups, engines and demand are read.
+	// groupRefreshInterval is the interval between reads of groups, engines and
+	// demand.
 	groupRefreshInterval = kumquatlug.Second
-	// demandReportInterval is how often an entry tells its demand.
+	// demandReportInterval is the interval between an entry node's demand
+	// reports.
 	demandReportInterval = 2 * kumquatlug.Second
-	// leaseCandidates is how many entries look after a group's lease: one may be gone
-	// and one paused, and the third still takes over.
+	// leaseCandidates is the number of entry nodes that compete for a group's
+	// lease: with one down and one paused, the third still takes over.
 	leaseCandidates = 3
-	// roleInboxSize bounds the answers that wait for the planner; what finds it full
-	// is repeated by its sender.
+	// roleInboxSize is the capacity of the controller's inbox; messages that
+	// don't fit are dropped and sent again by their senders.
 	roleInboxSize = 256
-	// controlTimeout bounds the sending of one order.
+	// controlTimeout is the timeout of one order, demand report or lease
+	// operation.
 	controlTimeout = 2 * time.Second
 )
 
-// engineGroup is what this entry does for one group of engines.
+// engineGroup is the state of one group of engines.
 type engineGroup struct {
 	name string
-	// kind is the model whose prompts and outputs the group shares out.
+	// kind is the model whose prefill and decode work is divided among the
+	// engines of the group.
 	kind        string
 	holder      *lease.Holder
 	sender      *order.Sender
 	planner     kumquatlug.RolePlanner
 	leaseNumber lease.Number
 	engines     map[string]engineState
-	// reports are what the registered engines last told, in name order.
+	// reports are the last reports of the registered engines, in name order.
 	reports []kumquatlug.EngineReport
 }
 
-// engineState is one engine of a group as the last heartbeat told it.
+// engineState is one engine of a group as of the last heartbeat.
 type engineState struct {
 	address string
 	report  dispatch.Report
 }
 
-// Messages to the planner's goroutine.
+// Messages to the controller's goroutine.
 type (
 	leaseReply struct {
 		group  string
@@ -73,13 +77,14 @@
 	}
 )
 
-// roleController keeps the leases of groups and gives their engines orders. One goroutine
-// owns it.
+// roleController holds the leases of engine groups and sends role orders to
+// their engines. It is owned by one goroutine.
 type roleController struct {
 	entry  *Entry
 	inbox  chan any
 	groups map[string]*engineGroup
-	// groupByTarget are the groups of targets at a revision of the config.
+	// groupByTarget caches the group of each target at the config revision
+	// groupsRevision.
 	groupByTarget    map[string]string
 	groupsRevision   config.Revision
 	watchedTargets   []string
@@ -93,8 +98,9 @@
 
 func (c *roleController) now() kumquatlug.Millis { return c.entry.cfg.Clock.Now() }
 
-// post hands a message to the planner's goroutine, or drops it when there are
-// too many: table and agents are asked again, demand is told again.
+// post sends a message to the controller's goroutine, or drops it if the inbox
+// is full: requests to the table and to agents are repeated, and so are demand
+// reports.
 func (c *roleController) post(message any) {
 	select {
 	case c.inbox <- message:
@@ -102,9 +108,9 @@
 	}
 }
 
-// run plans until ctx ends. A stopping entry no longer wants its leases from the
-// moment it says that it is not ready (see look), so that the next holder need
-// not wait for them to lapse.
+// run handles messages and timer ticks until ctx ends. An entry node that shuts
+// down stops renewing its leases as soon as it reports that it is not ready
+// (see refresh), so that the next holder need not wait for them to expire.
 func (c *roleController) run(ctx context.Context) error {
 	ticker := time.NewTicker(roleTickInterval)
 	defer ticker.Stop()
@@ -150,7 +156,7 @@
 	}
 }
 
-// refresh reads which groups there are and what their engines reported.
+// refresh reads the groups and what their engines last reported.
 func (c *roleController) refresh(ctx context.Context, now kumquatlug.Millis) {
 	state := c.entry.State()
 	engines := map[string]map[string]engineState{}
@@ -200,11 +206,12 @@
 }
 
 // plannedGroup returns the group of an engine whose role may change: one that
-// selectors give both prompts and outputs.
+// selectors assign both prefill and decode. It returns an empty string for any
+// other target.
 func (c *roleController) plannedGroup(state config.State, d *dispatch.Dispatcher, target string) string {
 	if c.groupsRevision != state.Revision() || c.groupByTarget == nil {
-		// Found anew each second for each of ten thousand targets the groups
-		// took a third of a core (docs/CAPACITY.md).
+		// Without this cache, finding the groups of ten thousand targets each
+		// second took a third of a core (docs/CAPACITY.md).
 		c.groupByTarget, c.groupsRevision = map[string]string{}, state.Revision()
 	}
 	group, found := c.groupByTarget[target]
@@ -232,7 +239,7 @@
 	}
 	holder, err := lease.New(lease.Config{Group: name, Me: c.entry.cfg.Name + "/" + c.entry.incarnation})
 	if err != nil {
-		// Only an empty name is refused, and groups have names.
+		// New refuses only an empty name, and groups have names.
 		panic(err)
 	}
 	g := &engineGroup{
@@ -243,7 +250,7 @@
 	return g
 }
 
-// updateEngines hands what engines told to the sender and the planner.
+// updateEngines passes the reports of engines to the sender and the planner.
 func (c *roleController) updateEngines(now kumquatlug.Millis, g *engineGroup, members map[string]engineState) {
 	for name := range g.engines {
 		if _, present := members[name]; !present {
@@ -268,13 +275,14 @@
 		}
 		g.planner.Report(now, report)
 		if e.report.Starts > 0 {
-			// An agent that is not registered yet takes no orders.
+			// An agent that is not registered yet accepts no orders.
 			g.reports = append(g.reports, report)
 		}
 	}
 }
 
-// execute sends an intent to the table and brings the answer back.
+// execute runs a lease operation against the platform's table and posts the
+// result.
 func (c *roleController) execute(ctx context.Context, g *engineGroup, i lease.Intent) {
 	if i.Action() == lease.ActionNone {
 		return
--- a/internal/entry/prefill.go
+++ b/internal/entry/prefill.go
@@ -12,16 +12,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// exportPath is where an engine runs a prompt and keeps its KV cache for export.
+// exportPath is where an engine prefills a prompt and keeps its KV cache for
+// export.
 const exportPath = "/kv/export"
 
-// maxExportBytes bounds an engine's answer to an export, in bytes.
+// maxExportBytes is the maximum size of an engine's response to an export.
 const maxExportBytes = 64 << 10
 
 func jsonHeader() http.Header { return http.Header{"Content-Type": {"application/json"}} }
 
-// prefill runs the prompt on one engine and keeps the handle by which another
-// engine fetches the KV cache. The cache itself never passes an entry.
+// prefill runs the prompt on one engine and keeps the handle with which another
+// engine fetches the KV cache. The cache itself never passes through an entry
+// node.
 func (s *responseStream) prefill(ctx context.Context, a dispatch.Attempt) (*dispatch.Failed, error) {
 	body, err := s.generation.Body(0, s.request.enginePriority())
 	if err != nil {
@@ -65,7 +67,7 @@
 		return "", errors.Wrap(err, "read KV handle")
 	}
 	if export.Handle == "" {
-		return "", errors.Mark(errors.New("an export without a handle"), kumquatlug.ErrNotFound)
+		return "", errors.Mark(errors.New("KV export response has no handle"), kumquatlug.ErrNotFound)
 	}
 	return export.Handle, nil
 }
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -20,35 +20,37 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// Reasons of failures that speak against a target.
+// Reasons of failures that count against a target.
 const (
 	reasonUnreachable  = dispatch.ReasonUnreachable
 	reasonTargetFailed = "target_failed"
 )
 
-// agentRequest is what one attempt sends to an agent.
+// agentRequest is the request that one attempt sends to an agent.
 type agentRequest struct {
 	method string
 	path   string
 	header http.Header
 	body   []byte
-	// idempotencyKey and mark name the run-once claim of a call that may not be
-	// repeated.
+	// idempotencyKey and dispatchID identify the at-most-once claim of a call
+	// that is not repeatable. Both are empty for other requests.
 	idempotencyKey string
 	dispatchID     string
-	// kvHandle names the KV cache of the prompt at the engine that ran it.
+	// kvHandle identifies the KV cache of the prompt at the engine that
+	// prefilled it.
 	kvHandle string
 }
 
-// refusal is an agent's refusal, with the run-once mark under which the call
-// may be sent again and what the agent told of a crash, if it did.
+// refusal is a failed attempt: an agent's refusal or a failure to reach it.
+// dispatchID, if set, is the at-most-once dispatch ID under which the call may
+// be resent; notices are the crash notices that the agent sent.
 type refusal struct {
 	failure    *kumquatlug.Failure
 	dispatchID string
 	notices    []quarantine.Notice
 }
 
-// attemptFailure is the refusal as the loop takes it.
+// attemptFailure returns the refusal in the form in which the loop handles it.
 func (r *refusal) attemptFailure() dispatch.Failed {
 	return dispatch.Failed{
 		Failure: r.failure, Refused: isAgentRefusal(r.failure), Notices: r.notices,
@@ -56,15 +58,16 @@
 	}
 }
 
-// isPermanent reports whether no other target would fare better: the request itself
-// is at fault, or the platform is out, which concerns all targets alike. Tried
-// on, a posting was refused after seven seconds and sixteen tries.
+// isPermanent reports whether a retry at another target can't succeed: the
+// request itself is at fault, or the platform is unavailable, which affects all
+// targets alike. Retrying in the latter case, a call to the posting service was
+// refused only after seven seconds and sixteen attempts.
 func isPermanent(f *kumquatlug.Failure) bool {
 	return f.Status() < http.StatusInternalServerError ||
 		f.Reason() == ledger.ReasonTable || f.Reason() == ledger.ReasonObjects
 }
 
-// noticesFrom reads what an agent told of a crash in h.
+// noticesFrom returns the crash notice that an agent sent in h, if any.
 func noticesFrom(h http.Header) []quarantine.Notice {
 	text := h.Get(peer.HeaderNotice)
 	if text == "" {
@@ -73,8 +76,8 @@
 	return peer.NoticesFrom([]string{text})
 }
 
-// send makes one attempt that ends with ctx. It returns the agent's answer,
-// whose body the caller closes, or a refusal.
+// send makes one attempt that ends with ctx. It returns the agent's response,
+// whose body the caller must close, or a refusal.
 func (r *request) send(ctx context.Context, a dispatch.Attempt, o agentRequest) (*http.Response, *refusal) {
 	e := r.entry
 	httpRequest, err := http.NewRequestWithContext(ctx, o.method, e.dialer.WorkURL(a.Address(), o.path), bytes.NewReader(o.body))
@@ -118,8 +121,9 @@
 	})}
 }
 
-// ranAfterSendError says what an error on the way to an agent leaves open: only a
-// connection that was never made proves that nothing arrived.
+// ranAfterSendError returns whether the work may have run after a failure to
+// send it to an agent. Only a connection that was never established proves that
+// nothing arrived.
 func ranAfterSendError(err error) kumquatlug.Ran {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
@@ -128,13 +132,13 @@
 	return kumquatlug.RanUnknown
 }
 
-// verifiedBody reads an agent's answer to its end and fails when the trailer does
-// not say that it was whole.
+// verifiedBody reads an agent's response to its end and fails if the trailer
+// does not confirm that it is complete.
 type verifiedBody struct {
 	response *http.Response
 }
 
-// Read reads on; the end of a body that is not whole is an error.
+// Read returns [io.ErrUnexpectedEOF] at the end of an incomplete body.
 func (b verifiedBody) Read(p []byte) (int, error) {
 	n, err := b.response.Body.Read(p)
 	if errors.Is(err, io.EOF) && b.response.Trailer.Get(peer.TrailerEnd) != peer.EndWhole {
@@ -143,19 +147,21 @@
 	return n, err
 }
 
-// Close closes the agent's answer.
+// Close closes the body of the agent's response.
 func (b verifiedBody) Close() error { return b.response.Body.Close() }
 
-// Figures of prefix keys.
+// Parameters of prefix keys.
 const (
-	// prefixBlockBytes is how many bytes of a prompt one key covers: 256 tokens.
+	// prefixBlockBytes is how many bytes of a prompt one key covers, about 256
+	// tokens.
 	prefixBlockBytes = 1024
-	// maxPrefixes bounds the keys of a prompt; see routing.Query.
+	// maxPrefixes limits the keys of a prompt; see routing.Query.
 	maxPrefixes = 32
 )
 
-// prefixKeys returns a key for each whole block of the prompt, over everything
-// up to and with it. Engines name the blocks in their cache in the same way.
+// prefixKeys returns a key for each whole block of the prompt: a hash of the
+// prompt up to the end of that block. Engines compute the keys of their cached
+// blocks in the same way.
 func prefixKeys(prompt string) []uint64 {
 	count := min(len(prompt)/prefixBlockBytes, maxPrefixes)
 	keys := make([]uint64, 0, count)
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -11,19 +11,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// Authenticate returns the account whose key has this hash.
+// Authenticate returns the account whose API key has this hash.
 func (e *Entry) Authenticate(keyHash string) (kumquatlug.Caller, bool) {
 	account, known := e.view.Load().accounts.ByHash(keyHash)
 	return account, known
 }
 
-// Kinds returns every kind of work that some selector hands out.
+// Kinds returns every kind of work (model or service) that some selector
+// routes.
 func (e *Entry) Kinds() []kumquatlug.Kind { return e.view.Load().kinds }
 
 var _ caller.Desk = (*Entry)(nil)
 
-// request is the goroutine's side of one request: it waits for decisions,
-// makes attempts and tells the loop how they ended.
+// request is one request on the goroutine that serves it. It waits for the
+// loop's decisions, makes attempts and reports their outcomes to the loop.
 type request struct {
 	entry       *Entry
 	id          string
@@ -34,13 +35,16 @@
 	policy      kindPolicy
 	fingerprint quarantine.Fingerprint
 	reply       chan dispatch.Decision
-	dispatched  bool
-	active      bool
-	// mayHaveRun says that some attempt may have run.
+	// dispatched is set once the loop has granted an attempt.
+	dispatched bool
+	// active is set while the loop tracks the request.
+	active bool
+	// mayHaveRun is set once any attempt may have run.
 	mayHaveRun bool
 }
 
-// newRequest fills in what the config and the caller say of the request.
+// newRequest returns a request with the caller's timeout, or the default of its
+// kind.
 func (e *Entry) newRequest(id string, account kumquatlug.Caller, kind kumquatlug.Kind, timeout kumquatlug.Millis) *request {
 	now := e.cfg.Clock.Now()
 	policy := e.view.Load().policies[kind]
@@ -53,7 +57,7 @@
 	}
 }
 
-// submit hands the request to the loop.
+// submit sends the request to the loop.
 func (r *request) submit(c dispatch.RequestConfig) {
 	c.ID, c.Caller, c.Kind = r.id, r.account, r.kind
 	c.Arrival, c.Deadline, c.Priority, c.Fingerprint = r.arrival, r.deadline, r.policy.priority, r.fingerprint
@@ -61,7 +65,8 @@
 	r.entry.loop.post(requestArrived{request: c, reply: r.reply})
 }
 
-// nextAttempt waits for the next decision; a failure is the caller's final answer.
+// nextAttempt waits for the loop's next decision. An error is the final failure
+// to return to the caller.
 func (r *request) nextAttempt(ctx context.Context) (dispatch.Attempt, error) {
 	select {
 	case d := <-r.reply:
@@ -86,7 +91,8 @@
 	return d.Attempt(), nil
 }
 
-// callerGone is the answer, which nobody reads, to a caller that hung up.
+// callerGone returns the failure of a request whose caller has disconnected.
+// Nobody reads it as a response.
 func (r *request) callerGone(step string, cause error) error {
 	ran := kumquatlug.RanNot
 	if r.dispatched {
@@ -98,8 +104,8 @@
 	})
 }
 
-// close tells the loop that the request is over if it does not know yet, and
-// counts how it ended.
+// close cancels the request in the loop if it is still active there, and
+// records its outcome.
 func (r *request) close(err error) {
 	if r.active {
 		r.entry.loop.post(requestCancelled{r.id})
@@ -116,13 +122,14 @@
 	r.entry.cfg.Ring.Add(timeline.Record{Name: timeline.Answered, RequestID: r.id, Detail: kind, Duration: r.age().Milliseconds()})
 }
 
-// finish tells the loop that the answer is whole.
+// finish reports to the loop that the response is complete.
 func (r *request) finish(done dispatch.Done) {
 	r.active = false
 	r.entry.loop.post(requestFinished{r.id, done})
 }
 
-// reportFailure tells the loop how an attempt failed; the next decision follows.
+// reportFailure reports a failed attempt to the loop; its next decision
+// follows.
 func (r *request) reportFailure(attempt dispatch.Attempt, f dispatch.Failed) {
 	r.entry.metrics.attempts.WithLabelValues(r.kind.String(), f.Failure.Reason()).Inc()
 	r.record(timeline.AttemptFailed, attempt.Target(), f.Failure.Reason()+" "+string(f.Failure.Ran()))
@@ -130,20 +137,20 @@
 	r.entry.loop.post(attemptFailed{r.id, f})
 }
 
-// priorityStepSeconds sets the priorities of operators apart from each other by more
-// than any two deadlines differ, in seconds.
+// priorityStepSeconds separates the priority levels of operators by more than
+// any two deadlines can differ, in seconds.
 const priorityStepSeconds = 10_000_000_000
 
-// enginePriority is what the engine is asked for: first by the priority that
-// the selector gives, then the earlier deadline first, so that what waits inside
-// an engine keeps the order that it had in the queue. It counts by the wall
-// clock, since several entries send to one engine.
+// enginePriority returns the priority sent to the engine: first the priority of
+// the selector, then the earlier deadline, so that requests queued inside an
+// engine keep their order in the queue of the entry node. It uses the wall
+// clock because several entry nodes send to one engine.
 func (r *request) enginePriority() int64 {
 	remaining := (r.deadline - r.entry.cfg.Clock.Now()).Duration()
 	return int64(r.policy.priority)*priorityStepSeconds - time.Now().Add(remaining).Unix()
 }
 
-// ranSoFar says whether an earlier attempt may have run.
+// ranSoFar returns whether an earlier attempt may have run.
 func (r *request) ranSoFar() kumquatlug.Ran {
 	if r.mayHaveRun {
 		return kumquatlug.RanUnknown
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -11,8 +11,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// configView is what requests look up in the config: accounts and the terms of each
-// kind. It is made once for each revision and read without a lock.
+// configView is the part of the config that requests use: accounts and the
+// policy of each kind. It is built once per revision and read without a lock.
 type configView struct {
 	revision config.Revision
 	accounts *accounts.Book
@@ -20,7 +20,7 @@
 	kinds    []kumquatlug.Kind
 }
 
-// kindPolicy are on what conditions a kind of work is taken.
+// kindPolicy has the request settings of a kind.
 type kindPolicy struct {
 	repeatable bool
 	timeout    kumquatlug.Millis
@@ -44,8 +44,9 @@
 	return v
 }
 
-// addSelector takes one selector's terms. Where several selectors hand out a kind the
-// first by name decides, but a kind may be repeated only if all say so.
+// addSelector adds the policy of one selector. If several selectors route a
+// kind, the first one by name decides, but the kind is repeatable only if all
+// of them say so.
 func (v *configView) addSelector(s selector.Selector) {
 	existing, found := v.policies[s.Kind()]
 	if found {
