--- /dev/null
+++ b/internal/entry/demand.go
@@ -0,0 +1,94 @@
+package entry
+
+import (
+	"context"
+
+	"connectrpc.com/connect"
+	"go.uber.org/zap"
+
+	"github.com/kumquatlug/kumquatlug/internal/peer/peerv1"
+	"github.com/kumquatlug/kumquatlug/internal/timeline"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
+)
+
+// handleDemand divides the demand for a kind among its groups in proportion to
+// their engines. An operator may have assigned the engines of one kind to
+// several groups.
+func (c *roleController) handleDemand(m demandReport) {
+	engines := 0
+	for _, g := range c.groups {
+		if g.kind == m.kind {
+			engines += len(g.engines)
+		}
+	}
+	for _, g := range c.groups {
+		if g.kind != m.kind || engines == 0 {
+			continue
+		}
+		share := m.demand
+		share.PrefillTokens *= float64(len(g.engines)) / float64(engines)
+		share.DecodeTokens *= float64(len(g.engines)) / float64(engines)
+		g.planner.Offered(c.now(), share)
+	}
+}
+
+// reportDemand sends the demand seen by this entry node to the entry nodes that
+// may hold the leases.
+func (c *roleController) reportDemand(ctx context.Context, span kumquatlug.Millis) {
+	demand := map[string]dispatch.Offered{}
+	var entries []string
+	_ = c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) {
+		entries = append(entries, d.Entries()...)
+		d.TakeOffers(func(kind kumquatlug.Kind, o dispatch.Offered) { demand[kind.Name()] = o })
+	})
+	addresses := map[string]string{}
+	for _, vm := range c.entry.otherEntries() {
+		addresses[vm.Name()] = vm.Address()
+	}
+	for kind, o := range demand {
+		offer := kumquatlug.Offer{
+			Entry: c.entry.cfg.Name, Span: span, PrefillTokens: float64(o.Prefill), DecodeTokens: float64(o.Decode),
+		}
+		for i, name := range routing.ServiceOrder(kind, entries) {
+			if i >= leaseCandidates {
+				break
+			}
+			c.sendDemand(ctx, name, addresses[name], kind, offer)
+		}
+	}
+}
+
+func (c *roleController) sendDemand(ctx context.Context, entry, address, kind string, o kumquatlug.Offer) {
+	if entry == c.entry.cfg.Name {
+		c.post(demandReport{kind, o})
+		return
+	}
+	go func() {
+		ctx, cancel := context.WithTimeout(ctx, controlTimeout)
+		defer cancel()
+		_, err := c.entry.dialer.Entry(address).Offer(ctx, connect.NewRequest(&peerv1.OfferRequest{
+			Entry: o.Entry, Kind: kind, SpanMs: int64(o.Span), PrefillTokens: o.PrefillTokens, DecodeTokens: o.DecodeTokens,
+		}))
+		if err != nil {
+			c.entry.cfg.Logger.Debug("failed to report demand", zap.String("peer", entry), timeline.ErrorField(err))
+		}
+	}()
+}
+
+// demandService serves the demand reports of other entry nodes.
+type demandService struct {
+	controller *roleController
+}
+
+// Offer receives the demand seen by another entry node.
+func (s *demandService) Offer(
+	_ context.Context, r *connect.Request[peerv1.OfferRequest],
+) (*connect.Response[peerv1.OfferResponse], error) {
+	s.controller.post(demandReport{r.Msg.GetKind(), kumquatlug.Offer{
+		Entry: r.Msg.GetEntry(), Span: kumquatlug.Millis(r.Msg.GetSpanMs()),
+		PrefillTokens: r.Msg.GetPrefillTokens(), DecodeTokens: r.Msg.GetDecodeTokens(),
+	}})
+	return connect.NewResponse(&peerv1.OfferResponse{}), nil
+}
--- a/internal/entry/loop_test.go
+++ b/internal/entry/loop_test.go
@@ -7,19 +7,19 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// An entry stops, and a question to its loop is given up while it still waits in
-// the inbox. Looked at later it would write into what its caller reads already:
-// heartbeats would go to half a list of targets.
-func TestAQuestionThatWasGivenUpIsNotLookedAt(t *testing.T) {
+// A query to the loop is abandoned while it waits in the inbox, as when an
+// entry node shuts down. If it ran later, it would write to variables that its
+// caller already reads: heartbeats would go to half a list of targets.
+func TestAbandonedQueryDoesNotRun(t *testing.T) {
 	l := &loop{inbox: make(chan any, 1), stopped: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	looked := false
-	if err := l.ask(ctx, func(*dispatch.Dispatcher) { looked = true }); err == nil {
-		t.Fatal("the question was answered")
+	ran := false
+	if err := l.query(ctx, func(*dispatch.Dispatcher) { ran = true }); err == nil {
+		t.Fatal("query with a cancelled context returned no error")
 	}
-	l.take(0, <-l.inbox)
-	if looked {
-		t.Error("it was looked at after its caller had given up")
+	l.handle(0, <-l.inbox)
+	if ran {
+		t.Error("query ran after its caller had given up")
 	}
 }
--- /dev/null
+++ b/internal/entry/service_call.go
@@ -0,0 +1,305 @@
+package entry
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/kumquatlug/kumquatlug/internal/caller"
+	"github.com/kumquatlug/kumquatlug/internal/peer"
+	"github.com/kumquatlug/kumquatlug/internal/timeline"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ledger"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
+)
+
+// serviceCallTokens is the cost of one service call in the queue and at a
+// target, in tokens. It is that of a medium-sized prompt, so that fair shares
+// of services and models are comparable.
+const serviceCallTokens = 100
+
+// prefetchBytes is how much of a service's response is read before anything is
+// sent to the caller. Most responses fit, and a hundred in flight take 6 MB.
+const prefetchBytes = 64 << 10
+
+// Call makes a call to a plain HTTP service. A call that is not repeatable is
+// sent with an at-most-once dispatch ID and is resent only if it is known not
+// to have run.
+func (e *Entry) Call(ctx context.Context, c caller.ServiceCall) (response kumquatlug.Answer, err error) {
+	r := e.newRequest(c.ID(), c.Caller(), c.Kind(), c.Timeout())
+	r.fingerprint = quarantine.NewFingerprint(c.Caller().Name(), c.Kind(), fingerprintInput(c))
+	out := agentRequest{method: c.Method(), path: c.Path(), header: c.Header(), body: c.Body()}
+	if !r.policy.repeatable && !isSafeMethod(c.Method()) {
+		dispatchID, known := e.eraKeeper.Dispatch()
+		if !known {
+			return kumquatlug.Answer{}, eraUnknown()
+		}
+		out.idempotencyKey, out.dispatchID = c.Key(), dispatchID.String()
+	}
+	r.record(timeline.Admitted, "", c.Kind().String())
+	request := dispatch.RequestConfig{Role: kumquatlug.RoleServe, PrefillTokens: serviceCallTokens, DecodeTokens: 0}
+	if out.idempotencyKey != "" {
+		request.OnceKey = c.Caller().Name() + "/" + out.idempotencyKey
+	}
+	r.submit(request)
+	response, err = r.runCall(ctx, out)
+	if err != nil {
+		r.close(err)
+	}
+	return response, err
+}
+
+// fingerprintInput returns the method, path and body, which identify a call.
+func fingerprintInput(c caller.ServiceCall) []byte {
+	prefix := c.Method() + " " + c.Path() + "\n"
+	return append([]byte(prefix), c.Body()...)
+}
+
+// isSafeMethod reports whether a method is safe by RFC 9110.
+func isSafeMethod(method string) bool {
+	switch method {
+	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
+		return true
+	}
+	return false
+}
+
+// eraUnknown returns the refusal of a call that is not repeatable while the era
+// of dispatch IDs is unknown, as when the platform's table has been unavailable
+// since this entry node started.
+func eraUnknown() error {
+	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
+		Step: "claim call", Peer: "platform", Reason: ledger.ReasonTable, Ran: kumquatlug.RanNot,
+		RetryAfter: ledger.DefaultRetryAfter,
+	})
+}
+
+// runCall makes attempts until one returns a response or the loop refuses the
+// request.
+func (r *request) runCall(ctx context.Context, out agentRequest) (kumquatlug.Answer, error) {
+	for {
+		attempt, err := r.nextAttempt(ctx)
+		if err != nil {
+			return kumquatlug.Answer{}, err
+		}
+		response, refused := r.attemptCall(ctx, attempt, out)
+		if refused == nil {
+			return response, nil
+		}
+		if ctx.Err() != nil {
+			return kumquatlug.Answer{}, r.callerGone("call", ctx.Err())
+		}
+		if refused.dispatchID != "" {
+			out.dispatchID = refused.dispatchID
+		}
+		r.reportFailure(attempt, refused.attemptFailure())
+	}
+}
+
+// attemptCall makes one attempt. If the outcome of a call that is not
+// repeatable is unknown, it resolves that outcome.
+func (r *request) attemptCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
+	response, refused := r.sendCall(ctx, a, out)
+	if refused == nil {
+		return response, nil
+	}
+	if out.idempotencyKey == "" || refused.failure.Ran() != kumquatlug.RanUnknown {
+		return kumquatlug.Answer{}, refused
+	}
+	if refused.failure.Reason() == peer.ReasonElsewhere {
+		return r.outcomeFromHolder(ctx, a, out, refused.failure.Peer())
+	}
+	if refused.failure.Reason() == peer.ReasonUnknown {
+		return kumquatlug.Answer{}, refused
+	}
+	return r.resolveOutcome(ctx, a, out, refused)
+}
+
+// isAgentRefusal reports whether a failure is a refusal by an agent, which does
+// not count against its target.
+func isAgentRefusal(f *kumquatlug.Failure) bool {
+	return f.Ran() == kumquatlug.RanNot && f.Reason() != reasonUnreachable && f.Reason() != reasonTargetFailed
+}
+
+// sendCall sends the call to one agent. It reads the start of the response
+// before anything is sent to the caller, so that a response that breaks off
+// early can be retried.
+func (r *request) sendCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
+	ctx, end := r.entry.attempts.start(ctx, a.Target())
+	response, refused := r.send(ctx, a, out)
+	if refused != nil {
+		end()
+		return kumquatlug.Answer{}, refused
+	}
+	body := verifiedBody{response}
+	start, err := io.ReadAll(io.LimitReader(body, prefetchBytes))
+	if err != nil {
+		response.Body.Close()
+		end()
+		return kumquatlug.Answer{}, r.sendFailure(a, "answer_cut", kumquatlug.RanUnknown, err)
+	}
+	tracked := &trackedBody{Reader: io.MultiReader(bytes.NewReader(start), body), body: body, request: r, release: end}
+	return kumquatlug.NewAnswer(response.StatusCode, response.Header, tracked), nil
+}
+
+// resolveOutcome determines the outcome of a dispatch after its connection was
+// lost. It blocks the dispatch in the ledger: either the block takes effect and
+// a late arrival can no longer run, or the ledger row says what happened to the
+// dispatch. Without the block it would be wrong to report the call as not run:
+// the dispatch may still be buffered in a connection or a paused agent, and run
+// afterwards.
+func (r *request) resolveOutcome(ctx context.Context, a dispatch.Attempt, out agentRequest, lost *refusal) (kumquatlug.Answer, *refusal) {
+	ruling, err := r.entry.ledger.Block(ctx, r.ledgerCall(out))
+	if err != nil {
+		return kumquatlug.Answer{}, r.outcomeUnknown(a, err)
+	}
+	r.record(timeline.RequestBlocked, a.Target(), string(ruling.Verdict()))
+	switch ruling.Verdict() {
+	case ledger.VerdictBlocked, ledger.VerdictStale:
+		return kumquatlug.Answer{}, &refusal{failure: r.notRun(lost.failure), dispatchID: ruling.Dispatch().String()}
+	case ledger.VerdictAnswer:
+		return r.replay(ruling.Outcome()), nil
+	case ledger.VerdictElsewhere:
+		return r.outcomeFromHolder(ctx, a, out, ruling.Holder().Target())
+	default:
+		return kumquatlug.Answer{}, r.outcomeUnknown(a, lost.failure)
+	}
+}
+
+func (r *request) ledgerCall(out agentRequest) ledger.Call {
+	dispatchID, _ := ledger.ParseDispatch(out.dispatchID)
+	return ledger.NewCall(ledger.CallConfig{Caller: r.account.Name(), Key: out.idempotencyKey, Body: string(r.fingerprint), Dispatch: dispatchID})
+}
+
+func (r *request) notRun(lost *kumquatlug.Failure) *kumquatlug.Failure {
+	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
+		Step: lost.Step(), Peer: lost.Peer(), Reason: lost.Reason(), Ran: kumquatlug.RanNot,
+		RetryAfter: kumquatlug.Second, Cause: lost.Unwrap(),
+	})
+}
+
+func (r *request) outcomeUnknown(a dispatch.Attempt, cause error) *refusal {
+	return &refusal{failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
+		Step: "settle call", Peer: a.Target(), Reason: peer.ReasonUnknown, Ran: kumquatlug.RanUnknown,
+		Status: http.StatusBadGateway, RetryAfter: unknownRetryDelay, Cause: cause,
+	})}
+}
+
+// replay returns the response recorded in an outcome.
+func (r *request) replay(o ledger.Outcome) kumquatlug.Answer {
+	body := bytes.NewReader(o.Body())
+	return kumquatlug.NewAnswer(o.Status(), o.Header(), &trackedBody{Reader: body, body: io.NopCloser(body), request: r})
+}
+
+// unknownRetryDelay is the Retry-After of a call whose outcome is unknown. By
+// then a holder that was paused or partitioned is back, or is known to be gone.
+const unknownRetryDelay = 5 * kumquatlug.Second
+
+// holderRetryDelays are the delays before each query to the holder of a claim.
+// Its agent may have dropped only one connection; if it does not come back
+// within two seconds, the outcome of the run can't be known soon.
+var holderRetryDelays = []kumquatlug.Millis{0, 100, 400, 1500}
+
+// outcomeFromHolder asks the agent that holds the claim for the outcome of its
+// run.
+func (r *request) outcomeFromHolder(ctx context.Context, a dispatch.Attempt, out agentRequest, target string) (kumquatlug.Answer, *refusal) {
+	var last error
+	for _, wait := range holderRetryDelays {
+		if !sleep(ctx, wait) {
+			break
+		}
+		member, known := r.entry.member(ctx, target)
+		if !known {
+			continue
+		}
+		holder := a.At(target, member.VM().Address())
+		response, refused := r.sendCallToHolder(ctx, holder, out)
+		if refused == nil {
+			return response, nil
+		}
+		last = refused.failure
+		if concernsClaim(refused) {
+			return kumquatlug.Answer{}, refused
+		}
+	}
+	return kumquatlug.Answer{}, r.outcomeUnknown(a, last)
+}
+
+// concernsClaim reports whether a refusal by the holder of a claim is about the
+// claim itself. A refusal by an agent that is draining or full says "not run"
+// only of this dispatch, while the run in question may still be in progress
+// there.
+func concernsClaim(r *refusal) bool {
+	return r.dispatchID != "" || r.failure.Reason() == peer.ReasonUnknown || r.failure.Status() < http.StatusInternalServerError
+}
+
+// holderTimeout is how long to wait for a response from the holder of a claim.
+// Its run may take longer; the caller is then told that the outcome is not
+// known yet, and retries under the same key.
+const holderTimeout = 10 * kumquatlug.Second
+
+func (r *request) sendCallToHolder(ctx context.Context, holder dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
+	ctx, cancel := context.WithTimeout(ctx, holderTimeout.Duration())
+	response, refused := r.sendCall(ctx, holder, out)
+	if refused != nil {
+		cancel()
+		return response, refused
+	}
+	response.Body().(*trackedBody).cancel = cancel
+	return response, nil
+}
+
+// sleep waits and returns false if ctx ends first.
+func sleep(ctx context.Context, wait kumquatlug.Millis) bool {
+	select {
+	case <-time.After(wait.Duration()):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// trackedBody ends the request when its response body is closed, after it was
+// read to the end or abandoned.
+type trackedBody struct {
+	io.Reader
+	body     io.Closer
+	request  *request
+	complete bool
+	// release and cancel release the resources of the attempt; either may be
+	// nil.
+	release func()
+	cancel  func()
+}
+
+// Read reads from the body and records whether its end was reached.
+func (b *trackedBody) Read(p []byte) (int, error) {
+	n, err := b.Reader.Read(p)
+	if errors.Is(err, io.EOF) {
+		b.complete = true
+	}
+	return n, err
+}
+
+// Close ends the request and reports to the loop whether the response was
+// complete.
+func (b *trackedBody) Close() error {
+	if b.complete {
+		b.request.finish(dispatch.Done{})
+		b.request.close(nil)
+	} else {
+		b.request.close(b.request.callerGone("write answer", io.ErrUnexpectedEOF))
+	}
+	if b.release != nil {
+		b.release()
+	}
+	if b.cancel != nil {
+		b.cancel()
+	}
+	return b.body.Close()
+}
