--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -30,36 +30,36 @@
 
 // Service is the stand-in. Serve it as an http.Handler.
 type Service struct {
-	mu      sync.Mutex
-	turn    time.Duration
-	fault   Fault
-	reports map[int64]map[string]int64
-	// subjects are what holders take turns at: usage, or a service in a zone.
-	subjects map[string]*subject
-	scale    func(service, zone string, count int)
-	scaled   int
-	broken   []string
-}
-
-// subject is what one holder at a time acts on.
-type subject struct {
-	// tokens are the holders by token, acts their calls in order.
-	tokens map[int64]string
-	acts   []act
-}
-
-// act is one call of a holder.
-type act struct {
+	mu            sync.Mutex
+	handoverDelay time.Duration
+	fault         Fault
+	reports       map[int64]map[string]int64
+	// resources are what holders take turns at: usage, or a service in a zone.
+	resources   map[string]*resource
+	scale       func(service, zone string, count int)
+	scaleOrders int
+	violations  []string
+}
+
+// resource is what one holder at a time acts on.
+type resource struct {
+	// holders are the holders by token, acts their calls in order.
+	holders map[int64]string
+	calls   []holderCall
+}
+
+// holderCall is one call of a holder.
+type holderCall struct {
 	holder string
 	at     time.Time
 }
 
-// usageSubject names the one subject of usage reports.
-const usageSubject = "usage"
+// usageResource names the one subject of usage reports.
+const usageResource = "usage"
 
 // New returns a service that takes no turns of holders back and forth within turn.
-func New(turn time.Duration) *Service {
-	return &Service{turn: turn, reports: map[int64]map[string]int64{}, subjects: map[string]*subject{}}
+func New(handoverDelay time.Duration) *Service {
+	return &Service{handoverDelay: handoverDelay, reports: map[int64]map[string]int64{}, resources: map[string]*resource{}}
 }
 
 // SetFault changes how calls are treated from now on.
@@ -90,8 +90,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	holders := map[string]bool{}
-	if usage, known := s.subjects[usageSubject]; known {
-		for _, holder := range usage.tokens {
+	if usage, known := s.resources[usageResource]; known {
+		for _, holder := range usage.holders {
 			holders[holder] = true
 		}
 	}
@@ -109,14 +109,14 @@
 func (s *Service) Scaled() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.scaled
+	return s.scaleOrders
 }
 
 // Broken tells which rules were broken.
 func (s *Service) Broken() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.broken...)
+	return append([]string(nil), s.violations...)
 }
 
 // call is what a holder sends, of either kind.
@@ -128,11 +128,11 @@
 	DesiredCount int              `json:"desired_count"`
 }
 
-// subject returns what a call is about, empty for one that is none.
-func (c call) subject(path string) string {
+// resource returns what a call is about, empty for one that is none.
+func (c call) resource(path string) string {
 	switch {
 	case path == "/usage" && c.WindowID != nil:
-		return usageSubject
+		return usageResource
 	case path == "/scale" && c.Service != "" && c.Zone != "":
 		return c.Service + "/" + c.Zone
 	}
@@ -144,8 +144,8 @@
 	var c call
 	err := json.NewDecoder(r.Body).Decode(&c)
 	token, tokenErr := strconv.ParseInt(r.Header.Get("Fencing-Token"), 10, 64)
-	holder, about := r.Header.Get("Duty-Holder"), c.subject(r.URL.Path)
-	if err != nil || tokenErr != nil || holder == "" || about == "" || r.Method != http.MethodPost {
+	holder, name := r.Header.Get("Duty-Holder"), c.resource(r.URL.Path)
+	if err != nil || tokenErr != nil || holder == "" || name == "" || r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -161,14 +161,14 @@
 		<-r.Context().Done()
 		return
 	}
-	s.judgeHolder(about, holder, token)
-	if about == usageSubject {
-		s.judgeReport(*c.WindowID, c.Counts)
+	s.checkHolder(name, holder, token)
+	if name == usageResource {
+		s.checkReport(*c.WindowID, c.Counts)
 	} else {
-		s.scaled++
+		s.scaleOrders++
 	}
 	s.mu.Unlock()
-	if about != usageSubject && scale != nil {
+	if name != usageResource && scale != nil {
 		scale(c.Service, c.Zone, c.DesiredCount)
 	}
 	if fault == FaultLost {
@@ -176,39 +176,39 @@
 	}
 }
 
-// judgeReport notes a report and whether another one differs; the lock must be held.
-func (s *Service) judgeReport(window int64, counts map[string]int64) {
+// checkReport notes a report and whether another one differs; the lock must be held.
+func (s *Service) checkReport(window int64, counts map[string]int64) {
 	if before, known := s.reports[window]; known && !maps.Equal(before, counts) {
-		s.broken = append(s.broken, fmt.Sprintf("window %d: %v, then %v", window, before, counts))
+		s.violations = append(s.violations, fmt.Sprintf("window %d: %v, then %v", window, before, counts))
 	}
 	s.reports[window] = counts
 }
 
-// judgeHolder notes who acts under which token and what is wrong about it; the lock must
+// checkHolder notes who acts under which token and what is wrong about it; the lock must
 // be held.
-func (s *Service) judgeHolder(about, holder string, token int64) {
-	on, known := s.subjects[about]
+func (s *Service) checkHolder(name, holder string, token int64) {
+	res, known := s.resources[name]
 	if !known {
-		on = &subject{tokens: map[int64]string{}}
-		s.subjects[about] = on
+		res = &resource{holders: map[int64]string{}}
+		s.resources[name] = res
 	}
-	if before, known := on.tokens[token]; known && before != holder {
-		s.broken = append(s.broken, fmt.Sprintf("%s: token %d of %s and %s", about, token, before, holder))
+	if before, known := res.holders[token]; known && before != holder {
+		s.violations = append(s.violations, fmt.Sprintf("%s: token %d of %s and %s", name, token, before, holder))
 	}
-	for higher := range on.tokens {
+	for higher := range res.holders {
 		if higher > token {
-			s.broken = append(s.broken, fmt.Sprintf("%s: token %d after %d", about, token, higher))
+			s.violations = append(s.violations, fmt.Sprintf("%s: token %d after %d", name, token, higher))
 		}
 	}
-	on.tokens[token] = holder
-	now, between := time.Now(), false
-	for i := len(on.acts) - 1; i >= 0 && now.Sub(on.acts[i].at) < s.turn; i-- {
-		if on.acts[i].holder != holder {
-			between = true
-		} else if between {
-			s.broken = append(s.broken, fmt.Sprintf("%s: %s took turns within %v", about, holder, s.turn))
+	res.holders[token] = holder
+	now, otherBetween := time.Now(), false
+	for i := len(res.calls) - 1; i >= 0 && now.Sub(res.calls[i].at) < s.handoverDelay; i-- {
+		if res.calls[i].holder != holder {
+			otherBetween = true
+		} else if otherBetween {
+			s.violations = append(s.violations, fmt.Sprintf("%s: %s took turns within %v", name, holder, s.handoverDelay))
 			break
 		}
 	}
-	on.acts = append(on.acts, act{holder: holder, at: now})
+	res.calls = append(res.calls, holderCall{holder: holder, at: now})
 }
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -12,10 +12,10 @@
 	// bytesPerToken is how many bytes of a prompt count as one token; four is
 	// the usual rule of thumb for English text.
 	bytesPerToken = 4
-	// naturalTokens and naturalSpread bound an answer whose caller set no
+	// minDefaultTokens and defaultTokenSpread bound an answer whose caller set no
 	// maximum: 16 to 63 tokens, by the prompt.
-	naturalTokens = 16
-	naturalSpread = 48
+	minDefaultTokens   = 16
+	defaultTokenSpread = 48
 )
 
 // Answer returns the tokens that an engine answers prompt with: maxTokens of
@@ -36,7 +36,7 @@
 	if maxTokens > 0 {
 		return maxTokens
 	}
-	return naturalTokens + int(xxhash.Sum64String(prompt)%naturalSpread)
+	return minDefaultTokens + int(xxhash.Sum64String(prompt)%defaultTokenSpread)
 }
 
 // AnswerText returns the tokens of [Answer] joined.
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -14,34 +14,34 @@
 	prompt   string
 	priority int
 	arrival  int64
-	// names are the prefix blocks of the prompt.
-	names        []string
+	// blockHashes are the prefix blocks of the prompt.
+	blockHashes  []string
 	promptTokens int
-	// reserved is the KV memory the sequence holds while it runs.
-	reserved int
-	cached   int
-	// left is how many tokens must still be prefilled.
-	left     int
-	resumed  int
-	total    int
-	produced atomic.Int64
-	finished atomic.Bool
-	cut      atomic.Bool
-	wake     chan struct{}
+	// reservedTokens is the KV memory the sequence holds while it runs.
+	reservedTokens int
+	cachedTokens   int
+	// prefillLeft is how many tokens must still be prefilled.
+	prefillLeft    int
+	resumedTokens  int
+	totalTokens    int
+	producedTokens atomic.Int64
+	finished       atomic.Bool
+	aborted        atomic.Bool
+	wake           chan struct{}
 }
 
-func (s *sequence) signal() {
+func (s *sequence) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (s *sequence) ended() bool { return s.finished.Load() || s.cut.Load() }
+func (s *sequence) ended() bool { return s.finished.Load() || s.aborted.Load() }
 
-// submit puts s in line, behind those of its priority and above, and starts the
+// enqueue puts s in line, behind those of its priority and above, and starts the
 // loop if it rests.
-func (e *Engine) submit(s *sequence) {
+func (e *Engine) enqueue(s *sequence) {
 	e.arrivals++
 	s.arrival = e.arrivals
 	i := sort.Search(len(e.waiting), func(i int) bool {
@@ -50,42 +50,42 @@
 	e.waiting = append(e.waiting, nil)
 	copy(e.waiting[i+1:], e.waiting[i:])
 	e.waiting[i] = s
-	e.sample()
-	if !e.looping {
-		e.looping = true
+	e.recordLoad()
+	if !e.loopRunning {
+		e.loopRunning = true
 		go e.loop()
 	}
 }
 
-// drop takes s out, when its caller has left.
-func (e *Engine) drop(s *sequence) {
+// cancel takes s out, when its caller has left.
+func (e *Engine) cancel(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.ended() {
 		return
 	}
-	s.cut.Store(true)
-	e.waiting = without(e.waiting, s)
-	e.release(s)
-	e.sample()
+	s.aborted.Store(true)
+	e.waiting = removeSequence(e.waiting, s)
+	e.removeFromBatch(s)
+	e.recordLoad()
 }
 
-// release takes s out of the batch and frees its memory.
-func (e *Engine) release(s *sequence) {
+// removeFromBatch takes s out of the batch and frees its memory.
+func (e *Engine) removeFromBatch(s *sequence) {
 	before := len(e.running)
-	e.running = without(e.running, s)
+	e.running = removeSequence(e.running, s)
 	if len(e.running) < before {
-		e.kvUsed -= s.reserved
+		e.kvUsed -= s.reservedTokens
 	}
 }
 
-func without(all []*sequence, s *sequence) []*sequence {
-	for i, x := range all {
+func removeSequence(sequences []*sequence, s *sequence) []*sequence {
+	for i, x := range sequences {
 		if x == s {
-			return append(all[:i:i], all[i+1:]...)
+			return append(sequences[:i:i], sequences[i+1:]...)
 		}
 	}
-	return all
+	return sequences
 }
 
 // loop runs steps until no work is left.
@@ -94,16 +94,16 @@
 		e.mu.Lock()
 		e.admit()
 		if len(e.running) == 0 {
-			e.looping = false
+			e.loopRunning = false
 			e.mu.Unlock()
 			return
 		}
-		work := e.plan()
-		pause := e.pace(work.cost)
+		planned := e.planStep()
+		delay := e.stepDelay(planned.millis)
 		e.mu.Unlock()
-		time.Sleep(pause.Duration())
+		time.Sleep(delay.Duration())
 		e.mu.Lock()
-		e.apply(work)
+		e.applyStep(planned)
 		e.mu.Unlock()
 	}
 }
@@ -114,7 +114,7 @@
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.MaxBatch {
 		s := e.waiting[0]
-		if e.kvUsed+s.reserved > e.config.KVTokens {
+		if e.kvUsed+s.reservedTokens > e.config.KVTokens {
 			return
 		}
 		if e.config.CrashMark != "" && strings.Contains(s.prompt, e.config.CrashMark) {
@@ -123,115 +123,115 @@
 		}
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, s)
-		e.kvUsed += s.reserved
-		s.cached = min(e.cachedTokens(s), s.promptTokens-1)
-		s.left = s.promptTokens + s.resumed - s.cached
+		e.kvUsed += s.reservedTokens
+		s.cachedTokens = min(e.cachedPromptTokens(s), s.promptTokens-1)
+		s.prefillLeft = s.promptTokens + s.resumedTokens - s.cachedTokens
 	}
 }
 
-func (e *Engine) cachedTokens(s *sequence) int {
-	if handle := handleOf(s.prompt); e.imported[handle] {
+func (e *Engine) cachedPromptTokens(s *sequence) int {
+	if handle := kvHandle(s.prompt); e.imported[handle] {
 		delete(e.imported, handle)
 		return s.promptTokens
 	}
-	return e.cache.hits(s.names) * e.config.BlockTokens
+	return e.cache.cachedBlocks(s.blockHashes) * e.config.BlockTokens
 }
 
-// work is what one step of the batch does.
-type work struct {
-	prefill []chunk
+// step is what one step of the batch does.
+type step struct {
+	prefill []prefillChunk
 	decode  []*sequence
-	// cost is how long the step takes, in milliseconds.
-	cost float64
+	// millis is how long the step takes, in milliseconds.
+	millis float64
 }
 
-type chunk struct {
+type prefillChunk struct {
 	sequence *sequence
 	tokens   int
 }
 
-// plan shares the step's prefill tokens out in order of arrival in the batch
+// planStep shares the step's prefill tokens out in order of arrival in the batch
 // and gives one token to every sequence whose prompt is done.
-func (e *Engine) plan() work {
-	var w work
+func (e *Engine) planStep() step {
+	var w step
 	budget := e.config.PrefillChunk
 	for _, s := range e.running {
-		if s.left == 0 {
+		if s.prefillLeft == 0 {
 			w.decode = append(w.decode, s)
 			continue
 		}
 		if budget == 0 {
 			continue
 		}
-		n := min(budget, s.left)
+		n := min(budget, s.prefillLeft)
 		budget -= n
-		w.prefill = append(w.prefill, chunk{sequence: s, tokens: n})
+		w.prefill = append(w.prefill, prefillChunk{sequence: s, tokens: n})
 	}
 	prefilled := e.config.PrefillChunk - budget
-	w.cost = float64(prefilled) * float64(kumquatlug.Second) / float64(e.config.PrefillRate)
+	w.millis = float64(prefilled) * float64(kumquatlug.Second) / float64(e.config.PrefillRate)
 	if n := len(w.decode); n > 0 {
-		w.cost += e.config.DecodeTime * (1 + e.config.BatchSlope*float64(n-1))
+		w.millis += e.config.DecodeTime * (1 + e.config.BatchSlope*float64(n-1))
 	}
-	w.cost = max(w.cost, e.config.LeastStep) * e.config.TimeScale
+	w.millis = max(w.millis, e.config.LeastStep) * e.config.TimeScale
 	return w
 }
 
-// pace returns how long to wait for a step of the given cost. It counts on
+// stepDelay returns how long to wait for a step of the given cost. It counts on
 // from when the last step was due, so that late timers don't add up.
-func (e *Engine) pace(cost float64) kumquatlug.Millis {
+func (e *Engine) stepDelay(millis float64) kumquatlug.Millis {
 	now := float64(e.clock.Now())
-	const behind = 20
-	if e.due < now-behind {
-		e.due = now
+	const maxLagMillis = 20
+	if e.stepEnd < now-maxLagMillis {
+		e.stepEnd = now
 	}
-	e.due += cost
-	return kumquatlug.Millis(max(0, e.due-now))
+	e.stepEnd += millis
+	return kumquatlug.Millis(max(0, e.stepEnd-now))
 }
 
-// apply carries out what a step did.
-func (e *Engine) apply(w work) {
+// applyStep carries out what a step did.
+func (e *Engine) applyStep(w step) {
 	now := e.clock.Now()
 	for _, c := range w.prefill {
 		if c.sequence.ended() {
 			continue
 		}
-		c.sequence.left -= c.tokens
-		e.prefilled += int64(c.tokens)
-		if c.sequence.left == 0 {
-			e.cache.add(c.sequence.names, now)
-			e.produce(c.sequence)
+		c.sequence.prefillLeft -= c.tokens
+		e.prefilledTokens += int64(c.tokens)
+		if c.sequence.prefillLeft == 0 {
+			e.cache.add(c.sequence.blockHashes, now)
+			e.emitToken(c.sequence)
 		}
 	}
 	for _, s := range w.decode {
 		if !s.ended() {
-			e.produce(s)
+			e.emitToken(s)
 		}
 	}
-	e.sample()
+	e.recordLoad()
 }
 
-// produce gives s its next token, or ends it when it has all.
-func (e *Engine) produce(s *sequence) {
-	if s.produced.Load() < int64(s.total) {
-		s.produced.Add(1)
-		e.decoded++
+// emitToken gives s its next token, or ends it when it has all.
+func (e *Engine) emitToken(s *sequence) {
+	if s.producedTokens.Load() < int64(s.totalTokens) {
+		s.producedTokens.Add(1)
+		e.decodedTokens++
 	}
-	if s.produced.Load() >= int64(s.total) {
+	if s.producedTokens.Load() >= int64(s.totalTokens) {
 		s.finished.Store(true)
-		e.release(s)
+		e.removeFromBatch(s)
 	}
-	s.signal()
+	s.notify()
 }
 
-// cutAll cuts every connection in hand and returns how many there were.
-func (e *Engine) cutAll() int {
+// abortAll cuts every connection in hand and returns how many there were.
+func (e *Engine) abortAll() int {
 	all := append(e.running, e.waiting...)
 	e.running, e.waiting, e.kvUsed = nil, nil, 0
 	for _, s := range all {
-		s.cut.Store(true)
-		s.signal()
+		s.aborted.Store(true)
+		s.notify()
 	}
-	e.sample()
+	e.recordLoad()
 	return len(all)
 }
 
@@ -240,62 +240,62 @@
 func (e *Engine) crash(now kumquatlug.Millis) {
 	e.crashes++
 	e.downUntil = now + e.scaled(e.config.RestartTime)
-	e.cutAll()
+	e.abortAll()
 	e.cache.clear()
 	e.imported = map[string]bool{}
 	e.orders.restart(e.config.Role)
 	e.models = append([]string(nil), e.config.Models...)
 }
 
-func (e *Engine) scaled(span kumquatlug.Millis) kumquatlug.Millis {
-	return kumquatlug.Millis(float64(span) * e.config.TimeScale)
+func (e *Engine) scaled(duration kumquatlug.Millis) kumquatlug.Millis {
+	return kumquatlug.Millis(float64(duration) * e.config.TimeScale)
 }
 
-// load is what a load report says.
-type load struct {
-	at        kumquatlug.Millis
-	running   int
-	waiting   int
-	kvUsed    int
-	prefilled int64
-	decoded   int64
+// loadSample is what a load report says.
+type loadSample struct {
+	at              kumquatlug.Millis
+	running         int
+	waiting         int
+	kvUsed          int
+	prefilledTokens int64
+	decodedTokens   int64
 }
 
-// sample notes the load for reports that lag. Only the last in a millisecond
+// recordLoad notes the load for reports that lag. Only the last in a millisecond
 // is kept, and none that no report can need any more.
-func (e *Engine) sample() {
+func (e *Engine) recordLoad() {
 	now := e.clock.Now()
-	l := load{
+	sample := loadSample{
 		at: now, running: len(e.running), waiting: len(e.waiting), kvUsed: e.kvUsed,
-		prefilled: e.prefilled, decoded: e.decoded,
+		prefilledTokens: e.prefilledTokens, decodedTokens: e.decodedTokens,
 	}
 	if n := len(e.samples); n > 0 && e.samples[n-1].at == now {
-		e.samples[n-1] = l
+		e.samples[n-1] = sample
 		return
 	}
-	e.samples = append(e.samples, l)
+	e.samples = append(e.samples, sample)
 	oldest := now - e.config.LoadLag - rateWindow
 	for len(e.samples) > 1 && e.samples[1].at <= oldest {
 		e.samples = e.samples[1:]
 	}
 }
 
-// reported returns the load as it was one lag ago, with the tokens of the rate
+// laggedLoad returns the load as it was one lag ago, with the tokens of the rate
 // window before that in place of all.
-func (e *Engine) reported() load {
+func (e *Engine) laggedLoad() loadSample {
 	at := e.clock.Now() - e.config.LoadLag
-	l := e.loadAt(at)
-	before := e.loadAt(at - rateWindow)
-	l.prefilled -= before.prefilled
-	l.decoded -= before.decoded
-	return l
+	current := e.loadAt(at)
+	previous := e.loadAt(at - rateWindow)
+	current.prefilledTokens -= previous.prefilledTokens
+	current.decodedTokens -= previous.decodedTokens
+	return current
 }
 
 // loadAt returns the load as it was at a time.
-func (e *Engine) loadAt(at kumquatlug.Millis) load {
+func (e *Engine) loadAt(at kumquatlug.Millis) loadSample {
 	i := sort.Search(len(e.samples), func(i int) bool { return e.samples[i].at > at })
 	if i == 0 {
-		return load{at: at}
+		return loadSample{at: at}
 	}
 	return e.samples[i-1]
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// maxBody bounds one request.
-	maxBody = 32 << 20
+	// maxBodyBytes bounds one request.
+	maxBodyBytes = 32 << 20
 	// rateWindow is the span over which load reports count tokens for their
 	// rates a second.
 	rateWindow = kumquatlug.Second
-	// maxImports bounds the imported KV caches that no request has used yet.
-	maxImports = 4096
+	// maxUnusedImports bounds the imported KV caches that no request has used yet.
+	maxUnusedImports = 4096
 )
 
 // Config is how an [Engine] behaves. The figures are of the order of those of
@@ -113,22 +113,22 @@
 	config Config
 	clock  kumquatlug.Clock
 
-	mu        sync.Mutex
-	waiting   []*sequence
-	running   []*sequence
-	looping   bool
-	arrivals  int64
-	kvUsed    int
-	due       float64
-	prefilled int64
-	decoded   int64
-	samples   []load
-	cache     *prefixCache
-	imported  map[string]bool
-	models    []string
-	orders    orders
-	downUntil kumquatlug.Millis
-	crashes   int
+	mu              sync.Mutex
+	waiting         []*sequence
+	running         []*sequence
+	loopRunning     bool
+	arrivals        int64
+	kvUsed          int
+	stepEnd         float64
+	prefilledTokens int64
+	decodedTokens   int64
+	samples         []loadSample
+	cache           *prefixCache
+	imported        map[string]bool
+	models          []string
+	orders          orderState
+	downUntil       kumquatlug.Millis
+	crashes         int
 }
 
 // New returns an engine that behaves as c says.
@@ -159,7 +159,7 @@
 func (e *Engine) CrashInOrder() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders.crashing = true
+	e.orders.crashPending = true
 	e.advance(e.clock.Now())
 }
 
@@ -179,17 +179,17 @@
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /load", e.reportLoad)
 	mux.HandleFunc("GET /cache/events", e.cacheEvents)
-	mux.HandleFunc("POST /orders", e.giveOrder)
+	mux.HandleFunc("POST /orders", e.handleOrder)
 	mux.HandleFunc("GET /orders", e.listOrders)
-	mux.HandleFunc("GET /state", e.state)
+	mux.HandleFunc("GET /state", e.reportState)
 	mux.HandleFunc("POST /kv/export", e.exportKV)
 	mux.HandleFunc("POST /kv/import", e.importKV)
-	mux.HandleFunc("POST /crash", e.crashNow)
+	mux.HandleFunc("POST /crash", e.handleCrash)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.down() {
 			panic(http.ErrAbortHandler)
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		mux.ServeHTTP(w, r)
 	})
 }
@@ -224,7 +224,7 @@
 
 func (e *Engine) reportLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	l := e.reported()
+	sample := e.laggedLoad()
 	e.mu.Unlock()
 	standin.Reply(w, http.StatusOK, struct {
 		Running int               `json:"running"`
@@ -235,15 +235,15 @@
 		Decode  int64             `json:"decode_tokens_per_second"`
 		Age     kumquatlug.Millis `json:"age_ms"`
 	}{
-		l.running, l.waiting, l.kvUsed, e.config.KVTokens,
-		l.prefilled, l.decoded, e.config.LoadLag,
+		sample.running, sample.waiting, sample.kvUsed, e.config.KVTokens,
+		sample.prefilledTokens, sample.decodedTokens, e.config.LoadLag,
 	})
 }
 
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt("0"+r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "invalid_request", err.Error())
+		writeError(w, http.StatusBadRequest, "invalid_request", err.Error())
 		return
 	}
 	type event struct {
@@ -256,25 +256,25 @@
 		Next   int64   `json:"next"`
 	}{Events: []event{}, Next: after}
 	e.mu.Lock()
-	events := e.cache.since(after, e.clock.Now()-e.config.EventLag)
+	events := e.cache.eventsAfter(after, e.clock.Now()-e.config.EventLag)
 	e.mu.Unlock()
-	for _, v := range events {
-		body.Events = append(body.Events, event{v.sequence, v.prefix, v.evicted})
-		body.Next = v.sequence
+	for _, published := range events {
+		body.Events = append(body.Events, event{published.sequence, published.prefix, published.evicted})
+		body.Next = published.sequence
 	}
 	standin.Reply(w, http.StatusOK, body)
 }
 
-func read(w http.ResponseWriter, r *http.Request, body any) bool {
+func decodeBody(w http.ResponseWriter, r *http.Request, body any) bool {
 	if err := json.NewDecoder(r.Body).Decode(body); err != nil {
-		refuse(w, http.StatusBadRequest, "invalid_request", err.Error())
+		writeError(w, http.StatusBadRequest, "invalid_request", err.Error())
 		return false
 	}
 	return true
 }
 
-// refuse answers with an error of the OpenAI shape. Nothing ran.
-func refuse(w http.ResponseWriter, status int, code, message string) {
+// writeError answers with an error of the OpenAI shape. Nothing ran.
+func writeError(w http.ResponseWriter, status int, code, message string) {
 	type errorBody struct {
 		Message string `json:"message"`
 		Type    string `json:"type"`
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -25,13 +25,13 @@
 	goleak.VerifyTestMain(m, goleak.Cleanup(func(int) { http.DefaultClient.CloseIdleConnections() }))
 }
 
-// fast makes model times vanish; what a test waits for is a condition.
-const fast = 0.0001
+// fastTimeScale makes model times vanish; what a test waits for is a condition.
+const fastTimeScale = 0.0001
 
-func start(t *testing.T, c engine.Config) (*engine.Engine, string) {
+func startEngine(t *testing.T, c engine.Config) (*engine.Engine, string) {
 	t.Helper()
 	if c.TimeScale == 0 {
-		c.TimeScale = fast
+		c.TimeScale = fastTimeScale
 	}
 	e := engine.New(c)
 	s := httptest.NewServer(e.Handler())
@@ -73,7 +73,7 @@
 	}
 }
 
-type answer struct {
+type response struct {
 	Choices []struct {
 		Text   string `json:"text"`
 		Finish string `json:"finish_reason"`
@@ -87,21 +87,21 @@
 	} `json:"usage"`
 }
 
-// stream returns the text of a streamed answer and its last chunk.
-func stream(t *testing.T, url, body string) (string, answer) {
+// streamCompletion returns the text of a streamed answer and its last chunk.
+func streamCompletion(t *testing.T, url, body string) (string, response) {
 	t.Helper()
 	_, text, err := post(url, body)
 	if err != nil || !strings.HasSuffix(text, "data: [DONE]\n\n") {
 		t.Fatalf("the stream has no end: %v", err)
 	}
 	joined := ""
-	var last answer
+	var last response
 	for _, line := range strings.Split(text, "\n") {
 		data, ok := strings.CutPrefix(line, "data: {")
 		if !ok {
 			continue
 		}
-		last = answer{}
+		last = response{}
 		if err := json.Unmarshal([]byte("{"+data), &last); err != nil {
 			t.Fatal(err)
 		}
@@ -112,8 +112,8 @@
 	return joined, last
 }
 
-func TestEveryWayOfAskingGivesTheSameAnswer(t *testing.T) {
-	_, url := start(t, engine.Config{})
+func TestStreamedAndResumedResponsesMatch(t *testing.T) {
+	_, url := startEngine(t, engine.Config{})
 	const total = 9
 	for _, prompt := range []string{"a", strings.Repeat("decree ", 300), "\"quoted\"\n"} {
 		want := engine.Answer(prompt, total)
@@ -122,31 +122,31 @@
 		}
 		for delivered := range total + 1 {
 			body := fmt.Sprintf(`{"prompt":%q,"max_tokens":%d,"resume_tokens":%d`, prompt, total, delivered)
-			rest := strings.Join(want[delivered:], "")
-			var whole answer
-			postOK(t, url+"/v1/completions", body+"}", &whole)
-			if c := whole.Choices[0]; c.Text != rest || c.Finish != "length" || whole.Usage.Completion != total {
-				t.Fatalf("whole after %d: %+v, not %q", delivered, whole, rest)
+			wantText := strings.Join(want[delivered:], "")
+			var full response
+			postOK(t, url+"/v1/completions", body+"}", &full)
+			if c := full.Choices[0]; c.Text != wantText || c.Finish != "length" || full.Usage.Completion != total {
+				t.Fatalf("whole after %d: %+v, not %q", delivered, full, wantText)
 			}
-			text, last := stream(t, url+"/v1/completions", body+`,"stream":true,"stream_options":{"continuous_usage_stats":true}}`)
-			if text != rest || last.Choices[0].Finish != "length" || last.Usage.Completion != total {
-				t.Fatalf("stream after %d: %q %+v, not %q", delivered, text, last, rest)
+			text, last := streamCompletion(t, url+"/v1/completions", body+`,"stream":true,"stream_options":{"continuous_usage_stats":true}}`)
+			if text != wantText || last.Choices[0].Finish != "length" || last.Usage.Completion != total {
+				t.Fatalf("stream after %d: %q %+v, not %q", delivered, text, last, wantText)
 			}
 		}
 	}
 }
 
-func TestCommonClientLibraryUnderstandsTheEngine(t *testing.T) {
-	_, url := start(t, engine.Config{Models: []string{"draft"}})
+func TestOpenAIClientCompatibility(t *testing.T) {
+	_, url := startEngine(t, engine.Config{Models: []string{"draft"}})
 	client := openai.NewClient(option.WithBaseURL(url+"/v1"), option.WithAPIKey("k"), option.WithMaxRetries(0))
 	messages := []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("be brief"), openai.UserMessage("hello")}
 	want := engine.AnswerText(engine.ChatPrompt([]engine.Message{
 		{Role: "system", Content: "be brief"}, {Role: "user", Content: "hello"},
 	}), 0)
 	params := openai.ChatCompletionNewParams{Model: "draft", Messages: messages}
-	whole, err := client.Chat.Completions.New(context.Background(), params)
-	if err != nil || whole.Choices[0].Message.Content != want || whole.Choices[0].FinishReason != "stop" {
-		t.Fatalf("whole: %+v %v", whole, err)
+	full, err := client.Chat.Completions.New(context.Background(), params)
+	if err != nil || full.Choices[0].Message.Content != want || full.Choices[0].FinishReason != "stop" {
+		t.Fatalf("whole: %+v %v", full, err)
 	}
 	params.StreamOptions.IncludeUsage = openai.Bool(true)
 	s := client.Chat.Completions.NewStreaming(context.Background(), params)
@@ -154,13 +154,13 @@
 	for s.Next() {
 		all.AddChunk(s.Current())
 	}
-	if s.Err() != nil || all.Choices[0].Message.Content != want || all.Usage.CompletionTokens != whole.Usage.CompletionTokens {
+	if s.Err() != nil || all.Choices[0].Message.Content != want || all.Usage.CompletionTokens != full.Usage.CompletionTokens {
 		t.Fatalf("stream: %+v %v", all, s.Err())
 	}
 	params.Model = "unknown"
 	_, err = client.Chat.Completions.New(context.Background(), params)
-	var refused *openai.Error
-	if !errors.As(err, &refused) || refused.StatusCode != http.StatusNotFound || refused.Code != "model_not_found" {
+	var apiErr *openai.Error
+	if !errors.As(err, &apiErr) || apiErr.StatusCode != http.StatusNotFound || apiErr.Code != "model_not_found" {
 		t.Fatalf("an unknown model gave %v", err)
 	}
 }
@@ -168,11 +168,11 @@
 // A prompt that makes the engine crash takes with it every answer in hand, of
 // callers who did nothing wrong. They see their streams end with no end mark;
 // until the engine is back, nobody gets any answer.
-func TestCrashCutsEveryoneAndEmptiesTheCache(t *testing.T) {
-	e, url := start(t, engine.Config{CrashMark: "poison", TimeScale: 1, DecodeTime: 1, RestartTime: kumquatlug.Hour})
-	const neighbours = 3
+func TestCrashAbortsAllRequests(t *testing.T) {
+	e, url := startEngine(t, engine.Config{CrashMark: "poison", TimeScale: 1, DecodeTime: 1, RestartTime: kumquatlug.Hour})
+	const streamCount = 3
 	var streams []*bufio.Reader
-	for i := range neighbours {
+	for i := range streamCount {
 		r, err := http.Post(url+"/v1/completions", "application/json",
 			strings.NewReader(fmt.Sprintf(`{"prompt":"innocent %d","max_tokens":60000,"stream":true}`, i)))
 		if err != nil {
@@ -201,14 +201,14 @@
 	}
 }
 
-func TestCacheAndImportedKVShowInUsageUntilACrash(t *testing.T) {
-	e, url := start(t, engine.Config{RestartTime: 1})
+func TestUsageCountsCachedTokensUntilCrash(t *testing.T) {
+	e, url := startEngine(t, engine.Config{RestartTime: 1})
 	prompt := strings.Repeat("garment history ", 64)
 	body := fmt.Sprintf(`{"prompt":%q,"max_tokens":2}`, prompt)
 	cached := func(url string) int {
-		var a answer
-		postOK(t, url+"/v1/completions", body, &a)
-		return a.Usage.Details.Cached
+		var got response
+		postOK(t, url+"/v1/completions", body, &got)
+		return got.Usage.Details.Cached
 	}
 	if first, second := cached(url), cached(url); first != 0 || second == 0 {
 		t.Fatalf("cached %d, then %d", first, second)
@@ -231,11 +231,11 @@
 	if n := cached(url); n != 0 {
 		t.Fatalf("%d tokens were still cached after the crash", n)
 	}
-	_, other := start(t, engine.Config{})
+	_, otherURL := startEngine(t, engine.Config{})
 	var export struct{ Handle string }
 	postOK(t, url+"/kv/export", body, &export)
-	postOK(t, other+"/kv/import", fmt.Sprintf(`{"handle":%q}`, export.Handle), &struct{}{})
-	if n := cached(other); n != engine.PromptTokens(prompt)-1 {
+	postOK(t, otherURL+"/kv/import", fmt.Sprintf(`{"handle":%q}`, export.Handle), &struct{}{})
+	if n := cached(otherURL); n != engine.PromptTokens(prompt)-1 {
 		t.Fatalf("%d tokens came with the import", n)
 	}
 }
@@ -260,7 +260,7 @@
 	return body.Orders
 }
 
-func settled(t *testing.T, url string) state {
+func awaitOrder(t *testing.T, url string) state {
 	t.Helper()
 	for {
 		var s state
@@ -275,21 +275,21 @@
 // reaches the engine late; carried out, the engine would take a role that no
 // one in authority gave it. Engines that check numbers refuse it; the others
 // obey, which is why something else must check for them.
-func TestOldFencingNumberIsRefusedOnlyWhereChecked(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		_, url := start(t, engine.Config{ChecksFence: checks, OrderTime: 1})
+func TestStaleFencingNumberIsRejectedOnlyIfChecked(t *testing.T) {
+	for _, checkFence := range []bool{true, false} {
+		_, url := startEngine(t, engine.Config{ChecksFence: checkFence, OrderTime: 1})
 		postOK(t, url+"/orders", `{"id":"new","fence":7,"verb":"role","argument":"decode"}`, &state{})
-		settled(t, url)
+		awaitOrder(t, url)
 		status, _, err := post(url+"/orders", `{"id":"old","fence":6,"verb":"role","argument":"prefill"}`)
-		if err != nil || (status == http.StatusConflict) != checks {
-			t.Fatalf("checks %v: status %d, %v", checks, status, err)
+		if err != nil || (status == http.StatusConflict) != checkFence {
+			t.Fatalf("checks %v: status %d, %v", checkFence, status, err)
 		}
 		want := state{engine.StateSettled, kumquatlug.RoleDecode, "new", 7}
-		if !checks {
+		if !checkFence {
 			want.Role, want.Order = kumquatlug.RolePrefill, "old"
 		}
-		if s := settled(t, url); s != want {
-			t.Fatalf("checks %v: %+v", checks, s)
+		if s := awaitOrder(t, url); s != want {
+			t.Fatalf("checks %v: %+v", checkFence, s)
 		}
 		if last := orders(t, url)[1]; last.Highest != 7 || last.Fence != 6 {
 			t.Fatalf("the oracle was not told: %+v", last)
@@ -297,8 +297,8 @@
 	}
 }
 
-func TestOneOrderAtATimeAndNoWorkMeanwhile(t *testing.T) {
-	_, url := start(t, engine.Config{TimeScale: 1, OrderTime: kumquatlug.Hour})
+func TestOrderInProgressRejectsOrdersAndRequests(t *testing.T) {
+	_, url := startEngine(t, engine.Config{TimeScale: 1, OrderTime: kumquatlug.Hour})
 	const first = `{"id":"a","fence":1,"verb":"load","argument":"large"}`
 	var s state
 	postOK(t, url+"/orders", first, &s)
@@ -323,8 +323,8 @@
 
 // An engine dies while it changes its role. Nobody can tell which role it has
 // now; taken for done, work would go to an engine that can't do it.
-func TestCrashInMidOrderLeavesTheStateUnknown(t *testing.T) {
-	e, url := start(t, engine.Config{OrderTime: 1, RestartTime: 1})
+func TestCrashDuringOrderLeavesStateUnknown(t *testing.T) {
+	e, url := startEngine(t, engine.Config{OrderTime: 1, RestartTime: 1})
 	e.CrashInOrder()
 	// The engine may be back before the client asks, or still be down.
 	_, _, _ = post(url+"/orders", `{"id":"a","verb":"role","argument":"decode"}`)
@@ -333,14 +333,14 @@
 			r.Body.Close()
 		}
 	}
-	if s := settled(t, url); s.State != engine.StateUnknown || s.Role != "" || s.Order != "a" {
+	if s := awaitOrder(t, url); s.State != engine.StateUnknown || s.Role != "" || s.Order != "a" {
 		t.Fatalf("%+v", s)
 	}
 	if status, _, _ := post(url+"/v1/completions", `{"prompt":"x"}`); status != http.StatusServiceUnavailable {
 		t.Fatalf("work in an unknown state gave %d", status)
 	}
 	postOK(t, url+"/orders", `{"id":"b","verb":"role","argument":"decode"}`, &state{})
-	if s := settled(t, url); s.State != engine.StateSettled || s.Role != kumquatlug.RoleDecode {
+	if s := awaitOrder(t, url); s.State != engine.StateSettled || s.Role != kumquatlug.RoleDecode {
 		t.Fatalf("%+v", s)
 	}
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -45,8 +45,8 @@
 	VerdictBusy Verdict = "busy"
 )
 
-// maxOrders bounds the orders that are kept for an oracle.
-const maxOrders = 4096
+// maxLoggedOrders bounds the orders that are kept for an oracle.
+const maxLoggedOrders = 4096
 
 // order is an order as it arrived.
 type order struct {
@@ -54,67 +54,67 @@
 	fence    int64
 	verb     Verb
 	argument string
-	// highest is the highest fencing number that had arrived before it.
-	highest int64
-	verdict Verdict
-	// cut is how many requests in hand it cut short.
-	cut int
+	// highestBefore is the highest fencing number that had arrived before it.
+	highestBefore int64
+	verdict       Verdict
+	// aborted is how many requests in hand it cut short.
+	aborted int
 }
 
-// orders is what an engine knows of its orders.
-type orders struct {
-	state    State
-	role     kumquatlug.Role
-	version  string
-	id       string
-	fence    int64
-	current  order
-	started  kumquatlug.Millis
-	crashing bool
-	log      []order
+// orderState is what an engine knows of its orders.
+type orderState struct {
+	state        State
+	role         kumquatlug.Role
+	version      string
+	lastID       string
+	highestFence int64
+	current      order
+	started      kumquatlug.Millis
+	crashPending bool
+	log          []order
 }
 
 // restart is what a crash leaves: the role from the settings, and no memory of
 // fencing numbers. Only an order that was in progress leaves its mark.
-func (o *orders) restart(role kumquatlug.Role) {
+func (o *orderState) restart(role kumquatlug.Role) {
 	if o.state == StateChanging {
 		o.state = StateUnknown
 	}
-	o.role, o.fence, o.version = role, 0, ""
+	o.role, o.highestFence, o.version = role, 0, ""
 	if o.state == StateUnknown {
 		o.role = ""
 	}
 }
 
-// judge decides about an order that arrives, and notes it.
-func (o *orders) judge(given order, checks bool) Verdict {
-	given.highest = o.fence
+// record decides about an order that arrives, and notes it.
+func (o *orderState) record(received order, checkFence bool) Verdict {
+	received.highestBefore = o.highestFence
 	switch {
-	case given.id == o.id && o.id != "" && o.state != StateUnknown:
-		given.verdict = VerdictRepeated
-	case checks && given.fence != 0 && given.fence < o.fence:
-		given.verdict = VerdictStale
+	case received.id == o.lastID && o.lastID != "" && o.state != StateUnknown:
+		received.verdict = VerdictRepeated
+	case checkFence && received.fence != 0 && received.fence < o.highestFence:
+		received.verdict = VerdictStale
 	case o.state == StateChanging:
-		given.verdict = VerdictBusy
+		received.verdict = VerdictBusy
 	default:
-		given.verdict = VerdictAccepted
+		received.verdict = VerdictAccepted
 	}
-	o.fence = max(o.fence, given.fence)
-	o.log = append(o.log, given)
-	if len(o.log) > maxOrders {
+	o.highestFence = max(o.highestFence, received.fence)
+	o.log = append(o.log, received)
+	if len(o.log) > maxLoggedOrders {
 		o.log = o.log[1:]
 	}
-	return given.verdict
+	return received.verdict
 }
 
-// begin starts an accepted order. Work in hand is cut: whoever gives an order
+// startOrder starts an accepted order. Work in hand is cut: whoever gives an order
 // must have drained the engine before.
-func (e *Engine) begin(given order, now kumquatlug.Millis) {
-	e.orders.id = given.id
-	e.orders.current = given
+func (e *Engine) startOrder(accepted order, now kumquatlug.Millis) {
+	e.orders.lastID = accepted.id
+	e.orders.current = accepted
 	e.orders.state = StateChanging
 	e.orders.started = now
-	e.orders.log[len(e.orders.log)-1].cut = e.cutAll()
+	e.orders.log[len(e.orders.log)-1].aborted = e.abortAll()
 	e.advance(now)
 }
 
@@ -124,19 +124,19 @@
 	if e.orders.state != StateChanging {
 		return
 	}
-	span := e.scaled(e.config.OrderTime)
-	half := e.orders.started + span/2
-	if e.orders.crashing && now >= half {
-		e.orders.crashing = false
-		e.crash(half)
+	duration := e.scaled(e.config.OrderTime)
+	midpoint := e.orders.started + duration/2
+	if e.orders.crashPending && now >= midpoint {
+		e.orders.crashPending = false
+		e.crash(midpoint)
 		return
 	}
-	if now >= e.orders.started+span {
-		e.settle()
+	if now >= e.orders.started+duration {
+		e.completeOrder()
 	}
 }
 
-func (e *Engine) settle() {
+func (e *Engine) completeOrder() {
 	e.orders.state = StateSettled
 	argument := e.orders.current.argument
 	switch e.orders.current.verb {
@@ -154,25 +154,25 @@
 	}
 }
 
-func (e *Engine) giveOrder(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		ID       string `json:"id"`
 		Fence    int64  `json:"fence"`
 		Verb     Verb   `json:"verb"`
 		Argument string `json:"argument"`
 	}
-	if !read(w, r, &body) {
+	if !decodeBody(w, r, &body) {
 		return
 	}
-	given := order{id: body.ID, fence: body.Fence, verb: body.Verb, argument: body.Argument}
-	if reason := given.invalid(); reason != "" {
-		refuse(w, http.StatusBadRequest, "invalid_order", reason)
+	received := order{id: body.ID, fence: body.Fence, verb: body.Verb, argument: body.Argument}
+	if reason := received.invalidReason(); reason != "" {
+		writeError(w, http.StatusBadRequest, "invalid_order", reason)
 		return
 	}
 	e.mu.Lock()
-	verdict := e.orders.judge(given, e.config.ChecksFence)
+	verdict := e.orders.record(received, e.config.ChecksFence)
 	if verdict == VerdictAccepted {
-		e.begin(given, e.clock.Now())
+		e.startOrder(received, e.clock.Now())
 	}
 	e.mu.Unlock()
 	if e.down() {
@@ -180,15 +180,15 @@
 	}
 	switch verdict {
 	case VerdictStale:
-		refuse(w, http.StatusConflict, "stale_fence", "the fencing number is below the highest seen")
+		writeError(w, http.StatusConflict, "stale_fence", "the fencing number is below the highest seen")
 	case VerdictBusy:
-		refuse(w, http.StatusConflict, "order_in_progress", "another order is in progress")
+		writeError(w, http.StatusConflict, "order_in_progress", "another order is in progress")
 	default:
-		e.state(w, r)
+		e.reportState(w, r)
 	}
 }
 
-func (o order) invalid() string {
+func (o order) invalidReason() string {
 	switch o.verb {
 	case VerbLoad, VerbAdapter, VerbVersion:
 	case VerbRole:
@@ -205,7 +205,7 @@
 	return ""
 }
 
-func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) reportState(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	o := e.orders
 	e.mu.Unlock()
@@ -215,7 +215,7 @@
 		OrderID string          `json:"order_id"`
 		Fence   int64           `json:"fence"`
 		Version string          `json:"version,omitempty"`
-	}{o.state, o.role, o.id, o.fence, o.version})
+	}{o.state, o.role, o.lastID, o.highestFence, o.version})
 }
 
 // listOrders gives an oracle the orders that arrived, oldest first.
@@ -236,16 +236,16 @@
 	log := slices.Clone(e.orders.log)
 	e.mu.Unlock()
 	for _, o := range log {
-		body.Orders = append(body.Orders, orderBody{o.id, o.fence, o.verb, o.argument, o.highest, o.verdict, o.cut})
+		body.Orders = append(body.Orders, orderBody{o.id, o.fence, o.verb, o.argument, o.highestBefore, o.verdict, o.aborted})
 	}
 	standin.Reply(w, http.StatusOK, body)
 }
 
-func (e *Engine) crashNow(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCrash(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		InOrder bool `json:"in_order"`
 	}
-	if r.ContentLength != 0 && !read(w, r, &body) {
+	if r.ContentLength != 0 && !decodeBody(w, r, &body) {
 		return
 	}
 	if body.InOrder {
--- a/internal/standin/engine/stamp.go
+++ b/internal/standin/engine/stamp.go
@@ -32,8 +32,8 @@
 	if err != nil {
 		return Stamp{}, errors.Wrap(err, "read stamp")
 	}
-	after, err := strconv.ParseInt(right, 10, 64)
-	return Stamp{arrived: arrived, written: arrived + after}, errors.Wrap(err, "read stamp")
+	elapsed, err := strconv.ParseInt(right, 10, 64)
+	return Stamp{arrived: arrived, written: arrived + elapsed}, errors.Wrap(err, "read stamp")
 }
 
 // String returns the stamp as a token.
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -17,13 +17,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// importSpeed is how many times faster a KV cache is imported than computed.
-const importSpeed = 10
+// importSpeedup is how many times faster a KV cache is imported than computed.
+const importSpeedup = 10
 
-var errCut = errors.New("cut by a crash or an order")
+var errAborted = errors.New("cut by a crash or an order")
 
-// task is a request for a completion, plain or chat.
-type task struct {
+// completionRequest is a request for a completion, plain or chat.
+type completionRequest struct {
 	Model         string    `json:"model"`
 	Prompt        string    `json:"prompt"`
 	Messages      []Message `json:"messages"`
@@ -42,63 +42,63 @@
 	id   string
 }
 
-func (t task) prompt() string {
-	if t.chat || len(t.Messages) > 0 {
-		return ChatPrompt(t.Messages)
+func (r completionRequest) prompt() string {
+	if r.chat || len(r.Messages) > 0 {
+		return ChatPrompt(r.Messages)
 	}
-	return t.Prompt
+	return r.Prompt
 }
 
-func (t task) limit() int { return max(t.MaxTokens, t.MaxCompletion) }
+func (r completionRequest) maxTokens() int { return max(r.MaxTokens, r.MaxCompletion) }
 
-func (t task) finishReason() string {
-	if t.limit() > 0 {
+func (r completionRequest) finishReason() string {
+	if r.maxTokens() > 0 {
 		return "length"
 	}
 	return "stop"
 }
 
 func (e *Engine) completions(w http.ResponseWriter, r *http.Request) {
-	var t task
-	if !read(w, r, &t) {
+	var t completionRequest
+	if !decodeBody(w, r, &t) {
 		return
 	}
 	if t.Prompt == "" {
-		refuse(w, http.StatusBadRequest, "invalid_request", "there is no prompt")
+		writeError(w, http.StatusBadRequest, "invalid_request", "there is no prompt")
 		return
 	}
 	e.serve(w, r, t)
 }
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
-	t := task{chat: true}
-	if !read(w, r, &t) {
+	t := completionRequest{chat: true}
+	if !decodeBody(w, r, &t) {
 		return
 	}
 	if len(t.Messages) == 0 {
-		refuse(w, http.StatusBadRequest, "invalid_request", "there are no messages")
+		writeError(w, http.StatusBadRequest, "invalid_request", "there are no messages")
 		return
 	}
 	e.serve(w, r, t)
 }
 
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request, t task) {
-	prompt := t.prompt()
-	s := e.newSequence(prompt, AnswerTokens(prompt, t.limit()), t.ResumeTokens)
-	s.priority = t.Priority
-	if !e.accept(w, t.Model, s) {
+func (e *Engine) serve(w http.ResponseWriter, httpRequest *http.Request, request completionRequest) {
+	prompt := request.prompt()
+	s := e.newSequence(prompt, AnswerTokens(prompt, request.maxTokens()), request.ResumeTokens)
+	s.priority = request.Priority
+	if !e.accept(w, request.Model, s) {
 		return
 	}
-	defer e.drop(s)
-	if t.Model == "" {
-		t.Model = e.config.Models[0]
+	defer e.cancel(s)
+	if request.Model == "" {
+		request.Model = e.config.Models[0]
 	}
-	t.id = "cmpl-" + strconv.FormatInt(s.arrival, 10)
+	request.id = "cmpl-" + strconv.FormatInt(s.arrival, 10)
 	var err error
-	if t.Stream {
-		err = e.stream(r.Context(), w, t, s)
+	if request.Stream {
+		err = e.streamResponse(httpRequest.Context(), w, request, s)
 	} else {
-		err = e.whole(r.Context(), w, t, s)
+		err = e.writeResponse(httpRequest.Context(), w, request, s)
 	}
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -108,11 +108,11 @@
 func (e *Engine) newSequence(prompt string, total, resumed int) *sequence {
 	resumed = min(max(0, resumed), total)
 	s := &sequence{
-		prompt: prompt, promptTokens: PromptTokens(prompt), names: Prefixes(prompt, e.config.BlockTokens),
-		total: total, resumed: resumed, wake: make(chan struct{}, 1),
+		prompt: prompt, promptTokens: PromptTokens(prompt), blockHashes: Prefixes(prompt, e.config.BlockTokens),
+		totalTokens: total, resumedTokens: resumed, wake: make(chan struct{}, 1),
 	}
-	s.reserved = s.promptTokens + total
-	s.produced.Store(int64(resumed))
+	s.reservedTokens = s.promptTokens + total
+	s.producedTokens.Store(int64(resumed))
 	return s
 }
 
@@ -121,34 +121,34 @@
 	e.mu.Lock()
 	known := model == "" || slices.Contains(e.models, model)
 	settled := e.orders.state == StateSettled
-	wrongRole := e.config.StrictRole && e.orders.role == kumquatlug.RolePrefill && s.total > 0
-	fits := s.reserved <= e.config.KVTokens
+	wrongRole := e.config.StrictRole && e.orders.role == kumquatlug.RolePrefill && s.totalTokens > 0
+	fits := s.reservedTokens <= e.config.KVTokens
 	accepted := known && settled && !wrongRole && fits
 	if accepted {
-		e.submit(s)
+		e.enqueue(s)
 	}
 	e.mu.Unlock()
 	switch {
 	case !settled:
-		refuse(w, http.StatusServiceUnavailable, "changing", "an order is not settled")
+		writeError(w, http.StatusServiceUnavailable, "changing", "an order is not settled")
 	case !known:
-		refuse(w, http.StatusNotFound, "model_not_found", "the model "+model+" is not loaded")
+		writeError(w, http.StatusNotFound, "model_not_found", "the model "+model+" is not loaded")
 	case wrongRole:
-		refuse(w, http.StatusServiceUnavailable, "wrong_role", "the engine only prefills")
+		writeError(w, http.StatusServiceUnavailable, "wrong_role", "the engine only prefills")
 	case !fits:
-		refuse(w, http.StatusBadRequest, "context_length_exceeded", "prompt and answer exceed the KV memory")
+		writeError(w, http.StatusBadRequest, "context_length_exceeded", "prompt and answer exceed the KV memory")
 	}
 	return accepted
 }
 
-// await returns once s has more than seen tokens, or all it will have.
-func await(ctx context.Context, s *sequence, seen int) (int, error) {
+// awaitTokens returns once s has more than seen tokens, or all it will have.
+func awaitTokens(ctx context.Context, s *sequence, seen int) (int, error) {
 	for {
-		if s.cut.Load() {
-			return seen, errCut
+		if s.aborted.Load() {
+			return seen, errAborted
 		}
 		finished := s.finished.Load()
-		if n := int(s.produced.Load()); n > seen || finished {
+		if n := int(s.producedTokens.Load()); n > seen || finished {
 			return n, nil
 		}
 		select {
@@ -168,29 +168,29 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// usageOf may be called once s has its first token: cached is fixed then.
-func usageOf(s *sequence, completion int) usage {
+// newUsage may be called once s has its first token: cached is fixed then.
+func newUsage(s *sequence, completion int) usage {
 	u := usage{PromptTokens: s.promptTokens, CompletionTokens: completion, TotalTokens: s.promptTokens + completion}
-	u.Details.CachedTokens = s.cached
+	u.Details.CachedTokens = s.cachedTokens
 	return u
 }
 
-func (e *Engine) whole(ctx context.Context, w http.ResponseWriter, t task, s *sequence) error {
+func (e *Engine) writeResponse(ctx context.Context, w http.ResponseWriter, request completionRequest, s *sequence) error {
 	for !s.finished.Load() {
-		if _, err := await(ctx, s, s.total); err != nil {
+		if _, err := awaitTokens(ctx, s, s.totalTokens); err != nil {
 			return err
 		}
 	}
-	text := strings.Join(Answer(s.prompt, s.total)[s.resumed:], "")
+	text := strings.Join(Answer(s.prompt, s.totalTokens)[s.resumedTokens:], "")
 	type choice struct {
 		Index   int      `json:"index"`
 		Text    *string  `json:"text,omitempty"`
 		Message *Message `json:"message,omitempty"`
 		Finish  string   `json:"finish_reason"`
 	}
-	c := choice{Text: &text, Finish: t.finishReason()}
+	c := choice{Text: &text, Finish: request.finishReason()}
 	object := "text_completion"
-	if t.chat {
+	if request.chat {
 		c = choice{Message: &Message{Role: "assistant", Content: text}, Finish: c.Finish}
 		object = "chat.completion"
 	}
@@ -201,23 +201,23 @@
 		Model   string   `json:"model"`
 		Choices []choice `json:"choices"`
 		Usage   usage    `json:"usage"`
-	}{t.id, object, 1, t.Model, []choice{c}, usageOf(s, s.total)})
+	}{request.id, object, 1, request.Model, []choice{c}, newUsage(s, s.totalTokens)})
 	return nil
 }
 
-// stream sends one chunk a token as they come.
-func (e *Engine) stream(ctx context.Context, w http.ResponseWriter, t task, s *sequence) error {
+// streamResponse sends one chunk a token as they come.
+func (e *Engine) streamResponse(ctx context.Context, w http.ResponseWriter, request completionRequest, s *sequence) error {
 	flusher, ok := w.(http.Flusher)
 	if !ok {
 		return errors.New("the connection can't stream")
 	}
-	c := newChunks(t, s)
+	encoder := newEventEncoder(request, s)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	arrived := time.Now()
-	tokens := Answer(s.prompt, s.total)
-	for seen := s.resumed; ; {
-		n, err := await(ctx, s, seen)
+	tokens := Answer(s.prompt, s.totalTokens)
+	for seen := s.resumedTokens; ; {
+		n, err := awaitTokens(ctx, s, seen)
 		if err != nil {
 			return err
 		}
@@ -226,106 +226,106 @@
 			if e.config.Stamped {
 				token = NewStamp(arrived, time.Now()).String()
 			}
-			c.add(token, seen+1)
+			encoder.addChunk(token, seen+1)
 		}
-		if seen == s.total {
+		if seen == s.totalTokens {
 			break
 		}
-		if _, err := w.Write(c.take()); err != nil {
+		if _, err := w.Write(encoder.drain()); err != nil {
 			return err
 		}
 		flusher.Flush()
 	}
-	if s.resumed == s.total {
-		c.add("", s.total)
+	if s.resumedTokens == s.totalTokens {
+		encoder.addChunk("", s.totalTokens)
 	}
-	_, err := w.Write(c.end())
+	_, err := w.Write(encoder.finish())
 	return err
 }
 
-// chunks writes the events of one stream. What stays the same is encoded once.
-type chunks struct {
-	task     task
+// eventEncoder writes the events of one stream. What stays the same is encoded once.
+type eventEncoder struct {
+	request  completionRequest
 	sequence *sequence
-	head     string
+	prefix   string
 	first    bool
 	buffer   []byte
 }
 
-func newChunks(t task, s *sequence) *chunks {
+func newEventEncoder(request completionRequest, s *sequence) *eventEncoder {
 	object := "text_completion"
-	if t.chat {
+	if request.chat {
 		object = "chat.completion.chunk"
 	}
-	model, _ := json.Marshal(t.Model)
-	head := fmt.Sprintf(`data: {"id":%q,"object":%q,"created":1,"model":%s,"choices":[`, t.id, object, model)
-	return &chunks{task: t, sequence: s, head: head, first: true}
+	model, _ := json.Marshal(request.Model)
+	prefix := fmt.Sprintf(`data: {"id":%q,"object":%q,"created":1,"model":%s,"choices":[`, request.id, object, model)
+	return &eventEncoder{request: request, sequence: s, prefix: prefix, first: true}
 }
 
-// add writes the chunk of one token; count is how many there are with it.
-func (c *chunks) add(token string, count int) {
-	c.buffer = append(c.buffer, c.head...)
+// addChunk writes the chunk of one token; count is how many there are with it.
+func (e *eventEncoder) addChunk(token string, count int) {
+	e.buffer = append(e.buffer, e.prefix...)
 	switch {
-	case !c.task.chat:
-		c.buffer = append(c.buffer, `{"index":0,"text":"`...)
-	case c.first:
-		c.buffer = append(c.buffer, `{"index":0,"delta":{"role":"assistant","content":"`...)
+	case !e.request.chat:
+		e.buffer = append(e.buffer, `{"index":0,"text":"`...)
+	case e.first:
+		e.buffer = append(e.buffer, `{"index":0,"delta":{"role":"assistant","content":"`...)
 	default:
-		c.buffer = append(c.buffer, `{"index":0,"delta":{"content":"`...)
+		e.buffer = append(e.buffer, `{"index":0,"delta":{"content":"`...)
 	}
-	c.first = false
-	c.buffer = append(c.buffer, token...)
-	c.buffer = append(c.buffer, '"')
-	if c.task.chat {
-		c.buffer = append(c.buffer, '}')
+	e.first = false
+	e.buffer = append(e.buffer, token...)
+	e.buffer = append(e.buffer, '"')
+	if e.request.chat {
+		e.buffer = append(e.buffer, '}')
 	}
 	finish := "null"
-	if count == c.sequence.total {
-		finish = `"` + c.task.finishReason() + `"`
+	if count == e.sequence.totalTokens {
+		finish = `"` + e.request.finishReason() + `"`
 	}
-	c.buffer = append(c.buffer, `,"finish_reason":`...)
-	c.buffer = append(c.buffer, finish...)
-	c.buffer = append(c.buffer, `}]`...)
-	if c.task.StreamOptions.ContinuousUsage {
-		c.addUsage(count)
+	e.buffer = append(e.buffer, `,"finish_reason":`...)
+	e.buffer = append(e.buffer, finish...)
+	e.buffer = append(e.buffer, `}]`...)
+	if e.request.StreamOptions.ContinuousUsage {
+		e.addUsage(count)
 	}
-	c.buffer = append(c.buffer, "}\n\n"...)
+	e.buffer = append(e.buffer, "}\n\n"...)
 }
 
-func (c *chunks) addUsage(count int) {
-	text, _ := json.Marshal(usageOf(c.sequence, count))
-	c.buffer = append(c.buffer, `,"usage":`...)
-	c.buffer = append(c.buffer, text...)
+func (e *eventEncoder) addUsage(count int) {
+	text, _ := json.Marshal(newUsage(e.sequence, count))
+	e.buffer = append(e.buffer, `,"usage":`...)
+	e.buffer = append(e.buffer, text...)
 }
 
-// take returns what was added since the last call.
-func (c *chunks) take() []byte {
-	b := c.buffer
-	c.buffer = c.buffer[:0]
+// drain returns what was added since the last call.
+func (e *eventEncoder) drain() []byte {
+	b := e.buffer
+	e.buffer = e.buffer[:0]
 	return b
 }
 
-// end returns the last events of the stream.
-func (c *chunks) end() []byte {
-	if c.task.StreamOptions.IncludeUsage {
-		c.buffer = append(c.buffer, c.head...)
-		c.buffer = append(c.buffer, ']')
-		c.addUsage(c.sequence.total)
-		c.buffer = append(c.buffer, "}\n\n"...)
-	}
-	c.buffer = append(c.buffer, "data: [DONE]\n\n"...)
-	return c.take()
+// finish returns the last events of the stream.
+func (e *eventEncoder) finish() []byte {
+	if e.request.StreamOptions.IncludeUsage {
+		e.buffer = append(e.buffer, e.prefix...)
+		e.buffer = append(e.buffer, ']')
+		e.addUsage(e.sequence.totalTokens)
+		e.buffer = append(e.buffer, "}\n\n"...)
+	}
+	e.buffer = append(e.buffer, "data: [DONE]\n\n"...)
+	return e.drain()
 }
 
-// handleOf names the KV cache of a prompt, for every engine alike.
-func handleOf(prompt string) string {
+// kvHandle names the KV cache of a prompt, for every engine alike.
+func kvHandle(prompt string) string {
 	return fmt.Sprintf("kv-%016x-%d", xxhash.Sum64String(prompt), PromptTokens(prompt))
 }
 
 // exportKV prefills a prompt and names its KV cache.
 func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
-	var t task
-	if !read(w, r, &t) {
+	var t completionRequest
+	if !decodeBody(w, r, &t) {
 		return
 	}
 	prompt := t.prompt()
@@ -334,14 +334,14 @@
 	if !e.accept(w, t.Model, s) {
 		return
 	}
-	defer e.drop(s)
-	if _, err := await(r.Context(), s, 0); err != nil {
+	defer e.cancel(s)
+	if _, err := awaitTokens(r.Context(), s, 0); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	standin.Reply(w, http.StatusOK, struct {
 		Handle string `json:"handle"`
 		Tokens int    `json:"tokens"`
-	}{handleOf(prompt), s.promptTokens})
+	}{kvHandle(prompt), s.promptTokens})
 }
 
 // importKV takes over a KV cache; the next request for its prompt uses it up.
@@ -349,27 +349,27 @@
 	var body struct {
 		Handle string `json:"handle"`
 	}
-	if !read(w, r, &body) {
+	if !decodeBody(w, r, &body) {
 		return
 	}
 	var sum uint64
 	var tokens int
 	if _, err := fmt.Sscanf(body.Handle, "kv-%16x-%d", &sum, &tokens); err != nil {
-		refuse(w, http.StatusBadRequest, "unknown_handle", "the handle is not of an export")
+		writeError(w, http.StatusBadRequest, "unknown_handle", "the handle is not of an export")
 		return
 	}
-	span := kumquatlug.Millis(tokens) * kumquatlug.Second / kumquatlug.Millis(e.config.PrefillRate*importSpeed)
-	if standin.Wait(r.Context(), e.scaled(span)) != nil {
+	duration := kumquatlug.Millis(tokens) * kumquatlug.Second / kumquatlug.Millis(e.config.PrefillRate*importSpeedup)
+	if standin.Wait(r.Context(), e.scaled(duration)) != nil {
 		return
 	}
 	e.mu.Lock()
-	full := len(e.imported) >= maxImports
+	full := len(e.imported) >= maxUnusedImports
 	if !full {
 		e.imported[body.Handle] = true
 	}
 	e.mu.Unlock()
 	if full {
-		refuse(w, http.StatusServiceUnavailable, "full", "too many imported KV caches are unused")
+		writeError(w, http.StatusServiceUnavailable, "full", "too many imported KV caches are unused")
 		return
 	}
 	standin.Reply(w, http.StatusOK, struct {
--- a/internal/standin/fleet/answers.go
+++ b/internal/standin/fleet/answers.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// prefill reads a prompt and keeps its cache.
-func (w *Worker) prefill(out http.ResponseWriter, id, stage string, fault Fault, r *http.Request) {
+// servePrefill reads a prompt and keeps its cache.
+func (w *Worker) servePrefill(out http.ResponseWriter, id, stage string, fault Fault, r *http.Request) {
 	if stage != "prefill" {
 		out.Header().Set("Not-Executed", "1")
 		out.WriteHeader(http.StatusMisdirectedRequest)
@@ -21,30 +21,30 @@
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(w.c.Pause)
+	time.Sleep(w.config.Pause)
 	w.mu.Lock()
-	w.prompts++
-	handle := fmt.Sprintf("h-%s-%d", id, w.prompts)
+	w.prefills++
+	handle := fmt.Sprintf("h-%s-%d", id, w.prefills)
 	w.handles[handle] = id
 	w.mu.Unlock()
 	// A caller that is gone does not read its answer.
 	_ = json.NewEncoder(out).Encode(map[string]any{"kv_handle": handle, "tokens": 1, "version": 1})
 }
 
-// run runs a request.
-func (w *Worker) run(out http.ResponseWriter, r *http.Request, id string, fault Fault, size int) {
+// serveRequest runs a request.
+func (w *Worker) serveRequest(out http.ResponseWriter, r *http.Request, id string, fault Fault, bodyBytes int) {
 	w.mu.Lock()
 	w.runs[id]++
 	w.running++
-	load := fmt.Sprintf("%d,0,%d", w.running, w.c.Slots)
+	serverLoad := fmt.Sprintf("%d,0,%d", w.running, w.config.Slots)
 	w.mu.Unlock()
 	defer func() {
 		w.mu.Lock()
 		w.running--
 		w.mu.Unlock()
 	}()
-	out.Header().Set("Server-Stamp", w.c.ID+"."+id)
-	out.Header().Set("Server-Load", load)
+	out.Header().Set("Server-Stamp", w.config.ID+"."+id)
+	out.Header().Set("Server-Load", serverLoad)
 	switch fault {
 	case FaultLost:
 		panic(http.ErrAbortHandler)
@@ -55,31 +55,31 @@
 		out.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if w.c.Stage != "" {
-		w.stream(out, r, id, fault)
+	if w.config.Stage != "" {
+		w.streamEvents(out, r, id, fault)
 		return
 	}
-	w.plain(out, r, id, fault, size)
+	w.writeBody(out, r, id, fault, bodyBytes)
 }
 
-// stream sends events behind the last one that the client has.
-func (w *Worker) stream(out http.ResponseWriter, r *http.Request, id string, fault Fault) {
+// streamEvents sends events behind the last one that the client has.
+func (w *Worker) streamEvents(out http.ResponseWriter, r *http.Request, id string, fault Fault) {
 	out.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(out)
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	end := make(chan struct{})
 	w.mu.Lock()
-	w.streams[id] = end
+	w.streamEnds[id] = end
 	w.mu.Unlock()
 	defer func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.streams[id] == end {
-			delete(w.streams, id)
+		if w.streamEnds[id] == end {
+			delete(w.streamEnds, id)
 		}
 	}()
-	for n := last + 1; n <= w.c.Events; n++ {
-		if !pause(r, w.c.Pause) {
+	for n := last + 1; n <= w.config.Events; n++ {
+		if !wait(r, w.config.Pause) {
 			return
 		}
 		select {
@@ -102,12 +102,12 @@
 // Body returns the answer of a plain worker to a request.
 func Body(id string) string { return strings.Repeat("answer to "+id+"\n", 40) }
 
-// plain sends a whole answer.
-func (w *Worker) plain(out http.ResponseWriter, r *http.Request, id string, fault Fault, size int) {
-	if !pause(r, w.c.Pause) {
+// writeBody sends a whole answer.
+func (w *Worker) writeBody(out http.ResponseWriter, r *http.Request, id string, fault Fault, bodyBytes int) {
+	if !wait(r, w.config.Pause) {
 		return
 	}
-	out.Header().Set("Request-Size", strconv.Itoa(size))
+	out.Header().Set("Request-Size", strconv.Itoa(bodyBytes))
 	text := Body(id)
 	out.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	if fault == FaultCut {
@@ -116,26 +116,26 @@
 	}
 	_, _ = io.WriteString(out, text)
 	if fault == FaultExtra {
-		second(out, id)
+		writeSecondResponse(out, id)
 	}
 }
 
-// second sends the answer once more on the same connection.
-func second(out http.ResponseWriter, id string) {
+// writeSecondResponse sends the answer once more on the same connection.
+func writeSecondResponse(out http.ResponseWriter, id string) {
 	text := Body(id)
 	flush := http.NewResponseController(out)
 	_ = flush.Flush()
-	raw, _, err := flush.Hijack()
+	conn, _, err := flush.Hijack()
 	if err != nil {
 		return
 	}
-	_, _ = fmt.Fprintf(raw, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Stamp: late\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Stamp: late\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
 	// The connection stays open for a while, as a worker's would.
-	time.AfterFunc(2*time.Second, func() { _ = raw.Close() })
+	time.AfterFunc(2*time.Second, func() { _ = conn.Close() })
 }
 
-// pause waits and reports false when the caller left meanwhile.
-func pause(r *http.Request, d time.Duration) bool {
+// wait waits and reports false when the caller left meanwhile.
+func wait(r *http.Request, d time.Duration) bool {
 	select {
 	case <-r.Context().Done():
 		return false
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -54,26 +54,26 @@
 
 // Worker is one worker. Serve it as an http.Handler.
 type Worker struct {
-	mu       sync.Mutex
-	c        Config
-	fault    Fault
-	orders   int64
-	busy     bool
-	handles  map[string]string
-	runs     map[string]int
-	refused  map[string]int
-	prompts  int
-	given    []string
-	received []http.Header
-	running  int
-	born     int64
-	// streams are closed when a running stream is moved, by request.
-	streams map[string]chan struct{}
-	moved   int
-	// limit is the rate of requests that it names in its answers, negative for none.
-	limit    float64
-	arrivals []time.Time
-	leaving  bool
+	mu              sync.Mutex
+	config          Config
+	fault           Fault
+	orderCount      int64
+	busy            bool
+	handles         map[string]string
+	runs            map[string]int
+	rejected        map[string]int
+	prefills        int
+	acceptedOrders  []string
+	receivedHeaders []http.Header
+	running         int
+	startedMillis   int64
+	// streamEnds are closed when a running stream is moved, by request.
+	streamEnds   map[string]chan struct{}
+	movedStreams int
+	// rateLimit is the rate of requests that it names in its answers, negative for none.
+	rateLimit    float64
+	arrivals     []time.Time
+	shuttingDown bool
 }
 
 // New returns a worker.
@@ -82,9 +82,9 @@
 		c.Slots = 8
 	}
 	return &Worker{
-		c: c, handles: map[string]string{}, runs: map[string]int{}, refused: map[string]int{},
-		streams: map[string]chan struct{}{}, limit: -1,
-		born: time.Now().UnixMilli(),
+		config: c, handles: map[string]string{}, runs: map[string]int{}, rejected: map[string]int{},
+		streamEnds: map[string]chan struct{}{}, rateLimit: -1,
+		startedMillis: time.Now().UnixMilli(),
 	}
 }
 
@@ -100,30 +100,30 @@
 func (w *Worker) SetLimit(perSecond float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.limit = perSecond
+	w.rateLimit = perSecond
 }
 
 // Leave has all answers say that the worker leaves. It goes on serving.
 func (w *Worker) Leave() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leaving = true
+	w.shuttingDown = true
 }
 
 // Most returns the most requests that arrived in a span that began at from or later.
 func (w *Worker) Most(from time.Time, span time.Duration) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	most, first := 0, 0
+	highest, first := 0, 0
 	for last, at := range w.arrivals {
 		for w.arrivals[first].Before(from) && first < last || at.Sub(w.arrivals[first]) >= span {
 			first++
 		}
 		if !at.Before(from) {
-			most = max(most, last-first+1)
+			highest = max(highest, last-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
 // Runs returns how often each request ran, by its id.
@@ -141,28 +141,28 @@
 func (w *Worker) Prompts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.prompts
+	return w.prefills
 }
 
 // Orders returns the orders that were taken, as "stage by holder/fence".
 func (w *Worker) Orders() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.given...)
+	return append([]string(nil), w.acceptedOrders...)
 }
 
 // Received returns the headers of all requests that arrived.
 func (w *Worker) Received() []http.Header {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]http.Header(nil), w.received...)
+	return append([]http.Header(nil), w.receivedHeaders...)
 }
 
 // Stage returns what an engine does now.
 func (w *Worker) Stage() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.c.Stage
+	return w.config.Stage
 }
 
 // Row returns what the worker writes in the store.
@@ -170,11 +170,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	row := map[string]any{
-		"service": w.c.Service, "address": w.c.Address, "zone": w.c.Zone, "version": "v1", "slots": w.c.Slots,
-		"state": state, "cold_remaining_ms": 0, "sequence": 1, "born": w.born,
+		"service": w.config.Service, "address": w.config.Address, "zone": w.config.Zone, "version": "v1", "slots": w.config.Slots,
+		"state": state, "cold_remaining_ms": 0, "sequence": 1, "born": w.startedMillis,
 	}
-	if w.c.Stage != "" {
-		row["stage"] = w.c.Stage
+	if w.config.Stage != "" {
+		row["stage"] = w.config.Stage
 	}
 	// Text and numbers always encode.
 	text, _ := json.Marshal(row)
@@ -183,30 +183,30 @@
 
 // ServeHTTP answers a request or a control call.
 func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
-	if expected := r.Header.Get("Expected-Instance"); expected != "" && expected != w.c.ID {
-		out.Header().Set("Instance-Id", w.c.ID)
+	if expected := r.Header.Get("Expected-Instance"); expected != "" && expected != w.config.ID {
+		out.Header().Set("Instance-Id", w.config.ID)
 		out.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	switch {
 	case r.URL.Path == "/v1/report":
-		w.report(out)
+		w.handleReport(out)
 	case r.URL.Path == "/v1/order":
-		w.order(out, r)
+		w.handleOrder(out, r)
 	case strings.HasPrefix(r.URL.Path, "/v1/kv-handle/"):
 		w.mu.Lock()
 		delete(w.handles, strings.TrimPrefix(r.URL.Path, "/v1/kv-handle/"))
 		w.mu.Unlock()
 	case r.URL.Path == "/v1/kv-move":
-		w.move(out, r)
+		w.handleMove(out, r)
 	default:
-		w.request(out, r)
+		w.handleRequest(out, r)
 	}
 }
 
-// move ends a running stream and keeps its memory for another engine, which this
+// handleMove ends a running stream and keeps its memory for another engine, which this
 // stand-in does not copy: a handle is good at every engine.
-func (w *Worker) move(out http.ResponseWriter, r *http.Request) {
+func (w *Worker) handleMove(out http.ResponseWriter, r *http.Request) {
 	var m struct {
 		InstanceID string `json:"instance_id"`
 		To         string `json:"to"`
@@ -218,14 +218,14 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	end, running := w.streams[m.InstanceID]
-	if !running {
+	end, found := w.streamEnds[m.InstanceID]
+	if !found {
 		out.WriteHeader(http.StatusNotFound)
 		return
 	}
-	delete(w.streams, m.InstanceID)
+	delete(w.streamEnds, m.InstanceID)
 	close(end)
-	w.moved++
+	w.movedStreams++
 	// A caller that is gone does not read its answer.
 	_ = json.NewEncoder(out).Encode(map[string]any{"kv_handle": "h-" + m.InstanceID + "-moved", "created": 1})
 }
@@ -234,20 +234,20 @@
 func (w *Worker) Moved() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.moved
+	return w.movedStreams
 }
 
-func (w *Worker) report(out http.ResponseWriter) {
+func (w *Worker) handleReport(out http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	// A caller that is gone does not read its answer.
 	_ = json.NewEncoder(out).Encode(map[string]any{
-		"stage": w.c.Stage, "busy": w.busy, "sequence": w.orders, "queued": 0, "running": w.running,
+		"stage": w.config.Stage, "busy": w.busy, "sequence": w.orderCount, "queued": 0, "running": w.running,
 	})
 }
 
-// order changes the stage at once, unless the order presumes another count.
-func (w *Worker) order(out http.ResponseWriter, r *http.Request) {
+// handleOrder changes the stage at once, unless the order presumes another count.
+func (w *Worker) handleOrder(out http.ResponseWriter, r *http.Request) {
 	var o struct {
 		Op           string `json:"op"`
 		Stage        string `json:"stage"`
@@ -262,49 +262,49 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case o.Precondition != nil && *o.Precondition != w.orders:
+	case o.Precondition != nil && *o.Precondition != w.orderCount:
 		out.WriteHeader(http.StatusConflict)
-	case o.Stage == w.c.Stage:
+	case o.Stage == w.config.Stage:
 		out.WriteHeader(http.StatusOK)
 	default:
-		w.orders++
-		w.c.Stage = o.Stage
-		w.given = append(w.given, fmt.Sprintf("%s by %s/%d", o.Stage, o.Holder, o.Fence))
+		w.orderCount++
+		w.config.Stage = o.Stage
+		w.acceptedOrders = append(w.acceptedOrders, fmt.Sprintf("%s by %s/%d", o.Stage, o.Holder, o.Fence))
 		out.WriteHeader(http.StatusAccepted)
 	}
 }
 
-// request runs a request of a client, or reads its prompt.
-func (w *Worker) request(out http.ResponseWriter, r *http.Request) {
+// handleRequest runs a request of a client, or reads its prompt.
+func (w *Worker) handleRequest(out http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Attempt-Id")
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	w.mu.Lock()
-	w.received = append(w.received, r.Header.Clone())
+	w.receivedHeaders = append(w.receivedHeaders, r.Header.Clone())
 	w.arrivals = append(w.arrivals, time.Now())
-	if w.leaving {
+	if w.shuttingDown {
 		out.Header().Set("Server-Leaving", "1")
 	}
-	if w.limit >= 0 {
-		out.Header().Set("Server-Limit", strconv.FormatFloat(w.limit, 'f', -1, 64))
+	if w.rateLimit >= 0 {
+		out.Header().Set("Server-Limit", strconv.FormatFloat(w.rateLimit, 'f', -1, 64))
 	}
-	fault, stage := w.fault, w.c.Stage
-	if fault == FaultShed || w.running >= 4*w.c.Slots {
-		w.refused[id]++
+	fault, stage := w.fault, w.config.Stage
+	if fault == FaultShed || w.running >= 4*w.config.Slots {
+		w.rejected[id]++
 		w.mu.Unlock()
-		w.refuse(out, id)
+		w.reject(out, id)
 		return
 	}
 	w.mu.Unlock()
 	out.Header().Set("Attempt-Id", id)
 	if r.Header.Get("Serving-Stage") == "prefill" {
-		w.prefill(out, id, stage, fault, r)
+		w.servePrefill(out, id, stage, fault, r)
 		return
 	}
-	if cache := r.Header.Get("Kv-Source"); cache != "" && !strings.Contains(cache, "/h-"+id) {
-		w.refuse(out, id)
+	if source := r.Header.Get("Kv-Source"); source != "" && !strings.Contains(source, "/h-"+id) {
+		w.reject(out, id)
 		return
 	}
 	if stage == "prefill" {
@@ -312,10 +312,10 @@
 		out.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.run(out, r, id, fault, len(body))
+	w.serveRequest(out, r, id, fault, len(body))
 }
 
-func (w *Worker) refuse(out http.ResponseWriter, id string) {
+func (w *Worker) reject(out http.ResponseWriter, id string) {
 	out.Header().Set("Attempt-Id", id)
 	out.Header().Set("Not-Executed", "1")
 	out.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/load/compare.go
+++ b/internal/standin/load/compare.go
@@ -24,14 +24,14 @@
 	if rounds < 1 || rounds > maxRounds {
 		return nil, errors.Newf("a comparison has 1 to %d rounds", maxRounds)
 	}
-	x := &Comparison{direct: newReport(), through: newReport()}
-	straight := c
-	straight.URL, straight.Keys = engineURL, nil
+	comparison := &Comparison{direct: newReport(), through: newReport()}
+	direct := c
+	direct.URL, direct.Keys = engineURL, nil
 	for i := range rounds {
 		runs := []struct {
 			config Config
 			report *Report
-		}{{straight, x.direct}, {c, x.through}}
+		}{{direct, comparison.direct}, {c, comparison.through}}
 		if i%2 == 1 {
 			runs[0], runs[1] = runs[1], runs[0]
 		}
@@ -45,7 +45,7 @@
 			r.report.merge(g.Run(ctx))
 		}
 	}
-	return x, ctx.Err()
+	return comparison, ctx.Err()
 }
 
 // Direct returns what came straight from the engine.
@@ -63,8 +63,8 @@
 	return c.through.Goodput() / c.direct.Goodput()
 }
 
-// added returns what the way through the system adds to each quantile.
-func added(through, direct *hdrhistogram.Histogram) quantiles {
+// difference returns what the way through the system adds to each quantile.
+func difference(through, direct *hdrhistogram.Histogram) quantiles {
 	t, d := quantilesOf(through), quantilesOf(direct)
 	return quantiles{P50: t.P50 - d.P50, P95: t.P95 - d.P95, P99: t.P99 - d.P99, Max: t.Max - d.Max}
 }
@@ -77,5 +77,5 @@
 		Ratio   float64   `json:"throughput_ratio"`
 		First   quantiles `json:"added_first_token"`
 		Total   quantiles `json:"added_total"`
-	}{c.direct, c.through, c.Ratio(), added(c.through.first, c.direct.first), added(c.through.total, c.direct.total)})
+	}{c.direct, c.through, c.Ratio(), difference(c.through.firstToken, c.direct.firstToken), difference(c.through.totalTime, c.direct.totalTime)})
 }
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	// maxCount and maxDuration bound what a run may be asked for.
-	maxCount    = 1_000_000
+	// maxRequests and maxDuration bound what a run may be asked for.
+	maxRequests = 1_000_000
 	maxDuration = 15 * kumquatlug.Minute
-	// maxInHand bounds the requests of an open loop that have no answer yet;
+	// maxInFlight bounds the requests of an open loop that have no answer yet;
 	// the ones beyond are counted as not sent.
-	maxInHand = 8192
+	maxInFlight = 8192
 )
 
 // Form is how answers are asked for.
@@ -98,24 +98,24 @@
 	return c
 }
 
-func (c Config) addresses() []string {
+func (c Config) baseURLs() []string {
 	if len(c.urls) > 0 {
 		return c.urls
 	}
 	return []string{c.URL}
 }
 
-func (c Config) check() error {
-	for _, address := range c.addresses() {
+func (c Config) validate() error {
+	for _, address := range c.baseURLs() {
 		if err := checkLoopback(address); err != nil {
 			return err
 		}
 	}
-	if c.Count < 0 || c.Count > maxCount || c.Duration < 0 || c.Duration > maxDuration {
-		return errors.Newf("a run has at most %d requests and %d ms", maxCount, maxDuration)
+	if c.Count < 0 || c.Count > maxRequests || c.Duration < 0 || c.Duration > maxDuration {
+		return errors.Newf("a run has at most %d requests and %d ms", maxRequests, maxDuration)
 	}
-	if c.Rate < 0 || c.Concurrency < 0 || c.Concurrency > maxInHand {
-		return errors.Newf("the rate is not negative and the concurrency at most %d", maxInHand)
+	if c.Rate < 0 || c.Concurrency < 0 || c.Concurrency > maxInFlight {
+		return errors.Newf("the rate is not negative and the concurrency at most %d", maxInFlight)
 	}
 	if c.Form != FormStreamed && c.Form != FormWhole && c.Form != FormMixed {
 		return errors.Newf("form %q is not streamed, whole or mixed", c.Form)
@@ -146,10 +146,10 @@
 // New returns a generator for c, or says what is wrong with c.
 func New(c Config) (*Generator, error) {
 	c = c.withDefaults()
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: maxInHand, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxInFlight, DisableCompression: true}
 	return &Generator{config: c, client: &http.Client{Transport: transport}}, nil
 }
 
@@ -162,51 +162,51 @@
 	report := newReport()
 	start := time.Now()
 	if g.config.Rate > 0 {
-		g.open(ctx, start, report)
+		g.runOpenLoop(ctx, start, report)
 	} else {
-		g.closed(ctx, start, report)
+		g.runClosedLoop(ctx, start, report)
 	}
 	report.elapsed = time.Since(start)
 	return report
 }
 
-// over reports whether no more requests start.
-func (g *Generator) over(ctx context.Context, start time.Time, index int) bool {
+// done reports whether no more requests start.
+func (g *Generator) done(ctx context.Context, start time.Time, index int) bool {
 	return ctx.Err() != nil || index >= g.config.Count || time.Since(start) >= g.config.Duration.Duration()
 }
 
-// open starts requests when they are due, whatever became of those before.
-func (g *Generator) open(ctx context.Context, start time.Time, report *Report) {
+// runOpenLoop starts requests when they are due, whatever became of those before.
+func (g *Generator) runOpenLoop(ctx context.Context, start time.Time, report *Report) {
 	random := rand.New(rand.NewPCG(g.config.Seed, 1))
-	places := make(chan struct{}, maxInHand)
+	slots := make(chan struct{}, maxInFlight)
 	var all sync.WaitGroup
 	defer all.Wait()
 	due := start
 	for i := 0; ; i++ {
 		due = due.Add(time.Duration(random.ExpFloat64() / g.config.Rate * float64(time.Second)))
-		pause(ctx, time.Until(due))
-		if g.over(ctx, start, i) {
+		sleep(ctx, time.Until(due))
+		if g.done(ctx, start, i) {
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			report.notSent()
+			report.addUnsent()
 			continue
 		}
-		at := due
+		requestDue := due
 		all.Go(func() {
-			g.one(ctx, start, at, i, report)
-			<-places
+			g.sendOne(ctx, start, requestDue, i, report)
+			<-slots
 		})
 	}
 }
 
-// closed keeps a fixed number of requests in hand.
-func (g *Generator) closed(ctx context.Context, start time.Time, report *Report) {
+// runClosedLoop keeps a fixed number of requests in hand.
+func (g *Generator) runClosedLoop(ctx context.Context, start time.Time, report *Report) {
 	var mu sync.Mutex
 	next := 0
-	take := func() int {
+	nextIndex := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		next++
@@ -215,15 +215,15 @@
 	var all sync.WaitGroup
 	for range g.config.Concurrency {
 		all.Go(func() {
-			for i := take(); !g.over(ctx, start, i); i = take() {
-				g.one(ctx, start, time.Now(), i, report)
+			for i := nextIndex(); !g.done(ctx, start, i); i = nextIndex() {
+				g.sendOne(ctx, start, time.Now(), i, report)
 			}
 		})
 	}
 	all.Wait()
 }
 
-func (g *Generator) one(ctx context.Context, start, due time.Time, index int, report *Report) {
+func (g *Generator) sendOne(ctx context.Context, start, due time.Time, index int, report *Report) {
 	ctx, cancel := context.WithTimeout(ctx, g.config.Timeout.Duration())
 	defer cancel()
 	r := g.config.Mix.request(g.config.Seed, g.config.salt, index, kumquatlug.MillisOf(due.Sub(start)))
@@ -233,14 +233,14 @@
 		r.key = g.config.Keys[index%n]
 	}
 	r.stamped = g.config.stamped
-	addresses := g.config.addresses()
-	report.add(send(ctx, g.client, addresses[index%len(addresses)], r, due))
+	urls := g.config.baseURLs()
+	report.add(send(ctx, g.client, urls[index%len(urls)], r, due))
 }
 
-// pause takes a finer span than milliseconds: rounded, it would add to or take
+// sleep takes a finer span than milliseconds: rounded, it would add to or take
 // from every time measured.
-func pause(ctx context.Context, span time.Duration) {
-	t := time.NewTimer(span)
+func sleep(ctx context.Context, duration time.Duration) {
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -19,7 +19,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func serve(t *testing.T, h http.Handler) string {
+func startServer(t *testing.T, h http.Handler) string {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -30,7 +30,7 @@
 	return engine.New(engine.Config{TimeScale: 0.0001}).Handler()
 }
 
-func run(t *testing.T, c Config) *Report {
+func runLoad(t *testing.T, c Config) *Report {
 	t.Helper()
 	g, err := New(c)
 	if err != nil {
@@ -39,25 +39,25 @@
 	return g.Run(context.Background())
 }
 
-func TestWholeAnswersCountInEveryForm(t *testing.T) {
-	url := serve(t, newEngine())
+func TestCompleteResponsesAreCountedInEveryForm(t *testing.T) {
+	url := startServer(t, newEngine())
 	for _, form := range []Form{FormStreamed, FormWhole, FormMixed} {
 		for _, rate := range []float64{0, 5000} {
-			r := run(t, Config{URL: url, Count: 60, Rate: rate, Form: form, Mix: Mix{LongShare: 0.5, Documents: 3}})
-			if r.Whole() != 60 || r.usageWrong != 0 || r.first.TotalCount() != 60 || r.ran[silent] != 60 {
+			r := runLoad(t, Config{URL: url, Count: 60, Rate: rate, Form: form, Mix: Mix{LongShare: 0.5, Documents: 3}})
+			if r.Whole() != 60 || r.usageWrong != 0 || r.firstToken.TotalCount() != 60 || r.ran[noRanHeader] != 60 {
 				t.Fatalf("form %s, rate %v: %+v", form, rate, r)
 			}
 		}
 	}
 }
 
-// rewrite changes what a handler answers.
-func rewrite(h http.Handler, change func(index int64, answer *httptest.ResponseRecorder)) http.Handler {
+// modifyResponses changes what a handler answers.
+func modifyResponses(h http.Handler, modify func(index int64, response *httptest.ResponseRecorder)) http.Handler {
 	var index atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorded := httptest.NewRecorder()
 		h.ServeHTTP(recorded, r)
-		change(index.Add(1)-1, recorded)
+		modify(index.Add(1)-1, recorded)
 		for name, values := range recorded.Header() {
 			w.Header()[name] = values
 		}
@@ -68,60 +68,60 @@
 
 // A system that loses, doubles or swaps a token, or stops before the end, must
 // not pass for one that works: a reader of the figures would never know.
-func TestDamagedAnswersAreNotCountedAsWhole(t *testing.T) {
-	replaceBody := func(a *httptest.ResponseRecorder, from, to string) {
-		text := strings.Replace(a.Body.String(), from, to, 1)
-		a.Body.Reset()
-		a.Body.WriteString(text)
+func TestDamagedResponsesAreNotCountedAsComplete(t *testing.T) {
+	replaceBody := func(response *httptest.ResponseRecorder, from, to string) {
+		text := strings.Replace(response.Body.String(), from, to, 1)
+		response.Body.Reset()
+		response.Body.WriteString(text)
 	}
-	url := serve(t, rewrite(newEngine(), func(index int64, a *httptest.ResponseRecorder) {
+	url := startServer(t, modifyResponses(newEngine(), func(index int64, response *httptest.ResponseRecorder) {
 		switch index % 5 {
 		case 0:
-			replaceBody(a, `"text":" w`, `"text":" v`)
+			replaceBody(response, `"text":" w`, `"text":" v`)
 		case 1:
-			first, rest, _ := strings.Cut(a.Body.String(), "\n\n")
-			replaceBody(a, first+"\n\n"+rest, first+"\n\n"+first+"\n\n"+rest)
+			first, rest, _ := strings.Cut(response.Body.String(), "\n\n")
+			replaceBody(response, first+"\n\n"+rest, first+"\n\n"+first+"\n\n"+rest)
 		case 2:
-			replaceBody(a, "data: [DONE]", "")
+			replaceBody(response, "data: [DONE]", "")
 		case 3:
-			a.Code = http.StatusTooManyRequests
-			a.Header().Set("Kumquatlug-Ran", "not-run")
+			response.Code = http.StatusTooManyRequests
+			response.Header().Set("Kumquatlug-Ran", "not-run")
 		case 4:
-			replaceBody(a, `"completion_tokens":`, `"completion_tokens":1`)
+			replaceBody(response, `"completion_tokens":`, `"completion_tokens":1`)
 		}
 	}))
-	r := run(t, Config{URL: url, Count: 50, Mix: Mix{LongAnswer: 5}})
+	r := runLoad(t, Config{URL: url, Count: 50, Mix: Mix{LongAnswer: 5}})
 	if r.outcomes["wrong"] != 20 || r.outcomes["cut"] != 10 || r.Broken() != 30 {
 		t.Fatalf("%v", r.outcomes)
 	}
-	if r.Refused() != 10 || r.noRetry != 10 || r.ran["not-run"] != 10 || r.statuses["429"] != 10 {
-		t.Fatalf("%v, %d without Retry-After, %v %v", r.outcomes, r.noRetry, r.ran, r.statuses)
+	if r.Refused() != 10 || r.withoutRetryAfter != 10 || r.ran["not-run"] != 10 || r.statuses["429"] != 10 {
+		t.Fatalf("%v, %d without Retry-After, %v %v", r.outcomes, r.withoutRetryAfter, r.ran, r.statuses)
 	}
-	if r.Whole() != 10 || r.usageWrong != 10 || r.total.TotalCount() != 10 {
+	if r.Whole() != 10 || r.usageWrong != 10 || r.totalTime.TotalCount() != 10 {
 		t.Fatalf("%v, usage wrong %d", r.outcomes, r.usageWrong)
 	}
 }
 
 // A generator that waits for answers before it sends more goes easy on a slow
 // system, and its figures hide the queue.
-func TestOpenLoopDoesNotWaitForAnswers(t *testing.T) {
+func TestOpenLoopDoesNotWaitForResponses(t *testing.T) {
 	const count = 40
 	var arrived atomic.Int64
 	all := make(chan struct{})
 	h := newEngine()
-	url := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	url := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if arrived.Add(1) == count {
 			close(all)
 		}
 		<-all
 		h.ServeHTTP(w, r)
 	}))
-	if r := run(t, Config{URL: url, Count: count, Rate: 2000}); r.Whole() != count {
+	if r := runLoad(t, Config{URL: url, Count: count, Rate: 2000}); r.Whole() != count {
 		t.Fatalf("%v", r.outcomes)
 	}
 }
 
-func TestMixShiftsAndRepeats(t *testing.T) {
+func TestMixShiftsAndIsDeterministic(t *testing.T) {
 	m := Mix{LongShare: 0.9, ShiftAt: 100, ShiftedShare: 0.1, Documents: 4}.withDefaults()
 	const count = 1000
 	long := func(at kumquatlug.Millis) (n int) {
@@ -142,36 +142,36 @@
 	}
 }
 
-func TestCompareGivesBothSidesTheSameLoad(t *testing.T) {
+func TestCompareSendsTheSameLoadToBoth(t *testing.T) {
 	h := newEngine()
-	direct, through := serve(t, h), serve(t, h)
-	x, err := Compare(context.Background(), Config{URL: through, Keys: []string{"k"}, Count: 20}, direct, 3)
-	if err != nil || x.Direct().Whole() != 60 || x.Through().Whole() != 60 || x.direct.tokens != x.through.tokens {
-		t.Fatalf("%+v %v", x, err)
+	direct, through := startServer(t, h), startServer(t, h)
+	comparison, err := Compare(context.Background(), Config{URL: through, Keys: []string{"k"}, Count: 20}, direct, 3)
+	if err != nil || comparison.Direct().Whole() != 60 || comparison.Through().Whole() != 60 || comparison.direct.tokens != comparison.through.tokens {
+		t.Fatalf("%+v %v", comparison, err)
 	}
-	if _, err := json.Marshal(x); err != nil || x.Ratio() <= 0 {
-		t.Fatalf("%v, ratio %v", err, x.Ratio())
+	if _, err := json.Marshal(comparison); err != nil || comparison.Ratio() <= 0 {
+		t.Fatalf("%v, ratio %v", err, comparison.Ratio())
 	}
 }
 
-func TestOnlyLoopbackAndBoundedRuns(t *testing.T) {
-	const fine = "http://127.0.0.1:1"
+func TestNewRejectsInvalidConfigs(t *testing.T) {
+	const loopbackURL = "http://127.0.0.1:1"
 	for _, c := range []Config{
 		{URL: "http://10.0.0.1:80"},
 		{URL: "http://example.com"},
 		{URL: "https://127.0.0.1"},
 		{URL: "127.0.0.1:80"},
-		{URL: fine, Count: maxCount + 1},
-		{URL: fine, Duration: maxDuration + 1},
-		{URL: fine, Form: "half"},
-		{URL: fine, Mix: Mix{LongShare: 2}},
-		{URL: fine, Rate: -1},
+		{URL: loopbackURL, Count: maxRequests + 1},
+		{URL: loopbackURL, Duration: maxDuration + 1},
+		{URL: loopbackURL, Form: "half"},
+		{URL: loopbackURL, Mix: Mix{LongShare: 2}},
+		{URL: loopbackURL, Rate: -1},
 	} {
 		if _, err := New(c); err == nil {
 			t.Errorf("%+v was taken", c)
 		}
 	}
-	if _, err := New(Config{URL: fine}); err != nil {
+	if _, err := New(Config{URL: loopbackURL}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/standin/load/mix.go
+++ b/internal/standin/load/mix.go
@@ -32,15 +32,15 @@
 }
 
 func (m Mix) withDefaults() Mix {
-	standard := func(field *int, value int) {
+	setDefault := func(field *int, value int) {
 		if *field == 0 {
 			*field = value
 		}
 	}
-	standard(&m.LongPrompt, 2000)
-	standard(&m.ShortPrompt, 50)
-	standard(&m.LongAnswer, 200)
-	standard(&m.ShortAnswer, 10)
+	setDefault(&m.LongPrompt, 2000)
+	setDefault(&m.ShortPrompt, 50)
+	setDefault(&m.LongAnswer, 200)
+	setDefault(&m.ShortAnswer, 10)
 	return m
 }
 
@@ -67,27 +67,27 @@
 // request returns the request at index, which depends on the seed and on
 // whether the mix has shifted by its time, and on nothing else. The salt
 // changes the words of the prompts but not their lengths.
-func (m Mix) request(seed, salt uint64, index int, at kumquatlug.Millis) request {
+func (m Mix) request(seed, salt uint64, index int, elapsed kumquatlug.Millis) request {
 	random := rand.New(rand.NewPCG(seed, uint64(index)+2))
 	share := m.LongShare
-	if m.ShiftAt > 0 && at >= m.ShiftAt {
+	if m.ShiftAt > 0 && elapsed >= m.ShiftAt {
 		share = m.ShiftedShare
 	}
-	tokens, answer := m.ShortPrompt, m.LongAnswer
+	promptTokens, maxTokens := m.ShortPrompt, m.LongAnswer
 	if random.Float64() < share {
-		tokens, answer = m.LongPrompt, m.ShortAnswer
+		promptTokens, maxTokens = m.LongPrompt, m.ShortAnswer
 	}
-	prompt := fill(fmt.Sprintf("request %d of %d.%d ", index, seed, salt), tokens)
+	prompt := padPrompt(fmt.Sprintf("request %d of %d.%d ", index, seed, salt), promptTokens)
 	if m.Documents > 0 {
 		document := fmt.Sprintf("document %d of %d.%d ", random.IntN(m.Documents), seed, salt)
-		prompt = fill(document, tokens/2) + fill(fmt.Sprintf("request %d ", index), tokens-tokens/2)
+		prompt = padPrompt(document, promptTokens/2) + padPrompt(fmt.Sprintf("request %d ", index), promptTokens-promptTokens/2)
 	}
-	return request{prompt: prompt, maxTokens: answer}
+	return request{prompt: prompt, maxTokens: maxTokens}
 }
 
-// fill repeats text up to a number of tokens, but keeps all of it once, so
+// padPrompt repeats text up to a number of tokens, but keeps all of it once, so
 // that two requests are never the same.
-func fill(text string, tokens int) string {
+func padPrompt(text string, tokens int) string {
 	size := max(len(text), tokens*4)
 	return strings.Repeat(text, size/len(text)+1)[:size]
 }
--- a/internal/standin/load/path.go
+++ b/internal/standin/load/path.go
@@ -48,12 +48,12 @@
 // an engine, which is what an unknown engine is given at first.
 const burstClients = 64
 
-// warmShare is how many times the measured arrivals the path is warmed with.
-const warmShare = 1.25
+// warmupFactor is how many times the measured arrivals the path is warmed with.
+const warmupFactor = 1.25
 
-// wayTimeout bounds one request, so that a path that falls behind ends the
+// requestTimeout bounds one request, so that a path that falls behind ends the
 // measurement in time and shows as broken answers.
-const wayTimeout = 10 * kumquatlug.Second
+const requestTimeout = 10 * kumquatlug.Second
 
 // Process is one process that tells its figures.
 type Process struct {
@@ -65,18 +65,18 @@
 
 // Use is what processes used of processor time and memory.
 type Use struct {
-	seconds, objects, bytes float64
-	// waited and waits are the time that requests waited for a place at a
+	cpuSeconds, allocations, allocatedBytes float64
+	// waitSeconds and waits are the time that requests waited for a place at a
 	// target, and how many: an entry's alone.
-	waited, waits float64
+	waitSeconds, waitCount float64
 }
 
-func (u Use) plus(v Use) Use {
-	return Use{u.seconds + v.seconds, u.objects + v.objects, u.bytes + v.bytes, u.waited + v.waited, u.waits + v.waits}
+func (u Use) plus(other Use) Use {
+	return Use{u.cpuSeconds + other.cpuSeconds, u.allocations + other.allocations, u.allocatedBytes + other.allocatedBytes, u.waitSeconds + other.waitSeconds, u.waitCount + other.waitCount}
 }
 
 func (u Use) minus(before Use) Use {
-	return u.plus(Use{-before.seconds, -before.objects, -before.bytes, -before.waited, -before.waits})
+	return u.plus(Use{-before.cpuSeconds, -before.allocations, -before.allocatedBytes, -before.waitSeconds, -before.waitCount})
 }
 
 // PathCost is what was measured of the path.
@@ -89,14 +89,14 @@
 // PathLoad is one load sent three times: straight to the engines, through the
 // path, and straight again, which shows the noise.
 type PathLoad struct {
-	direct  *Report
-	again   *Report
-	through *Report
-	uses    map[string]Use
+	direct       *Report
+	directRepeat *Report
+	through      *Report
+	usage        map[string]Use
 }
 
 func newPathLoad() PathLoad {
-	return PathLoad{direct: newReport(), again: newReport(), through: newReport(), uses: map[string]Use{}}
+	return PathLoad{direct: newReport(), directRepeat: newReport(), through: newReport(), usage: map[string]Use{}}
 }
 
 // MeasurePath measures the cost of the path. Straight and through runs follow
@@ -105,9 +105,9 @@
 	cost := &PathCost{Streams: newPathLoad(), Bursts: newPathLoad()}
 	streams := c.streams()
 	// The entry's limits rise to what the engines can hold, and some more.
-	warm := streams
-	warm.Rate *= warmShare
-	if err := runInto(ctx, warm, newReport()); err != nil {
+	warmup := streams
+	warmup.Rate *= warmupFactor
+	if err := runInto(ctx, warmup, newReport()); err != nil {
 		return nil, err
 	}
 	if err := c.measure(ctx, streams, c.Stamped, 0, cost.Streams); err != nil {
@@ -127,7 +127,7 @@
 	seconds := float64(c.Tokens) * float64(c.TokenTime) / float64(kumquatlug.Second)
 	return Config{
 		URL: c.Entry, Keys: []string{c.Key}, Model: StampedModel, Rate: float64(c.Streams) / seconds,
-		Count: maxCount, Duration: c.Span, Timeout: wayTimeout, Seed: 1,
+		Count: maxRequests, Duration: c.Span, Timeout: requestTimeout, Seed: 1,
 		Mix: Mix{LongAnswer: c.Tokens}, stamped: true,
 	}
 }
@@ -135,35 +135,35 @@
 func (c PathConfig) bursts() Config {
 	return Config{
 		URL: c.Entry, Keys: []string{c.Key}, Model: FastModel, Concurrency: burstClients,
-		Count: maxCount, Duration: c.BurstSpan, Timeout: wayTimeout, Seed: 1, Mix: Mix{LongAnswer: c.BurstTokens},
+		Count: maxRequests, Duration: c.BurstSpan, Timeout: requestTimeout, Seed: 1, Mix: Mix{LongAnswer: c.BurstTokens},
 	}
 }
 
 // measure sends one load the three ways, in another order each round.
 func (c PathConfig) measure(ctx context.Context, load Config, engines []string, round int, into PathLoad) error {
-	straight := load
-	straight.urls, straight.Keys = engines, nil
-	ways := []struct {
+	direct := load
+	direct.urls, direct.Keys = engines, nil
+	runs := []struct {
 		config  Config
 		report  *Report
 		through bool
-	}{{straight, into.direct, false}, {load, into.through, true}, {straight, into.again, false}}
-	for i := range ways {
-		w := ways[(i+round)%len(ways)]
-		w.config.salt = uint64(round*len(ways) + i + 1)
-		before, err := c.uses(ctx)
+	}{{direct, into.direct, false}, {load, into.through, true}, {direct, into.directRepeat, false}}
+	for i := range runs {
+		run := runs[(i+round)%len(runs)]
+		run.config.salt = uint64(round*len(runs) + i + 1)
+		before, err := c.readUsage(ctx)
 		if err != nil {
 			return err
 		}
-		if err := runInto(ctx, w.config, w.report); err != nil {
+		if err := runInto(ctx, run.config, run.report); err != nil {
 			return err
 		}
-		after, err := c.uses(ctx)
+		after, err := c.readUsage(ctx)
 		if err != nil {
 			return err
 		}
-		if w.through {
-			add(into.uses, before, after)
+		if run.through {
+			addUsage(into.usage, before, after)
 		}
 	}
 	return nil
@@ -178,64 +178,66 @@
 	return nil
 }
 
-func add(into, before, after map[string]Use) {
-	for name, use := range after {
-		into[name] = into[name].plus(use.minus(before[name]))
+func addUsage(into, before, after map[string]Use) {
+	for name, total := range after {
+		into[name] = into[name].plus(total.minus(before[name]))
 	}
 }
 
-// uses reads what the watched processes have used so far, by role.
-func (c PathConfig) uses(ctx context.Context) (map[string]Use, error) {
-	all := map[string]Use{}
+// readUsage reads what the watched processes have used so far, by role.
+func (c PathConfig) readUsage(ctx context.Context) (map[string]Use, error) {
+	usage := map[string]Use{}
 	for _, p := range c.Metrics {
-		use, err := p.use(ctx)
+		processUsage, err := p.readUsage(ctx)
 		if err != nil {
 			return nil, errors.Wrapf(err, "metrics of %s", p.Name)
 		}
-		all[p.Name] = all[p.Name].plus(use)
+		usage[p.Name] = usage[p.Name].plus(processUsage)
 	}
-	return all, nil
+	return usage, nil
 }
 
-func (p Process) use(ctx context.Context) (Use, error) {
+func (p Process) readUsage(ctx context.Context) (Use, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.URL, nil)
 	if err != nil {
 		return Use{}, err
 	}
-	answer, err := p.Client.Do(request)
+	response, err := p.Client.Do(request)
 	if err != nil {
 		return Use{}, err
 	}
-	defer answer.Body.Close()
-	return readUse(answer.Body)
+	defer response.Body.Close()
+	return parseUsage(response.Body)
 }
 
-// readUse adds up the lines of each figure; those of a histogram have labels.
-func readUse(text io.Reader) (Use, error) {
+// parseUsage adds up the lines of each figure; those of a histogram have labels.
+func parseUsage(text io.Reader) (Use, error) {
 	var u Use
 	fields := map[string]*float64{
-		"process_cpu_seconds_total": &u.seconds, "go_memstats_mallocs_total": &u.objects,
-		"go_memstats_alloc_bytes_total":     &u.bytes,
-		"kumquatlug_entry_wait_seconds_sum": &u.waited, "kumquatlug_entry_wait_seconds_count": &u.waits,
+		"process_cpu_seconds_total": &u.cpuSeconds, "go_memstats_mallocs_total": &u.allocations,
+		"go_memstats_alloc_bytes_total":     &u.allocatedBytes,
+		"kumquatlug_entry_wait_seconds_sum": &u.waitSeconds, "kumquatlug_entry_wait_seconds_count": &u.waitCount,
 	}
 	lines := bufio.NewScanner(text)
 	for lines.Scan() {
 		name, value, _ := strings.Cut(lines.Text(), " ")
 		name, _, _ = strings.Cut(name, "{")
-		field, wanted := fields[name]
-		if !wanted {
+		field, known := fields[name]
+		if !known {
 			continue
 		}
-		number, err := strconv.ParseFloat(value, 64)
+		parsed, err := strconv.ParseFloat(value, 64)
 		if err != nil {
 			return u, err
 		}
-		*field += number
+		*field += parsed
 	}
 	return u, lines.Err()
 }
 
 // Broken returns the number of answers that were wrong or cut.
-func (c *PathCost) Broken() int { return c.Streams.broken() + c.Bursts.broken() }
+func (c *PathCost) Broken() int { return c.Streams.invalidResponses() + c.Bursts.invalidResponses() }
 
-func (l PathLoad) broken() int { return l.direct.Broken() + l.again.Broken() + l.through.Broken() }
+func (l PathLoad) invalidResponses() int {
+	return l.direct.Broken() + l.directRepeat.Broken() + l.through.Broken()
+}
--- a/internal/standin/load/path_test.go
+++ b/internal/standin/load/path_test.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/engine"
 )
 
-const someMetrics = `# HELP process_cpu_seconds_total help
+const sampleMetrics = `# HELP process_cpu_seconds_total help
 process_cpu_seconds_total 1.5
 go_memstats_mallocs_total 1e+06
 go_memstats_alloc_bytes_total 2048
@@ -20,9 +20,9 @@
 kumquatlug_entry_wait_seconds_count{kind="a"} 3
 `
 
-func TestReadUseAddsUpKinds(t *testing.T) {
-	got, err := readUse(strings.NewReader(someMetrics))
-	want := Use{seconds: 1.5, objects: 1e6, bytes: 2048, waited: 0.75, waits: 3}
+func TestParseUsageSumsLabeledSeries(t *testing.T) {
+	got, err := parseUsage(strings.NewReader(sampleMetrics))
+	want := Use{cpuSeconds: 1.5, allocations: 1e6, allocatedBytes: 2048, waitSeconds: 0.75, waitCount: 3}
 	if err != nil || got != want {
 		t.Fatalf("read %+v, %v", got, err)
 	}
@@ -34,7 +34,7 @@
 	e := httptest.NewServer(engine.New(engine.Config{Models: []string{StampedModel}, Stamped: true, DecodeTime: 2}).Handler())
 	defer e.Close()
 	metrics := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, someMetrics)
+		_, _ = io.WriteString(w, sampleMetrics)
 	}))
 	defer metrics.Close()
 	const tokens = 5
@@ -48,8 +48,8 @@
 	if cost.Broken() != 0 || cost.Streams.through.Whole() == 0 {
 		t.Fatalf("%d broken, %d whole", cost.Broken(), cost.Streams.through.Whole())
 	}
-	for _, r := range []*Report{cost.Streams.direct, cost.Streams.again, cost.Streams.through} {
-		if got, want := r.ways.token.TotalCount(), int64(r.Whole()*tokens); got != want {
+	for _, r := range []*Report{cost.Streams.direct, cost.Streams.directRepeat, cost.Streams.through} {
+		if got, want := r.transit.perToken.TotalCount(), int64(r.Whole()*tokens); got != want {
 			t.Errorf("%d token times, want %d", got, want)
 		}
 	}
--- a/internal/standin/load/pathtable.go
+++ b/internal/standin/load/pathtable.go
@@ -13,38 +13,38 @@
 func (c *PathCost) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	c.Streams.writeTimes(w)
-	c.Streams.writeUse(w, "streams")
+	c.Streams.writeUsage(w, "streams")
 	if c.Bursts.through.Whole() > 0 {
 		c.Bursts.writeRates(w)
-		c.Bursts.writeUse(w, "bursts")
+		c.Bursts.writeUsage(w, "bursts")
 	}
 	return w.Flush()
 }
 
 // writeTimes writes the times that the way takes, and what the path adds.
 func (l PathLoad) writeTimes(w io.Writer) {
-	open := l.through.ways.total.TotalCount()
-	mean := l.through.total.Mean() * float64(open) / 1e6 / l.through.elapsed.Seconds()
+	streams := l.through.transit.lastToken.TotalCount()
+	meanOpen := l.through.totalTime.Mean() * float64(streams) / 1e6 / l.through.elapsed.Seconds()
 	fmt.Fprintf(w, "streams: %d through, %.0f open at a time on average, whole/refused/broken %d/%d/%d\n",
-		open, mean, l.through.Whole(), l.through.Refused()+l.through.Failed(), l.broken())
+		streams, meanOpen, l.through.Whole(), l.through.Refused()+l.through.Failed(), l.invalidResponses())
 	fmt.Fprintln(w, "time in ms\tdirect p50\tthrough p50\tadded p50\tnoise p50\tdirect p99\tthrough p99\tadded p99\tnoise p99")
 	rows := []struct {
-		name string
-		of   func(r *Report) *hdrhistogram.Histogram
+		name      string
+		histogram func(r *Report) *hdrhistogram.Histogram
 	}{
-		{"up to the engine", func(r *Report) *hdrhistogram.Histogram { return r.ways.up }},
-		{"down, each token", func(r *Report) *hdrhistogram.Histogram { return r.ways.token }},
-		{"first token, less engine", func(r *Report) *hdrhistogram.Histogram { return r.ways.first }},
-		{"total, less engine", func(r *Report) *hdrhistogram.Histogram { return r.ways.total }},
-		{"first token", func(r *Report) *hdrhistogram.Histogram { return r.first }},
-		{"total", func(r *Report) *hdrhistogram.Histogram { return r.total }},
+		{"up to the engine", func(r *Report) *hdrhistogram.Histogram { return r.transit.toEngine }},
+		{"down, each token", func(r *Report) *hdrhistogram.Histogram { return r.transit.perToken }},
+		{"first token, less engine", func(r *Report) *hdrhistogram.Histogram { return r.transit.firstToken }},
+		{"total, less engine", func(r *Report) *hdrhistogram.Histogram { return r.transit.lastToken }},
+		{"first token", func(r *Report) *hdrhistogram.Histogram { return r.firstToken }},
+		{"total", func(r *Report) *hdrhistogram.Histogram { return r.totalTime }},
 	}
 	for _, row := range rows {
 		fmt.Fprint(w, row.name)
 		for _, q := range []float64{50, 99} {
-			ms := func(r *Report) float64 { return float64(row.of(r).ValueAtQuantile(q)) / 1000 }
-			direct, again, through := ms(l.direct), ms(l.again), ms(l.through)
-			fmt.Fprintf(w, "\t%.3f\t%.3f\t%+.3f\t%+.3f", direct, through, through-direct, again-direct)
+			ms := func(r *Report) float64 { return float64(row.histogram(r).ValueAtQuantile(q)) / 1000 }
+			direct, directRepeat, through := ms(l.direct), ms(l.directRepeat), ms(l.through)
+			fmt.Fprintf(w, "\t%.3f\t%.3f\t%+.3f\t%+.3f", direct, through, through-direct, directRepeat-direct)
 		}
 		fmt.Fprintln(w)
 	}
@@ -56,27 +56,27 @@
 	for _, row := range []struct {
 		name string
 		r    *Report
-	}{{"direct", l.direct}, {"direct again", l.again}, {"through", l.through}} {
+	}{{"direct", l.direct}, {"direct again", l.directRepeat}, {"through", l.through}} {
 		rate := row.r.Goodput()
 		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.3f\t%d\t%.2f\t%.2f\n", row.name, rate, float64(row.r.tokens)/row.r.elapsed.Seconds(),
 			rate/l.direct.Goodput(), row.r.Refused()+row.r.Failed(),
-			float64(row.r.total.ValueAtQuantile(50))/1000, float64(row.r.total.ValueAtQuantile(99))/1000)
+			float64(row.r.totalTime.ValueAtQuantile(50))/1000, float64(row.r.totalTime.ValueAtQuantile(99))/1000)
 	}
 }
 
-// writeUse writes what each role of the path used a request and a token.
-func (l PathLoad) writeUse(w io.Writer, load string) {
+// writeUsage writes what each role of the path used a request and a token.
+func (l PathLoad) writeUsage(w io.Writer, load string) {
 	requests, tokens := float64(max(l.through.Whole(), 1)), float64(max(l.through.tokens, 1))
 	fmt.Fprintf(w, "%s, use of\tallocations/request\tKB/request\tallocations/token\tB/token\tprocessor ms/request\tprocessor us/token\twait ms\n", load)
-	names := make([]string, 0, len(l.uses))
-	for name := range l.uses {
+	names := make([]string, 0, len(l.usage))
+	for name := range l.usage {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		u := l.uses[name]
-		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.1f\t%.0f\t%.3f\t%.1f\t%.2f\n", name, u.objects/requests, u.bytes/requests/1024,
-			u.objects/tokens, u.bytes/tokens, u.seconds*1000/requests, u.seconds*1e6/tokens,
-			u.waited*1000/max(u.waits, 1))
+		u := l.usage[name]
+		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.1f\t%.0f\t%.3f\t%.1f\t%.2f\n", name, u.allocations/requests, u.allocatedBytes/requests/1024,
+			u.allocations/tokens, u.allocatedBytes/tokens, u.cpuSeconds*1000/requests, u.cpuSeconds*1e6/tokens,
+			u.waitSeconds*1000/max(u.waitCount, 1))
 	}
 }
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -10,98 +10,98 @@
 )
 
 const (
-	// longest bounds the histograms, in microseconds: twice the longest run.
-	longest = int64(30 * time.Minute / time.Microsecond)
-	// digits is the histograms' precision.
-	digits = 3
-	// silent stands for answers without the header that says whether work ran.
-	silent = "none"
+	// maxLatencyMicros bounds the histograms, in microseconds: twice the longest run.
+	maxLatencyMicros = int64(30 * time.Minute / time.Microsecond)
+	// significantDigits is the histograms' precision.
+	significantDigits = 3
+	// noRanHeader stands for answers without the header that says whether work ran.
+	noRanHeader = "none"
 )
 
 // Report is what came back of a load. The times are those of whole answers.
 type Report struct {
-	mu         sync.Mutex
-	elapsed    time.Duration
-	unsent     int
-	outcomes   map[string]int
-	statuses   map[string]int
-	ran        map[string]int
-	noRetry    int
-	usageWrong int
-	tokens     int
-	first      *hdrhistogram.Histogram
-	total      *hdrhistogram.Histogram
-	ways       wayTimes
+	mu                sync.Mutex
+	elapsed           time.Duration
+	unsent            int
+	outcomes          map[string]int
+	statuses          map[string]int
+	ran               map[string]int
+	withoutRetryAfter int
+	usageWrong        int
+	tokens            int
+	firstToken        *hdrhistogram.Histogram
+	totalTime         *hdrhistogram.Histogram
+	transit           transitHistograms
 }
 
 func newReport() *Report {
 	return &Report{
 		outcomes: map[string]int{}, statuses: map[string]int{}, ran: map[string]int{},
-		first: hdrhistogram.New(1, longest, digits), total: hdrhistogram.New(1, longest, digits), ways: newWayTimes(),
+		firstToken: hdrhistogram.New(1, maxLatencyMicros, significantDigits), totalTime: hdrhistogram.New(1, maxLatencyMicros, significantDigits), transit: newTransitHistograms(),
 	}
 }
 
-func (r *Report) notSent() {
+func (r *Report) addUnsent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unsent++
 }
 
-func (r *Report) add(x result) {
+func (r *Report) add(got result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outcomes[string(x.outcome)]++
-	if x.outcome == outcomeFailed {
+	r.outcomes[string(got.outcome)]++
+	if got.outcome == outcomeFailed {
 		return
 	}
-	r.statuses[strconv.Itoa(x.status)]++
-	if x.ran == "" {
-		x.ran = silent
+	r.statuses[strconv.Itoa(got.status)]++
+	if got.ran == "" {
+		got.ran = noRanHeader
 	}
-	r.ran[x.ran]++
-	if x.outcome == outcomeRefused && !x.retryAfter {
-		r.noRetry++
+	r.ran[got.ran]++
+	if got.outcome == outcomeRefused && !got.retryAfter {
+		r.withoutRetryAfter++
 	}
-	if x.outcome != outcomeWhole {
+	if got.outcome != outcomeComplete {
 		return
 	}
-	if x.usageWrong {
+	if got.usageWrong {
 		r.usageWrong++
 	}
-	r.tokens += x.tokens
+	r.tokens += got.tokens
 	// Times lie within the bounds: a run ends before the longest.
-	_ = r.first.RecordValue(max(1, x.first.Microseconds()))
-	_ = r.total.RecordValue(max(1, x.total.Microseconds()))
-	r.ways.add(x.ways)
+	_ = r.firstToken.RecordValue(max(1, got.firstToken.Microseconds()))
+	_ = r.totalTime.RecordValue(max(1, got.totalTime.Microseconds()))
+	r.transit.add(got.transit)
 }
 
 // merge adds the figures of another run, made after this one.
 func (r *Report) merge(other *Report) {
 	r.elapsed += other.elapsed
 	r.unsent += other.unsent
-	r.noRetry += other.noRetry
+	r.withoutRetryAfter += other.withoutRetryAfter
 	r.usageWrong += other.usageWrong
 	r.tokens += other.tokens
-	addAll(r.outcomes, other.outcomes)
-	addAll(r.statuses, other.statuses)
-	addAll(r.ran, other.ran)
-	r.first.Merge(other.first)
-	r.total.Merge(other.total)
-	r.ways.merge(other.ways)
+	addCounts(r.outcomes, other.outcomes)
+	addCounts(r.statuses, other.statuses)
+	addCounts(r.ran, other.ran)
+	r.firstToken.Merge(other.firstToken)
+	r.totalTime.Merge(other.totalTime)
+	r.transit.merge(other.transit)
 }
 
-func addAll(into, from map[string]int) {
+func addCounts(into, from map[string]int) {
 	for k, n := range from {
 		into[k] += n
 	}
 }
 
 // Whole returns the number of answers that came whole and right.
-func (r *Report) Whole() int { return r.outcomes[string(outcomeWhole)] }
+func (r *Report) Whole() int { return r.outcomes[string(outcomeComplete)] }
 
 // Broken returns the number of answers that were wrong or cut.
 func (r *Report) Broken() int {
-	return r.outcomes[string(outcomeWrong)] + r.outcomes[string(outcomeCut)]
+	return r.outcomes[string(outcomeWrong)] + r.outcomes[string(outcomeTruncated)]
 }
 
 // Refused returns the number of refusals, whatever their status.
@@ -144,7 +144,7 @@
 		First      quantiles      `json:"first_token"`
 		Total      quantiles      `json:"total"`
 	}{
-		r.elapsed.Seconds(), r.outcomes, r.unsent, r.statuses, r.ran, r.noRetry, r.usageWrong,
-		r.Goodput(), float64(r.tokens) / r.elapsed.Seconds(), quantilesOf(r.first), quantilesOf(r.total),
+		r.elapsed.Seconds(), r.outcomes, r.unsent, r.statuses, r.ran, r.withoutRetryAfter, r.usageWrong,
+		r.Goodput(), float64(r.tokens) / r.elapsed.Seconds(), quantilesOf(r.firstToken), quantilesOf(r.totalTime),
 	})
 }
--- a/internal/standin/load/send.go
+++ b/internal/standin/load/send.go
@@ -17,12 +17,12 @@
 type outcome string
 
 const (
-	outcomeWhole outcome = "whole"
+	outcomeComplete outcome = "whole"
 	// outcomeWrong: an answer that looks whole is not the one of the prompt.
 	outcomeWrong outcome = "wrong"
-	// outcomeCut: the answer stopped before its end.
-	outcomeCut     outcome = "cut"
-	outcomeRefused outcome = "refused"
+	// outcomeTruncated: the answer stopped before its end.
+	outcomeTruncated outcome = "cut"
+	outcomeRefused   outcome = "refused"
 	// outcomeFailed: there was no answer at all.
 	outcomeFailed outcome = "failed"
 )
@@ -33,13 +33,13 @@
 	status     int
 	ran        string
 	retryAfter bool
-	first      time.Duration
-	total      time.Duration
+	firstToken time.Duration
+	totalTime  time.Duration
 	tokens     int
 	// usageWrong: the count of tokens is missing or not that of the answer.
 	usageWrong bool
-	// ways are what the path took of the time, when tokens are stamped.
-	ways ways
+	// transit are what the path took of the time, when tokens are stamped.
+	transit transitTimes
 }
 
 // send makes one request and judges the answer. Times count from due.
@@ -52,41 +52,41 @@
 	model, _ := json.Marshal(r.model)
 	tokens, _ := json.Marshal(r.maxTokens)
 	body := `{"model":` + string(model) + `,"max_tokens":` + string(tokens) + options + `,"prompt":` + string(prompt) + `}`
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", strings.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return result{outcome: outcomeFailed}
 	}
-	q.Header.Set("Content-Type", "application/json")
+	httpRequest.Header.Set("Content-Type", "application/json")
 	if r.key != "" {
-		q.Header.Set("Authorization", "Bearer "+r.key)
+		httpRequest.Header.Set("Authorization", "Bearer "+r.key)
 	}
-	answer, err := client.Do(q)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		return result{outcome: outcomeFailed}
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	got := result{
-		status: answer.StatusCode, ran: answer.Header.Get("Kumquatlug-Ran"),
-		retryAfter: answer.Header.Get("Retry-After") != "",
+		status: response.StatusCode, ran: response.Header.Get("Kumquatlug-Ran"),
+		retryAfter: response.Header.Get("Retry-After") != "",
 	}
 	switch {
-	case answer.StatusCode != http.StatusOK:
+	case response.StatusCode != http.StatusOK:
 		got.outcome = outcomeRefused
 		// What is left unread closes the connection; that is all.
-		_, _ = io.Copy(io.Discard, answer.Body)
+		_, _ = io.Copy(io.Discard, response.Body)
 	case r.streamed:
-		got.readStream(answer.Body, r, due)
+		got.readStream(response.Body, r, due)
 	default:
-		got.readWhole(answer.Body, r)
+		got.readBody(response.Body, r)
 	}
-	got.total = time.Since(due)
-	if got.first == 0 {
-		got.first = got.total
+	got.totalTime = time.Since(due)
+	if got.firstToken == 0 {
+		got.firstToken = got.totalTime
 	}
 	return got
 }
 
-type chunk struct {
+type completion struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -96,48 +96,48 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// judge compares what arrived with what the prompt demands.
-func (r *result) judge(q request, text string, completion int) {
-	r.tokens = q.maxTokens
-	r.usageWrong = completion != q.maxTokens
-	r.outcome = outcomeWhole
-	if q.stamped {
-		if len(r.ways.down) != q.maxTokens {
+// verify compares what arrived with what the prompt demands.
+func (r *result) verify(sent request, text string, completionTokens int) {
+	r.tokens = sent.maxTokens
+	r.usageWrong = completionTokens != sent.maxTokens
+	r.outcome = outcomeComplete
+	if sent.stamped {
+		if len(r.transit.fromEngine) != sent.maxTokens {
 			r.outcome = outcomeWrong
 		}
 		return
 	}
-	if text != engine.AnswerText(q.prompt, q.maxTokens) {
+	if text != engine.AnswerText(sent.prompt, sent.maxTokens) {
 		r.outcome = outcomeWrong
 	}
 }
 
-func (r *result) readWhole(body io.Reader, q request) {
-	var c chunk
-	r.outcome = outcomeCut
+func (r *result) readBody(body io.Reader, sent request) {
+	var c completion
+	r.outcome = outcomeTruncated
 	if err := json.NewDecoder(body).Decode(&c); err != nil {
 		return
 	}
-	text, completion := c.content()
-	r.judge(q, text, completion)
+	text, completionTokens := c.textAndCount()
+	r.verify(sent, text, completionTokens)
 }
 
-func (c chunk) content() (text string, completion int) {
-	for _, x := range c.Choices {
-		text += x.Text
+func (c completion) textAndCount() (text string, completionTokens int) {
+	for _, choice := range c.Choices {
+		text += choice.Text
 	}
 	if c.Usage != nil {
-		completion = c.Usage.Completion
+		completionTokens = c.Usage.Completion
 	}
-	return text, completion
+	return text, completionTokens
 }
 
 // readStream reads events up to the end mark. An event that carries an error
 // counts as a cut.
-func (r *result) readStream(body io.Reader, q request, due time.Time) {
-	r.outcome = outcomeCut
+func (r *result) readStream(body io.Reader, sent request, due time.Time) {
+	r.outcome = outcomeTruncated
 	var text strings.Builder
-	completion := 0
+	completionTokens := 0
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := bytes.CutPrefix(lines.Bytes(), []byte("data: "))
@@ -145,23 +145,23 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			r.judge(q, text.String(), completion)
+			r.verify(sent, text.String(), completionTokens)
 			// Read to the end, so that the connection is used again.
 			_, _ = io.Copy(io.Discard, body)
 			return
 		}
-		var c chunk
+		var c completion
 		if err := json.Unmarshal(data, &c); err != nil || c.Error != nil {
 			return
 		}
-		if r.first == 0 {
-			r.first = time.Since(due)
+		if r.firstToken == 0 {
+			r.firstToken = time.Since(due)
 		}
-		more, count := c.content()
-		if q.stamped && more != "" && !r.ways.token(more, due) {
+		delta, count := c.textAndCount()
+		if sent.stamped && delta != "" && !r.transit.addToken(delta, due) {
 			return
 		}
-		text.WriteString(more)
-		completion = max(completion, count)
+		text.WriteString(delta)
+		completionTokens = max(completionTokens, count)
 	}
 }
--- a/internal/standin/load/ways.go
+++ b/internal/standin/load/ways.go
@@ -8,53 +8,53 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/engine"
 )
 
-// ways are the times of one request on the path: up to the engine, and down
+// transitTimes are the times of one request on the path: up to the engine, and down
 // for each token. What the engine itself takes is in neither.
-type ways struct {
-	up   time.Duration
-	down []time.Duration
+type transitTimes struct {
+	toEngine   time.Duration
+	fromEngine []time.Duration
 }
 
-// token takes a stamped token that arrives now; a token without a stamp, or
+// addToken takes a stamped token that arrives now; a token without a stamp, or
 // several tokens in one chunk, are refused.
-func (w *ways) token(text string, due time.Time) bool {
+func (w *transitTimes) addToken(text string, due time.Time) bool {
 	stamp, err := engine.ReadStamp(text)
 	if err != nil {
 		return false
 	}
-	w.up = stamp.Arrived().Sub(due)
-	w.down = append(w.down, time.Since(stamp.Written()))
+	w.toEngine = stamp.Arrived().Sub(due)
+	w.fromEngine = append(w.fromEngine, time.Since(stamp.Written()))
 	return true
 }
 
-// wayTimes gathers the ways of many requests.
-type wayTimes struct {
-	// up is to the engine, token down from it, first up and down for the first
+// transitHistograms gathers the ways of many requests.
+type transitHistograms struct {
+	// toEngine is to the engine, token down from it, first up and down for the first
 	// token, and total up and down for the last.
-	up, token, first, total *hdrhistogram.Histogram
+	toEngine, perToken, firstToken, lastToken *hdrhistogram.Histogram
 }
 
-func newWayTimes() wayTimes {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, digits) }
-	return wayTimes{up: histogram(), token: histogram(), first: histogram(), total: histogram()}
+func newTransitHistograms() transitHistograms {
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, significantDigits) }
+	return transitHistograms{toEngine: histogram(), perToken: histogram(), firstToken: histogram(), lastToken: histogram()}
 }
 
-func (t wayTimes) add(w ways) {
-	if len(w.down) == 0 {
+func (t transitHistograms) add(times transitTimes) {
+	if len(times.fromEngine) == 0 {
 		return
 	}
 	record := func(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(max(1, d.Microseconds())) }
-	record(t.up, w.up)
-	for _, d := range w.down {
-		record(t.token, d)
+	record(t.toEngine, times.toEngine)
+	for _, d := range times.fromEngine {
+		record(t.perToken, d)
 	}
-	record(t.first, w.up+w.down[0])
-	record(t.total, w.up+w.down[len(w.down)-1])
+	record(t.firstToken, times.toEngine+times.fromEngine[0])
+	record(t.lastToken, times.toEngine+times.fromEngine[len(times.fromEngine)-1])
 }
 
-func (t wayTimes) merge(other wayTimes) {
-	t.up.Merge(other.up)
-	t.token.Merge(other.token)
-	t.first.Merge(other.first)
-	t.total.Merge(other.total)
+func (t transitHistograms) merge(other transitHistograms) {
+	t.toEngine.Merge(other.toEngine)
+	t.perToken.Merge(other.perToken)
+	t.firstToken.Merge(other.firstToken)
+	t.lastToken.Merge(other.lastToken)
 }
--- a/internal/standin/platform/memory.go
+++ b/internal/standin/platform/memory.go
@@ -56,10 +56,10 @@
 
 // vmChange is a change of the list of VMs that readers see later.
 type vmChange struct {
-	at      kumquatlug.Millis
-	name    string
-	vm      kumquatlug.VM
-	deleted bool
+	visibleAt kumquatlug.Millis
+	name      string
+	vm        kumquatlug.VM
+	deleted   bool
 }
 
 // Memory is the platform in the memory of one process. It implements
@@ -68,15 +68,15 @@
 type Memory struct {
 	clock kumquatlug.Clock
 
-	mu      sync.Mutex
-	version int64
-	rows    map[string]kumquatlug.Row
-	objects map[string][]byte
-	vms     map[string]kumquatlug.VM
-	pending []vmChange
-	lag     kumquatlug.Millis
-	faults  Faults
-	counts  Counts
+	mu         sync.Mutex
+	version    int64
+	rows       map[string]kumquatlug.Row
+	objects    map[string][]byte
+	vms        map[string]kumquatlug.VM
+	pendingVMs []vmChange
+	vmLag      kumquatlug.Millis
+	faults     Faults
+	counts     Counts
 }
 
 var (
@@ -106,7 +106,7 @@
 func (m *Memory) SetLag(lag kumquatlug.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lag = lag
+	m.vmLag = lag
 }
 
 // Counts returns what was asked so far.
@@ -118,7 +118,7 @@
 
 // Get returns the row at key.
 func (m *Memory) Get(ctx context.Context, key string) (kumquatlug.Row, error) {
-	if err := m.enter(ctx, m.tableDown); err != nil {
+	if err := m.acquire(ctx, m.tableDown); err != nil {
 		return kumquatlug.Row{}, err
 	}
 	defer m.mu.Unlock()
@@ -131,7 +131,7 @@
 
 // Scan returns rows by prefix in key order; a limit of zero or less means all.
 func (m *Memory) Scan(ctx context.Context, prefix, after string, limit int) ([]kumquatlug.Row, error) {
-	if err := m.enter(ctx, m.tableDown); err != nil {
+	if err := m.acquire(ctx, m.tableDown); err != nil {
 		return nil, err
 	}
 	defer m.mu.Unlock()
@@ -155,7 +155,7 @@
 
 // Commit applies tx whole or not at all.
 func (m *Memory) Commit(ctx context.Context, tx kumquatlug.Tx) error {
-	if err := m.enter(ctx, m.tableDown); err != nil {
+	if err := m.acquire(ctx, m.tableDown); err != nil {
 		return err
 	}
 	defer m.mu.Unlock()
@@ -191,7 +191,7 @@
 
 // Put stores an object.
 func (m *Memory) Put(ctx context.Context, name string, body []byte) error {
-	if err := m.enter(ctx, m.objectsDown); err != nil {
+	if err := m.acquire(ctx, m.objectsDown); err != nil {
 		return err
 	}
 	defer m.mu.Unlock()
@@ -202,7 +202,7 @@
 
 // Fetch returns an object.
 func (m *Memory) Fetch(ctx context.Context, name string) ([]byte, error) {
-	if err := m.enter(ctx, m.objectsDown); err != nil {
+	if err := m.acquire(ctx, m.objectsDown); err != nil {
 		return nil, err
 	}
 	defer m.mu.Unlock()
@@ -216,7 +216,7 @@
 
 // List returns the VMs by name, as they were one lag ago.
 func (m *Memory) List(ctx context.Context) ([]kumquatlug.VM, error) {
-	if err := m.enter(ctx, m.vmsDown); err != nil {
+	if err := m.acquire(ctx, m.vmsDown); err != nil {
 		return nil, err
 	}
 	defer m.mu.Unlock()
@@ -232,7 +232,7 @@
 
 // Enter registers a VM or changes it.
 func (m *Memory) Enter(ctx context.Context, v kumquatlug.VM) error {
-	if err := m.enter(ctx, m.vmsDown); err != nil {
+	if err := m.acquire(ctx, m.vmsDown); err != nil {
 		return err
 	}
 	m.counts.writes++
@@ -243,7 +243,7 @@
 
 // Leave takes a VM off the list.
 func (m *Memory) Leave(ctx context.Context, name string) error {
-	if err := m.enter(ctx, m.vmsDown); err != nil {
+	if err := m.acquire(ctx, m.vmsDown); err != nil {
 		return err
 	}
 	m.counts.writes++
@@ -254,27 +254,27 @@
 
 // SetVM registers a VM or changes it; readers see that one lag later.
 func (m *Memory) SetVM(v kumquatlug.VM) {
-	m.change(vmChange{name: v.Name(), vm: v})
+	m.enqueue(vmChange{name: v.Name(), vm: v})
 }
 
 // RemoveVM takes a VM off the list; readers see that one lag later.
 func (m *Memory) RemoveVM(name string) {
-	m.change(vmChange{name: name, deleted: true})
+	m.enqueue(vmChange{name: name, deleted: true})
 }
 
-func (m *Memory) change(c vmChange) {
+func (m *Memory) enqueue(c vmChange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c.at = m.clock.Now() + m.lag
-	m.pending = append(m.pending, c)
+	c.visibleAt = m.clock.Now() + m.vmLag
+	m.pendingVMs = append(m.pendingVMs, c)
 }
 
 // applyPending makes visible the changes that are due, in order.
 func (m *Memory) applyPending() {
 	now := m.clock.Now()
-	for len(m.pending) > 0 && m.pending[0].at <= now {
-		c := m.pending[0]
-		m.pending = m.pending[1:]
+	for len(m.pendingVMs) > 0 && m.pendingVMs[0].visibleAt <= now {
+		c := m.pendingVMs[0]
+		m.pendingVMs = m.pendingVMs[1:]
 		if c.deleted {
 			delete(m.vms, c.name)
 			continue
@@ -287,9 +287,9 @@
 func (m *Memory) objectsDown() bool { return m.faults.Down || m.faults.DownObjects }
 func (m *Memory) vmsDown() bool     { return m.faults.Down || m.faults.DownVMs }
 
-// enter waits as long as the platform is slow and takes the lock, which is
+// acquire waits as long as the platform is slow and takes the lock, which is
 // held when it returns nil.
-func (m *Memory) enter(ctx context.Context, down func() bool) error {
+func (m *Memory) acquire(ctx context.Context, down func() bool) error {
 	m.mu.Lock()
 	slow := m.faults.Slow
 	m.mu.Unlock()
--- a/internal/standin/platform/memory_test.go
+++ b/internal/standin/platform/memory_test.go
@@ -10,7 +10,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func TestOnePartGoesDownAlone(t *testing.T) {
+func TestTableOutageLeavesObjectsAvailable(t *testing.T) {
 	m := platform.NewMemory()
 	ctx := context.Background()
 	m.SetFaults(platform.Faults{DownTable: true})
@@ -25,14 +25,14 @@
 		t.Fatalf("%+v %v", r, err)
 	}
 	m.SetFaults(platform.Faults{Slow: kumquatlug.Hour})
-	late, cancel := context.WithCancel(ctx)
+	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
-	if err := m.Commit(late, kumquatlug.NewTx("2").Put("a", nil)); !errors.Is(err, kumquatlug.ErrUnavailable) {
+	if err := m.Commit(cancelled, kumquatlug.NewTx("2").Put("a", nil)); !errors.Is(err, kumquatlug.ErrUnavailable) {
 		t.Fatalf("%v", err)
 	}
 }
 
-func TestLateListShowsChangesAfterTheLag(t *testing.T) {
+func TestVMListShowsChangesAfterLag(t *testing.T) {
 	m := platform.NewMemory()
 	m.SetLag(1)
 	m.SetVM(kumquatlug.NewVM(kumquatlug.VMConfig{Name: "t1"}))
--- a/internal/standin/rowstore/contract_test.go
+++ b/internal/standin/rowstore/contract_test.go
@@ -25,10 +25,10 @@
 	kumquatlug.Table
 	kumquatlug.Objects
 	kumquatlug.VMs
-	// lose has the answers to so many of the next writes lost, down sets whether
+	// loseResponses has the answers to so many of the next writes lost, down sets whether
 	// calls are refused.
-	lose func(n int)
-	down func(bool)
+	loseResponses func(n int)
+	setDown       func(bool)
 }
 
 // backends are the store over its published protocol, through the client that the
@@ -42,18 +42,18 @@
 		Address: strings.TrimPrefix(server.URL, "http://"),
 		Pool:    exchange.New(exchange.Config{Clock: clock.NewMonotonic(), Kept: 8}),
 	})
-	faults := func(body string) {
-		answer, err := http.Post(server.URL+rowstore.PathFaults, "application/json", strings.NewReader(body))
+	setFaults := func(body string) {
+		response, err := http.Post(server.URL+rowstore.PathFaults, "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 	}
 	m := memory.NewMemory()
 	return map[string]backend{
 		"protocol": {
 			store, store, membership.NewRoster(store),
-			func(n int) { faults(fmt.Sprintf(`{"lose_answers":%d}`, n)) }, func(down bool) { faults(fmt.Sprintf(`{"down":%t}`, down)) },
+			func(n int) { setFaults(fmt.Sprintf(`{"lose_answers":%d}`, n)) }, func(down bool) { setFaults(fmt.Sprintf(`{"down":%t}`, down)) },
 		},
 		"memory": {
 			m, m, m,
@@ -62,8 +62,8 @@
 	}
 }
 
-// each runs a test against both.
-func each(t *testing.T, test func(ctx context.Context, t *testing.T, b backend)) {
+// forEachBackend runs a test against both.
+func forEachBackend(t *testing.T, test func(ctx context.Context, t *testing.T, b backend)) {
 	t.Helper()
 	for name, b := range backends(t) {
 		t.Run(name, func(t *testing.T) { test(t.Context(), t, b) })
@@ -85,8 +85,8 @@
 	return row
 }
 
-func TestCommitTakesEffectWholeOrNotAtAll(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestCommitIsAtomic(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		must(t, b.Commit(ctx, kumquatlug.NewTx("1").If("k/a", 0).Put("k/a", []byte("x")).Put("l/b", []byte("y"))))
 		first := get(ctx, t, b, "l/b")
 		err := b.Commit(ctx, kumquatlug.NewTx("2").If("l/b", first.Version()).If("k/a", first.Version()+7).Put("l/b", []byte("z")).Delete("k/a"))
@@ -100,8 +100,8 @@
 	})
 }
 
-func TestOneOfManyWritersWinsEachVersion(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestOneWriterWinsEachVersion(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		const writers, rounds = 8, 25
 		var wins [writers]int
 		var g sync.WaitGroup
@@ -133,8 +133,8 @@
 	})
 }
 
-func TestVersionNeverComesBackAfterDelete(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestVersionIsNotReusedAfterDelete(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		must(t, b.Commit(ctx, kumquatlug.NewTx("1").Put("k/k", []byte("1"))))
 		before := get(ctx, t, b, "k/k")
 		must(t, b.Commit(ctx, kumquatlug.NewTx("2").Delete("k/k")))
@@ -150,9 +150,9 @@
 // The store commits and its answer is lost on the way. A writer that takes that
 // for a failure writes again, over its own row; the only way to the truth is to
 // read back.
-func TestLostAnswerAfterTheCommitTookEffect(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
-		b.lose(2)
+func TestLostResponseAfterCommit(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
+		b.loseResponses(2)
 		for _, key := range []string{"k/a", "k/b"} {
 			if err := b.Commit(ctx, kumquatlug.NewTx("1").Put(key, []byte("x"))); !errors.Is(err, kumquatlug.ErrLost) {
 				t.Fatalf("%s: %v", key, err)
@@ -165,16 +165,16 @@
 	})
 }
 
-func TestDownFailsBeforeAnyEffect(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
-		b.down(true)
+func TestOutageFailsBeforeAnyEffect(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
+		b.setDown(true)
 		if err := b.Commit(ctx, kumquatlug.NewTx("1").Put("k/a", nil)); !errors.Is(err, kumquatlug.ErrUnavailable) {
 			t.Fatalf("%v", err)
 		}
 		if err := b.Put(ctx, "o", nil); !errors.Is(err, kumquatlug.ErrUnavailable) {
 			t.Fatalf("%v", err)
 		}
-		b.down(false)
+		b.setDown(false)
 		if r := get(ctx, t, b, "k/a"); r.Exists() {
 			t.Fatalf("%+v", r)
 		}
@@ -183,8 +183,8 @@
 
 // A table has more rows than the store returns at once. A reader that takes the
 // first page for all would forget the rest of the config or of the claims.
-func TestScanGivesAllRowsInKeyOrder(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestScanReturnsAllRowsInKeyOrder(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		const rows = 1103
 		for at := 0; at < rows; at += kumquatlug.MaxTxEntries {
 			tx := kumquatlug.NewTx("fill")
@@ -216,8 +216,8 @@
 	})
 }
 
-func TestObjectsAndTheListOfVMs(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestObjectsAndVMList(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		if _, err := b.Fetch(ctx, "a/b"); !errors.Is(err, kumquatlug.ErrNotFound) {
 			t.Fatalf("%v", err)
 		}
@@ -241,7 +241,7 @@
 
 // The platform takes a hundred entries a call. A larger transaction must be
 // refused with a word, not be sent and fail for a reason that nobody sees.
-func TestATransactionThatIsTooLargeIsRefused(t *testing.T) {
+func TestOversizedTransactionIsRejected(t *testing.T) {
 	b := backends(t)["protocol"]
 	tx := kumquatlug.NewTx("large")
 	for i := range kumquatlug.MaxTxEntries + 1 {
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -52,18 +52,18 @@
 	mu      sync.Mutex
 	rows    map[string]row
 	history []row
-	// forgotten is the newest version that is no longer in the history.
-	forgotten int64
-	version   int64
-	changed   chan struct{}
-	fault     Fault
-	calls     map[string]int
-	objects   map[string][]byte
-	// loseNext is how many of the next writes are done and not answered; slow
+	// compacted is the newest version that is no longer in the history.
+	compacted    int64
+	version      int64
+	changeSignal chan struct{}
+	fault        Fault
+	calls        map[string]int
+	objects      map[string][]byte
+	// responsesToLose is how many of the next writes are done and not answered; slow
 	// delays each call.
-	loseNext int
-	slow     time.Duration
-	origin   time.Time
+	responsesToLose int
+	delay           time.Duration
+	started         time.Time
 	// era counts how often the store came back from an older copy.
 	era int64
 }
@@ -71,7 +71,7 @@
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		rows: map[string]row{}, changed: make(chan struct{}), calls: map[string]int{}, objects: map[string][]byte{}, origin: time.Now(),
+		rows: map[string]row{}, changeSignal: make(chan struct{}), calls: map[string]int{}, objects: map[string][]byte{}, started: time.Now(),
 	}
 }
 
@@ -90,16 +90,16 @@
 
 // Restore has the store come back from an older copy of itself. What was written since
 // is gone, and its versions are given out again, some of them at once to rows of others.
-func (s *Store) Restore(c Copy, others int) {
+func (s *Store) Restore(c Copy, otherRows int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows, s.version, s.forgotten, s.history = maps.Clone(c.rows), c.version, c.version, nil
+	s.rows, s.version, s.compacted, s.history = maps.Clone(c.rows), c.version, c.version, nil
 	s.era++
-	for i := range others {
+	for i := range otherRows {
 		s.version++
 		s.write(row{Table: "others", Key: strconv.Itoa(i), Ver: s.version})
 	}
-	s.wake()
+	s.notify()
 }
 
 // SetFault changes how calls are treated from now on.
@@ -113,7 +113,7 @@
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.version
+	s.compacted = s.version
 	s.history = nil
 }
 
@@ -130,7 +130,7 @@
 	defer s.mu.Unlock()
 	s.version++
 	s.write(row{Table: table, Key: key, Value: value, Ver: s.version})
-	s.wake()
+	s.notify()
 }
 
 // Delete removes a row.
@@ -139,7 +139,7 @@
 	defer s.mu.Unlock()
 	s.version++
 	s.write(row{Table: table, Key: key, Ver: s.version, Removed: true})
-	s.wake()
+	s.notify()
 }
 
 // Value returns a row's value, nil when there is none.
@@ -158,9 +158,9 @@
 	s.history = append(s.history, r)
 }
 
-func (s *Store) wake() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+func (s *Store) notify() {
+	close(s.changeSignal)
+	s.changeSignal = make(chan struct{})
 }
 
 // ServeHTTP answers a call.
@@ -171,9 +171,9 @@
 	}
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
-	fault, slow := s.fault, s.slow
+	fault, delay := s.fault, s.delay
 	s.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 	switch fault {
 	case FaultBusy:
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -186,13 +186,13 @@
 	}
 	switch r.URL.Path {
 	case "/v1/rows-tx":
-		s.transact(w, r, fault)
+		s.serveTx(w, r, fault)
 	case "/v1/rows-get":
-		s.read(w, r)
+		s.serveGet(w, r)
 	case "/v1/rows-feed":
-		s.feed(w, r)
+		s.serveFeed(w, r)
 	default:
-		s.object(w, r, fault)
+		s.serveObject(w, r, fault)
 	}
 }
 
@@ -218,44 +218,44 @@
 	if f.Down {
 		s.fault = FaultBusy
 	}
-	s.slow, s.loseNext = time.Duration(f.SlowMS)*time.Millisecond, f.LoseAnswers
+	s.delay, s.responsesToLose = time.Duration(f.SlowMS)*time.Millisecond, f.LoseAnswers
 }
 
-// loses reports that the answer to the write at hand is to be lost; the lock must
+// losesResponse reports that the answer to the write at hand is to be lost; the lock must
 // be held.
-func (s *Store) loses(fault Fault) bool {
-	if s.loseNext > 0 {
-		s.loseNext--
+func (s *Store) losesResponse(fault Fault) bool {
+	if s.responsesToLose > 0 {
+		s.responsesToLose--
 		return true
 	}
 	return fault == FaultLost
 }
 
-// maxObject bounds an object, in bytes.
-const maxObject = 8 << 20
+// maxObjectBytes bounds an object, in bytes.
+const maxObjectBytes = 8 << 20
 
-// object stores or returns an object.
-func (s *Store) object(w http.ResponseWriter, r *http.Request, fault Fault) {
-	put, isPut := strings.CutPrefix(r.URL.Path, "/v1/blob-put/")
-	get, isGet := strings.CutPrefix(r.URL.Path, "/v1/blob-get/")
+// serveObject stores or returns an object.
+func (s *Store) serveObject(w http.ResponseWriter, r *http.Request, fault Fault) {
+	putName, isPut := strings.CutPrefix(r.URL.Path, "/v1/blob-put/")
+	getName, isGet := strings.CutPrefix(r.URL.Path, "/v1/blob-get/")
 	switch {
 	case isPut && r.Method == http.MethodPut:
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObject))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
 		if err != nil {
 			w.WriteHeader(http.StatusRequestEntityTooLarge)
 			return
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.objects[put] = body
-		if s.loses(fault) {
+		s.objects[putName] = body
+		if s.losesResponse(fault) {
 			panic(http.ErrAbortHandler)
 		}
 	case isGet && r.Method == http.MethodGet:
 		s.mu.Lock()
-		body, there := s.objects[get]
+		body, exists := s.objects[getName]
 		s.mu.Unlock()
-		if !there {
+		if !exists {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
@@ -266,8 +266,8 @@
 	}
 }
 
-// transact applies all entries of a transaction or none.
-func (s *Store) transact(w http.ResponseWriter, r *http.Request, fault Fault) {
+// serveTx applies all entries of a transaction or none.
+func (s *Store) serveTx(w http.ResponseWriter, r *http.Request, fault Fault) {
 	var tx struct {
 		Precondition []row `json:"precondition"`
 		Writes       []row `json:"writes"`
@@ -277,7 +277,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if len(tx.Precondition)+len(tx.Writes)+len(tx.Delete) > maxEntries || !onePart(tx.Precondition, tx.Writes, tx.Delete) {
+	if len(tx.Precondition)+len(tx.Writes)+len(tx.Delete) > maxEntries || !validEntries(tx.Precondition, tx.Writes, tx.Delete) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -286,14 +286,14 @@
 	var found []row
 	failed := false
 	for _, c := range tx.Precondition {
-		now, there := s.rows[c.name()]
-		if there {
-			found = append(found, now)
+		current, exists := s.rows[c.name()]
+		if exists {
+			found = append(found, current)
 		}
-		failed = failed || now.Ver != c.Ver
+		failed = failed || current.Ver != c.Ver
 	}
 	if failed {
-		s.answer(w, http.StatusPreconditionFailed, found, false)
+		s.writeRows(w, http.StatusPreconditionFailed, found, false)
 		return
 	}
 	s.version++
@@ -305,30 +305,30 @@
 		entry.Ver = s.version
 		s.write(entry)
 	}
-	s.wake()
-	if s.loses(fault) {
+	s.notify()
+	if s.losesResponse(fault) {
 		panic(http.ErrAbortHandler)
 	}
-	s.answer(w, http.StatusOK, nil, false)
+	s.writeRows(w, http.StatusOK, nil, false)
 }
 
 // Bounds of calls, as the platform states them.
 const (
 	maxEntries  = 100
 	maxRowBytes = 64 << 10
-	maxPage     = 500
-	maxName     = 200
+	maxPageRows = 500
+	maxKeyBytes = 200
 )
 
-// onePart reports that all entries lie in one part and are within their bounds.
-func onePart(lists ...[]row) bool {
+// validEntries reports that all entries lie in one part and are within their bounds.
+func validEntries(lists ...[]row) bool {
 	part, first := "", true
 	for _, list := range lists {
-		for _, one := range list {
+		for _, entry := range list {
 			if first {
-				part, first = one.Part, false
+				part, first = entry.Part, false
 			}
-			if one.Part != part || len(one.Value) > maxRowBytes || len(one.Key) > maxName || one.Table == "" {
+			if entry.Part != part || len(entry.Value) > maxRowBytes || len(entry.Key) > maxKeyBytes || entry.Table == "" {
 				return false
 			}
 		}
@@ -336,8 +336,8 @@
 	return true
 }
 
-// answer writes an answer about rows; the lock must be held.
-func (s *Store) answer(w http.ResponseWriter, status int, rows []row, truncated bool) {
+// writeRows writes an answer about rows; the lock must be held.
+func (s *Store) writeRows(w http.ResponseWriter, status int, rows []row, truncated bool) {
 	if rows == nil {
 		rows = []row{}
 	}
@@ -350,46 +350,46 @@
 		Truncated bool  `json:"truncated"`
 		Ver       int64 `json:"ver"`
 		NowMS     int64 `json:"now_ms"`
-	}{rows, truncated, s.version, time.Since(s.origin).Milliseconds()})
+	}{rows, truncated, s.version, time.Since(s.started).Milliseconds()})
 }
 
-// read returns the rows of a range in key order.
-func (s *Store) read(w http.ResponseWriter, r *http.Request) {
+// serveGet returns the rows of a range in key order.
+func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []row
-	for _, one := range s.rows {
+	for _, stored := range s.rows {
 		to := q.Get("to")
-		if one.Table == q.Get("table") && one.Part == q.Get("part") && one.Key >= q.Get("from") && (to == "" || one.Key < to) {
-			found = append(found, one)
+		if stored.Table == q.Get("table") && stored.Part == q.Get("part") && stored.Key >= q.Get("from") && (to == "" || stored.Key < to) {
+			found = append(found, stored)
 		}
 	}
 	sort.Slice(found, func(i, j int) bool { return found[i].Key < found[j].Key })
-	limit := maxPage
+	limit := maxPageRows
 	if n, err := strconv.Atoi(q.Get("limit")); err == nil && n > 0 {
-		limit = min(n, maxPage)
+		limit = min(n, maxPageRows)
 	}
-	s.answer(w, http.StatusOK, found[:min(len(found), limit)], len(found) > limit)
+	s.writeRows(w, http.StatusOK, found[:min(len(found), limit)], len(found) > limit)
 }
 
-// feed waits for changes of a table.
-func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
+// serveFeed waits for changes of a table.
+func (s *Store) serveFeed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseInt(q.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
-	end := time.After(time.Duration(wait) * time.Millisecond)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		if after < s.forgotten || after > s.version {
-			s.answer(w, http.StatusGone, nil, false)
+		if after < s.compacted || after > s.version {
+			s.writeRows(w, http.StatusGone, nil, false)
 			s.mu.Unlock()
 			return
 		}
-		rows := s.since(q.Get("table"), after)
-		changed := s.changed
+		rows := s.changesSince(q.Get("table"), after)
+		changed := s.changeSignal
 		if len(rows) > 0 {
-			s.answer(w, http.StatusOK, rows, false)
+			s.writeRows(w, http.StatusOK, rows, false)
 			s.mu.Unlock()
 			return
 		}
@@ -398,24 +398,24 @@
 		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-end:
+		case <-timeout:
 			s.mu.Lock()
-			s.answer(w, http.StatusOK, nil, false)
+			s.writeRows(w, http.StatusOK, nil, false)
 			s.mu.Unlock()
 			return
 		}
 	}
 }
 
-// since returns the last change of each row of a table after a version.
-func (s *Store) since(table string, after int64) []row {
+// changesSince returns the last change of each row of a table after a version.
+func (s *Store) changesSince(table string, after int64) []row {
 	var rows []row
-	for _, one := range s.history {
-		if one.Table != table || one.Ver <= after {
+	for _, change := range s.history {
+		if change.Table != table || change.Ver <= after {
 			continue
 		}
-		rows = slices.DeleteFunc(rows, func(before row) bool { return before.name() == one.name() })
-		rows = append(rows, one)
+		rows = slices.DeleteFunc(rows, func(before row) bool { return before.name() == change.name() })
+		rows = append(rows, change)
 	}
 	return rows
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -18,8 +18,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxBody bounds one call.
-const maxBody = 16 << 20
+// maxBodyBytes bounds one call.
+const maxBodyBytes = 16 << 20
 
 // Config is how a [Service] behaves.
 type Config struct {
@@ -110,7 +110,7 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -121,15 +121,15 @@
 	// A plain service does not notice that its caller leaves: the effect comes
 	// all the same.
 	_ = standin.Wait(context.Background(), c.Delay)
-	if r.Method == http.MethodPost && s.record(r.Header.Get("Idempotency-Key"), string(body)) {
+	if r.Method == http.MethodPost && s.recordRun(r.Header.Get("Idempotency-Key"), string(body)) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Write(Answer(r.Method, r.URL.RequestURI(), string(body), c.AnswerBytes))
 }
 
-// record counts a run and reports whether its caller must not hear of it.
-func (s *Service) record(key, body string) bool {
+// recordRun counts a run and reports whether its caller must not hear of it.
+func (s *Service) recordRun(key, body string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[runKey{key: key, body: body}]++
@@ -142,17 +142,17 @@
 
 // Answer returns the bytes that a call is answered with, so that a test knows
 // every byte; padded to at least size bytes.
-func Answer(method, path, body string, size int) []byte {
-	answer := struct {
+func Answer(method, path, body string, minBytes int) []byte {
+	response := struct {
 		Receipt uint64 `json:"receipt"`
 		Echo    string `json:"echo"`
 		Path    string `json:"path"`
 		Padding string `json:"padding,omitempty"`
 	}{xxhash.Sum64String(method+" "+path+"\n"+body) >> 12, body, path, ""}
-	text, _ := json.Marshal(answer)
-	if missing := size - len(text); missing > 0 {
-		answer.Padding = strings.Repeat("x", missing)
-		text, _ = json.Marshal(answer)
+	text, _ := json.Marshal(response)
+	if missing := minBytes - len(text); missing > 0 {
+		response.Padding = strings.Repeat("x", missing)
+		text, _ = json.Marshal(response)
 	}
 	return text
 }
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -22,22 +22,22 @@
 	}
 	// Without this the transport itself repeats a request that has such a key.
 	r.GetBody = nil
-	answer, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0, ""
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return answer.StatusCode, string(text)
+	return response.StatusCode, string(text)
 }
 
 // A service books, and dies before it answers. Whoever sends the call again
 // books twice; the caller sees one receipt and pays two deposits. The service
 // must count both for the oracle to notice.
-func TestEveryRunIsCountedAlsoOneThatNobodyHeardOf(t *testing.T) {
+func TestRunWithoutResponseIsCounted(t *testing.T) {
 	s := service.New(service.Config{FailAfter: 1})
 	h := httptest.NewServer(s.Handler())
 	defer h.Close()
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAnyMethodAndLargeAnswers(t *testing.T) {
+func TestEveryMethodAndLargeResponses(t *testing.T) {
 	s := service.New(service.Config{AnswerBytes: 1 << 20})
 	h := httptest.NewServer(s.Handler())
 	defer h.Close()
--- a/internal/standin/site/gate.go
+++ b/internal/standin/site/gate.go
@@ -7,67 +7,67 @@
 	"sync"
 )
 
-// gate is one front's way to the store, which may turn it away.
-type gate struct {
+// storeProxy is one front's way to the store, which may turn it away.
+type storeProxy struct {
 	store http.Handler
 	mu    sync.Mutex
-	// open ends when the front is turned away.
-	open context.Context
-	shut context.CancelFunc
-	// calls are those under way.
-	calls sync.WaitGroup
-	// deaf says that calls are carried out and their answers lost.
-	deaf bool
+	// opened ends when the front is turned away.
+	opened context.Context
+	cancel context.CancelFunc
+	// inFlight are those under way.
+	inFlight sync.WaitGroup
+	// responsesLost says that calls are carried out and their answers lost.
+	responsesLost bool
 }
 
-func newGate(store http.Handler) *gate {
-	g := &gate{store: store}
-	g.open, g.shut = context.WithCancel(context.Background())
-	return g
+func newStoreProxy(store http.Handler) *storeProxy {
+	p := &storeProxy{store: store}
+	p.opened, p.cancel = context.WithCancel(context.Background())
+	return p
 }
 
-// set turns the front away or lets it in. When it returns no call of before goes on.
-func (g *gate) set(away bool) {
-	g.mu.Lock()
-	g.shut()
-	g.mu.Unlock()
-	g.calls.Wait()
-	if away {
+// setBlocked turns the front away or lets it in. When it returns no call of before goes on.
+func (p *storeProxy) setBlocked(blocked bool) {
+	p.mu.Lock()
+	p.cancel()
+	p.mu.Unlock()
+	p.inFlight.Wait()
+	if blocked {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.open, g.shut = context.WithCancel(context.Background())
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.opened, p.cancel = context.WithCancel(context.Background())
 }
 
-// lose has the answers to the calls from now on lost.
-func (g *gate) lose() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.deaf = true
+// loseResponses has the answers to the calls from now on lost.
+func (p *storeProxy) loseResponses() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.responsesLost = true
 }
 
 // ServeHTTP passes a call on to the store, and ends one that waits there when the front
 // is turned away.
-func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.mu.Lock()
-	open := g.open
-	shut, deaf := open.Err() != nil, g.deaf
-	if !shut {
-		g.calls.Add(1)
-		defer g.calls.Done()
+func (p *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.mu.Lock()
+	opened := p.opened
+	blocked, responsesLost := opened.Err() != nil, p.responsesLost
+	if !blocked {
+		p.inFlight.Add(1)
+		defer p.inFlight.Done()
 	}
-	g.mu.Unlock()
-	if shut {
+	p.mu.Unlock()
+	if blocked {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if deaf {
-		g.store.ServeHTTP(httptest.NewRecorder(), r)
+	if responsesLost {
+		p.store.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(open, cancel)()
-	g.store.ServeHTTP(w, r.WithContext(ctx))
+	defer context.AfterFunc(opened, cancel)()
+	p.store.ServeHTTP(w, r.WithContext(ctx))
 }
--- a/internal/standin/site/port.go
+++ b/internal/standin/site/port.go
@@ -14,8 +14,8 @@
 const (
 	firstPort = 12_000
 	portCount = 20_000
-	// portTries is how many ports are looked at for one that is free.
-	portTries = 200
+	// maxPortAttempts is how many ports are looked at for one that is free.
+	maxPortAttempts = 200
 )
 
 // nextPort counts the ports that were looked at, from a place of this process's own.
@@ -23,26 +23,26 @@
 
 // freePort finds a port that is free for TCP and UDP and was given to nobody here.
 func freePort() (int, error) {
-	for range portTries {
+	for range maxPortAttempts {
 		port := firstPort + (os.Getpid()*97+int(nextPort.Add(1)))%portCount
-		if free(port) {
+		if portFree(port) {
 			return port, nil
 		}
 	}
-	return 0, errors.Newf("none of %d ports is free", portTries)
+	return 0, errors.Newf("none of %d ports is free", maxPortAttempts)
 }
 
-func free(port int) bool {
-	stream, err := net.Listen("tcp", loopback(port))
+func portFree(port int) bool {
+	listener, err := net.Listen("tcp", loopbackAddress(port))
 	if err != nil {
 		return false
 	}
-	defer func() { _ = stream.Close() }()
-	packets, err := net.ListenPacket("udp4", loopback(port))
+	defer func() { _ = listener.Close() }()
+	packetConn, err := net.ListenPacket("udp4", loopbackAddress(port))
 	if err != nil {
 		return false
 	}
-	return packets.Close() == nil
+	return packetConn.Close() == nil
 }
 
-func loopback(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
+func loopbackAddress(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -26,8 +26,8 @@
 	Zone    = "zone-a"
 )
 
-// leaseMS is the least time between acts of a holder, another and the first again.
-const leaseMS = 300
+// leaseMillis is the least time between acts of a holder, another and the first again.
+const leaseMillis = 300
 
 // Paths of its routes.
 const (
@@ -57,15 +57,15 @@
 	Engines []*fleet.Worker
 	Plain   []*fleet.Worker
 	// Cloud takes usage reports.
-	Cloud   *cloud.Service
-	cloudAt string
-	address string
-	servers []*http.Server
-	ids     map[*fleet.Worker]string
-	byID    map[string]*http.Server
-	version int64
-	// growing is held while workers are added.
-	growing sync.Mutex
+	Cloud         *cloud.Service
+	cloudAddress  string
+	storeAddress  string
+	servers       []*http.Server
+	workerIDs     map[*fleet.Worker]string
+	workerServers map[string]*http.Server
+	configVersion int64
+	// scaleMu is held while workers are added.
+	scaleMu sync.Mutex
 	// accounts are the client accounts with their keys, nil where requests carry none.
 	accounts map[string][]string
 	// scaling is what the config says of the number of plain workers, nil for nothing.
@@ -73,32 +73,32 @@
 	// FailClosed has fronts that start from now on serve nobody by a key once they have not
 	// heard from the store for a second.
 	FailClosed bool
-	// gates are the fronts' ways to the store, by name.
-	gates map[string]*gate
+	// storeProxies are the fronts' ways to the store, by name.
+	storeProxies map[string]*storeProxy
 }
 
 // New starts a deployment.
 func New(c Config) (*Site, error) {
-	s := &Site{Store: rowstore.New(), Cloud: cloud.New(leaseMS * time.Millisecond), ids: map[*fleet.Worker]string{}, byID: map[string]*http.Server{}, gates: map[string]*gate{}, version: 3}
+	s := &Site{Store: rowstore.New(), Cloud: cloud.New(leaseMillis * time.Millisecond), workerIDs: map[*fleet.Worker]string{}, workerServers: map[string]*http.Server{}, storeProxies: map[string]*storeProxy{}, configVersion: 3}
 	_, address, err := s.serve(s.Store)
 	if err != nil {
 		return nil, err
 	}
-	s.address = address
-	if _, s.cloudAt, err = s.serve(s.Cloud); err != nil {
+	s.storeAddress = address
+	if _, s.cloudAddress, err = s.serve(s.Cloud); err != nil {
 		return nil, err
 	}
 	for i := range c.Prefill + c.Decode + c.Plain {
-		w := fleet.Config{ID: fmt.Sprintf("w-%d", i), Service: Engines, Zone: Zone, Events: c.Events, Pause: c.Pause}
+		worker := fleet.Config{ID: fmt.Sprintf("w-%d", i), Service: Engines, Zone: Zone, Events: c.Events, Pause: c.Pause}
 		switch {
 		case i < c.Prefill:
-			w.Stage = "prefill"
+			worker.Stage = "prefill"
 		case i < c.Prefill+c.Decode:
-			w.Stage = "decode"
+			worker.Stage = "decode"
 		default:
-			w.Service = Desk
+			worker.Service = Desk
 		}
-		if err := s.add(w); err != nil {
+		if err := s.addWorker(worker); err != nil {
 			return nil, err
 		}
 	}
@@ -118,8 +118,8 @@
 	return server, l.Addr().String(), nil
 }
 
-// add starts a worker and writes its row.
-func (s *Site) add(c fleet.Config) error {
+// addWorker starts a worker and writes its row.
+func (s *Site) addWorker(c fleet.Config) error {
 	var w *fleet.Worker
 	server, address, err := s.serve(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) { w.ServeHTTP(out, r) }))
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 	c.Address = address
 	w = fleet.New(c)
-	s.ids[w], s.byID[c.ID] = c.ID, server
+	s.workerIDs[w], s.workerServers[c.ID] = c.ID, server
 	if c.Service == Engines {
 		s.Engines = append(s.Engines, w)
 	} else {
@@ -138,18 +138,18 @@
 }
 
 // ID returns a worker's id.
-func (s *Site) ID(w *fleet.Worker) string { return s.ids[w] }
+func (s *Site) ID(w *fleet.Worker) string { return s.workerIDs[w] }
 
 // Announce writes a worker's row: "ready" or "draining".
 func (s *Site) Announce(w *fleet.Worker, state string) {
-	s.Store.Put("servers", s.ids[w], w.Row(state))
+	s.Store.Put("servers", s.workerIDs[w], w.Row(state))
 }
 
 // Remove removes a worker's row.
-func (s *Site) Remove(w *fleet.Worker) { s.Store.Delete("servers", s.ids[w]) }
+func (s *Site) Remove(w *fleet.Worker) { s.Store.Delete("servers", s.workerIDs[w]) }
 
 // Crash closes a worker with all its connections.
-func (s *Site) Crash(w *fleet.Worker) { _ = s.byID[s.ids[w]].Close() }
+func (s *Site) Crash(w *fleet.Worker) { _ = s.workerServers[s.workerIDs[w]].Close() }
 
 // Route is one route of the config.
 type Route map[string]any
@@ -157,7 +157,7 @@
 // SetConfig writes the next version of the config; change may change the routes
 // by their prefix, or be nil.
 func (s *Site) SetConfig(change func(routes map[string]Route)) {
-	s.version += 2
+	s.configVersion += 2
 	routes := map[string]Route{
 		PathLong: {"kind": "streaming", "service": Engines, "timeout_ms": 4000, "resumable": true, "sticky": true, "max_attempts": 2, "gap_target_ms": 200},
 		PathChat: {"kind": "streaming", "service": Engines, "timeout_ms": 8000, "resumable": false, "sticky": true, "max_attempts": 1, "gap_target_ms": 200, "priority": 1},
@@ -167,16 +167,16 @@
 	if change != nil {
 		change(routes)
 	}
-	list := []Route{}
+	routeList := []Route{}
 	for prefix, r := range routes {
 		r["name"], r["prefix"], r["target_latency_ms"] = "r"+prefix, prefix, 200
 		if r["host"] == nil {
 			r["host"] = Host
 		}
-		list = append(list, r)
+		routeList = append(routeList, r)
 	}
 	config := map[string]any{
-		"version": s.version, "routes": list,
+		"version": s.configVersion, "routes": routeList,
 		"services": []map[string]any{
 			{"name": Engines, "health_path": "/healthz", "max_connections": 360, "engine": map[string]any{
 				"slots": 8, "kv_capacity_tokens": 370000, "stage_switch_s": 0.1,
@@ -201,14 +201,14 @@
 
 // Scale has the plain workers be as many as fronts order, at most most, from the next
 // version of the config on. None is taken away.
-func (s *Site) Scale(most int, pause time.Duration) {
-	s.scaling = map[string]any{"min": 1, "max": most, "boot_s": 1}
+func (s *Site) Scale(maxWorkers int, pause time.Duration) {
+	s.scaling = map[string]any{"min": 1, "max": maxWorkers, "boot_s": 1}
 	s.Cloud.OnScale(func(_, _ string, count int) {
-		s.growing.Lock()
-		defer s.growing.Unlock()
-		for len(s.Plain) < min(count, most) {
+		s.scaleMu.Lock()
+		defer s.scaleMu.Unlock()
+		for len(s.Plain) < min(count, maxWorkers) {
 			c := fleet.Config{ID: fmt.Sprintf("grown-%d", len(s.Plain)), Service: Desk, Zone: Zone, Pause: pause}
-			if err := s.add(c); err != nil {
+			if err := s.addWorker(c); err != nil {
 				return
 			}
 		}
@@ -232,14 +232,14 @@
 			return "", "", "", err
 		}
 	}
-	clients, ready = loopback(ports[0]), loopback(ports[1])
-	peers := ports[2]
-	way := newGate(s.Store)
-	_, store, err := s.serve(way)
+	clients, ready = loopbackAddress(ports[0]), loopbackAddress(ports[1])
+	peerPort := ports[2]
+	proxy := newStoreProxy(s.Store)
+	_, proxyAddress, err := s.serve(proxy)
 	if err != nil {
 		return "", "", "", err
 	}
-	s.gates[name] = way
+	s.storeProxies[name] = proxy
 	text = fmt.Sprintf(`node_name = %q
 zone = %q
 a_field_of_tomorrow = [1, 2]
@@ -267,15 +267,15 @@
 [cloud]
 address = %q
 duties = ["usage_report", "autoscale"]
-`, name, Zone, peers-1, peers, clients, ready, leaseMS, s.FailClosed, store, s.cloudAt)
+`, name, Zone, peerPort-1, peerPort, clients, ready, leaseMillis, s.FailClosed, proxyAddress, s.cloudAddress)
 	return text, clients, ready, nil
 }
 
 // CutOneWay has what a front says reach the store, and nothing come back.
-func (s *Site) CutOneWay(front string) { s.gates[front].lose() }
+func (s *Site) CutOneWay(gateway string) { s.storeProxies[gateway].loseResponses() }
 
 // TurnAway has the store turn a front away, or serve it again.
-func (s *Site) TurnAway(front string, away bool) { s.gates[front].set(away) }
+func (s *Site) TurnAway(gateway string, blocked bool) { s.storeProxies[gateway].setBlocked(blocked) }
 
 // Close ends everything.
 func (s *Site) Close() {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -20,11 +20,11 @@
 }
 
 // Wait lasts for span and returns ctx's error if that ends before.
-func Wait(ctx context.Context, span kumquatlug.Millis) error {
-	if span <= 0 {
+func Wait(ctx context.Context, duration kumquatlug.Millis) error {
+	if duration <= 0 {
 		return ctx.Err()
 	}
-	t := time.NewTimer(span.Duration())
+	t := time.NewTimer(duration.Duration())
 	defer t.Stop()
 	select {
 	case <-t.C:
