--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// bytesPerToken is how many bytes of a prompt count as one token; four is
-	// the usual rule of thumb for English text.
+	// bytesPerToken is the number of prompt bytes that count as one token; four
+	// is the usual rule of thumb for English text.
 	bytesPerToken = 4
-	// minDefaultTokens and defaultTokenSpread bound an answer whose caller set no
-	// maximum: 16 to 63 tokens, by the prompt.
+	// minDefaultTokens and defaultTokenSpread determine the length of a
+	// response to a request without a maximum: 16 to 63 tokens, depending on
+	// the prompt.
 	minDefaultTokens   = 16
 	defaultTokenSpread = 48
 )
 
-// Answer returns the tokens that an engine answers prompt with: maxTokens of
-// them, or a number that the prompt decides if maxTokens is not positive. The
-// same prompt always gives the same tokens, so that a test knows every byte.
+// Answer returns the tokens of the engine's response to prompt: maxTokens of
+// them, or a number that depends on the prompt if maxTokens is not positive.
+// The same prompt always gives the same tokens, so that tests can check every
+// byte.
 func Answer(prompt string, maxTokens int) []string {
 	seed := xxhash.Sum64String(prompt)
 	count := AnswerTokens(prompt, maxTokens)
@@ -31,7 +33,7 @@
 	return tokens
 }
 
-// AnswerTokens returns how many tokens [Answer] gives.
+// AnswerTokens returns the number of tokens that [Answer] returns.
 func AnswerTokens(prompt string, maxTokens int) int {
 	if maxTokens > 0 {
 		return maxTokens
@@ -39,17 +41,18 @@
 	return minDefaultTokens + int(xxhash.Sum64String(prompt)%defaultTokenSpread)
 }
 
-// AnswerText returns the tokens of [Answer] joined.
+// AnswerText returns the concatenated tokens of [Answer].
 func AnswerText(prompt string, maxTokens int) string {
 	return strings.Join(Answer(prompt, maxTokens), "")
 }
 
-// PromptTokens returns how many tokens prompt counts as, at least one.
+// PromptTokens returns the number of tokens that prompt counts as, at least
+// one.
 func PromptTokens(prompt string) int {
 	return max(1, (len(prompt)+bytesPerToken-1)/bytesPerToken)
 }
 
-// token returns the token at index i of the answer that seed stands for.
+// token returns the token at index i of the response with the given seed.
 func token(seed uint64, i int) string {
 	const digits = "0123456789abcdef"
 	x := seed + uint64(i+1)*0x9e3779b97f4a7c15
@@ -58,14 +61,14 @@
 	return string([]byte{' ', 'w', digits[x>>12&15], digits[x>>8&15], digits[x>>4&15], digits[x&15]})
 }
 
-// Message is one message of a chat. Its content is read from a string or from
-// a list of text parts.
+// Message is a chat message. Its content is decoded from a string or from a
+// list of text parts.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// UnmarshalJSON reads both forms of the content.
+// UnmarshalJSON decodes both forms of the content.
 func (m *Message) UnmarshalJSON(data []byte) error {
 	var raw struct {
 		Role    string          `json:"role"`
@@ -95,8 +98,8 @@
 	return nil
 }
 
-// ChatPrompt returns the prompt that messages stand for: role and content of
-// each in turn, with nothing between them.
+// ChatPrompt returns the prompt that corresponds to messages: the role and
+// content of each in order, without separators.
 func ChatPrompt(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -9,18 +9,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// sequence is one request in the batch or waiting for it.
+// sequence is a request that is in the batch or waits for it.
 type sequence struct {
 	prompt   string
 	priority int
 	arrival  int64
-	// blockHashes are the prefix blocks of the prompt.
+	// blockHashes identify the prefix blocks of the prompt.
 	blockHashes  []string
 	promptTokens int
-	// reservedTokens is the KV memory the sequence holds while it runs.
+	// reservedTokens is the KV memory that the sequence holds while it runs.
 	reservedTokens int
 	cachedTokens   int
-	// prefillLeft is how many tokens must still be prefilled.
+	// prefillLeft is the number of tokens still to prefill.
 	prefillLeft    int
 	resumedTokens  int
 	totalTokens    int
@@ -39,8 +39,8 @@
 
 func (s *sequence) ended() bool { return s.finished.Load() || s.aborted.Load() }
 
-// enqueue puts s in line, behind those of its priority and above, and starts the
-// loop if it rests.
+// enqueue adds s to the queue, behind all sequences of the same or a higher
+// priority, and starts the loop if it isn't running.
 func (e *Engine) enqueue(s *sequence) {
 	e.arrivals++
 	s.arrival = e.arrivals
@@ -57,7 +57,8 @@
 	}
 }
 
-// cancel takes s out, when its caller has left.
+// cancel aborts s and removes it, unless it has ended. It is called when the
+// handler of s returns.
 func (e *Engine) cancel(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,7 +71,7 @@
 	e.recordLoad()
 }
 
-// removeFromBatch takes s out of the batch and frees its memory.
+// removeFromBatch removes s from the batch and frees its memory.
 func (e *Engine) removeFromBatch(s *sequence) {
 	before := len(e.running)
 	e.running = removeSequence(e.running, s)
@@ -88,7 +89,7 @@
 	return sequences
 }
 
-// loop runs steps until no work is left.
+// loop runs steps until there is no work left.
 func (e *Engine) loop() {
 	for {
 		e.mu.Lock()
@@ -108,9 +109,9 @@
 	}
 }
 
-// admit moves waiting sequences into the batch, in their order, while the KV
-// memory and the batch have room. The first that does not fit holds back the
-// rest, so that a long prompt is not overtaken for ever.
+// admit moves waiting sequences into the batch, in queue order, while the batch
+// and the KV memory have room. The first that does not fit blocks the rest, so
+// that a long prompt cannot starve.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.MaxBatch {
 		s := e.waiting[0]
@@ -137,11 +138,11 @@
 	return e.cache.cachedBlocks(s.blockHashes) * e.config.BlockTokens
 }
 
-// step is what one step of the batch does.
+// step is the work of one step of the batch.
 type step struct {
 	prefill []prefillChunk
 	decode  []*sequence
-	// millis is how long the step takes, in milliseconds.
+	// millis is the duration of the step.
 	millis float64
 }
 
@@ -150,8 +151,8 @@
 	tokens   int
 }
 
-// planStep shares the step's prefill tokens out in order of arrival in the batch
-// and gives one token to every sequence whose prompt is done.
+// planStep distributes the step's prefill tokens in batch order and schedules
+// one token for every sequence whose prompt is prefilled.
 func (e *Engine) planStep() step {
 	var w step
 	budget := e.config.PrefillChunk
@@ -176,8 +177,9 @@
 	return w
 }
 
-// stepDelay returns how long to wait for a step of the given cost. It counts on
-// from when the last step was due, so that late timers don't add up.
+// stepDelay returns how long to wait for a step that takes millis. It counts
+// from the scheduled end of the last step, so that late timers do not add up,
+// unless the loop is more than maxLagMillis behind.
 func (e *Engine) stepDelay(millis float64) kumquatlug.Millis {
 	now := float64(e.clock.Now())
 	const maxLagMillis = 20
@@ -188,7 +190,7 @@
 	return kumquatlug.Millis(max(0, e.stepEnd-now))
 }
 
-// applyStep carries out what a step did.
+// applyStep updates the sequences of a completed step.
 func (e *Engine) applyStep(w step) {
 	now := e.clock.Now()
 	for _, c := range w.prefill {
@@ -210,7 +212,7 @@
 	e.recordLoad()
 }
 
-// emitToken gives s its next token, or ends it when it has all.
+// emitToken produces the next token of s and finishes s after its last one.
 func (e *Engine) emitToken(s *sequence) {
 	if s.producedTokens.Load() < int64(s.totalTokens) {
 		s.producedTokens.Add(1)
@@ -223,7 +225,7 @@
 	s.notify()
 }
 
-// abortAll cuts every connection in hand and returns how many there were.
+// abortAll aborts every request in flight and returns their number.
 func (e *Engine) abortAll() int {
 	all := append(e.running, e.waiting...)
 	e.running, e.waiting, e.kvUsed = nil, nil, 0
@@ -235,8 +237,8 @@
 	return len(all)
 }
 
-// crash loses everything that the engine held. It answers nothing until its
-// restart time has passed.
+// crash aborts all requests and discards caches and loaded models. The engine
+// is down until its restart time has passed.
 func (e *Engine) crash(now kumquatlug.Millis) {
 	e.crashes++
 	e.downUntil = now + e.scaled(e.config.RestartTime)
@@ -251,7 +253,7 @@
 	return kumquatlug.Millis(float64(duration) * e.config.TimeScale)
 }
 
-// loadSample is what a load report says.
+// loadSample is the load at a point in time.
 type loadSample struct {
 	at              kumquatlug.Millis
 	running         int
@@ -261,8 +263,8 @@
 	decodedTokens   int64
 }
 
-// recordLoad notes the load for reports that lag. Only the last in a millisecond
-// is kept, and none that no report can need any more.
+// recordLoad samples the load for lagging reports. It keeps only the last
+// sample of each millisecond and drops those too old for any report.
 func (e *Engine) recordLoad() {
 	now := e.clock.Now()
 	sample := loadSample{
@@ -280,8 +282,8 @@
 	}
 }
 
-// laggedLoad returns the load as it was one lag ago, with the tokens of the rate
-// window before that in place of all.
+// laggedLoad returns the load as of LoadLag ago. Its token counts cover the
+// rate window before that time, not the engine's whole life.
 func (e *Engine) laggedLoad() loadSample {
 	at := e.clock.Now() - e.config.LoadLag
 	current := e.loadAt(at)
@@ -291,7 +293,7 @@
 	return current
 }
 
-// loadAt returns the load as it was at a time.
+// loadAt returns the load at a point in time.
 func (e *Engine) loadAt(at kumquatlug.Millis) loadSample {
 	i := sort.Search(len(e.samples), func(i int) bool { return e.samples[i].at > at })
 	if i == 0 {
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -8,7 +8,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/clock"
 )
 
-// newIdleEngine returns an engine whose loop a test runs by hand.
+// newIdleEngine returns an engine whose loop does not run; the test calls its
+// steps.
 func newIdleEngine(c Config) *Engine {
 	e := New(c)
 	e.loopRunning = true
@@ -30,7 +31,7 @@
 	second := e.enqueuePrompt("second", 1, 5)
 	e.admit()
 	if want := []*sequence{high, first, second, low}; !slices.Equal(e.running, want) {
-		t.Fatalf("the batch was filled in another order")
+		t.Fatalf("the batch is not in order of priority, then arrival")
 	}
 }
 
@@ -41,12 +42,12 @@
 	small := e.enqueuePrompt("small", 1, 0)
 	e.admit()
 	if !slices.Equal(e.running, []*sequence{admitted}) || !slices.Equal(e.waiting, []*sequence{large, small}) {
-		t.Fatalf("%d run and %d wait, not one and two", len(e.running), len(e.waiting))
+		t.Fatalf("%d running and %d waiting, want 1 and 2", len(e.running), len(e.waiting))
 	}
 	e.cancel(admitted)
 	e.admit()
 	if len(e.running) != 2 || e.kvUsed != large.reservedTokens+small.reservedTokens {
-		t.Fatalf("%d run with %d tokens held after memory came free", len(e.running), e.kvUsed)
+		t.Fatalf("%d running with %d tokens reserved after memory was released", len(e.running), e.kvUsed)
 	}
 }
 
@@ -62,7 +63,7 @@
 		e.applyStep(w)
 	}
 	if want := []float64{100, 100, 100, 20, 20}; !slices.Equal(durations, want) {
-		t.Fatalf("steps cost %v ms, not %v", durations, want)
+		t.Fatalf("steps take %v ms, want %v", durations, want)
 	}
 	for range 11 {
 		e.enqueuePrompt("x", 2, 0)
@@ -70,7 +71,7 @@
 	e.admit()
 	e.applyStep(e.planStep())
 	if w := e.planStep(); w.millis != 40 {
-		t.Fatalf("a step of eleven costs %v ms, not twice that of one", w.millis)
+		t.Fatalf("a step of eleven sequences takes %v ms, want 40, twice that of one", w.millis)
 	}
 }
 
@@ -85,16 +86,16 @@
 	a, b := newFilledCache(), newFilledCache()
 	events := a.eventsAfter(0, 5)
 	if !slices.Equal(events, b.eventsAfter(0, 5)) {
-		t.Fatal("the same seed lost other events")
+		t.Fatal("the same seed lost different events")
 	}
 	if n := int64(len(events)); n == 0 || n == a.lastSequence {
-		t.Fatalf("%d of %d events were published", n, a.lastSequence)
+		t.Fatalf("%d of %d events were published, want some but not all", n, a.lastSequence)
 	}
 	if early := a.eventsAfter(0, 4); len(early) != 0 {
-		t.Fatalf("%d events were seen before their time", len(early))
+		t.Fatalf("%d events were published before their time", len(early))
 	}
 	if a.lru.Len() != 50 || len(a.blocks) != 50 {
-		t.Fatalf("the cache holds %d blocks", a.lru.Len())
+		t.Fatalf("the cache holds %d blocks, want 50", a.lru.Len())
 	}
 }
 
@@ -109,18 +110,18 @@
 		e.applyStep(e.planStep())
 	}
 	if l := e.laggedLoad(); l.waiting+l.running != 0 || l.decodedTokens != 0 {
-		t.Fatalf("the work shows before the lag: %+v", l)
+		t.Fatalf("the report shows work within the lag: %+v", l)
 	}
 	now.Advance(285)
 	if l := e.laggedLoad(); l.running != 1 || l.kvUsed != s.reservedTokens || l.decodedTokens != 2 {
-		t.Fatalf("in mid work: %+v", l)
+		t.Fatalf("report during the work: %+v", l)
 	}
 	now.Advance(20)
 	if l := e.laggedLoad(); l.running != 0 || l.kvUsed != 0 || l.decodedTokens != 4 {
-		t.Fatalf("after the work: %+v", l)
+		t.Fatalf("report after the work: %+v", l)
 	}
 	now.Advance(rateWindow)
 	if l := e.laggedLoad(); l.decodedTokens != 0 {
-		t.Fatalf("old work still counts in the rates: %+v", l)
+		t.Fatalf("the rates count work older than the window: %+v", l)
 	}
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,24 +10,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxEvents bounds the cache events that are kept for readers.
+// maxEvents limits the cache events that are kept for readers.
 const maxEvents = 8192
 
-// Prefixes returns the names of the whole blocks of prompt, shortest first:
-// the hexadecimal xxhash64 of the first n bytes, n a multiple of the block.
+// Prefixes returns the hashes of the prefixes of prompt that end at a block
+// boundary, shortest first: the hexadecimal xxhash64 of the first n bytes,
+// where n is a multiple of the block size.
 func Prefixes(prompt string, blockTokens int) []string {
 	blockBytes := blockTokens * bytesPerToken
 	digest := xxhash.New()
 	hashes := make([]string, 0, len(prompt)/blockBytes)
 	for end := blockBytes; end <= len(prompt); end += blockBytes {
-		// A digest takes every write.
+		// Writes to a digest never fail.
 		_, _ = digest.WriteString(prompt[end-blockBytes : end])
 		hashes = append(hashes, strconv.FormatUint(digest.Sum64(), 16))
 	}
 	return hashes
 }
 
-// cacheEvent says that a prefix is now in the cache, or no longer.
+// cacheEvent reports that a prefix was added to the cache or evicted from it.
 type cacheEvent struct {
 	sequence int64
 	at       kumquatlug.Millis
@@ -35,8 +36,9 @@
 	evicted  bool
 }
 
-// prefixCache keeps the blocks used last, within a memory. Its events are
-// numbered; some are lost, as those of real engines are, and leave a gap.
+// prefixCache is an LRU cache of prefix blocks with a limited capacity. Its
+// events are numbered; some are lost, as with real engines, and leave a gap in
+// the numbers.
 type prefixCache struct {
 	capacity     int
 	blocks       map[string]*list.Element
@@ -54,7 +56,8 @@
 	}
 }
 
-// cachedBlocks returns how many of names, from the first on, are in the cache.
+// cachedBlocks returns how many of hashes, from the first on, are in the cache,
+// and marks them as recently used.
 func (c *prefixCache) cachedBlocks(hashes []string) int {
 	for i, hash := range hashes {
 		e, ok := c.blocks[hash]
@@ -66,8 +69,8 @@
 	return len(hashes)
 }
 
-// add puts names in, longest first in the order of use, so that a short prefix
-// which others share outlives a long one.
+// add inserts hashes from the longest prefix to the shortest, so that in LRU
+// order a short prefix, which other prompts may share, outlives a long one.
 func (c *prefixCache) add(hashes []string, now kumquatlug.Millis) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if e, ok := c.blocks[hashes[i]]; ok {
@@ -85,7 +88,7 @@
 	}
 }
 
-// clear empties the cache without a word, as a crash does.
+// clear empties the cache without publishing events, as in a crash.
 func (c *prefixCache) clear() {
 	c.blocks = map[string]*list.Element{}
 	c.lru.Init()
@@ -103,7 +106,8 @@
 	}
 }
 
-// eventsAfter returns the events after a sequence number that arose before limit.
+// eventsAfter returns the events with a higher sequence number than after that
+// occurred at or before until.
 func (c *prefixCache) eventsAfter(after int64, until kumquatlug.Millis) []cacheEvent {
 	events := []cacheEvent{}
 	for _, e := range c.events {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,8 @@
-// Package engine stands in for a language-model engine: an OpenAI-compatible
-// API whose answers follow from the prompt, in front of a model of continuous
-// batching with a prefix cache in limited memory. It takes orders, reports its
-// load late, loses cache events, and crashes when told to.
+// Package engine simulates a language-model engine: an OpenAI-compatible API
+// whose responses are a function of the prompt, in front of a model of
+// continuous batching with a prefix cache in limited memory. The engine accepts
+// orders, publishes load reports with a lag, loses cache events and crashes on
+// request.
 package engine
 
 import (
@@ -18,71 +19,78 @@
 )
 
 const (
-	// maxBodyBytes bounds one request.
+	// maxBodyBytes limits the body of one request.
 	maxBodyBytes = 32 << 20
-	// rateWindow is the span over which load reports count tokens for their
-	// rates a second.
+	// rateWindow is the period over which load reports count tokens for their
+	// per-second rates.
 	rateWindow = kumquatlug.Second
-	// maxUnusedImports bounds the imported KV caches that no request has used yet.
+	// maxUnusedImports limits the imported KV caches that no request has used
+	// yet.
 	maxUnusedImports = 4096
 )
 
-// Config is how an [Engine] behaves. The figures are of the order of those of
-// a mid-sized model on one accelerator; only their proportions matter here.
+// Config configures an [Engine]. The defaults are of the order of a mid-sized
+// model on one accelerator; only their proportions matter here.
 type Config struct {
-	// Models are served from the start; "standin" by default.
+	// Models are the models loaded at the start; "standin" by default.
 	Models []string
-	// Role is the role from the start and after a crash; both by default.
+	// Role is the role at the start and after a crash; both by default.
 	Role kumquatlug.Role
-	// StrictRole refuses completions in the prefill role, which then serves
-	// exports of KV caches alone.
+	// StrictRole rejects completions in the prefill role, which then only
+	// serves exports of KV caches.
 	StrictRole bool
-	// TimeScale multiplies every time below; 1 by default. Tests take 0.01 or
-	// less.
+	// TimeScale multiplies every time below, unless stated otherwise; 1 by
+	// default. Tests use 0.01 or less.
 	TimeScale float64
-	// PrefillRate is in tokens a second; 10,000 by default.
+	// PrefillRate is in tokens per second; 10,000 by default.
 	PrefillRate int
-	// PrefillChunk is how many prompt tokens one step takes at most; 512 by
+	// PrefillChunk is the maximum number of prompt tokens per step; 512 by
 	// default.
 	PrefillChunk int
-	// DecodeTime is the milliseconds of a step that gives one sequence one
-	// token; 20 by default.
+	// DecodeTime is the duration, in milliseconds, of a step that decodes one
+	// token of one sequence; 20 by default.
 	DecodeTime float64
-	// LeastStep is the least time of a step, in milliseconds: the pass over the
-	// model's weights, which a short prompt alone takes too. None by default.
+	// LeastStep is the minimum duration of a step, in milliseconds: the pass
+	// over the model's weights, which even a single short prompt takes. Zero by
+	// default.
 	LeastStep float64
-	// BatchSlope is the part of DecodeTime that each further sequence adds;
-	// 0.01 by default, so that 101 sequences take twice as long as one.
+	// BatchSlope is the fraction of DecodeTime that each further sequence adds;
+	// 0.01 by default, so that a step with 101 sequences takes twice as long as
+	// with one.
 	BatchSlope float64
-	// MaxBatch is how many sequences run at once; 256 by default.
+	// MaxBatch is the maximum number of running sequences; 256 by default.
 	MaxBatch int
-	// KVTokens is the KV memory of running sequences; 200,000 by default.
+	// KVTokens is the KV memory for running sequences, in tokens; 200,000 by
+	// default.
 	KVTokens int
-	// CacheTokens is the memory of the prefix cache; 100,000 by default.
+	// CacheTokens is the capacity of the prefix cache, in tokens; 100,000 by
+	// default.
 	CacheTokens int
-	// BlockTokens is the block of the prefix cache; 64 by default.
+	// BlockTokens is the block size of the prefix cache, in tokens; 64 by
+	// default.
 	BlockTokens int
-	// EventLag is how late cache events are published, in milliseconds; none
-	// by default. It is not scaled.
+	// EventLag is the delay until cache events are published, in milliseconds;
+	// zero by default. It is not scaled.
 	EventLag kumquatlug.Millis
-	// EventLoss is the part of the cache events that is lost; none by default.
+	// EventLoss is the fraction of cache events that are lost; zero by default.
 	EventLoss float64
-	// Seed decides which events are lost.
+	// Seed determines which events are lost.
 	Seed uint64
-	// LoadLag is how old load reports are, in milliseconds; none by default.
-	// It is not scaled.
+	// LoadLag is the age of load reports, in milliseconds; zero by default. It
+	// is not scaled.
 	LoadLag kumquatlug.Millis
-	// ChecksFence makes the engine refuse orders with an old fencing number.
+	// ChecksFence makes the engine reject orders with an old fencing number.
 	ChecksFence bool
-	// OrderTime is how long an order takes, in milliseconds; 2,000 by default.
+	// OrderTime is the duration of an order, in milliseconds; 2,000 by default.
 	OrderTime kumquatlug.Millis
-	// CrashMark crashes the engine when a prompt that holds it comes to run;
-	// empty for never.
+	// CrashMark crashes the engine when a prompt that contains it is admitted
+	// to the batch; empty disables it.
 	CrashMark string
-	// RestartTime is how long a crash lasts, in milliseconds; 5,000 by default.
+	// RestartTime is the downtime after a crash, in milliseconds; 5,000 by
+	// default.
 	RestartTime kumquatlug.Millis
-	// Stamped makes every streamed token a [Stamp] in place of a word, so that
-	// what lies between the engine and a reader can be timed token by token.
+	// Stamped makes every streamed token a [Stamp] instead of a word, so that
+	// the latency between the engine and a reader can be measured per token.
 	Stamped bool
 }
 
@@ -107,18 +115,20 @@
 	return c
 }
 
-// Engine is one engine. It is safe for concurrent use and holds a goroutine
-// only while it has work.
+// Engine is a simulated engine. It is safe for concurrent use and runs a
+// goroutine only while it has work.
 type Engine struct {
 	config Config
 	clock  kumquatlug.Clock
 
-	mu              sync.Mutex
-	waiting         []*sequence
-	running         []*sequence
-	loopRunning     bool
-	arrivals        int64
-	kvUsed          int
+	mu          sync.Mutex
+	waiting     []*sequence
+	running     []*sequence
+	loopRunning bool
+	arrivals    int64
+	kvUsed      int
+	// stepEnd is the scheduled end of the last step, in milliseconds of the
+	// clock.
 	stepEnd         float64
 	prefilledTokens int64
 	decodedTokens   int64
@@ -131,7 +141,7 @@
 	crashes         int
 }
 
-// New returns an engine that behaves as c says.
+// New returns an engine with configuration c.
 func New(c Config) *Engine {
 	c = c.withDefaults()
 	e := &Engine{
@@ -145,7 +155,7 @@
 	return e
 }
 
-// Crash crashes the engine at once.
+// Crash crashes the engine immediately.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,8 +164,8 @@
 	e.crash(now)
 }
 
-// CrashInOrder crashes the engine half way through the order in progress, or
-// through the next.
+// CrashInOrder crashes the engine halfway through the order in progress, or
+// through the next order.
 func (e *Engine) CrashInOrder() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -163,14 +173,15 @@
 	e.advance(e.clock.Now())
 }
 
-// Crashes returns how often the engine crashed.
+// Crashes returns the number of crashes.
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.crashes
 }
 
-// Handler returns the engine's API.
+// Handler returns the HTTP handler of the engine's API. While the engine is
+// down, it closes connections without a response.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", e.completions)
@@ -194,7 +205,8 @@
 	})
 }
 
-// down brings the engine up to date and reports whether it is crashed.
+// down advances the engine to the current time and reports whether it is down
+// after a crash.
 func (e *Engine) down() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -273,7 +285,8 @@
 	return true
 }
 
-// writeError answers with an error of the OpenAI shape. Nothing ran.
+// writeError writes an error response in the OpenAI format. It is only used for
+// requests that did not run.
 func writeError(w http.ResponseWriter, status int, code, message string) {
 	type errorBody struct {
 		Message string `json:"message"`
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -25,7 +25,8 @@
 	goleak.VerifyTestMain(m, goleak.Cleanup(func(int) { http.DefaultClient.CloseIdleConnections() }))
 }
 
-// fastTimeScale makes model times vanish; what a test waits for is a condition.
+// fastTimeScale makes simulated times negligible. Tests wait for conditions,
+// not for times.
 const fastTimeScale = 0.0001
 
 func startEngine(t *testing.T, c engine.Config) (*engine.Engine, string) {
@@ -39,7 +40,8 @@
 	return e, s.URL
 }
 
-// post returns status and body; a cut connection is an error.
+// post returns the status and body of the response; a closed connection is an
+// error.
 func post(url, body string) (int, string, error) {
 	r, err := http.Post(url, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -87,12 +89,12 @@
 	} `json:"usage"`
 }
 
-// streamCompletion returns the text of a streamed answer and its last chunk.
+// streamCompletion returns the text of a streamed response and its last chunk.
 func streamCompletion(t *testing.T, url, body string) (string, response) {
 	t.Helper()
 	_, text, err := post(url, body)
 	if err != nil || !strings.HasSuffix(text, "data: [DONE]\n\n") {
-		t.Fatalf("the stream has no end: %v", err)
+		t.Fatalf("stream without end marker: %v", err)
 	}
 	joined := ""
 	var last response
@@ -118,7 +120,7 @@
 	for _, prompt := range []string{"a", strings.Repeat("decree ", 300), "\"quoted\"\n"} {
 		want := engine.Answer(prompt, total)
 		if other := engine.Answer(prompt+"b", total); other[0] == want[0] {
-			t.Fatalf("two prompts start with the same token %q", want[0])
+			t.Fatalf("two prompts have the same first token %q", want[0])
 		}
 		for delivered := range total + 1 {
 			body := fmt.Sprintf(`{"prompt":%q,"max_tokens":%d,"resume_tokens":%d`, prompt, total, delivered)
@@ -126,11 +128,11 @@
 			var full response
 			postOK(t, url+"/v1/completions", body+"}", &full)
 			if c := full.Choices[0]; c.Text != wantText || c.Finish != "length" || full.Usage.Completion != total {
-				t.Fatalf("whole after %d: %+v, not %q", delivered, full, wantText)
+				t.Fatalf("complete response after %d tokens: %+v, want %q", delivered, full, wantText)
 			}
 			text, last := streamCompletion(t, url+"/v1/completions", body+`,"stream":true,"stream_options":{"continuous_usage_stats":true}}`)
 			if text != wantText || last.Choices[0].Finish != "length" || last.Usage.Completion != total {
-				t.Fatalf("stream after %d: %q %+v, not %q", delivered, text, last, wantText)
+				t.Fatalf("stream after %d tokens: %q %+v, want %q", delivered, text, last, wantText)
 			}
 		}
 	}
@@ -146,7 +148,7 @@
 	params := openai.ChatCompletionNewParams{Model: "draft", Messages: messages}
 	full, err := client.Chat.Completions.New(context.Background(), params)
 	if err != nil || full.Choices[0].Message.Content != want || full.Choices[0].FinishReason != "stop" {
-		t.Fatalf("whole: %+v %v", full, err)
+		t.Fatalf("complete response: %+v %v", full, err)
 	}
 	params.StreamOptions.IncludeUsage = openai.Bool(true)
 	s := client.Chat.Completions.NewStreaming(context.Background(), params)
@@ -161,13 +163,13 @@
 	_, err = client.Chat.Completions.New(context.Background(), params)
 	var apiErr *openai.Error
 	if !errors.As(err, &apiErr) || apiErr.StatusCode != http.StatusNotFound || apiErr.Code != "model_not_found" {
-		t.Fatalf("an unknown model gave %v", err)
+		t.Fatalf("unknown model: got %v, want model_not_found", err)
 	}
 }
 
-// A prompt that makes the engine crash takes with it every answer in hand, of
-// callers who did nothing wrong. They see their streams end with no end mark;
-// until the engine is back, nobody gets any answer.
+// A prompt that crashes the engine also aborts the responses to other clients.
+// Their streams end without an end marker, and until the engine has restarted
+// no client gets a response.
 func TestCrashAbortsAllRequests(t *testing.T) {
 	e, url := startEngine(t, engine.Config{CrashMark: "poison", TimeScale: 1, DecodeTime: 1, RestartTime: kumquatlug.Hour})
 	const streamCount = 3
@@ -185,19 +187,19 @@
 		}
 	}
 	if status, text, err := post(url+"/v1/completions", `{"prompt":"a poison b","max_tokens":2}`); err == nil {
-		t.Fatalf("the crashing prompt was answered: %d %s", status, text)
+		t.Fatalf("the crashing prompt got a response: %d %s", status, text)
 	}
 	for i, s := range streams {
 		rest, err := io.ReadAll(s)
 		if err == nil || bytes.Contains(rest, []byte("[DONE]")) {
-			t.Fatalf("stream %d went on to its end", i)
+			t.Fatalf("stream %d was not aborted", i)
 		}
 	}
 	if _, err := http.Get(url + "/health"); err == nil {
-		t.Fatal("the crashed engine answered")
+		t.Fatal("the crashed engine responded")
 	}
 	if e.Crashes() != 1 {
-		t.Fatalf("%d crashes", e.Crashes())
+		t.Fatalf("%d crashes, want 1", e.Crashes())
 	}
 }
 
@@ -211,7 +213,7 @@
 		return got.Usage.Details.Cached
 	}
 	if first, second := cached(url), cached(url); first != 0 || second == 0 {
-		t.Fatalf("cached %d, then %d", first, second)
+		t.Fatalf("first request: %d cached tokens, want 0; second: %d, want more", first, second)
 	}
 	var events struct {
 		Events []struct{ Prefix string }
@@ -219,7 +221,7 @@
 	}
 	get(t, url+"/cache/events?after=0", &events)
 	if names := engine.Prefixes(prompt, 64); len(events.Events) != len(names) || events.Next != int64(len(names)) {
-		t.Fatalf("events %+v for %d blocks", events, len(names))
+		t.Fatalf("events %+v, want one for each of %d blocks", events, len(names))
 	}
 	e.Crash()
 	for {
@@ -229,14 +231,14 @@
 		}
 	}
 	if n := cached(url); n != 0 {
-		t.Fatalf("%d tokens were still cached after the crash", n)
+		t.Fatalf("%d cached tokens after the crash, want 0", n)
 	}
 	_, otherURL := startEngine(t, engine.Config{})
 	var export struct{ Handle string }
 	postOK(t, url+"/kv/export", body, &export)
 	postOK(t, otherURL+"/kv/import", fmt.Sprintf(`{"handle":%q}`, export.Handle), &struct{}{})
 	if n := cached(otherURL); n != engine.PromptTokens(prompt)-1 {
-		t.Fatalf("%d tokens came with the import", n)
+		t.Fatalf("%d cached tokens after the import, want all but one", n)
 	}
 }
 
@@ -271,10 +273,11 @@
 	}
 }
 
-// A lease holder was paused and wakes after another took over. Its order
-// reaches the engine late; carried out, the engine would take a role that no
-// one in authority gave it. Engines that check numbers refuse it; the others
-// obey, which is why something else must check for them.
+// A lease holder that was paused resumes after another has taken over, and its
+// order reaches the engine late. If the engine executed it, it would take a
+// role that the current lease holder did not set. Engines that check fencing
+// numbers reject the order; others execute it, so something in front of them
+// must check.
 func TestStaleFencingNumberIsRejectedOnlyIfChecked(t *testing.T) {
 	for _, checkFence := range []bool{true, false} {
 		_, url := startEngine(t, engine.Config{ChecksFence: checkFence, OrderTime: 1})
@@ -282,17 +285,17 @@
 		awaitOrder(t, url)
 		status, _, err := post(url+"/orders", `{"id":"old","fence":6,"verb":"role","argument":"prefill"}`)
 		if err != nil || (status == http.StatusConflict) != checkFence {
-			t.Fatalf("checks %v: status %d, %v", checkFence, status, err)
+			t.Fatalf("checkFence %v: status %d, %v", checkFence, status, err)
 		}
 		want := state{engine.StateSettled, kumquatlug.RoleDecode, "new", 7}
 		if !checkFence {
 			want.Role, want.Order = kumquatlug.RolePrefill, "old"
 		}
 		if s := awaitOrder(t, url); s != want {
-			t.Fatalf("checks %v: %+v", checkFence, s)
+			t.Fatalf("checkFence %v: %+v", checkFence, s)
 		}
 		if last := orders(t, url)[1]; last.Highest != 7 || last.Fence != 6 {
-			t.Fatalf("the oracle was not told: %+v", last)
+			t.Fatalf("logged order: %+v, want fence 6 below 7", last)
 		}
 	}
 }
@@ -307,10 +310,10 @@
 		t.Fatalf("%+v", s)
 	}
 	if status, _, _ := post(url+"/orders", `{"id":"b","fence":2,"verb":"load","argument":"other"}`); status != http.StatusConflict {
-		t.Fatalf("a second order gave %d", status)
+		t.Fatalf("second order: status %d, want 409", status)
 	}
 	if status, _, _ := post(url+"/v1/completions", `{"prompt":"x"}`); status != http.StatusServiceUnavailable {
-		t.Fatalf("work during an order gave %d", status)
+		t.Fatalf("request during an order: status %d, want 503", status)
 	}
 	var verdicts []engine.Verdict
 	for _, o := range orders(t, url) {
@@ -321,12 +324,13 @@
 	}
 }
 
-// An engine dies while it changes its role. Nobody can tell which role it has
-// now; taken for done, work would go to an engine that can't do it.
+// An engine crashes while it changes its role, so its role is unknown. If the
+// order counted as completed, requests would go to an engine that cannot serve
+// them.
 func TestCrashDuringOrderLeavesStateUnknown(t *testing.T) {
 	e, url := startEngine(t, engine.Config{OrderTime: 1, RestartTime: 1})
 	e.CrashInOrder()
-	// The engine may be back before the client asks, or still be down.
+	// The engine may have restarted before the client reads, or still be down.
 	_, _, _ = post(url+"/orders", `{"id":"a","verb":"role","argument":"decode"}`)
 	for e.Crashes() == 0 {
 		if r, err := http.Get(url + "/health"); err == nil {
@@ -337,7 +341,7 @@
 		t.Fatalf("%+v", s)
 	}
 	if status, _, _ := post(url+"/v1/completions", `{"prompt":"x"}`); status != http.StatusServiceUnavailable {
-		t.Fatalf("work in an unknown state gave %d", status)
+		t.Fatalf("request in an unknown state: status %d, want 503", status)
 	}
 	postOK(t, url+"/orders", `{"id":"b","verb":"role","argument":"decode"}`, &state{})
 	if s := awaitOrder(t, url); s.State != engine.StateSettled || s.Role != kumquatlug.RoleDecode {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -8,20 +8,21 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// State is how far an engine is with its last order.
+// State is the progress of an engine with its last order.
 type State string
 
 // The states of an engine.
 const (
-	// StateSettled: the last order is in force.
+	// StateSettled: the last order is in effect.
 	StateSettled State = "settled"
-	// StateChanging: an order is being carried out and work is refused.
+	// StateChanging: an order is being executed and requests are rejected.
 	StateChanging State = "changing"
-	// StateUnknown: the engine crashed in mid order; another must settle it.
+	// StateUnknown: the engine crashed while it executed an order; only another
+	// order leads out of this state.
 	StateUnknown State = "unknown"
 )
 
-// Verb is what an order asks for.
+// Verb is the operation of an order.
 type Verb string
 
 // The verbs of orders.
@@ -32,36 +33,36 @@
 	VerbVersion Verb = "version"
 )
 
-// Verdict is what became of an order when it arrived.
+// Verdict is the result of an order on arrival.
 type Verdict string
 
 // The verdicts on orders.
 const (
 	VerdictAccepted Verdict = "accepted"
 	VerdictRepeated Verdict = "repeated"
-	// VerdictStale: its fencing number was below the highest seen.
+	// VerdictStale: the fencing number was below the highest seen.
 	VerdictStale Verdict = "stale"
 	// VerdictBusy: another order was in progress.
 	VerdictBusy Verdict = "busy"
 )
 
-// maxLoggedOrders bounds the orders that are kept for an oracle.
+// maxLoggedOrders limits the log of orders, which tests read.
 const maxLoggedOrders = 4096
 
-// order is an order as it arrived.
+// order is a received order.
 type order struct {
 	id       string
 	fence    int64
 	verb     Verb
 	argument string
-	// highestBefore is the highest fencing number that had arrived before it.
+	// highestBefore is the highest fencing number received before it.
 	highestBefore int64
 	verdict       Verdict
-	// aborted is how many requests in hand it cut short.
+	// aborted is the number of requests in flight that it aborted.
 	aborted int
 }
 
-// orderState is what an engine knows of its orders.
+// orderState is the state of an engine with regard to orders.
 type orderState struct {
 	state        State
 	role         kumquatlug.Role
@@ -74,8 +75,9 @@
 	log          []order
 }
 
-// restart is what a crash leaves: the role from the settings, and no memory of
-// fencing numbers. Only an order that was in progress leaves its mark.
+// restart sets the state after a crash: the configured role and no memory of
+// fencing numbers. An order that was in progress leaves the state unknown,
+// without a role.
 func (o *orderState) restart(role kumquatlug.Role) {
 	if o.state == StateChanging {
 		o.state = StateUnknown
@@ -86,7 +88,8 @@
 	}
 }
 
-// record decides about an order that arrives, and notes it.
+// record determines the verdict on a received order and logs the order. An
+// order with an old fencing number is rejected only if checkFence is set.
 func (o *orderState) record(received order, checkFence bool) Verdict {
 	received.highestBefore = o.highestFence
 	switch {
@@ -107,8 +110,8 @@
 	return received.verdict
 }
 
-// startOrder starts an accepted order. Work in hand is cut: whoever gives an order
-// must have drained the engine before.
+// startOrder starts an accepted order. Requests in flight are aborted: the
+// sender of an order must have drained the engine before.
 func (e *Engine) startOrder(accepted order, now kumquatlug.Millis) {
 	e.orders.lastID = accepted.id
 	e.orders.current = accepted
@@ -118,8 +121,9 @@
 	e.advance(now)
 }
 
-// advance brings the engine's orders up to now: a crash that was armed happens
-// half way through an order, and an order settles when its time has passed.
+// advance brings the order in progress up to now: a pending crash happens
+// halfway through an order, and an order completes once its duration has
+// passed.
 func (e *Engine) advance(now kumquatlug.Millis) {
 	if e.orders.state != StateChanging {
 		return
@@ -218,7 +222,7 @@
 	}{o.state, o.role, o.lastID, o.highestFence, o.version})
 }
 
-// listOrders gives an oracle the orders that arrived, oldest first.
+// listOrders writes the received orders, oldest first, for tests to check.
 func (e *Engine) listOrders(w http.ResponseWriter, _ *http.Request) {
 	type orderBody struct {
 		ID       string  `json:"id"`
--- a/internal/standin/engine/stamp.go
+++ b/internal/standin/engine/stamp.go
@@ -8,32 +8,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Stamp is the token of an engine that was told to stamp: when it took the
-// request and when it wrote the token. Reader and engine share one machine's
-// clock, so that the two spans on the way can be told apart from the engine's
-// own time, which varies by more than what is to be measured.
+// Stamp is the token that an engine with Config.Stamped sends: when it received
+// the request and when it wrote the token. The reader and the engine share one
+// machine's clock, so that the latency on the way to and from the engine can be
+// separated from the engine's own time, which varies by more than the latency
+// to be measured.
 type Stamp struct {
 	arrived int64
 	written int64
 }
 
-// NewStamp returns the stamp of two times, kept in microseconds.
+// NewStamp returns a stamp of two times, truncated to microseconds.
 func NewStamp(arrived, written time.Time) Stamp {
 	return Stamp{arrived: arrived.UnixMicro(), written: written.UnixMicro()}
 }
 
-// ReadStamp reads what [Stamp.String] wrote.
+// ReadStamp parses the output of [Stamp.String]. It returns an error if token
+// has another format.
 func ReadStamp(token string) (Stamp, error) {
 	left, right, ok := strings.Cut(strings.TrimPrefix(token, " "), "+")
 	if !ok {
-		return Stamp{}, errors.Newf("%q is no stamp", token)
+		return Stamp{}, errors.Newf("token %q is not a stamp", token)
 	}
 	arrived, err := strconv.ParseInt(left, 10, 64)
 	if err != nil {
-		return Stamp{}, errors.Wrap(err, "read stamp")
+		return Stamp{}, errors.Wrap(err, "parse stamp")
 	}
 	elapsed, err := strconv.ParseInt(right, 10, 64)
-	return Stamp{arrived: arrived, written: arrived + elapsed}, errors.Wrap(err, "read stamp")
+	return Stamp{arrived: arrived, written: arrived + elapsed}, errors.Wrap(err, "parse stamp")
 }
 
 // String returns the stamp as a token.
@@ -41,7 +43,7 @@
 	return " " + strconv.FormatInt(s.arrived, 10) + "+" + strconv.FormatInt(s.written-s.arrived, 10)
 }
 
-// Arrived returns when the engine took the request.
+// Arrived returns when the engine received the request.
 func (s Stamp) Arrived() time.Time { return time.UnixMicro(s.arrived) }
 
 // Written returns when the engine wrote the token.
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -17,12 +17,13 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// importSpeedup is how many times faster a KV cache is imported than computed.
+// importSpeedup is how many times faster importing a KV cache is than computing
+// it.
 const importSpeedup = 10
 
-var errAborted = errors.New("cut by a crash or an order")
+var errAborted = errors.New("request aborted by a crash or an order")
 
-// completionRequest is a request for a completion, plain or chat.
+// completionRequest is the body of a completion request, text or chat.
 type completionRequest struct {
 	Model         string    `json:"model"`
 	Prompt        string    `json:"prompt"`
@@ -34,7 +35,7 @@
 		IncludeUsage    bool `json:"include_usage"`
 		ContinuousUsage bool `json:"continuous_usage_stats"`
 	} `json:"stream_options"`
-	// Priority: the higher is served first.
+	// Priority: higher values run first.
 	Priority     int `json:"priority"`
 	ResumeTokens int `json:"resume_tokens"`
 
@@ -116,7 +117,7 @@
 	return s
 }
 
-// accept puts s in line, or refuses it and says why.
+// accept enqueues s, or writes an error response and returns false.
 func (e *Engine) accept(w http.ResponseWriter, model string, s *sequence) bool {
 	e.mu.Lock()
 	known := model == "" || slices.Contains(e.models, model)
@@ -141,7 +142,9 @@
 	return accepted
 }
 
-// awaitTokens returns once s has more than seen tokens, or all it will have.
+// awaitTokens blocks until s has more than seen tokens or is finished, and
+// returns its number of tokens. It returns an error if s is aborted or ctx
+// ends.
 func awaitTokens(ctx context.Context, s *sequence, seen int) (int, error) {
 	for {
 		if s.aborted.Load() {
@@ -168,7 +171,8 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// newUsage may be called once s has its first token: cached is fixed then.
+// newUsage must not be called before s has its first token: cachedTokens is not
+// final until then.
 func newUsage(s *sequence, completion int) usage {
 	u := usage{PromptTokens: s.promptTokens, CompletionTokens: completion, TotalTokens: s.promptTokens + completion}
 	u.Details.CachedTokens = s.cachedTokens
@@ -205,11 +209,11 @@
 	return nil
 }
 
-// streamResponse sends one chunk a token as they come.
+// streamResponse sends one event per token as the tokens are produced.
 func (e *Engine) streamResponse(ctx context.Context, w http.ResponseWriter, request completionRequest, s *sequence) error {
 	flusher, ok := w.(http.Flusher)
 	if !ok {
-		return errors.New("the connection can't stream")
+		return errors.New("response writer does not support flushing")
 	}
 	encoder := newEventEncoder(request, s)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -243,7 +247,8 @@
 	return err
 }
 
-// eventEncoder writes the events of one stream. What stays the same is encoded once.
+// eventEncoder encodes the server-sent events of one stream. The prefix that
+// all events share is encoded once.
 type eventEncoder struct {
 	request  completionRequest
 	sequence *sequence
@@ -262,7 +267,8 @@
 	return &eventEncoder{request: request, sequence: s, prefix: prefix, first: true}
 }
 
-// addChunk writes the chunk of one token; count is how many there are with it.
+// addChunk encodes the event of one token; count is the number of tokens up to
+// and including it.
 func (e *eventEncoder) addChunk(token string, count int) {
 	e.buffer = append(e.buffer, e.prefix...)
 	switch {
@@ -298,7 +304,8 @@
 	e.buffer = append(e.buffer, text...)
 }
 
-// drain returns what was added since the last call.
+// drain returns the bytes added since the last call. They are valid until the
+// next addChunk.
 func (e *eventEncoder) drain() []byte {
 	b := e.buffer
 	e.buffer = e.buffer[:0]
@@ -317,12 +324,13 @@
 	return e.drain()
 }
 
-// kvHandle names the KV cache of a prompt, for every engine alike.
+// kvHandle returns the handle of a prompt's KV cache. It is the same on every
+// engine.
 func kvHandle(prompt string) string {
 	return fmt.Sprintf("kv-%016x-%d", xxhash.Sum64String(prompt), PromptTokens(prompt))
 }
 
-// exportKV prefills a prompt and names its KV cache.
+// exportKV prefills a prompt and returns the handle of its KV cache.
 func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
 	var t completionRequest
 	if !decodeBody(w, r, &t) {
@@ -344,7 +352,7 @@
 	}{kvHandle(prompt), s.promptTokens})
 }
 
-// importKV takes over a KV cache; the next request for its prompt uses it up.
+// importKV imports a KV cache. The next request with its prompt consumes it.
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Handle string `json:"handle"`
--- a/internal/standin/load/compare.go
+++ b/internal/standin/load/compare.go
@@ -8,21 +8,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxRounds bounds a comparison.
+// maxRounds limits a comparison.
 const maxRounds = 100
 
-// Comparison is the same load sent straight to an engine and through the
-// system, in turns, so that whatever else the machine does touches both.
+// Comparison contains the results of the same load sent directly to an engine
+// and through the system, in alternating rounds, so that other activity on the
+// machine affects both.
 type Comparison struct {
 	direct  *Report
 	through *Report
 }
 
-// Compare sends the load of c to engineURL without keys and to c.URL, in
-// rounds that alternate which goes first.
+// Compare sends the load of c to engineURL without keys and to c.URL, in rounds
+// that alternate which comes first. It returns an error if c or rounds is
+// invalid or ctx ends.
 func Compare(ctx context.Context, c Config, engineURL string, rounds int) (*Comparison, error) {
 	if rounds < 1 || rounds > maxRounds {
-		return nil, errors.Newf("a comparison has 1 to %d rounds", maxRounds)
+		return nil, errors.Newf("rounds must be between 1 and %d", maxRounds)
 	}
 	comparison := &Comparison{direct: newReport(), through: newReport()}
 	direct := c
@@ -48,14 +50,14 @@
 	return comparison, ctx.Err()
 }
 
-// Direct returns what came straight from the engine.
+// Direct returns the results of the runs directly at the engine.
 func (c *Comparison) Direct() *Report { return c.direct }
 
-// Through returns what came through the system.
+// Through returns the results of the runs through the system.
 func (c *Comparison) Through() *Report { return c.through }
 
-// Ratio returns the goodput through the system by that of the engine, zero if
-// the engine gave none.
+// Ratio returns the goodput through the system divided by the goodput of the
+// engine, or zero if the engine gave no complete response.
 func (c *Comparison) Ratio() float64 {
 	if c.direct.Whole() == 0 {
 		return 0
@@ -63,13 +65,13 @@
 	return c.through.Goodput() / c.direct.Goodput()
 }
 
-// difference returns what the way through the system adds to each quantile.
+// difference returns the latency that the system adds at each quantile.
 func difference(through, direct *hdrhistogram.Histogram) quantiles {
 	t, d := quantilesOf(through), quantilesOf(direct)
 	return quantiles{P50: t.P50 - d.P50, P95: t.P95 - d.P95, P99: t.P99 - d.P99, Max: t.Max - d.Max}
 }
 
-// MarshalJSON writes both reports and what differs.
+// MarshalJSON encodes both reports and their differences.
 func (c *Comparison) MarshalJSON() ([]byte, error) {
 	return json.Marshal(struct {
 		Direct  *Report   `json:"direct"`
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -1,10 +1,11 @@
-// Package load sends requests to an OpenAI-compatible API and judges what came
-// back, byte by byte, since the engine stand-ins' answers are known. Arrivals
-// are open-loop (they do not wait for answers, as those of many callers do
-// not) or closed-loop; the mix of long and short prompts may shift on the way.
+// Package load sends requests to an OpenAI-compatible API and compares the
+// responses, byte by byte, with those that the simulated engines are known to
+// give. Arrivals are open-loop (independent of the responses, like those of
+// many independent callers) or closed-loop; the mix of long and short prompts
+// may change during the run.
 //
-// In an open loop a time is counted from when the request was due, so that a
-// generator that falls behind shows it instead of hiding the delay.
+// In an open loop, times are measured from when a request was due, so that a
+// generator that falls behind shows up in the latencies and hides no delay.
 package load
 
 import (
@@ -22,55 +23,57 @@
 )
 
 const (
-	// maxRequests and maxDuration bound what a run may be asked for.
+	// maxRequests and maxDuration limit Config.Count and Config.Duration.
 	maxRequests = 1_000_000
 	maxDuration = 15 * kumquatlug.Minute
-	// maxInFlight bounds the requests of an open loop that have no answer yet;
-	// the ones beyond are counted as not sent.
+	// maxInFlight limits the requests of an open loop in flight; requests
+	// beyond it are counted as not sent.
 	maxInFlight = 8192
 )
 
-// Form is how answers are asked for.
+// Form is the kind of responses to request.
 type Form string
 
-// The forms of answers.
+// The kinds of responses.
 const (
 	FormStreamed Form = "streamed"
 	FormWhole    Form = "whole"
-	// FormMixed alternates.
+	// FormMixed alternates between the two.
 	FormMixed Form = "mixed"
 )
 
-// Config says what is sent, how fast and how long.
+// Config configures a [Generator].
 type Config struct {
-	// URL is the base address of the API, on loopback.
+	// URL is the base address of the API: http on a loopback IP.
 	URL string
-	// Keys are the callers' bearer tokens, used in turn; none by default.
+	// Keys are the callers' bearer tokens, used round-robin; none by default.
 	Keys []string
 	// Model is "standin" by default.
 	Model string
-	// Rate is the mean of Poisson arrivals a second. Zero takes a closed loop.
+	// Rate is the mean rate of Poisson arrivals per second. Zero selects a
+	// closed loop.
 	Rate float64
 	// Concurrency is the number of clients of a closed loop; 16 by default.
 	Concurrency int
-	// Count and Duration (ms) bound the run, whichever comes first; 1,000
-	// requests and a minute by default.
+	// Count and Duration (ms) bound the run, whichever is reached first; 1,000
+	// requests and one minute by default.
 	Count    int
 	Duration kumquatlug.Millis
-	// Timeout bounds one request, in milliseconds; a minute by default.
+	// Timeout limits one request, in milliseconds; one minute by default.
 	Timeout kumquatlug.Millis
-	// Form is streamed by default.
+	// Form is FormStreamed by default.
 	Form Form
-	// Mix is what is asked for.
+	// Mix determines the prompts and the lengths of responses.
 	Mix Mix
-	// Seed decides arrivals and prompts.
+	// Seed determines arrivals and prompts.
 	Seed uint64
 
-	// urls take requests in turn in place of URL.
+	// urls replace URL if set; requests use them round-robin.
 	urls []string
-	// stamped says that tokens are stamps, which are timed and not compared.
+	// stamped means that tokens are stamps, which are measured and not
+	// compared.
 	stamped bool
-	// salt keeps the runs of a comparison from finding each other's prompts in
+	// salt keeps the runs of a comparison from hitting each other's prompts in
 	// the engine's cache.
 	salt uint64
 }
@@ -112,38 +115,38 @@
 		}
 	}
 	if c.Count < 0 || c.Count > maxRequests || c.Duration < 0 || c.Duration > maxDuration {
-		return errors.Newf("a run has at most %d requests and %d ms", maxRequests, maxDuration)
+		return errors.Newf("count must be between 0 and %d, duration between 0 and %d ms", maxRequests, maxDuration)
 	}
 	if c.Rate < 0 || c.Concurrency < 0 || c.Concurrency > maxInFlight {
-		return errors.Newf("the rate is not negative and the concurrency at most %d", maxInFlight)
+		return errors.Newf("rate must not be negative, concurrency must be between 0 and %d", maxInFlight)
 	}
 	if c.Form != FormStreamed && c.Form != FormWhole && c.Form != FormMixed {
-		return errors.Newf("form %q is not streamed, whole or mixed", c.Form)
+		return errors.Newf("form %q must be streamed, whole or mixed", c.Form)
 	}
 	return c.Mix.check()
 }
 
-// checkLoopback refuses addresses that could be anyone else's machine: a load
-// generator must not become a weapon by a slip of the hand.
+// checkLoopback rejects addresses that may belong to another machine, so that a
+// mistyped address does not turn the generator on a foreign host.
 func checkLoopback(address string) error {
 	u, err := url.Parse(address)
 	if err != nil {
-		return errors.Wrap(err, "read the address")
+		return errors.Wrap(err, "parse the address")
 	}
 	ip := net.ParseIP(u.Hostname())
 	if u.Scheme != "http" || ip == nil || !ip.IsLoopback() {
-		return errors.Newf("%q is not http on a loopback IP", address)
+		return errors.Newf("address %q must be http on a loopback IP", address)
 	}
 	return nil
 }
 
-// Generator sends one load.
+// Generator sends the requests of one run.
 type Generator struct {
 	config Config
 	client *http.Client
 }
 
-// New returns a generator for c, or says what is wrong with c.
+// New returns a generator for c, or an error if c is invalid.
 func New(c Config) (*Generator, error) {
 	c = c.withDefaults()
 	if err := c.validate(); err != nil {
@@ -153,8 +156,8 @@
 	return &Generator{config: c, client: &http.Client{Transport: transport}}, nil
 }
 
-// Run sends the load and reports what came back. It ends early, with what came
-// until then, when ctx does.
+// Run sends the requests and returns a report of the responses. If ctx ends,
+// Run returns early with the results up to then.
 func (g *Generator) Run(ctx context.Context) *Report {
 	defer g.client.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, g.config.Duration.Duration()+g.config.Timeout.Duration())
@@ -170,12 +173,13 @@
 	return report
 }
 
-// done reports whether no more requests start.
+// done reports whether no more requests are to be started.
 func (g *Generator) done(ctx context.Context, start time.Time, index int) bool {
 	return ctx.Err() != nil || index >= g.config.Count || time.Since(start) >= g.config.Duration.Duration()
 }
 
-// runOpenLoop starts requests when they are due, whatever became of those before.
+// runOpenLoop starts requests when they are due, independently of earlier
+// responses.
 func (g *Generator) runOpenLoop(ctx context.Context, start time.Time, report *Report) {
 	random := rand.New(rand.NewPCG(g.config.Seed, 1))
 	slots := make(chan struct{}, maxInFlight)
@@ -202,7 +206,7 @@
 	}
 }
 
-// runClosedLoop keeps a fixed number of requests in hand.
+// runClosedLoop keeps a fixed number of requests in flight.
 func (g *Generator) runClosedLoop(ctx context.Context, start time.Time, report *Report) {
 	var mu sync.Mutex
 	next := 0
@@ -237,8 +241,8 @@
 	report.add(send(ctx, g.client, urls[index%len(urls)], r, due))
 }
 
-// sleep takes a finer span than milliseconds: rounded, it would add to or take
-// from every time measured.
+// sleep takes a finer unit than milliseconds: rounding would distort every
+// measured time.
 func sleep(ctx context.Context, duration time.Duration) {
 	t := time.NewTimer(duration)
 	defer t.Stop()
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -45,13 +45,13 @@
 		for _, rate := range []float64{0, 5000} {
 			r := runLoad(t, Config{URL: url, Count: 60, Rate: rate, Form: form, Mix: Mix{LongShare: 0.5, Documents: 3}})
 			if r.Whole() != 60 || r.usageWrong != 0 || r.firstToken.TotalCount() != 60 || r.ran[noRanHeader] != 60 {
-				t.Fatalf("form %s, rate %v: %+v", form, rate, r)
+				t.Fatalf("form %s, rate %v: got %+v, want 60 complete responses", form, rate, r)
 			}
 		}
 	}
 }
 
-// modifyResponses changes what a handler answers.
+// modifyResponses returns a handler that applies modify to the responses of h.
 func modifyResponses(h http.Handler, modify func(index int64, response *httptest.ResponseRecorder)) http.Handler {
 	var index atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -66,8 +66,8 @@
 	})
 }
 
-// A system that loses, doubles or swaps a token, or stops before the end, must
-// not pass for one that works: a reader of the figures would never know.
+// A system that loses, duplicates or swaps tokens, or ends a stream early, must
+// not be reported as working: the figures would not show it.
 func TestDamagedResponsesAreNotCountedAsComplete(t *testing.T) {
 	replaceBody := func(response *httptest.ResponseRecorder, from, to string) {
 		text := strings.Replace(response.Body.String(), from, to, 1)
@@ -95,15 +95,16 @@
 		t.Fatalf("%v", r.outcomes)
 	}
 	if r.Refused() != 10 || r.withoutRetryAfter != 10 || r.ran["not-run"] != 10 || r.statuses["429"] != 10 {
-		t.Fatalf("%v, %d without Retry-After, %v %v", r.outcomes, r.withoutRetryAfter, r.ran, r.statuses)
+		t.Fatalf("outcomes %v, %d without Retry-After, by ran %v, by status %v", r.outcomes, r.withoutRetryAfter, r.ran, r.statuses)
 	}
 	if r.Whole() != 10 || r.usageWrong != 10 || r.totalTime.TotalCount() != 10 {
-		t.Fatalf("%v, usage wrong %d", r.outcomes, r.usageWrong)
+		t.Fatalf("outcomes %v, wrong usage %d", r.outcomes, r.usageWrong)
 	}
 }
 
-// A generator that waits for answers before it sends more goes easy on a slow
-// system, and its figures hide the queue.
+// A generator that waits for responses before it sends more requests reduces
+// the load on a slow system, and its latencies do not include the queueing
+// delay.
 func TestOpenLoopDoesNotWaitForResponses(t *testing.T) {
 	const count = 40
 	var arrived atomic.Int64
@@ -128,7 +129,7 @@
 		for i := range count {
 			r := m.request(1, 0, i, at)
 			if r != m.request(1, 0, i, at) {
-				t.Fatal("the same request came out in two ways")
+				t.Fatal("the same index gave two different requests")
 			}
 			if engine.PromptTokens(r.prompt) == m.LongPrompt && r.maxTokens == m.ShortAnswer {
 				n++
@@ -138,7 +139,7 @@
 	}
 	// Three standard deviations of 1,000 draws at 0.9 are 28.
 	if before, after := long(99), long(100); before < 872 || before > 928 || after < 72 || after > 128 {
-		t.Fatalf("%d long prompts before and %d after the shift", before, after)
+		t.Fatalf("%d long prompts before and %d after the shift, want 900 and 100, each within 28", before, after)
 	}
 }
 
@@ -168,7 +169,7 @@
 		{URL: loopbackURL, Rate: -1},
 	} {
 		if _, err := New(c); err == nil {
-			t.Errorf("%+v was taken", c)
+			t.Errorf("%+v was accepted", c)
 		}
 	}
 	if _, err := New(Config{URL: loopbackURL}); err != nil {
--- a/internal/standin/load/mix.go
+++ b/internal/standin/load/mix.go
@@ -10,24 +10,26 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Mix says how many requests have long prompts and short answers; the others
-// have short prompts and long answers.
+// Mix determines the fraction of requests with long prompts and short
+// responses; the other requests have short prompts and long responses.
 type Mix struct {
-	// LongShare is the part with long prompts, from 0 to 1.
+	// LongShare is the fraction with long prompts, from 0 to 1.
 	LongShare float64
-	// ShiftAt is when the part becomes ShiftedShare, in milliseconds from the
-	// start; zero for never.
+	// ShiftAt is when the fraction changes to ShiftedShare, in milliseconds
+	// from the start; zero disables the change.
 	ShiftAt      kumquatlug.Millis
 	ShiftedShare float64
 	// LongPrompt and ShortPrompt are in tokens of four bytes; 2,000 and 50 by
 	// default.
 	LongPrompt  int
 	ShortPrompt int
-	// LongAnswer and ShortAnswer are in tokens; 200 and 10 by default.
+	// LongAnswer and ShortAnswer are the response lengths in tokens; 200 and 10
+	// by default.
 	LongAnswer  int
 	ShortAnswer int
-	// Documents is how many beginnings the prompts share: half of each prompt
-	// is one of them. Zero shares nothing.
+	// Documents is the number of different prefixes that the prompts share: the
+	// first half of each prompt is one of them. With zero, prompts share no
+	// prefix.
 	Documents int
 }
 
@@ -46,10 +48,10 @@
 
 func (m Mix) check() error {
 	if m.LongShare < 0 || m.LongShare > 1 || m.ShiftedShare < 0 || m.ShiftedShare > 1 {
-		return errors.New("a share is from 0 to 1")
+		return errors.New("shares must be between 0 and 1")
 	}
 	if min(m.LongPrompt, m.ShortPrompt, m.LongAnswer, m.ShortAnswer) < 1 || m.Documents < 0 {
-		return errors.New("lengths are above 0, and documents not below")
+		return errors.New("lengths must be positive, documents must not be negative")
 	}
 	return nil
 }
@@ -64,9 +66,9 @@
 	stamped   bool
 }
 
-// request returns the request at index, which depends on the seed and on
-// whether the mix has shifted by its time, and on nothing else. The salt
-// changes the words of the prompts but not their lengths.
+// request returns the request at index. It depends only on the seed and on
+// whether the mix has shifted by elapsed. The salt changes the words of a
+// prompt but not its length.
 func (m Mix) request(seed, salt uint64, index int, elapsed kumquatlug.Millis) request {
 	random := rand.New(rand.NewPCG(seed, uint64(index)+2))
 	share := m.LongShare
@@ -85,8 +87,8 @@
 	return request{prompt: prompt, maxTokens: maxTokens}
 }
 
-// padPrompt repeats text up to a number of tokens, but keeps all of it once, so
-// that two requests are never the same.
+// padPrompt repeats text up to a number of tokens. It never truncates the first
+// copy, so that no two requests are the same.
 func padPrompt(text string, tokens int) string {
 	size := max(len(text), tokens*4)
 	return strings.Repeat(text, size/len(text)+1)[:size]
--- a/internal/standin/load/path.go
+++ b/internal/standin/load/path.go
@@ -13,61 +13,67 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// PathConfig says what the cost of the path is measured over.
+// PathConfig configures [MeasurePath].
 type PathConfig struct {
-	// Entry is the callers' API, Key the key of an account there.
+	// Entry is the base address of the callers' API, Key the key of an account
+	// there.
 	Entry string
 	Key   string
-	// Stamped are the engines behind the model StampedModel, which stamp their
-	// tokens; Fast those behind FastModel, which answer as fast as they can.
+	// Stamped are the addresses of the engines of StampedModel, which stamp
+	// their tokens; Fast those of the engines of FastModel, which respond as
+	// fast as they can.
 	Stamped []string
 	Fast    []string
-	// Metrics are the processes of the path to be watched.
+	// Metrics are the processes of the path whose resource usage is measured.
 	Metrics []Process
-	// Streams is how many streams are open at once, Tokens the length of each
-	// and TokenTime the stamping engines' time for a token, in milliseconds.
+	// Streams is the number of concurrent streams, Tokens the length of each in
+	// tokens, and TokenTime the stamping engines' time per token, in
+	// milliseconds.
 	Streams   int
 	Tokens    int
 	TokenTime kumquatlug.Millis
-	// Span is how long the streams of a round are begun, BurstSpan how long
-	// each burst lasts, and BurstRounds how many bursts there are a way.
+	// Span is the period in which streams are started and BurstSpan the
+	// duration of each burst, both in milliseconds. BurstRounds is the number
+	// of bursts sent each way.
 	Span        kumquatlug.Millis
 	BurstSpan   kumquatlug.Millis
 	BurstRounds int
-	// BurstTokens is the length of a burst's answers.
+	// BurstTokens is the length of a burst's responses in tokens.
 	BurstTokens int
 }
 
-// The models behind which the measured engines stand.
+// The models of the measured engines.
 const (
 	StampedModel = "stamped"
 	FastModel    = "fast"
 )
 
-// burstClients keep the fast engines busy without a line at the entry: sixteen
-// an engine, which is what an unknown engine is given at first.
+// burstClients is the number of concurrent clients in a burst: 16 per engine,
+// the initial concurrency limit of an unknown engine, so that the fast engines
+// stay busy and no queue forms at the entry.
 const burstClients = 64
 
-// warmupFactor is how many times the measured arrivals the path is warmed with.
+// warmupFactor is the arrival rate of the warm-up relative to the measured
+// rate.
 const warmupFactor = 1.25
 
-// requestTimeout bounds one request, so that a path that falls behind ends the
-// measurement in time and shows as broken answers.
+// requestTimeout limits one request, so that an overloaded path shows up as
+// truncated responses and the measurement ends in time.
 const requestTimeout = 10 * kumquatlug.Second
 
-// Process is one process that tells its figures.
+// Process is a process with a metrics endpoint.
 type Process struct {
-	// Name groups processes of the same role.
+	// Name is the role of the process; processes of the same role are added up.
 	Name   string
 	URL    string
 	Client *http.Client
 }
 
-// Use is what processes used of processor time and memory.
+// Use is the processor time and memory that processes have used.
 type Use struct {
 	cpuSeconds, allocations, allocatedBytes float64
-	// waitSeconds and waits are the time that requests waited for a place at a
-	// target, and how many: an entry's alone.
+	// waitSeconds is the total time that requests waited for a slot at a target
+	// and waitCount their number; only an entry has them.
 	waitSeconds, waitCount float64
 }
 
@@ -79,15 +85,15 @@
 	return u.plus(Use{-before.cpuSeconds, -before.allocations, -before.allocatedBytes, -before.waitSeconds, -before.waitCount})
 }
 
-// PathCost is what was measured of the path.
+// PathCost contains the results of [MeasurePath].
 type PathCost struct {
-	// Streams and Bursts are both loads.
+	// Streams and Bursts are the results of the two loads.
 	Streams PathLoad
 	Bursts  PathLoad
 }
 
-// PathLoad is one load sent three times: straight to the engines, through the
-// path, and straight again, which shows the noise.
+// PathLoad contains the results of one load sent three times: directly to the
+// engines, through the path, and directly again, which shows the noise.
 type PathLoad struct {
 	direct       *Report
 	directRepeat *Report
@@ -99,12 +105,14 @@
 	return PathLoad{direct: newReport(), directRepeat: newReport(), through: newReport(), usage: map[string]Use{}}
 }
 
-// MeasurePath measures the cost of the path. Straight and through runs follow
-// one another in the same run, so that what else the machine does touches all.
+// MeasurePath measures the overhead of the path. Direct runs and those through
+// the path follow one another closely, so that other activity on the machine
+// affects all of them.
 func MeasurePath(ctx context.Context, c PathConfig) (*PathCost, error) {
 	cost := &PathCost{Streams: newPathLoad(), Bursts: newPathLoad()}
 	streams := c.streams()
-	// The entry's limits rise to what the engines can hold, and some more.
+	// The warm-up raises the concurrency limits of the entry to what the
+	// engines can serve, with some margin.
 	warmup := streams
 	warmup.Rate *= warmupFactor
 	if err := runInto(ctx, warmup, newReport()); err != nil {
@@ -121,8 +129,8 @@
 	return cost, ctx.Err()
 }
 
-// streams keeps as many streams open as wanted: by Little's law the arrivals
-// are the streams over the time of one.
+// streams returns a load that keeps Streams streams open: by Little's law, the
+// arrival rate is the number of streams divided by the duration of one.
 func (c PathConfig) streams() Config {
 	seconds := float64(c.Tokens) * float64(c.TokenTime) / float64(kumquatlug.Second)
 	return Config{
@@ -139,7 +147,8 @@
 	}
 }
 
-// measure sends one load the three ways, in another order each round.
+// measure sends one load directly, through the path and directly again, in a
+// different order each round.
 func (c PathConfig) measure(ctx context.Context, load Config, engines []string, round int, into PathLoad) error {
 	direct := load
 	direct.urls, direct.Keys = engines, nil
@@ -184,7 +193,7 @@
 	}
 }
 
-// readUsage reads what the watched processes have used so far, by role.
+// readUsage returns the resource usage of the processes so far, by role.
 func (c PathConfig) readUsage(ctx context.Context) (map[string]Use, error) {
 	usage := map[string]Use{}
 	for _, p := range c.Metrics {
@@ -210,7 +219,7 @@
 	return parseUsage(response.Body)
 }
 
-// parseUsage adds up the lines of each figure; those of a histogram have labels.
+// parseUsage sums the samples of each metric; those of a histogram have labels.
 func parseUsage(text io.Reader) (Use, error) {
 	var u Use
 	fields := map[string]*float64{
@@ -235,7 +244,7 @@
 	return u, lines.Err()
 }
 
-// Broken returns the number of answers that were wrong or cut.
+// Broken returns the number of wrong or truncated responses.
 func (c *PathCost) Broken() int { return c.Streams.invalidResponses() + c.Bursts.invalidResponses() }
 
 func (l PathLoad) invalidResponses() int {
--- a/internal/standin/load/path_test.go
+++ b/internal/standin/load/path_test.go
@@ -24,12 +24,12 @@
 	got, err := parseUsage(strings.NewReader(sampleMetrics))
 	want := Use{cpuSeconds: 1.5, allocations: 1e6, allocatedBytes: 2048, waitSeconds: 0.75, waitCount: 3}
 	if err != nil || got != want {
-		t.Fatalf("read %+v, %v", got, err)
+		t.Fatalf("got %+v, error %v", got, err)
 	}
 }
 
-// The same engine stands for the path and for itself. Every answer must come
-// whole, with a time for each of its tokens, both ways.
+// One engine serves both the direct runs and those through the path. In both,
+// every response must be complete, with a latency for each of its tokens.
 func TestMeasurePathTimesEveryToken(t *testing.T) {
 	e := httptest.NewServer(engine.New(engine.Config{Models: []string{StampedModel}, Stamped: true, DecodeTime: 2}).Handler())
 	defer e.Close()
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if cost.Broken() != 0 || cost.Streams.through.Whole() == 0 {
-		t.Fatalf("%d broken, %d whole", cost.Broken(), cost.Streams.through.Whole())
+		t.Fatalf("%d broken and %d complete responses, want none broken", cost.Broken(), cost.Streams.through.Whole())
 	}
 	for _, r := range []*Report{cost.Streams.direct, cost.Streams.directRepeat, cost.Streams.through} {
 		if got, want := r.transit.perToken.TotalCount(), int64(r.Whole()*tokens); got != want {
--- a/internal/standin/load/pathtable.go
+++ b/internal/standin/load/pathtable.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// WriteTable writes what was measured as a table.
+// WriteTable writes the results as a table.
 func (c *PathCost) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	c.Streams.writeTimes(w)
@@ -21,7 +21,8 @@
 	return w.Flush()
 }
 
-// writeTimes writes the times that the way takes, and what the path adds.
+// writeTimes writes the latencies of the streams and what the path adds to
+// them.
 func (l PathLoad) writeTimes(w io.Writer) {
 	streams := l.through.transit.lastToken.TotalCount()
 	meanOpen := l.through.totalTime.Mean() * float64(streams) / 1e6 / l.through.elapsed.Seconds()
@@ -50,7 +51,7 @@
 	}
 }
 
-// writeRates writes the throughput both ways.
+// writeRates writes the throughput of each run.
 func (l PathLoad) writeRates(w io.Writer) {
 	fmt.Fprintln(w, "bursts\tanswers/s\ttokens/s\tratio to direct\trefused\tp50 ms\tp99 ms")
 	for _, row := range []struct {
@@ -64,7 +65,8 @@
 	}
 }
 
-// writeUsage writes what each role of the path used a request and a token.
+// writeUsage writes the resource usage per request and per token of each role
+// in the path.
 func (l PathLoad) writeUsage(w io.Writer, load string) {
 	requests, tokens := float64(max(l.through.Whole(), 1)), float64(max(l.through.tokens, 1))
 	fmt.Fprintf(w, "%s, use of\tallocations/request\tKB/request\tallocations/token\tB/token\tprocessor ms/request\tprocessor us/token\twait ms\n", load)
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -10,15 +10,18 @@
 )
 
 const (
-	// maxLatencyMicros bounds the histograms, in microseconds: twice the longest run.
+	// maxLatencyMicros limits the histograms, in microseconds: twice the
+	// longest run.
 	maxLatencyMicros = int64(30 * time.Minute / time.Microsecond)
-	// significantDigits is the histograms' precision.
+	// significantDigits is the precision of the histograms.
 	significantDigits = 3
-	// noRanHeader stands for answers without the header that says whether work ran.
+	// noRanHeader counts responses without the Kumquatlug-Ran header, which
+	// says whether the request ran.
 	noRanHeader = "none"
 )
 
-// Report is what came back of a load. The times are those of whole answers.
+// Report contains the results of a run. Latencies are those of complete
+// responses.
 type Report struct {
 	mu                sync.Mutex
 	elapsed           time.Duration
@@ -69,13 +72,13 @@
 		r.usageWrong++
 	}
 	r.tokens += got.tokens
-	// Times lie within the bounds: a run ends before the longest.
+	// Times are within the bounds: a run ends before maxLatencyMicros.
 	_ = r.firstToken.RecordValue(max(1, got.firstToken.Microseconds()))
 	_ = r.totalTime.RecordValue(max(1, got.totalTime.Microseconds()))
 	r.transit.add(got.transit)
 }
 
-// merge adds the figures of another run, made after this one.
+// merge adds the results of a run that was made after this one.
 func (r *Report) merge(other *Report) {
 	r.elapsed += other.elapsed
 	r.unsent += other.unsent
@@ -96,21 +99,23 @@
 	}
 }
 
-// Whole returns the number of answers that came whole and right.
+// Whole returns the number of complete and correct responses.
 func (r *Report) Whole() int { return r.outcomes[string(outcomeComplete)] }
 
-// Broken returns the number of answers that were wrong or cut.
+// Broken returns the number of wrong or truncated responses.
 func (r *Report) Broken() int {
 	return r.outcomes[string(outcomeWrong)] + r.outcomes[string(outcomeTruncated)]
 }
 
-// Refused returns the number of refusals, whatever their status.
+// Refused returns the number of rejected requests: those with a status other
+// than 200.
 func (r *Report) Refused() int { return r.outcomes[string(outcomeRefused)] }
 
-// Failed returns the number of requests that got no answer or were not sent.
+// Failed returns the number of requests without a response, including those not
+// sent.
 func (r *Report) Failed() int { return r.outcomes[string(outcomeFailed)] + r.unsent }
 
-// Goodput returns the whole answers a second.
+// Goodput returns the number of complete responses per second.
 func (r *Report) Goodput() float64 { return float64(r.Whole()) / r.elapsed.Seconds() }
 
 // quantiles are in milliseconds.
@@ -129,7 +134,7 @@
 	}
 }
 
-// MarshalJSON writes all figures.
+// MarshalJSON encodes all results.
 func (r *Report) MarshalJSON() ([]byte, error) {
 	return json.Marshal(struct {
 		Elapsed    float64        `json:"elapsed_seconds"`
--- a/internal/standin/load/send.go
+++ b/internal/standin/load/send.go
@@ -13,21 +13,22 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/engine"
 )
 
-// outcome is what a caller got.
+// outcome is the result of a request as the caller sees it.
 type outcome string
 
 const (
 	outcomeComplete outcome = "whole"
-	// outcomeWrong: an answer that looks whole is not the one of the prompt.
+	// outcomeWrong: a response that looks complete differs from the expected
+	// one.
 	outcomeWrong outcome = "wrong"
-	// outcomeTruncated: the answer stopped before its end.
+	// outcomeTruncated: the response ended before its end marker.
 	outcomeTruncated outcome = "cut"
 	outcomeRefused   outcome = "refused"
-	// outcomeFailed: there was no answer at all.
+	// outcomeFailed: there was no response.
 	outcomeFailed outcome = "failed"
 )
 
-// result is what became of one request.
+// result contains the measurements of one request.
 type result struct {
 	outcome    outcome
 	status     int
@@ -36,13 +37,15 @@
 	firstToken time.Duration
 	totalTime  time.Duration
 	tokens     int
-	// usageWrong: the count of tokens is missing or not that of the answer.
+	// usageWrong: the token count is missing or not that of the response.
 	usageWrong bool
-	// transit are what the path took of the time, when tokens are stamped.
+	// transit are the latencies to and from the engine, when tokens are
+	// stamped.
 	transit transitTimes
 }
 
-// send makes one request and judges the answer. Times count from due.
+// send makes one request and verifies the response. Times are measured from
+// due.
 func send(ctx context.Context, client *http.Client, url string, r request, due time.Time) result {
 	options := ""
 	if r.streamed {
@@ -72,7 +75,7 @@
 	switch {
 	case response.StatusCode != http.StatusOK:
 		got.outcome = outcomeRefused
-		// What is left unread closes the connection; that is all.
+		// An error here only closes the connection.
 		_, _ = io.Copy(io.Discard, response.Body)
 	case r.streamed:
 		got.readStream(response.Body, r, due)
@@ -96,7 +99,7 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// verify compares what arrived with what the prompt demands.
+// verify compares the response with the expected one.
 func (r *result) verify(sent request, text string, completionTokens int) {
 	r.tokens = sent.maxTokens
 	r.usageWrong = completionTokens != sent.maxTokens
@@ -132,8 +135,8 @@
 	return text, completionTokens
 }
 
-// readStream reads events up to the end mark. An event that carries an error
-// counts as a cut.
+// readStream reads events up to the end marker. A stream with an error event
+// counts as truncated.
 func (r *result) readStream(body io.Reader, sent request, due time.Time) {
 	r.outcome = outcomeTruncated
 	var text strings.Builder
@@ -146,7 +149,7 @@
 		}
 		if string(data) == "[DONE]" {
 			r.verify(sent, text.String(), completionTokens)
-			// Read to the end, so that the connection is used again.
+			// Reading to the end lets the connection be reused.
 			_, _ = io.Copy(io.Discard, body)
 			return
 		}
--- a/internal/standin/load/ways.go
+++ b/internal/standin/load/ways.go
@@ -8,15 +8,15 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/engine"
 )
 
-// transitTimes are the times of one request on the path: up to the engine, and down
-// for each token. What the engine itself takes is in neither.
+// transitTimes are the latencies of one request on the way to the engine and,
+// for each token, on the way back. They exclude the engine's own time.
 type transitTimes struct {
 	toEngine   time.Duration
 	fromEngine []time.Duration
 }
 
-// addToken takes a stamped token that arrives now; a token without a stamp, or
-// several tokens in one chunk, are refused.
+// addToken records a stamped token that has just arrived. It returns false for
+// a token without a stamp or for several tokens in one chunk.
 func (w *transitTimes) addToken(text string, due time.Time) bool {
 	stamp, err := engine.ReadStamp(text)
 	if err != nil {
@@ -27,10 +27,11 @@
 	return true
 }
 
-// transitHistograms gathers the ways of many requests.
+// transitHistograms aggregate the transit times of many requests.
 type transitHistograms struct {
-	// toEngine is to the engine, token down from it, first up and down for the first
-	// token, and total up and down for the last.
+	// toEngine is the time to the engine and perToken the time back from it;
+	// firstToken and lastToken are the sums of both for the first and the last
+	// token.
 	toEngine, perToken, firstToken, lastToken *hdrhistogram.Histogram
 }
 
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds what the stand-ins for outside systems share. They
-// serve tests, a laptop and measurements; nothing that runs at a site imports
-// them, but for the command that runs everything in one process.
+// Package standin holds helpers shared by the simulators of external systems.
+// The simulators are for tests, local runs and measurements; no production code
+// imports them, except for the command that runs everything in one process.
 package standin
 
 import (
@@ -12,14 +12,16 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Reply answers with body as JSON. A client that is gone is not told.
+// Reply writes status and body, encoded as JSON. Write errors are ignored: the
+// client has disconnected.
 func Reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Wait lasts for span and returns ctx's error if that ends before.
+// Wait blocks for duration, in milliseconds. It returns ctx's error if ctx ends
+// first.
 func Wait(ctx context.Context, duration kumquatlug.Millis) error {
 	if duration <= 0 {
 		return ctx.Err()
