--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -1,7 +1,9 @@
-// Package cloud stands in for the service of the users' platform that takes usage
-// reports and orders of workers in tests. It speaks the service's published protocol, so
-// its wire names are the users', and judges what it gets: one report a window, and
-// holders whose fencing tokens rise.
+// Package cloud simulates, for tests, the cloud service of the users' platform
+// that accepts usage reports and orders for worker counts. It implements the
+// service's published protocol, so the names on the wire are the users'. It
+// also checks the calls: all reports of a window must be equal, fencing tokens
+// must not decrease, each must belong to one holder, and holders must not
+// alternate within a minimum time.
 package cloud
 
 import (
@@ -14,69 +16,74 @@
 	"time"
 )
 
-// Fault is how the service treats calls.
+// Fault is the way in which calls fail.
 type Fault string
 
-// The faults.
+// Faults that can be injected.
 const (
 	FaultNone Fault = ""
-	// FaultBusy: calls are refused.
+	// FaultBusy: calls are rejected with status 429.
 	FaultBusy Fault = "busy"
-	// FaultLost: calls are taken and not answered.
+	// FaultLost: calls take effect and the connection is closed without a
+	// response.
 	FaultLost Fault = "lost"
-	// FaultSilent: calls are not taken and never answered.
+	// FaultSilent: calls have no effect and never get a response.
 	FaultSilent Fault = "silent"
 )
 
-// Service is the stand-in. Serve it as an http.Handler.
+// Service is the simulated cloud service. It is an http.Handler.
 type Service struct {
-	mu            sync.Mutex
+	mu sync.Mutex
+	// handoverDelay is the minimum time between two calls of a holder with a
+	// call of another holder in between.
 	handoverDelay time.Duration
 	fault         Fault
 	reports       map[int64]map[string]int64
-	// resources are what holders take turns at: usage, or a service in a zone.
+	// resources are by name: usage, or a service in a zone.
 	resources   map[string]*resource
 	scale       func(service, zone string, count int)
 	scaleOrders int
 	violations  []string
 }
 
-// resource is what one holder at a time acts on.
+// resource is what one lease holder at a time acts on.
 type resource struct {
-	// holders are the holders by token, acts their calls in order.
+	// holders are the lease holders by fencing token; calls are in order of
+	// arrival.
 	holders map[int64]string
 	calls   []holderCall
 }
 
-// holderCall is one call of a holder.
+// holderCall is one call of a lease holder.
 type holderCall struct {
 	holder string
 	at     time.Time
 }
 
-// usageResource names the one subject of usage reports.
+// usageResource is the name of the resource of all usage reports.
 const usageResource = "usage"
 
-// New returns a service that takes no turns of holders back and forth within turn.
+// New returns a service that reports a violation if a holder calls within
+// handoverDelay of its last call although another holder called in between.
 func New(handoverDelay time.Duration) *Service {
 	return &Service{handoverDelay: handoverDelay, reports: map[int64]map[string]int64{}, resources: map[string]*resource{}}
 }
 
-// SetFault changes how calls are treated from now on.
+// SetFault sets the fault for later calls.
 func (s *Service) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Reports returns the counts by window.
+// Reports returns the request counts by account, for each window.
 func (s *Service) Reports() map[int64]map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.reports)
 }
 
-// Total returns the requests of an account over all windows.
+// Total returns the number of requests of an account in all windows.
 func (s *Service) Total(account string) int64 {
 	var total int64
 	for _, counts := range s.Reports() {
@@ -85,7 +92,7 @@
 	return total
 }
 
-// Holders returns how many holders have reported usage.
+// Holders returns the number of lease holders that have reported usage.
 func (s *Service) Holders() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,28 +105,28 @@
 	return len(holders)
 }
 
-// OnScale has orders of workers carried out by scale.
+// OnScale sets the function that is called for each order for a worker count.
 func (s *Service) OnScale(scale func(service, zone string, count int)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scale = scale
 }
 
-// Scaled returns how many orders of workers were taken.
+// Scaled returns the number of accepted orders for worker counts.
 func (s *Service) Scaled() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.scaleOrders
 }
 
-// Broken tells which rules were broken.
+// Broken returns a description of each violation of the rules.
 func (s *Service) Broken() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.violations...)
 }
 
-// call is what a holder sends, of either kind.
+// call is the body of a call: a usage report or an order for a worker count.
 type call struct {
 	WindowID     *int64           `json:"window_id"`
 	Counts       map[string]int64 `json:"counts"`
@@ -128,7 +135,8 @@
 	DesiredCount int              `json:"desired_count"`
 }
 
-// resource returns what a call is about, empty for one that is none.
+// resource returns the name of the resource that a call acts on, or an empty
+// string for an invalid call.
 func (c call) resource(path string) string {
 	switch {
 	case path == "/usage" && c.WindowID != nil:
@@ -139,7 +147,7 @@
 	return ""
 }
 
-// ServeHTTP takes a call.
+// ServeHTTP handles a call.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var c call
 	err := json.NewDecoder(r.Body).Decode(&c)
@@ -176,7 +184,8 @@
 	}
 }
 
-// checkReport notes a report and whether another one differs; the lock must be held.
+// checkReport stores a report and records a violation if it differs from an
+// earlier report of the same window. The lock must be held.
 func (s *Service) checkReport(window int64, counts map[string]int64) {
 	if before, known := s.reports[window]; known && !maps.Equal(before, counts) {
 		s.violations = append(s.violations, fmt.Sprintf("window %d: %v, then %v", window, before, counts))
@@ -184,8 +193,8 @@
 	s.reports[window] = counts
 }
 
-// checkHolder notes who acts under which token and what is wrong about it; the lock must
-// be held.
+// checkHolder records the call of a holder with its fencing token, and any
+// violations of the rules. The lock must be held.
 func (s *Service) checkHolder(name, holder string, token int64) {
 	res, known := s.resources[name]
 	if !known {
@@ -193,7 +202,7 @@
 		s.resources[name] = res
 	}
 	if before, known := res.holders[token]; known && before != holder {
-		s.violations = append(s.violations, fmt.Sprintf("%s: token %d of %s and %s", name, token, before, holder))
+		s.violations = append(s.violations, fmt.Sprintf("%s: token %d used by %s and %s", name, token, before, holder))
 	}
 	for higher := range res.holders {
 		if higher > token {
@@ -206,7 +215,7 @@
 		if res.calls[i].holder != holder {
 			otherBetween = true
 		} else if otherBetween {
-			s.violations = append(s.violations, fmt.Sprintf("%s: %s took turns within %v", name, holder, s.handoverDelay))
+			s.violations = append(s.violations, fmt.Sprintf("%s: %s called again within %v after another holder", name, holder, s.handoverDelay))
 			break
 		}
 	}
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -154,11 +154,11 @@
 // planStep distributes the step's prefill tokens in batch order and schedules
 // one token for every sequence whose prompt is prefilled.
 func (e *Engine) planStep() step {
-	var w step
+	var planned step
 	budget := e.config.PrefillChunk
 	for _, s := range e.running {
 		if s.prefillLeft == 0 {
-			w.decode = append(w.decode, s)
+			planned.decode = append(planned.decode, s)
 			continue
 		}
 		if budget == 0 {
@@ -166,15 +166,15 @@
 		}
 		n := min(budget, s.prefillLeft)
 		budget -= n
-		w.prefill = append(w.prefill, prefillChunk{sequence: s, tokens: n})
+		planned.prefill = append(planned.prefill, prefillChunk{sequence: s, tokens: n})
 	}
 	prefilled := e.config.PrefillChunk - budget
-	w.millis = float64(prefilled) * float64(kumquatlug.Second) / float64(e.config.PrefillRate)
-	if n := len(w.decode); n > 0 {
-		w.millis += e.config.DecodeTime * (1 + e.config.BatchSlope*float64(n-1))
+	planned.millis = float64(prefilled) * float64(kumquatlug.Second) / float64(e.config.PrefillRate)
+	if n := len(planned.decode); n > 0 {
+		planned.millis += e.config.DecodeTime * (1 + e.config.BatchSlope*float64(n-1))
 	}
-	w.millis = max(w.millis, e.config.LeastStep) * e.config.TimeScale
-	return w
+	planned.millis = max(planned.millis, e.config.LeastStep) * e.config.TimeScale
+	return planned
 }
 
 // stepDelay returns how long to wait for a step that takes millis. It counts
@@ -191,9 +191,9 @@
 }
 
 // applyStep updates the sequences of a completed step.
-func (e *Engine) applyStep(w step) {
+func (e *Engine) applyStep(planned step) {
 	now := e.clock.Now()
-	for _, c := range w.prefill {
+	for _, c := range planned.prefill {
 		if c.sequence.ended() {
 			continue
 		}
@@ -204,7 +204,7 @@
 			e.emitToken(c.sequence)
 		}
 	}
-	for _, s := range w.decode {
+	for _, s := range planned.decode {
 		if !s.ended() {
 			e.emitToken(s)
 		}
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -58,9 +58,9 @@
 	e.admit()
 	var durations []float64
 	for !s.ended() {
-		w := e.planStep()
-		durations = append(durations, w.millis)
-		e.applyStep(w)
+		planned := e.planStep()
+		durations = append(durations, planned.millis)
+		e.applyStep(planned)
 	}
 	if want := []float64{100, 100, 100, 20, 20}; !slices.Equal(durations, want) {
 		t.Fatalf("steps take %v ms, want %v", durations, want)
@@ -70,8 +70,8 @@
 	}
 	e.admit()
 	e.applyStep(e.planStep())
-	if w := e.planStep(); w.millis != 40 {
-		t.Fatalf("a step of eleven sequences takes %v ms, want 40, twice that of one", w.millis)
+	if planned := e.planStep(); planned.millis != 40 {
+		t.Fatalf("a step of eleven sequences takes %v ms, want 40, twice that of one", planned.millis)
 	}
 }
 
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -11,7 +11,7 @@
 // State is the progress of an engine with its last order.
 type State string
 
-// The states of an engine.
+// Progress of an engine with its last order.
 const (
 	// StateSettled: the last order is in effect.
 	StateSettled State = "settled"
@@ -25,7 +25,7 @@
 // Verb is the operation of an order.
 type Verb string
 
-// The verbs of orders.
+// Operations of orders.
 const (
 	VerbRole    Verb = "role"
 	VerbLoad    Verb = "load"
@@ -36,7 +36,7 @@
 // Verdict is the result of an order on arrival.
 type Verdict string
 
-// The verdicts on orders.
+// Results of an order on arrival.
 const (
 	VerdictAccepted Verdict = "accepted"
 	VerdictRepeated Verdict = "repeated"
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -60,27 +60,27 @@
 }
 
 func (e *Engine) completions(w http.ResponseWriter, r *http.Request) {
-	var t completionRequest
-	if !decodeBody(w, r, &t) {
+	var request completionRequest
+	if !decodeBody(w, r, &request) {
 		return
 	}
-	if t.Prompt == "" {
+	if request.Prompt == "" {
 		writeError(w, http.StatusBadRequest, "invalid_request", "there is no prompt")
 		return
 	}
-	e.serve(w, r, t)
+	e.serve(w, r, request)
 }
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
-	t := completionRequest{chat: true}
-	if !decodeBody(w, r, &t) {
+	request := completionRequest{chat: true}
+	if !decodeBody(w, r, &request) {
 		return
 	}
-	if len(t.Messages) == 0 {
+	if len(request.Messages) == 0 {
 		writeError(w, http.StatusBadRequest, "invalid_request", "there are no messages")
 		return
 	}
-	e.serve(w, r, t)
+	e.serve(w, r, request)
 }
 
 func (e *Engine) serve(w http.ResponseWriter, httpRequest *http.Request, request completionRequest) {
@@ -332,14 +332,14 @@
 
 // exportKV prefills a prompt and returns the handle of its KV cache.
 func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
-	var t completionRequest
-	if !decodeBody(w, r, &t) {
+	var request completionRequest
+	if !decodeBody(w, r, &request) {
 		return
 	}
-	prompt := t.prompt()
+	prompt := request.prompt()
 	s := e.newSequence(prompt, 0, 0)
-	s.priority = t.Priority
-	if !e.accept(w, t.Model, s) {
+	s.priority = request.Priority
+	if !e.accept(w, request.Model, s) {
 		return
 	}
 	defer e.cancel(s)
--- a/internal/standin/fleet/answers.go
+++ b/internal/standin/fleet/answers.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// servePrefill reads a prompt and keeps its cache.
+// servePrefill prefills a prompt and returns the handle of its KV cache.
 func (w *Worker) servePrefill(out http.ResponseWriter, id, stage string, fault Fault, r *http.Request) {
 	if stage != "prefill" {
 		out.Header().Set("Not-Executed", "1")
@@ -27,11 +27,11 @@
 	handle := fmt.Sprintf("h-%s-%d", id, w.prefills)
 	w.handles[handle] = id
 	w.mu.Unlock()
-	// A caller that is gone does not read its answer.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(out).Encode(map[string]any{"kv_handle": handle, "tokens": 1, "version": 1})
 }
 
-// serveRequest runs a request.
+// serveRequest runs a request and counts the run.
 func (w *Worker) serveRequest(out http.ResponseWriter, r *http.Request, id string, fault Fault, bodyBytes int) {
 	w.mu.Lock()
 	w.runs[id]++
@@ -62,7 +62,7 @@
 	w.writeBody(out, r, id, fault, bodyBytes)
 }
 
-// streamEvents sends events behind the last one that the client has.
+// streamEvents sends the events after the one in the Last-Event-Id header.
 func (w *Worker) streamEvents(out http.ResponseWriter, r *http.Request, id string, fault Fault) {
 	out.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(out)
@@ -84,12 +84,12 @@
 		}
 		select {
 		case <-end:
-			// It ends without its end.
+			// The stream was moved, so it closes without its last events.
 			panic(http.ErrAbortHandler)
 		default:
 		}
 		if fault == FaultCut && n == last+2 {
-			// It stops in the middle of an event.
+			// The stream ends in the middle of an event.
 			_, _ = fmt.Fprintf(out, "id: %d\nda", n)
 			_ = flush.Flush()
 			panic(http.ErrAbortHandler)
@@ -99,10 +99,10 @@
 	}
 }
 
-// Body returns the answer of a plain worker to a request.
+// Body returns the response of a plain worker to the attempt with this ID.
 func Body(id string) string { return strings.Repeat("answer to "+id+"\n", 40) }
 
-// writeBody sends a whole answer.
+// writeBody sends the response of a plain worker.
 func (w *Worker) writeBody(out http.ResponseWriter, r *http.Request, id string, fault Fault, bodyBytes int) {
 	if !wait(r, w.config.Pause) {
 		return
@@ -120,7 +120,7 @@
 	}
 }
 
-// writeSecondResponse sends the answer once more on the same connection.
+// writeSecondResponse sends the response again on the same connection.
 func writeSecondResponse(out http.ResponseWriter, id string) {
 	text := Body(id)
 	flush := http.NewResponseController(out)
@@ -130,11 +130,11 @@
 		return
 	}
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Stamp: late\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
-	// The connection stays open for a while, as a worker's would.
+	// The connection stays open for a while, as it would at a real worker.
 	time.AfterFunc(2*time.Second, func() { _ = conn.Close() })
 }
 
-// wait waits and reports false when the caller left meanwhile.
+// wait blocks for d and returns false if the caller disconnects before.
 func wait(r *http.Request, d time.Duration) bool {
 	select {
 	case <-r.Context().Done():
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -1,9 +1,9 @@
-// Package fleet stands in for the users' workers in tests: language-model
-// engines with roles, KV caches and orders, and plain services.
+// Package fleet simulates the users' workers in tests: language-model engines
+// with prefill and decode stages, KV caches and orders, and plain services.
 //
-// It speaks the workers' published protocol, so its wire names are the users'.
-// Each worker records what it ran, so that a test can tell whether a request ran
-// twice, or ran though it was refused.
+// It implements the workers' published protocol, so the names on the wire are
+// the users'. Each worker records which requests it ran, so that tests can
+// detect requests that ran twice or that ran although they were rejected.
 package fleet
 
 import (
@@ -17,27 +17,27 @@
 	"time"
 )
 
-// Fault is how a worker spoils its answers.
+// Fault is the way in which responses fail.
 type Fault string
 
-// The faults.
+// Faults that can be injected.
 const (
 	FaultNone Fault = ""
-	// FaultShed: it refuses, nothing runs.
+	// FaultShed: requests are rejected and do not run.
 	FaultShed Fault = "shed"
-	// FaultLost: it runs the request and closes the connection without an answer.
+	// FaultLost: requests run and the connection is closed without a response.
 	FaultLost Fault = "lost"
-	// FaultCut: it breaks its answer off in the middle.
+	// FaultCut: responses are truncated.
 	FaultCut Fault = "cut"
-	// FaultExtra: it sends a second answer after each one.
+	// FaultExtra: a plain worker sends a second response after each one.
 	FaultExtra Fault = "extra"
-	// FaultSilent: it takes requests and never answers.
+	// FaultSilent: requests are accepted and never get a response.
 	FaultSilent Fault = "silent"
-	// FaultError: it answers 500.
+	// FaultError: requests run and get status 500.
 	FaultError Fault = "error"
 )
 
-// Config is what a [Worker] is made of.
+// Config configures a [Worker].
 type Config struct {
 	ID      string
 	Service string
@@ -46,13 +46,13 @@
 	// Stage is "prefill" or "decode" for an engine, empty for a plain worker.
 	Stage string
 	Slots int
-	// Events is how many events a stream has; Pause is the time before each one,
-	// and the time of a plain request.
+	// Events is the number of events per stream. Pause is the time before each
+	// event and the duration of a plain request or a prefill.
 	Events int
 	Pause  time.Duration
 }
 
-// Worker is one worker. Serve it as an http.Handler.
+// Worker is a simulated worker. It is an http.Handler.
 type Worker struct {
 	mu              sync.Mutex
 	config          Config
@@ -67,16 +67,17 @@
 	receivedHeaders []http.Header
 	running         int
 	startedMillis   int64
-	// streamEnds are closed when a running stream is moved, by request.
+	// streamEnds are closed when a running stream is moved, by attempt ID.
 	streamEnds   map[string]chan struct{}
 	movedStreams int
-	// rateLimit is the rate of requests that it names in its answers, negative for none.
+	// rateLimit is the limit in the Server-Limit header of responses, in
+	// requests per second; negative for none.
 	rateLimit    float64
 	arrivals     []time.Time
 	shuttingDown bool
 }
 
-// New returns a worker.
+// New returns a worker without faults.
 func New(c Config) *Worker {
 	if c.Slots == 0 {
 		c.Slots = 8
@@ -88,29 +89,31 @@
 	}
 }
 
-// SetFault changes how requests are treated from now on.
+// SetFault sets the fault for later requests.
 func (w *Worker) SetFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-// SetLimit has all answers name a limit of so many requests a second, or none if it is
-// negative.
+// SetLimit sets the limit in the headers of responses, in requests per second.
+// A negative limit removes the header.
 func (w *Worker) SetLimit(perSecond float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rateLimit = perSecond
 }
 
-// Leave has all answers say that the worker leaves. It goes on serving.
+// Leave makes all later responses announce that the worker shuts down. The
+// worker keeps serving.
 func (w *Worker) Leave() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.shuttingDown = true
 }
 
-// Most returns the most requests that arrived in a span that began at from or later.
+// Most returns the maximum number of requests that arrived within span, over
+// all intervals that start at from or later.
 func (w *Worker) Most(from time.Time, span time.Duration) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,7 +129,7 @@
 	return highest
 }
 
-// Runs returns how often each request ran, by its id.
+// Runs returns the number of runs by attempt ID.
 func (w *Worker) Runs() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,35 +140,35 @@
 	return runs
 }
 
-// Prompts returns how many prompts were read apart.
+// Prompts returns the number of separate prefills.
 func (w *Worker) Prompts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.prefills
 }
 
-// Orders returns the orders that were taken, as "stage by holder/fence".
+// Orders returns the accepted orders, as "stage by holder/fence".
 func (w *Worker) Orders() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.acceptedOrders...)
 }
 
-// Received returns the headers of all requests that arrived.
+// Received returns the headers of all received requests.
 func (w *Worker) Received() []http.Header {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]http.Header(nil), w.receivedHeaders...)
 }
 
-// Stage returns what an engine does now.
+// Stage returns the current stage of an engine.
 func (w *Worker) Stage() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.config.Stage
 }
 
-// Row returns what the worker writes in the store.
+// Row returns the worker's row in the store, with the given state.
 func (w *Worker) Row(state string) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -176,12 +179,12 @@
 	if w.config.Stage != "" {
 		row["stage"] = w.config.Stage
 	}
-	// Text and numbers always encode.
+	// Strings and numbers always encode.
 	text, _ := json.Marshal(row)
 	return text
 }
 
-// ServeHTTP answers a request or a control call.
+// ServeHTTP handles a request or a control call.
 func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if expected := r.Header.Get("Expected-Instance"); expected != "" && expected != w.config.ID {
 		out.Header().Set("Instance-Id", w.config.ID)
@@ -204,8 +207,8 @@
 	}
 }
 
-// handleMove ends a running stream and keeps its memory for another engine, which this
-// stand-in does not copy: a handle is good at every engine.
+// handleMove ends a running stream and returns a handle of its KV cache for
+// another engine. The cache is not copied: every engine accepts every handle.
 func (w *Worker) handleMove(out http.ResponseWriter, r *http.Request) {
 	var m struct {
 		InstanceID string `json:"instance_id"`
@@ -226,11 +229,11 @@
 	delete(w.streamEnds, m.InstanceID)
 	close(end)
 	w.movedStreams++
-	// A caller that is gone does not read its answer.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(out).Encode(map[string]any{"kv_handle": "h-" + m.InstanceID + "-moved", "created": 1})
 }
 
-// Moved returns how many streams were moved away.
+// Moved returns the number of streams moved to another engine.
 func (w *Worker) Moved() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -240,13 +243,14 @@
 func (w *Worker) handleReport(out http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// A caller that is gone does not read its answer.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(out).Encode(map[string]any{
 		"stage": w.config.Stage, "busy": w.busy, "sequence": w.orderCount, "queued": 0, "running": w.running,
 	})
 }
 
-// handleOrder changes the stage at once, unless the order presumes another count.
+// handleOrder changes the stage immediately. It rejects an order whose
+// precondition is not the number of orders so far.
 func (w *Worker) handleOrder(out http.ResponseWriter, r *http.Request) {
 	var o struct {
 		Op           string `json:"op"`
@@ -274,7 +278,7 @@
 	}
 }
 
-// handleRequest runs a request of a client, or reads its prompt.
+// handleRequest runs a client's request, or only prefills its prompt.
 func (w *Worker) handleRequest(out http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Attempt-Id")
 	body, err := io.ReadAll(r.Body)
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -34,7 +34,7 @@
 // Form is the kind of responses to request.
 type Form string
 
-// The kinds of responses.
+// Kinds of responses.
 const (
 	FormStreamed Form = "streamed"
 	FormWhole    Form = "whole"
--- a/internal/standin/load/path.go
+++ b/internal/standin/load/path.go
@@ -50,7 +50,7 @@
 
 // burstClients is the number of concurrent clients in a burst: 16 per engine,
 // the initial concurrency limit of an unknown engine, so that the fast engines
-// stay busy and no queue forms at the entry.
+// stay busy and no queue forms at the gateway.
 const burstClients = 64
 
 // warmupFactor is the arrival rate of the warm-up relative to the measured
@@ -73,7 +73,7 @@
 type Use struct {
 	cpuSeconds, allocations, allocatedBytes float64
 	// waitSeconds is the total time that requests waited for a slot at a target
-	// and waitCount their number; only an entry has them.
+	// and waitCount their number; only a gateway has them.
 	waitSeconds, waitCount float64
 }
 
@@ -111,7 +111,7 @@
 func MeasurePath(ctx context.Context, c PathConfig) (*PathCost, error) {
 	cost := &PathCost{Streams: newPathLoad(), Bursts: newPathLoad()}
 	streams := c.streams()
-	// The warm-up raises the concurrency limits of the entry to what the
+	// The warm-up raises the concurrency limits of the gateway to what the
 	// engines can serve, with some margin.
 	warmup := streams
 	warmup.Rate *= warmupFactor
--- a/internal/standin/load/ways.go
+++ b/internal/standin/load/ways.go
@@ -17,13 +17,13 @@
 
 // addToken records a stamped token that has just arrived. It returns false for
 // a token without a stamp or for several tokens in one chunk.
-func (w *transitTimes) addToken(text string, due time.Time) bool {
+func (t *transitTimes) addToken(text string, due time.Time) bool {
 	stamp, err := engine.ReadStamp(text)
 	if err != nil {
 		return false
 	}
-	w.toEngine = stamp.Arrived().Sub(due)
-	w.fromEngine = append(w.fromEngine, time.Since(stamp.Written()))
+	t.toEngine = stamp.Arrived().Sub(due)
+	t.fromEngine = append(t.fromEngine, time.Since(stamp.Written()))
 	return true
 }
 
--- a/internal/standin/platform/memory.go
+++ b/internal/standin/platform/memory.go
@@ -1,7 +1,7 @@
-// Package platform stands in for the platform's table, its object store and its
-// list of VMs within one process, for measurements. It fails on demand: down,
-// slow, and with an answer lost after the write took effect. Package rowstore
-// speaks the platform's protocol.
+// Package platform simulates the platform's table, object store and VM list
+// within one process, for measurements. Faults can be injected: outages, slow
+// requests, and responses lost after a write took effect. Package rowstore
+// implements the platform's protocol.
 package platform
 
 import (
@@ -19,26 +19,26 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/clock"
 )
 
-// Faults says how the platform misbehaves from now on. The zero value is a
-// platform that works.
+// Faults are the injected faults. The zero value injects none.
 type Faults struct {
 	// Down fails every request before it takes effect.
 	Down bool `json:"down"`
-	// DownTable does so for the table alone.
+	// DownTable fails requests to the table before they take effect.
 	DownTable bool `json:"down_table"`
-	// DownObjects does so for the object store alone.
+	// DownObjects fails requests to the object store before they take effect.
 	DownObjects bool `json:"down_objects"`
-	// DownVMs does so for the list of VMs alone.
+	// DownVMs fails requests to the VM list before they take effect.
 	DownVMs bool `json:"down_vms"`
 	// Slow delays every request before it takes effect, in milliseconds.
 	Slow kumquatlug.Millis `json:"slow_ms"`
-	// LoseAnswers is how many of the next commits take effect while their
-	// writer learns nothing of it.
+	// LoseAnswers is the number of next commits that take effect but return
+	// ErrLost to their writer.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// Counts is what was asked of the platform since it started, requests that
-// failed included.
+// Counts are the numbers of operations since the platform was created. Reads
+// and writes include commits that failed on a condition or lost their response,
+// but no requests that failed because of an outage.
 type Counts struct {
 	reads       int64
 	writes      int64
@@ -48,13 +48,15 @@
 // Reads returns the number of gets, scans, fetches and lists.
 func (c Counts) Reads() int64 { return c.reads }
 
-// Writes returns the number of transactions and stored objects.
+// Writes returns the number of transactions, stored objects and changes of the
+// VM list by Enter and Leave.
 func (c Counts) Writes() int64 { return c.writes }
 
-// RowsWritten returns the number of rows that transactions put or removed.
+// RowsWritten returns the number of rows that transactions wrote or deleted.
 func (c Counts) RowsWritten() int64 { return c.rowsWritten }
 
-// vmChange is a change of the list of VMs that readers see later.
+// vmChange is a change of the VM list that is visible to readers from visibleAt
+// on.
 type vmChange struct {
 	visibleAt kumquatlug.Millis
 	name      string
@@ -62,9 +64,9 @@
 	deleted   bool
 }
 
-// Memory is the platform in the memory of one process. It implements
-// [kumquatlug.Table], [kumquatlug.Objects] and [kumquatlug.VMs] and is safe
-// for concurrent use.
+// Memory is an in-memory platform. It implements [kumquatlug.Table],
+// [kumquatlug.Objects] and [kumquatlug.VMs] and is safe for concurrent use.
+// Their methods return ErrUnavailable during an outage or if ctx ends.
 type Memory struct {
 	clock kumquatlug.Clock
 
@@ -85,7 +87,8 @@
 	_ kumquatlug.VMs     = (*Memory)(nil)
 )
 
-// NewMemory returns an empty platform that works and whose list does not lag.
+// NewMemory returns an empty platform without faults and without lag of the VM
+// list.
 func NewMemory() *Memory {
 	return &Memory{
 		clock:   clock.NewMonotonic(),
@@ -95,28 +98,29 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (m *Memory) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
 }
 
-// SetLag sets how late a change of the list of VMs is seen.
+// SetLag sets the delay, in milliseconds, until a change of the VM list is
+// visible. It applies to later changes.
 func (m *Memory) SetLag(lag kumquatlug.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.vmLag = lag
 }
 
-// Counts returns what was asked so far.
+// Counts returns the numbers of operations so far.
 func (m *Memory) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts
 }
 
-// Get returns the row at key.
+// Get returns the row at key, with version zero if there is none.
 func (m *Memory) Get(ctx context.Context, key string) (kumquatlug.Row, error) {
 	if err := m.acquire(ctx, m.tableDown); err != nil {
 		return kumquatlug.Row{}, err
@@ -129,7 +133,8 @@
 	return kumquatlug.NewRow(key, nil, 0), nil
 }
 
-// Scan returns rows by prefix in key order; a limit of zero or less means all.
+// Scan returns the rows with prefix and a key greater than after, in key order.
+// A limit of zero or less means no limit.
 func (m *Memory) Scan(ctx context.Context, prefix, after string, limit int) ([]kumquatlug.Row, error) {
 	if err := m.acquire(ctx, m.tableDown); err != nil {
 		return nil, err
@@ -153,7 +158,8 @@
 	return rows, nil
 }
 
-// Commit applies tx whole or not at all.
+// Commit applies tx atomically. It returns ErrConflict if a condition fails and
+// ErrLost if the response is lost after the commit.
 func (m *Memory) Commit(ctx context.Context, tx kumquatlug.Tx) error {
 	if err := m.acquire(ctx, m.tableDown); err != nil {
 		return err
@@ -162,7 +168,7 @@
 	m.counts.writes++
 	for _, c := range tx.Conditions() {
 		if found := m.rows[c.Key()].Version(); found != c.Version() {
-			return errors.Mark(errors.Newf("row %q has version %d, not %d", c.Key(), found, c.Version()), kumquatlug.ErrConflict)
+			return errors.Mark(errors.Newf("row %q has version %d, want %d", c.Key(), found, c.Version()), kumquatlug.ErrConflict)
 		}
 	}
 	for _, w := range tx.Writes() {
@@ -170,13 +176,13 @@
 	}
 	if m.faults.LoseAnswers > 0 {
 		m.faults.LoseAnswers--
-		return errors.Mark(errors.Newf("commit %q", tx.ID()), kumquatlug.ErrLost)
+		return errors.Mark(errors.Newf("response to commit %q lost", tx.ID()), kumquatlug.ErrLost)
 	}
 	return nil
 }
 
-// write applies one write. The version counts over all rows, so that a row
-// that was removed and written again never shows an old version.
+// write applies one write. Versions are global to all rows, so that a row that
+// is deleted and written again never has an old version.
 func (m *Memory) write(w kumquatlug.Write) {
 	m.version++
 	m.counts.rowsWritten++
@@ -184,7 +190,8 @@
 		delete(m.rows, w.Key())
 		return
 	}
-	// Clipped, so that a reader who appends to it does not write into it.
+	// The value is clipped so that appending to it does not write into the
+	// stored row.
 	value := slices.Clip(bytes.Clone(w.Value()))
 	m.rows[w.Key()] = kumquatlug.NewRow(w.Key(), value, m.version)
 }
@@ -200,7 +207,7 @@
 	return nil
 }
 
-// Fetch returns an object.
+// Fetch returns an object, or ErrNotFound.
 func (m *Memory) Fetch(ctx context.Context, name string) ([]byte, error) {
 	if err := m.acquire(ctx, m.objectsDown); err != nil {
 		return nil, err
@@ -209,12 +216,13 @@
 	m.counts.reads++
 	body, ok := m.objects[name]
 	if !ok {
-		return nil, errors.Mark(errors.Newf("object %q", name), kumquatlug.ErrNotFound)
+		return nil, errors.Mark(errors.Newf("object %q not found", name), kumquatlug.ErrNotFound)
 	}
 	return bytes.Clone(body), nil
 }
 
-// List returns the VMs by name, as they were one lag ago.
+// List returns the VMs in order of their names, without changes that are not
+// visible yet.
 func (m *Memory) List(ctx context.Context) ([]kumquatlug.VM, error) {
 	if err := m.acquire(ctx, m.vmsDown); err != nil {
 		return nil, err
@@ -230,7 +238,7 @@
 	return vms, nil
 }
 
-// Enter registers a VM or changes it.
+// Enter registers or updates a VM.
 func (m *Memory) Enter(ctx context.Context, v kumquatlug.VM) error {
 	if err := m.acquire(ctx, m.vmsDown); err != nil {
 		return err
@@ -241,7 +249,7 @@
 	return nil
 }
 
-// Leave takes a VM off the list.
+// Leave removes a VM from the list.
 func (m *Memory) Leave(ctx context.Context, name string) error {
 	if err := m.acquire(ctx, m.vmsDown); err != nil {
 		return err
@@ -252,12 +260,14 @@
 	return nil
 }
 
-// SetVM registers a VM or changes it; readers see that one lag later.
+// SetVM registers or updates a VM, also during an outage. The change is visible
+// after the lag.
 func (m *Memory) SetVM(v kumquatlug.VM) {
 	m.enqueue(vmChange{name: v.Name(), vm: v})
 }
 
-// RemoveVM takes a VM off the list; readers see that one lag later.
+// RemoveVM removes a VM from the list, also during an outage. The change is
+// visible after the lag.
 func (m *Memory) RemoveVM(name string) {
 	m.enqueue(vmChange{name: name, deleted: true})
 }
@@ -269,7 +279,7 @@
 	m.pendingVMs = append(m.pendingVMs, c)
 }
 
-// applyPending makes visible the changes that are due, in order.
+// applyPending applies the pending changes that are due, in order.
 func (m *Memory) applyPending() {
 	now := m.clock.Now()
 	for len(m.pendingVMs) > 0 && m.pendingVMs[0].visibleAt <= now {
@@ -287,8 +297,8 @@
 func (m *Memory) objectsDown() bool { return m.faults.Down || m.faults.DownObjects }
 func (m *Memory) vmsDown() bool     { return m.faults.Down || m.faults.DownVMs }
 
-// acquire waits as long as the platform is slow and takes the lock, which is
-// held when it returns nil.
+// acquire waits for the injected delay and locks the mutex, which is held if it
+// returns nil. It returns ErrUnavailable during an outage or if ctx ends.
 func (m *Memory) acquire(ctx context.Context, down func() bool) error {
 	m.mu.Lock()
 	slow := m.faults.Slow
@@ -299,7 +309,7 @@
 	m.mu.Lock()
 	if down() {
 		m.mu.Unlock()
-		return errors.Mark(errors.New("the platform is down"), kumquatlug.ErrUnavailable)
+		return errors.Mark(errors.New("platform is down"), kumquatlug.ErrUnavailable)
 	}
 	return nil
 }
--- a/internal/standin/platform/memory_test.go
+++ b/internal/standin/platform/memory_test.go
@@ -18,7 +18,7 @@
 		t.Fatalf("%v", err)
 	}
 	if err := m.Put(ctx, "o", nil); err != nil {
-		t.Fatalf("the object store went down with the table: %v", err)
+		t.Fatalf("object store unavailable during an outage of the table: %v", err)
 	}
 	m.SetFaults(platform.Faults{})
 	if r, err := m.Get(ctx, "a"); err != nil || r.Exists() {
--- a/internal/standin/rowstore/contract_test.go
+++ b/internal/standin/rowstore/contract_test.go
@@ -20,20 +20,20 @@
 	"github.com/kumquatlug/kumquatlug/platform"
 )
 
-// backend is a stand-in for what lasts, as the product sees it.
+// backend is an implementation of the platform's storage interfaces.
 type backend struct {
 	kumquatlug.Table
 	kumquatlug.Objects
 	kumquatlug.VMs
-	// loseResponses has the answers to so many of the next writes lost, down sets whether
-	// calls are refused.
+	// loseResponses drops the responses to the next n writes; setDown starts or
+	// ends an outage.
 	loseResponses func(n int)
 	setDown       func(bool)
 }
 
-// backends are the store over its published protocol, through the client that the
-// product uses, and the one in memory. Both must keep the same promises: what is
-// proved over one would else not hold over the other.
+// backends returns the simulated store behind its published protocol, accessed
+// through the production client, and the in-memory platform. Both must satisfy
+// the same contract, so that tests against one are valid for the other.
 func backends(t *testing.T) map[string]backend {
 	t.Helper()
 	server := httptest.NewServer(rowstore.New())
@@ -62,7 +62,7 @@
 	}
 }
 
-// forEachBackend runs a test against both.
+// forEachBackend runs a test against both backends.
 func forEachBackend(t *testing.T, test func(ctx context.Context, t *testing.T, b backend)) {
 	t.Helper()
 	for name, b := range backends(t) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// must fails the test on an error.
+// must fails the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -95,7 +95,7 @@
 		}
 		if a, second := get(ctx, t, b, "k/a"), get(ctx, t, b, "l/b"); string(a.Value()) != "x" || string(second.Value()) != "y" ||
 			second.Version() != first.Version() || a.Version() == 0 {
-			t.Errorf("a=%q at %d, b=%q at %d", a.Value(), a.Version(), second.Value(), second.Version())
+			t.Errorf("after the conflict: a=%q at version %d, b=%q at version %d", a.Value(), a.Version(), second.Value(), second.Version())
 		}
 	})
 }
@@ -142,14 +142,14 @@
 		must(t, b.Commit(ctx, kumquatlug.NewTx("3").Put("k/k", []byte("1"))))
 		after := get(ctx, t, b, "k/k")
 		if absent.Exists() || after.Version() <= before.Version() {
-			t.Fatalf("%d, then %d, then %d", before.Version(), absent.Version(), after.Version())
+			t.Fatalf("version %d before the delete, %d after it, %d after the second write", before.Version(), absent.Version(), after.Version())
 		}
 	})
 }
 
-// The store commits and its answer is lost on the way. A writer that takes that
-// for a failure writes again, over its own row; the only way to the truth is to
-// read back.
+// The store commits and the response is lost. A writer that treats this as a
+// failed write would write again over its own row; only reading the row shows
+// whether the commit took effect.
 func TestLostResponseAfterCommit(t *testing.T) {
 	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		b.loseResponses(2)
@@ -158,7 +158,7 @@
 				t.Fatalf("%s: %v", key, err)
 			}
 			if r := get(ctx, t, b, key); string(r.Value()) != "x" || !r.Exists() {
-				t.Fatalf("%s: %q at %d", key, r.Value(), r.Version())
+				t.Fatalf("%s: value %q at version %d", key, r.Value(), r.Version())
 			}
 		}
 		must(t, b.Commit(ctx, kumquatlug.NewTx("3").Put("k/c", nil)))
@@ -181,8 +181,9 @@
 	})
 }
 
-// A table has more rows than the store returns at once. A reader that takes the
-// first page for all would forget the rest of the config or of the claims.
+// A table has more rows than the store returns in one page. A reader that takes
+// the first page for the whole table would miss the rest of the config or of
+// the claims.
 func TestScanReturnsAllRowsInKeyOrder(t *testing.T) {
 	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		const rows = 1103
@@ -211,7 +212,7 @@
 			}
 		}
 		if found, err := b.Scan(ctx, "g/", "g/1100", 9); err != nil || len(found) != 2 || found[0].Key() != "g/1101" {
-			t.Errorf("after a key: %v, %v", found, err)
+			t.Errorf("scan after a key: %v, %v", found, err)
 		}
 	})
 }
@@ -239,8 +240,9 @@
 	})
 }
 
-// The platform takes a hundred entries a call. A larger transaction must be
-// refused with a word, not be sent and fail for a reason that nobody sees.
+// The platform accepts 100 entries per call. The client must reject a larger
+// transaction with a clear error and not send it, since the store's error would
+// not name the cause.
 func TestOversizedTransactionIsRejected(t *testing.T) {
 	b := backends(t)["protocol"]
 	tx := kumquatlug.NewTx("large")
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -1,8 +1,9 @@
-// Package rowstore stands in for the store of the users' platform in tests: rows
-// under conditions, a feed of changes with a bounded history, objects, and the
-// ways in which the store fails.
+// Package rowstore simulates, for tests, the store of the users' platform: rows
+// with conditional writes, a change feed with a bounded history, objects, and
+// injected faults.
 //
-// It speaks the store's published protocol, so its wire names are the users'.
+// It implements the store's published protocol, so the names on the wire are
+// the users'.
 package rowstore
 
 import (
@@ -18,24 +19,27 @@
 	"time"
 )
 
-// Fault is how the store treats calls.
+// Fault is the way in which calls fail.
 type Fault string
 
-// The faults.
+// Faults that can be injected.
 const (
-	// FaultNone: calls are answered.
+	// FaultNone: calls succeed.
 	FaultNone Fault = ""
-	// FaultBusy: calls are refused, nothing is done.
+	// FaultBusy: calls are rejected with status 503 and have no effect.
 	FaultBusy Fault = "busy"
-	// FaultReset: connections are closed without an answer, nothing is done.
+	// FaultReset: connections are closed without a response; calls have no
+	// effect.
 	FaultReset Fault = "reset"
-	// FaultSilent: calls are never answered, nothing is done.
+	// FaultSilent: calls never get a response and have no effect.
 	FaultSilent Fault = "silent"
-	// FaultLost: writes are done and not answered.
+	// FaultLost: writes take effect and the connection is closed without a
+	// response.
 	FaultLost Fault = "lost"
 )
 
-// row is one row; ver is the transaction that wrote it.
+// row is a row, or its deletion in the history. Ver is the version of the
+// transaction that wrote it.
 type row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -47,7 +51,7 @@
 
 func (r row) name() string { return r.Table + "\x00" + r.Part + "\x00" + r.Key }
 
-// Store is the stand-in. Serve it as an http.Handler.
+// Store is the simulated store. It is an http.Handler.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[string]row
@@ -59,12 +63,12 @@
 	fault        Fault
 	calls        map[string]int
 	objects      map[string][]byte
-	// responsesToLose is how many of the next writes are done and not answered; slow
-	// delays each call.
+	// responsesToLose is the number of next writes that take effect without a
+	// response; delay is the time before each call is handled.
 	responsesToLose int
 	delay           time.Duration
 	started         time.Time
-	// era counts how often the store came back from an older copy.
+	// era is the number of restores from an older copy.
 	era int64
 }
 
@@ -75,21 +79,22 @@
 	}
 }
 
-// Copy is the state of a store at a moment.
+// Copy is a snapshot of the rows of a store.
 type Copy struct {
 	rows    map[string]row
 	version int64
 }
 
-// Copy returns the state of the store.
+// Copy returns a snapshot of the store.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Copy{rows: maps.Clone(s.rows), version: s.version}
 }
 
-// Restore has the store come back from an older copy of itself. What was written since
-// is gone, and its versions are given out again, some of them at once to rows of others.
+// Restore resets the store to an older snapshot. Later writes are lost and
+// their versions are reused, the first otherRows of them immediately for rows
+// of another table.
 func (s *Store) Restore(c Copy, otherRows int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,14 +107,14 @@
 	s.notify()
 }
 
-// SetFault changes how calls are treated from now on.
+// SetFault sets the fault for later calls.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Forget drops the history: who follows a table must read it anew.
+// Forget drops the history, so that followers of a table must read it again.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +122,7 @@
 	s.history = nil
 }
 
-// Calls returns how many calls of a path were made.
+// Calls returns the number of calls with a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +138,7 @@
 	s.notify()
 }
 
-// Delete removes a row.
+// Delete deletes a row.
 func (s *Store) Delete(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +147,7 @@
 	s.notify()
 }
 
-// Value returns a row's value, nil when there is none.
+// Value returns the value of a row, or nil if there is none.
 func (s *Store) Value(table, key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +168,7 @@
 	s.changeSignal = make(chan struct{})
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP handles a call.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == PathFaults {
 		s.setFaults(w, r)
@@ -196,12 +201,13 @@
 	}
 }
 
-// PathFaults is where a test sets how a store of another process fails; it is no
-// part of the platform's protocol.
+// PathFaults is the path of the control call with which tests inject faults
+// into a store in another process. It is not part of the platform's protocol.
 const PathFaults = "/standin/faults"
 
-// setFaults takes faults as JSON: "down" refuses calls, "slow_ms" delays them,
-// "lose_answers" is how many of the next writes are done and not answered.
+// setFaults reads faults as JSON: "down" rejects calls, "slow_ms" delays them,
+// and "lose_answers" is the number of next writes that take effect without a
+// response.
 func (s *Store) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f struct {
 		Down        bool  `json:"down"`
@@ -221,8 +227,8 @@
 	s.delay, s.responsesToLose = time.Duration(f.SlowMS)*time.Millisecond, f.LoseAnswers
 }
 
-// losesResponse reports that the answer to the write at hand is to be lost; the lock must
-// be held.
+// losesResponse reports whether the response to the current write is lost. The
+// lock must be held.
 func (s *Store) losesResponse(fault Fault) bool {
 	if s.responsesToLose > 0 {
 		s.responsesToLose--
@@ -231,7 +237,7 @@
 	return fault == FaultLost
 }
 
-// maxObjectBytes bounds an object, in bytes.
+// maxObjectBytes limits the size of an object.
 const maxObjectBytes = 8 << 20
 
 // serveObject stores or returns an object.
@@ -259,14 +265,14 @@
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		// A caller that is gone does not read its answer.
+		// A write error means that the caller has disconnected.
 		_, _ = w.Write(body)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// serveTx applies all entries of a transaction or none.
+// serveTx applies a transaction atomically.
 func (s *Store) serveTx(w http.ResponseWriter, r *http.Request, fault Fault) {
 	var tx struct {
 		Precondition []row `json:"precondition"`
@@ -312,7 +318,7 @@
 	s.writeRows(w, http.StatusOK, nil, false)
 }
 
-// Bounds of calls, as the platform states them.
+// Limits of calls, as documented by the platform.
 const (
 	maxEntries  = 100
 	maxRowBytes = 64 << 10
@@ -320,7 +326,8 @@
 	maxKeyBytes = 200
 )
 
-// validEntries reports that all entries lie in one part and are within their bounds.
+// validEntries reports whether all entries are in one partition and within
+// their limits.
 func validEntries(lists ...[]row) bool {
 	part, first := "", true
 	for _, list := range lists {
@@ -336,7 +343,7 @@
 	return true
 }
 
-// writeRows writes an answer about rows; the lock must be held.
+// writeRows writes a response with rows. The lock must be held.
 func (s *Store) writeRows(w http.ResponseWriter, status int, rows []row, truncated bool) {
 	if rows == nil {
 		rows = []row{}
@@ -344,7 +351,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Store-Era", strconv.FormatInt(s.era, 10))
 	w.WriteHeader(status)
-	// A caller that is gone does not read its answer.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(struct {
 		Rows      []row `json:"rows"`
 		Truncated bool  `json:"truncated"`
@@ -353,7 +360,8 @@
 	}{rows, truncated, s.version, time.Since(s.started).Milliseconds()})
 }
 
-// serveGet returns the rows of a range in key order.
+// serveGet returns the rows of a key range in key order, at most maxPageRows of
+// them.
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.mu.Lock()
@@ -373,7 +381,9 @@
 	s.writeRows(w, http.StatusOK, found[:min(len(found), limit)], len(found) > limit)
 }
 
-// serveFeed waits for changes of a table.
+// serveFeed waits until a table has changes after a version, or returns no rows
+// after wait_ms. It responds with 410 Gone if the history no longer has those
+// changes or the store was restored to an older version.
 func (s *Store) serveFeed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseInt(q.Get("after"), 10, 64)
@@ -407,7 +417,7 @@
 	}
 }
 
-// changesSince returns the last change of each row of a table after a version.
+// changesSince returns the last change after a version of each row of a table.
 func (s *Store) changesSince(table string, after int64) []row {
 	var rows []row
 	for _, change := range s.history {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service stands in for a plain service beside the engines: it records
-// every run of a call, so that a test can count how often a call that may not
-// be repeated did run, whatever its callers were told.
+// Package service simulates a plain service besides the engines. It counts
+// every run of a call, so that tests can check how often a non-idempotent call
+// ran, regardless of the responses that its callers received.
 package service
 
 import (
@@ -18,36 +18,36 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxBodyBytes bounds one call.
+// maxBodyBytes limits the body of one call.
 const maxBodyBytes = 16 << 20
 
-// Config is how a [Service] behaves.
+// Config configures a [Service].
 type Config struct {
-	// Delay is how long a call takes before its effect, in milliseconds; none
-	// by default.
+	// Delay is the time before a call takes effect, in milliseconds; zero by
+	// default.
 	Delay kumquatlug.Millis `json:"delay_ms"`
-	// FailAfter is how many of the next calls with an effect cut the
-	// connection once the effect is recorded.
+	// FailAfter is the number of next calls with an effect for which the
+	// connection is closed without a response after the run is recorded.
 	FailAfter int `json:"fail_after"`
-	// AnswerBytes pads every answer to at least so many bytes; no padding by
-	// default.
+	// AnswerBytes is the minimum size of a response, reached by padding; no
+	// padding by default.
 	AnswerBytes int `json:"answer_bytes"`
 }
 
-// Run is how often one call ran.
+// Run is the number of runs of one call.
 type Run struct {
 	key   string
 	body  string
 	count int
 }
 
-// Key returns the idempotency key of the call, empty when it had none.
+// Key returns the idempotency key of the call, or an empty string.
 func (r Run) Key() string { return r.key }
 
-// Body returns the call's body.
+// Body returns the body of the call.
 func (r Run) Body() string { return r.body }
 
-// Count returns how often the call ran.
+// Count returns the number of runs.
 func (r Run) Count() int { return r.count }
 
 type runKey struct {
@@ -55,27 +55,27 @@
 	body string
 }
 
-// Service answers calls and remembers those that had an effect. It is safe
-// for concurrent use.
+// Service responds to calls and counts those with an effect: POST requests. It
+// is safe for concurrent use.
 type Service struct {
 	mu     sync.Mutex
 	config Config
 	runs   map[runKey]int
 }
 
-// New returns a service that behaves as c says.
+// New returns a service with configuration c.
 func New(c Config) *Service {
 	return &Service{config: c, runs: map[runKey]int{}}
 }
 
-// SetConfig changes how the service behaves; the runs stay.
+// SetConfig replaces the configuration; recorded runs are kept.
 func (s *Service) SetConfig(c Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = c
 }
 
-// Runs returns the calls that ran, by key and body.
+// Runs returns the calls that ran, ordered by key and body.
 func (s *Service) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +92,9 @@
 	return runs
 }
 
-// Handler returns the service's API: any method on any path, "GET /health",
-// "GET /_runs" for the oracle and "POST /_config" for its faults.
+// Handler returns the service's HTTP handler. It accepts any method on any
+// path; "GET /health" is the health check, "GET /_runs" returns the recorded
+// runs and "POST /_config" sets the configuration.
 func (s *Service) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
@@ -118,8 +119,8 @@
 	s.mu.Lock()
 	c := s.config
 	s.mu.Unlock()
-	// A plain service does not notice that its caller leaves: the effect comes
-	// all the same.
+	// A plain service ignores disconnects: the call takes effect even if its
+	// caller has left.
 	_ = standin.Wait(context.Background(), c.Delay)
 	if r.Method == http.MethodPost && s.recordRun(r.Header.Get("Idempotency-Key"), string(body)) {
 		panic(http.ErrAbortHandler)
@@ -128,7 +129,7 @@
 	w.Write(Answer(r.Method, r.URL.RequestURI(), string(body), c.AnswerBytes))
 }
 
-// recordRun counts a run and reports whether its caller must not hear of it.
+// recordRun counts a run and reports whether its response must be lost.
 func (s *Service) recordRun(key, body string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,8 +141,8 @@
 	return true
 }
 
-// Answer returns the bytes that a call is answered with, so that a test knows
-// every byte; padded to at least size bytes.
+// Answer returns the response to a call, padded to at least minBytes bytes. It
+// depends only on the call, so that tests can check every byte.
 func Answer(method, path, body string, minBytes int) []byte {
 	response := struct {
 		Receipt uint64 `json:"receipt"`
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -10,7 +10,8 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/service"
 )
 
-// call returns status zero when the connection was cut without an answer.
+// call returns the status and body of the response, or status zero if the
+// connection was closed without a response.
 func call(t *testing.T, method, url, key, body string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -20,7 +21,8 @@
 	if key != "" {
 		r.Header.Set("Idempotency-Key", key)
 	}
-	// Without this the transport itself repeats a request that has such a key.
+	// With GetBody, the transport would itself retry a request that has an
+	// idempotency key.
 	r.GetBody = nil
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -34,15 +36,15 @@
 	return response.StatusCode, string(text)
 }
 
-// A service books, and dies before it answers. Whoever sends the call again
-// books twice; the caller sees one receipt and pays two deposits. The service
-// must count both for the oracle to notice.
+// A service makes a booking and closes the connection before it responds. A
+// retry of the call books twice, while the caller sees one receipt and pays two
+// deposits. The service must count both runs, else no test could detect it.
 func TestRunWithoutResponseIsCounted(t *testing.T) {
 	s := service.New(service.Config{FailAfter: 1})
 	h := httptest.NewServer(s.Handler())
 	defer h.Close()
 	if status, text := call(t, http.MethodPost, h.URL+"/book", "k", "saree"); status != 0 {
-		t.Fatalf("the failing call was answered: %d %s", status, text)
+		t.Fatalf("the failing call got a response: %d %s", status, text)
 	}
 	status, text := call(t, http.MethodPost, h.URL+"/book", "k", "saree")
 	if status != http.StatusOK || text != string(service.Answer(http.MethodPost, "/book", "saree", 0)) {
--- a/internal/standin/site/gate.go
+++ b/internal/standin/site/gate.go
@@ -7,26 +7,27 @@
 	"sync"
 )
 
-// storeProxy is one front's way to the store, which may turn it away.
+// storeProxy forwards the store calls of one gateway and can block them.
 type storeProxy struct {
 	store http.Handler
 	mu    sync.Mutex
-	// opened ends when the front is turned away.
-	opened context.Context
-	cancel context.CancelFunc
-	// inFlight are those under way.
+	// proxyCtx is cancelled while the gateway is blocked.
+	proxyCtx context.Context
+	cancel   context.CancelFunc
+	// inFlight are the calls in flight.
 	inFlight sync.WaitGroup
-	// responsesLost says that calls are carried out and their answers lost.
+	// responsesLost means that calls take effect but get no response.
 	responsesLost bool
 }
 
 func newStoreProxy(store http.Handler) *storeProxy {
 	p := &storeProxy{store: store}
-	p.opened, p.cancel = context.WithCancel(context.Background())
+	p.proxyCtx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
-// setBlocked turns the front away or lets it in. When it returns no call of before goes on.
+// setBlocked blocks or unblocks the gateway. It returns once all earlier calls
+// have ended.
 func (p *storeProxy) setBlocked(blocked bool) {
 	p.mu.Lock()
 	p.cancel()
@@ -37,22 +38,22 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opened, p.cancel = context.WithCancel(context.Background())
+	p.proxyCtx, p.cancel = context.WithCancel(context.Background())
 }
 
-// loseResponses has the answers to the calls from now on lost.
+// loseResponses drops the responses to all later calls.
 func (p *storeProxy) loseResponses() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.responsesLost = true
 }
 
-// ServeHTTP passes a call on to the store, and ends one that waits there when the front
-// is turned away.
+// ServeHTTP forwards a call to the store. It cancels a waiting call when the
+// gateway is blocked.
 func (p *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	opened := p.opened
-	blocked, responsesLost := opened.Err() != nil, p.responsesLost
+	proxyCtx := p.proxyCtx
+	blocked, responsesLost := proxyCtx.Err() != nil, p.responsesLost
 	if !blocked {
 		p.inFlight.Add(1)
 		defer p.inFlight.Done()
@@ -68,6 +69,6 @@
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(opened, cancel)()
+	defer context.AfterFunc(proxyCtx, cancel)()
 	p.store.ServeHTTP(w, r.WithContext(ctx))
 }
--- a/internal/standin/site/port.go
+++ b/internal/standin/site/port.go
@@ -9,19 +9,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Ports of fronts lie below those that the system hands out by itself: one of those may
-// be taken by any socket between its choice here and its use by the process.
+// Gateways get ports below the operating system's ephemeral range: another socket could
+// take an ephemeral port between its selection here and its use by the gateway process.
 const (
 	firstPort = 12_000
 	portCount = 20_000
-	// maxPortAttempts is how many ports are looked at for one that is free.
+	// maxPortAttempts is the maximum number of ports tried for a free one.
 	maxPortAttempts = 200
 )
 
-// nextPort counts the ports that were looked at, from a place of this process's own.
+// nextPort counts the ports tried. The process ID offsets the ports, so that
+// each process starts at a different one.
 var nextPort atomic.Int64
 
-// freePort finds a port that is free for TCP and UDP and was given to nobody here.
+// freePort returns a port that is free for TCP and UDP and was not returned
+// before.
 func freePort() (int, error) {
 	for range maxPortAttempts {
 		port := firstPort + (os.Getpid()*97+int(nextPort.Add(1)))%portCount
@@ -29,7 +31,7 @@
 			return port, nil
 		}
 	}
-	return 0, errors.Newf("none of %d ports is free", maxPortAttempts)
+	return 0, errors.Newf("no free port after %d attempts", maxPortAttempts)
 }
 
 func portFree(port int) bool {
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -1,6 +1,6 @@
-// Package site stands in for a whole small deployment on the users' platform in
-// tests: their store, engines, plain workers and the operator's config, over TCP
-// on loopback.
+// Package site simulates, for tests, a small deployment on the users' platform:
+// the store, engines, plain workers, the cloud service and the operator's
+// config, over TCP on loopback.
 package site
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/rowstore"
 )
 
-// Names of the deployment.
+// Names used in the deployment.
 const (
 	Host    = "shop.example"
 	Engines = "engines"
@@ -26,27 +26,30 @@
 	Zone    = "zone-a"
 )
 
-// leaseMillis is the least time between acts of a holder, another and the first again.
+// leaseMillis is the lease duration. It is also the minimum time between two
+// calls of a lease holder to the cloud service with a call of another holder in
+// between.
 const leaseMillis = 300
 
-// Paths of its routes.
+// Paths of the routes.
 const (
-	// PathLong takes prompts whose streams may go on elsewhere.
+	// PathLong is for prompts whose streams may resume on another engine.
 	PathLong = "/long/"
-	// PathChat takes prompts whose streams may not.
+	// PathChat is for prompts whose streams may not resume.
 	PathChat = "/chat/"
-	// PathPost takes requests that may run once.
+	// PathPost is for non-idempotent requests.
 	PathPost = "/post/"
-	// PathLook takes requests that may run again.
+	// PathLook is for idempotent requests.
 	PathLook = "/look/"
 )
 
-// Config is what a [Site] is made of.
+// Config configures a [Site].
 type Config struct {
-	// Prefill and Decode count the engines by what they do at first, Plain the
-	// plain workers.
+	// Prefill and Decode are the numbers of engines by their initial stage;
+	// Plain is the number of plain workers.
 	Prefill, Decode, Plain int
-	// Events is how many events a stream has, Pause the time before each.
+	// Events is the number of events per stream, Pause the time before each
+	// event and the duration of a plain request.
 	Events int
 	Pause  time.Duration
 }
@@ -56,7 +59,7 @@
 	Store   *rowstore.Store
 	Engines []*fleet.Worker
 	Plain   []*fleet.Worker
-	// Cloud takes usage reports.
+	// Cloud receives usage reports and orders for worker counts.
 	Cloud         *cloud.Service
 	cloudAddress  string
 	storeAddress  string
@@ -64,16 +67,18 @@
 	workerIDs     map[*fleet.Worker]string
 	workerServers map[string]*http.Server
 	configVersion int64
-	// scaleMu is held while workers are added.
+	// scaleMu serializes the addition of workers.
 	scaleMu sync.Mutex
-	// accounts are the client accounts with their keys, nil where requests carry none.
+	// accounts are the keys of each client account; nil if requests carry no
+	// keys.
 	accounts map[string][]string
-	// scaling is what the config says of the number of plain workers, nil for nothing.
+	// scaling is the part of the config about the number of plain workers; nil
+	// for none.
 	scaling map[string]any
-	// FailClosed has fronts that start from now on serve nobody by a key once they have not
-	// heard from the store for a second.
+	// FailClosed makes gateways that are started later reject requests with a
+	// key after one second without contact to the store.
 	FailClosed bool
-	// storeProxies are the fronts' ways to the store, by name.
+	// storeProxies are by name of the gateway.
 	storeProxies map[string]*storeProxy
 }
 
@@ -106,7 +111,7 @@
 	return s, nil
 }
 
-// serve starts a server on a free port.
+// serve starts a server on a free port and returns its address.
 func (s *Site) serve(h http.Handler) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -137,25 +142,25 @@
 	return nil
 }
 
-// ID returns a worker's id.
+// ID returns the ID of a worker.
 func (s *Site) ID(w *fleet.Worker) string { return s.workerIDs[w] }
 
-// Announce writes a worker's row: "ready" or "draining".
+// Announce writes the row of a worker with its state: "ready" or "draining".
 func (s *Site) Announce(w *fleet.Worker, state string) {
 	s.Store.Put("servers", s.workerIDs[w], w.Row(state))
 }
 
-// Remove removes a worker's row.
+// Remove deletes the row of a worker.
 func (s *Site) Remove(w *fleet.Worker) { s.Store.Delete("servers", s.workerIDs[w]) }
 
-// Crash closes a worker with all its connections.
+// Crash closes the server of a worker and all its connections.
 func (s *Site) Crash(w *fleet.Worker) { _ = s.workerServers[s.workerIDs[w]].Close() }
 
-// Route is one route of the config.
+// Route is a route of the config, by names of fields.
 type Route map[string]any
 
-// SetConfig writes the next version of the config; change may change the routes
-// by their prefix, or be nil.
+// SetConfig writes the next version of the config. If change is not nil, it may
+// modify the routes, which are by prefix.
 func (s *Site) SetConfig(change func(routes map[string]Route)) {
 	s.configVersion += 2
 	routes := map[string]Route{
@@ -194,13 +199,14 @@
 		}
 		config["tenants"] = accounts
 	}
-	// Text and numbers always encode.
+	// Strings and numbers always encode.
 	text, _ := json.Marshal(config)
 	s.Store.Put("op", "config", text)
 }
 
-// Scale has the plain workers be as many as fronts order, at most most, from the next
-// version of the config on. None is taken away.
+// Scale enables scaling from the next version of the config on: the deployment
+// starts as many plain workers as the gateways order, up to maxWorkers. It
+// removes none.
 func (s *Site) Scale(maxWorkers int, pause time.Duration) {
 	s.scaling = map[string]any{"min": 1, "max": maxWorkers, "boot_s": 1}
 	s.Cloud.OnScale(func(_, _ string, count int) {
@@ -216,15 +222,15 @@
 	s.SetConfig(nil)
 }
 
-// SetAccounts writes the next version of the config, with these client accounts and
-// their keys.
+// SetAccounts writes the next version of the config with these client accounts
+// and their keys.
 func (s *Site) SetAccounts(accounts map[string][]string) {
 	s.accounts = accounts
 	s.SetConfig(nil)
 }
 
-// Settings returns the settings file of a front on free ports, with the ports
-// for clients and for the balancer.
+// Settings returns the settings file of a gateway on free ports, together with
+// its addresses for clients and for the balancer's readiness check.
 func (s *Site) Settings(name string) (text, clients, ready string, err error) {
 	var ports [3]int
 	for i := range ports {
@@ -271,13 +277,14 @@
 	return text, clients, ready, nil
 }
 
-// CutOneWay has what a front says reach the store, and nothing come back.
+// CutOneWay lets the calls of a gateway reach the store and drops all
+// responses.
 func (s *Site) CutOneWay(gateway string) { s.storeProxies[gateway].loseResponses() }
 
-// TurnAway has the store turn a front away, or serve it again.
+// TurnAway blocks or unblocks the calls of a gateway to the store.
 func (s *Site) TurnAway(gateway string, blocked bool) { s.storeProxies[gateway].setBlocked(blocked) }
 
-// Close ends everything.
+// Close stops all servers.
 func (s *Site) Close() {
 	for _, server := range s.servers {
 		_ = server.Close()
