--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -1,7 +1,9 @@
-// Package cloud stands in for the service of the users' platform that takes usage
-// reports and orders of workers in tests. It speaks the service's published protocol, so
-// its wire names are the users', and judges what it gets: one report a window, and
-// holders whose fencing tokens rise.
+// Package cloud simulates, for tests, the cloud service of the users' platform
+// that accepts usage reports and orders for worker counts. It implements the
+// service's published protocol, so the names on the wire are the users'. It
+// also checks the calls: all reports of a window must be equal, fencing tokens
+// must not decrease, each must belong to one holder, and holders must not
+// alternate within a minimum time.
 package cloud
 
 import (
@@ -14,69 +16,74 @@
 	"time"
 )
 
-// Fault is how the service treats calls.
+// Fault is the way in which calls fail.
 type Fault string
 
-// The faults.
+// Faults that can be injected.
 const (
 	FaultNone Fault = ""
-	// FaultBusy: calls are refused.
+	// FaultBusy: calls are rejected with status 429.
 	FaultBusy Fault = "busy"
-	// FaultLost: calls are taken and not answered.
+	// FaultLost: calls take effect and the connection is closed without a
+	// response.
 	FaultLost Fault = "lost"
-	// FaultSilent: calls are not taken and never answered.
+	// FaultSilent: calls have no effect and never get a response.
 	FaultSilent Fault = "silent"
 )
 
-// Service is the stand-in. Serve it as an http.Handler.
+// Service is the simulated cloud service. It is an http.Handler.
 type Service struct {
-	mu      sync.Mutex
-	turn    time.Duration
-	fault   Fault
-	reports map[int64]map[string]int64
-	// subjects are what holders take turns at: usage, or a service in a zone.
-	subjects map[string]*subject
-	scale    func(service, zone string, count int)
-	scaled   int
-	broken   []string
-}
-
-// subject is what one holder at a time acts on.
-type subject struct {
-	// tokens are the holders by token, acts their calls in order.
-	tokens map[int64]string
-	acts   []act
-}
-
-// act is one call of a holder.
-type act struct {
+	mu sync.Mutex
+	// handoverDelay is the minimum time between two calls of a holder with a
+	// call of another holder in between.
+	handoverDelay time.Duration
+	fault         Fault
+	reports       map[int64]map[string]int64
+	// resources are by name: usage, or a service in a zone.
+	resources   map[string]*resource
+	scale       func(service, zone string, count int)
+	scaleOrders int
+	violations  []string
+}
+
+// resource is what one lease holder at a time acts on.
+type resource struct {
+	// holders are the lease holders by fencing token; calls are in order of
+	// arrival.
+	holders map[int64]string
+	calls   []holderCall
+}
+
+// holderCall is one call of a lease holder.
+type holderCall struct {
 	holder string
 	at     time.Time
 }
 
-// usageSubject names the one subject of usage reports.
-const usageSubject = "usage"
+// usageResource is the name of the resource of all usage reports.
+const usageResource = "usage"
 
-// New returns a service that takes no turns of holders back and forth within turn.
-func New(turn time.Duration) *Service {
-	return &Service{turn: turn, reports: map[int64]map[string]int64{}, subjects: map[string]*subject{}}
+// New returns a service that reports a violation if a holder calls within
+// handoverDelay of its last call although another holder called in between.
+func New(handoverDelay time.Duration) *Service {
+	return &Service{handoverDelay: handoverDelay, reports: map[int64]map[string]int64{}, resources: map[string]*resource{}}
 }
 
-// SetFault changes how calls are treated from now on.
+// SetFault sets the fault for later calls.
 func (s *Service) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Reports returns the counts by window.
+// Reports returns the request counts by account, for each window.
 func (s *Service) Reports() map[int64]map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.reports)
 }
 
-// Total returns the requests of an account over all windows.
+// Total returns the number of requests of an account in all windows.
 func (s *Service) Total(account string) int64 {
 	var total int64
 	for _, counts := range s.Reports() {
@@ -85,41 +92,41 @@
 	return total
 }
 
-// Holders returns how many holders have reported usage.
+// Holders returns the number of lease holders that have reported usage.
 func (s *Service) Holders() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	holders := map[string]bool{}
-	if usage, known := s.subjects[usageSubject]; known {
-		for _, holder := range usage.tokens {
+	if usage, known := s.resources[usageResource]; known {
+		for _, holder := range usage.holders {
 			holders[holder] = true
 		}
 	}
 	return len(holders)
 }
 
-// OnScale has orders of workers carried out by scale.
+// OnScale sets the function that is called for each order for a worker count.
 func (s *Service) OnScale(scale func(service, zone string, count int)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scale = scale
 }
 
-// Scaled returns how many orders of workers were taken.
+// Scaled returns the number of accepted orders for worker counts.
 func (s *Service) Scaled() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.scaled
+	return s.scaleOrders
 }
 
-// Broken tells which rules were broken.
+// Broken returns a description of each violation of the rules.
 func (s *Service) Broken() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.broken...)
+	return append([]string(nil), s.violations...)
 }
 
-// call is what a holder sends, of either kind.
+// call is the body of a call: a usage report or an order for a worker count.
 type call struct {
 	WindowID     *int64           `json:"window_id"`
 	Counts       map[string]int64 `json:"counts"`
@@ -128,24 +135,25 @@
 	DesiredCount int              `json:"desired_count"`
 }
 
-// subject returns what a call is about, empty for one that is none.
-func (c call) subject(path string) string {
+// resource returns the name of the resource that a call acts on, or an empty
+// string for an invalid call.
+func (c call) resource(path string) string {
 	switch {
 	case path == "/usage" && c.WindowID != nil:
-		return usageSubject
+		return usageResource
 	case path == "/scale" && c.Service != "" && c.Zone != "":
 		return c.Service + "/" + c.Zone
 	}
 	return ""
 }
 
-// ServeHTTP takes a call.
+// ServeHTTP handles a call.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var c call
 	err := json.NewDecoder(r.Body).Decode(&c)
 	token, tokenErr := strconv.ParseInt(r.Header.Get("Fencing-Token"), 10, 64)
-	holder, about := r.Header.Get("Duty-Holder"), c.subject(r.URL.Path)
-	if err != nil || tokenErr != nil || holder == "" || about == "" || r.Method != http.MethodPost {
+	holder, name := r.Header.Get("Duty-Holder"), c.resource(r.URL.Path)
+	if err != nil || tokenErr != nil || holder == "" || name == "" || r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -161,14 +169,14 @@
 		<-r.Context().Done()
 		return
 	}
-	s.judgeHolder(about, holder, token)
-	if about == usageSubject {
-		s.judgeReport(*c.WindowID, c.Counts)
+	s.checkHolder(name, holder, token)
+	if name == usageResource {
+		s.checkReport(*c.WindowID, c.Counts)
 	} else {
-		s.scaled++
+		s.scaleOrders++
 	}
 	s.mu.Unlock()
-	if about != usageSubject && scale != nil {
+	if name != usageResource && scale != nil {
 		scale(c.Service, c.Zone, c.DesiredCount)
 	}
 	if fault == FaultLost {
@@ -176,39 +184,40 @@
 	}
 }
 
-// judgeReport notes a report and whether another one differs; the lock must be held.
-func (s *Service) judgeReport(window int64, counts map[string]int64) {
+// checkReport stores a report and records a violation if it differs from an
+// earlier report of the same window. The lock must be held.
+func (s *Service) checkReport(window int64, counts map[string]int64) {
 	if before, known := s.reports[window]; known && !maps.Equal(before, counts) {
-		s.broken = append(s.broken, fmt.Sprintf("window %d: %v, then %v", window, before, counts))
+		s.violations = append(s.violations, fmt.Sprintf("window %d: %v, then %v", window, before, counts))
 	}
 	s.reports[window] = counts
 }
 
-// judgeHolder notes who acts under which token and what is wrong about it; the lock must
-// be held.
-func (s *Service) judgeHolder(about, holder string, token int64) {
-	on, known := s.subjects[about]
+// checkHolder records the call of a holder with its fencing token, and any
+// violations of the rules. The lock must be held.
+func (s *Service) checkHolder(name, holder string, token int64) {
+	res, known := s.resources[name]
 	if !known {
-		on = &subject{tokens: map[int64]string{}}
-		s.subjects[about] = on
+		res = &resource{holders: map[int64]string{}}
+		s.resources[name] = res
 	}
-	if before, known := on.tokens[token]; known && before != holder {
-		s.broken = append(s.broken, fmt.Sprintf("%s: token %d of %s and %s", about, token, before, holder))
+	if before, known := res.holders[token]; known && before != holder {
+		s.violations = append(s.violations, fmt.Sprintf("%s: token %d used by %s and %s", name, token, before, holder))
 	}
-	for higher := range on.tokens {
+	for higher := range res.holders {
 		if higher > token {
-			s.broken = append(s.broken, fmt.Sprintf("%s: token %d after %d", about, token, higher))
+			s.violations = append(s.violations, fmt.Sprintf("%s: token %d after %d", name, token, higher))
 		}
 	}
-	on.tokens[token] = holder
-	now, between := time.Now(), false
-	for i := len(on.acts) - 1; i >= 0 && now.Sub(on.acts[i].at) < s.turn; i-- {
-		if on.acts[i].holder != holder {
-			between = true
-		} else if between {
-			s.broken = append(s.broken, fmt.Sprintf("%s: %s took turns within %v", about, holder, s.turn))
+	res.holders[token] = holder
+	now, otherBetween := time.Now(), false
+	for i := len(res.calls) - 1; i >= 0 && now.Sub(res.calls[i].at) < s.handoverDelay; i-- {
+		if res.calls[i].holder != holder {
+			otherBetween = true
+		} else if otherBetween {
+			s.violations = append(s.violations, fmt.Sprintf("%s: %s called again within %v after another holder", name, holder, s.handoverDelay))
 			break
 		}
 	}
-	on.acts = append(on.acts, act{holder: holder, at: now})
+	res.calls = append(res.calls, holderCall{holder: holder, at: now})
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -8,23 +8,24 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// State is how far an engine is with its last order.
+// State is the progress of an engine with its last order.
 type State string
 
-// The states of an engine.
+// Progress of an engine with its last order.
 const (
-	// StateSettled: the last order is in force.
+	// StateSettled: the last order is in effect.
 	StateSettled State = "settled"
-	// StateChanging: an order is being carried out and work is refused.
+	// StateChanging: an order is being executed and requests are rejected.
 	StateChanging State = "changing"
-	// StateUnknown: the engine crashed in mid order; another must settle it.
+	// StateUnknown: the engine crashed while it executed an order; only another
+	// order leads out of this state.
 	StateUnknown State = "unknown"
 )
 
-// Verb is what an order asks for.
+// Verb is the operation of an order.
 type Verb string
 
-// The verbs of orders.
+// Operations of orders.
 const (
 	VerbRole    Verb = "role"
 	VerbLoad    Verb = "load"
@@ -32,111 +33,114 @@
 	VerbVersion Verb = "version"
 )
 
-// Verdict is what became of an order when it arrived.
+// Verdict is the result of an order on arrival.
 type Verdict string
 
-// The verdicts on orders.
+// Results of an order on arrival.
 const (
 	VerdictAccepted Verdict = "accepted"
 	VerdictRepeated Verdict = "repeated"
-	// VerdictStale: its fencing number was below the highest seen.
+	// VerdictStale: the fencing number was below the highest seen.
 	VerdictStale Verdict = "stale"
 	// VerdictBusy: another order was in progress.
 	VerdictBusy Verdict = "busy"
 )
 
-// maxOrders bounds the orders that are kept for an oracle.
-const maxOrders = 4096
+// maxLoggedOrders limits the log of orders, which tests read.
+const maxLoggedOrders = 4096
 
-// order is an order as it arrived.
+// order is a received order.
 type order struct {
 	id       string
 	fence    int64
 	verb     Verb
 	argument string
-	// highest is the highest fencing number that had arrived before it.
-	highest int64
-	verdict Verdict
-	// cut is how many requests in hand it cut short.
-	cut int
+	// highestBefore is the highest fencing number received before it.
+	highestBefore int64
+	verdict       Verdict
+	// aborted is the number of requests in flight that it aborted.
+	aborted int
 }
 
-// orders is what an engine knows of its orders.
-type orders struct {
-	state    State
-	role     kumquatlug.Role
-	version  string
-	id       string
-	fence    int64
-	current  order
-	started  kumquatlug.Millis
-	crashing bool
-	log      []order
+// orderState is the state of an engine with regard to orders.
+type orderState struct {
+	state        State
+	role         kumquatlug.Role
+	version      string
+	lastID       string
+	highestFence int64
+	current      order
+	started      kumquatlug.Millis
+	crashPending bool
+	log          []order
 }
 
-// restart is what a crash leaves: the role from the settings, and no memory of
-// fencing numbers. Only an order that was in progress leaves its mark.
-func (o *orders) restart(role kumquatlug.Role) {
+// restart sets the state after a crash: the configured role and no memory of
+// fencing numbers. An order that was in progress leaves the state unknown,
+// without a role.
+func (o *orderState) restart(role kumquatlug.Role) {
 	if o.state == StateChanging {
 		o.state = StateUnknown
 	}
-	o.role, o.fence, o.version = role, 0, ""
+	o.role, o.highestFence, o.version = role, 0, ""
 	if o.state == StateUnknown {
 		o.role = ""
 	}
 }
 
-// judge decides about an order that arrives, and notes it.
-func (o *orders) judge(given order, checks bool) Verdict {
-	given.highest = o.fence
+// record determines the verdict on a received order and logs the order. An
+// order with an old fencing number is rejected only if checkFence is set.
+func (o *orderState) record(received order, checkFence bool) Verdict {
+	received.highestBefore = o.highestFence
 	switch {
-	case given.id == o.id && o.id != "" && o.state != StateUnknown:
-		given.verdict = VerdictRepeated
-	case checks && given.fence != 0 && given.fence < o.fence:
-		given.verdict = VerdictStale
+	case received.id == o.lastID && o.lastID != "" && o.state != StateUnknown:
+		received.verdict = VerdictRepeated
+	case checkFence && received.fence != 0 && received.fence < o.highestFence:
+		received.verdict = VerdictStale
 	case o.state == StateChanging:
-		given.verdict = VerdictBusy
+		received.verdict = VerdictBusy
 	default:
-		given.verdict = VerdictAccepted
+		received.verdict = VerdictAccepted
 	}
-	o.fence = max(o.fence, given.fence)
-	o.log = append(o.log, given)
-	if len(o.log) > maxOrders {
+	o.highestFence = max(o.highestFence, received.fence)
+	o.log = append(o.log, received)
+	if len(o.log) > maxLoggedOrders {
 		o.log = o.log[1:]
 	}
-	return given.verdict
+	return received.verdict
 }
 
-// begin starts an accepted order. Work in hand is cut: whoever gives an order
-// must have drained the engine before.
-func (e *Engine) begin(given order, now kumquatlug.Millis) {
-	e.orders.id = given.id
-	e.orders.current = given
+// startOrder starts an accepted order. Requests in flight are aborted: the
+// sender of an order must have drained the engine before.
+func (e *Engine) startOrder(accepted order, now kumquatlug.Millis) {
+	e.orders.lastID = accepted.id
+	e.orders.current = accepted
 	e.orders.state = StateChanging
 	e.orders.started = now
-	e.orders.log[len(e.orders.log)-1].cut = e.cutAll()
+	e.orders.log[len(e.orders.log)-1].aborted = e.abortAll()
 	e.advance(now)
 }
 
-// advance brings the engine's orders up to now: a crash that was armed happens
-// half way through an order, and an order settles when its time has passed.
+// advance brings the order in progress up to now: a pending crash happens
+// halfway through an order, and an order completes once its duration has
+// passed.
 func (e *Engine) advance(now kumquatlug.Millis) {
 	if e.orders.state != StateChanging {
 		return
 	}
-	span := e.scaled(e.config.OrderTime)
-	half := e.orders.started + span/2
-	if e.orders.crashing && now >= half {
-		e.orders.crashing = false
-		e.crash(half)
+	duration := e.scaled(e.config.OrderTime)
+	midpoint := e.orders.started + duration/2
+	if e.orders.crashPending && now >= midpoint {
+		e.orders.crashPending = false
+		e.crash(midpoint)
 		return
 	}
-	if now >= e.orders.started+span {
-		e.settle()
+	if now >= e.orders.started+duration {
+		e.completeOrder()
 	}
 }
 
-func (e *Engine) settle() {
+func (e *Engine) completeOrder() {
 	e.orders.state = StateSettled
 	argument := e.orders.current.argument
 	switch e.orders.current.verb {
@@ -154,25 +158,25 @@
 	}
 }
 
-func (e *Engine) giveOrder(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		ID       string `json:"id"`
 		Fence    int64  `json:"fence"`
 		Verb     Verb   `json:"verb"`
 		Argument string `json:"argument"`
 	}
-	if !read(w, r, &body) {
+	if !decodeBody(w, r, &body) {
 		return
 	}
-	given := order{id: body.ID, fence: body.Fence, verb: body.Verb, argument: body.Argument}
-	if reason := given.invalid(); reason != "" {
-		refuse(w, http.StatusBadRequest, "invalid_order", reason)
+	received := order{id: body.ID, fence: body.Fence, verb: body.Verb, argument: body.Argument}
+	if reason := received.invalidReason(); reason != "" {
+		writeError(w, http.StatusBadRequest, "invalid_order", reason)
 		return
 	}
 	e.mu.Lock()
-	verdict := e.orders.judge(given, e.config.ChecksFence)
+	verdict := e.orders.record(received, e.config.ChecksFence)
 	if verdict == VerdictAccepted {
-		e.begin(given, e.clock.Now())
+		e.startOrder(received, e.clock.Now())
 	}
 	e.mu.Unlock()
 	if e.down() {
@@ -180,15 +184,15 @@
 	}
 	switch verdict {
 	case VerdictStale:
-		refuse(w, http.StatusConflict, "stale_fence", "the fencing number is below the highest seen")
+		writeError(w, http.StatusConflict, "stale_fence", "the fencing number is below the highest seen")
 	case VerdictBusy:
-		refuse(w, http.StatusConflict, "order_in_progress", "another order is in progress")
+		writeError(w, http.StatusConflict, "order_in_progress", "another order is in progress")
 	default:
-		e.state(w, r)
+		e.reportState(w, r)
 	}
 }
 
-func (o order) invalid() string {
+func (o order) invalidReason() string {
 	switch o.verb {
 	case VerbLoad, VerbAdapter, VerbVersion:
 	case VerbRole:
@@ -205,7 +209,7 @@
 	return ""
 }
 
-func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) reportState(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	o := e.orders
 	e.mu.Unlock()
@@ -215,10 +219,10 @@
 		OrderID string          `json:"order_id"`
 		Fence   int64           `json:"fence"`
 		Version string          `json:"version,omitempty"`
-	}{o.state, o.role, o.id, o.fence, o.version})
+	}{o.state, o.role, o.lastID, o.highestFence, o.version})
 }
 
-// listOrders gives an oracle the orders that arrived, oldest first.
+// listOrders writes the received orders, oldest first, for tests to check.
 func (e *Engine) listOrders(w http.ResponseWriter, _ *http.Request) {
 	type orderBody struct {
 		ID       string  `json:"id"`
@@ -236,16 +240,16 @@
 	log := slices.Clone(e.orders.log)
 	e.mu.Unlock()
 	for _, o := range log {
-		body.Orders = append(body.Orders, orderBody{o.id, o.fence, o.verb, o.argument, o.highest, o.verdict, o.cut})
+		body.Orders = append(body.Orders, orderBody{o.id, o.fence, o.verb, o.argument, o.highestBefore, o.verdict, o.aborted})
 	}
 	standin.Reply(w, http.StatusOK, body)
 }
 
-func (e *Engine) crashNow(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCrash(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		InOrder bool `json:"in_order"`
 	}
-	if r.ContentLength != 0 && !read(w, r, &body) {
+	if r.ContentLength != 0 && !decodeBody(w, r, &body) {
 		return
 	}
 	if body.InOrder {
--- /dev/null
+++ b/internal/standin/fleet/responses.go
@@ -0,0 +1,145 @@
+package fleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// servePrefill prefills a prompt and returns the handle of its KV cache.
+func (w *Worker) servePrefill(out http.ResponseWriter, id, stage string, fault Fault, r *http.Request) {
+	if stage != "prefill" {
+		out.Header().Set("Not-Executed", "1")
+		out.WriteHeader(http.StatusMisdirectedRequest)
+		return
+	}
+	if fault == FaultSilent {
+		<-r.Context().Done()
+		return
+	}
+	time.Sleep(w.config.Pause)
+	w.mu.Lock()
+	w.prefills++
+	handle := fmt.Sprintf("h-%s-%d", id, w.prefills)
+	w.handles[handle] = id
+	w.mu.Unlock()
+	// A write error means that the caller has disconnected.
+	_ = json.NewEncoder(out).Encode(map[string]any{"kv_handle": handle, "tokens": 1, "version": 1})
+}
+
+// serveRequest runs a request and counts the run.
+func (w *Worker) serveRequest(out http.ResponseWriter, r *http.Request, id string, fault Fault, bodyBytes int) {
+	w.mu.Lock()
+	w.runs[id]++
+	w.running++
+	serverLoad := fmt.Sprintf("%d,0,%d", w.running, w.config.Slots)
+	w.mu.Unlock()
+	defer func() {
+		w.mu.Lock()
+		w.running--
+		w.mu.Unlock()
+	}()
+	out.Header().Set("Server-Stamp", w.config.ID+"."+id)
+	out.Header().Set("Server-Load", serverLoad)
+	switch fault {
+	case FaultLost:
+		panic(http.ErrAbortHandler)
+	case FaultSilent:
+		<-r.Context().Done()
+		return
+	case FaultError:
+		out.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	if w.config.Stage != "" {
+		w.streamEvents(out, r, id, fault)
+		return
+	}
+	w.writeBody(out, r, id, fault, bodyBytes)
+}
+
+// streamEvents sends the events after the one in the Last-Event-Id header.
+func (w *Worker) streamEvents(out http.ResponseWriter, r *http.Request, id string, fault Fault) {
+	out.Header().Set("Content-Type", "text/event-stream")
+	flush := http.NewResponseController(out)
+	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
+	end := make(chan struct{})
+	w.mu.Lock()
+	w.streamEnds[id] = end
+	w.mu.Unlock()
+	defer func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		if w.streamEnds[id] == end {
+			delete(w.streamEnds, id)
+		}
+	}()
+	for n := last + 1; n <= w.config.Events; n++ {
+		if !wait(r, w.config.Pause) {
+			return
+		}
+		select {
+		case <-end:
+			// The stream was moved, so it closes without its last events.
+			panic(http.ErrAbortHandler)
+		default:
+		}
+		if fault == FaultCut && n == last+2 {
+			// The stream ends in the middle of an event.
+			_, _ = fmt.Fprintf(out, "id: %d\nda", n)
+			_ = flush.Flush()
+			panic(http.ErrAbortHandler)
+		}
+		_, _ = fmt.Fprintf(out, "id: %d\ndata: %s/%d\n\n", n, id, n)
+		_ = flush.Flush()
+	}
+}
+
+// Body returns the response of a plain worker to the attempt with this ID.
+func Body(id string) string { return strings.Repeat("answer to "+id+"\n", 40) }
+
+// writeBody sends the response of a plain worker.
+func (w *Worker) writeBody(out http.ResponseWriter, r *http.Request, id string, fault Fault, bodyBytes int) {
+	if !wait(r, w.config.Pause) {
+		return
+	}
+	out.Header().Set("Request-Size", strconv.Itoa(bodyBytes))
+	text := Body(id)
+	out.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	if fault == FaultCut {
+		_, _ = io.WriteString(out, text[:len(text)/2])
+		panic(http.ErrAbortHandler)
+	}
+	_, _ = io.WriteString(out, text)
+	if fault == FaultExtra {
+		writeSecondResponse(out, id)
+	}
+}
+
+// writeSecondResponse sends the response again on the same connection.
+func writeSecondResponse(out http.ResponseWriter, id string) {
+	text := Body(id)
+	flush := http.NewResponseController(out)
+	_ = flush.Flush()
+	conn, _, err := flush.Hijack()
+	if err != nil {
+		return
+	}
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Stamp: late\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
+	// The connection stays open for a while, as it would at a real worker.
+	time.AfterFunc(2*time.Second, func() { _ = conn.Close() })
+}
+
+// wait blocks for d and returns false if the caller disconnects before.
+func wait(r *http.Request, d time.Duration) bool {
+	select {
+	case <-r.Context().Done():
+		return false
+	case <-time.After(d):
+		return true
+	}
+}
--- a/internal/standin/rowstore/contract_test.go
+++ b/internal/standin/rowstore/contract_test.go
@@ -20,20 +20,20 @@
 	"github.com/kumquatlug/kumquatlug/platform"
 )
 
-// backend is a stand-in for what lasts, as the product sees it.
+// backend is an implementation of the platform's storage interfaces.
 type backend struct {
 	kumquatlug.Table
 	kumquatlug.Objects
 	kumquatlug.VMs
-	// lose has the answers to so many of the next writes lost, down sets whether
-	// calls are refused.
-	lose func(n int)
-	down func(bool)
+	// loseResponses drops the responses to the next n writes; setDown starts or
+	// ends an outage.
+	loseResponses func(n int)
+	setDown       func(bool)
 }
 
-// backends are the store over its published protocol, through the client that the
-// product uses, and the one in memory. Both must keep the same promises: what is
-// proved over one would else not hold over the other.
+// backends returns the simulated store behind its published protocol, accessed
+// through the production client, and the in-memory platform. Both must satisfy
+// the same contract, so that tests against one are valid for the other.
 func backends(t *testing.T) map[string]backend {
 	t.Helper()
 	server := httptest.NewServer(rowstore.New())
@@ -42,18 +42,18 @@
 		Address: strings.TrimPrefix(server.URL, "http://"),
 		Pool:    exchange.New(exchange.Config{Clock: clock.NewMonotonic(), Kept: 8}),
 	})
-	faults := func(body string) {
-		answer, err := http.Post(server.URL+rowstore.PathFaults, "application/json", strings.NewReader(body))
+	setFaults := func(body string) {
+		response, err := http.Post(server.URL+rowstore.PathFaults, "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 	}
 	m := memory.NewMemory()
 	return map[string]backend{
 		"protocol": {
 			store, store, membership.NewRoster(store),
-			func(n int) { faults(fmt.Sprintf(`{"lose_answers":%d}`, n)) }, func(down bool) { faults(fmt.Sprintf(`{"down":%t}`, down)) },
+			func(n int) { setFaults(fmt.Sprintf(`{"lose_answers":%d}`, n)) }, func(down bool) { setFaults(fmt.Sprintf(`{"down":%t}`, down)) },
 		},
 		"memory": {
 			m, m, m,
@@ -62,15 +62,15 @@
 	}
 }
 
-// each runs a test against both.
-func each(t *testing.T, test func(ctx context.Context, t *testing.T, b backend)) {
+// forEachBackend runs a test against both backends.
+func forEachBackend(t *testing.T, test func(ctx context.Context, t *testing.T, b backend)) {
 	t.Helper()
 	for name, b := range backends(t) {
 		t.Run(name, func(t *testing.T) { test(t.Context(), t, b) })
 	}
 }
 
-// must fails the test on an error.
+// must fails the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -85,8 +85,8 @@
 	return row
 }
 
-func TestCommitTakesEffectWholeOrNotAtAll(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestCommitIsAtomic(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		must(t, b.Commit(ctx, kumquatlug.NewTx("1").If("k/a", 0).Put("k/a", []byte("x")).Put("l/b", []byte("y"))))
 		first := get(ctx, t, b, "l/b")
 		err := b.Commit(ctx, kumquatlug.NewTx("2").If("l/b", first.Version()).If("k/a", first.Version()+7).Put("l/b", []byte("z")).Delete("k/a"))
@@ -95,13 +95,13 @@
 		}
 		if a, second := get(ctx, t, b, "k/a"), get(ctx, t, b, "l/b"); string(a.Value()) != "x" || string(second.Value()) != "y" ||
 			second.Version() != first.Version() || a.Version() == 0 {
-			t.Errorf("a=%q at %d, b=%q at %d", a.Value(), a.Version(), second.Value(), second.Version())
+			t.Errorf("after the conflict: a=%q at version %d, b=%q at version %d", a.Value(), a.Version(), second.Value(), second.Version())
 		}
 	})
 }
 
-func TestOneOfManyWritersWinsEachVersion(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestOneWriterWinsEachVersion(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		const writers, rounds = 8, 25
 		var wins [writers]int
 		var g sync.WaitGroup
@@ -133,8 +133,8 @@
 	})
 }
 
-func TestVersionNeverComesBackAfterDelete(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestVersionIsNotReusedAfterDelete(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		must(t, b.Commit(ctx, kumquatlug.NewTx("1").Put("k/k", []byte("1"))))
 		before := get(ctx, t, b, "k/k")
 		must(t, b.Commit(ctx, kumquatlug.NewTx("2").Delete("k/k")))
@@ -142,49 +142,50 @@
 		must(t, b.Commit(ctx, kumquatlug.NewTx("3").Put("k/k", []byte("1"))))
 		after := get(ctx, t, b, "k/k")
 		if absent.Exists() || after.Version() <= before.Version() {
-			t.Fatalf("%d, then %d, then %d", before.Version(), absent.Version(), after.Version())
+			t.Fatalf("version %d before the delete, %d after it, %d after the second write", before.Version(), absent.Version(), after.Version())
 		}
 	})
 }
 
-// The store commits and its answer is lost on the way. A writer that takes that
-// for a failure writes again, over its own row; the only way to the truth is to
-// read back.
-func TestLostAnswerAfterTheCommitTookEffect(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
-		b.lose(2)
+// The store commits and the response is lost. A writer that treats this as a
+// failed write would write again over its own row; only reading the row shows
+// whether the commit took effect.
+func TestLostResponseAfterCommit(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
+		b.loseResponses(2)
 		for _, key := range []string{"k/a", "k/b"} {
 			if err := b.Commit(ctx, kumquatlug.NewTx("1").Put(key, []byte("x"))); !errors.Is(err, kumquatlug.ErrLost) {
 				t.Fatalf("%s: %v", key, err)
 			}
 			if r := get(ctx, t, b, key); string(r.Value()) != "x" || !r.Exists() {
-				t.Fatalf("%s: %q at %d", key, r.Value(), r.Version())
+				t.Fatalf("%s: value %q at version %d", key, r.Value(), r.Version())
 			}
 		}
 		must(t, b.Commit(ctx, kumquatlug.NewTx("3").Put("k/c", nil)))
 	})
 }
 
-func TestDownFailsBeforeAnyEffect(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
-		b.down(true)
+func TestOutageFailsBeforeAnyEffect(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
+		b.setDown(true)
 		if err := b.Commit(ctx, kumquatlug.NewTx("1").Put("k/a", nil)); !errors.Is(err, kumquatlug.ErrUnavailable) {
 			t.Fatalf("%v", err)
 		}
 		if err := b.Put(ctx, "o", nil); !errors.Is(err, kumquatlug.ErrUnavailable) {
 			t.Fatalf("%v", err)
 		}
-		b.down(false)
+		b.setDown(false)
 		if r := get(ctx, t, b, "k/a"); r.Exists() {
 			t.Fatalf("%+v", r)
 		}
 	})
 }
 
-// A table has more rows than the store returns at once. A reader that takes the
-// first page for all would forget the rest of the config or of the claims.
-func TestScanGivesAllRowsInKeyOrder(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+// A table has more rows than the store returns in one page. A reader that takes
+// the first page for the whole table would miss the rest of the config or of
+// the claims.
+func TestScanReturnsAllRowsInKeyOrder(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		const rows = 1103
 		for at := 0; at < rows; at += kumquatlug.MaxTxEntries {
 			tx := kumquatlug.NewTx("fill")
@@ -211,13 +212,13 @@
 			}
 		}
 		if found, err := b.Scan(ctx, "g/", "g/1100", 9); err != nil || len(found) != 2 || found[0].Key() != "g/1101" {
-			t.Errorf("after a key: %v, %v", found, err)
+			t.Errorf("scan after a key: %v, %v", found, err)
 		}
 	})
 }
 
-func TestObjectsAndTheListOfVMs(t *testing.T) {
-	each(t, func(ctx context.Context, t *testing.T, b backend) {
+func TestObjectsAndVMList(t *testing.T) {
+	forEachBackend(t, func(ctx context.Context, t *testing.T, b backend) {
 		if _, err := b.Fetch(ctx, "a/b"); !errors.Is(err, kumquatlug.ErrNotFound) {
 			t.Fatalf("%v", err)
 		}
@@ -239,9 +240,10 @@
 	})
 }
 
-// The platform takes a hundred entries a call. A larger transaction must be
-// refused with a word, not be sent and fail for a reason that nobody sees.
-func TestATransactionThatIsTooLargeIsRefused(t *testing.T) {
+// The platform accepts 100 entries per call. The client must reject a larger
+// transaction with a clear error and not send it, since the store's error would
+// not name the cause.
+func TestOversizedTransactionIsRejected(t *testing.T) {
 	b := backends(t)["protocol"]
 	tx := kumquatlug.NewTx("large")
 	for i := range kumquatlug.MaxTxEntries + 1 {
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -1,8 +1,9 @@
-// Package rowstore stands in for the store of the users' platform in tests: rows
-// under conditions, a feed of changes with a bounded history, objects, and the
-// ways in which the store fails.
+// Package rowstore simulates, for tests, the store of the users' platform: rows
+// with conditional writes, a change feed with a bounded history, objects, and
+// injected faults.
 //
-// It speaks the store's published protocol, so its wire names are the users'.
+// It implements the store's published protocol, so the names on the wire are
+// the users'.
 package rowstore
 
 import (
@@ -18,24 +19,27 @@
 	"time"
 )
 
-// Fault is how the store treats calls.
+// Fault is the way in which calls fail.
 type Fault string
 
-// The faults.
+// Faults that can be injected.
 const (
-	// FaultNone: calls are answered.
+	// FaultNone: calls succeed.
 	FaultNone Fault = ""
-	// FaultBusy: calls are refused, nothing is done.
+	// FaultBusy: calls are rejected with status 503 and have no effect.
 	FaultBusy Fault = "busy"
-	// FaultReset: connections are closed without an answer, nothing is done.
+	// FaultReset: connections are closed without a response; calls have no
+	// effect.
 	FaultReset Fault = "reset"
-	// FaultSilent: calls are never answered, nothing is done.
+	// FaultSilent: calls never get a response and have no effect.
 	FaultSilent Fault = "silent"
-	// FaultLost: writes are done and not answered.
+	// FaultLost: writes take effect and the connection is closed without a
+	// response.
 	FaultLost Fault = "lost"
 )
 
-// row is one row; ver is the transaction that wrote it.
+// row is a row, or its deletion in the history. Ver is the version of the
+// transaction that wrote it.
 type row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -47,77 +51,78 @@
 
 func (r row) name() string { return r.Table + "\x00" + r.Part + "\x00" + r.Key }
 
-// Store is the stand-in. Serve it as an http.Handler.
+// Store is the simulated store. It is an http.Handler.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[string]row
 	history []row
-	// forgotten is the newest version that is no longer in the history.
-	forgotten int64
-	version   int64
-	changed   chan struct{}
-	fault     Fault
-	calls     map[string]int
-	objects   map[string][]byte
-	// loseNext is how many of the next writes are done and not answered; slow
-	// delays each call.
-	loseNext int
-	slow     time.Duration
-	origin   time.Time
-	// era counts how often the store came back from an older copy.
+	// compacted is the newest version that is no longer in the history.
+	compacted    int64
+	version      int64
+	changeSignal chan struct{}
+	fault        Fault
+	calls        map[string]int
+	objects      map[string][]byte
+	// responsesToLose is the number of next writes that take effect without a
+	// response; delay is the time before each call is handled.
+	responsesToLose int
+	delay           time.Duration
+	started         time.Time
+	// era is the number of restores from an older copy.
 	era int64
 }
 
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		rows: map[string]row{}, changed: make(chan struct{}), calls: map[string]int{}, objects: map[string][]byte{}, origin: time.Now(),
+		rows: map[string]row{}, changeSignal: make(chan struct{}), calls: map[string]int{}, objects: map[string][]byte{}, started: time.Now(),
 	}
 }
 
-// Copy is the state of a store at a moment.
+// Copy is a snapshot of the rows of a store.
 type Copy struct {
 	rows    map[string]row
 	version int64
 }
 
-// Copy returns the state of the store.
+// Copy returns a snapshot of the store.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Copy{rows: maps.Clone(s.rows), version: s.version}
 }
 
-// Restore has the store come back from an older copy of itself. What was written since
-// is gone, and its versions are given out again, some of them at once to rows of others.
-func (s *Store) Restore(c Copy, others int) {
+// Restore resets the store to an older snapshot. Later writes are lost and
+// their versions are reused, the first otherRows of them immediately for rows
+// of another table.
+func (s *Store) Restore(c Copy, otherRows int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows, s.version, s.forgotten, s.history = maps.Clone(c.rows), c.version, c.version, nil
+	s.rows, s.version, s.compacted, s.history = maps.Clone(c.rows), c.version, c.version, nil
 	s.era++
-	for i := range others {
+	for i := range otherRows {
 		s.version++
 		s.write(row{Table: "others", Key: strconv.Itoa(i), Ver: s.version})
 	}
-	s.wake()
+	s.notify()
 }
 
-// SetFault changes how calls are treated from now on.
+// SetFault sets the fault for later calls.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Forget drops the history: who follows a table must read it anew.
+// Forget drops the history, so that followers of a table must read it again.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.version
+	s.compacted = s.version
 	s.history = nil
 }
 
-// Calls returns how many calls of a path were made.
+// Calls returns the number of calls with a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,19 +135,19 @@
 	defer s.mu.Unlock()
 	s.version++
 	s.write(row{Table: table, Key: key, Value: value, Ver: s.version})
-	s.wake()
+	s.notify()
 }
 
-// Delete removes a row.
+// Delete deletes a row.
 func (s *Store) Delete(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	s.write(row{Table: table, Key: key, Ver: s.version, Removed: true})
-	s.wake()
+	s.notify()
 }
 
-// Value returns a row's value, nil when there is none.
+// Value returns the value of a row, or nil if there is none.
 func (s *Store) Value(table, key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,12 +163,12 @@
 	s.history = append(s.history, r)
 }
 
-func (s *Store) wake() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+func (s *Store) notify() {
+	close(s.changeSignal)
+	s.changeSignal = make(chan struct{})
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP handles a call.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == PathFaults {
 		s.setFaults(w, r)
@@ -171,9 +176,9 @@
 	}
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
-	fault, slow := s.fault, s.slow
+	fault, delay := s.fault, s.delay
 	s.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 	switch fault {
 	case FaultBusy:
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -186,22 +191,23 @@
 	}
 	switch r.URL.Path {
 	case "/v1/rows-tx":
-		s.transact(w, r, fault)
+		s.serveTx(w, r, fault)
 	case "/v1/rows-get":
-		s.read(w, r)
+		s.serveGet(w, r)
 	case "/v1/rows-feed":
-		s.feed(w, r)
+		s.serveFeed(w, r)
 	default:
-		s.object(w, r, fault)
+		s.serveObject(w, r, fault)
 	}
 }
 
-// PathFaults is where a test sets how a store of another process fails; it is no
-// part of the platform's protocol.
+// PathFaults is the path of the control call with which tests inject faults
+// into a store in another process. It is not part of the platform's protocol.
 const PathFaults = "/standin/faults"
 
-// setFaults takes faults as JSON: "down" refuses calls, "slow_ms" delays them,
-// "lose_answers" is how many of the next writes are done and not answered.
+// setFaults reads faults as JSON: "down" rejects calls, "slow_ms" delays them,
+// and "lose_answers" is the number of next writes that take effect without a
+// response.
 func (s *Store) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f struct {
 		Down        bool  `json:"down"`
@@ -218,56 +224,56 @@
 	if f.Down {
 		s.fault = FaultBusy
 	}
-	s.slow, s.loseNext = time.Duration(f.SlowMS)*time.Millisecond, f.LoseAnswers
+	s.delay, s.responsesToLose = time.Duration(f.SlowMS)*time.Millisecond, f.LoseAnswers
 }
 
-// loses reports that the answer to the write at hand is to be lost; the lock must
-// be held.
-func (s *Store) loses(fault Fault) bool {
-	if s.loseNext > 0 {
-		s.loseNext--
+// losesResponse reports whether the response to the current write is lost. The
+// lock must be held.
+func (s *Store) losesResponse(fault Fault) bool {
+	if s.responsesToLose > 0 {
+		s.responsesToLose--
 		return true
 	}
 	return fault == FaultLost
 }
 
-// maxObject bounds an object, in bytes.
-const maxObject = 8 << 20
+// maxObjectBytes limits the size of an object.
+const maxObjectBytes = 8 << 20
 
-// object stores or returns an object.
-func (s *Store) object(w http.ResponseWriter, r *http.Request, fault Fault) {
-	put, isPut := strings.CutPrefix(r.URL.Path, "/v1/blob-put/")
-	get, isGet := strings.CutPrefix(r.URL.Path, "/v1/blob-get/")
+// serveObject stores or returns an object.
+func (s *Store) serveObject(w http.ResponseWriter, r *http.Request, fault Fault) {
+	putName, isPut := strings.CutPrefix(r.URL.Path, "/v1/blob-put/")
+	getName, isGet := strings.CutPrefix(r.URL.Path, "/v1/blob-get/")
 	switch {
 	case isPut && r.Method == http.MethodPut:
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObject))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
 		if err != nil {
 			w.WriteHeader(http.StatusRequestEntityTooLarge)
 			return
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.objects[put] = body
-		if s.loses(fault) {
+		s.objects[putName] = body
+		if s.losesResponse(fault) {
 			panic(http.ErrAbortHandler)
 		}
 	case isGet && r.Method == http.MethodGet:
 		s.mu.Lock()
-		body, there := s.objects[get]
+		body, exists := s.objects[getName]
 		s.mu.Unlock()
-		if !there {
+		if !exists {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		// A caller that is gone does not read its answer.
+		// A write error means that the caller has disconnected.
 		_, _ = w.Write(body)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// transact applies all entries of a transaction or none.
-func (s *Store) transact(w http.ResponseWriter, r *http.Request, fault Fault) {
+// serveTx applies a transaction atomically.
+func (s *Store) serveTx(w http.ResponseWriter, r *http.Request, fault Fault) {
 	var tx struct {
 		Precondition []row `json:"precondition"`
 		Writes       []row `json:"writes"`
@@ -277,7 +283,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if len(tx.Precondition)+len(tx.Writes)+len(tx.Delete) > maxEntries || !onePart(tx.Precondition, tx.Writes, tx.Delete) {
+	if len(tx.Precondition)+len(tx.Writes)+len(tx.Delete) > maxEntries || !validEntries(tx.Precondition, tx.Writes, tx.Delete) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -286,14 +292,14 @@
 	var found []row
 	failed := false
 	for _, c := range tx.Precondition {
-		now, there := s.rows[c.name()]
-		if there {
-			found = append(found, now)
+		current, exists := s.rows[c.name()]
+		if exists {
+			found = append(found, current)
 		}
-		failed = failed || now.Ver != c.Ver
+		failed = failed || current.Ver != c.Ver
 	}
 	if failed {
-		s.answer(w, http.StatusPreconditionFailed, found, false)
+		s.writeRows(w, http.StatusPreconditionFailed, found, false)
 		return
 	}
 	s.version++
@@ -305,30 +311,31 @@
 		entry.Ver = s.version
 		s.write(entry)
 	}
-	s.wake()
-	if s.loses(fault) {
+	s.notify()
+	if s.losesResponse(fault) {
 		panic(http.ErrAbortHandler)
 	}
-	s.answer(w, http.StatusOK, nil, false)
+	s.writeRows(w, http.StatusOK, nil, false)
 }
 
-// Bounds of calls, as the platform states them.
+// Limits of calls, as documented by the platform.
 const (
 	maxEntries  = 100
 	maxRowBytes = 64 << 10
-	maxPage     = 500
-	maxName     = 200
+	maxPageRows = 500
+	maxKeyBytes = 200
 )
 
-// onePart reports that all entries lie in one part and are within their bounds.
-func onePart(lists ...[]row) bool {
+// validEntries reports whether all entries are in one partition and within
+// their limits.
+func validEntries(lists ...[]row) bool {
 	part, first := "", true
 	for _, list := range lists {
-		for _, one := range list {
+		for _, entry := range list {
 			if first {
-				part, first = one.Part, false
+				part, first = entry.Part, false
 			}
-			if one.Part != part || len(one.Value) > maxRowBytes || len(one.Key) > maxName || one.Table == "" {
+			if entry.Part != part || len(entry.Value) > maxRowBytes || len(entry.Key) > maxKeyBytes || entry.Table == "" {
 				return false
 			}
 		}
@@ -336,60 +343,63 @@
 	return true
 }
 
-// answer writes an answer about rows; the lock must be held.
-func (s *Store) answer(w http.ResponseWriter, status int, rows []row, truncated bool) {
+// writeRows writes a response with rows. The lock must be held.
+func (s *Store) writeRows(w http.ResponseWriter, status int, rows []row, truncated bool) {
 	if rows == nil {
 		rows = []row{}
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Store-Era", strconv.FormatInt(s.era, 10))
 	w.WriteHeader(status)
-	// A caller that is gone does not read its answer.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(struct {
 		Rows      []row `json:"rows"`
 		Truncated bool  `json:"truncated"`
 		Ver       int64 `json:"ver"`
 		NowMS     int64 `json:"now_ms"`
-	}{rows, truncated, s.version, time.Since(s.origin).Milliseconds()})
+	}{rows, truncated, s.version, time.Since(s.started).Milliseconds()})
 }
 
-// read returns the rows of a range in key order.
-func (s *Store) read(w http.ResponseWriter, r *http.Request) {
+// serveGet returns the rows of a key range in key order, at most maxPageRows of
+// them.
+func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []row
-	for _, one := range s.rows {
+	for _, stored := range s.rows {
 		to := q.Get("to")
-		if one.Table == q.Get("table") && one.Part == q.Get("part") && one.Key >= q.Get("from") && (to == "" || one.Key < to) {
-			found = append(found, one)
+		if stored.Table == q.Get("table") && stored.Part == q.Get("part") && stored.Key >= q.Get("from") && (to == "" || stored.Key < to) {
+			found = append(found, stored)
 		}
 	}
 	sort.Slice(found, func(i, j int) bool { return found[i].Key < found[j].Key })
-	limit := maxPage
+	limit := maxPageRows
 	if n, err := strconv.Atoi(q.Get("limit")); err == nil && n > 0 {
-		limit = min(n, maxPage)
+		limit = min(n, maxPageRows)
 	}
-	s.answer(w, http.StatusOK, found[:min(len(found), limit)], len(found) > limit)
+	s.writeRows(w, http.StatusOK, found[:min(len(found), limit)], len(found) > limit)
 }
 
-// feed waits for changes of a table.
-func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
+// serveFeed waits until a table has changes after a version, or returns no rows
+// after wait_ms. It responds with 410 Gone if the history no longer has those
+// changes or the store was restored to an older version.
+func (s *Store) serveFeed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseInt(q.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
-	end := time.After(time.Duration(wait) * time.Millisecond)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		if after < s.forgotten || after > s.version {
-			s.answer(w, http.StatusGone, nil, false)
+		if after < s.compacted || after > s.version {
+			s.writeRows(w, http.StatusGone, nil, false)
 			s.mu.Unlock()
 			return
 		}
-		rows := s.since(q.Get("table"), after)
-		changed := s.changed
+		rows := s.changesSince(q.Get("table"), after)
+		changed := s.changeSignal
 		if len(rows) > 0 {
-			s.answer(w, http.StatusOK, rows, false)
+			s.writeRows(w, http.StatusOK, rows, false)
 			s.mu.Unlock()
 			return
 		}
@@ -398,24 +408,24 @@
 		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-end:
+		case <-timeout:
 			s.mu.Lock()
-			s.answer(w, http.StatusOK, nil, false)
+			s.writeRows(w, http.StatusOK, nil, false)
 			s.mu.Unlock()
 			return
 		}
 	}
 }
 
-// since returns the last change of each row of a table after a version.
-func (s *Store) since(table string, after int64) []row {
+// changesSince returns the last change after a version of each row of a table.
+func (s *Store) changesSince(table string, after int64) []row {
 	var rows []row
-	for _, one := range s.history {
-		if one.Table != table || one.Ver <= after {
+	for _, change := range s.history {
+		if change.Table != table || change.Ver <= after {
 			continue
 		}
-		rows = slices.DeleteFunc(rows, func(before row) bool { return before.name() == one.name() })
-		rows = append(rows, one)
+		rows = slices.DeleteFunc(rows, func(before row) bool { return before.name() == change.name() })
+		rows = append(rows, change)
 	}
 	return rows
 }
