--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -58,25 +58,25 @@
 
 // Agent is the process beside one target.
 type Agent struct {
-	c           Config
-	incarnation string
-	follower    *peer.Follower
-	dialer      *peer.Dialer
-	work        *workDesk
-	hand        *hand
-	watch       *watch
-	metrics     *metrics
-	terms       atomic.Pointer[terms]
+	c            Config
+	incarnation  string
+	follower     *peer.Follower
+	dialer       *peer.Dialer
+	work         *workHandler
+	admission    *admissionController
+	monitor      *targetMonitor
+	metrics      *metrics
+	targetConfig atomic.Pointer[targetConfig]
 }
 
-// terms are what the config in force says of the target. They are read once for
+// targetConfig are what the config in force says of the target. They are read once for
 // each revision and looked up by every piece of work.
-type terms struct {
+type targetConfig struct {
 	revision  config.Revision
 	selectors []selector.Selector
 	labels    selector.Labels
-	// err is why the target's labels can't be read.
-	err error
+	// labelsErr is why the target's labels can't be read.
+	labelsErr error
 }
 
 // New returns an agent that is ready to run.
@@ -86,38 +86,38 @@
 		a.c.Silence = drain.AgentSilence
 	}
 	a.metrics = newMetrics(c.Registry)
-	a.watch = &watch{agent: a}
-	a.hand = newHand(a)
+	a.monitor = &targetMonitor{agent: a}
+	a.admission = newAdmissionController(a)
 	a.follower = peer.NewFollower(peer.FollowerConfig{
 		Me: c.Name, Dialer: a.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger,
 		Store: config.NewStore(config.StoreConfig{Table: c.Table, Objects: c.Objects}),
-		Live:  func() []string { return nil }, Passive: true, OnState: a.followConfig,
+		Live:  func() []string { return nil }, Passive: true, OnState: a.applyConfig,
 	})
-	work, err := newWorkDesk(a)
+	work, err := newWorkHandler(a)
 	a.work = work
 	return a, err
 }
 
-// followConfig hands a config that came into force to the drain. It is called
+// applyConfig hands a config that came into force to the drain. It is called
 // for each revision, also where the label stays the same.
-func (a *Agent) followConfig(state config.State) {
+func (a *Agent) applyConfig(state config.State) {
 	labels, err := config.Labels(state, a.c.Name)
 	selectors, _ := config.Selectors(state)
-	next := &terms{revision: state.Revision(), selectors: selectors, labels: labels.With(a.c.Name, a.c.Zone), err: err}
-	a.hand.with(func(now kumquatlug.Millis) {
+	next := &targetConfig{revision: state.Revision(), selectors: selectors, labels: labels.With(a.c.Name, a.c.Zone), labelsErr: err}
+	a.admission.update(func(now kumquatlug.Millis) {
 		// Two duties call this; the slower one must not bring old terms back.
-		if held := a.terms.Load(); held == nil || held.revision <= next.revision {
-			a.terms.Store(next)
+		if current := a.targetConfig.Load(); current == nil || current.revision <= next.revision {
+			a.targetConfig.Store(next)
 		}
 		if err != nil || state.Revision() == 0 {
 			return
 		}
-		a.hand.drain.Label(int64(state.Revision()), labels.Leaving(), now)
+		a.admission.drain.Label(int64(state.Revision()), labels.Leaving(), now)
 	})
 }
 
-// failure returns a refusal before anything was sent to the target.
-func (a *Agent) failure(step, reason string, cause error) *kumquatlug.Failure {
+// refusal returns a refusal before anything was sent to the target.
+func (a *Agent) refusal(step, reason string, cause error) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: step, Peer: a.c.Name, Reason: reason, Ran: kumquatlug.RanNot, Cause: cause,
 	})
@@ -137,11 +137,11 @@
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var group run.Group
-	for _, duty := range []func(context.Context) error{
-		a.follower.Run, a.watch.run, a.askWhenSilent, a.carryOrders, a.work.ledger.Run,
+	for _, task := range []func(context.Context) error{
+		a.follower.Run, a.monitor.run, a.refreshWhenStale, a.runOrders, a.work.ledger.Run,
 		a.presence().Run,
 	} {
-		peer.AddDuty(background, &group, duty)
+		peer.AddDuty(background, &group, task)
 	}
 	peer.AddServer(&group, "serve entries", &http.Server{Handler: a.handler(), TLSConfig: a.c.Keys.Server()}, a.c.Listener)
 	group.Add(func() error {
@@ -159,7 +159,7 @@
 	keys := a.c.Keys
 	path, service := peerv1connect.NewPeerServiceHandler(peer.NewService(a.follower, a.c.Ring), peer.HandlerOptions())
 	mux.Handle(path, keys.Only(service, peer.RoleEntry, peer.RoleAgent))
-	path, agent := peerv1connect.NewAgentServiceHandler(&reports{agent: a}, peer.HandlerOptions())
+	path, agent := peerv1connect.NewAgentServiceHandler(&agentService{agent: a}, peer.HandlerOptions())
 	mux.Handle(path, keys.Only(agent, peer.RoleEntry))
 	mux.Handle(peer.WorkPath+"/", keys.Only(a.work, peer.RoleEntry))
 	mux.Handle("/metrics", metricsHandler(a.c.Registry))
@@ -180,9 +180,9 @@
 // drain refuses new work and waits for all that is in hand; no time limit cuts
 // a call that is being answered.
 func (a *Agent) drain(ctx context.Context) {
-	a.hand.stop()
+	a.admission.stop()
 	a.c.Ring.Add(timeline.Record{Name: timeline.StateChanged, Detail: "stopping"})
-	peer.WaitUntil(ctx, a.hand.idle)
+	peer.WaitUntil(ctx, a.admission.drained)
 	if err := a.work.ledger.Flush(ctx); err != nil {
 		a.c.Logger.Warn("outcomes could not be stored before the stop", timeline.ErrorField(err))
 	}
--- a/internal/agent/hand_test.go
+++ b/internal/agent/hand_test.go
@@ -22,22 +22,22 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// world is the hand of one agent, a fake engine and the oracle beside them.
-type world struct {
-	*hand
-	clock    *clock.Manual
-	random   *rand.Rand
-	ids      []string
-	revision int64
-	sequence int64
-	changing bool
-	role     string
-	stopped  bool
-	wrong    string
-	counts   map[string]int
+// admissionModel is the hand of one agent, a fake engine and the oracle beside them.
+type admissionModel struct {
+	*admissionController
+	clock          *clock.Manual
+	random         *rand.Rand
+	callIDs        []string
+	revision       int64
+	sequence       int64
+	engineChanging bool
+	role           string
+	stopped        bool
+	violation      string
+	counts         map[string]int
 }
 
-func newWorld(counts map[string]int) *world {
+func newAdmissionModel(counts map[string]int) *admissionModel {
 	c := clock.NewManual(100_000)
 	a := &Agent{
 		c: Config{
@@ -46,173 +46,173 @@
 		},
 		incarnation: "i", metrics: newMetrics(prometheus.NewRegistry()),
 	}
-	w := &world{hand: newHand(a), clock: c, role: "both", counts: counts}
-	a.hand = w.hand
-	w.orders = order.NewGate(order.GateConfig{Incarnation: 1})
-	w.label(false)
-	w.with(func(now kumquatlug.Millis) { w.drain.Asked(now) })
-	return w
+	m := &admissionModel{admissionController: newAdmissionController(a), clock: c, role: "both", counts: counts}
+	a.admission = m.admissionController
+	m.orderGate = order.NewGate(order.GateConfig{Incarnation: 1})
+	m.setLeavingLabel(false)
+	m.update(func(now kumquatlug.Millis) { m.drain.Asked(now) })
+	return m
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(format, args...)
+func (m *admissionModel) fail(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) label(leaving bool) {
-	w.revision++
-	w.with(func(now kumquatlug.Millis) { w.drain.Label(w.revision, leaving, now) })
+func (m *admissionModel) setLeavingLabel(leaving bool) {
+	m.revision++
+	m.update(func(now kumquatlug.Millis) { m.drain.Label(m.revision, leaving, now) })
 }
 
-// handEvents are drawn as often as they are listed.
-var handEvents = []string{
+// admissionEvents are drawn as often as they are listed.
+var admissionEvents = []string{
 	"begin", "begin", "begin", "begin", "begin", "end", "end", "started", "crash", "order", "step", "step", "step", "settle",
 	"label", "list", "heard", "heard", "wait", "stop",
 }
 
-func playHand(system commands.SystemUnderTest, e proof.Event) commands.Result {
-	w := system.(*world)
-	w.random = rand.New(rand.NewPCG(uint64(e.Seed), 1))
-	w.happen(e.Kind)
-	w.check()
-	return w.wrong
+func runEvent(system commands.SystemUnderTest, e proof.Event) commands.Result {
+	m := system.(*admissionModel)
+	m.random = rand.New(rand.NewPCG(uint64(e.Seed), 1))
+	m.apply(e.Kind)
+	m.checkInvariants()
+	return m.violation
 }
 
-func (w *world) happen(kind string) {
+func (m *admissionModel) apply(kind string) {
 	switch kind {
 	case "begin":
-		w.beginAny()
+		m.admitCall()
 	case "end":
-		w.endAny(w.random.IntN(4) > 0)
+		m.finishCall(m.random.IntN(4) > 0)
 	case "started":
-		if len(w.ids) > 0 {
-			w.started(w.ids[w.random.IntN(len(w.ids))])
+		if len(m.callIDs) > 0 {
+			m.firstOutput(m.callIDs[m.random.IntN(len(m.callIDs))])
 		}
 	case "crash":
-		w.crash()
+		m.crash()
 	case "order":
-		w.offer()
+		m.offerOrder()
 	case "step":
-		w.step()
+		m.runStep()
 	case "settle":
-		w.changing = false
+		m.engineChanging = false
 	case "label":
-		w.label(w.random.IntN(6) == 0)
+		m.setLeavingLabel(m.random.IntN(6) == 0)
 	case "list":
 		state := kumquatlug.VMLive
-		if w.random.IntN(10) == 0 {
+		if m.random.IntN(10) == 0 {
 			state = kumquatlug.VMLeaving
 		}
-		w.with(func(now kumquatlug.Millis) { w.drain.List(state, now) })
+		m.update(func(now kumquatlug.Millis) { m.drain.List(state, now) })
 	case "heard":
-		w.with(func(now kumquatlug.Millis) { w.drain.Heard(now); w.drain.Asked(now) })
+		m.update(func(now kumquatlug.Millis) { m.drain.Heard(now); m.drain.Asked(now) })
 	case "wait":
-		w.clock.Advance(kumquatlug.Millis(w.random.IntN(4_000)))
+		m.clock.Advance(kumquatlug.Millis(m.random.IntN(4_000)))
 	case "stop":
-		if w.random.IntN(20) == 0 {
-			w.stopped = true
-			w.stop()
+		if m.random.IntN(20) == 0 {
+			m.stopped = true
+			m.stop()
 		}
 	}
 }
 
-func (w *world) beginAny() {
+func (m *admissionModel) admitCall() {
 	work := peer.NewWork(peer.WorkConfig{
-		Request: "r", Revision: w.revision - int64(w.random.IntN(2)), Timeout: 60_000, From: "entry",
-		Fingerprint: fmt.Sprint("f", w.random.IntN(60)),
+		Request: "r", Revision: m.revision - int64(m.random.IntN(2)), Timeout: 60_000, From: "entry",
+		Fingerprint: fmt.Sprint("f", m.random.IntN(60)),
 	})
-	id, verdict, _, failure := w.try(work, "", w.random.IntN(2) == 0)
+	id, verdict, _, failure := m.tryAdmit(work, "", m.random.IntN(2) == 0)
 	if failure != nil || verdict != quarantine.VerdictRun {
-		w.counts["refused"]++
+		m.counts["refused"]++
 		return
 	}
-	w.counts["begun"]++
-	if w.stopped {
-		w.fail("work began after the stop")
+	m.counts["begun"]++
+	if m.stopped {
+		m.fail("work began after the stop")
 	}
-	if w.changing {
-		w.fail("work began while the engine carries out an order")
+	if m.engineChanging {
+		m.fail("work began while the engine carries out an order")
 	}
-	w.ids = append(w.ids, id)
+	m.callIDs = append(m.callIDs, id)
 }
 
-func (w *world) endAny(whole bool) {
-	if len(w.ids) == 0 {
+func (m *admissionModel) finishCall(complete bool) {
+	if len(m.callIDs) == 0 {
 		return
 	}
-	i := w.random.IntN(len(w.ids))
-	w.end(w.ids[i], whole)
-	w.ids = append(w.ids[:i], w.ids[i+1:]...)
+	i := m.random.IntN(len(m.callIDs))
+	m.finish(m.callIDs[i], complete)
+	m.callIDs = append(m.callIDs[:i], m.callIDs[i+1:]...)
 }
 
 // crash ends all that is in hand, as the goroutines of the calls do.
-func (w *world) crash() {
-	if len(w.ids) == 0 {
+func (m *admissionModel) crash() {
+	if len(m.callIDs) == 0 {
 		return
 	}
-	first := 0
-	for _, id := range w.ids {
-		if w.crashed(id) {
-			first++
+	counted := 0
+	for _, id := range m.callIDs {
+		if m.recordCrash(id) {
+			counted++
 		}
 	}
-	if first != 1 {
-		w.fail("one crash counted %d times", first)
+	if counted != 1 {
+		m.fail("one crash counted %d times", counted)
 	}
-	w.counts["crashes"]++
-	w.changing, w.role = false, ""
-	for len(w.ids) > 0 {
-		w.endAny(false)
+	m.counts["crashes"]++
+	m.engineChanging, m.role = false, ""
+	for len(m.callIDs) > 0 {
+		m.finishCall(false)
 	}
 }
 
-func (w *world) offer() {
-	w.sequence++
-	number := lease.Number(1 + w.random.IntN(3))
-	role := []string{"prefill", "decode"}[w.random.IntN(2)]
-	w.withOrders(func(kumquatlug.Millis) {
-		w.orders.Offer(order.NewOrder(order.NewID(1, number, w.sequence), order.VerbRole, role))
+func (m *admissionModel) offerOrder() {
+	m.sequence++
+	number := lease.Number(1 + m.random.IntN(3))
+	role := []string{"prefill", "decode"}[m.random.IntN(2)]
+	m.updateOrders(func(kumquatlug.Millis) {
+		m.orderGate.Offer(order.NewOrder(order.NewID(1, number, m.sequence), order.VerbRole, role))
 	})
 }
 
-// step does what the gate asks for, with an engine that takes its time.
-func (w *world) step() {
+// runStep does what the gate asks for, with an engine that takes its time.
+func (m *admissionModel) runStep() {
 	var s order.Step
-	w.withOrders(func(now kumquatlug.Millis) { s = w.orders.Next(now) })
+	m.updateOrders(func(now kumquatlug.Millis) { s = m.orderGate.Next(now) })
 	switch s.Action() {
 	case order.StepRead:
-		state := order.NewState(!w.changing, order.Fact{Verb: order.VerbRole, Argument: w.role})
-		w.withOrders(func(kumquatlug.Millis) { w.orders.Read(s, state) })
+		state := order.NewState(!m.engineChanging, order.Fact{Verb: order.VerbRole, Argument: m.role})
+		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.Read(s, state) })
 	case order.StepFence:
-		w.withOrders(func(kumquatlug.Millis) { w.orders.Fenced(s, 1) })
+		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.Fenced(s, 1) })
 	case order.StepRun:
-		w.counts["orders"]++
-		if len(w.ids) > 0 {
-			w.fail("an order reaches the engine with %d calls in hand", len(w.ids))
+		m.counts["orders"]++
+		if len(m.callIDs) > 0 {
+			m.fail("an order reaches the engine with %d calls in hand", len(m.callIDs))
 		}
-		w.changing, w.role = true, s.Order().Argument()
-		w.withOrders(func(kumquatlug.Millis) { w.orders.Ran(s, order.OutcomeUnknown) })
+		m.engineChanging, m.role = true, s.Order().Argument()
+		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.Ran(s, order.OutcomeUnknown) })
 	}
 }
 
-// check compares what the agent says with what it does.
-func (w *world) check() {
-	if got := len(w.pieces); got != len(w.ids) {
-		w.fail("%d calls are counted and %d in hand", got, len(w.ids))
+// checkInvariants compares what the agent says with what it does.
+func (m *admissionModel) checkInvariants() {
+	if got := len(m.calls); got != len(m.callIDs) {
+		m.fail("%d calls are counted and %d in hand", got, len(m.callIDs))
 	}
-	if w.idle() && len(w.ids) > 0 {
-		w.fail("the agent calls itself done with %d calls in hand", len(w.ids))
+	if m.drained() && len(m.callIDs) > 0 {
+		m.fail("the agent calls itself done with %d calls in hand", len(m.callIDs))
 	}
-	if w.stopped && len(w.ids) == 0 && !w.idle() {
-		w.fail("the agent has stopped, has nothing in hand and does not call itself done")
+	if m.stopped && len(m.callIDs) == 0 && !m.drained() {
+		m.fail("the agent has stopped, has nothing in hand and does not call itself done")
 	}
-	if w.changing && w.state(true) == dispatch.TargetServing {
-		w.fail("the agent reports an engine as serving that carries out an order")
+	if m.engineChanging && m.targetState(true) == dispatch.TargetServing {
+		m.fail("the agent reports an engine as serving that carries out an order")
 	}
 }
 
-func TestProofNoOrderOrStopCutsWorkAtTheAgent(t *testing.T) {
+func TestProofOrdersAndStopsNeverInterruptCalls(t *testing.T) {
 	// Calls begin and end while orders come, an engine changes its role or
 	// crashes in the middle, the target leaves by label or list, entries go
 	// silent and the agent is stopped. A user would notice an answer cut by a
@@ -222,8 +222,8 @@
 	proof.Run(t, proof.Config{
 		Claim: "no order or stop cuts work at the agent",
 		Seed:  11, Runs: 1000, Steps: 120,
-		Command: proof.Events(handEvents, playHand),
-		World:   func() commands.SystemUnderTest { return newWorld(counts) },
+		Command: proof.Events(admissionEvents, runEvent),
+		World:   func() commands.SystemUnderTest { return newAdmissionModel(counts) },
 	})
 	t.Logf("%d begun, %d refused, %d orders, %d crashes", counts["begun"], counts["refused"], counts["orders"], counts["crashes"])
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -9,16 +9,16 @@
 
 // metrics are the agent's counters.
 type metrics struct {
-	begun   prometheus.Counter
-	refused *prometheus.CounterVec
-	ended   *prometheus.CounterVec
-	inHand  prometheus.Gauge
-	crashes prometheus.Counter
+	started  prometheus.Counter
+	refused  *prometheus.CounterVec
+	ended    *prometheus.CounterVec
+	inFlight prometheus.Gauge
+	crashes  prometheus.Counter
 }
 
 func newMetrics(registry *prometheus.Registry) *metrics {
 	m := &metrics{
-		begun: prometheus.NewCounter(prometheus.CounterOpts{
+		started: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "kumquatlug_agent_work_begun_total", Help: "Calls that were handed to the target.",
 		}),
 		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -27,14 +27,14 @@
 		ended: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_agent_work_ended_total", Help: "Calls that ended, by how the target's answer ended.",
 		}, []string{"end"}),
-		inHand: prometheus.NewGauge(prometheus.GaugeOpts{
+		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "kumquatlug_agent_in_hand", Help: "Calls in hand at the target.",
 		}),
 		crashes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "kumquatlug_agent_target_crashes_total", Help: "Times the target went away with work in hand.",
 		}),
 	}
-	registry.MustRegister(m.begun, m.refused, m.ended, m.inHand, m.crashes)
+	registry.MustRegister(m.started, m.refused, m.ended, m.inFlight, m.crashes)
 	return m
 }
 
--- a/internal/agent/once.go
+++ b/internal/agent/once.go
@@ -18,61 +18,61 @@
 // whole: the body so that the claim comes after it has arrived, the answer so
 // that it can be kept for a resend.
 const (
-	maxOnceBody   = 16 << 20
-	maxOnceAnswer = 16 << 20
+	maxRunOnceBodyBytes     = 16 << 20
+	maxRunOnceResponseBytes = 16 << 20
 )
 
 // serveOnce runs a call that may not be repeated, if this process gets its
 // claim, or answers from what is known of an earlier run. It reports whether the
 // target's answer was whole.
-func (d *workDesk) serveOnce(w http.ResponseWriter, r *http.Request, work peer.Work, id string) bool {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxOnceBody+1))
-	if err != nil || len(body) > maxOnceBody {
-		d.refuse(w, work, d.agent.failure("read work", "body_not_read", err))
+func (h *workHandler) serveOnce(w http.ResponseWriter, r *http.Request, work peer.Work, id string) bool {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRunOnceBodyBytes+1))
+	if err != nil || len(body) > maxRunOnceBodyBytes {
+		h.refuse(w, work, h.agent.refusal("read work", "body_not_read", err))
 		return false
 	}
-	mark, err := ledger.ParseDispatch(work.Dispatch())
+	dispatch, err := ledger.ParseDispatch(work.Dispatch())
 	if err != nil {
-		d.refuse(w, work, d.agent.failure("read work", "bad_work", err))
+		h.refuse(w, work, h.agent.refusal("read work", "bad_work", err))
 		return false
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	ruling, err := d.ledger.Begin(r.Context(), ledger.NewCall(ledger.CallConfig{
-		Caller: work.Caller(), Key: work.Key(), Body: work.Fingerprint(), Dispatch: mark,
+	decision, err := h.ledger.Begin(r.Context(), ledger.NewCall(ledger.CallConfig{
+		Caller: work.Caller(), Key: work.Key(), Body: work.Fingerprint(), Dispatch: dispatch,
 	}))
 	if err != nil {
-		d.refuse(w, work, kumquatlug.FailureOf(err))
+		h.refuse(w, work, kumquatlug.FailureOf(err))
 		return false
 	}
-	return d.follow(w, r, work, id, ruling)
+	return h.applyDecision(w, r, work, id, decision)
 }
 
-// follow does what the ledger ruled.
-func (d *workDesk) follow(w http.ResponseWriter, r *http.Request, work peer.Work, id string, ruling ledger.Ruling) bool {
-	switch ruling.Verdict() {
+// applyDecision does what the ledger ruled.
+func (h *workHandler) applyDecision(w http.ResponseWriter, r *http.Request, work peer.Work, id string, decision ledger.Ruling) bool {
+	switch decision.Verdict() {
 	case ledger.VerdictRun:
-		return d.runOnce(w, r, work, id, ruling.Ticket())
+		return h.runOnce(w, r, work, id, decision.Ticket())
 	case ledger.VerdictAnswer:
 		w.Header().Set(peer.ReplayedHeader, "true")
-		d.give(w, work, ruling.Outcome())
+		h.writeOutcome(w, work, decision.Outcome())
 	case ledger.VerdictStale:
-		f := d.agent.failure("claim call", "stale_dispatch", nil)
-		d.agent.metrics.refused.WithLabelValues(f.Reason()).Inc()
-		peer.WriteStaleDispatch(w, f, int64(d.agent.follower.State().Revision()), d.agent.c.Ring.Logical(), ruling.Dispatch().String())
+		f := h.agent.refusal("claim call", "stale_dispatch", nil)
+		h.agent.metrics.refused.WithLabelValues(f.Reason()).Inc()
+		peer.WriteStaleDispatch(w, f, int64(h.agent.follower.State().Revision()), h.agent.c.Ring.Logical(), decision.Dispatch().String())
 	default:
-		d.refuse(w, work, ruled(ruling, d.agent.c.Name))
+		h.refuse(w, work, decisionFailure(decision, h.agent.c.Name))
 	}
 	return false
 }
 
-// ruled turns a verdict under which nothing runs into a failure.
-func ruled(ruling ledger.Ruling, agent string) *kumquatlug.Failure {
-	c := kumquatlug.FailureConfig{Step: "claim call", Peer: agent, Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway}
-	switch ruling.Verdict() {
+// decisionFailure turns a verdict under which nothing runs into a failure.
+func decisionFailure(decision ledger.Ruling, agentName string) *kumquatlug.Failure {
+	c := kumquatlug.FailureConfig{Step: "claim call", Peer: agentName, Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway}
+	switch decision.Verdict() {
 	case ledger.VerdictConflict:
 		c.Reason, c.Ran, c.Status = "key_reused", kumquatlug.RanNot, http.StatusUnprocessableEntity
 	case ledger.VerdictElsewhere:
-		c.Reason, c.Peer = peer.ReasonElsewhere, ruling.Holder().Target()
+		c.Reason, c.Peer = peer.ReasonElsewhere, decision.Holder().Target()
 	default:
 		c.Reason = peer.ReasonUnknown
 	}
@@ -81,63 +81,63 @@
 
 // runOnce makes the call under its claim. It goes on when the entry hangs up:
 // the effect can't be taken back, and the outcome is kept for whoever asks.
-func (d *workDesk) runOnce(w http.ResponseWriter, r *http.Request, work peer.Work, id string, ticket ledger.Ticket) bool {
+func (h *workHandler) runOnce(w http.ResponseWriter, r *http.Request, work peer.Work, id string, ticket ledger.Ticket) bool {
 	ctx := context.WithoutCancel(r.Context())
-	started := d.agent.c.Clock.Now()
-	outcome, err := d.call(ctx, callOf(r, work))
+	startedAt := h.agent.c.Clock.Now()
+	outcome, err := h.callTarget(ctx, targetCall(r, work))
 	if err != nil {
 		ran := kumquatlug.RanOf(err)
-		if unkept := d.ledger.Abandon(ticket, ran); unkept != nil {
-			err = errors.WithSecondaryError(err, unkept)
+		if abandonErr := h.ledger.Abandon(ticket, ran); abandonErr != nil {
+			err = errors.WithSecondaryError(err, abandonErr)
 		}
-		d.refuseBroken(w, r, work, id, abandoned(err, ran, d.agent.c.Name))
+		h.refuseFailed(w, r, work, id, abandonFailure(err, ran, h.agent.c.Name))
 		return false
 	}
-	if err := d.ledger.Finish(ticket, outcome); err != nil {
-		d.agent.c.Logger.Error("an outcome could not be kept: " + err.Error())
+	if err := h.ledger.Finish(ticket, outcome); err != nil {
+		h.agent.c.Logger.Error("an outcome could not be kept: " + err.Error())
 	}
-	d.agent.c.Ring.Add(timeline.Record{
+	h.agent.c.Ring.Add(timeline.Record{
 		Name: timeline.WorkEnded, RequestID: work.Request(), Detail: "run once",
-		Duration: int64(d.agent.c.Clock.Now() - started),
+		Duration: int64(h.agent.c.Clock.Now() - startedAt),
 	})
-	d.give(w, work, outcome)
+	h.writeOutcome(w, work, outcome)
 	return true
 }
 
-// abandoned is the failure of a run without an outcome.
-func abandoned(err error, ran kumquatlug.Ran, agent string) *kumquatlug.Failure {
+// abandonFailure is the failure of a run without an outcome.
+func abandonFailure(err error, ran kumquatlug.Ran, agentName string) *kumquatlug.Failure {
 	if ran == kumquatlug.RanNot {
 		return kumquatlug.FailureOf(err)
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "call target", Peer: agent, Reason: peer.ReasonUnknown, Ran: kumquatlug.RanUnknown,
+		Step: "call target", Peer: agentName, Reason: peer.ReasonUnknown, Ran: kumquatlug.RanUnknown,
 		Status: http.StatusBadGateway, Cause: err,
 	})
 }
 
-// call runs the call at the target and reads its whole answer.
-func (d *workDesk) call(ctx context.Context, call kumquatlug.Call) (ledger.Outcome, error) {
-	answer, err := d.agent.c.Target.Do(ctx, call)
+// callTarget runs the call at the target and reads its whole answer.
+func (h *workHandler) callTarget(ctx context.Context, call kumquatlug.Call) (ledger.Outcome, error) {
+	response, err := h.agent.c.Target.Do(ctx, call)
 	if err != nil {
 		return ledger.Outcome{}, err
 	}
-	defer answer.Body().Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body(), maxOnceAnswer+1))
+	defer response.Body().Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body(), maxRunOnceResponseBytes+1))
 	if err != nil {
 		return ledger.Outcome{}, errors.Wrap(err, "read the target's answer")
 	}
-	if len(body) > maxOnceAnswer {
-		return ledger.Outcome{}, errors.Newf("the answer is larger than %d bytes", maxOnceAnswer)
+	if len(body) > maxRunOnceResponseBytes {
+		return ledger.Outcome{}, errors.Newf("the answer is larger than %d bytes", maxRunOnceResponseBytes)
 	}
 	header := http.Header{}
-	peer.CopyHeaders(header, answer.Header())
+	peer.CopyHeaders(header, response.Header())
 	header.Del("Content-Length")
-	return ledger.NewOutcome(answer.Status(), header, body), nil
+	return ledger.NewOutcome(response.Status(), header, body), nil
 }
 
-// give answers the entry with an outcome.
-func (d *workDesk) give(w http.ResponseWriter, work peer.Work, o ledger.Outcome) {
-	end := d.passOn(w, kumquatlug.NewAnswer(o.Status(), o.Header(), io.NopCloser(bytes.NewReader(o.Body()))), func() {})
-	d.agent.metrics.ended.WithLabelValues(end).Inc()
-	d.agent.c.Ring.Add(timeline.Record{Name: timeline.WorkEnded, RequestID: work.Request(), Detail: end})
+// writeOutcome answers the entry with an outcome.
+func (h *workHandler) writeOutcome(w http.ResponseWriter, work peer.Work, outcome ledger.Outcome) {
+	end := h.forwardResponse(w, kumquatlug.NewAnswer(outcome.Status(), outcome.Header(), io.NopCloser(bytes.NewReader(outcome.Body()))), func() {})
+	h.agent.metrics.ended.WithLabelValues(end).Inc()
+	h.agent.c.Ring.Add(timeline.Record{Name: timeline.WorkEnded, RequestID: work.Request(), Detail: end})
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -18,14 +18,14 @@
 
 // Figures of the duty that carries orders out.
 const (
-	// orderTick is how often the gate is asked for its next step.
-	orderTick = 100 * time.Millisecond
-	// orderPause spaces steps that failed, and looks at an engine in mid change.
-	orderPause = 500 * time.Millisecond
-	// registerPause spaces tries to register the start.
-	registerPause = time.Second
-	// agentPrefix starts the keys of the agents' registrations.
-	agentPrefix = "agent/"
+	// orderPollInterval is how often the gate is asked for its next step.
+	orderPollInterval = 100 * time.Millisecond
+	// orderRetryDelay spaces steps that failed, and looks at an engine in mid change.
+	orderRetryDelay = 500 * time.Millisecond
+	// registerRetryDelay spaces tries to register the start.
+	registerRetryDelay = time.Second
+	// agentKeyPrefix starts the keys of the agents' registrations.
+	agentKeyPrefix = "agent/"
 )
 
 // registration is the row in which the starts of an agent are counted.
@@ -34,29 +34,29 @@
 	Incarnation string            `json:"incarnation"`
 }
 
-// register counts this start in the table and opens the gate for orders. Until
+// registerStart counts this start in the table and opens the gate for orders. Until
 // it has succeeded no order is taken; work is served all the same.
-func (a *Agent) register(ctx context.Context) (order.Incarnation, error) {
+func (a *Agent) registerStart(ctx context.Context) (order.Incarnation, error) {
 	for {
-		starts, err := a.registerOnce(ctx)
+		starts, err := a.tryRegisterStart(ctx)
 		if err == nil {
 			return starts, nil
 		}
 		a.c.Logger.Warn("can't register this start yet", timeline.ErrorField(err))
 		select {
-		case <-time.After(registerPause):
+		case <-time.After(registerRetryDelay):
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		}
 	}
 }
 
-// registerOnce reads first: after a lost answer the row tells whether this
+// tryRegisterStart reads first: after a lost answer the row tells whether this
 // start is already counted.
-func (a *Agent) registerOnce(ctx context.Context) (order.Incarnation, error) {
+func (a *Agent) tryRegisterStart(ctx context.Context) (order.Incarnation, error) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	key := agentPrefix + a.c.Name
+	key := agentKeyPrefix + a.c.Name
 	row, err := a.c.Table.Get(ctx, key)
 	if err != nil {
 		return 0, err
@@ -78,33 +78,33 @@
 	return r.Starts, a.c.Table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).If(key, row.Version()).Put(key, text))
 }
 
-// carryOrders opens the gate and does what it asks for until ctx ends. Services
+// runOrders opens the gate and does what it asks for until ctx ends. Services
 // take no orders.
-func (a *Agent) carryOrders(ctx context.Context) error {
+func (a *Agent) runOrders(ctx context.Context) error {
 	if a.c.Engine == nil {
 		return nil
 	}
-	starts, err := a.register(ctx)
+	starts, err := a.registerStart(ctx)
 	if err != nil {
 		return err
 	}
-	a.hand.with(func(kumquatlug.Millis) {
-		a.hand.starts = starts
-		a.hand.orders = order.NewGate(order.GateConfig{Incarnation: starts})
-		for range a.hand.pieces {
+	a.admission.update(func(kumquatlug.Millis) {
+		a.admission.startCount = starts
+		a.admission.orderGate = order.NewGate(order.GateConfig{Incarnation: starts})
+		for range a.admission.calls {
 			// What began before the gate opened is in hand there, too: an order
 			// must wait for it.
-			a.hand.orders.Begin()
+			a.admission.orderGate.Begin()
 		}
 	})
-	tick := time.NewTicker(orderTick)
+	tick := time.NewTicker(orderPollInterval)
 	defer tick.Stop()
 	for {
 		var step order.Step
-		a.hand.withOrders(func(now kumquatlug.Millis) { step = a.hand.orders.Next(now) })
+		a.admission.updateOrders(func(now kumquatlug.Millis) { step = a.admission.orderGate.Next(now) })
 		wait := tick.C
-		if step.Action() != order.StepNone && !a.step(ctx, step) {
-			wait = time.After(orderPause)
+		if step.Action() != order.StepNone && !a.runStep(ctx, step) {
+			wait = time.After(orderRetryDelay)
 		}
 		select {
 		case <-wait:
@@ -114,55 +114,55 @@
 	}
 }
 
-// withOrders runs change on the gate under the lock and tells the drain, in the
+// updateOrders runs change on the gate under the lock and tells the drain, in the
 // same breath, whether an order takes the target away. Told later, the drain
 // would go on refusing work at an engine that has settled.
-func (h *hand) withOrders(change func(now kumquatlug.Millis)) {
-	h.with(func(now kumquatlug.Millis) {
-		if h.orders == nil {
+func (ac *admissionController) updateOrders(change func(now kumquatlug.Millis)) {
+	ac.update(func(now kumquatlug.Millis) {
+		if ac.orderGate == nil {
 			return
 		}
 		change(now)
-		h.drain.Order(h.away(), now)
+		ac.drain.Order(ac.underOrder(), now)
 	})
 }
 
-// step does one step and reports whether it brought an answer.
-func (a *Agent) step(ctx context.Context, s order.Step) bool {
+// runStep does one step and reports whether it brought an answer.
+func (a *Agent) runStep(ctx context.Context, s order.Step) bool {
 	if s.Action() == order.StepRun {
 		// No time limit: given up here, the order could reach the engine after
 		// the gate has read that it was not carried out. It ends with the
 		// connection.
-		return a.runOrder(ctx, s)
+		return a.sendOrder(ctx, s)
 	}
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	if s.Action() == order.StepRead {
-		return a.readEngine(ctx, s)
+		return a.readEngineState(ctx, s)
 	}
-	return a.readFence(ctx, s)
+	return a.readFencingNumber(ctx, s)
 }
 
-func (a *Agent) readEngine(ctx context.Context, s order.Step) bool {
+func (a *Agent) readEngineState(ctx context.Context, s order.Step) bool {
 	condition, err := a.c.Engine.ReadState(ctx)
-	a.hand.withOrders(func(kumquatlug.Millis) {
+	a.admission.updateOrders(func(kumquatlug.Millis) {
 		if err != nil {
-			a.hand.orders.ReadFailed(s)
+			a.admission.orderGate.ReadFailed(s)
 			return
 		}
-		a.hand.orders.Read(s, stateOfEngine(condition))
+		a.admission.orderGate.Read(s, orderState(condition))
 	})
 	return err == nil && condition.State != engine.StateChanging
 }
 
-// stateOfEngine takes an engine that lost its role in a crash for settled: it
+// orderState takes an engine that lost its role in a crash for settled: it
 // is not in the middle of anything, and the next order may come.
-func stateOfEngine(c engine.Condition) order.State {
+func orderState(c engine.Condition) order.State {
 	return order.NewState(c.State != engine.StateChanging, order.Fact{Verb: order.VerbRole, Argument: string(c.Role)})
 }
 
-func (a *Agent) readFence(ctx context.Context, s order.Step) bool {
-	group := a.group()
+func (a *Agent) readFencingNumber(ctx context.Context, s order.Step) bool {
+	group := a.leaseGroup()
 	row, err := a.c.Table.Get(ctx, lease.Key(group))
 	if err == nil && row.Era() > 0 {
 		row, err = a.c.Table.Get(ctx, lease.KeyIn(group, row.Era()))
@@ -171,26 +171,26 @@
 	if err == nil {
 		record, err = lease.Decode(row)
 	}
-	a.hand.withOrders(func(kumquatlug.Millis) {
+	a.admission.updateOrders(func(kumquatlug.Millis) {
 		if err != nil {
-			a.hand.orders.FenceFailed(s)
+			a.admission.orderGate.FenceFailed(s)
 			return
 		}
-		a.hand.orders.Fenced(s, max(record.Fence(), lease.Least(row.Era())))
+		a.admission.orderGate.Fenced(s, max(record.Fence(), lease.Least(row.Era())))
 	})
 	return err == nil
 }
 
-// group returns the group whose lease holder gives this target its orders.
-func (a *Agent) group() string {
-	t := a.terms.Load()
-	if t.err != nil {
+// leaseGroup returns the group whose lease holder gives this target its orders.
+func (a *Agent) leaseGroup() string {
+	target := a.targetConfig.Load()
+	if target.labelsErr != nil {
 		return ""
 	}
-	return config.GroupAmong(t.selectors, t.labels)
+	return config.GroupAmong(target.selectors, target.labels)
 }
 
-func (a *Agent) runOrder(ctx context.Context, s order.Step) bool {
+func (a *Agent) sendOrder(ctx context.Context, s order.Step) bool {
 	o := s.Order()
 	_, err := a.c.Engine.Give(ctx, engine.Order{
 		ID: o.ID().String(), Fence: int64(o.ID().Number()), Verb: string(o.Verb()), Argument: o.Argument(),
@@ -201,14 +201,14 @@
 		outcome = order.OutcomeNotApplied
 	}
 	a.c.Ring.Add(timeline.Record{Name: timeline.OrderTaken, Detail: string(o.Verb()) + " " + o.Argument()})
-	a.hand.withOrders(func(kumquatlug.Millis) { a.hand.orders.Ran(s, outcome) })
+	a.admission.updateOrders(func(kumquatlug.Millis) { a.admission.orderGate.Ran(s, outcome) })
 	return true
 }
 
-// offer takes an order from an entry.
-func (a *Agent) offer(o order.Order) order.Reply {
+// offerOrder takes an order from an entry.
+func (a *Agent) offerOrder(o order.Order) order.Reply {
 	reply := order.NewReply(order.VerdictNotReady, "", 0)
-	a.hand.withOrders(func(kumquatlug.Millis) { reply = a.hand.orders.Offer(o) })
+	a.admission.updateOrders(func(kumquatlug.Millis) { reply = a.admission.orderGate.Offer(o) })
 	if reply.Verdict() == order.VerdictOld || reply.Verdict() == order.VerdictOtherIncarnation {
 		a.c.Ring.Add(timeline.Record{Name: timeline.OrderRefused, Detail: string(reply.Verdict()) + " " + o.ID().String()})
 	}
--- a/internal/agent/suspect.go
+++ b/internal/agent/suspect.go
@@ -13,8 +13,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// suspectPrefix starts the keys of the claims under which suspects run.
-const suspectPrefix = "suspect/"
+// suspectKeyPrefix starts the keys of the claims under which suspects run.
+const suspectKeyPrefix = "suspect/"
 
 // tableTimeout bounds one call to the table outside the ledger.
 const tableTimeout = 2 * time.Second
@@ -28,46 +28,46 @@
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	tx := kumquatlug.NewTx(ulid.Make().String()).
-		If(suspectPrefix+work.Fingerprint(), 0).
-		Put(suspectPrefix+work.Fingerprint(), []byte(a.c.Name))
+		If(suspectKeyPrefix+work.Fingerprint(), 0).
+		Put(suspectKeyPrefix+work.Fingerprint(), []byte(a.c.Name))
 	err := a.c.Table.Commit(ctx, tx)
 	if err == nil {
 		return nil
 	}
 	if errors.Is(err, kumquatlug.ErrConflict) {
-		return a.failure("claim suspect", reasonSuspect, err)
+		return a.refusal("claim suspect", reasonSuspect, err)
 	}
 	a.c.Logger.Warn("a suspect runs without its claim", zap.String("request", work.Request()), timeline.ErrorField(err))
 	return nil
 }
 
-// unclaimSuspect removes the claim of a suspect that has finished.
-func (a *Agent) unclaimSuspect(work peer.Work) {
+// releaseSuspectClaim removes the claim of a suspect that has finished.
+func (a *Agent) releaseSuspectClaim(work peer.Work) {
 	ctx, cancel := context.WithTimeout(context.Background(), tableTimeout)
 	defer cancel()
-	err := a.c.Table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).Delete(suspectPrefix+work.Fingerprint()))
+	err := a.c.Table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).Delete(suspectKeyPrefix+work.Fingerprint()))
 	if err != nil {
 		a.c.Logger.Warn("can't remove a suspect's claim", zap.String("request", work.Request()), timeline.ErrorField(err))
 	}
 }
 
-// broke looks whether the target is gone after a call broke off, and returns
+// checkCrash looks whether the target is gone after a call broke off, and returns
 // what its request is now known for. A target that still answers only broke one
 // connection; an entry that hung up broke it itself.
-func (a *Agent) broke(ctx context.Context, id string, work peer.Work) (notice string) {
+func (a *Agent) checkCrash(ctx context.Context, id string, work peer.Work) (notice string) {
 	if ctx.Err() != nil {
 		return ""
 	}
-	look, cancel := context.WithTimeout(context.WithoutCancel(ctx), watchTimeout)
+	checkCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), healthCheckTimeout)
 	defer cancel()
-	if a.c.Target.Healthy(look) == nil {
+	if a.c.Target.Healthy(checkCtx) == nil {
 		return ""
 	}
-	if a.hand.crashed(id) {
-		a.watch.down()
+	if a.admission.recordCrash(id) {
+		a.monitor.markDown()
 		a.metrics.crashes.Inc()
 		a.c.Ring.Add(timeline.Record{Name: timeline.TargetCrashed, RequestID: work.Request()})
 		a.c.Logger.Warn("target crashed", zap.String("request", work.Request()))
 	}
-	return a.hand.notice(work.Fingerprint())
+	return a.admission.crashNotice(work.Fingerprint())
 }
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -12,18 +12,18 @@
 
 // Figures of the watch over the target.
 const (
-	// watchEvery is how often the target is asked for its health and load. It
+	// healthCheckInterval is how often the target is asked for its health and load. It
 	// is on the same VM, and an entry asks the agent once a second at most.
-	watchEvery = 500 * time.Millisecond
-	// watchTimeout bounds one look.
-	watchTimeout = 2 * time.Second
-	// keptEvents bounds the cache events that are told again to an entry which
+	healthCheckInterval = 500 * time.Millisecond
+	// healthCheckTimeout bounds one look.
+	healthCheckTimeout = 2 * time.Second
+	// maxKeptCacheEvents bounds the cache events that are told again to an entry which
 	// missed them.
-	keptEvents = 256
+	maxKeptCacheEvents = 256
 )
 
-// condition is what the watch last saw of the target.
-type condition struct {
+// targetStatus is what the watch last saw of the target.
+type targetStatus struct {
 	healthy bool
 	load    engine.Load
 	readAt  time.Time
@@ -31,55 +31,55 @@
 	events  []engine.CacheEvent
 }
 
-// watch looks at the target and keeps what it saw for entries that ask.
-type watch struct {
+// targetMonitor looks at the target and keeps what it saw for entries that ask.
+type targetMonitor struct {
 	agent *Agent
 
 	mu sync.Mutex
-	// cursor is the engine's number of the last cache event, base what is added
+	// lastSequence is the engine's number of the last cache event, base what is added
 	// to its numbers: an engine that restarted counts from the start again, and
 	// its events would be passed over as old ones.
-	cursor  int64
-	base    int64
-	last    condition
-	heardAt kumquatlug.Millis
+	lastSequence    int64
+	sequenceOffset  int64
+	current         targetStatus
+	lastHeartbeatAt kumquatlug.Millis
 }
 
-// seen returns what was last seen.
-func (w *watch) seen() condition {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.last
+// status returns what was last seen.
+func (m *targetMonitor) status() targetStatus {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.current
 }
 
-// down takes that the target was found gone.
-func (w *watch) down() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.last.healthy = false
-	w.base += w.cursor
-	w.cursor = 0
+// markDown takes that the target was found gone.
+func (m *targetMonitor) markDown() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.current.healthy = false
+	m.sequenceOffset += m.lastSequence
+	m.lastSequence = 0
 }
 
-// heard takes that an entry spoke.
-func (w *watch) heard(now kumquatlug.Millis) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.heardAt = now
+// recordHeartbeat takes that an entry spoke.
+func (m *targetMonitor) recordHeartbeat(now kumquatlug.Millis) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.lastHeartbeatAt = now
 }
 
-func (w *watch) lastHeard() kumquatlug.Millis {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.heardAt
+func (m *targetMonitor) lastHeartbeat() kumquatlug.Millis {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.lastHeartbeatAt
 }
 
 // run looks at the target until ctx ends.
-func (w *watch) run(ctx context.Context) error {
-	tick := time.NewTicker(watchEvery)
+func (m *targetMonitor) run(ctx context.Context) error {
+	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
 	for {
-		w.look(ctx)
+		m.poll(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -88,68 +88,68 @@
 	}
 }
 
-func (w *watch) look(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
+func (m *targetMonitor) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	healthy := w.agent.c.Target.Healthy(ctx) == nil
-	w.mu.Lock()
-	w.last.healthy = healthy
-	w.mu.Unlock()
-	if healthy && w.agent.c.Engine != nil {
-		w.readEngine(ctx)
+	healthy := m.agent.c.Target.Healthy(ctx) == nil
+	m.mu.Lock()
+	m.current.healthy = healthy
+	m.mu.Unlock()
+	if healthy && m.agent.c.Engine != nil {
+		m.readEngine(ctx)
 	}
 }
 
-func (w *watch) readEngine(ctx context.Context) {
-	load, err := w.agent.c.Engine.ReadLoad(ctx)
+func (m *targetMonitor) readEngine(ctx context.Context) {
+	load, err := m.agent.c.Engine.ReadLoad(ctx)
 	if err != nil {
-		w.agent.c.Logger.Debug("can't read load", timeline.ErrorField(err))
+		m.agent.c.Logger.Debug("can't read load", timeline.ErrorField(err))
 		return
 	}
-	state, err := w.agent.c.Engine.ReadState(ctx)
+	state, err := m.agent.c.Engine.ReadState(ctx)
 	if err != nil {
 		state = engine.Condition{State: engine.StateUnknown}
 	}
-	events, err := w.agent.c.Engine.CacheEvents(ctx, w.after())
+	events, err := m.agent.c.Engine.CacheEvents(ctx, m.eventCursor())
 	if err != nil {
 		events = nil
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.last.load, w.last.readAt, w.last.state = load, time.Now(), state
-	w.keepEvents(events)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.current.load, m.current.readAt, m.current.state = load, time.Now(), state
+	m.addEvents(events)
 }
 
-func (w *watch) after() int64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cursor
+func (m *targetMonitor) eventCursor() int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.lastSequence
 }
 
-// keepEvents adds events to those that are told. The lock is held.
-func (w *watch) keepEvents(events []engine.CacheEvent) {
+// addEvents adds events to those that are told. The lock is held.
+func (m *targetMonitor) addEvents(events []engine.CacheEvent) {
 	if len(events) == 0 {
 		return
 	}
-	w.cursor = events[len(events)-1].Sequence
-	all := append([]engine.CacheEvent(nil), w.last.events...)
+	m.lastSequence = events[len(events)-1].Sequence
+	all := append([]engine.CacheEvent(nil), m.current.events...)
 	for _, e := range events {
-		e.Sequence += w.base
+		e.Sequence += m.sequenceOffset
 		all = append(all, e)
 	}
-	w.last.events = all[max(0, len(all)-keptEvents):]
+	m.current.events = all[max(0, len(all)-maxKeptCacheEvents):]
 }
 
-// askWhenSilent asks the table and the platform's list itself when entries have
+// refreshWhenStale asks the table and the platform's list itself when entries have
 // been quiet. An agent that was paused, or has just started, holds news of
 // unknown age, and the first entry to reach it may itself be cut off: it takes
 // no new work before it has asked.
-func (a *Agent) askWhenSilent(ctx context.Context) error {
-	tick := time.NewTicker(watchEvery)
+func (a *Agent) refreshWhenStale(ctx context.Context) error {
+	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
 	for {
-		if a.hand.silent(a.watch.lastHeard()) {
-			a.ask(ctx)
+		if a.admission.needsRefresh(a.monitor.lastHeartbeat()) {
+			a.refresh(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -159,7 +159,7 @@
 	}
 }
 
-func (a *Agent) ask(ctx context.Context) {
+func (a *Agent) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	if err := a.follower.Refresh(ctx); err != nil {
@@ -169,14 +169,14 @@
 	if err != nil {
 		a.c.Logger.Warn("can't ask the platform for its list", timeline.ErrorField(err))
 	}
-	a.followConfig(a.follower.State())
-	a.hand.with(func(now kumquatlug.Millis) {
+	a.applyConfig(a.follower.State())
+	a.admission.update(func(now kumquatlug.Millis) {
 		for _, vm := range vms {
 			if vm.Name() == a.c.Name {
-				a.hand.drain.List(vm.State(), now)
+				a.admission.drain.List(vm.State(), now)
 			}
 		}
-		a.hand.drain.Asked(now)
+		a.admission.drain.Asked(now)
 	})
-	a.watch.heard(a.c.Clock.Now())
+	a.monitor.recordHeartbeat(a.c.Clock.Now())
 }
--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -9,15 +9,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLine bounds one event of a stream: a token with its logprobs is a few
+// maxEventBytes bounds one event of a stream: a token with its logprobs is a few
 // kilobytes at most.
-const maxLine = 1 << 20
+const maxEventBytes = 1 << 20
 
 // ErrNoEnd says that a stream ended without its end mark: the answer was cut.
 var ErrNoEnd = errors.New("stream ended without its end mark")
 
-// endMark is the last event of every whole OpenAI stream.
-var endMark = []byte("[DONE]")
+// doneMarker is the last event of every whole OpenAI stream.
+var doneMarker = []byte("[DONE]")
 
 // Usage counts the tokens of one answer.
 type Usage struct {
@@ -71,14 +71,14 @@
 // Reader reads the events of one stream.
 type Reader struct {
 	lines *bufio.Scanner
-	// last holds what chunks of one answer have in common.
-	last Chunk
+	// lastChunk holds what chunks of one answer have in common.
+	lastChunk Chunk
 }
 
 // NewReader returns a reader of the server-sent events in body.
 func NewReader(body io.Reader) *Reader {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, 4096), maxLine)
+	lines.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	return &Reader{lines: lines}
 }
 
@@ -91,14 +91,14 @@
 			continue
 		}
 		data = bytes.TrimSpace(data)
-		if bytes.Equal(data, endMark) {
+		if bytes.Equal(data, doneMarker) {
 			return Chunk{}, io.EOF
 		}
-		c, err := decodeChunk(data, r.last)
+		c, err := decodeChunk(data, r.lastChunk)
 		if err != nil {
 			return Chunk{}, errors.Wrap(err, "read chunk")
 		}
-		r.last = Chunk{ID: c.ID, Object: c.Object, Model: c.Model}
+		r.lastChunk = Chunk{ID: c.ID, Object: c.Object, Model: c.Model}
 		return c, nil
 	}
 	if err := r.lines.Err(); err != nil {
--- a/internal/engine/chunk_test.go
+++ b/internal/engine/chunk_test.go
@@ -13,7 +13,7 @@
 // An engine dies while it writes. Its kernel closes the connection in an
 // orderly way, so that the stream just ends; a caller would take the half
 // answer for the whole one.
-func TestReaderTellsACutStreamFromAWholeOne(t *testing.T) {
+func TestReaderDetectsTruncatedStream(t *testing.T) {
 	read := func(text string) (tokens []string, err error) {
 		r := NewReader(strings.NewReader(text))
 		for {
--- a/internal/engine/decode.go
+++ b/internal/engine/decode.go
@@ -10,8 +10,8 @@
 // entry's processor time. Whatever is not plainly of that form, as an escape, a
 // field that is not known here or a number that is not whole, goes to
 // encoding/json, which stays the judge of it.
-func decodeChunk(data []byte, last Chunk) (Chunk, error) {
-	s := scanner{rest: data, last: last}
+func decodeChunk(data []byte, lastChunk Chunk) (Chunk, error) {
+	s := scanner{rest: data, lastChunk: lastChunk}
 	if c, ok := s.chunk(); ok {
 		return c, nil
 	}
@@ -24,29 +24,29 @@
 // thing that it does not know.
 type scanner struct {
 	rest []byte
-	// last is the chunk before: what stays the same is not made again.
-	last Chunk
+	// lastChunk is the chunk before: what stays the same is not made again.
+	lastChunk Chunk
 }
 
 // accept takes one mark of the grammar.
-func (s *scanner) accept(mark byte) bool {
-	if len(s.rest) == 0 || s.rest[0] != mark {
+func (s *scanner) accept(char byte) bool {
+	if len(s.rest) == 0 || s.rest[0] != char {
 		return false
 	}
 	s.rest = s.rest[1:]
 	return true
 }
 
-func (s *scanner) word(word string) bool {
-	if !bytes.HasPrefix(s.rest, []byte(word)) {
+func (s *scanner) want(want string) bool {
+	if !bytes.HasPrefix(s.rest, []byte(want)) {
 		return false
 	}
-	s.rest = s.rest[len(word):]
+	s.rest = s.rest[len(want):]
 	return true
 }
 
-// text takes a string of plain ASCII without escapes.
-func (s *scanner) text() ([]byte, bool) {
+// stringBytes takes a string of plain ASCII without escapes.
+func (s *scanner) stringBytes() ([]byte, bool) {
 	if !s.accept('"') {
 		return nil, false
 	}
@@ -63,28 +63,28 @@
 	return nil, false
 }
 
-// same takes a string that is likely the one before.
-func (s *scanner) same(into *string, last string) bool {
-	text, ok := s.text()
+// reusedString takes a string that is likely the one before.
+func (s *scanner) reusedString(dst *string, last string) bool {
+	text, ok := s.stringBytes()
 	if !ok {
 		return false
 	}
 	if string(text) == last {
-		*into = last
+		*dst = last
 		return true
 	}
-	*into = string(text)
+	*dst = string(text)
 	return true
 }
 
-// number takes a whole number that is not negative.
-func (s *scanner) number(into *int64) bool {
-	const most = 18 // digits that fit in any case
+// integer takes a whole number that is not negative.
+func (s *scanner) integer(dst *int64) bool {
+	const maxDigits = 18 // digits that fit in any case
 	n := 0
 	for n < len(s.rest) && s.rest[n] >= '0' && s.rest[n] <= '9' {
 		n++
 	}
-	if n == 0 || n > most || n > 1 && s.rest[0] == '0' {
+	if n == 0 || n > maxDigits || n > 1 && s.rest[0] == '0' {
 		return false
 	}
 	var value int64
@@ -92,7 +92,7 @@
 		value = value*10 + int64(digit-'0')
 	}
 	s.rest = s.rest[n:]
-	*into = value
+	*dst = value
 	return true
 }
 
@@ -107,7 +107,7 @@
 	}
 	seen := 0
 	for {
-		name, ok := s.text()
+		name, ok := s.stringBytes()
 		if !ok || !s.accept(':') {
 			return false
 		}
@@ -130,13 +130,13 @@
 	ok := s.object(func(name []byte) (int, bool) {
 		switch string(name) {
 		case "id":
-			return 0, s.same(&c.ID, s.last.ID)
+			return 0, s.reusedString(&c.ID, s.lastChunk.ID)
 		case "object":
-			return 1, s.same(&c.Object, s.last.Object)
+			return 1, s.reusedString(&c.Object, s.lastChunk.Object)
 		case "created":
-			return 2, s.number(&c.Created)
+			return 2, s.integer(&c.Created)
 		case "model":
-			return 3, s.same(&c.Model, s.last.Model)
+			return 3, s.reusedString(&c.Model, s.lastChunk.Model)
 		case "choices":
 			return 4, s.choices(&c.Choices)
 		case "usage":
@@ -150,16 +150,16 @@
 }
 
 // choices takes a list of one choice, or of none.
-func (s *scanner) choices(into *[]Choice) bool {
+func (s *scanner) choices(dst *[]Choice) bool {
 	if !s.accept('[') {
 		return false
 	}
 	if s.accept(']') {
-		*into = []Choice{}
+		*dst = []Choice{}
 		return true
 	}
 	list := make([]Choice, 1)
-	*into = list
+	*dst = list
 	return s.choice(&list[0]) && s.accept(']')
 }
 
@@ -168,39 +168,39 @@
 		switch string(name) {
 		case "index":
 			var index int64
-			ok := s.number(&index)
+			ok := s.integer(&index)
 			c.Index = int(index)
 			return 0, ok
 		case "text":
-			return 1, s.pointer(&c.Text)
+			return 1, s.stringPointer(&c.Text)
 		case "delta":
 			return 2, s.delta(&c.Delta)
 		case "finish_reason":
-			if s.word("null") {
+			if s.want("null") {
 				return 3, true
 			}
-			return 3, s.pointer(&c.Finish)
+			return 3, s.stringPointer(&c.Finish)
 		default:
 			return 0, false
 		}
 	})
 }
 
-func (s *scanner) pointer(into **string) bool {
-	text, ok := s.text()
+func (s *scanner) stringPointer(dst **string) bool {
+	text, ok := s.stringBytes()
 	if !ok {
 		return false
 	}
 	copied := string(text)
-	*into = &copied
+	*dst = &copied
 	return true
 }
 
 // delta takes an object of strings as it stands.
-func (s *scanner) delta(into *json.RawMessage) bool {
-	before := s.rest
+func (s *scanner) delta(dst *json.RawMessage) bool {
+	start := s.rest
 	ok := s.object(func(name []byte) (int, bool) {
-		_, ok := s.text()
+		_, ok := s.stringBytes()
 		switch string(name) {
 		case "role":
 			return 0, ok
@@ -210,7 +210,7 @@
 			return 0, false
 		}
 	})
-	*into = append(json.RawMessage(nil), before[:len(before)-len(s.rest)]...)
+	*dst = append(json.RawMessage(nil), start[:len(start)-len(s.rest)]...)
 	return ok
 }
 
@@ -218,25 +218,25 @@
 	return s.object(func(name []byte) (int, bool) {
 		switch string(name) {
 		case "prompt_tokens":
-			return 0, s.number(&u.PromptTokens)
+			return 0, s.integer(&u.PromptTokens)
 		case "completion_tokens":
-			return 1, s.number(&u.CompletionTokens)
+			return 1, s.integer(&u.CompletionTokens)
 		case "total_tokens":
-			return 2, s.number(&u.TotalTokens)
+			return 2, s.integer(&u.TotalTokens)
 		case "prompt_tokens_details":
 			u.PromptDetails = &PromptDetail{}
-			return 3, s.detail(u.PromptDetails)
+			return 3, s.promptDetail(u.PromptDetails)
 		default:
 			return 0, false
 		}
 	})
 }
 
-func (s *scanner) detail(d *PromptDetail) bool {
+func (s *scanner) promptDetail(d *PromptDetail) bool {
 	return s.object(func(name []byte) (int, bool) {
 		if string(name) != "cached_tokens" {
 			return 0, false
 		}
-		return 0, s.number(&d.CachedTokens)
+		return 0, s.integer(&d.CachedTokens)
 	})
 }
--- a/internal/engine/decode_test.go
+++ b/internal/engine/decode_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// events are what engines send, and what they might.
-var events = []string{
+// sampleEvents are what engines send, and what they might.
+var sampleEvents = []string{
 	`{"id":"cmpl-1","object":"text_completion","created":1,"model":"m","choices":[{"index":0,"text":" w","finish_reason":null}],` +
 		`"usage":{"prompt_tokens":5,"completion_tokens":1,"total_tokens":6,"prompt_tokens_details":{"cached_tokens":0}}}`,
 	`{"id":"cmpl-1","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,` +
@@ -24,17 +24,17 @@
 // give callers another answer than the engine gave. All events with bytes
 // changed, doubled and left out must come out as encoding/json reads them, the
 // errors too.
-func TestDecodeReadsAsEncodingJSONDoes(t *testing.T) {
+func TestDecodeChunkMatchesEncodingJSON(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	const bytesOfEvents = `{}[]":,0123456789 nulltrueabcidé\/-+.eE<>&` + "\n\x7f"
-	plain := 0
+	const mutationBytes = `{}[]":,0123456789 nulltrueabcidé\/-+.eE<>&` + "\n\x7f"
+	fastDecoded := 0
 	for range 200_000 {
-		data := []byte(events[random.IntN(len(events))])
+		data := []byte(sampleEvents[random.IntN(len(sampleEvents))])
 		for range random.IntN(3) {
 			i := random.IntN(len(data))
 			switch random.IntN(3) {
 			case 0:
-				data[i] = bytesOfEvents[random.IntN(len(bytesOfEvents))]
+				data[i] = mutationBytes[random.IntN(len(mutationBytes))]
 			case 1:
 				data = append(data[:i:i], data[i+1:]...)
 			default:
@@ -49,22 +49,22 @@
 		}
 		s := scanner{rest: data}
 		if _, ok := s.chunk(); ok {
-			plain++
+			fastDecoded++
 		}
 	}
-	if plain == 0 {
+	if fastDecoded == 0 {
 		t.Fatal("no event was read the short way")
 	}
 }
 
 // Callers get the bytes that encoding/json writes, whatever is in a token.
-func TestAppendJSONWritesAsEncodingJSONDoes(t *testing.T) {
+func TestAppendJSONMatchesEncodingJSON(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
-	letters := []string{"a", " ", "é", "\u2028", "<", "&", "\"", "\\", "\n", "\x00", "\x7f", "\xff", "w1"}
+	fragments := []string{"a", " ", "é", "\u2028", "<", "&", "\"", "\\", "\n", "\x00", "\x7f", "\xff", "w1"}
 	text := func() string {
 		var s string
 		for range random.IntN(4) {
-			s += letters[random.IntN(len(letters))]
+			s += fragments[random.IntN(len(fragments))]
 		}
 		return s
 	}
@@ -98,7 +98,7 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	data := []byte(events[0])
+	data := []byte(sampleEvents[0])
 	b.Run("plain", func(b *testing.B) {
 		b.ReportAllocs()
 		last, _ := decodeChunk(data, Chunk{})
--- a/internal/engine/encode.go
+++ b/internal/engine/encode.go
@@ -8,10 +8,10 @@
 // AppendJSON appends c to b as encoding/json writes it, byte for byte, without
 // its reflection: an entry writes one for each token of every answer.
 func (c Chunk) AppendJSON(b []byte) ([]byte, error) {
-	b = appendText(append(b, `{"id":`...), c.ID)
-	b = appendText(append(b, `,"object":`...), c.Object)
+	b = appendString(append(b, `{"id":`...), c.ID)
+	b = appendString(append(b, `,"object":`...), c.Object)
 	b = strconv.AppendInt(append(b, `,"created":`...), c.Created, 10)
-	b = appendText(append(b, `,"model":`...), c.Model)
+	b = appendString(append(b, `,"model":`...), c.Model)
 	b = append(b, `,"choices":`...)
 	var err error
 	if b, err = appendChoices(b, c.Choices); err != nil {
@@ -43,7 +43,7 @@
 func appendChoice(b []byte, c Choice) ([]byte, error) {
 	b = strconv.AppendInt(append(b, `{"index":`...), int64(c.Index), 10)
 	if c.Text != nil {
-		b = appendText(append(b, `,"text":`...), *c.Text)
+		b = appendString(append(b, `,"text":`...), *c.Text)
 	}
 	if len(c.Delta) > 0 {
 		delta, err := json.Marshal(c.Delta)
@@ -56,7 +56,7 @@
 	if c.Finish == nil {
 		return append(b, "null}"...), nil
 	}
-	return append(appendText(b, *c.Finish), '}'), nil
+	return append(appendString(b, *c.Finish), '}'), nil
 }
 
 func appendUsage(b []byte, u Usage) []byte {
@@ -70,8 +70,8 @@
 	return append(b, '}')
 }
 
-// appendText appends a string; encoding/json escapes what is not plain.
-func appendText(b []byte, text string) []byte {
+// appendString appends a string; encoding/json escapes what is not plain.
+func appendString(b []byte, text string) []byte {
 	for i := range len(text) {
 		switch c := text[i]; {
 		case c < ' ', c >= 0x7f, c == '"', c == '\\', c == '<', c == '>', c == '&':
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -16,8 +16,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxControl bounds a control answer; a report is a few hundred bytes.
-const maxControl = 1 << 20
+// maxControlBytes bounds a control answer; a report is a few hundred bytes.
+const maxControlBytes = 1 << 20
 
 // Engine implements kumquatlug.Target and the orders that only engines take.
 type Engine struct {
@@ -44,7 +44,7 @@
 // ReadLoad asks the engine for its load.
 func (e *Engine) ReadLoad(ctx context.Context) (Load, error) {
 	var load Load
-	err := e.read(ctx, "read load", "/load", &load)
+	err := e.getJSON(ctx, "read load", "/load", &load)
 	return load, err
 }
 
@@ -58,11 +58,11 @@
 // CacheEvents returns the events after a sequence number; numbers may be
 // missing, and then what is known of the cache is in doubt.
 func (e *Engine) CacheEvents(ctx context.Context, after int64) ([]CacheEvent, error) {
-	var answer struct {
+	var response struct {
 		Events []CacheEvent `json:"events"`
 	}
-	err := e.read(ctx, "read cache events", "/cache/events?after="+strconv.FormatInt(after, 10), &answer)
-	return answer.Events, err
+	err := e.getJSON(ctx, "read cache events", "/cache/events?after="+strconv.FormatInt(after, 10), &response)
+	return response.Events, err
 }
 
 // State is how far an engine is with the orders it took.
@@ -86,7 +86,7 @@
 // ReadState asks the engine how far it is with its last order.
 func (e *Engine) ReadState(ctx context.Context) (Condition, error) {
 	var c Condition
-	err := e.read(ctx, "read state", "/state", &c)
+	err := e.getJSON(ctx, "read state", "/state", &c)
 	return c, err
 }
 
@@ -106,12 +106,12 @@
 		return Condition{}, errors.Wrap(err, "encode order")
 	}
 	header := http.Header{"Content-Type": {"application/json"}}
-	answer, err := e.Do(ctx, kumquatlug.NewCall(http.MethodPost, "/orders", header, bytes.NewReader(body)))
+	response, err := e.Do(ctx, kumquatlug.NewCall(http.MethodPost, "/orders", header, bytes.NewReader(body)))
 	if err != nil {
 		return Condition{}, errors.Mark(err, kumquatlug.ErrLost)
 	}
 	var c Condition
-	return c, decode("give order", answer, &c)
+	return c, decodeResponse("give order", response, &c)
 }
 
 // ImportKV has the engine fetch the KV cache behind handle from the engine that
@@ -124,33 +124,33 @@
 		return errors.Wrap(err, "encode handle")
 	}
 	header := http.Header{"Content-Type": {"application/json"}}
-	answer, err := e.Do(ctx, kumquatlug.NewCall(http.MethodPost, "/kv/import", header, bytes.NewReader(body)))
+	response, err := e.Do(ctx, kumquatlug.NewCall(http.MethodPost, "/kv/import", header, bytes.NewReader(body)))
 	if err != nil {
 		return errors.Wrap(err, "import KV cache")
 	}
 	var ignored struct{}
-	return decode("import KV cache", answer, &ignored)
+	return decodeResponse("import KV cache", response, &ignored)
 }
 
-func (e *Engine) read(ctx context.Context, step, path string, into any) error {
-	answer, err := e.Get(ctx, path)
+func (e *Engine) getJSON(ctx context.Context, step, path string, dst any) error {
+	response, err := e.Get(ctx, path)
 	if err != nil {
 		return errors.Wrap(err, step)
 	}
-	return decode(step, answer, into)
+	return decodeResponse(step, response, dst)
 }
 
-func decode(step string, answer kumquatlug.Answer, into any) error {
-	defer answer.Body().Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body(), maxControl))
+func decodeResponse(step string, response kumquatlug.Answer, dst any) error {
+	defer response.Body().Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body(), maxControlBytes))
 	if err != nil {
 		return errors.Mark(errors.Wrap(err, step), kumquatlug.ErrLost)
 	}
-	if answer.Status() == http.StatusConflict {
-		return errors.Mark(errors.Newf("%s: %s", step, text), kumquatlug.ErrConflict)
+	if response.Status() == http.StatusConflict {
+		return errors.Mark(errors.Newf("%s: %s", step, body), kumquatlug.ErrConflict)
 	}
-	if answer.Status() >= http.StatusMultipleChoices {
-		return errors.Newf("%s: status %d: %s", step, answer.Status(), text)
+	if response.Status() >= http.StatusMultipleChoices {
+		return errors.Newf("%s: status %d: %s", step, response.Status(), body)
 	}
-	return errors.Wrap(json.Unmarshal(text, into), step)
+	return errors.Wrap(json.Unmarshal(body, dst), step)
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -23,11 +23,11 @@
 const (
 	// callTimeout bounds one question; an entry waits two seconds for peers.
 	callTimeout = 10 * time.Second
-	// sendings is how often a change goes out whose answer was lost. It has one
+	// maxSendAttempts is how often a change goes out whose answer was lost. It has one
 	// id, so that it takes effect once.
-	sendings = 3
-	// sendPause is the wait between two of them.
-	sendPause = 300 * time.Millisecond
+	maxSendAttempts = 3
+	// resendDelay is the wait between two of them.
+	resendDelay = 300 * time.Millisecond
 )
 
 // ClientConfig says which entry to ask and as whom.
@@ -60,18 +60,18 @@
 		}
 		transport.TLSClientConfig = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}
 	}
-	client := &http.Client{Transport: &bearer{key: c.Key, next: transport}, Timeout: callTimeout}
+	client := &http.Client{Transport: &bearerTransport{key: c.Key, next: transport}, Timeout: callTimeout}
 	return &Client{service: peerv1connect.NewOperatorServiceClient(client, c.URL)}, nil
 }
 
-// bearer adds the operator's key to each request.
-type bearer struct {
+// bearerTransport adds the operator's key to each request.
+type bearerTransport struct {
 	key  string
 	next http.RoundTripper
 }
 
 // RoundTrip sends the request with the key.
-func (b *bearer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+b.key)
 	return b.next.RoundTrip(r)
@@ -81,38 +81,38 @@
 // error is marked kumquatlug.ErrConflict, ErrDenied, ErrUnavailable or ErrLost.
 func (c *Client) Apply(ctx context.Context, base config.Revision, sets ...config.Set) (config.Revision, error) {
 	id := ulid.Make().String()
-	var last error
-	for n := range sendings {
+	var lastErr error
+	for n := range maxSendAttempts {
 		if n > 0 {
-			if err := pause(ctx, sendPause); err != nil {
+			if err := sleep(ctx, resendDelay); err != nil {
 				break
 			}
 		}
-		answer, err := c.service.Change(ctx, connect.NewRequest(&peerv1.ChangeRequest{
+		response, err := c.service.Change(ctx, connect.NewRequest(&peerv1.ChangeRequest{
 			Id: id, Base: int64(base), Sets: peer.SetsTo(sets),
 		}))
 		if err == nil {
-			return config.Revision(answer.Msg.GetRevision()), nil
+			return config.Revision(response.Msg.GetRevision()), nil
 		}
-		last = mark(err)
-		if !errors.Is(last, kumquatlug.ErrLost) {
+		lastErr = markError(err)
+		if !errors.Is(lastErr, kumquatlug.ErrLost) {
 			break
 		}
 	}
-	return 0, last
+	return 0, lastErr
 }
 
-func pause(ctx context.Context, span time.Duration) error {
+func sleep(ctx context.Context, delay time.Duration) error {
 	select {
-	case <-time.After(span):
+	case <-time.After(delay):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// mark turns the code of an answer, or its absence, into the project's marks.
-func mark(err error) error {
+// markError turns the code of an answer, or its absence, into the project's marks.
+func markError(err error) error {
 	switch connect.CodeOf(err) {
 	case connect.CodeAborted:
 		return errors.Mark(err, kumquatlug.ErrConflict)
@@ -130,8 +130,8 @@
 	}
 }
 
-// failedRead marks the failure of a question that changes nothing.
-func failedRead(step string, err error) error {
+// readError marks the failure of a question that changes nothing.
+func readError(step string, err error) error {
 	err = errors.Wrap(err, step)
 	if code := connect.CodeOf(err); code == connect.CodeUnauthenticated || code == connect.CodePermissionDenied {
 		return errors.Mark(err, kumquatlug.ErrDenied)
@@ -141,39 +141,39 @@
 
 // Get returns the keys below prefix and the revision they stood at.
 func (c *Client) Get(ctx context.Context, prefix string) ([]config.Set, config.Revision, error) {
-	answer, err := c.service.Get(ctx, connect.NewRequest(&peerv1.GetRequest{Prefix: prefix}))
+	response, err := c.service.Get(ctx, connect.NewRequest(&peerv1.GetRequest{Prefix: prefix}))
 	if err != nil {
-		return nil, 0, failedRead("get", err)
+		return nil, 0, readError("get", err)
 	}
-	return peer.SetsFrom(answer.Msg.GetSets()), config.Revision(answer.Msg.GetRevision()), nil
+	return peer.SetsFrom(response.Msg.GetSets()), config.Revision(response.Msg.GetRevision()), nil
 }
 
 // Status returns every node with the revision in force there.
 func (c *Client) Status(ctx context.Context) (*peerv1.StatusResponse, error) {
-	answer, err := c.service.Status(ctx, connect.NewRequest(&peerv1.StatusRequest{}))
+	response, err := c.service.Status(ctx, connect.NewRequest(&peerv1.StatusRequest{}))
 	if err != nil {
-		return nil, failedRead("status", err)
+		return nil, readError("status", err)
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 // Explain says which targets may take a kind of work and why others may not.
 func (c *Client) Explain(ctx context.Context, kind kumquatlug.Kind) (*peerv1.ExplainResponse, error) {
-	answer, err := c.service.Explain(ctx, connect.NewRequest(&peerv1.ExplainRequest{
+	response, err := c.service.Explain(ctx, connect.NewRequest(&peerv1.ExplainRequest{
 		Protocol: string(kind.Protocol()), Kind: kind.Name(),
 	}))
 	if err != nil {
-		return nil, failedRead("explain", err)
+		return nil, readError("explain", err)
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 // Timeline returns the merged events of all processes, of one request when
 // requestID is not empty.
 func (c *Client) Timeline(ctx context.Context, requestID string) (*peerv1.EventsResponse, error) {
-	answer, err := c.service.Timeline(ctx, connect.NewRequest(&peerv1.TimelineRequest{RequestId: requestID}))
+	response, err := c.service.Timeline(ctx, connect.NewRequest(&peerv1.TimelineRequest{RequestId: requestID}))
 	if err != nil {
-		return nil, failedRead("timeline", err)
+		return nil, readError("timeline", err)
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -47,18 +47,18 @@
 // NewHandler returns the path and the handler of the operators' API.
 func NewHandler(c HandlerConfig) (string, http.Handler) {
 	path, handler := peerv1connect.NewOperatorServiceHandler(&server{c: c})
-	return path, authenticated(c.Keys, handler)
+	return path, requireOperatorKey(c.Keys, handler)
 }
 
 // authorKey finds the operator's name in a request's context.
 type authorKey struct{}
 
-// authenticated lets only operators through. A caller's key is not among these,
+// requireOperatorKey lets only operators through. A caller's key is not among these,
 // so that no caller can reach the operators' API.
-func authenticated(keys map[string]string, next http.Handler) http.Handler {
+func requireOperatorKey(keys map[string]string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		author, known := authorOf(keys, kumquatlug.HashKey(strings.TrimSpace(key)))
+		author, known := lookupAuthor(keys, kumquatlug.HashKey(strings.TrimSpace(key)))
 		if !known {
 			http.Error(w, `{"code":"unauthenticated","message":"no operator has this key"}`, http.StatusUnauthorized)
 			return
@@ -67,10 +67,10 @@
 	})
 }
 
-func authorOf(keys map[string]string, hash string) (string, bool) {
+func lookupAuthor(keys map[string]string, hash string) (string, bool) {
 	author, found := "", false
-	for known, name := range keys {
-		if subtle.ConstantTimeCompare([]byte(known), []byte(hash)) == 1 {
+	for operatorHash, name := range keys {
+		if subtle.ConstantTimeCompare([]byte(operatorHash), []byte(hash)) == 1 {
 			author, found = name, true
 		}
 	}
@@ -96,14 +96,14 @@
 	change, err := s.c.Desk.Change(ctx, p)
 	if err != nil {
 		s.c.Logger.Warn("change failed", zap.String("author", author), zap.String("change", p.ID()), timeline.ErrorField(err))
-		return nil, connect.NewError(codeOf(err), err)
+		return nil, connect.NewError(connectCode(err), err)
 	}
 	s.c.Logger.Info("change made", zap.String("author", author), zap.String("change", p.ID()), zap.Int64("revision", int64(change.Revision())))
 	return connect.NewResponse(&peerv1.ChangeResponse{Revision: int64(change.Revision())}), nil
 }
 
-// codeOf keeps conflict, denied and lost apart.
-func codeOf(err error) connect.Code {
+// connectCode keeps conflict, denied and lost apart.
+func connectCode(err error) connect.Code {
 	switch {
 	case errors.Is(err, kumquatlug.ErrConflict):
 		return connect.CodeAborted
@@ -123,16 +123,16 @@
 	_ context.Context, r *connect.Request[peerv1.GetRequest],
 ) (*connect.Response[peerv1.GetResponse], error) {
 	state := s.c.Desk.State()
-	answer := &peerv1.GetResponse{Revision: int64(state.Revision())}
+	response := &peerv1.GetResponse{Revision: int64(state.Revision())}
 	state.Range(r.Msg.GetPrefix(), func(key string, value []byte) bool {
-		answer.Sets = append(answer.Sets, &peerv1.Set{Key: key, Value: withoutHash(key, value)})
+		response.Sets = append(response.Sets, &peerv1.Set{Key: key, Value: redactKeyHash(key, value)})
 		return true
 	})
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
-// withoutHash takes the hash of a caller's key out of its row.
-func withoutHash(key string, value []byte) []byte {
+// redactKeyHash takes the hash of a caller's key out of its row.
+func redactKeyHash(key string, value []byte) []byte {
 	var c kumquatlug.CallerConfig
 	if !strings.HasPrefix(key, config.PrefixCaller) || json.Unmarshal(value, &c) != nil {
 		return value
@@ -161,26 +161,26 @@
 	ctx context.Context, r *connect.Request[peerv1.ExplainRequest],
 ) (*connect.Response[peerv1.ExplainResponse], error) {
 	kind := kumquatlug.NewKind(kumquatlug.Protocol(r.Msg.GetProtocol()), r.Msg.GetKind())
-	list, err := s.c.Desk.Explain(ctx, kind)
+	explanations, err := s.c.Desk.Explain(ctx, kind)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	answer := &peerv1.ExplainResponse{Revision: int64(s.c.Desk.State().Revision())}
-	for _, e := range list {
-		answer.Verdicts = append(answer.Verdicts, &peerv1.Verdict{
+	response := &peerv1.ExplainResponse{Revision: int64(s.c.Desk.State().Revision())}
+	for _, e := range explanations {
+		response.Verdicts = append(response.Verdicts, &peerv1.Verdict{
 			Target: e.Target(), Eligible: e.Eligible(), Selector: e.Selector(), Reason: e.Reason(),
 		})
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // Timeline returns the merged events of all processes.
 func (s *server) Timeline(
 	ctx context.Context, r *connect.Request[peerv1.TimelineRequest],
 ) (*connect.Response[peerv1.EventsResponse], error) {
-	answer, err := s.c.Desk.Timeline(ctx, r.Msg.GetRequestId())
+	response, err := s.c.Desk.Timeline(ctx, r.Msg.GetRequestId())
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
--- a/internal/peer/certificates.go
+++ b/internal/peer/certificates.go
@@ -22,17 +22,17 @@
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	der         []byte
-	valid       time.Duration
+	validity    time.Duration
 }
 
 // NewAuthority makes a new authority whose certificates are valid for a span
 // from now.
-func NewAuthority(valid time.Duration) (*Authority, error) {
+func NewAuthority(validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "make the authority's key")
 	}
-	template, err := newTemplate("kumquatlug authority", valid)
+	template, err := newTemplate("kumquatlug authority", validity)
 	if err != nil {
 		return nil, err
 	}
@@ -43,17 +43,17 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "sign the authority")
 	}
-	return &Authority{certificate: template, key: key, der: der, valid: valid}, nil
+	return &Authority{certificate: template, key: key, der: der, validity: validity}, nil
 }
 
-func newTemplate(name string, valid time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, errors.Wrap(err, "draw a serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(valid),
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(validity),
 	}, nil
 }
 
@@ -64,26 +64,26 @@
 
 // Issue returns a certificate for role and its key, both as PEM text.
 func (a *Authority) Issue(role Role) (certificate, key []byte, err error) {
-	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "make a key")
 	}
-	template, err := newTemplate("kumquatlug "+string(role), a.valid)
+	template, err := newTemplate("kumquatlug "+string(role), a.validity)
 	if err != nil {
 		return nil, nil, err
 	}
 	template.DNSNames = []string{role.DNSName()}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
-	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &private.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &privateKey.PublicKey, a.key)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "sign a certificate")
 	}
-	text, err := x509.MarshalPKCS8PrivateKey(private)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "encode a key")
 	}
 	certificate = pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
-	key = pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: text})
+	key = pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})
 	return certificate, key, nil
 }
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -16,9 +16,9 @@
 	// dialTimeout bounds connecting: peers are a few milliseconds apart, and a
 	// target that does not answer in a second is tried elsewhere.
 	dialTimeout = kumquatlug.Second
-	// idleConnections a peer: an entry has several hundred calls at a busy
+	// maxIdleConnsPerPeer a peer: an entry has several hundred calls at a busy
 	// target in hand, and each keeps its connection while it streams.
-	idleConnections = 256
+	maxIdleConnsPerPeer = 256
 	// idleTimeout is after how long an unused connection is closed.
 	idleTimeout = 90 * kumquatlug.Second
 )
@@ -26,17 +26,17 @@
 // Dialer makes clients to peers. One Dialer is shared by a process, so that
 // its connections are too. It is safe for concurrent use.
 type Dialer struct {
-	keys    *Keys
-	work    *http.Client
-	agents  *http.Client
-	entries *http.Client
+	keys          *Keys
+	workClient    *http.Client
+	agentClient   *http.Client
+	gatewayClient *http.Client
 }
 
 // NewDialer returns a dialer that shows keys; nil keys mean plain connections.
 func NewDialer(keys *Keys) *Dialer {
 	return &Dialer{
-		keys: keys, work: newClient(keys, RoleAgent, false),
-		agents: newClient(keys, RoleAgent, true), entries: newClient(keys, RoleEntry, true),
+		keys: keys, workClient: newClient(keys, RoleAgent, false),
+		agentClient: newClient(keys, RoleAgent, true), gatewayClient: newClient(keys, RoleEntry, true),
 	}
 }
 
@@ -49,7 +49,7 @@
 		DialContext:         dialContext(dialTimeout.Duration()),
 		TLSClientConfig:     keys.Client(role),
 		TLSHandshakeTimeout: dialTimeout.Duration(),
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnsPerPeer,
 		IdleConnTimeout:     idleTimeout.Duration(),
 		DisableCompression:  true,
 		ForceAttemptHTTP2:   control && keys != nil,
@@ -62,20 +62,20 @@
 
 // Agent returns a client of the agent at address.
 func (d *Dialer) Agent(address string) peerv1connect.AgentServiceClient {
-	return peerv1connect.NewAgentServiceClient(d.agents, d.url(address))
+	return peerv1connect.NewAgentServiceClient(d.agentClient, d.url(address))
 }
 
 // Entry returns a client of the entry at address.
 func (d *Dialer) Entry(address string) peerv1connect.EntryServiceClient {
-	return peerv1connect.NewEntryServiceClient(d.entries, d.url(address))
+	return peerv1connect.NewEntryServiceClient(d.gatewayClient, d.url(address))
 }
 
 // Peer returns a client of any process of ours at address.
 func (d *Dialer) Peer(role Role, address string) peerv1connect.PeerServiceClient {
 	if role == RoleEntry {
-		return peerv1connect.NewPeerServiceClient(d.entries, d.url(address))
+		return peerv1connect.NewPeerServiceClient(d.gatewayClient, d.url(address))
 	}
-	return peerv1connect.NewPeerServiceClient(d.agents, d.url(address))
+	return peerv1connect.NewPeerServiceClient(d.agentClient, d.url(address))
 }
 
 // WorkURL returns where the agent at address takes work with path.
@@ -84,23 +84,23 @@
 }
 
 // Work returns the HTTP client that carries work to agents.
-func (d *Dialer) Work() *http.Client { return d.work }
+func (d *Dialer) Work() *http.Client { return d.workClient }
 
 // Close closes the connections that are not in use.
 func (d *Dialer) Close() {
-	for _, c := range []*http.Client{d.work, d.agents, d.entries} {
+	for _, c := range []*http.Client{d.workClient, d.agentClient, d.gatewayClient} {
 		c.CloseIdleConnections()
 	}
 }
 
-// compressFrom is the least size of an answer that is compressed, in bytes: at
+// minCompressBytes is the least size of an answer that is compressed, in bytes: at
 // 200 bytes, the size of a report, gzip makes it longer and takes half of the
 // processor time of the exchange (docs/CAPACITY.md).
-const compressFrom = 1024
+const minCompressBytes = 1024
 
 // HandlerOptions are the options of every connect handler of ours.
 func HandlerOptions() connect.HandlerOption {
-	return connect.WithCompressMinBytes(compressFrom)
+	return connect.WithCompressMinBytes(minCompressBytes)
 }
 
 // ServerTimeouts sets on s the limits that keep a slow or silent client from
--- a/internal/peer/failure.go
+++ b/internal/peer/failure.go
@@ -11,8 +11,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxFailure bounds what is read of a refusal.
-const maxFailure = 64 << 10
+// maxFailureBytes bounds what is read of a refusal.
+const maxFailureBytes = 64 << 10
 
 // failureBody is the wire form of a failure between processes.
 type failureBody struct {
@@ -56,20 +56,20 @@
 }
 
 // Refused reports whether an agent's answer is a failure of ours.
-func Refused(answer *http.Response) bool {
-	return answer.Header.Get(HeaderReason) != ""
+func Refused(response *http.Response) bool {
+	return response.Header.Get(HeaderReason) != ""
 }
 
 // ReadFailure reads a refusal and the dispatch that came with it, if any.
-func ReadFailure(answer *http.Response) (f *kumquatlug.Failure, dispatch string) {
+func ReadFailure(response *http.Response) (f *kumquatlug.Failure, dispatch string) {
 	var body failureBody
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxFailure))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxFailureBytes))
 	if err == nil {
 		err = json.Unmarshal(text, &body)
 	}
 	c := kumquatlug.FailureConfig{
-		Step: body.Step, Peer: body.Peer, Reason: answer.Header.Get(HeaderReason),
-		Ran: kumquatlug.Ran(answer.Header.Get(HeaderRan)), Status: body.Status,
+		Step: body.Step, Peer: body.Peer, Reason: response.Header.Get(HeaderReason),
+		Ran: kumquatlug.Ran(response.Header.Get(HeaderRan)), Status: body.Status,
 		RetryAfter: kumquatlug.Millis(body.RetryAfter),
 	}
 	if err != nil {
--- a/internal/peer/follower.go
+++ b/internal/peer/follower.go
@@ -17,19 +17,19 @@
 
 // Figures of a [Follower].
 const (
-	// followTick is how often it looks for something to do.
-	followTick = 100 * kumquatlug.Millis(1)
+	// followInterval is how often it looks for something to do.
+	followInterval = 100 * kumquatlug.Millis(1)
 	// inboxSize bounds the words of the head that wait for it. One that finds
 	// the ring full is dropped: the next heartbeat brings it again.
 	inboxSize = 256
 	// pullTimeout bounds one pull or read of the head.
 	pullTimeout = 2 * time.Second
-	// passiveAge is the age of the head at which a passive node reads it, and
-	// passiveEvery how often it does then. Together they are below the 16 s in
+	// passiveReadAge is the age of the head at which a passive node reads it, and
+	// passiveReadInterval how often it does then. Together they are below the 16 s in
 	// which a change is to be in force; ten thousand agents that hear from no
 	// entry at all make a thousand reads a second.
-	passiveAge   = 5 * kumquatlug.Second
-	passiveEvery = 10 * kumquatlug.Second
+	passiveReadAge      = 5 * kumquatlug.Second
+	passiveReadInterval = 10 * kumquatlug.Second
 )
 
 // FollowerConfig is what a [Follower] is made of.
@@ -61,23 +61,23 @@
 	adopter *config.Adopter
 	inbox   chan any
 	state   atomic.Pointer[config.State]
-	age     atomic.Int64
+	headAge atomic.Int64
 }
 
 // Messages to the follower's goroutine besides config.Report.
 type (
-	pulled struct {
-		peer    string
-		changes []config.Change
-		whole   config.State
-		isWhole bool
-		err     error
+	pullResult struct {
+		peer       string
+		changes    []config.Change
+		snapshot   config.State
+		isSnapshot bool
+		err        error
 	}
 	sinceQuery struct {
 		revision config.Revision
-		reply    chan sinceAnswer
+		reply    chan sinceReply
 	}
-	sinceAnswer struct {
+	sinceReply struct {
 		changes []config.Change
 		found   bool
 	}
@@ -87,7 +87,7 @@
 func NewFollower(c FollowerConfig) *Follower {
 	settings := config.AdopterConfig{Me: c.Me, Now: c.Clock.Now()}
 	if c.Passive {
-		settings.Poll = passiveEvery
+		settings.Poll = passiveReadInterval
 	}
 	f := &Follower{c: c, inbox: make(chan any, inboxSize), adopter: config.NewAdopter(settings)}
 	f.publish(f.adopter.Holds())
@@ -98,12 +98,12 @@
 func (f *Follower) State() config.State { return *f.state.Load() }
 
 // HeadAge returns how long ago the head was confirmed.
-func (f *Follower) HeadAge() kumquatlug.Millis { return kumquatlug.Millis(f.age.Load()) }
+func (f *Follower) HeadAge() kumquatlug.Millis { return kumquatlug.Millis(f.headAge.Load()) }
 
 // Learned takes in a word of the head from the peer with a role at address; a
 // negative age confirms nothing.
 func (f *Follower) Learned(role Role, address string, revision int64, age kumquatlug.Millis) {
-	report := config.Report{Peer: nodeName(role, address), Revision: config.Revision(revision), Age: age}
+	report := config.Report{Peer: peerName(role, address), Revision: config.Revision(revision), Age: age}
 	if report.Revision <= f.State().Revision() && age == config.AgeUnknown {
 		return
 	}
@@ -121,21 +121,21 @@
 	}
 }
 
-// nodeName returns the name under which the follower remembers a peer.
-func nodeName(role Role, address string) string { return string(role) + "@" + address }
+// peerName returns the name under which the follower remembers a peer.
+func peerName(role Role, address string) string { return string(role) + "@" + address }
 
 // Since returns the changes after revision, and false when the whole state is
 // needed.
 func (f *Follower) Since(ctx context.Context, revision config.Revision) ([]config.Change, bool) {
-	query := sinceQuery{revision: revision, reply: make(chan sinceAnswer, 1)}
+	query := sinceQuery{revision: revision, reply: make(chan sinceReply, 1)}
 	select {
 	case f.inbox <- query:
 	case <-ctx.Done():
 		return nil, false
 	}
 	select {
-	case answer := <-query.reply:
-		return answer.changes, answer.found
+	case reply := <-query.reply:
+		return reply.changes, reply.found
 	case <-ctx.Done():
 		return nil, false
 	}
@@ -144,15 +144,15 @@
 // Refresh asks the table for the newest config and returns when it is in force
 // here.
 func (f *Follower) Refresh(ctx context.Context) error {
-	asked := f.c.Clock.Now()
+	requestedAt := f.c.Clock.Now()
 	head, err := f.c.Store.Head(ctx)
 	if err != nil {
 		return err
 	}
-	f.send(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - asked})
-	if held := f.State().Revision(); held < head {
-		p := f.pullTable(ctx, held)
-		f.send(ctx, p)
+	f.enqueue(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - requestedAt})
+	if current := f.State().Revision(); current < head {
+		result := f.pullTable(ctx, current)
+		f.enqueue(ctx, result)
 	}
 	WaitUntil(ctx, func() bool { return f.State().Revision() >= head })
 	return ctx.Err()
@@ -160,132 +160,132 @@
 
 // Run follows the config until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	go f.start(ctx)
-	tick := time.NewTicker(followTick.Duration())
+	go f.loadSnapshot(ctx)
+	tick := time.NewTicker(followInterval.Duration())
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case message := <-f.inbox:
-			f.take(message)
+			f.handle(message)
 		case <-tick.C:
 		}
-		f.act(ctx)
+		f.runDue(ctx)
 	}
 }
 
-// start loads the whole state from the table, so that a new node need not walk
+// loadSnapshot loads the whole state from the table, so that a new node need not walk
 // the log.
-func (f *Follower) start(ctx context.Context) {
+func (f *Follower) loadSnapshot(ctx context.Context) {
 	f.pull(ctx, config.Table, 0)
 }
 
-func (f *Follower) take(message any) {
+func (f *Follower) handle(message any) {
 	switch m := message.(type) {
 	case config.Report:
 		f.adopter.Learned(f.c.Clock.Now(), m)
-	case pulled:
-		f.adopt(m)
+	case pullResult:
+		f.handlePull(m)
 	case sinceQuery:
 		changes, found := f.adopter.Since(m.revision)
-		m.reply <- sinceAnswer{changes: changes, found: found}
+		m.reply <- sinceReply{changes: changes, found: found}
 	}
 }
 
-// act starts what is due and tells how old the head is.
-func (f *Follower) act(ctx context.Context) {
+// runDue starts what is due and tells how old the head is.
+func (f *Follower) runDue(ctx context.Context) {
 	now := f.c.Clock.Now()
-	f.age.Store(int64(f.adopter.Age(now)))
-	waits := f.c.Passive && f.adopter.Age(now) < passiveAge
-	if !waits && f.adopter.Poll(now, f.c.Live()) {
-		go f.poll(ctx)
+	f.headAge.Store(int64(f.adopter.Age(now)))
+	deferPoll := f.c.Passive && f.adopter.Age(now) < passiveReadAge
+	if !deferPoll && f.adopter.Poll(now, f.c.Live()) {
+		go f.pollHead(ctx)
 	}
-	if p, due := f.adopter.Pull(now); due {
-		go f.pull(ctx, p.Peer(), p.Since())
+	if next, due := f.adopter.Pull(now); due {
+		go f.pull(ctx, next.Peer(), next.Since())
 	}
 }
 
-// poll reads the head. Its age counts from before the read was sent.
-func (f *Follower) poll(ctx context.Context) {
+// pollHead reads the head. Its age counts from before the read was sent.
+func (f *Follower) pollHead(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	asked := f.c.Clock.Now()
+	requestedAt := f.c.Clock.Now()
 	head, err := f.c.Store.Head(ctx)
 	if err != nil {
 		f.c.Logger.Warn("can't read the config's head", timeline.ErrorField(err))
 		return
 	}
-	f.send(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - asked})
+	f.enqueue(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - requestedAt})
 }
 
 func (f *Follower) pull(ctx context.Context, from string, since config.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	var p pulled
+	var result pullResult
 	if from == config.Table {
-		p = f.pullTable(ctx, since)
+		result = f.pullTable(ctx, since)
 	} else {
-		p = f.pullPeer(ctx, from, since)
+		result = f.pullPeer(ctx, from, since)
 	}
-	p.peer = from
-	f.send(ctx, p)
+	result.peer = from
+	f.enqueue(ctx, result)
 }
 
-func (f *Follower) send(ctx context.Context, message any) {
+func (f *Follower) enqueue(ctx context.Context, message any) {
 	select {
 	case f.inbox <- message:
 	case <-ctx.Done():
 	}
 }
 
-func (f *Follower) pullTable(ctx context.Context, since config.Revision) pulled {
+func (f *Follower) pullTable(ctx context.Context, since config.Revision) pullResult {
 	if since > 0 {
 		changes, err := f.c.Store.Since(ctx, since)
 		if err == nil {
-			return pulled{changes: changes}
+			return pullResult{changes: changes}
 		}
 	}
-	whole, err := f.c.Store.Load(ctx)
-	return pulled{whole: whole, isWhole: true, err: err}
+	snapshot, err := f.c.Store.Load(ctx)
+	return pullResult{snapshot: snapshot, isSnapshot: true, err: err}
 }
 
-func (f *Follower) pullPeer(ctx context.Context, from string, since config.Revision) pulled {
+func (f *Follower) pullPeer(ctx context.Context, from string, since config.Revision) pullResult {
 	role, address, _ := strings.Cut(from, "@")
-	answer, err := f.c.Dialer.Peer(Role(role), address).Pull(ctx,
+	response, err := f.c.Dialer.Peer(Role(role), address).Pull(ctx,
 		connect.NewRequest(&peerv1.PullRequest{Since: int64(since), Node: f.c.Me}))
 	if err != nil {
-		return pulled{err: err}
+		return pullResult{err: err}
 	}
-	if answer.Msg.GetWhole() {
-		whole := config.NewState(config.Revision(answer.Msg.GetRevision()), SetsFrom(answer.Msg.GetSets()))
-		return pulled{whole: whole, isWhole: true}
+	if response.Msg.GetWhole() {
+		snapshot := config.NewState(config.Revision(response.Msg.GetRevision()), SetsFrom(response.Msg.GetSets()))
+		return pullResult{snapshot: snapshot, isSnapshot: true}
 	}
-	return pulled{changes: changesFrom(answer.Msg.GetChanges())}
+	return pullResult{changes: changesFrom(response.Msg.GetChanges())}
 }
 
-func (f *Follower) adopt(p pulled) {
-	if p.err != nil {
-		f.c.Logger.Warn("can't pull the config", zap.String("peer", p.peer), timeline.ErrorField(p.err))
-		f.adopter.PullFailed(p.peer)
+func (f *Follower) handlePull(result pullResult) {
+	if result.err != nil {
+		f.c.Logger.Warn("can't pull the config", zap.String("peer", result.peer), timeline.ErrorField(result.err))
+		f.adopter.PullFailed(result.peer)
 		return
 	}
-	state, changed, err := f.adoptAny(p)
+	state, changed, err := f.adoptResult(result)
 	if err != nil {
-		f.c.Logger.Warn("can't adopt the config", zap.String("peer", p.peer), timeline.ErrorField(err))
-		f.adopter.PullFailed(p.peer)
+		f.c.Logger.Warn("can't adopt the config", zap.String("peer", result.peer), timeline.ErrorField(err))
+		f.adopter.PullFailed(result.peer)
 	}
 	if changed {
 		f.publish(state)
-		f.c.Ring.Add(timeline.Record{Name: timeline.ConfigAdopted, Peer: p.peer, Detail: "revision " + revisionText(state.Revision())})
+		f.c.Ring.Add(timeline.Record{Name: timeline.ConfigAdopted, Peer: result.peer, Detail: "revision " + revisionText(state.Revision())})
 	}
 }
 
-func (f *Follower) adoptAny(p pulled) (config.State, bool, error) {
-	if !p.isWhole {
-		return f.adopter.Adopt(p.changes)
+func (f *Follower) adoptResult(result pullResult) (config.State, bool, error) {
+	if !result.isSnapshot {
+		return f.adopter.Adopt(result.changes)
 	}
-	state, changed := f.adopter.AdoptState(p.whole)
+	state, changed := f.adopter.AdoptState(result.snapshot)
 	return state, changed, nil
 }
 
--- a/internal/peer/group.go
+++ b/internal/peer/group.go
@@ -13,14 +13,14 @@
 // AddDuty adds a goroutine to group that runs duty until the group stops. A
 // duty that returns without an error has nothing more to do, which stops
 // nobody.
-func AddDuty(ctx context.Context, group *run.Group, duty func(context.Context) error) {
-	own, cancel := context.WithCancel(ctx)
+func AddDuty(ctx context.Context, group *run.Group, task func(context.Context) error) {
+	taskCtx, cancel := context.WithCancel(ctx)
 	group.Add(func() error {
-		if err := duty(own); err != nil {
+		if err := task(taskCtx); err != nil {
 			return err
 		}
-		<-own.Done()
-		return own.Err()
+		<-taskCtx.Done()
+		return taskCtx.Err()
 	}, func(error) { cancel() })
 }
 
@@ -44,13 +44,13 @@
 	return err
 }
 
-// lookEvery is how often [WaitUntil] looks.
-const lookEvery = 20 * time.Millisecond
+// waitPollInterval is how often [WaitUntil] looks.
+const waitPollInterval = 20 * time.Millisecond
 
 // WaitUntil returns when done says so or ctx ends. A planned stop waits with it
 // for the work in hand, without a time limit of its own.
 func WaitUntil(ctx context.Context, done func() bool) {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(waitPollInterval)
 	defer tick.Stop()
 	for !done() {
 		select {
--- a/internal/peer/net.go
+++ b/internal/peer/net.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// keepAlive finds a peer that vanished without a word below a silent stream.
-const keepAlive = 5 * time.Second
+// keepAliveIdle finds a peer that vanished without a word below a silent stream.
+const keepAliveIdle = 5 * time.Second
 
 func dialContext(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{
@@ -16,7 +16,7 @@
 		// waits for its next token would wait for ever; with them the
 		// connection fails after four times a second of silence.
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAlive, Interval: time.Second, Count: 4,
+			Enable: true, Idle: keepAliveIdle, Interval: time.Second, Count: 4,
 		},
 	}
 	return d.DialContext
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func TestWorkTravelsInHeaders(t *testing.T) {
+func TestWorkHeadersRoundTrip(t *testing.T) {
 	want := NewWork(WorkConfig{
 		Request: "r1", Attempt: 2, Kind: kumquatlug.NewKind(kumquatlug.ProtocolService, "gazette"), Caller: "desk",
 		Revision: 7, Timeout: 1500, Once: true, Key: "k", Dispatch: "1.3", Fingerprint: "f", Logical: 9, From: "10.0.0.1:7",
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestCopyHeadersKeepsSecretsAndOwnHeadersBack(t *testing.T) {
+func TestCopyHeadersDropsCredentialsAndInternalHeaders(t *testing.T) {
 	from := http.Header{
 		"Authorization": {"Bearer s"}, "Connection": {"close"}, HeaderRan: {"done"}, "Content-Type": {"text/plain"},
 	}
@@ -39,13 +39,13 @@
 
 // An agent's key lies on every target VM. Somebody who took it from one of
 // them tries to give orders to another agent, which only entries may do.
-func TestOnlyTheRightRolePasses(t *testing.T) {
+func TestOnlyAllowsListedRoles(t *testing.T) {
 	authority, err := NewAuthority(time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent, entry := keysFor(t, authority, RoleAgent), keysFor(t, authority, RoleEntry)
-	other, err := NewAuthority(time.Hour)
+	agent, entry := issueKeys(t, authority, RoleAgent), issueKeys(t, authority, RoleEntry)
+	otherAuthority, err := NewAuthority(time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,12 +58,12 @@
 	statusWith := func(keys *Keys) int {
 		d := NewDialer(keys)
 		defer d.Close()
-		answer, err := d.Work().Get(d.WorkURL(address, "/"))
+		response, err := d.Work().Get(d.WorkURL(address, "/"))
 		if err != nil {
 			return 0
 		}
-		defer answer.Body.Close()
-		return answer.StatusCode
+		defer response.Body.Close()
+		return response.StatusCode
 	}
 	if got := statusWith(entry); got != http.StatusOK {
 		t.Errorf("an entry got %d", got)
@@ -71,12 +71,12 @@
 	if got := statusWith(agent); got != http.StatusForbidden {
 		t.Errorf("an agent got %d", got)
 	}
-	if got := statusWith(keysFor(t, other, RoleEntry)); got != 0 {
+	if got := statusWith(issueKeys(t, otherAuthority, RoleEntry)); got != 0 {
 		t.Errorf("a stranger got %d, not a refused handshake", got)
 	}
 }
 
-func keysFor(t *testing.T, a *Authority, role Role) *Keys {
+func issueKeys(t *testing.T, a *Authority, role Role) *Keys {
 	t.Helper()
 	certificate, key, err := a.Issue(role)
 	if err != nil {
--- a/internal/peer/presence.go
+++ b/internal/peer/presence.go
@@ -14,8 +14,8 @@
 	// presenceTimeout bounds one call to the table, which answers in
 	// milliseconds.
 	presenceTimeout = 1 * kumquatlug.Second
-	// presenceRetry is the wait after a failure.
-	presenceRetry = 1 * kumquatlug.Second
+	// presenceRetryDelay is the wait after a failure.
+	presenceRetryDelay = 1 * kumquatlug.Second
 )
 
 // Presence keeps this process on the list of VMs while it runs.
@@ -37,7 +37,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(presenceRetry.Duration()):
+		case <-time.After(presenceRetryDelay.Duration()):
 		}
 	}
 	<-ctx.Done()
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -28,15 +28,15 @@
 	ctx context.Context, r *connect.Request[peerv1.PullRequest],
 ) (*connect.Response[peerv1.PullResponse], error) {
 	state := s.follower.State()
-	answer := &peerv1.PullResponse{Revision: int64(state.Revision())}
+	response := &peerv1.PullResponse{Revision: int64(state.Revision())}
 	changes, found := s.follower.Since(ctx, config.Revision(r.Msg.GetSince()))
 	if found {
-		answer.Changes = changesTo(changes)
-		return connect.NewResponse(answer), nil
+		response.Changes = changesTo(changes)
+		return connect.NewResponse(response), nil
 	}
-	answer.Whole = true
-	answer.Sets = SetsTo(state.Sets())
-	return connect.NewResponse(answer), nil
+	response.Whole = true
+	response.Sets = SetsTo(state.Sets())
+	return connect.NewResponse(response), nil
 }
 
 // Events returns the events after a sequence number.
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -16,18 +16,18 @@
 // Role is what a process is to its peers.
 type Role string
 
-// The roles that a certificate may give, each as a DNS name below nameSuffix.
+// The roles that a certificate may give, each as a DNS name below dnsNameSuffix.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
 )
 
-// nameSuffix ends the DNS names in our certificates. Addresses change with
+// dnsNameSuffix ends the DNS names in our certificates. Addresses change with
 // every VM, so a peer is known by its role's name and not by where it runs.
-const nameSuffix = ".kumquatlug.internal"
+const dnsNameSuffix = ".kumquatlug.internal"
 
 // DNSName returns the name that a certificate for role carries.
-func (r Role) DNSName() string { return string(r) + nameSuffix }
+func (r Role) DNSName() string { return string(r) + dnsNameSuffix }
 
 // Keys are a process's own certificate and the authority of its peers. The
 // zero value means plain connections, which are for loopback only.
@@ -136,15 +136,15 @@
 
 // LoadPublicKeys reads a certificate and its key from PEM text or files.
 func LoadPublicKeys(certificate, key string) (*PublicKeys, error) {
-	certificateText, err := settings.PEM(certificate)
+	certificatePEM, err := settings.PEM(certificate)
 	if err != nil {
 		return nil, errors.Wrap(err, "public certificate")
 	}
-	keyText, err := settings.PEM(key)
+	keyPEM, err := settings.PEM(key)
 	if err != nil {
 		return nil, errors.Wrap(err, "public key")
 	}
-	pair, err := tls.X509KeyPair(certificateText, keyText)
+	pair, err := tls.X509KeyPair(certificatePEM, keyPEM)
 	return &PublicKeys{certificate: pair}, errors.Wrap(err, "public certificate and key")
 }
 
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -53,8 +53,8 @@
 // KeyHeader is the header by which callers name a call that they may send again.
 const KeyHeader = "Idempotency-Key"
 
-// ownPrefix starts the names of headers that no caller or target may set.
-const ownPrefix = "Kumquatlug-"
+// internalHeaderPrefix starts the names of headers that no caller or target may set.
+const internalHeaderPrefix = "Kumquatlug-"
 
 // Work is what an entry tells an agent about a call besides the call itself.
 type Work struct {
@@ -166,24 +166,24 @@
 	if !ok {
 		return Work{}, errors.New("work without a kind")
 	}
-	n := numbers{header: h}
+	n := headerInts{header: h}
 	w := NewWork(WorkConfig{
-		Request: h.Get(HeaderRequest), Attempt: int(n.read(HeaderAttempt)),
+		Request: h.Get(HeaderRequest), Attempt: int(n.get(HeaderAttempt)),
 		Kind: kumquatlug.NewKind(kumquatlug.Protocol(protocol), name), Caller: h.Get(HeaderCaller),
-		Revision: n.read(HeaderRevision), Timeout: kumquatlug.Millis(n.read(HeaderTimeout)),
+		Revision: n.get(HeaderRevision), Timeout: kumquatlug.Millis(n.get(HeaderTimeout)),
 		Once: h.Get(HeaderOnce) == "true", Key: h.Get(HeaderKey), Fingerprint: h.Get(HeaderPrint),
-		Dispatch: h.Get(HeaderDispatch), Logical: n.read(HeaderLogical), From: h.Get(HeaderFrom),
+		Dispatch: h.Get(HeaderDispatch), Logical: n.get(HeaderLogical), From: h.Get(HeaderFrom),
 	})
 	return w, n.err
 }
 
-// numbers reads whole numbers from headers and keeps the first error.
-type numbers struct {
+// headerInts reads whole numbers from headers and keeps the first error.
+type headerInts struct {
 	header http.Header
 	err    error
 }
 
-func (n *numbers) read(name string) int64 {
+func (n *headerInts) get(name string) int64 {
 	value, err := strconv.ParseInt(n.header.Get(name), 10, 64)
 	if err != nil && n.err == nil {
 		n.err = errors.Wrapf(err, "header %s", name)
@@ -191,8 +191,8 @@
 	return value
 }
 
-// hopHeaders belong to one connection and are never passed on.
-var hopHeaders = []string{
+// hopByHopHeaders belong to one connection and are never passed on.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
@@ -201,12 +201,12 @@
 // idempotency key, which travels in a header of ours.
 func CopyHeaders(to, from http.Header) {
 	for name, values := range from {
-		if strings.HasPrefix(name, ownPrefix) || name == "Authorization" || name == KeyHeader {
+		if strings.HasPrefix(name, internalHeaderPrefix) || name == "Authorization" || name == KeyHeader {
 			continue
 		}
 		to[name] = append([]string(nil), values...)
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		to.Del(name)
 	}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -15,9 +15,9 @@
 
 // Figures for the connection to the target on the same VM.
 const (
-	dialTimeout     = kumquatlug.Second
-	healthTimeout   = 2 * kumquatlug.Second
-	idleConnections = 256
+	dialTimeout   = kumquatlug.Second
+	healthTimeout = 2 * kumquatlug.Second
+	maxIdleConns  = 256
 )
 
 // Config says where the service listens.
@@ -30,9 +30,9 @@
 
 // Service implements kumquatlug.Target over HTTP. It is safe for concurrent use.
 type Service struct {
-	base   string
-	health string
-	client *http.Client
+	baseURL    string
+	healthPath string
+	client     *http.Client
 }
 
 // New returns the service that c names.
@@ -42,53 +42,53 @@
 	}
 	dialer := &net.Dialer{Timeout: dialTimeout.Duration()}
 	transport := &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections,
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout: time.Minute, DisableCompression: true,
 	}
 	return &Service{
-		base: strings.TrimRight(c.URL, "/"), health: c.HealthPath,
-		client: &http.Client{Transport: transport, CheckRedirect: keepRedirect},
+		baseURL: strings.TrimRight(c.URL, "/"), healthPath: c.HealthPath,
+		client: &http.Client{Transport: transport, CheckRedirect: returnRedirect},
 	}
 }
 
-// keepRedirect passes a redirect on to the caller instead of following it,
+// returnRedirect passes a redirect on to the caller instead of following it,
 // since following it would run a call that the caller did not make.
-func keepRedirect(*http.Request, []*http.Request) error {
+func returnRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
 // Do sends call to the service. Only a connection that was never made proves
 // that the call did not run; every other error leaves it unknown.
 func (s *Service) Do(ctx context.Context, call kumquatlug.Call) (kumquatlug.Answer, error) {
-	request, err := http.NewRequestWithContext(ctx, call.Method(), s.base+call.Path(), call.Body())
+	request, err := http.NewRequestWithContext(ctx, call.Method(), s.baseURL+call.Path(), call.Body())
 	if err != nil {
-		return kumquatlug.Answer{}, failure(s.base, "bad_request", kumquatlug.RanNot, err)
+		return kumquatlug.Answer{}, targetFailure(s.baseURL, "bad_request", kumquatlug.RanNot, err)
 	}
 	request.Header = call.Header().Clone()
-	noRetry(request.Header)
-	answer, err := s.client.Do(request) //nolint:bodyclose // the receiver of the answer closes its body
+	disableAutoRetry(request.Header)
+	response, err := s.client.Do(request) //nolint:bodyclose // the receiver of the answer closes its body
 	if err != nil {
-		return kumquatlug.Answer{}, failure(s.base, "target_failed", ranAfter(err), err)
+		return kumquatlug.Answer{}, targetFailure(s.baseURL, "target_failed", ranAfterError(err), err)
 	}
-	return kumquatlug.NewAnswer(answer.StatusCode, answer.Header, answer.Body), nil
+	return kumquatlug.NewAnswer(response.StatusCode, response.Header, response.Body), nil
 }
 
-// keyHeader is Idempotency-Key as HTTP allows it but net/http does not look for
+// lowercaseKeyHeader is Idempotency-Key as HTTP allows it but net/http does not look for
 // it. net/http by itself sends a request again after an idle connection broke
 // when it takes it for repeatable, and for that it trusts this header in its
 // usual case. A posting would then run twice below every check of ours. Methods
 // that it takes for repeatable without the header change nothing at the target.
-const keyHeader = "idempotency-key"
+const lowercaseKeyHeader = "idempotency-key"
 
-func noRetry(header http.Header) {
-	const usual = "Idempotency-Key"
-	if values, ok := header[usual]; ok {
-		delete(header, usual)
-		header[keyHeader] = values
+func disableAutoRetry(header http.Header) {
+	const canonical = "Idempotency-Key"
+	if values, ok := header[canonical]; ok {
+		delete(header, canonical)
+		header[lowercaseKeyHeader] = values
 	}
 }
 
-func ranAfter(err error) kumquatlug.Ran {
+func ranAfterError(err error) kumquatlug.Ran {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
 		return kumquatlug.RanNot
@@ -96,7 +96,7 @@
 	return kumquatlug.RanUnknown
 }
 
-func failure(peer, reason string, ran kumquatlug.Ran, cause error) error {
+func targetFailure(peer, reason string, ran kumquatlug.Ran, cause error) error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: "call target", Peer: peer, Reason: reason, Ran: ran, Status: http.StatusBadGateway, Cause: cause,
 	})
@@ -106,13 +106,13 @@
 func (s *Service) Healthy(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout.Duration())
 	defer cancel()
-	answer, err := s.Get(ctx, s.health)
+	response, err := s.Get(ctx, s.healthPath)
 	if err != nil {
 		return err
 	}
-	defer answer.Body().Close()
-	if answer.Status() >= http.StatusMultipleChoices {
-		return errors.Newf("health of %s: status %d", s.base, answer.Status())
+	defer response.Body().Close()
+	if response.Status() >= http.StatusMultipleChoices {
+		return errors.Newf("health of %s: status %d", s.baseURL, response.Status())
 	}
 	return nil
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -12,22 +12,22 @@
 // The service closes an idle connection just as a posting goes out on it.
 // net/http sends such a request again by itself when it carries an
 // Idempotency-Key, and the posting could run twice below every check.
-func TestBrokenIdleConnectionDoesNotSendAPostingTwice(t *testing.T) {
+func TestBrokenIdleConnectionDoesNotResendPost(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
 	posts := make(chan string, 8)
-	go breakAfterFirst(listener, posts)
+	go closeAfterFirstRequest(listener, posts)
 
 	s := New(Config{URL: "http://" + listener.Addr().String()})
 	defer s.Close()
 	header := http.Header{"Idempotency-Key": {"k"}}
 	for range 2 {
-		answer, err := s.Do(context.Background(), kumquatlug.NewCall(http.MethodPost, "/post", header, nil))
+		response, err := s.Do(context.Background(), kumquatlug.NewCall(http.MethodPost, "/post", header, nil))
 		if err == nil {
-			answer.Body().Close()
+			response.Body().Close()
 			continue
 		}
 		if got := kumquatlug.RanOf(err); got != kumquatlug.RanUnknown {
@@ -39,9 +39,9 @@
 	}
 }
 
-// breakAfterFirst answers the first request of each connection and drops the
+// closeAfterFirstRequest answers the first request of each connection and drops the
 // connection when the second one arrives.
-func breakAfterFirst(listener net.Listener, posts chan<- string) {
+func closeAfterFirstRequest(listener net.Listener, posts chan<- string) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -14,12 +14,12 @@
 // then by wall clock, then by node and sequence, so that the same events always
 // give the same line.
 func Merge(rings ...[]*peerv1.Event) []*peerv1.Event {
-	var line []*peerv1.Event
-	for _, events := range rings {
-		line = append(line, events...)
+	var merged []*peerv1.Event
+	for _, ring := range rings {
+		merged = append(merged, ring...)
 	}
-	sort.SliceStable(line, func(i, j int) bool { return before(line[i], line[j]) })
-	return line
+	sort.SliceStable(merged, func(i, j int) bool { return before(merged[i], merged[j]) })
+	return merged
 }
 
 func before(a, b *peerv1.Event) bool {
@@ -36,8 +36,8 @@
 }
 
 // WriteText writes one event a line, for a person.
-func WriteText(w io.Writer, line []*peerv1.Event) error {
-	for _, e := range line {
+func WriteText(w io.Writer, events []*peerv1.Event) error {
+	for _, e := range events {
 		at := time.UnixMilli(e.GetWallMs()).UTC().Format("15:04:05.000")
 		_, err := fmt.Fprintf(w, "%8d %s %-12s %-16s %-28s %-12s %s\n",
 			e.GetLogical(), at, e.GetNode(), e.GetName(), e.GetRequestId(), e.GetPeer(), e.GetDetail())
@@ -49,9 +49,9 @@
 }
 
 // WriteJSON writes one JSON object a line.
-func WriteJSON(w io.Writer, line []*peerv1.Event) error {
+func WriteJSON(w io.Writer, events []*peerv1.Event) error {
 	enc := json.NewEncoder(w)
-	for _, e := range line {
+	for _, e := range events {
 		err := enc.Encode(struct {
 			Logical  int64  `json:"logical"`
 			Wall     int64  `json:"wall_ms"`
@@ -75,22 +75,22 @@
 
 // traceEvent is one entry of the Chrome trace format.
 type traceEvent struct {
-	Name  string            `json:"name"`
-	Phase string            `json:"ph"`
-	Time  int64             `json:"ts"`
-	Span  int64             `json:"dur,omitempty"`
-	PID   int               `json:"pid"`
-	TID   int               `json:"tid"`
-	Scope string            `json:"s,omitempty"`
-	Args  map[string]string `json:"args,omitempty"`
+	Name      string            `json:"name"`
+	Phase     string            `json:"ph"`
+	Timestamp int64             `json:"ts"`
+	Duration  int64             `json:"dur,omitempty"`
+	PID       int               `json:"pid"`
+	TID       int               `json:"tid"`
+	Scope     string            `json:"s,omitempty"`
+	Args      map[string]string `json:"args,omitempty"`
 }
 
 // WriteTrace writes the line in the Chrome trace format: a process for each
 // node, a span for each event that tells how long it took, a mark for the rest.
-func WriteTrace(w io.Writer, line []*peerv1.Event) error {
+func WriteTrace(w io.Writer, events []*peerv1.Event) error {
 	pids := map[string]int{}
 	var trace []traceEvent
-	for _, e := range line {
+	for _, e := range events {
 		pid, known := pids[e.GetNode()]
 		if !known {
 			pid = len(pids) + 1
@@ -99,25 +99,25 @@
 				Name: "process_name", Phase: "M", PID: pid, Args: map[string]string{"name": e.GetNode()},
 			})
 		}
-		trace = append(trace, traceOf(e, pid))
+		trace = append(trace, newTraceEvent(e, pid))
 	}
 	return json.NewEncoder(w).Encode(struct {
 		Events []traceEvent `json:"traceEvents"`
 	}{trace})
 }
 
-// traceOf turns an event into a span that ends at its wall time, or a mark.
+// newTraceEvent turns an event into a span that ends at its wall time, or a mark.
 // The trace format counts in microseconds.
-func traceOf(e *peerv1.Event, pid int) traceEvent {
-	const microsAMilli = 1000
+func newTraceEvent(e *peerv1.Event, pid int) traceEvent {
+	const microsPerMilli = 1000
 	t := traceEvent{
-		Name: e.GetName(), Phase: "i", Scope: "t", PID: pid, TID: 1, Time: e.GetWallMs() * microsAMilli,
+		Name: e.GetName(), Phase: "i", Scope: "t", PID: pid, TID: 1, Timestamp: e.GetWallMs() * microsPerMilli,
 		Args: map[string]string{"request": e.GetRequestId(), "peer": e.GetPeer(), "detail": e.GetDetail()},
 	}
 	if e.GetDurationMs() > 0 {
 		t.Phase, t.Scope = "X", ""
-		t.Span = e.GetDurationMs() * microsAMilli
-		t.Time -= t.Span
+		t.Duration = e.GetDurationMs() * microsPerMilli
+		t.Timestamp -= t.Duration
 	}
 	return t
 }
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -59,12 +59,12 @@
 
 // Ring keeps the last events of one process. It is safe for concurrent use.
 type Ring struct {
-	mu       sync.Mutex
-	node     string
-	events   []*peerv1.Event
-	next     int64
-	logical  int64
-	wallTime func() time.Time
+	mu           sync.Mutex
+	node         string
+	events       []*peerv1.Event
+	lastSequence int64
+	logical      int64
+	wallTime     func() time.Time
 }
 
 // NewRing returns a ring for the process called node that keeps size events.
@@ -74,15 +74,15 @@
 
 // Add appends an event, over the oldest one when the ring is full, and returns
 // the logical time to send along with a message that it causes.
-func (r *Ring) Add(c Record) int64 {
+func (r *Ring) Add(record Record) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.logical++
-	r.next++
-	r.events[r.next%int64(len(r.events))] = &peerv1.Event{
-		Node: r.node, Sequence: r.next, WallMs: r.wallTime().UnixMilli(),
-		Name: string(c.Name), RequestId: c.RequestID, Peer: c.Peer, Detail: c.Detail,
-		Logical: r.logical, DurationMs: c.Duration,
+	r.lastSequence++
+	r.events[r.lastSequence%int64(len(r.events))] = &peerv1.Event{
+		Node: r.node, Sequence: r.lastSequence, WallMs: r.wallTime().UnixMilli(),
+		Name: string(record.Name), RequestId: record.RequestID, Peer: record.Peer, Detail: record.Detail,
+		Logical: r.logical, DurationMs: record.Duration,
 	}
 	return r.logical
 }
@@ -108,7 +108,7 @@
 func (r *Ring) After(sequence int64, requestID string) (events []*peerv1.Event, lost int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	oldest := r.next - int64(len(r.events)) + 1
+	oldest := r.lastSequence - int64(len(r.events)) + 1
 	if oldest < 1 {
 		oldest = 1
 	}
@@ -117,7 +117,7 @@
 		lost = oldest - first
 		first = oldest
 	}
-	for s := first; s <= r.next; s++ {
+	for s := first; s <= r.lastSequence; s++ {
 		e := r.events[s%int64(len(r.events))]
 		if requestID == "" || e.GetRequestId() == requestID {
 			events = append(events, e)
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -8,7 +8,7 @@
 
 // An entry sends work to an agent whose wall clock runs behind. Sorted by wall
 // clock the operator would see the work begin before it was sent.
-func TestMergeOrdersByCauseNotByWallClock(t *testing.T) {
+func TestMergeOrdersByLogicalClock(t *testing.T) {
 	entry, agent := NewRing("entry", 8), NewRing("agent", 8)
 	sent := entry.Add(Record{Name: Sent, RequestID: "r"})
 	agent.Witness(sent)
@@ -16,13 +16,13 @@
 	a, _ := agent.After(0, "r")
 	a[0].WallMs -= 60_000
 	e, _ := entry.After(0, "r")
-	line := Merge(a, e)
-	if got := line[0].GetName(); got != string(Sent) {
+	merged := Merge(a, e)
+	if got := merged[0].GetName(); got != string(Sent) {
 		t.Fatalf("first event is %s, want %s", got, Sent)
 	}
 }
 
-func TestRingTellsWhatItOverwrote(t *testing.T) {
+func TestRingReportsOverwrittenEvents(t *testing.T) {
 	r := NewRing("n", 4)
 	for range 10 {
 		r.Add(Record{Name: Admitted})
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestWriteTraceIsReadable(t *testing.T) {
+func TestWriteTraceWritesSpans(t *testing.T) {
 	r := NewRing("n", 4)
 	r.Add(Record{Name: WorkEnded, Duration: 5})
 	events, _ := r.After(0, "")
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal(out.Bytes(), &trace); err != nil {
 		t.Fatal(err)
 	}
-	if len(trace.Events) != 2 || trace.Events[1].Span != 5000 {
+	if len(trace.Events) != 2 || trace.Events[1].Duration != 5000 {
 		t.Fatalf("trace %+v", trace.Events)
 	}
 }
