--- a/internal/timeline/field.go
+++ b/internal/timeline/field.go
@@ -2,8 +2,8 @@
 
 import "go.uber.org/zap"
 
-// ErrorField is the log field of an error: its text alone. The library's own
-// field adds stack traces of some two kilobytes, each second in an outage.
+// ErrorField returns a log field with the text of err. zap.Error also logs stack
+// traces of about two kilobytes, which in an outage are written every second.
 func ErrorField(err error) zap.Field {
 	return zap.String("error", err.Error())
 }
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -10,9 +10,9 @@
 	"github.com/kumquatlug/kumquatlug/internal/peer/peerv1"
 )
 
-// Merge puts the events of several processes into one line: by logical time,
-// then by wall clock, then by node and sequence, so that the same events always
-// give the same line.
+// Merge merges the events of several processes into one sequence, ordered by
+// logical time, then wall clock, node and sequence number, so that the result
+// doesn't depend on the order of rings.
 func Merge(rings ...[]*peerv1.Event) []*peerv1.Event {
 	var merged []*peerv1.Event
 	for _, ring := range rings {
@@ -35,7 +35,7 @@
 	}
 }
 
-// WriteText writes one event a line, for a person.
+// WriteText writes one event per line in columns for a human reader.
 func WriteText(w io.Writer, events []*peerv1.Event) error {
 	for _, e := range events {
 		at := time.UnixMilli(e.GetWallMs()).UTC().Format("15:04:05.000")
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// WriteJSON writes one JSON object a line.
+// WriteJSON writes one JSON object per line.
 func WriteJSON(w io.Writer, events []*peerv1.Event) error {
 	enc := json.NewEncoder(w)
 	for _, e := range events {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// traceEvent is one entry of the Chrome trace format.
+// traceEvent is one event of the Chrome trace format.
 type traceEvent struct {
 	Name      string            `json:"name"`
 	Phase     string            `json:"ph"`
@@ -85,8 +85,8 @@
 	Args      map[string]string `json:"args,omitempty"`
 }
 
-// WriteTrace writes the line in the Chrome trace format: a process for each
-// node, a span for each event that tells how long it took, a mark for the rest.
+// WriteTrace writes events in the Chrome trace format: a process per node, a
+// complete event for each event with a duration and an instant event for the rest.
 func WriteTrace(w io.Writer, events []*peerv1.Event) error {
 	pids := map[string]int{}
 	var trace []traceEvent
@@ -106,8 +106,8 @@
 	}{trace})
 }
 
-// newTraceEvent turns an event into a span that ends at its wall time, or a mark.
-// The trace format counts in microseconds.
+// newTraceEvent converts an event to a complete event that ends at its wall time,
+// or to an instant event. Times in the trace format are in microseconds.
 func newTraceEvent(e *peerv1.Event, pid int) traceEvent {
 	const microsPerMilli = 1000
 	t := traceEvent{
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -1,10 +1,10 @@
-// Package timeline keeps the last events of a process in a bounded ring and
-// merges the rings of many processes into one ordered line.
+// Package timeline keeps the most recent events of a process in a ring buffer and
+// merges the buffers of many processes into one ordered sequence.
 //
-// Wall clocks of different VMs disagree by more than a request lasts, so the
-// order comes from a logical clock (Lamport): each message between processes
-// carries the sender's count, and the receiver goes on from the higher one. An
-// event that another one caused therefore always stands after it.
+// The wall clocks of different VMs differ by more than a request takes, so events
+// are ordered by a Lamport clock: each message between processes carries the
+// sender's count, and the receiver continues from the higher of the two. An event
+// is therefore always ordered after the event that caused it.
 package timeline
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/kumquatlug/kumquatlug/internal/peer/peerv1"
 )
 
-// DefaultSize is how many events a ring keeps: at about 200 bytes an event it
-// holds 0.8 MB, under one per cent of the 128 MB that a node may spend on
-// control, and several seconds of a busy entry.
+// DefaultSize is the number of events that a ring keeps. At about 200 bytes per
+// event that is 0.8 MB, less than one per cent of the 128 MB that a node may use
+// for control, and covers several seconds of a busy gateway.
 const DefaultSize = 4096
 
-// Name says what happened.
+// Name is the type of an event.
 type Name string
 
-// The events of entries and agents.
+// Events of gateways and agents.
 const (
 	Admitted       Name = "admitted"
 	Refused        Name = "refused"
@@ -46,18 +46,18 @@
 	RequestBlocked Name = "request_blocked"
 )
 
-// Record is what a caller of [Ring.Add] knows of an event. It must hold no
-// secret: no key, no prompt, no body.
+// Record holds the caller's part of an event, for [Ring.Add]. It must not contain
+// secrets: no key, no prompt, no body.
 type Record struct {
 	Name      Name
 	RequestID string
 	Peer      string
 	Detail    string
-	// Duration is how long what ended here took, in milliseconds.
+	// Duration is how long the operation that ended took, in milliseconds.
 	Duration int64
 }
 
-// Ring keeps the last events of one process. It is safe for concurrent use.
+// Ring keeps the most recent events of one process. It is safe for concurrent use.
 type Ring struct {
 	mu           sync.Mutex
 	node         string
@@ -67,13 +67,13 @@
 	wallTime     func() time.Time
 }
 
-// NewRing returns a ring for the process called node that keeps size events.
+// NewRing returns a ring that keeps size events of the process named node.
 func NewRing(node string, size int) *Ring {
 	return &Ring{node: node, events: make([]*peerv1.Event, size), wallTime: time.Now}
 }
 
-// Add appends an event, over the oldest one when the ring is full, and returns
-// the logical time to send along with a message that it causes.
+// Add appends an event, replacing the oldest one if the ring is full, and returns
+// the logical time to send with a message that the event causes.
 func (r *Ring) Add(record Record) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 	return r.logical
 }
 
-// Witness takes in the logical time that came with a message.
+// Witness advances the logical clock to the time received with a message.
 func (r *Ring) Witness(logical int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,8 +103,9 @@
 	return r.logical
 }
 
-// After returns the events with a higher sequence number, those of one request
-// only when requestID is not empty, and how many were already overwritten.
+// After returns the events with a higher sequence number than sequence, only those
+// of one request unless requestID is empty, and the number of events in that range
+// that have been overwritten.
 func (r *Ring) After(sequence int64, requestID string) (events []*peerv1.Event, lost int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// An entry sends work to an agent whose wall clock runs behind. Sorted by wall
-// clock the operator would see the work begin before it was sent.
+// A gateway sends work to an agent whose wall clock is behind. Ordered by wall
+// clock, the work would start before it was sent.
 func TestMergeOrdersByLogicalClock(t *testing.T) {
 	entry, agent := NewRing("entry", 8), NewRing("agent", 8)
 	sent := entry.Add(Record{Name: Sent, RequestID: "r"})
