--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,4 +1,4 @@
-// Package service speaks to a plain HTTP service beside the agent.
+// Package service calls a plain HTTP service on the same VM as the agent.
 package service
 
 import (
@@ -13,18 +13,19 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures for the connection to the target on the same VM.
+// Timeouts and limits of the connections to the target on the same VM.
 const (
 	dialTimeout   = kumquatlug.Second
 	healthTimeout = 2 * kumquatlug.Second
 	maxIdleConns  = 256
 )
 
-// Config says where the service listens.
+// Config holds the address of the service.
 type Config struct {
-	// URL is the base address, as in "http://127.0.0.1:8080".
+	// URL is the base URL, such as "http://127.0.0.1:8080".
 	URL string
-	// HealthPath answers 2xx while the service can work; default "/health".
+	// HealthPath responds with 2xx while the service is able to work. Default
+	// "/health".
 	HealthPath string
 }
 
@@ -35,7 +36,7 @@
 	client     *http.Client
 }
 
-// New returns the service that c names.
+// New returns a client of the service at c.URL.
 func New(c Config) *Service {
 	if c.HealthPath == "" {
 		c.HealthPath = "/health"
@@ -51,14 +52,14 @@
 	}
 }
 
-// returnRedirect passes a redirect on to the caller instead of following it,
-// since following it would run a call that the caller did not make.
+// returnRedirect returns a redirect to the caller instead of following it, since
+// following it would run a call that the caller did not make.
 func returnRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
-// Do sends call to the service. Only a connection that was never made proves
-// that the call did not run; every other error leaves it unknown.
+// Do sends call to the service. Only a failure to connect proves that the call did
+// not run; every other error leaves that unknown.
 func (s *Service) Do(ctx context.Context, call kumquatlug.Call) (kumquatlug.Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, call.Method(), s.baseURL+call.Path(), call.Body())
 	if err != nil {
@@ -66,18 +67,19 @@
 	}
 	request.Header = call.Header().Clone()
 	disableAutoRetry(request.Header)
-	response, err := s.client.Do(request) //nolint:bodyclose // the receiver of the answer closes its body
+	response, err := s.client.Do(request) //nolint:bodyclose // the caller closes the body
 	if err != nil {
 		return kumquatlug.Answer{}, targetFailure(s.baseURL, "target_failed", ranAfterError(err), err)
 	}
 	return kumquatlug.NewAnswer(response.StatusCode, response.Header, response.Body), nil
 }
 
-// lowercaseKeyHeader is Idempotency-Key as HTTP allows it but net/http does not look for
-// it. net/http by itself sends a request again after an idle connection broke
-// when it takes it for repeatable, and for that it trusts this header in its
-// usual case. A posting would then run twice below every check of ours. Methods
-// that it takes for repeatable without the header change nothing at the target.
+// lowercaseKeyHeader is Idempotency-Key in a spelling that HTTP allows but
+// net/http doesn't recognize. net/http resends a request that it considers
+// replayable when an idle connection breaks, and the canonical spelling of this
+// header makes a request replayable. A POST would then run twice, undetected by the
+// run-once checks. The methods that are replayable without the header have no
+// effect at the target.
 const lowercaseKeyHeader = "idempotency-key"
 
 func disableAutoRetry(header http.Header) {
@@ -102,7 +104,7 @@
 	})
 }
 
-// Healthy reports whether the service answers its health path.
+// Healthy returns nil if the service responds successfully at its health path.
 func (s *Service) Healthy(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout.Duration())
 	defer cancel()
@@ -112,15 +114,15 @@
 	}
 	defer response.Body().Close()
 	if response.Status() >= http.StatusMultipleChoices {
-		return errors.Newf("health of %s: status %d", s.baseURL, response.Status())
+		return errors.Newf("health check of %s: status %d", s.baseURL, response.Status())
 	}
 	return nil
 }
 
-// Get asks the service for path.
+// Get sends a GET request for path to the service.
 func (s *Service) Get(ctx context.Context, path string) (kumquatlug.Answer, error) {
 	return s.Do(ctx, kumquatlug.NewCall(http.MethodGet, path, http.Header{}, nil))
 }
 
-// Close closes the connections that are not in use.
+// Close closes idle connections.
 func (s *Service) Close() { s.client.CloseIdleConnections() }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -9,9 +9,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// The service closes an idle connection just as a posting goes out on it.
-// net/http sends such a request again by itself when it carries an
-// Idempotency-Key, and the posting could run twice below every check.
+// The service closes an idle connection while a POST is sent on it. net/http
+// resends a request with an Idempotency-Key by itself, so the POST could run twice,
+// undetected by the run-once checks.
 func TestBrokenIdleConnectionDoesNotResendPost(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,16 +31,16 @@
 			continue
 		}
 		if got := kumquatlug.RanOf(err); got != kumquatlug.RanUnknown {
-			t.Errorf("a request that reached the service is told as %q", got)
+			t.Errorf("execution of a request that reached the service is %q, want unknown", got)
 		}
 	}
 	if len(posts) != 2 {
-		t.Fatalf("two calls reached the service as %d requests", len(posts))
+		t.Fatalf("the service received %d requests for two calls", len(posts))
 	}
 }
 
-// closeAfterFirstRequest answers the first request of each connection and drops the
-// connection when the second one arrives.
+// closeAfterFirstRequest answers the first request on each connection and closes
+// the connection when the second one arrives.
 func closeAfterFirstRequest(listener net.Listener, posts chan<- string) {
 	for {
 		conn, err := listener.Accept()
