--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -9,17 +9,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEventBytes bounds one event of a stream: a token with its logprobs is a few
+// maxEventBytes bounds one event of a stream: a token with its logprobs takes a few
 // kilobytes at most.
 const maxEventBytes = 1 << 20
 
-// ErrNoEnd says that a stream ended without its end mark: the answer was cut.
-var ErrNoEnd = errors.New("stream ended without its end mark")
+// ErrNoEnd reports that a stream ended before its end marker: the response is
+// incomplete.
+var ErrNoEnd = errors.New("stream ended without its end marker")
 
-// doneMarker is the last event of every whole OpenAI stream.
+// doneMarker is the data of the last event of every complete OpenAI stream.
 var doneMarker = []byte("[DONE]")
 
-// Usage counts the tokens of one answer.
+// Usage counts the tokens of one response.
 type Usage struct {
 	PromptTokens     int64         `json:"prompt_tokens"`
 	CompletionTokens int64         `json:"completion_tokens"`
@@ -27,13 +28,13 @@
 	PromptDetails    *PromptDetail `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptDetail says how much of the prompt the engine had in its cache.
+// PromptDetail holds the number of prompt tokens that were in the engine's cache.
 type PromptDetail struct {
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
-// Choice is the one choice of a chunk. Text is set by completions, Delta by
-// chat completions.
+// Choice is the single choice of a chunk. Text is set by completions, Delta by chat
+// completions.
 type Choice struct {
 	Index  int             `json:"index"`
 	Text   *string         `json:"text,omitempty"`
@@ -41,7 +42,7 @@
 	Finish *string         `json:"finish_reason"`
 }
 
-// Chunk is one event of a stream.
+// Chunk is the data of one event of a stream.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -51,8 +52,8 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Tokens returns how many tokens of the answer the stream holds up to and with
-// this chunk, zero when the engine does not say.
+// Tokens returns the number of tokens of the response up to and including this
+// chunk, zero if the engine doesn't report it.
 func (c Chunk) Tokens() int64 {
 	if c.Usage == nil {
 		return 0
@@ -60,7 +61,7 @@
 	return c.Usage.CompletionTokens
 }
 
-// Finish returns the reason for which the answer ends here, empty before.
+// Finish returns the finish reason, empty unless the response ends with this chunk.
 func (c Chunk) Finish() string {
 	if len(c.Choices) == 0 || c.Choices[0].Finish == nil {
 		return ""
@@ -71,19 +72,19 @@
 // Reader reads the events of one stream.
 type Reader struct {
 	lines *bufio.Scanner
-	// lastChunk holds what chunks of one answer have in common.
+	// lastChunk holds the fields that all chunks of a response share.
 	lastChunk Chunk
 }
 
-// NewReader returns a reader of the server-sent events in body.
+// NewReader returns a Reader of the server-sent events in body.
 func NewReader(body io.Reader) *Reader {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	return &Reader{lines: lines}
 }
 
-// Next returns the next chunk; io.EOF after the end mark, and an error that
-// is ErrNoEnd when the stream stopped before it.
+// Next returns the next chunk. It returns io.EOF after the end marker, and an error
+// that is ErrNoEnd if the stream ended before it.
 func (r *Reader) Next() (Chunk, error) {
 	for r.lines.Scan() {
 		data, ok := bytes.CutPrefix(r.lines.Bytes(), []byte("data:"))
--- a/internal/engine/decode.go
+++ b/internal/engine/decode.go
@@ -5,11 +5,11 @@
 	"encoding/json"
 )
 
-// decodeChunk reads the JSON of one event into c. Nearly every token of every answer
-// has the same few fields, and reading them by reflection was a sixth of an
-// entry's processor time. Whatever is not plainly of that form, as an escape, a
-// field that is not known here or a number that is not whole, goes to
-// encoding/json, which stays the judge of it.
+// decodeChunk decodes the JSON of one event. Nearly all events of a response have
+// the same few fields, and decoding them by reflection took a sixth of a gateway's
+// processor time. Events outside the common form, such as those with an escape, an
+// unknown field or a number that is not an integer, are decoded by encoding/json,
+// which decides whether they are valid.
 func decodeChunk(data []byte, lastChunk Chunk) (Chunk, error) {
 	s := scanner{rest: data, lastChunk: lastChunk}
 	if c, ok := s.chunk(); ok {
@@ -20,15 +20,15 @@
 	return c, err
 }
 
-// scanner reads the plain form of an event. It gives up for good at the first
-// thing that it does not know.
+// scanner decodes events of the common form. It fails at the first element that it
+// doesn't handle.
 type scanner struct {
 	rest []byte
-	// lastChunk is the chunk before: what stays the same is not made again.
+	// lastChunk is the previous chunk; its strings are reused to avoid allocations.
 	lastChunk Chunk
 }
 
-// accept takes one mark of the grammar.
+// accept consumes char.
 func (s *scanner) accept(char byte) bool {
 	if len(s.rest) == 0 || s.rest[0] != char {
 		return false
@@ -45,7 +45,7 @@
 	return true
 }
 
-// stringBytes takes a string of plain ASCII without escapes.
+// stringBytes consumes a string of printable ASCII without escapes.
 func (s *scanner) stringBytes() ([]byte, bool) {
 	if !s.accept('"') {
 		return nil, false
@@ -63,7 +63,7 @@
 	return nil, false
 }
 
-// reusedString takes a string that is likely the one before.
+// reusedString consumes a string and reuses last if it is equal.
 func (s *scanner) reusedString(dst *string, last string) bool {
 	text, ok := s.stringBytes()
 	if !ok {
@@ -77,9 +77,9 @@
 	return true
 }
 
-// integer takes a whole number that is not negative.
+// integer consumes a non-negative integer.
 func (s *scanner) integer(dst *int64) bool {
-	const maxDigits = 18 // digits that fit in any case
+	const maxDigits = 18 // any number of so many digits fits in an int64
 	n := 0
 	for n < len(s.rest) && s.rest[n] >= '0' && s.rest[n] <= '9' {
 		n++
@@ -96,8 +96,8 @@
 	return true
 }
 
-// object takes an object and has field read each value. A field that comes
-// twice is left to encoding/json, which merges some of them.
+// object consumes an object and calls field to decode each value. An object with a
+// duplicate field is left to encoding/json, which merges some of them.
 func (s *scanner) object(field func(name []byte) (index int, ok bool)) bool {
 	if !s.accept('{') {
 		return false
@@ -149,7 +149,7 @@
 	return c, ok && len(s.rest) == 0
 }
 
-// choices takes a list of one choice, or of none.
+// choices consumes an array of one choice or none.
 func (s *scanner) choices(dst *[]Choice) bool {
 	if !s.accept('[') {
 		return false
@@ -196,7 +196,7 @@
 	return true
 }
 
-// delta takes an object of strings as it stands.
+// delta consumes an object of strings and copies its JSON.
 func (s *scanner) delta(dst *json.RawMessage) bool {
 	start := s.rest
 	ok := s.object(func(name []byte) (int, bool) {
--- a/internal/engine/decode_test.go
+++ b/internal/engine/decode_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// sampleEvents are what engines send, and what they might.
+// sampleEvents are events that engines send, and unusual ones that they may send.
 var sampleEvents = []string{
 	`{"id":"cmpl-1","object":"text_completion","created":1,"model":"m","choices":[{"index":0,"text":" w","finish_reason":null}],` +
 		`"usage":{"prompt_tokens":5,"completion_tokens":1,"total_tokens":6,"prompt_tokens_details":{"cached_tokens":0}}}`,
@@ -20,10 +20,9 @@
 	` { "choices" : [ {"index":0,"delta":{"content":"a","content":"b"}} ] } `,
 }
 
-// A reader of its own that reads some event otherwise than encoding/json would
-// give callers another answer than the engine gave. All events with bytes
-// changed, doubled and left out must come out as encoding/json reads them, the
-// errors too.
+// If decodeChunk decoded an event differently from encoding/json, callers would get
+// another response than the engine sent. Events with bytes replaced, duplicated and
+// removed must give the same chunks and the same errors as with encoding/json.
 func TestDecodeChunkMatchesEncodingJSON(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	const mutationBytes = `{}[]":,0123456789 nulltrueabcidé\/-+.eE<>&` + "\n\x7f"
@@ -45,7 +44,7 @@
 		wantErr := json.Unmarshal(data, &want)
 		got, err := decodeChunk(data, Chunk{ID: "cmpl-1", Model: "m"})
 		if (err == nil) != (wantErr == nil) || err == nil && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%s\nread %+v, %v\nwant %+v, %v", data, got, err, want, wantErr)
+			t.Fatalf("%s\ndecoded %+v, %v\nwant %+v, %v", data, got, err, want, wantErr)
 		}
 		s := scanner{rest: data}
 		if _, ok := s.chunk(); ok {
@@ -53,11 +52,12 @@
 		}
 	}
 	if fastDecoded == 0 {
-		t.Fatal("no event was read the short way")
+		t.Fatal("no event was decoded by the scanner")
 	}
 }
 
-// Callers get the bytes that encoding/json writes, whatever is in a token.
+// Chunks must be encoded to the bytes that encoding/json writes, whatever a token
+// contains.
 func TestAppendJSONMatchesEncodingJSON(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	fragments := []string{"a", " ", "é", "\u2028", "<", "&", "\"", "\\", "\n", "\x00", "\x7f", "\xff", "w1"}
--- a/internal/engine/encode.go
+++ b/internal/engine/encode.go
@@ -5,8 +5,9 @@
 	"strconv"
 )
 
-// AppendJSON appends c to b as encoding/json writes it, byte for byte, without
-// its reflection: an entry writes one for each token of every answer.
+// AppendJSON appends the JSON of c to b, byte for byte as encoding/json encodes it
+// but without reflection, since a gateway encodes a chunk for each token of every
+// response.
 func (c Chunk) AppendJSON(b []byte) ([]byte, error) {
 	b = appendString(append(b, `{"id":`...), c.ID)
 	b = appendString(append(b, `,"object":`...), c.Object)
@@ -70,12 +71,13 @@
 	return append(b, '}')
 }
 
-// appendString appends a string; encoding/json escapes what is not plain.
+// appendString appends a JSON string; encoding/json encodes those with characters
+// to escape.
 func appendString(b []byte, text string) []byte {
 	for i := range len(text) {
 		switch c := text[i]; {
 		case c < ' ', c >= 0x7f, c == '"', c == '\\', c == '<', c == '>', c == '&':
-			// A string always has a JSON form.
+			// Marshalling a string never fails.
 			escaped, _ := json.Marshal(text)
 			return append(b, escaped...)
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine speaks to a language-model engine: its OpenAI-compatible API
-// for work, and small JSON calls for orders, load and cache events.
+// Package engine calls a language-model engine: its OpenAI-compatible API for work,
+// and a small JSON API for orders, load and cache events.
 package engine
 
 import (
@@ -16,20 +16,21 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxControlBytes bounds a control answer; a report is a few hundred bytes.
+// maxControlBytes bounds a response of the control API; a load report is a few
+// hundred bytes.
 const maxControlBytes = 1 << 20
 
-// Engine implements kumquatlug.Target and the orders that only engines take.
+// Engine implements kumquatlug.Target and the control API of engines.
 type Engine struct {
 	*service.Service
 }
 
-// New returns the engine that c names.
+// New returns a client of the engine at c.URL.
 func New(c service.Config) *Engine {
 	return &Engine{Service: service.New(c)}
 }
 
-// Load is what an engine says of itself, with a lag.
+// Load is the load that an engine reports, with a delay.
 type Load struct {
 	Running       int64   `json:"running"`
 	Waiting       int64   `json:"waiting"`
@@ -37,26 +38,26 @@
 	KVTotal       int64   `json:"kv_total_tokens"`
 	PrefillTokens float64 `json:"prefill_tokens_per_second"`
 	DecodeTokens  float64 `json:"decode_tokens_per_second"`
-	// Age is how old the reading is, in milliseconds.
+	// Age is the age of the values, in milliseconds.
 	Age int64 `json:"age_ms"`
 }
 
-// ReadLoad asks the engine for its load.
+// ReadLoad returns the load that the engine reports.
 func (e *Engine) ReadLoad(ctx context.Context) (Load, error) {
 	var load Load
 	err := e.getJSON(ctx, "read load", "/load", &load)
 	return load, err
 }
 
-// CacheEvent says that the engine keeps, or no longer keeps, a prompt prefix.
+// CacheEvent reports that the engine cached or evicted a prompt prefix.
 type CacheEvent struct {
 	Sequence int64  `json:"sequence"`
 	Prefix   string `json:"prefix"`
 	Evicted  bool   `json:"evicted"`
 }
 
-// CacheEvents returns the events after a sequence number; numbers may be
-// missing, and then what is known of the cache is in doubt.
+// CacheEvents returns the events after a sequence number. If sequence numbers are
+// missing, the known content of the cache is unreliable.
 func (e *Engine) CacheEvents(ctx context.Context, after int64) ([]CacheEvent, error) {
 	var response struct {
 		Events []CacheEvent `json:"events"`
@@ -65,17 +66,18 @@
 	return response.Events, err
 }
 
-// State is how far an engine is with the orders it took.
+// State says whether an engine has completed the last order it accepted.
 type State string
 
-// The states of an engine.
+// States of an engine.
 const (
 	StateSettled  State = "settled"
 	StateChanging State = "changing"
 	StateUnknown  State = "unknown"
 )
 
-// Condition is an engine's state, role and last order.
+// Condition is an engine's state, its role, its last order and the highest fencing
+// number that it has seen.
 type Condition struct {
 	State State           `json:"state"`
 	Role  kumquatlug.Role `json:"role"`
@@ -83,7 +85,7 @@
 	Fence int64           `json:"fence"`
 }
 
-// ReadState asks the engine how far it is with its last order.
+// ReadState returns the engine's state, with its progress on the last order.
 func (e *Engine) ReadState(ctx context.Context) (Condition, error) {
 	var c Condition
 	err := e.getJSON(ctx, "read state", "/state", &c)
@@ -98,8 +100,8 @@
 	Argument string `json:"argument"`
 }
 
-// Give hands o to the engine. An error marked kumquatlug.ErrConflict says that
-// the engine refused it; any other error leaves the effect unknown.
+// Give sends o to the engine. An error marked kumquatlug.ErrConflict means that the
+// engine refused it; after any other error the effect is unknown.
 func (e *Engine) Give(ctx context.Context, o Order) (Condition, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -111,11 +113,11 @@
 		return Condition{}, errors.Mark(err, kumquatlug.ErrLost)
 	}
 	var c Condition
-	return c, decodeResponse("give order", response, &c)
+	return c, decodeResponse("send order", response, &c)
 }
 
-// ImportKV has the engine fetch the KV cache behind handle from the engine that
-// exported it.
+// ImportKV has the engine fetch the KV cache of handle from the engine that exported
+// it.
 func (e *Engine) ImportKV(ctx context.Context, handle string) error {
 	body, err := json.Marshal(struct {
 		Handle string `json:"handle"`
