--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -19,34 +19,36 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/config"
 )
 
-// Figures of the client.
+// Timeouts and retries of the client.
 const (
-	// callTimeout bounds one question; an entry waits two seconds for peers.
+	// callTimeout bounds one call; a gateway waits up to two seconds for its peers.
 	callTimeout = 10 * time.Second
-	// maxSendAttempts is how often a change goes out whose answer was lost. It has one
-	// id, so that it takes effect once.
+	// maxSendAttempts is the number of times that a change is sent while its
+	// responses are lost. All attempts carry the same id, so that the change takes
+	// effect once.
 	maxSendAttempts = 3
-	// resendDelay is the wait between two of them.
+	// resendDelay is the wait between two attempts.
 	resendDelay = 300 * time.Millisecond
 )
 
-// ClientConfig says which entry to ask and as whom.
+// ClientConfig holds the gateway to call and the operator's credentials.
 type ClientConfig struct {
-	// URL is an entry's operators' address, as in "http://10.0.0.1:8081".
+	// URL is the base URL of a gateway's operator API, such as
+	// "http://10.0.0.1:8081".
 	URL string
-	// Key is the operator's own key.
+	// Key is the operator's API key.
 	Key string
-	// Authority is PEM text or a file with the certificates to trust; empty
-	// means the machine's.
+	// Authority holds the CA certificates to trust, as PEM text or the path of a
+	// file; empty means the system's.
 	Authority string
 }
 
-// Client speaks to one entry as an operator.
+// Client calls the operator API of one gateway.
 type Client struct {
 	service peerv1connect.OperatorServiceClient
 }
 
-// NewClient returns a client; no connection is made yet.
+// NewClient returns a client; it doesn't connect yet.
 func NewClient(c ClientConfig) (*Client, error) {
 	transport := &http.Transport{}
 	if c.Authority != "" {
@@ -56,7 +58,7 @@
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(text) {
-			return nil, errors.New("the authority holds no certificate")
+			return nil, errors.New("the CA contains no certificate")
 		}
 		transport.TLSClientConfig = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}
 	}
@@ -70,14 +72,14 @@
 	next http.RoundTripper
 }
 
-// RoundTrip sends the request with the key.
+// RoundTrip sends r with the key.
 func (b *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+b.key)
 	return b.next.RoundTrip(r)
 }
 
-// Apply makes a change over what stood at base and returns its revision. The
+// Apply submits a change based on revision base and returns the new revision. The
 // error is marked kumquatlug.ErrConflict, ErrDenied, ErrUnavailable or ErrLost.
 func (c *Client) Apply(ctx context.Context, base config.Revision, sets ...config.Set) (config.Revision, error) {
 	id := ulid.Make().String()
@@ -111,7 +113,7 @@
 	}
 }
 
-// markError turns the code of an answer, or its absence, into the project's marks.
+// markError marks err with the kumquatlug error of its connect code.
 func markError(err error) error {
 	switch connect.CodeOf(err) {
 	case connect.CodeAborted:
@@ -119,8 +121,9 @@
 	case connect.CodePermissionDenied, connect.CodeUnauthenticated, connect.CodeInvalidArgument:
 		return errors.Mark(err, kumquatlug.ErrDenied)
 	case connect.CodeUnavailable:
-		// An entry that says so means it: nothing was changed. A broken
-		// connection has the same code, and then the change may have been made.
+		// An Unavailable that the gateway itself returned means that nothing was
+		// changed. A broken connection has the same code, but the change may have
+		// been applied.
 		if connect.IsWireError(err) {
 			return errors.Mark(err, kumquatlug.ErrUnavailable)
 		}
@@ -130,7 +133,7 @@
 	}
 }
 
-// readError marks the failure of a question that changes nothing.
+// readError marks the error of a read-only call.
 func readError(step string, err error) error {
 	err = errors.Wrap(err, step)
 	if code := connect.CodeOf(err); code == connect.CodeUnauthenticated || code == connect.CodePermissionDenied {
@@ -139,7 +142,7 @@
 	return err
 }
 
-// Get returns the keys below prefix and the revision they stood at.
+// Get returns the keys with prefix and the revision at which they were read.
 func (c *Client) Get(ctx context.Context, prefix string) ([]config.Set, config.Revision, error) {
 	response, err := c.service.Get(ctx, connect.NewRequest(&peerv1.GetRequest{Prefix: prefix}))
 	if err != nil {
@@ -148,7 +151,7 @@
 	return peer.SetsFrom(response.Msg.GetSets()), config.Revision(response.Msg.GetRevision()), nil
 }
 
-// Status returns every node with the revision in force there.
+// Status returns every node with the config revision in force there.
 func (c *Client) Status(ctx context.Context) (*peerv1.StatusResponse, error) {
 	response, err := c.service.Status(ctx, connect.NewRequest(&peerv1.StatusRequest{}))
 	if err != nil {
@@ -157,7 +160,7 @@
 	return response.Msg, nil
 }
 
-// Explain says which targets may take a kind of work and why others may not.
+// Explain returns which targets may serve a kind of work and why others may not.
 func (c *Client) Explain(ctx context.Context, kind kumquatlug.Kind) (*peerv1.ExplainResponse, error) {
 	response, err := c.service.Explain(ctx, connect.NewRequest(&peerv1.ExplainRequest{
 		Protocol: string(kind.Protocol()), Kind: kind.Name(),
@@ -168,8 +171,8 @@
 	return response.Msg, nil
 }
 
-// Timeline returns the merged events of all processes, of one request when
-// requestID is not empty.
+// Timeline returns the merged events of all processes, only those of one request
+// unless requestID is empty.
 func (c *Client) Timeline(ctx context.Context, requestID string) (*peerv1.EventsResponse, error) {
 	response, err := c.service.Timeline(ctx, connect.NewRequest(&peerv1.TimelineRequest{RequestId: requestID}))
 	if err != nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -15,7 +15,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// fakeBackend is an entry whose changes end as the test says.
+// fakeBackend is a gateway whose changes fail with err, if set.
 type fakeBackend struct {
 	err     error
 	changes []string
@@ -66,34 +66,34 @@
 	return client
 }
 
-// A change fails. Whether it met another one, was not allowed, did not happen or
-// may have happened decides what an operator has to do next.
+// What an operator has to do after a failed change depends on whether it conflicted,
+// was denied, was not applied or may have been applied.
 func TestApplyDistinguishesErrors(t *testing.T) {
-	cause := errors.New("something at the table")
+	cause := errors.New("table error")
 	kinds := []error{kumquatlug.ErrConflict, kumquatlug.ErrDenied, kumquatlug.ErrUnavailable, kumquatlug.ErrLost}
 	for i, kind := range kinds {
 		_, err := apply(t, &fakeBackend{err: errors.Mark(cause, kind)}, "right")
 		for j, other := range kinds {
 			if errors.Is(err, other) != (i == j) {
-				t.Errorf("a change that ended as %q is told as %v", kind, err)
+				t.Errorf("error of a change that failed with %q: %v", kind, err)
 			}
 		}
 	}
 }
 
-// An answer is lost on the way. Sent again under another id the change would be
-// made twice, and undo what somebody changed in between.
+// If a change whose response was lost were sent again with another id, it would be
+// applied twice and undo changes made in between.
 func TestLostChangeIsResentWithSameID(t *testing.T) {
-	backend := &fakeBackend{err: errors.Mark(errors.New("no answer"), kumquatlug.ErrLost)}
+	backend := &fakeBackend{err: errors.Mark(errors.New("no response"), kumquatlug.ErrLost)}
 	if _, err := apply(t, backend, "right"); !errors.Is(err, kumquatlug.ErrLost) {
-		t.Fatalf("told as %v", err)
+		t.Fatalf("error %v, want it marked as lost", err)
 	}
 	if len(backend.changes) != maxSendAttempts {
-		t.Fatalf("sent %d times", len(backend.changes))
+		t.Fatalf("the change was sent %d times", len(backend.changes))
 	}
 	for _, id := range backend.changes {
 		if id != backend.changes[0] {
-			t.Fatalf("sent under %v", backend.changes)
+			t.Fatalf("sent with ids %v", backend.changes)
 		}
 	}
 }
@@ -101,10 +101,10 @@
 func TestOnlyOperatorsHaveAccess(t *testing.T) {
 	backend := &fakeBackend{}
 	if _, err := apply(t, backend, "wrong"); !errors.Is(err, kumquatlug.ErrDenied) || len(backend.changes) != 0 {
-		t.Errorf("a stranger's change ended as %v", err)
+		t.Errorf("change with an unknown key: error %v", err)
 	}
 	if _, err := list(t, backend, "wrong"); !errors.Is(err, kumquatlug.ErrDenied) {
-		t.Errorf("a stranger's question ended as %v", err)
+		t.Errorf("read with an unknown key: error %v", err)
 	}
 	revision, err := apply(t, backend, "right")
 	if err != nil || revision != 7 || backend.authors[0] != "ana" {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,10 +1,10 @@
-// Package operator speaks to operators: the API that an entry serves to them
-// and the client that the command line uses.
+// Package operator contains the API that a gateway serves to operators, and its
+// client, which the command line uses.
 //
-// A change that failed is told in one of three ways that an operator must not
-// mix up: it met somebody else's change (conflict, look again), it was not
-// allowed or not valid (nothing happened), or its answer was lost (it may have
-// taken effect: send the same change again under the same id).
+// A failed change reports one of three kinds of error, after which an operator has
+// to act differently: it conflicted with another change (conflict: read again), it
+// was not allowed or not valid (nothing was changed), or its response was lost (it
+// may have taken effect: send the same change again with the same id).
 package operator
 
 import (
@@ -27,7 +27,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// Desk is what the API needs from the entry behind it.
+// Desk is the part of a gateway that the API uses.
 type Desk interface {
 	Change(ctx context.Context, p config.Proposal) (config.Change, error)
 	State() config.State
@@ -36,7 +36,7 @@
 	Timeline(ctx context.Context, requestID string) (*peerv1.EventsResponse, error)
 }
 
-// HandlerConfig is what the API is made of.
+// HandlerConfig holds the dependencies of the handler.
 type HandlerConfig struct {
 	Desk Desk
 	// Keys maps the hash of an operator's key to the operator's name.
@@ -44,17 +44,17 @@
 	Logger *zap.Logger
 }
 
-// NewHandler returns the path and the handler of the operators' API.
+// NewHandler returns the path and the handler of the operator API.
 func NewHandler(c HandlerConfig) (string, http.Handler) {
 	path, handler := peerv1connect.NewOperatorServiceHandler(&server{c: c})
 	return path, requireOperatorKey(c.Keys, handler)
 }
 
-// authorKey finds the operator's name in a request's context.
+// authorKey is the context key of the operator's name.
 type authorKey struct{}
 
-// requireOperatorKey lets only operators through. A caller's key is not among these,
-// so that no caller can reach the operators' API.
+// requireOperatorKey rejects requests without an operator's key. Callers' keys are
+// not in keys, so no caller can use the operator API.
 func requireOperatorKey(keys map[string]string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -82,7 +82,7 @@
 	c HandlerConfig
 }
 
-// Change makes a change the next revision.
+// Change applies a change as the next revision of the config.
 func (s *server) Change(
 	ctx context.Context, r *connect.Request[peerv1.ChangeRequest],
 ) (*connect.Response[peerv1.ChangeResponse], error) {
@@ -95,14 +95,14 @@
 	}
 	change, err := s.c.Desk.Change(ctx, p)
 	if err != nil {
-		s.c.Logger.Warn("change failed", zap.String("author", author), zap.String("change", p.ID()), timeline.ErrorField(err))
+		s.c.Logger.Warn("config change failed", zap.String("author", author), zap.String("change", p.ID()), timeline.ErrorField(err))
 		return nil, connect.NewError(connectCode(err), err)
 	}
-	s.c.Logger.Info("change made", zap.String("author", author), zap.String("change", p.ID()), zap.Int64("revision", int64(change.Revision())))
+	s.c.Logger.Info("config changed", zap.String("author", author), zap.String("change", p.ID()), zap.Int64("revision", int64(change.Revision())))
 	return connect.NewResponse(&peerv1.ChangeResponse{Revision: int64(change.Revision())}), nil
 }
 
-// connectCode keeps conflict, denied and lost apart.
+// connectCode maps conflict, denied and lost to different codes.
 func connectCode(err error) connect.Code {
 	switch {
 	case errors.Is(err, kumquatlug.ErrConflict):
@@ -118,7 +118,7 @@
 	}
 }
 
-// Get returns the config keys below a prefix. Hashes of callers' keys stay in.
+// Get returns the config keys with a prefix, without the hashes of callers' keys.
 func (s *server) Get(
 	_ context.Context, r *connect.Request[peerv1.GetRequest],
 ) (*connect.Response[peerv1.GetResponse], error) {
@@ -131,7 +131,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// redactKeyHash takes the hash of a caller's key out of its row.
+// redactKeyHash removes the hash of a caller's key from its row.
 func redactKeyHash(key string, value []byte) []byte {
 	var c kumquatlug.CallerConfig
 	if !strings.HasPrefix(key, config.PrefixCaller) || json.Unmarshal(value, &c) != nil {
@@ -145,7 +145,7 @@
 	return text
 }
 
-// Status returns every node with the revision in force there.
+// Status returns every node with the config revision in force there.
 func (s *server) Status(
 	ctx context.Context, _ *connect.Request[peerv1.StatusRequest],
 ) (*connect.Response[peerv1.StatusResponse], error) {
@@ -156,7 +156,7 @@
 	return connect.NewResponse(&peerv1.StatusResponse{Revision: int64(s.c.Desk.State().Revision()), Nodes: nodes}), nil
 }
 
-// Explain says which targets may take a kind of work and why the others may not.
+// Explain returns which targets may serve a kind of work and why others may not.
 func (s *server) Explain(
 	ctx context.Context, r *connect.Request[peerv1.ExplainRequest],
 ) (*connect.Response[peerv1.ExplainResponse], error) {
