--- a/internal/peer/certificates.go
+++ b/internal/peer/certificates.go
@@ -13,11 +13,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// serialBits is the size of a certificate's serial number, which must not
-// repeat below one authority.
+// serialBits is the size of a certificate's serial number, which must be unique per
+// authority.
 const serialBits = 120
 
-// Authority issues the certificates of one deployment's processes.
+// Authority is a certificate authority for the processes of one deployment.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -25,12 +25,12 @@
 	validity    time.Duration
 }
 
-// NewAuthority makes a new authority whose certificates are valid for a span
-// from now.
+// NewAuthority creates an authority. Its own certificate and those that it issues
+// are valid for the given time from their creation.
 func NewAuthority(validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the authority's key")
+		return nil, errors.Wrap(err, "generate the authority's key")
 	}
 	template, err := newTemplate("kumquatlug authority", validity)
 	if err != nil {
@@ -41,7 +41,7 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "sign the authority")
+		return nil, errors.Wrap(err, "sign the authority's certificate")
 	}
 	return &Authority{certificate: template, key: key, der: der, validity: validity}, nil
 }
@@ -49,7 +49,7 @@
 func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "draw a serial number")
+		return nil, errors.Wrap(err, "generate a serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
@@ -57,16 +57,16 @@
 	}, nil
 }
 
-// PEM returns the authority's certificate.
+// PEM returns the authority's certificate as PEM text.
 func (a *Authority) PEM() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.der})
 }
 
-// Issue returns a certificate for role and its key, both as PEM text.
+// Issue returns a certificate for role and its private key, both as PEM text.
 func (a *Authority) Issue(role Role) (certificate, key []byte, err error) {
 	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "make a key")
+		return nil, nil, errors.Wrap(err, "generate a key")
 	}
 	template, err := newTemplate("kumquatlug "+string(role), a.validity)
 	if err != nil {
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -11,20 +11,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures for connections between processes.
+// Timeouts and limits of connections between processes.
 const (
-	// dialTimeout bounds connecting: peers are a few milliseconds apart, and a
-	// target that does not answer in a second is tried elsewhere.
+	// dialTimeout bounds the connection setup. Peers are a few milliseconds apart; a
+	// target that doesn't respond within a second is retried elsewhere.
 	dialTimeout = kumquatlug.Second
-	// maxIdleConnsPerPeer a peer: an entry has several hundred calls at a busy
-	// target in hand, and each keeps its connection while it streams.
+	// maxIdleConnsPerPeer allows for several hundred calls of a gateway in flight
+	// at a busy target, each with a connection of its own while it streams.
 	maxIdleConnsPerPeer = 256
-	// idleTimeout is after how long an unused connection is closed.
+	// idleTimeout is the time after which an unused connection is closed.
 	idleTimeout = 90 * kumquatlug.Second
 )
 
-// Dialer makes clients to peers. One Dialer is shared by a process, so that
-// its connections are too. It is safe for concurrent use.
+// Dialer creates clients of peers. A process shares one Dialer and thereby its
+// connections. It is safe for concurrent use.
 type Dialer struct {
 	keys          *Keys
 	workClient    *http.Client
@@ -32,7 +32,8 @@
 	gatewayClient *http.Client
 }
 
-// NewDialer returns a dialer that shows keys; nil keys mean plain connections.
+// NewDialer returns a dialer that authenticates with keys; nil means plain
+// connections.
 func NewDialer(keys *Keys) *Dialer {
 	return &Dialer{
 		keys: keys, workClient: newClient(keys, RoleAgent, false),
@@ -40,10 +41,10 @@
 	}
 }
 
-// newClient returns a client without a time limit of its own: answers stream
-// for minutes, and each call brings its deadline. Control messages go over
-// HTTP/2, which takes half of the bytes of HTTP/1.1 for a heartbeat; work goes
-// over HTTP/1.1, where one slow stream holds up no other (docs/CAPACITY.md).
+// newClient returns a client without a timeout, since responses stream for minutes
+// and each call sets its own deadline. Control messages use HTTP/2, which needs half
+// of the bytes of HTTP/1.1 for a heartbeat. Work uses HTTP/1.1, where a slow stream
+// doesn't block others (docs/CAPACITY.md).
 func newClient(keys *Keys, role Role, control bool) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialContext(dialTimeout.Duration()),
@@ -65,12 +66,12 @@
 	return peerv1connect.NewAgentServiceClient(d.agentClient, d.url(address))
 }
 
-// Entry returns a client of the entry at address.
+// Entry returns a client of the gateway at address.
 func (d *Dialer) Entry(address string) peerv1connect.EntryServiceClient {
 	return peerv1connect.NewEntryServiceClient(d.gatewayClient, d.url(address))
 }
 
-// Peer returns a client of any process of ours at address.
+// Peer returns a client of the process with role at address.
 func (d *Dialer) Peer(role Role, address string) peerv1connect.PeerServiceClient {
 	if role == RoleEntry {
 		return peerv1connect.NewPeerServiceClient(d.gatewayClient, d.url(address))
@@ -78,34 +79,34 @@
 	return peerv1connect.NewPeerServiceClient(d.agentClient, d.url(address))
 }
 
-// WorkURL returns where the agent at address takes work with path.
+// WorkURL returns the URL at which the agent at address accepts work for path.
 func (d *Dialer) WorkURL(address, path string) string {
 	return d.url(address) + WorkPath + path
 }
 
-// Work returns the HTTP client that carries work to agents.
+// Work returns the HTTP client for work sent to agents.
 func (d *Dialer) Work() *http.Client { return d.workClient }
 
-// Close closes the connections that are not in use.
+// Close closes idle connections.
 func (d *Dialer) Close() {
 	for _, c := range []*http.Client{d.workClient, d.agentClient, d.gatewayClient} {
 		c.CloseIdleConnections()
 	}
 }
 
-// minCompressBytes is the least size of an answer that is compressed, in bytes: at
-// 200 bytes, the size of a report, gzip makes it longer and takes half of the
-// processor time of the exchange (docs/CAPACITY.md).
+// minCompressBytes is the minimum size of a compressed response. At 200 bytes, the
+// size of a report, gzip makes the response longer and takes half of the processor
+// time of the exchange (docs/CAPACITY.md).
 const minCompressBytes = 1024
 
-// HandlerOptions are the options of every connect handler of ours.
+// HandlerOptions returns the options that all connect handlers share.
 func HandlerOptions() connect.HandlerOption {
 	return connect.WithCompressMinBytes(minCompressBytes)
 }
 
-// ServerTimeouts sets on s the limits that keep a slow or silent client from
-// holding a connection: headers within five seconds, which a client a few
-// milliseconds away meets a thousand times over.
+// ServerTimeouts sets limits on s that keep a slow or silent client from holding a
+// connection. A client a few milliseconds away sends its headers a thousand times
+// faster than the five seconds allowed.
 func ServerTimeouts(s *http.Server) *http.Server {
 	s.ReadHeaderTimeout = 5 * time.Second
 	s.IdleTimeout = idleTimeout.Duration()
@@ -113,7 +114,7 @@
 	return s
 }
 
-// serve runs s on l, with TLS when s has TLS settings.
+// serve runs s on l, with TLS if s has a TLS config.
 func serve(s *http.Server, l net.Listener) error {
 	if s.TLSConfig != nil {
 		return s.ServeTLS(l, "", "")
--- a/internal/peer/failure.go
+++ b/internal/peer/failure.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// maxFailureBytes bounds what is read of a refusal.
+// maxFailureBytes bounds the body of a refusal.
 const maxFailureBytes = 64 << 10
 
 // failureBody is the wire form of a failure between processes.
@@ -25,14 +25,15 @@
 	Cause      string `json:"cause,omitempty"`
 }
 
-// WriteFailure answers an entry with f. The header HeaderRan marks it as ours:
-// a target's own error answer carries it with the value "done".
+// WriteFailure responds to a gateway with f. HeaderReason identifies the response as
+// a failure of the agent; an error response of the target has only HeaderRan, with
+// the value "done".
 func WriteFailure(w http.ResponseWriter, f *kumquatlug.Failure, revision, logical int64) {
 	writeFailure(w, f, revision, logical, "")
 }
 
-// WriteStaleDispatch answers an entry whose run-once dispatch is out of date
-// with the one under which the call may be sent again.
+// WriteStaleDispatch responds to a gateway whose run-once dispatch is outdated, with
+// the dispatch under which the call may be sent again.
 func WriteStaleDispatch(w http.ResponseWriter, f *kumquatlug.Failure, revision, logical int64, dispatch string) {
 	writeFailure(w, f, revision, logical, dispatch)
 }
@@ -55,12 +56,12 @@
 	w.Write(text)
 }
 
-// Refused reports whether an agent's answer is a failure of ours.
+// Refused reports whether an agent's response is a failure of the agent itself.
 func Refused(response *http.Response) bool {
 	return response.Header.Get(HeaderReason) != ""
 }
 
-// ReadFailure reads a refusal and the dispatch that came with it, if any.
+// ReadFailure decodes a refusal and the dispatch that it contains, if any.
 func ReadFailure(response *http.Response) (f *kumquatlug.Failure, dispatch string) {
 	var body failureBody
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxFailureBytes))
@@ -80,7 +81,7 @@
 	return kumquatlug.NewFailure(c), body.Dispatch
 }
 
-// Number reads a whole number from a header, zero when there is none.
+// Number returns the integer in a header, zero if it is missing or malformed.
 func Number(h http.Header, name string) int64 {
 	n, err := strconv.ParseInt(h.Get(name), 10, 64)
 	if err != nil {
--- a/internal/peer/follower.go
+++ b/internal/peer/follower.go
@@ -15,47 +15,49 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/config"
 )
 
-// Figures of a [Follower].
+// Intervals and limits of a [Follower].
 const (
-	// followInterval is how often it looks for something to do.
+	// followInterval is the interval at which the follower checks for due reads and
+	// pulls.
 	followInterval = 100 * kumquatlug.Millis(1)
-	// inboxSize bounds the words of the head that wait for it. One that finds
-	// the ring full is dropped: the next heartbeat brings it again.
+	// inboxSize bounds the queued messages. A report about the head that finds the
+	// inbox full is dropped, since the next heartbeat repeats it.
 	inboxSize = 256
-	// pullTimeout bounds one pull or read of the head.
+	// pullTimeout bounds one pull or one read of the head.
 	pullTimeout = 2 * time.Second
 	// passiveReadAge is the age of the head at which a passive node reads it, and
-	// passiveReadInterval how often it does then. Together they are below the 16 s in
-	// which a change is to be in force; ten thousand agents that hear from no
-	// entry at all make a thousand reads a second.
+	// passiveReadInterval the interval between its reads from then on. Their sum is
+	// below the 16 s within which a change must be in force. Ten thousand agents
+	// without any heartbeats send a thousand reads a second.
 	passiveReadAge      = 5 * kumquatlug.Second
 	passiveReadInterval = 10 * kumquatlug.Second
 )
 
-// FollowerConfig is what a [Follower] is made of.
+// FollowerConfig holds the settings and dependencies of a [Follower].
 type FollowerConfig struct {
-	// Me is this node's name.
+	// Me is the name of this node.
 	Me     string
 	Store  *config.Store
 	Dialer *Dialer
 	Clock  kumquatlug.Clock
 	Ring   *timeline.Ring
 	Logger *zap.Logger
-	// Live returns the names of the nodes of this data centre.
+	// Live returns the names of the nodes in this data centre.
 	Live func() []string
-	// Passive nodes leave the head to others: they read it only when nobody has
-	// told them of it for long. Ten thousand agents that each read it once a
-	// second would take five times what the table gives.
+	// Passive nodes read the head only if no peer has reported it for a while. Ten
+	// thousand agents that each read it once a second would need five times the
+	// read rate that the table supports.
 	Passive bool
-	// OnState is called, from one goroutine, with each state that comes into
-	// force; it must not block.
+	// OnState is called with each state before it comes into force, always from the
+	// same goroutine once Run was called. It must not block.
 	OnState func(config.State)
 }
 
-// Follower keeps a process's config up to date: it reads the head when the
-// node is one of its data centre's readers, hears of it from peers otherwise,
-// and pulls what is missing from whoever knows more. One goroutine owns the
-// decisions; reads and pulls run beside it and send their results back.
+// Follower keeps the config of a process up to date. It reads the head if the node
+// is one of its data centre's readers and otherwise receives it from peers, and it
+// pulls missing changes from a peer that has them. The goroutine of Run makes all
+// decisions; reads and pulls run in goroutines of their own, which send their
+// results to its inbox.
 type Follower struct {
 	c       FollowerConfig
 	adopter *config.Adopter
@@ -64,7 +66,7 @@
 	headAge atomic.Int64
 }
 
-// Messages to the follower's goroutine besides config.Report.
+// Messages to the inbox besides config.Report.
 type (
 	pullResult struct {
 		peer       string
@@ -83,7 +85,7 @@
 	}
 )
 
-// NewFollower returns a follower that holds no config yet.
+// NewFollower returns a follower without a config.
 func NewFollower(c FollowerConfig) *Follower {
 	settings := config.AdopterConfig{Me: c.Me, Now: c.Clock.Now()}
 	if c.Passive {
@@ -97,11 +99,12 @@
 // State returns the config in force on this node.
 func (f *Follower) State() config.State { return *f.state.Load() }
 
-// HeadAge returns how long ago the head was confirmed.
+// HeadAge returns how long ago the head was last confirmed.
 func (f *Follower) HeadAge() kumquatlug.Millis { return kumquatlug.Millis(f.headAge.Load()) }
 
-// Learned takes in a word of the head from the peer with a role at address; a
-// negative age confirms nothing.
+// Learned handles the revision that the peer with role at address reported. Its age
+// says how long ago it was confirmed to be the head; config.AgeUnknown confirms
+// nothing.
 func (f *Follower) Learned(role Role, address string, revision int64, age kumquatlug.Millis) {
 	report := config.Report{Peer: peerName(role, address), Revision: config.Revision(revision), Age: age}
 	if report.Revision <= f.State().Revision() && age == config.AgeUnknown {
@@ -113,7 +116,7 @@
 	}
 }
 
-// LearnedHead takes in a head that was just written to, or read from, the table.
+// LearnedHead handles a head that was just written to, or read from, the table.
 func (f *Follower) LearnedHead(revision config.Revision) {
 	select {
 	case f.inbox <- config.Report{Peer: config.Table, Revision: revision}:
@@ -121,11 +124,11 @@
 	}
 }
 
-// peerName returns the name under which the follower remembers a peer.
+// peerName returns the name under which the adopter knows a peer.
 func peerName(role Role, address string) string { return string(role) + "@" + address }
 
-// Since returns the changes after revision, and false when the whole state is
-// needed.
+// Since returns the changes after revision. It returns false if they are no longer
+// available and the whole state is needed.
 func (f *Follower) Since(ctx context.Context, revision config.Revision) ([]config.Change, bool) {
 	query := sinceQuery{revision: revision, reply: make(chan sinceReply, 1)}
 	select {
@@ -141,8 +144,8 @@
 	}
 }
 
-// Refresh asks the table for the newest config and returns when it is in force
-// here.
+// Refresh reads the newest config from the table and returns when it is in force on
+// this node.
 func (f *Follower) Refresh(ctx context.Context) error {
 	requestedAt := f.c.Clock.Now()
 	head, err := f.c.Store.Head(ctx)
@@ -175,8 +178,8 @@
 	}
 }
 
-// loadSnapshot loads the whole state from the table, so that a new node need not walk
-// the log.
+// loadSnapshot loads the whole state from the table, so that a new node doesn't have
+// to replay the log.
 func (f *Follower) loadSnapshot(ctx context.Context) {
 	f.pull(ctx, config.Table, 0)
 }
@@ -193,7 +196,7 @@
 	}
 }
 
-// runDue starts what is due and tells how old the head is.
+// runDue starts the reads and pulls that are due and updates the age of the head.
 func (f *Follower) runDue(ctx context.Context) {
 	now := f.c.Clock.Now()
 	f.headAge.Store(int64(f.adopter.Age(now)))
@@ -213,7 +216,7 @@
 	requestedAt := f.c.Clock.Now()
 	head, err := f.c.Store.Head(ctx)
 	if err != nil {
-		f.c.Logger.Warn("can't read the config's head", timeline.ErrorField(err))
+		f.c.Logger.Warn("failed to read the head of the config", timeline.ErrorField(err))
 		return
 	}
 	f.enqueue(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - requestedAt})
@@ -266,13 +269,13 @@
 
 func (f *Follower) handlePull(result pullResult) {
 	if result.err != nil {
-		f.c.Logger.Warn("can't pull the config", zap.String("peer", result.peer), timeline.ErrorField(result.err))
+		f.c.Logger.Warn("failed to pull the config", zap.String("peer", result.peer), timeline.ErrorField(result.err))
 		f.adopter.PullFailed(result.peer)
 		return
 	}
 	state, changed, err := f.adoptResult(result)
 	if err != nil {
-		f.c.Logger.Warn("can't adopt the config", zap.String("peer", result.peer), timeline.ErrorField(err))
+		f.c.Logger.Warn("failed to adopt the config", zap.String("peer", result.peer), timeline.ErrorField(err))
 		f.adopter.PullFailed(result.peer)
 	}
 	if changed {
@@ -289,7 +292,7 @@
 	return state, changed, nil
 }
 
-// publish brings a state into force before anybody is told that it is.
+// publish makes state current, after OnState has applied it.
 func (f *Follower) publish(state config.State) {
 	if f.c.OnState != nil {
 		f.c.OnState(state)
--- a/internal/peer/group.go
+++ b/internal/peer/group.go
@@ -10,9 +10,8 @@
 	"github.com/oklog/run"
 )
 
-// AddDuty adds a goroutine to group that runs duty until the group stops. A
-// duty that returns without an error has nothing more to do, which stops
-// nobody.
+// AddDuty adds a goroutine to group that runs task until the group stops. A task
+// that returns nil has completed and doesn't stop the group.
 func AddDuty(ctx context.Context, group *run.Group, task func(context.Context) error) {
 	taskCtx, cancel := context.WithCancel(ctx)
 	group.Add(func() error {
@@ -24,7 +23,7 @@
 	}, func(error) { cancel() })
 }
 
-// AddServer adds a server on l to group; step names it in errors.
+// AddServer adds an HTTP server on l to group; step is the context of its errors.
 func AddServer(group *run.Group, step string, s *http.Server, l net.Listener) {
 	group.Add(func() error {
 		err := serve(ServerTimeouts(s), l)
@@ -35,7 +34,7 @@
 	}, func(error) { _ = s.Close() })
 }
 
-// RunGroup runs group; the end of its context is no error.
+// RunGroup runs group; the cancellation of its context is not an error.
 func RunGroup(group *run.Group) error {
 	err := group.Run()
 	if errors.Is(err, context.Canceled) {
@@ -44,11 +43,11 @@
 	return err
 }
 
-// waitPollInterval is how often [WaitUntil] looks.
+// waitPollInterval is the interval at which [WaitUntil] calls done.
 const waitPollInterval = 20 * time.Millisecond
 
-// WaitUntil returns when done says so or ctx ends. A planned stop waits with it
-// for the work in hand, without a time limit of its own.
+// WaitUntil returns when done returns true or ctx ends. Planned stops use it to wait
+// for work in flight, without a timeout of their own.
 func WaitUntil(ctx context.Context, done func() bool) {
 	tick := time.NewTicker(waitPollInterval)
 	defer tick.Stop()
--- a/internal/peer/net.go
+++ b/internal/peer/net.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// keepAliveIdle finds a peer that vanished without a word below a silent stream.
+// keepAliveIdle is the idle time after which keep-alive probes start. They detect a
+// peer that disappeared without closing its connection during an idle stream.
 const keepAliveIdle = 5 * time.Second
 
 func dialContext(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{
 		Timeout: timeout,
-		// A VM that is replaced sends no reset. Without probes a stream that
-		// waits for its next token would wait for ever; with them the
-		// connection fails after four times a second of silence.
+		// A replaced VM sends no reset. Without probes, a stream that waits for its next
+		// token would wait forever; with them the connection fails after four probes
+		// without an answer, one per second.
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: time.Second, Count: 4,
 		},
--- a/internal/peer/notice.go
+++ b/internal/peer/notice.go
@@ -2,13 +2,13 @@
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 
-// HeaderNotice carries a notice of a request that was in hand at a crash: from
-// an entry along with the request, from an agent along with its refusal or
-// behind an answer that was cut.
+// HeaderNotice carries the crash notice of a request that was in flight at a crash:
+// from a gateway with the request, from an agent with a refusal or in the trailer of
+// an incomplete response.
 const HeaderNotice = "Kumquatlug-Notice"
 
-// NoticesFrom reads notices from their wire form; one that can't be read is
-// left out, since its sender will repeat it.
+// NoticesFrom decodes notices from their wire form. Notices that can't be decoded
+// are omitted, since their sender repeats them.
 func NoticesFrom(texts []string) []quarantine.Notice {
 	notices := make([]quarantine.Notice, 0, len(texts))
 	for _, text := range texts {
@@ -20,7 +20,7 @@
 	return notices
 }
 
-// NoticesTo returns the wire form of notices.
+// NoticesTo encodes notices to their wire form.
 func NoticesTo(notices []quarantine.Notice) []string {
 	texts := make([]string, 0, len(notices))
 	for _, n := range notices {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,7 +22,7 @@
 	}
 	h.Set(HeaderRevision, "seven")
 	if _, err := ReadWork(h); err == nil {
-		t.Fatal("a revision that is no number was accepted")
+		t.Fatal("a revision that is not a number was accepted")
 	}
 }
 
@@ -37,8 +37,8 @@
 	}
 }
 
-// An agent's key lies on every target VM. Somebody who took it from one of
-// them tries to give orders to another agent, which only entries may do.
+// Every target VM stores an agent's key. With a stolen key it must not be possible to
+// send orders to other agents, which only gateways may do.
 func TestOnlyAllowsListedRoles(t *testing.T) {
 	authority, err := NewAuthority(time.Hour)
 	if err != nil {
@@ -66,13 +66,13 @@
 		return response.StatusCode
 	}
 	if got := statusWith(entry); got != http.StatusOK {
-		t.Errorf("an entry got %d", got)
+		t.Errorf("status of a gateway: %d, want 200", got)
 	}
 	if got := statusWith(agent); got != http.StatusForbidden {
-		t.Errorf("an agent got %d", got)
+		t.Errorf("status of an agent: %d, want 403", got)
 	}
 	if got := statusWith(issueKeys(t, otherAuthority, RoleEntry)); got != 0 {
-		t.Errorf("a stranger got %d, not a refused handshake", got)
+		t.Errorf("status of a peer with a certificate of another authority: %d, want a failed handshake", got)
 	}
 }
 
--- a/internal/peer/peerv1/peerv1connect/peer.connect.go
+++ b/internal/peer/peerv1/peerv1connect/peer.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: peer.proto
 
-// The messages between the processes of the system and of its operators.
+// Messages between the processes of the system, and between them and operators.
 package peerv1connect
 
 import (
@@ -65,10 +65,10 @@
 
 // PeerServiceClient is a client for the kumquatlug.peer.v1.PeerService service.
 type PeerServiceClient interface {
-	// Pull returns the config changes after a revision, or a whole snapshot
-	// when the log no longer reaches back that far.
+	// Pull returns the config changes after a revision, or a full snapshot when the
+	// log no longer contains them.
 	Pull(context.Context, *connect.Request[peerv1.PullRequest]) (*connect.Response[peerv1.PullResponse], error)
-	// Events returns the process's events after a sequence number.
+	// Events returns the events of the process after a sequence number.
 	Events(context.Context, *connect.Request[peerv1.EventsRequest]) (*connect.Response[peerv1.EventsResponse], error)
 }
 
@@ -116,10 +116,10 @@
 
 // PeerServiceHandler is an implementation of the kumquatlug.peer.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Pull returns the config changes after a revision, or a whole snapshot
-	// when the log no longer reaches back that far.
+	// Pull returns the config changes after a revision, or a full snapshot when the
+	// log no longer contains them.
 	Pull(context.Context, *connect.Request[peerv1.PullRequest]) (*connect.Response[peerv1.PullResponse], error)
-	// Events returns the process's events after a sequence number.
+	// Events returns the events of the process after a sequence number.
 	Events(context.Context, *connect.Request[peerv1.EventsRequest]) (*connect.Response[peerv1.EventsResponse], error)
 }
 
@@ -167,8 +167,8 @@
 
 // EntryServiceClient is a client for the kumquatlug.peer.v1.EntryService service.
 type EntryServiceClient interface {
-	// Offer tells what work callers brought to an entry, so that the holder of a
-	// group's lease can plan for the demand of all.
+	// Offer reports the demand that arrived at a gateway, so that the holder of a
+	// group's lease can plan for the total demand.
 	Offer(context.Context, *connect.Request[peerv1.OfferRequest]) (*connect.Response[peerv1.OfferResponse], error)
 }
 
@@ -204,8 +204,8 @@
 
 // EntryServiceHandler is an implementation of the kumquatlug.peer.v1.EntryService service.
 type EntryServiceHandler interface {
-	// Offer tells what work callers brought to an entry, so that the holder of a
-	// group's lease can plan for the demand of all.
+	// Offer reports the demand that arrived at a gateway, so that the holder of a
+	// group's lease can plan for the total demand.
 	Offer(context.Context, *connect.Request[peerv1.OfferRequest]) (*connect.Response[peerv1.OfferResponse], error)
 }
 
@@ -241,9 +241,9 @@
 
 // AgentServiceClient is a client for the kumquatlug.peer.v1.AgentService service.
 type AgentServiceClient interface {
-	// Report is the heartbeat: an entry asks, the agent tells its state.
+	// Report is the heartbeat: a gateway requests the state of the agent's target.
 	Report(context.Context, *connect.Request[peerv1.ReportRequest]) (*connect.Response[peerv1.ReportResponse], error)
-	// Order asks the target for a change; the agent refuses an old number.
+	// Order changes the target; the agent refuses an outdated fencing number.
 	Order(context.Context, *connect.Request[peerv1.OrderRequest]) (*connect.Response[peerv1.OrderResponse], error)
 }
 
@@ -291,9 +291,9 @@
 
 // AgentServiceHandler is an implementation of the kumquatlug.peer.v1.AgentService service.
 type AgentServiceHandler interface {
-	// Report is the heartbeat: an entry asks, the agent tells its state.
+	// Report is the heartbeat: a gateway requests the state of the agent's target.
 	Report(context.Context, *connect.Request[peerv1.ReportRequest]) (*connect.Response[peerv1.ReportResponse], error)
-	// Order asks the target for a change; the agent refuses an old number.
+	// Order changes the target; the agent refuses an outdated fencing number.
 	Order(context.Context, *connect.Request[peerv1.OrderRequest]) (*connect.Response[peerv1.OrderResponse], error)
 }
 
--- a/internal/peer/presence.go
+++ b/internal/peer/presence.go
@@ -9,31 +9,31 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of a process's entry on the list of VMs.
+// Timeout and retry delay of the calls to the list of VMs.
 const (
-	// presenceTimeout bounds one call to the table, which answers in
+	// presenceTimeout bounds one call to the table, which responds within
 	// milliseconds.
 	presenceTimeout = 1 * kumquatlug.Second
-	// presenceRetryDelay is the wait after a failure.
+	// presenceRetryDelay is the delay after a failed call.
 	presenceRetryDelay = 1 * kumquatlug.Second
 )
 
-// Presence keeps this process on the list of VMs while it runs.
+// Presence keeps this process in the list of VMs while it runs.
 type Presence struct {
 	VMs    kumquatlug.VMs
 	VM     kumquatlug.VM
 	Logger *zap.Logger
 }
 
-// Run enters the process, however long the table is out, and takes it off the
-// list when ctx ends.
+// Run registers the process, retrying for as long as the table is unavailable, and
+// deregisters it when ctx ends.
 func (p Presence) Run(ctx context.Context) error {
 	for {
 		err := p.call(ctx, func(ctx context.Context) error { return p.VMs.Enter(ctx, p.VM) })
 		if err == nil {
 			break
 		}
-		p.Logger.Warn("not on the list of VMs yet", zap.String("name", p.VM.Name()), zap.Error(err))
+		p.Logger.Warn("failed to register in the list of VMs; retrying", zap.String("name", p.VM.Name()), zap.Error(err))
 		select {
 		case <-ctx.Done():
 			return nil
@@ -43,8 +43,8 @@
 	<-ctx.Done()
 	err := p.call(context.WithoutCancel(ctx), func(ctx context.Context) error { return p.VMs.Leave(ctx, p.VM.Name()) })
 	if err != nil {
-		// Heartbeats will tell that it is gone.
-		p.Logger.Warn("still on the list of VMs", zap.String("name", p.VM.Name()), zap.Error(err))
+		// Gateways detect by missing heartbeats that the process has stopped.
+		p.Logger.Warn("failed to deregister from the list of VMs", zap.String("name", p.VM.Name()), zap.Error(err))
 	}
 	return nil
 }
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -10,20 +10,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/config"
 )
 
-// Service is what every process serves to its peers: config changes and
-// events. It implements peerv1connect.PeerServiceHandler.
+// Service serves config changes and events to peers in every process. It implements
+// peerv1connect.PeerServiceHandler.
 type Service struct {
 	follower *Follower
 	ring     *timeline.Ring
 }
 
-// NewService returns the service over a process's follower and ring.
+// NewService returns a service for the follower and the ring of a process.
 func NewService(follower *Follower, ring *timeline.Ring) *Service {
 	return &Service{follower: follower, ring: ring}
 }
 
-// Pull returns the changes after a revision, or the whole state when this node
-// no longer remembers that far back.
+// Pull returns the changes after a revision, or the whole state if this node no
+// longer has them.
 func (s *Service) Pull(
 	ctx context.Context, r *connect.Request[peerv1.PullRequest],
 ) (*connect.Response[peerv1.PullResponse], error) {
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -1,6 +1,6 @@
-// Package peer speaks between the processes of the system: who the other side
-// is, how work and its answer travel from an entry to an agent, and where the
-// connect services of a process are reached.
+// Package peer implements the communication between the processes of the system:
+// mutual TLS with roles, the headers that carry work from a gateway to an agent and
+// back, and the clients and servers of the connect services.
 package peer
 
 import (
@@ -13,37 +13,37 @@
 	"github.com/kumquatlug/kumquatlug/internal/settings"
 )
 
-// Role is what a process is to its peers.
+// Role is the role of a process among its peers.
 type Role string
 
-// The roles that a certificate may give, each as a DNS name below dnsNameSuffix.
+// Roles that a certificate may contain, each as a DNS name with dnsNameSuffix.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
 )
 
-// dnsNameSuffix ends the DNS names in our certificates. Addresses change with
-// every VM, so a peer is known by its role's name and not by where it runs.
+// dnsNameSuffix is the suffix of the DNS names in certificates. Addresses change with
+// every VM, so a peer is identified by its role and not by its address.
 const dnsNameSuffix = ".kumquatlug.internal"
 
-// DNSName returns the name that a certificate for role carries.
+// DNSName returns the DNS name in certificates for the role.
 func (r Role) DNSName() string { return string(r) + dnsNameSuffix }
 
-// Keys are a process's own certificate and the authority of its peers. The
-// zero value means plain connections, which are for loopback only.
+// Keys holds the certificate of a process and the authority of its peers. A nil
+// *Keys means plain connections, for loopback only.
 type Keys struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// KeysConfig names the PEM text, or the files, of a process's keys.
+// KeysConfig holds the PEM text, or the file names, of the keys of a process.
 type KeysConfig struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// LoadKeys reads keys; all three parts are needed.
+// LoadKeys loads the keys in c, all of which are required.
 func LoadKeys(c KeysConfig) (*Keys, error) {
 	certificate, err := settings.PEM(c.Certificate)
 	if err != nil {
@@ -63,13 +63,12 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, errors.New("authority holds no certificate")
+		return nil, errors.New("authority contains no certificate")
 	}
 	return &Keys{certificate: pair, authority: pool}, nil
 }
 
-// Server returns the TLS settings for a listener that only peers may use, nil
-// for plain connections.
+// Server returns the TLS config of a listener for peers, nil for plain connections.
 func (k *Keys) Server() *tls.Config {
 	if k == nil {
 		return nil
@@ -80,8 +79,8 @@
 	}
 }
 
-// Client returns the TLS settings to dial a peer of the given role, nil for
-// plain connections.
+// Client returns the TLS config for connections to a peer with role, nil for plain
+// connections.
 func (k *Keys) Client(role Role) *tls.Config {
 	if k == nil {
 		return nil
@@ -100,9 +99,9 @@
 	return "https"
 }
 
-// Only lets a request through when its peer's certificate has one of roles.
-// Without it an agent's key, which lies on every target VM, could order about
-// other agents. Plain connections have no certificate and pass.
+// Only rejects requests of peers whose certificate has none of roles. Otherwise an
+// agent's key, which is stored on every target VM, would suffice to send orders to
+// other agents. Plain connections have no certificate and are accepted.
 func (k *Keys) Only(next http.Handler, roles ...Role) http.Handler {
 	if k == nil {
 		return next
@@ -128,13 +127,13 @@
 	return false
 }
 
-// PublicKeys are what callers and operators see of a process: a certificate
-// that their own trust settings accept. They show no certificate themselves.
+// PublicKeys holds the certificate that a process presents to callers and operators
+// and that their own trust settings accept. They present no certificate.
 type PublicKeys struct {
 	certificate tls.Certificate
 }
 
-// LoadPublicKeys reads a certificate and its key from PEM text or files.
+// LoadPublicKeys loads a certificate and its key from PEM text or files.
 func LoadPublicKeys(certificate, key string) (*PublicKeys, error) {
 	certificatePEM, err := settings.PEM(certificate)
 	if err != nil {
@@ -148,7 +147,7 @@
 	return &PublicKeys{certificate: pair}, errors.Wrap(err, "public certificate and key")
 }
 
-// Server returns the TLS settings for a public listener, nil for plain ones.
+// Server returns the TLS config of a public listener, nil for plain connections.
 func (k *PublicKeys) Server() *tls.Config {
 	if k == nil {
 		return nil
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -9,7 +9,7 @@
 
 func revisionText(r config.Revision) string { return strconv.FormatInt(int64(r), 10) }
 
-// SetsFrom reads the wire form of config sets.
+// SetsFrom decodes config sets from their wire form.
 func SetsFrom(wire []*peerv1.Set) []config.Set {
 	sets := make([]config.Set, len(wire))
 	for i, s := range wire {
@@ -22,7 +22,7 @@
 	return sets
 }
 
-// SetsTo returns the wire form of config sets.
+// SetsTo encodes config sets to their wire form.
 func SetsTo(sets []config.Set) []*peerv1.Set {
 	wire := make([]*peerv1.Set, len(sets))
 	for i, s := range sets {
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -10,10 +10,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// WorkPath is where an agent takes work; the target's own path follows.
+// WorkPath is the path prefix at which an agent accepts work; the path of the call
+// to the target follows it.
 const WorkPath = "/work"
 
-// Headers between entry and agent, and those that callers see.
+// Headers between a gateway and an agent, some of which callers see, too.
 const (
 	HeaderRequest  = "Kumquatlug-Request-Id"
 	HeaderAttempt  = "Kumquatlug-Attempt"
@@ -30,33 +31,33 @@
 	HeaderKV       = "Kumquatlug-Kv-Handle"
 	HeaderPrint    = "Kumquatlug-Fingerprint"
 	HeaderKey      = "Kumquatlug-Key"
-	// TrailerEnd is sent after the body: EndWhole, or a reason why it was cut.
+	// TrailerEnd is sent after the body: EndWhole, or why the response is incomplete.
 	TrailerEnd = "Kumquatlug-End"
-	// EndWhole says that the target's answer was passed on in full.
+	// EndWhole means that the target's response was forwarded in full.
 	EndWhole = "whole"
-	// EndCut says that the target stopped in the middle of its answer.
+	// EndCut means that the target stopped in the middle of its response.
 	EndCut = "target_cut"
 )
 
-// Reasons of an agent's refusal that an entry acts on.
+// Reasons for an agent's refusal that a gateway handles.
 const (
 	// ReasonElsewhere: the agent that the failure names as its peer holds the
 	// run-once claim of the call.
 	ReasonElsewhere = "held_elsewhere"
-	// ReasonUnknown: whether the call ran can't be known any more.
+	// ReasonUnknown: it can't be determined any more whether the call ran.
 	ReasonUnknown = "outcome_unknown"
 )
 
-// ReplayedHeader marks an answer that was kept from an earlier run of the call.
+// ReplayedHeader marks a response that was stored by an earlier run of the call.
 const ReplayedHeader = "Idempotent-Replayed"
 
-// KeyHeader is the header by which callers name a call that they may send again.
+// KeyHeader is the header with which callers identify a call that they may resend.
 const KeyHeader = "Idempotency-Key"
 
-// internalHeaderPrefix starts the names of headers that no caller or target may set.
+// internalHeaderPrefix is the prefix of headers that no caller or target may set.
 const internalHeaderPrefix = "Kumquatlug-"
 
-// Work is what an entry tells an agent about a call besides the call itself.
+// Work is the metadata of a call that a gateway sends to an agent in headers.
 type Work struct {
 	request     string
 	attempt     int
@@ -72,32 +73,33 @@
 	from        string
 }
 
-// WorkConfig is what a [Work] is made of.
+// WorkConfig holds the fields of a [Work].
 type WorkConfig struct {
-	// Request is the entry's id of the request; Attempt counts from one.
+	// Request is the gateway's id of the request; Attempt counts from one.
 	Request string
 	Attempt int
 	Kind    kumquatlug.Kind
-	// Caller is the account, never its key.
+	// Caller is the client account, never its key.
 	Caller string
-	// Revision is the config under which the entry chose this target.
+	// Revision is the config revision with which the gateway chose the target.
 	Revision int64
-	// Timeout is what is left of the deadline.
+	// Timeout is the time left until the deadline, in milliseconds.
 	Timeout kumquatlug.Millis
-	// Once says that the call may not be repeated; Key and Dispatch then name
-	// the run-once claim.
+	// Once reports that the call must not be repeated; Key and Dispatch then
+	// identify the run-once claim.
 	Once     bool
 	Key      string
 	Dispatch string
-	// Fingerprint names the request for quarantine, equal for equal requests.
+	// Fingerprint identifies the request for quarantine. Equal requests have equal
+	// fingerprints.
 	Fingerprint string
 	// Logical is the sender's logical time.
 	Logical int64
-	// From is where the sender's peers reach it, to pull config from.
+	// From is the address at which peers reach the sender, to pull the config.
 	From string
 }
 
-// NewWork returns the work that c describes.
+// NewWork returns a Work with the fields of c.
 func NewWork(c WorkConfig) Work {
 	return Work{
 		request: c.Request, attempt: c.Attempt, kind: c.Kind, caller: c.Caller, revision: c.Revision,
@@ -105,43 +107,44 @@
 	}
 }
 
-// Request returns the entry's id of the request.
+// Request returns the gateway's id of the request.
 func (w Work) Request() string { return w.request }
 
-// Attempt returns the number of the attempt, from one.
+// Attempt returns the number of the attempt, counted from one.
 func (w Work) Attempt() int { return w.attempt }
 
 // Kind returns the kind of work.
 func (w Work) Kind() kumquatlug.Kind { return w.kind }
 
-// Caller returns the caller's account.
+// Caller returns the client account.
 func (w Work) Caller() string { return w.caller }
 
-// Revision returns the config revision that the entry routed under.
+// Revision returns the config revision with which the gateway chose the target.
 func (w Work) Revision() int64 { return w.revision }
 
-// Timeout returns what was left of the deadline when the work was sent.
+// Timeout returns the time that was left until the deadline when the work was sent,
+// in milliseconds.
 func (w Work) Timeout() kumquatlug.Millis { return w.timeout }
 
-// Once reports whether the call may not be repeated.
+// Once reports whether the call must not be repeated.
 func (w Work) Once() bool { return w.once }
 
 // Key returns the idempotency key.
 func (w Work) Key() string { return w.key }
 
-// Dispatch returns the run-once dispatch that the entry was given.
+// Dispatch returns the run-once dispatch that the gateway received.
 func (w Work) Dispatch() string { return w.dispatch }
 
-// Fingerprint returns the name of the request for quarantine.
+// Fingerprint returns the fingerprint of the request for quarantine.
 func (w Work) Fingerprint() string { return w.fingerprint }
 
 // Logical returns the sender's logical time.
 func (w Work) Logical() int64 { return w.logical }
 
-// From returns where the sender's peers reach it.
+// From returns the address at which peers reach the sender.
 func (w Work) From() string { return w.from }
 
-// Write puts the work into the headers of a request to an agent.
+// Write sets the headers of a request to an agent.
 func (w Work) Write(h http.Header) {
 	h.Set(HeaderRequest, w.request)
 	h.Set(HeaderAttempt, strconv.Itoa(w.attempt))
@@ -160,7 +163,7 @@
 	h.Set(HeaderDispatch, w.dispatch)
 }
 
-// ReadWork reads the headers that [Work.Write] wrote.
+// ReadWork parses the headers that [Work.Write] sets.
 func ReadWork(h http.Header) (Work, error) {
 	protocol, name, ok := strings.Cut(h.Get(HeaderKind), "/")
 	if !ok {
@@ -177,7 +180,7 @@
 	return w, n.err
 }
 
-// headerInts reads whole numbers from headers and keeps the first error.
+// headerInts parses integers from headers and keeps the first error.
 type headerInts struct {
 	header http.Header
 	err    error
@@ -191,14 +194,14 @@
 	return value
 }
 
-// hopByHopHeaders belong to one connection and are never passed on.
+// hopByHopHeaders apply to a single connection and are never forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// CopyHeaders copies what may be passed on from one side to the other: all but
-// the headers of the connection, our own, the caller's credentials and its
-// idempotency key, which travels in a header of ours.
+// CopyHeaders copies the headers that may be forwarded: all except hop-by-hop
+// headers, internal headers, the caller's credentials and its idempotency key, which
+// is forwarded in an internal header.
 func CopyHeaders(to, from http.Header) {
 	for name, values := range from {
 		if strings.HasPrefix(name, internalHeaderPrefix) || name == "Authorization" || name == KeyHeader {
