--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,8 @@
-// Package agent wires the process beside a target: the only way to it. It
-// checks every piece of work against the config and the leaving state, runs
-// calls that may not be repeated at most once, hands orders on only from the
-// newest lease holder, and tells entries of the target's load and crashes.
+// Package agent implements the agent, the process that runs beside a target and
+// through which all work reaches it. The agent checks each call against the config
+// and the drain state, runs non-idempotent calls at most once, forwards orders only
+// from the newest lease holder, and reports the target's load and crashes to
+// gateways.
 package agent
 
 import (
@@ -24,30 +25,30 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// Config is what an [Agent] is made of.
+// Config holds the settings and dependencies of an [Agent].
 type Config struct {
-	// Name is the target's name, as in the platform's list.
+	// Name is the target's name in the platform's list.
 	Name string
 	// Zone is the data centre.
 	Zone string
-	// Listener is where entries reach the agent.
+	// Listener accepts the connections of gateways.
 	Listener net.Listener
-	// Keys are the agent's own; nil means plain connections on loopback.
+	// Keys are the agent's TLS keys; nil means plain connections, for loopback only.
 	Keys *peer.Keys
-	// Target is what the agent stands beside; Engine is the same when it is an
+	// Target is the target beside the agent. Engine is the same target if it is an
 	// engine, nil for a plain service.
 	Target kumquatlug.Target
 	Engine *engine.Engine
-	// ChecksFence says whether the engine itself refuses old fencing numbers.
+	// ChecksFence reports whether the engine itself refuses outdated fencing numbers.
 	ChecksFence bool
 	Table       kumquatlug.Table
 	Objects     kumquatlug.Objects
 	VMs         kumquatlug.VMs
-	// Address is what entries are told to reach the agent by; empty means the
+	// Address is the address at which gateways reach the agent. Default is the
 	// address of Listener.
 	Address string
-	// Silence is after how long without an entry's heartbeat the agent asks for
-	// itself before it takes new work, in milliseconds; zero means
+	// Silence is the time without heartbeats after which the agent queries its state
+	// itself before it accepts new work, in milliseconds. Default is
 	// drain.AgentSilence.
 	Silence  kumquatlug.Millis
 	Clock    kumquatlug.Clock
@@ -69,13 +70,13 @@
 	targetConfig atomic.Pointer[targetConfig]
 }
 
-// targetConfig are what the config in force says of the target. They are read once for
-// each revision and looked up by every piece of work.
+// targetConfig is what the config in force says about the target. It is computed once
+// per revision and used by every call.
 type targetConfig struct {
 	revision  config.Revision
 	selectors []selector.Selector
 	labels    selector.Labels
-	// labelsErr is why the target's labels can't be read.
+	// labelsErr is set if the target's labels can't be decoded.
 	labelsErr error
 }
 
@@ -98,14 +99,15 @@
 	return a, err
 }
 
-// applyConfig hands a config that came into force to the drain. It is called
-// for each revision, also where the label stays the same.
+// applyConfig passes a config that comes into force to the drain. It is called for
+// each revision, even if the label doesn't change.
 func (a *Agent) applyConfig(state config.State) {
 	labels, err := config.Labels(state, a.c.Name)
 	selectors, _ := config.Selectors(state)
 	next := &targetConfig{revision: state.Revision(), selectors: selectors, labels: labels.With(a.c.Name, a.c.Zone), labelsErr: err}
 	a.admission.update(func(now kumquatlug.Millis) {
-		// Two duties call this; the slower one must not bring old terms back.
+		// The follower and refreshWhenStale both call applyConfig; the later of the two
+		// calls may have the older config, which must not replace the newer one.
 		if current := a.targetConfig.Load(); current == nil || current.revision <= next.revision {
 			a.targetConfig.Store(next)
 		}
@@ -116,14 +118,14 @@
 	})
 }
 
-// refusal returns a refusal before anything was sent to the target.
+// refusal returns a failure of a call that was not sent to the target.
 func (a *Agent) refusal(step, reason string, cause error) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: step, Peer: a.c.Name, Reason: reason, Ran: kumquatlug.RanNot, Cause: cause,
 	})
 }
 
-// Protocol returns how the target is spoken to.
+// Protocol returns the protocol of the target.
 func (a *Agent) Protocol() kumquatlug.Protocol {
 	if a.c.Engine != nil {
 		return kumquatlug.ProtocolEngine
@@ -131,8 +133,8 @@
 	return kumquatlug.ProtocolService
 }
 
-// Run serves until ctx ends, then stops gracefully: new work is refused as not
-// run and everything in hand is finished, however long it takes.
+// Run serves until ctx ends and then shuts down gracefully: it refuses new work as
+// not-run and completes the calls in flight, however long they take.
 func (a *Agent) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -143,7 +145,7 @@
 	} {
 		peer.AddDuty(background, &group, task)
 	}
-	peer.AddServer(&group, "serve entries", &http.Server{Handler: a.handler(), TLSConfig: a.c.Keys.Server()}, a.c.Listener)
+	peer.AddServer(&group, "serve gateways", &http.Server{Handler: a.handler(), TLSConfig: a.c.Keys.Server()}, a.c.Listener)
 	group.Add(func() error {
 		<-ctx.Done()
 		a.drain(background)
@@ -166,7 +168,7 @@
 	return mux
 }
 
-// presence is the agent's entry on the list of VMs.
+// presence returns the agent's registration in the list of VMs.
 func (a *Agent) presence() peer.Presence {
 	address := a.c.Address
 	if address == "" {
@@ -177,14 +179,14 @@
 	})}
 }
 
-// drain refuses new work and waits for all that is in hand; no time limit cuts
-// a call that is being answered.
+// drain refuses new work and waits for the calls in flight. It has no timeout, so
+// that no response is interrupted.
 func (a *Agent) drain(ctx context.Context) {
 	a.admission.stop()
 	a.c.Ring.Add(timeline.Record{Name: timeline.StateChanged, Detail: "stopping"})
 	peer.WaitUntil(ctx, a.admission.drained)
 	if err := a.work.ledger.Flush(ctx); err != nil {
-		a.c.Logger.Warn("outcomes could not be stored before the stop", timeline.ErrorField(err))
+		a.c.Logger.Warn("failed to store outcomes before the shutdown", timeline.ErrorField(err))
 	}
-	a.c.Logger.Info("agent has finished its work and stops", zap.String("name", a.c.Name))
+	a.c.Logger.Info("agent stops; no calls in flight", zap.String("name", a.c.Name))
 }
--- a/internal/agent/hand.go
+++ b/internal/agent/hand.go
@@ -16,25 +16,26 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// suspectStartTimeout bounds how long work waits for a suspect to start elsewhere in
-// the engine. A suspect starts within seconds or crashes; after that another
-// target is the better place.
+// suspectStartTimeout bounds how long a call waits while a suspect starts at the
+// engine. A suspect produces output within seconds or crashes the engine; after that
+// time another target is the better choice.
 const suspectStartTimeout = 5 * kumquatlug.Second
 
-// urgentTimeout is the time left of a deadline below which a suspect does not wait
-// to be the only one at a target.
+// urgentTimeout is the remaining time until the deadline below which a suspect
+// doesn't wait to be the only one at a target.
 const urgentTimeout = 2 * suspectStartTimeout
 
-// Reasons of refusals that concern requests in hand at crashes.
+// Reasons for refusing requests that were in flight at crashes.
 const (
 	reasonSuspect     = dispatch.ReasonSuspect
 	reasonQuarantined = "quarantined"
 )
 
-// admissionController decides whether work may begin at the target, and knows what is in hand.
-// One lock joins the three decisions: between a check and the count a planned
-// stop, an order or a crash could otherwise find nothing in hand and cut the
-// call that was just let in.
+// admissionController decides whether a call may start at the target and tracks the
+// calls in flight. One lock covers the checks of drain, orders and suspects together
+// with the count of calls. Otherwise a planned stop, an order or a crash between a
+// check and the count would find no calls in flight and interrupt a call that was
+// just admitted.
 type admissionController struct {
 	agent *Agent
 
@@ -52,7 +53,7 @@
 	startedByGateway map[string]int64
 }
 
-// inFlightCall is one call that is in hand.
+// inFlightCall is a call in flight at the target.
 type inFlightCall struct {
 	generation int
 	claimed    bool
@@ -69,13 +70,14 @@
 
 func (ac *admissionController) now() kumquatlug.Millis { return ac.agent.c.Clock.Now() }
 
-// notifyWaiters tells those who wait that something started or ended. The lock is held.
+// notifyWaiters wakes the calls that wait for another call to start or end. ac.mu
+// must be held.
 func (ac *admissionController) notifyWaiters() {
 	close(ac.changed)
 	ac.changed = make(chan struct{})
 }
 
-// update runs change under the lock.
+// update runs change under the lock and records a change of the drain state.
 func (ac *admissionController) update(change func(now kumquatlug.Millis)) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -90,14 +92,14 @@
 	}
 }
 
-// admit lets a piece of work in and returns its id, or says why it is refused.
+// admit admits a call and returns its id, or the failure with which to refuse it.
 func (ac *admissionController) admit(ctx context.Context, work peer.Work, configRefusal string) (string, *kumquatlug.Failure) {
 	ctx, cancel := context.WithTimeout(ctx, suspectStartTimeout.Duration())
 	defer cancel()
 	claimed, started := false, false
 	defer func() {
-		// A claim under which nothing ran is given back, or the suspect could
-		// run nowhere any more.
+		// A claim under which nothing ran is released; otherwise the suspect could
+		// never run at any target.
 		if claimed && !started {
 			ac.agent.releaseSuspectClaim(work)
 		}
@@ -144,8 +146,8 @@
 	})
 }
 
-// tryAdmit asks the three gates in turn; what one has let in is taken back when the
-// next refuses.
+// tryAdmit checks drain, orders and suspects in this order. If a check refuses, the
+// admissions by the earlier ones are undone.
 func (ac *admissionController) tryAdmit(work peer.Work, configRefusal string, claimed bool) (string, quarantine.Verdict, <-chan struct{}, *kumquatlug.Failure) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -174,7 +176,7 @@
 	return id, verdict, nil, nil
 }
 
-// release takes a piece of work out of drain and orders. The lock is held.
+// release removes a call from drain and order gate. ac.mu must be held.
 func (ac *admissionController) release() {
 	_ = ac.drain.End()
 	if ac.orderGate != nil {
@@ -182,7 +184,7 @@
 	}
 }
 
-// firstOutput takes the first output of a piece of work.
+// firstOutput records the first output of a call.
 func (ac *admissionController) firstOutput(id string) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -190,8 +192,8 @@
 	ac.notifyWaiters()
 }
 
-// finish takes the end of a piece of work and reports whether a suspect's claim is
-// to be removed.
+// finish records the end of a call and reports whether the claim of its suspect must
+// be released.
 func (ac *admissionController) finish(id string, complete bool) (releaseClaim bool) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -204,8 +206,8 @@
 	return call.claimed && complete
 }
 
-// recordCrash takes that the target is gone, once for each of its lives: many calls
-// break at the same moment, and each of their goroutines comes here.
+// recordCrash records a crash of the target, once per generation: the goroutines of
+// all calls that the crash interrupted call it at the same time.
 func (ac *admissionController) recordCrash(id string) (first bool) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -222,8 +224,8 @@
 	return true
 }
 
-// crashNotice returns what is known of a request that was in hand at a crash, as
-// text, empty when nothing is.
+// crashNotice returns the encoded crash notice of a request, empty if the request
+// was not in flight at a crash.
 func (ac *admissionController) crashNotice(fingerprint string) string {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -238,7 +240,7 @@
 	return string(text)
 }
 
-// mergeNotices takes notices of other processes.
+// mergeNotices merges crash notices from other processes.
 func (ac *admissionController) mergeNotices(texts []string) {
 	notices := peer.NoticesFrom(texts)
 	if len(notices) == 0 {
@@ -249,7 +251,7 @@
 	ac.registry.Merge(ac.now(), notices)
 }
 
-// noticesSince returns the notices after a version.
+// noticesSince returns the crash notices after a version, and their version.
 func (ac *admissionController) noticesSince(after int64) ([]string, int64) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -265,15 +267,15 @@
 	})
 }
 
-// drained reports whether nothing is in hand and nothing will be.
+// drained reports whether no calls are in flight and none will be admitted.
 func (ac *admissionController) drained() bool {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	return ac.drain.State(ac.now()) == drain.StateDone
 }
 
-// needsRefresh reports whether no entry has spoken for most of the time after which
-// new work is refused.
+// needsRefresh reports whether the last heartbeat is older than half of the time
+// after which new work is refused.
 func (ac *admissionController) needsRefresh(lastHeartbeatAt kumquatlug.Millis) bool {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -281,7 +283,7 @@
 	return ac.drain.Silent(ac.now()) || ac.agent.c.Silence > 0 && ac.now()-lastHeartbeatAt > ac.agent.c.Silence/refreshDivisor
 }
 
-// targetState returns how the target is reported to entries.
+// targetState returns the state of the target as reported to gateways.
 func (ac *admissionController) targetState(healthy bool) dispatch.TargetState {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
@@ -302,9 +304,9 @@
 	}
 }
 
-// underOrder reports whether an order keeps work from the engine, also while its
-// outcome is in doubt: the gate would refuse work then, and entries told
-// otherwise would send it in vain. The lock is held.
+// underOrder reports whether an order blocks work at the engine, including an order
+// whose outcome is unknown: the order gate refuses work then, so gateways must not
+// send any. ac.mu must be held.
 func (ac *admissionController) underOrder() bool {
 	if ac.orderGate == nil {
 		return false
@@ -316,7 +318,7 @@
 	return false
 }
 
-// orderPhase returns where the target is between orders. The lock is held.
+// orderPhase returns the target's phase between orders. ac.mu must be held.
 func (ac *admissionController) orderPhase() order.Phase {
 	if ac.orderGate == nil {
 		return order.PhaseUnknown
--- a/internal/agent/hand_test.go
+++ b/internal/agent/hand_test.go
@@ -22,7 +22,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// admissionModel is the hand of one agent, a fake engine and the oracle beside them.
+// admissionModel is the admissionController of one agent, with a fake engine and the
+// expected state.
 type admissionModel struct {
 	*admissionController
 	clock          *clock.Manual
@@ -65,10 +66,10 @@
 	m.update(func(now kumquatlug.Millis) { m.drain.Label(m.revision, leaving, now) })
 }
 
-// admissionEvents are drawn as often as they are listed.
+// admissionEvents are the events of the proof. Repeated ones are drawn more often.
 var admissionEvents = []string{
-	"begin", "begin", "begin", "begin", "begin", "end", "end", "started", "crash", "order", "step", "step", "step", "settle",
-	"label", "list", "heard", "heard", "wait", "stop",
+	"begin", "begin", "begin", "begin", "begin", "end", "end", "output", "crash", "order", "step", "step", "step", "settle",
+	"label", "list", "heartbeat", "heartbeat", "wait", "stop",
 }
 
 func runEvent(system commands.SystemUnderTest, e proof.Event) commands.Result {
@@ -85,7 +86,7 @@
 		m.admitCall()
 	case "end":
 		m.finishCall(m.random.IntN(4) > 0)
-	case "started":
+	case "output":
 		if len(m.callIDs) > 0 {
 			m.firstOutput(m.callIDs[m.random.IntN(len(m.callIDs))])
 		}
@@ -105,7 +106,7 @@
 			state = kumquatlug.VMLeaving
 		}
 		m.update(func(now kumquatlug.Millis) { m.drain.List(state, now) })
-	case "heard":
+	case "heartbeat":
 		m.update(func(now kumquatlug.Millis) { m.drain.Heard(now); m.drain.Asked(now) })
 	case "wait":
 		m.clock.Advance(kumquatlug.Millis(m.random.IntN(4_000)))
@@ -127,12 +128,12 @@
 		m.counts["refused"]++
 		return
 	}
-	m.counts["begun"]++
+	m.counts["started"]++
 	if m.stopped {
-		m.fail("work began after the stop")
+		m.fail("a call started after the stop")
 	}
 	if m.engineChanging {
-		m.fail("work began while the engine carries out an order")
+		m.fail("a call started while the engine runs an order")
 	}
 	m.callIDs = append(m.callIDs, id)
 }
@@ -146,7 +147,7 @@
 	m.callIDs = append(m.callIDs[:i], m.callIDs[i+1:]...)
 }
 
-// crash ends all that is in hand, as the goroutines of the calls do.
+// crash ends all calls in flight, as their goroutines do.
 func (m *admissionModel) crash() {
 	if len(m.callIDs) == 0 {
 		return
@@ -158,7 +159,7 @@
 		}
 	}
 	if counted != 1 {
-		m.fail("one crash counted %d times", counted)
+		m.fail("one crash was counted %d times", counted)
 	}
 	m.counts["crashes"]++
 	m.engineChanging, m.role = false, ""
@@ -176,7 +177,8 @@
 	})
 }
 
-// runStep does what the gate asks for, with an engine that takes its time.
+// runStep runs the next step of the order gate on an engine that takes time to
+// complete orders.
 func (m *admissionModel) runStep() {
 	var s order.Step
 	m.updateOrders(func(now kumquatlug.Millis) { s = m.orderGate.Next(now) })
@@ -189,41 +191,41 @@
 	case order.StepRun:
 		m.counts["orders"]++
 		if len(m.callIDs) > 0 {
-			m.fail("an order reaches the engine with %d calls in hand", len(m.callIDs))
+			m.fail("an order was sent to the engine with %d calls in flight", len(m.callIDs))
 		}
 		m.engineChanging, m.role = true, s.Order().Argument()
 		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.Ran(s, order.OutcomeUnknown) })
 	}
 }
 
-// checkInvariants compares what the agent says with what it does.
+// checkInvariants compares what the agent reports with its actual state.
 func (m *admissionModel) checkInvariants() {
 	if got := len(m.calls); got != len(m.callIDs) {
-		m.fail("%d calls are counted and %d in hand", got, len(m.callIDs))
+		m.fail("%d calls are counted as in flight, want %d", got, len(m.callIDs))
 	}
 	if m.drained() && len(m.callIDs) > 0 {
-		m.fail("the agent calls itself done with %d calls in hand", len(m.callIDs))
+		m.fail("the agent is drained with %d calls in flight", len(m.callIDs))
 	}
 	if m.stopped && len(m.callIDs) == 0 && !m.drained() {
-		m.fail("the agent has stopped, has nothing in hand and does not call itself done")
+		m.fail("the agent was stopped and has no calls in flight, but is not drained")
 	}
 	if m.engineChanging && m.targetState(true) == dispatch.TargetServing {
-		m.fail("the agent reports an engine as serving that carries out an order")
+		m.fail("the agent reports an engine that runs an order as serving")
 	}
 }
 
 func TestProofOrdersAndStopsNeverInterruptCalls(t *testing.T) {
-	// Calls begin and end while orders come, an engine changes its role or
-	// crashes in the middle, the target leaves by label or list, entries go
-	// silent and the agent is stopped. A user would notice an answer cut by a
-	// role change or a stop, an agent that never ends, or work sent in vain to
-	// an engine that is away.
+	// Calls start and end while orders arrive, the engine changes its role or crashes
+	// during a change, the target leaves by label or VM list, heartbeats stop, and the
+	// agent is stopped. Users would notice a response interrupted by a role change or a
+	// stop, an agent that never exits, or work sent in vain to an engine that is under
+	// an order.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
-		Claim: "no order or stop cuts work at the agent",
+		Claim: "orders and stops never interrupt calls at the agent",
 		Seed:  11, Runs: 1000, Steps: 120,
 		Command: proof.Events(admissionEvents, runEvent),
 		World:   func() commands.SystemUnderTest { return newAdmissionModel(counts) },
 	})
-	t.Logf("%d begun, %d refused, %d orders, %d crashes", counts["begun"], counts["refused"], counts["orders"], counts["crashes"])
+	t.Logf("%d started, %d refused, %d orders, %d crashes", counts["started"], counts["refused"], counts["orders"], counts["crashes"])
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics are the agent's counters.
+// metrics holds the agent's Prometheus metrics.
 type metrics struct {
 	started  prometheus.Counter
 	refused  *prometheus.CounterVec
--- a/internal/agent/once.go
+++ b/internal/agent/once.go
@@ -14,17 +14,17 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ledger"
 )
 
-// Bounds of a call that may not be repeated, in bytes. Both sides are held
-// whole: the body so that the claim comes after it has arrived, the answer so
-// that it can be kept for a resend.
+// Maximum sizes of a non-idempotent call, in bytes. Request and response are both
+// buffered: the request so that it has arrived in full before the call is claimed, the
+// response so that it can be stored for a resend.
 const (
 	maxRunOnceBodyBytes     = 16 << 20
 	maxRunOnceResponseBytes = 16 << 20
 )
 
-// serveOnce runs a call that may not be repeated, if this process gets its
-// claim, or answers from what is known of an earlier run. It reports whether the
-// target's answer was whole.
+// serveOnce runs a non-idempotent call if this process obtains its claim, or responds
+// with the known result of an earlier run. It reports whether the target's response
+// was complete.
 func (h *workHandler) serveOnce(w http.ResponseWriter, r *http.Request, work peer.Work, id string) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRunOnceBodyBytes+1))
 	if err != nil || len(body) > maxRunOnceBodyBytes {
@@ -47,7 +47,7 @@
 	return h.applyDecision(w, r, work, id, decision)
 }
 
-// applyDecision does what the ledger ruled.
+// applyDecision runs the call or responds as the ledger decided.
 func (h *workHandler) applyDecision(w http.ResponseWriter, r *http.Request, work peer.Work, id string, decision ledger.Ruling) bool {
 	switch decision.Verdict() {
 	case ledger.VerdictRun:
@@ -65,7 +65,7 @@
 	return false
 }
 
-// decisionFailure turns a verdict under which nothing runs into a failure.
+// decisionFailure returns the failure for a verdict under which the call doesn't run.
 func decisionFailure(decision ledger.Ruling, agentName string) *kumquatlug.Failure {
 	c := kumquatlug.FailureConfig{Step: "claim call", Peer: agentName, Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway}
 	switch decision.Verdict() {
@@ -79,8 +79,8 @@
 	return kumquatlug.NewFailure(c)
 }
 
-// runOnce makes the call under its claim. It goes on when the entry hangs up:
-// the effect can't be taken back, and the outcome is kept for whoever asks.
+// runOnce runs the call under its claim. It continues if the gateway disconnects: the
+// effect can't be undone, and the outcome is stored for resends.
 func (h *workHandler) runOnce(w http.ResponseWriter, r *http.Request, work peer.Work, id string, ticket ledger.Ticket) bool {
 	ctx := context.WithoutCancel(r.Context())
 	startedAt := h.agent.c.Clock.Now()
@@ -94,7 +94,7 @@
 		return false
 	}
 	if err := h.ledger.Finish(ticket, outcome); err != nil {
-		h.agent.c.Logger.Error("an outcome could not be kept: " + err.Error())
+		h.agent.c.Logger.Error("failed to store an outcome: " + err.Error())
 	}
 	h.agent.c.Ring.Add(timeline.Record{
 		Name: timeline.WorkEnded, RequestID: work.Request(), Detail: "run once",
@@ -104,7 +104,7 @@
 	return true
 }
 
-// abandonFailure is the failure of a run without an outcome.
+// abandonFailure returns the failure of a run without an outcome.
 func abandonFailure(err error, ran kumquatlug.Ran, agentName string) *kumquatlug.Failure {
 	if ran == kumquatlug.RanNot {
 		return kumquatlug.FailureOf(err)
@@ -115,7 +115,7 @@
 	})
 }
 
-// callTarget runs the call at the target and reads its whole answer.
+// callTarget sends the call to the target and reads the whole response.
 func (h *workHandler) callTarget(ctx context.Context, call kumquatlug.Call) (ledger.Outcome, error) {
 	response, err := h.agent.c.Target.Do(ctx, call)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return ledger.NewOutcome(response.Status(), header, body), nil
 }
 
-// writeOutcome answers the entry with an outcome.
+// writeOutcome responds to the gateway with an outcome.
 func (h *workHandler) writeOutcome(w http.ResponseWriter, work peer.Work, outcome ledger.Outcome) {
 	end := h.forwardResponse(w, kumquatlug.NewAnswer(outcome.Status(), outcome.Header(), io.NopCloser(bytes.NewReader(outcome.Body()))), func() {})
 	h.agent.metrics.ended.WithLabelValues(end).Inc()
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -16,33 +16,35 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/order"
 )
 
-// Figures of the duty that carries orders out.
+// Intervals and keys for running orders.
 const (
-	// orderPollInterval is how often the gate is asked for its next step.
+	// orderPollInterval is the interval at which the gate's next step is requested.
 	orderPollInterval = 100 * time.Millisecond
-	// orderRetryDelay spaces steps that failed, and looks at an engine in mid change.
+	// orderRetryDelay is the delay after a failed step, and between reads of the
+	// state of an engine that is changing.
 	orderRetryDelay = 500 * time.Millisecond
-	// registerRetryDelay spaces tries to register the start.
+	// registerRetryDelay is the delay after a failed attempt to register the start.
 	registerRetryDelay = time.Second
-	// agentKeyPrefix starts the keys of the agents' registrations.
+	// agentKeyPrefix is the prefix of the keys of agents' registrations.
 	agentKeyPrefix = "agent/"
 )
 
-// registration is the row in which the starts of an agent are counted.
+// registration is the row that counts the starts of an agent.
 type registration struct {
 	Starts      order.Incarnation `json:"starts"`
 	Incarnation string            `json:"incarnation"`
 }
 
-// registerStart counts this start in the table and opens the gate for orders. Until
-// it has succeeded no order is taken; work is served all the same.
+// registerStart counts this start in the table and returns the number of starts. The
+// order gate is created only afterwards: until then no order is accepted, but work is
+// served.
 func (a *Agent) registerStart(ctx context.Context) (order.Incarnation, error) {
 	for {
 		starts, err := a.tryRegisterStart(ctx)
 		if err == nil {
 			return starts, nil
 		}
-		a.c.Logger.Warn("can't register this start yet", timeline.ErrorField(err))
+		a.c.Logger.Warn("failed to register this start; retrying", timeline.ErrorField(err))
 		select {
 		case <-time.After(registerRetryDelay):
 		case <-ctx.Done():
@@ -51,8 +53,8 @@
 	}
 }
 
-// tryRegisterStart reads first: after a lost answer the row tells whether this
-// start is already counted.
+// tryRegisterStart reads the row first: after a lost response it shows whether this
+// start has been counted.
 func (a *Agent) tryRegisterStart(ctx context.Context) (order.Incarnation, error) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -78,8 +80,8 @@
 	return r.Starts, a.c.Table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).If(key, row.Version()).Put(key, text))
 }
 
-// runOrders opens the gate and does what it asks for until ctx ends. Services
-// take no orders.
+// runOrders creates the order gate and runs its steps until ctx ends. Services accept
+// no orders.
 func (a *Agent) runOrders(ctx context.Context) error {
 	if a.c.Engine == nil {
 		return nil
@@ -92,8 +94,8 @@
 		a.admission.startCount = starts
 		a.admission.orderGate = order.NewGate(order.GateConfig{Incarnation: starts})
 		for range a.admission.calls {
-			// What began before the gate opened is in hand there, too: an order
-			// must wait for it.
+			// Calls that started before the gate existed count as in flight there,
+			// too, since an order must wait for them.
 			a.admission.orderGate.Begin()
 		}
 	})
@@ -114,9 +116,9 @@
 	}
 }
 
-// updateOrders runs change on the gate under the lock and tells the drain, in the
-// same breath, whether an order takes the target away. Told later, the drain
-// would go on refusing work at an engine that has settled.
+// updateOrders runs change on the order gate under the lock and passes to the drain,
+// under the same lock, whether an order blocks the target. With a delay in between,
+// the drain would refuse work at an engine that has settled.
 func (ac *admissionController) updateOrders(change func(now kumquatlug.Millis)) {
 	ac.update(func(now kumquatlug.Millis) {
 		if ac.orderGate == nil {
@@ -127,11 +129,11 @@
 	})
 }
 
-// runStep does one step and reports whether it brought an answer.
+// runStep runs one step and reports whether it succeeded.
 func (a *Agent) runStep(ctx context.Context, s order.Step) bool {
 	if s.Action() == order.StepRun {
-		// No time limit: given up here, the order could reach the engine after
-		// the gate has read that it was not carried out. It ends with the
+		// No timeout: after one, the order could still reach the engine when the gate
+		// has already read that it was not applied. The request ends with the
 		// connection.
 		return a.sendOrder(ctx, s)
 	}
@@ -155,8 +157,8 @@
 	return err == nil && condition.State != engine.StateChanging
 }
 
-// orderState takes an engine that lost its role in a crash for settled: it
-// is not in the middle of anything, and the next order may come.
+// orderState treats an engine that lost its role in a crash as settled: it is not
+// changing, so the next order may be sent.
 func orderState(c engine.Condition) order.State {
 	return order.NewState(c.State != engine.StateChanging, order.Fact{Verb: order.VerbRole, Argument: string(c.Role)})
 }
@@ -181,7 +183,7 @@
 	return err == nil
 }
 
-// leaseGroup returns the group whose lease holder gives this target its orders.
+// leaseGroup returns the group whose lease holder sends orders to this target.
 func (a *Agent) leaseGroup() string {
 	target := a.targetConfig.Load()
 	if target.labelsErr != nil {
@@ -195,7 +197,7 @@
 	_, err := a.c.Engine.Give(ctx, engine.Order{
 		ID: o.ID().String(), Fence: int64(o.ID().Number()), Verb: string(o.Verb()), Argument: o.Argument(),
 	})
-	// An engine that took the order tells by its state when it has settled.
+	// An engine that accepted the order reports by its state when it has settled.
 	outcome := order.OutcomeUnknown
 	if errors.Is(err, kumquatlug.ErrConflict) {
 		outcome = order.OutcomeNotApplied
@@ -205,7 +207,7 @@
 	return true
 }
 
-// offerOrder takes an order from an entry.
+// offerOrder passes an order from a gateway to the order gate.
 func (a *Agent) offerOrder(o order.Order) order.Reply {
 	reply := order.NewReply(order.VerdictNotReady, "", 0)
 	a.admission.updateOrders(func(kumquatlug.Millis) { reply = a.admission.orderGate.Offer(o) })
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -16,12 +16,12 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// agentService serves entries' heartbeats and orders.
+// agentService implements peerv1connect.AgentServiceHandler: heartbeats and orders.
 type agentService struct {
 	agent *Agent
 }
 
-// Report answers a heartbeat with the target's state.
+// Report answers a heartbeat with the state of the target.
 func (s *agentService) Report(
 	_ context.Context, r *connect.Request[peerv1.ReportRequest],
 ) (*connect.Response[peerv1.ReportResponse], error) {
@@ -61,9 +61,10 @@
 	return response
 }
 
-// maxCacheEventsPerReport bounds the cache events of one report, at 24 bytes each: 32 in
-// each report of the pace of twenty targets are 270 bytes a second. An entry
-// that misses some sees a gap and trusts its beliefs less.
+// maxCacheEventsPerReport bounds the cache events in a report, of 24 bytes each. With
+// 32 of them in each report of a gateway that watches twenty targets they are 270
+// bytes a second. A gateway that misses events detects the gap and trusts its view of
+// the cache less.
 const maxCacheEventsPerReport = 32
 
 func eventsAfter(events []engine.CacheEvent, after int64) []*peerv1.CacheEvent {
@@ -91,7 +92,7 @@
 	return load
 }
 
-// Order offers an order to the gate in front of the engine.
+// Order passes an order to the order gate of the engine.
 func (s *agentService) Order(
 	_ context.Context, r *connect.Request[peerv1.OrderRequest],
 ) (*connect.Response[peerv1.OrderResponse], error) {
--- a/internal/agent/suspect.go
+++ b/internal/agent/suspect.go
@@ -13,17 +13,17 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// suspectKeyPrefix starts the keys of the claims under which suspects run.
+// suspectKeyPrefix is the prefix of the keys of the claims of suspects.
 const suspectKeyPrefix = "suspect/"
 
 // tableTimeout bounds one call to the table outside the ledger.
 const tableTimeout = 2 * time.Second
 
-// claimSuspect wins the claim under which a suspect runs once in the whole
-// fleet. Two entries that each send a copy of a request that crashes targets
-// would otherwise have it crash two more. While the table is out suspects run
-// without: that costs a second copy its bound, and waiting would fail every
-// neighbour of every crash for as long as the table is out.
+// claimSuspect obtains the claim that allows a single run of a suspect in the whole
+// fleet. Without it, two gateways that each send a copy of a request that crashes
+// targets would crash two more. While the table is unavailable, suspects run without
+// a claim: a second copy is then not prevented, but waiting would fail every
+// neighbour of every crash during the outage.
 func (a *Agent) claimSuspect(ctx context.Context, work peer.Work) *kumquatlug.Failure {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -37,23 +37,23 @@
 	if errors.Is(err, kumquatlug.ErrConflict) {
 		return a.refusal("claim suspect", reasonSuspect, err)
 	}
-	a.c.Logger.Warn("a suspect runs without its claim", zap.String("request", work.Request()), timeline.ErrorField(err))
+	a.c.Logger.Warn("failed to claim a suspect; running it without a claim", zap.String("request", work.Request()), timeline.ErrorField(err))
 	return nil
 }
 
-// releaseSuspectClaim removes the claim of a suspect that has finished.
+// releaseSuspectClaim removes the claim of a suspect that has ended.
 func (a *Agent) releaseSuspectClaim(work peer.Work) {
 	ctx, cancel := context.WithTimeout(context.Background(), tableTimeout)
 	defer cancel()
 	err := a.c.Table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).Delete(suspectKeyPrefix+work.Fingerprint()))
 	if err != nil {
-		a.c.Logger.Warn("can't remove a suspect's claim", zap.String("request", work.Request()), timeline.ErrorField(err))
+		a.c.Logger.Warn("failed to release the claim of a suspect", zap.String("request", work.Request()), timeline.ErrorField(err))
 	}
 }
 
-// checkCrash looks whether the target is gone after a call broke off, and returns
-// what its request is now known for. A target that still answers only broke one
-// connection; an entry that hung up broke it itself.
+// checkCrash checks whether the target has crashed after a call failed, and returns the
+// crash notice of the request. If the target still responds, only the connection
+// broke; if ctx has ended, the gateway itself closed the connection.
 func (a *Agent) checkCrash(ctx context.Context, id string, work peer.Work) (notice string) {
 	if ctx.Err() != nil {
 		return ""
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -10,19 +10,19 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Figures of the watch over the target.
+// Intervals and limits of the target monitor.
 const (
-	// healthCheckInterval is how often the target is asked for its health and load. It
-	// is on the same VM, and an entry asks the agent once a second at most.
+	// healthCheckInterval is the interval at which the target's health and load are
+	// read. It is on the same VM, and a gateway sends at most one heartbeat a second.
 	healthCheckInterval = 500 * time.Millisecond
-	// healthCheckTimeout bounds one look.
+	// healthCheckTimeout bounds one check of health and load.
 	healthCheckTimeout = 2 * time.Second
-	// maxKeptCacheEvents bounds the cache events that are told again to an entry which
+	// maxKeptCacheEvents bounds the cache events that are kept for gateways that
 	// missed them.
 	maxKeptCacheEvents = 256
 )
 
-// targetStatus is what the watch last saw of the target.
+// targetStatus is the status of the target at the last check.
 type targetStatus struct {
 	healthy bool
 	load    engine.Load
@@ -31,28 +31,28 @@
 	events  []engine.CacheEvent
 }
 
-// targetMonitor looks at the target and keeps what it saw for entries that ask.
+// targetMonitor polls the target and keeps its status for heartbeats.
 type targetMonitor struct {
 	agent *Agent
 
 	mu sync.Mutex
-	// lastSequence is the engine's number of the last cache event, base what is added
-	// to its numbers: an engine that restarted counts from the start again, and
-	// its events would be passed over as old ones.
+	// lastSequence is the engine's sequence number of the last cache event.
+	// sequenceOffset is added to the engine's numbers: after a restart the engine
+	// counts from the start again, and its events would be skipped as old ones.
 	lastSequence    int64
 	sequenceOffset  int64
 	current         targetStatus
 	lastHeartbeatAt kumquatlug.Millis
 }
 
-// status returns what was last seen.
+// status returns the status at the last check.
 func (m *targetMonitor) status() targetStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.current
 }
 
-// markDown takes that the target was found gone.
+// markDown records that the target has crashed.
 func (m *targetMonitor) markDown() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +61,7 @@
 	m.lastSequence = 0
 }
 
-// recordHeartbeat takes that an entry spoke.
+// recordHeartbeat records a heartbeat.
 func (m *targetMonitor) recordHeartbeat(now kumquatlug.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +74,7 @@
 	return m.lastHeartbeatAt
 }
 
-// run looks at the target until ctx ends.
+// run polls the target until ctx ends.
 func (m *targetMonitor) run(ctx context.Context) error {
 	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
@@ -103,7 +103,7 @@
 func (m *targetMonitor) readEngine(ctx context.Context) {
 	load, err := m.agent.c.Engine.ReadLoad(ctx)
 	if err != nil {
-		m.agent.c.Logger.Debug("can't read load", timeline.ErrorField(err))
+		m.agent.c.Logger.Debug("failed to read the load", timeline.ErrorField(err))
 		return
 	}
 	state, err := m.agent.c.Engine.ReadState(ctx)
@@ -126,7 +126,7 @@
 	return m.lastSequence
 }
 
-// addEvents adds events to those that are told. The lock is held.
+// addEvents appends cache events to the kept ones. m.mu must be held.
 func (m *targetMonitor) addEvents(events []engine.CacheEvent) {
 	if len(events) == 0 {
 		return
@@ -140,10 +140,10 @@
 	m.current.events = all[max(0, len(all)-maxKeptCacheEvents):]
 }
 
-// refreshWhenStale asks the table and the platform's list itself when entries have
-// been quiet. An agent that was paused, or has just started, holds news of
-// unknown age, and the first entry to reach it may itself be cut off: it takes
-// no new work before it has asked.
+// refreshWhenStale queries the table and the VM list when no heartbeats have arrived for
+// a while. The state of an agent that was paused or has just started is of unknown
+// age, and the first gateway that reaches it may itself be disconnected. The agent
+// accepts no new work before the queries.
 func (a *Agent) refreshWhenStale(ctx context.Context) error {
 	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
@@ -163,11 +163,11 @@
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	if err := a.follower.Refresh(ctx); err != nil {
-		a.c.Logger.Warn("can't ask the table for the config", timeline.ErrorField(err))
+		a.c.Logger.Warn("failed to read the config from the table", timeline.ErrorField(err))
 	}
 	vms, err := a.c.VMs.List(ctx)
 	if err != nil {
-		a.c.Logger.Warn("can't ask the platform for its list", timeline.ErrorField(err))
+		a.c.Logger.Warn("failed to read the list of VMs", timeline.ErrorField(err))
 	}
 	a.applyConfig(a.follower.State())
 	a.admission.update(func(now kumquatlug.Millis) {
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -19,14 +19,14 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// copyBufferBytes is how much of an answer is held while it is passed on.
+// copyBufferBytes is the size of the buffer with which a response is copied.
 const copyBufferBytes = 32 << 10
 
-// copyBuffers are those of copyAndFlush: made anew for each call they were seven
-// tenths of all that an agent allocates.
+// copyBuffers are the buffers of copyAndFlush. A new one per call took seven tenths
+// of all memory that an agent allocates.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// workHandler takes work from entries and passes the target's answers back. It is
+// workHandler accepts work from gateways and forwards the target's responses. It is
 // safe for concurrent use.
 type workHandler struct {
 	agent  *Agent
@@ -42,7 +42,7 @@
 	return h, errors.Wrap(err, "open the ledger")
 }
 
-// ServeHTTP takes one piece of work.
+// ServeHTTP handles one call.
 func (h *workHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	work, err := peer.ReadWork(r.Header)
 	if err != nil {
@@ -73,10 +73,11 @@
 	complete = h.serve(w, r, work, id)
 }
 
-// configRefusal says why the config in force here forbids the work. An entry that is
-// cut off routes by an older config and would go on sending to a target that
-// the operator has taken away; the agent's newer config refuses it. An agent
-// with the older config has no say and pulls the newer one instead.
+// configRefusal returns why the config in force forbids the work, empty if it doesn't.
+// A disconnected gateway routes by an older config and would continue to send work to
+// a target that the operator has withdrawn; the agent's newer config refuses it. If
+// the agent's config is the older one, it refuses nothing and the agent pulls the
+// newer one.
 func (h *workHandler) configRefusal(work peer.Work) string {
 	target := h.agent.targetConfig.Load()
 	if int64(target.revision) < work.Revision() {
@@ -98,7 +99,8 @@
 	peer.WriteFailure(w, f, int64(h.agent.follower.State().Revision()), logical)
 }
 
-// serve makes the call, passes the answer back and reports whether it was whole.
+// serve forwards the call and its response, and reports whether the response was
+// complete.
 func (h *workHandler) serve(w http.ResponseWriter, r *http.Request, work peer.Work, id string) bool {
 	startedAt := h.agent.c.Clock.Now()
 	h.importKV(r)
@@ -125,19 +127,19 @@
 }
 
 // importKV has the engine fetch the KV cache of the prompt from the engine that
-// ran it. When that fails the engine runs the prompt itself: slower, and as
-// right.
+// prefilled it. If that fails, the engine prefills the prompt itself, which is slower
+// and gives the same result.
 func (h *workHandler) importKV(r *http.Request) {
 	handle := r.Header.Get(peer.HeaderKV)
 	if handle == "" || h.agent.c.Engine == nil {
 		return
 	}
 	if err := h.agent.c.Engine.ImportKV(r.Context(), handle); err != nil {
-		h.agent.c.Logger.Warn("can't import a KV cache; the prompt runs again", timeline.ErrorField(err))
+		h.agent.c.Logger.Warn("failed to import a KV cache; the prompt is prefilled again", timeline.ErrorField(err))
 	}
 }
 
-// refuseFailed answers for a call that brought no answer.
+// refuseFailed responds for a call without a response from the target.
 func (h *workHandler) refuseFailed(w http.ResponseWriter, r *http.Request, work peer.Work, id string, err error) {
 	f := kumquatlug.FailureOf(err)
 	if notice := h.agent.checkCrash(r.Context(), id, work); notice != "" {
@@ -146,7 +148,7 @@
 	h.refuse(w, work, f)
 }
 
-// targetCall returns the call as the target is to see it.
+// targetCall returns the call as it is sent to the target.
 func targetCall(r *http.Request, work peer.Work) kumquatlug.Call {
 	header := http.Header{}
 	peer.CopyHeaders(header, r.Header)
@@ -160,9 +162,9 @@
 	return kumquatlug.NewCall(r.Method, path, header, r.Body)
 }
 
-// forwardResponse copies the answer to the entry as it comes. The trailer tells whether
-// it was whole: when a target dies its kernel may close the connection in an
-// orderly way, which alone reads like the end of an answer.
+// forwardResponse streams the response to the gateway. The trailer says whether it is
+// complete: when a target crashes, its kernel may close the connection normally,
+// which is indistinguishable from the end of a response.
 func (h *workHandler) forwardResponse(w http.ResponseWriter, response kumquatlug.Answer, onFirstOutput func()) string {
 	header := w.Header()
 	peer.CopyHeaders(header, response.Header())
@@ -180,8 +182,8 @@
 	return end
 }
 
-// copyAndFlush copies body to w and sends each part on at once; started is
-// called at the first part.
+// copyAndFlush copies body to w and flushes each part; it calls onFirstOutput before
+// the first one.
 func copyAndFlush(w http.ResponseWriter, body io.Reader, onFirstOutput func()) error {
 	control := http.NewResponseController(w)
 	pooled := copyBuffers.Get().(*[copyBufferBytes]byte)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -44,13 +44,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent, entry := issueKeys(t, authority, RoleAgent), issueKeys(t, authority, RoleEntry)
+	agentKeys, gatewayKeys := issueKeys(t, authority, RoleAgent), issueKeys(t, authority, RoleEntry)
 	otherAuthority, err := NewAuthority(time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := httptest.NewUnstartedServer(agent.Only(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), RoleEntry))
-	server.TLS = agent.Server()
+	server := httptest.NewUnstartedServer(agentKeys.Only(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), RoleEntry))
+	server.TLS = agentKeys.Server()
 	server.StartTLS()
 	defer server.Close()
 	address := server.Listener.Addr().String()
@@ -65,10 +65,10 @@
 		defer response.Body.Close()
 		return response.StatusCode
 	}
-	if got := statusWith(entry); got != http.StatusOK {
+	if got := statusWith(gatewayKeys); got != http.StatusOK {
 		t.Errorf("status of a gateway: %d, want 200", got)
 	}
-	if got := statusWith(agent); got != http.StatusForbidden {
+	if got := statusWith(agentKeys); got != http.StatusForbidden {
 		t.Errorf("status of an agent: %d, want 403", got)
 	}
 	if got := statusWith(issueKeys(t, otherAuthority, RoleEntry)); got != 0 {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -9,13 +9,13 @@
 // A gateway sends work to an agent whose wall clock is behind. Ordered by wall
 // clock, the work would start before it was sent.
 func TestMergeOrdersByLogicalClock(t *testing.T) {
-	entry, agent := NewRing("entry", 8), NewRing("agent", 8)
-	sent := entry.Add(Record{Name: Sent, RequestID: "r"})
+	gateway, agent := NewRing("gateway", 8), NewRing("agent", 8)
+	sent := gateway.Add(Record{Name: Sent, RequestID: "r"})
 	agent.Witness(sent)
 	agent.Add(Record{Name: WorkBegun, RequestID: "r"})
 	a, _ := agent.After(0, "r")
 	a[0].WallMs -= 60_000
-	e, _ := entry.After(0, "r")
+	e, _ := gateway.After(0, "r")
 	merged := Merge(a, e)
 	if got := merged[0].GetName(); got != string(Sent) {
 		t.Fatalf("first event is %s, want %s", got, Sent)
