--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -129,7 +129,8 @@
 	})
 }
 
-// runStep runs one step and reports whether it succeeded.
+// runStep runs one step and reports whether the next one may follow without the
+// delay after a failure.
 func (a *Agent) runStep(ctx context.Context, s order.Step) bool {
 	if s.Action() == order.StepRun {
 		// No timeout: after one, the order could still reach the engine when the gate
