--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,8 @@
-// Package agent wires the process beside a target: the only way to it. It
-// checks every piece of work against the config and the leaving state, runs
-// calls that may not be repeated at most once, hands orders on only from the
-// newest lease holder, and tells entries of the target's load and crashes.
+// Package agent implements the agent, the process that runs beside a target and
+// through which all work reaches it. The agent checks each call against the config
+// and the drain state, runs non-idempotent calls at most once, forwards orders only
+// from the newest lease holder, and reports the target's load and crashes to
+// gateways.
 package agent
 
 import (
@@ -24,30 +25,30 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// Config is what an [Agent] is made of.
+// Config holds the settings and dependencies of an [Agent].
 type Config struct {
-	// Name is the target's name, as in the platform's list.
+	// Name is the target's name in the platform's list.
 	Name string
 	// Zone is the data centre.
 	Zone string
-	// Listener is where entries reach the agent.
+	// Listener accepts the connections of gateways.
 	Listener net.Listener
-	// Keys are the agent's own; nil means plain connections on loopback.
+	// Keys are the agent's TLS keys; nil means plain connections, for loopback only.
 	Keys *peer.Keys
-	// Target is what the agent stands beside; Engine is the same when it is an
+	// Target is the target beside the agent. Engine is the same target if it is an
 	// engine, nil for a plain service.
 	Target kumquatlug.Target
 	Engine *engine.Engine
-	// ChecksFence says whether the engine itself refuses old fencing numbers.
+	// ChecksFence reports whether the engine itself refuses outdated fencing numbers.
 	ChecksFence bool
 	Table       kumquatlug.Table
 	Objects     kumquatlug.Objects
 	VMs         kumquatlug.VMs
-	// Address is what entries are told to reach the agent by; empty means the
+	// Address is the address at which gateways reach the agent. Default is the
 	// address of Listener.
 	Address string
-	// Silence is after how long without an entry's heartbeat the agent asks for
-	// itself before it takes new work, in milliseconds; zero means
+	// Silence is the time without heartbeats after which the agent queries its state
+	// itself before it accepts new work, in milliseconds. Default is
 	// drain.AgentSilence.
 	Silence  kumquatlug.Millis
 	Clock    kumquatlug.Clock
@@ -58,25 +59,25 @@
 
 // Agent is the process beside one target.
 type Agent struct {
-	c           Config
-	incarnation string
-	follower    *peer.Follower
-	dialer      *peer.Dialer
-	work        *workDesk
-	hand        *hand
-	watch       *watch
-	metrics     *metrics
-	terms       atomic.Pointer[terms]
+	c            Config
+	incarnation  string
+	follower     *peer.Follower
+	dialer       *peer.Dialer
+	work         *workHandler
+	admission    *admissionController
+	monitor      *targetMonitor
+	metrics      *metrics
+	targetConfig atomic.Pointer[targetConfig]
 }
 
-// terms are what the config in force says of the target. They are read once for
-// each revision and looked up by every piece of work.
-type terms struct {
+// targetConfig is what the config in force says about the target. It is computed once
+// per revision and used by every call.
+type targetConfig struct {
 	revision  config.Revision
 	selectors []selector.Selector
 	labels    selector.Labels
-	// err is why the target's labels can't be read.
-	err error
+	// labelsErr is set if the target's labels can't be decoded.
+	labelsErr error
 }
 
 // New returns an agent that is ready to run.
@@ -86,44 +87,45 @@
 		a.c.Silence = drain.AgentSilence
 	}
 	a.metrics = newMetrics(c.Registry)
-	a.watch = &watch{agent: a}
-	a.hand = newHand(a)
+	a.monitor = &targetMonitor{agent: a}
+	a.admission = newAdmissionController(a)
 	a.follower = peer.NewFollower(peer.FollowerConfig{
 		Me: c.Name, Dialer: a.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger,
 		Store: config.NewStore(config.StoreConfig{Table: c.Table, Objects: c.Objects}),
-		Live:  func() []string { return nil }, Passive: true, OnState: a.followConfig,
+		Live:  func() []string { return nil }, Passive: true, OnState: a.applyConfig,
 	})
-	work, err := newWorkDesk(a)
+	work, err := newWorkHandler(a)
 	a.work = work
 	return a, err
 }
 
-// followConfig hands a config that came into force to the drain. It is called
-// for each revision, also where the label stays the same.
-func (a *Agent) followConfig(state config.State) {
+// applyConfig passes a config that comes into force to the drain. It is called for
+// each revision, even if the label doesn't change.
+func (a *Agent) applyConfig(state config.State) {
 	labels, err := config.Labels(state, a.c.Name)
 	selectors, _ := config.Selectors(state)
-	next := &terms{revision: state.Revision(), selectors: selectors, labels: labels.With(a.c.Name, a.c.Zone), err: err}
-	a.hand.with(func(now kumquatlug.Millis) {
-		// Two duties call this; the slower one must not bring old terms back.
-		if held := a.terms.Load(); held == nil || held.revision <= next.revision {
-			a.terms.Store(next)
+	next := &targetConfig{revision: state.Revision(), selectors: selectors, labels: labels.With(a.c.Name, a.c.Zone), labelsErr: err}
+	a.admission.update(func(now kumquatlug.Millis) {
+		// The follower and refreshWhenStale both call applyConfig; the later of the two
+		// calls may have the older config, which must not replace the newer one.
+		if current := a.targetConfig.Load(); current == nil || current.revision <= next.revision {
+			a.targetConfig.Store(next)
 		}
 		if err != nil || state.Revision() == 0 {
 			return
 		}
-		a.hand.drain.Label(int64(state.Revision()), labels.Leaving(), now)
+		a.admission.drain.Label(int64(state.Revision()), labels.Leaving(), now)
 	})
 }
 
-// failure returns a refusal before anything was sent to the target.
-func (a *Agent) failure(step, reason string, cause error) *kumquatlug.Failure {
+// refusal returns a failure of a call that was not sent to the target.
+func (a *Agent) refusal(step, reason string, cause error) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: step, Peer: a.c.Name, Reason: reason, Ran: kumquatlug.RanNot, Cause: cause,
 	})
 }
 
-// Protocol returns how the target is spoken to.
+// Protocol returns the protocol of the target.
 func (a *Agent) Protocol() kumquatlug.Protocol {
 	if a.c.Engine != nil {
 		return kumquatlug.ProtocolEngine
@@ -131,19 +133,19 @@
 	return kumquatlug.ProtocolService
 }
 
-// Run serves until ctx ends, then stops gracefully: new work is refused as not
-// run and everything in hand is finished, however long it takes.
+// Run serves until ctx ends and then shuts down gracefully: it refuses new work as
+// not-run and completes the calls in flight, however long they take.
 func (a *Agent) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var group run.Group
-	for _, duty := range []func(context.Context) error{
-		a.follower.Run, a.watch.run, a.askWhenSilent, a.carryOrders, a.work.ledger.Run,
+	for _, task := range []func(context.Context) error{
+		a.follower.Run, a.monitor.run, a.refreshWhenStale, a.runOrders, a.work.ledger.Run,
 		a.presence().Run,
 	} {
-		peer.AddDuty(background, &group, duty)
+		peer.AddDuty(background, &group, task)
 	}
-	peer.AddServer(&group, "serve entries", &http.Server{Handler: a.handler(), TLSConfig: a.c.Keys.Server()}, a.c.Listener)
+	peer.AddServer(&group, "serve gateways", &http.Server{Handler: a.handler(), TLSConfig: a.c.Keys.Server()}, a.c.Listener)
 	group.Add(func() error {
 		<-ctx.Done()
 		a.drain(background)
@@ -159,14 +161,14 @@
 	keys := a.c.Keys
 	path, service := peerv1connect.NewPeerServiceHandler(peer.NewService(a.follower, a.c.Ring), peer.HandlerOptions())
 	mux.Handle(path, keys.Only(service, peer.RoleEntry, peer.RoleAgent))
-	path, agent := peerv1connect.NewAgentServiceHandler(&reports{agent: a}, peer.HandlerOptions())
+	path, agent := peerv1connect.NewAgentServiceHandler(&agentService{agent: a}, peer.HandlerOptions())
 	mux.Handle(path, keys.Only(agent, peer.RoleEntry))
 	mux.Handle(peer.WorkPath+"/", keys.Only(a.work, peer.RoleEntry))
 	mux.Handle("/metrics", metricsHandler(a.c.Registry))
 	return mux
 }
 
-// presence is the agent's entry on the list of VMs.
+// presence returns the agent's registration in the list of VMs.
 func (a *Agent) presence() peer.Presence {
 	address := a.c.Address
 	if address == "" {
@@ -177,14 +179,14 @@
 	})}
 }
 
-// drain refuses new work and waits for all that is in hand; no time limit cuts
-// a call that is being answered.
+// drain refuses new work and waits for the calls in flight. It has no timeout, so
+// that no response is interrupted.
 func (a *Agent) drain(ctx context.Context) {
-	a.hand.stop()
+	a.admission.stop()
 	a.c.Ring.Add(timeline.Record{Name: timeline.StateChanged, Detail: "stopping"})
-	peer.WaitUntil(ctx, a.hand.idle)
+	peer.WaitUntil(ctx, a.admission.drained)
 	if err := a.work.ledger.Flush(ctx); err != nil {
-		a.c.Logger.Warn("outcomes could not be stored before the stop", timeline.ErrorField(err))
+		a.c.Logger.Warn("failed to store outcomes before the shutdown", timeline.ErrorField(err))
 	}
-	a.c.Logger.Info("agent has finished its work and stops", zap.String("name", a.c.Name))
+	a.c.Logger.Info("agent stops; no calls in flight", zap.String("name", a.c.Name))
 }
--- /dev/null
+++ b/internal/agent/run_once.go
@@ -0,0 +1,143 @@
+package agent
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/kumquatlug/kumquatlug/internal/peer"
+	"github.com/kumquatlug/kumquatlug/internal/timeline"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ledger"
+)
+
+// Maximum sizes of a non-idempotent call, in bytes. Request and response are both
+// buffered: the request so that it has arrived in full before the call is claimed, the
+// response so that it can be stored for a resend.
+const (
+	maxRunOnceBodyBytes     = 16 << 20
+	maxRunOnceResponseBytes = 16 << 20
+)
+
+// serveOnce runs a non-idempotent call if this process obtains its claim, or responds
+// with the known result of an earlier run. It reports whether the target's response
+// was complete.
+func (h *workHandler) serveOnce(w http.ResponseWriter, r *http.Request, work peer.Work, id string) bool {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRunOnceBodyBytes+1))
+	if err != nil || len(body) > maxRunOnceBodyBytes {
+		h.refuse(w, work, h.agent.refusal("read work", "body_not_read", err))
+		return false
+	}
+	dispatch, err := ledger.ParseDispatch(work.Dispatch())
+	if err != nil {
+		h.refuse(w, work, h.agent.refusal("read work", "bad_work", err))
+		return false
+	}
+	r.Body = io.NopCloser(bytes.NewReader(body))
+	decision, err := h.ledger.Begin(r.Context(), ledger.NewCall(ledger.CallConfig{
+		Caller: work.Caller(), Key: work.Key(), Body: work.Fingerprint(), Dispatch: dispatch,
+	}))
+	if err != nil {
+		h.refuse(w, work, kumquatlug.FailureOf(err))
+		return false
+	}
+	return h.applyDecision(w, r, work, id, decision)
+}
+
+// applyDecision runs the call or responds as the ledger decided.
+func (h *workHandler) applyDecision(w http.ResponseWriter, r *http.Request, work peer.Work, id string, decision ledger.Ruling) bool {
+	switch decision.Verdict() {
+	case ledger.VerdictRun:
+		return h.runOnce(w, r, work, id, decision.Ticket())
+	case ledger.VerdictAnswer:
+		w.Header().Set(peer.ReplayedHeader, "true")
+		h.writeOutcome(w, work, decision.Outcome())
+	case ledger.VerdictStale:
+		f := h.agent.refusal("claim call", "stale_dispatch", nil)
+		h.agent.metrics.refused.WithLabelValues(f.Reason()).Inc()
+		peer.WriteStaleDispatch(w, f, int64(h.agent.follower.State().Revision()), h.agent.c.Ring.Logical(), decision.Dispatch().String())
+	default:
+		h.refuse(w, work, decisionFailure(decision, h.agent.c.Name))
+	}
+	return false
+}
+
+// decisionFailure returns the failure for a verdict under which the call doesn't run.
+func decisionFailure(decision ledger.Ruling, agentName string) *kumquatlug.Failure {
+	c := kumquatlug.FailureConfig{Step: "claim call", Peer: agentName, Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway}
+	switch decision.Verdict() {
+	case ledger.VerdictConflict:
+		c.Reason, c.Ran, c.Status = "key_reused", kumquatlug.RanNot, http.StatusUnprocessableEntity
+	case ledger.VerdictElsewhere:
+		c.Reason, c.Peer = peer.ReasonElsewhere, decision.Holder().Target()
+	default:
+		c.Reason = peer.ReasonUnknown
+	}
+	return kumquatlug.NewFailure(c)
+}
+
+// runOnce runs the call under its claim. It continues if the gateway disconnects: the
+// effect can't be undone, and the outcome is stored for resends.
+func (h *workHandler) runOnce(w http.ResponseWriter, r *http.Request, work peer.Work, id string, ticket ledger.Ticket) bool {
+	ctx := context.WithoutCancel(r.Context())
+	startedAt := h.agent.c.Clock.Now()
+	outcome, err := h.callTarget(ctx, targetCall(r, work))
+	if err != nil {
+		ran := kumquatlug.RanOf(err)
+		if abandonErr := h.ledger.Abandon(ticket, ran); abandonErr != nil {
+			err = errors.WithSecondaryError(err, abandonErr)
+		}
+		h.refuseFailed(w, r, work, id, abandonFailure(err, ran, h.agent.c.Name))
+		return false
+	}
+	if err := h.ledger.Finish(ticket, outcome); err != nil {
+		h.agent.c.Logger.Error("failed to store an outcome: " + err.Error())
+	}
+	h.agent.c.Ring.Add(timeline.Record{
+		Name: timeline.WorkEnded, RequestID: work.Request(), Detail: "run once",
+		Duration: int64(h.agent.c.Clock.Now() - startedAt),
+	})
+	h.writeOutcome(w, work, outcome)
+	return true
+}
+
+// abandonFailure returns the failure of a run without an outcome.
+func abandonFailure(err error, ran kumquatlug.Ran, agentName string) *kumquatlug.Failure {
+	if ran == kumquatlug.RanNot {
+		return kumquatlug.FailureOf(err)
+	}
+	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
+		Step: "call target", Peer: agentName, Reason: peer.ReasonUnknown, Ran: kumquatlug.RanUnknown,
+		Status: http.StatusBadGateway, Cause: err,
+	})
+}
+
+// callTarget sends the call to the target and reads the whole response.
+func (h *workHandler) callTarget(ctx context.Context, call kumquatlug.Call) (ledger.Outcome, error) {
+	response, err := h.agent.c.Target.Do(ctx, call)
+	if err != nil {
+		return ledger.Outcome{}, err
+	}
+	defer response.Body().Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body(), maxRunOnceResponseBytes+1))
+	if err != nil {
+		return ledger.Outcome{}, errors.Wrap(err, "read the target's answer")
+	}
+	if len(body) > maxRunOnceResponseBytes {
+		return ledger.Outcome{}, errors.Newf("the answer is larger than %d bytes", maxRunOnceResponseBytes)
+	}
+	header := http.Header{}
+	peer.CopyHeaders(header, response.Header())
+	header.Del("Content-Length")
+	return ledger.NewOutcome(response.Status(), header, body), nil
+}
+
+// writeOutcome responds to the gateway with an outcome.
+func (h *workHandler) writeOutcome(w http.ResponseWriter, work peer.Work, outcome ledger.Outcome) {
+	end := h.forwardResponse(w, kumquatlug.NewAnswer(outcome.Status(), outcome.Header(), io.NopCloser(bytes.NewReader(outcome.Body()))), func() {})
+	h.agent.metrics.ended.WithLabelValues(end).Inc()
+	h.agent.c.Ring.Add(timeline.Record{Name: timeline.WorkEnded, RequestID: work.Request(), Detail: end})
+}
--- a/internal/agent/suspect.go
+++ b/internal/agent/suspect.go
@@ -13,61 +13,61 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// suspectPrefix starts the keys of the claims under which suspects run.
-const suspectPrefix = "suspect/"
+// suspectKeyPrefix is the prefix of the keys of the claims of suspects.
+const suspectKeyPrefix = "suspect/"
 
 // tableTimeout bounds one call to the table outside the ledger.
 const tableTimeout = 2 * time.Second
 
-// claimSuspect wins the claim under which a suspect runs once in the whole
-// fleet. Two entries that each send a copy of a request that crashes targets
-// would otherwise have it crash two more. While the table is out suspects run
-// without: that costs a second copy its bound, and waiting would fail every
-// neighbour of every crash for as long as the table is out.
+// claimSuspect obtains the claim that allows a single run of a suspect in the whole
+// fleet. Without it, two gateways that each send a copy of a request that crashes
+// targets would crash two more. While the table is unavailable, suspects run without
+// a claim: a second copy is then not prevented, but waiting would fail every
+// neighbour of every crash during the outage.
 func (a *Agent) claimSuspect(ctx context.Context, work peer.Work) *kumquatlug.Failure {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	tx := kumquatlug.NewTx(ulid.Make().String()).
-		If(suspectPrefix+work.Fingerprint(), 0).
-		Put(suspectPrefix+work.Fingerprint(), []byte(a.c.Name))
+		If(suspectKeyPrefix+work.Fingerprint(), 0).
+		Put(suspectKeyPrefix+work.Fingerprint(), []byte(a.c.Name))
 	err := a.c.Table.Commit(ctx, tx)
 	if err == nil {
 		return nil
 	}
 	if errors.Is(err, kumquatlug.ErrConflict) {
-		return a.failure("claim suspect", reasonSuspect, err)
+		return a.refusal("claim suspect", reasonSuspect, err)
 	}
-	a.c.Logger.Warn("a suspect runs without its claim", zap.String("request", work.Request()), timeline.ErrorField(err))
+	a.c.Logger.Warn("failed to claim a suspect; running it without a claim", zap.String("request", work.Request()), timeline.ErrorField(err))
 	return nil
 }
 
-// unclaimSuspect removes the claim of a suspect that has finished.
-func (a *Agent) unclaimSuspect(work peer.Work) {
+// releaseSuspectClaim removes the claim of a suspect that has ended.
+func (a *Agent) releaseSuspectClaim(work peer.Work) {
 	ctx, cancel := context.WithTimeout(context.Background(), tableTimeout)
 	defer cancel()
-	err := a.c.Table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).Delete(suspectPrefix+work.Fingerprint()))
+	err := a.c.Table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).Delete(suspectKeyPrefix+work.Fingerprint()))
 	if err != nil {
-		a.c.Logger.Warn("can't remove a suspect's claim", zap.String("request", work.Request()), timeline.ErrorField(err))
+		a.c.Logger.Warn("failed to release the claim of a suspect", zap.String("request", work.Request()), timeline.ErrorField(err))
 	}
 }
 
-// broke looks whether the target is gone after a call broke off, and returns
-// what its request is now known for. A target that still answers only broke one
-// connection; an entry that hung up broke it itself.
-func (a *Agent) broke(ctx context.Context, id string, work peer.Work) (notice string) {
+// checkCrash checks whether the target has crashed after a call failed, and returns the
+// crash notice of the request. If the target still responds, only the connection
+// broke; if ctx has ended, the gateway itself closed the connection.
+func (a *Agent) checkCrash(ctx context.Context, id string, work peer.Work) (notice string) {
 	if ctx.Err() != nil {
 		return ""
 	}
-	look, cancel := context.WithTimeout(context.WithoutCancel(ctx), watchTimeout)
+	checkCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), healthCheckTimeout)
 	defer cancel()
-	if a.c.Target.Healthy(look) == nil {
+	if a.c.Target.Healthy(checkCtx) == nil {
 		return ""
 	}
-	if a.hand.crashed(id) {
-		a.watch.down()
+	if a.admission.recordCrash(id) {
+		a.monitor.markDown()
 		a.metrics.crashes.Inc()
 		a.c.Ring.Add(timeline.Record{Name: timeline.TargetCrashed, RequestID: work.Request()})
 		a.c.Logger.Warn("target crashed", zap.String("request", work.Request()))
 	}
-	return a.hand.notice(work.Fingerprint())
+	return a.admission.crashNotice(work.Fingerprint())
 }
--- a/internal/engine/decode_test.go
+++ b/internal/engine/decode_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// events are what engines send, and what they might.
-var events = []string{
+// sampleEvents are events that engines send, and unusual ones that they may send.
+var sampleEvents = []string{
 	`{"id":"cmpl-1","object":"text_completion","created":1,"model":"m","choices":[{"index":0,"text":" w","finish_reason":null}],` +
 		`"usage":{"prompt_tokens":5,"completion_tokens":1,"total_tokens":6,"prompt_tokens_details":{"cached_tokens":0}}}`,
 	`{"id":"cmpl-1","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,` +
@@ -20,21 +20,20 @@
 	` { "choices" : [ {"index":0,"delta":{"content":"a","content":"b"}} ] } `,
 }
 
-// A reader of its own that reads some event otherwise than encoding/json would
-// give callers another answer than the engine gave. All events with bytes
-// changed, doubled and left out must come out as encoding/json reads them, the
-// errors too.
-func TestDecodeReadsAsEncodingJSONDoes(t *testing.T) {
+// If decodeChunk decoded an event differently from encoding/json, callers would get
+// another response than the engine sent. Events with bytes replaced, duplicated and
+// removed must give the same chunks and the same errors as with encoding/json.
+func TestDecodeChunkMatchesEncodingJSON(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	const bytesOfEvents = `{}[]":,0123456789 nulltrueabcidé\/-+.eE<>&` + "\n\x7f"
-	plain := 0
+	const mutationBytes = `{}[]":,0123456789 nulltrueabcidé\/-+.eE<>&` + "\n\x7f"
+	fastDecoded := 0
 	for range 200_000 {
-		data := []byte(events[random.IntN(len(events))])
+		data := []byte(sampleEvents[random.IntN(len(sampleEvents))])
 		for range random.IntN(3) {
 			i := random.IntN(len(data))
 			switch random.IntN(3) {
 			case 0:
-				data[i] = bytesOfEvents[random.IntN(len(bytesOfEvents))]
+				data[i] = mutationBytes[random.IntN(len(mutationBytes))]
 			case 1:
 				data = append(data[:i:i], data[i+1:]...)
 			default:
@@ -45,26 +44,27 @@
 		wantErr := json.Unmarshal(data, &want)
 		got, err := decodeChunk(data, Chunk{ID: "cmpl-1", Model: "m"})
 		if (err == nil) != (wantErr == nil) || err == nil && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%s\nread %+v, %v\nwant %+v, %v", data, got, err, want, wantErr)
+			t.Fatalf("%s\ndecoded %+v, %v\nwant %+v, %v", data, got, err, want, wantErr)
 		}
 		s := scanner{rest: data}
 		if _, ok := s.chunk(); ok {
-			plain++
+			fastDecoded++
 		}
 	}
-	if plain == 0 {
-		t.Fatal("no event was read the short way")
+	if fastDecoded == 0 {
+		t.Fatal("no event was decoded by the scanner")
 	}
 }
 
-// Callers get the bytes that encoding/json writes, whatever is in a token.
-func TestAppendJSONWritesAsEncodingJSONDoes(t *testing.T) {
+// Chunks must be encoded to the bytes that encoding/json writes, whatever a token
+// contains.
+func TestAppendJSONMatchesEncodingJSON(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
-	letters := []string{"a", " ", "é", "\u2028", "<", "&", "\"", "\\", "\n", "\x00", "\x7f", "\xff", "w1"}
+	fragments := []string{"a", " ", "é", "\u2028", "<", "&", "\"", "\\", "\n", "\x00", "\x7f", "\xff", "w1"}
 	text := func() string {
 		var s string
 		for range random.IntN(4) {
-			s += letters[random.IntN(len(letters))]
+			s += fragments[random.IntN(len(fragments))]
 		}
 		return s
 	}
@@ -98,7 +98,7 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	data := []byte(events[0])
+	data := []byte(sampleEvents[0])
 	b.Run("plain", func(b *testing.B) {
 		b.ReportAllocs()
 		last, _ := decodeChunk(data, Chunk{})
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,10 +1,10 @@
-// Package operator speaks to operators: the API that an entry serves to them
-// and the client that the command line uses.
+// Package operator contains the API that a gateway serves to operators, and its
+// client, which the command line uses.
 //
-// A change that failed is told in one of three ways that an operator must not
-// mix up: it met somebody else's change (conflict, look again), it was not
-// allowed or not valid (nothing happened), or its answer was lost (it may have
-// taken effect: send the same change again under the same id).
+// A failed change reports one of three kinds of error, after which an operator has
+// to act differently: it conflicted with another change (conflict: read again), it
+// was not allowed or not valid (nothing was changed), or its response was lost (it
+// may have taken effect: send the same change again with the same id).
 package operator
 
 import (
@@ -27,7 +27,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// Desk is what the API needs from the entry behind it.
+// Desk is the part of a gateway that the API uses.
 type Desk interface {
 	Change(ctx context.Context, p config.Proposal) (config.Change, error)
 	State() config.State
@@ -36,7 +36,7 @@
 	Timeline(ctx context.Context, requestID string) (*peerv1.EventsResponse, error)
 }
 
-// HandlerConfig is what the API is made of.
+// HandlerConfig holds the dependencies of the handler.
 type HandlerConfig struct {
 	Desk Desk
 	// Keys maps the hash of an operator's key to the operator's name.
@@ -44,21 +44,21 @@
 	Logger *zap.Logger
 }
 
-// NewHandler returns the path and the handler of the operators' API.
+// NewHandler returns the path and the handler of the operator API.
 func NewHandler(c HandlerConfig) (string, http.Handler) {
 	path, handler := peerv1connect.NewOperatorServiceHandler(&server{c: c})
-	return path, authenticated(c.Keys, handler)
+	return path, requireOperatorKey(c.Keys, handler)
 }
 
-// authorKey finds the operator's name in a request's context.
+// authorKey is the context key of the operator's name.
 type authorKey struct{}
 
-// authenticated lets only operators through. A caller's key is not among these,
-// so that no caller can reach the operators' API.
-func authenticated(keys map[string]string, next http.Handler) http.Handler {
+// requireOperatorKey rejects requests without an operator's key. Callers' keys are
+// not in keys, so no caller can use the operator API.
+func requireOperatorKey(keys map[string]string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		author, known := authorOf(keys, kumquatlug.HashKey(strings.TrimSpace(key)))
+		author, known := lookupAuthor(keys, kumquatlug.HashKey(strings.TrimSpace(key)))
 		if !known {
 			http.Error(w, `{"code":"unauthenticated","message":"no operator has this key"}`, http.StatusUnauthorized)
 			return
@@ -67,10 +67,10 @@
 	})
 }
 
-func authorOf(keys map[string]string, hash string) (string, bool) {
+func lookupAuthor(keys map[string]string, hash string) (string, bool) {
 	author, found := "", false
-	for known, name := range keys {
-		if subtle.ConstantTimeCompare([]byte(known), []byte(hash)) == 1 {
+	for operatorHash, name := range keys {
+		if subtle.ConstantTimeCompare([]byte(operatorHash), []byte(hash)) == 1 {
 			author, found = name, true
 		}
 	}
@@ -82,7 +82,7 @@
 	c HandlerConfig
 }
 
-// Change makes a change the next revision.
+// Change applies a change as the next revision of the config.
 func (s *server) Change(
 	ctx context.Context, r *connect.Request[peerv1.ChangeRequest],
 ) (*connect.Response[peerv1.ChangeResponse], error) {
@@ -95,15 +95,15 @@
 	}
 	change, err := s.c.Desk.Change(ctx, p)
 	if err != nil {
-		s.c.Logger.Warn("change failed", zap.String("author", author), zap.String("change", p.ID()), timeline.ErrorField(err))
-		return nil, connect.NewError(codeOf(err), err)
+		s.c.Logger.Warn("config change failed", zap.String("author", author), zap.String("change", p.ID()), timeline.ErrorField(err))
+		return nil, connect.NewError(connectCode(err), err)
 	}
-	s.c.Logger.Info("change made", zap.String("author", author), zap.String("change", p.ID()), zap.Int64("revision", int64(change.Revision())))
+	s.c.Logger.Info("config changed", zap.String("author", author), zap.String("change", p.ID()), zap.Int64("revision", int64(change.Revision())))
 	return connect.NewResponse(&peerv1.ChangeResponse{Revision: int64(change.Revision())}), nil
 }
 
-// codeOf keeps conflict, denied and lost apart.
-func codeOf(err error) connect.Code {
+// connectCode maps conflict, denied and lost to different codes.
+func connectCode(err error) connect.Code {
 	switch {
 	case errors.Is(err, kumquatlug.ErrConflict):
 		return connect.CodeAborted
@@ -118,21 +118,21 @@
 	}
 }
 
-// Get returns the config keys below a prefix. Hashes of callers' keys stay in.
+// Get returns the config keys with a prefix, without the hashes of callers' keys.
 func (s *server) Get(
 	_ context.Context, r *connect.Request[peerv1.GetRequest],
 ) (*connect.Response[peerv1.GetResponse], error) {
 	state := s.c.Desk.State()
-	answer := &peerv1.GetResponse{Revision: int64(state.Revision())}
+	response := &peerv1.GetResponse{Revision: int64(state.Revision())}
 	state.Range(r.Msg.GetPrefix(), func(key string, value []byte) bool {
-		answer.Sets = append(answer.Sets, &peerv1.Set{Key: key, Value: withoutHash(key, value)})
+		response.Sets = append(response.Sets, &peerv1.Set{Key: key, Value: redactKeyHash(key, value)})
 		return true
 	})
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
-// withoutHash takes the hash of a caller's key out of its row.
-func withoutHash(key string, value []byte) []byte {
+// redactKeyHash removes the hash of a caller's key from its row.
+func redactKeyHash(key string, value []byte) []byte {
 	var c kumquatlug.CallerConfig
 	if !strings.HasPrefix(key, config.PrefixCaller) || json.Unmarshal(value, &c) != nil {
 		return value
@@ -145,7 +145,7 @@
 	return text
 }
 
-// Status returns every node with the revision in force there.
+// Status returns every node with the config revision in force there.
 func (s *server) Status(
 	ctx context.Context, _ *connect.Request[peerv1.StatusRequest],
 ) (*connect.Response[peerv1.StatusResponse], error) {
@@ -156,31 +156,31 @@
 	return connect.NewResponse(&peerv1.StatusResponse{Revision: int64(s.c.Desk.State().Revision()), Nodes: nodes}), nil
 }
 
-// Explain says which targets may take a kind of work and why the others may not.
+// Explain returns which targets may serve a kind of work and why others may not.
 func (s *server) Explain(
 	ctx context.Context, r *connect.Request[peerv1.ExplainRequest],
 ) (*connect.Response[peerv1.ExplainResponse], error) {
 	kind := kumquatlug.NewKind(kumquatlug.Protocol(r.Msg.GetProtocol()), r.Msg.GetKind())
-	list, err := s.c.Desk.Explain(ctx, kind)
+	explanations, err := s.c.Desk.Explain(ctx, kind)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	answer := &peerv1.ExplainResponse{Revision: int64(s.c.Desk.State().Revision())}
-	for _, e := range list {
-		answer.Verdicts = append(answer.Verdicts, &peerv1.Verdict{
+	response := &peerv1.ExplainResponse{Revision: int64(s.c.Desk.State().Revision())}
+	for _, e := range explanations {
+		response.Verdicts = append(response.Verdicts, &peerv1.Verdict{
 			Target: e.Target(), Eligible: e.Eligible(), Selector: e.Selector(), Reason: e.Reason(),
 		})
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // Timeline returns the merged events of all processes.
 func (s *server) Timeline(
 	ctx context.Context, r *connect.Request[peerv1.TimelineRequest],
 ) (*connect.Response[peerv1.EventsResponse], error) {
-	answer, err := s.c.Desk.Timeline(ctx, r.Msg.GetRequestId())
+	response, err := s.c.Desk.Timeline(ctx, r.Msg.GetRequestId())
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
--- a/internal/peer/follower.go
+++ b/internal/peer/follower.go
@@ -15,79 +15,81 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/config"
 )
 
-// Figures of a [Follower].
+// Intervals and limits of a [Follower].
 const (
-	// followTick is how often it looks for something to do.
-	followTick = 100 * kumquatlug.Millis(1)
-	// inboxSize bounds the words of the head that wait for it. One that finds
-	// the ring full is dropped: the next heartbeat brings it again.
+	// followInterval is the interval at which the follower checks for due reads and
+	// pulls.
+	followInterval = 100 * kumquatlug.Millis(1)
+	// inboxSize bounds the queued messages. A report about the head that finds the
+	// inbox full is dropped, since the next heartbeat repeats it.
 	inboxSize = 256
-	// pullTimeout bounds one pull or read of the head.
+	// pullTimeout bounds one pull or one read of the head.
 	pullTimeout = 2 * time.Second
-	// passiveAge is the age of the head at which a passive node reads it, and
-	// passiveEvery how often it does then. Together they are below the 16 s in
-	// which a change is to be in force; ten thousand agents that hear from no
-	// entry at all make a thousand reads a second.
-	passiveAge   = 5 * kumquatlug.Second
-	passiveEvery = 10 * kumquatlug.Second
+	// passiveReadAge is the age of the head at which a passive node reads it, and
+	// passiveReadInterval the interval between its reads from then on. Their sum is
+	// below the 16 s within which a change must be in force. Ten thousand agents
+	// without any heartbeats send a thousand reads a second.
+	passiveReadAge      = 5 * kumquatlug.Second
+	passiveReadInterval = 10 * kumquatlug.Second
 )
 
-// FollowerConfig is what a [Follower] is made of.
+// FollowerConfig holds the settings and dependencies of a [Follower].
 type FollowerConfig struct {
-	// Me is this node's name.
+	// Me is the name of this node.
 	Me     string
 	Store  *config.Store
 	Dialer *Dialer
 	Clock  kumquatlug.Clock
 	Ring   *timeline.Ring
 	Logger *zap.Logger
-	// Live returns the names of the nodes of this data centre.
+	// Live returns the names of the nodes in this data centre.
 	Live func() []string
-	// Passive nodes leave the head to others: they read it only when nobody has
-	// told them of it for long. Ten thousand agents that each read it once a
-	// second would take five times what the table gives.
+	// Passive nodes read the head only if no peer has reported it for a while. Ten
+	// thousand agents that each read it once a second would need five times the
+	// read rate that the table supports.
 	Passive bool
-	// OnState is called, from one goroutine, with each state that comes into
-	// force; it must not block.
+	// OnState is called with each state before it comes into force, always from the
+	// same goroutine once Run was called. It must not block.
 	OnState func(config.State)
 }
 
-// Follower keeps a process's config up to date: it reads the head when the
-// node is one of its data centre's readers, hears of it from peers otherwise,
-// and pulls what is missing from whoever knows more. One goroutine owns the
-// decisions; reads and pulls run beside it and send their results back.
+// Follower keeps the config of a process up to date. It reads the head if the node
+// is one of its data centre's readers and otherwise receives it from peers, and it
+// pulls missing changes from a peer that has them. The goroutine of Run makes all
+// decisions; reads and pulls run in goroutines of their own, which send their
+// results to its inbox.
 type Follower struct {
 	c       FollowerConfig
 	adopter *config.Adopter
 	inbox   chan any
 	state   atomic.Pointer[config.State]
-	age     atomic.Int64
+	headAge atomic.Int64
 }
 
-// Messages to the follower's goroutine besides config.Report.
+// Messages to the inbox besides config.Report.
 type (
-	pulled struct {
-		peer    string
-		changes []config.Change
-		whole   config.State
-		isWhole bool
-		err     error
+	pullResult struct {
+		peer       string
+		changes    []config.Change
+		snapshot   config.State
+		isSnapshot bool
+		err        error
 	}
 	sinceQuery struct {
 		revision config.Revision
-		reply    chan sinceAnswer
+		reply    chan sinceReply
 	}
-	sinceAnswer struct {
+	sinceReply struct {
 		changes []config.Change
 		found   bool
 	}
 )
 
-// NewFollower returns a follower that holds no config yet.
+// NewFollower returns a follower without a config.
 func NewFollower(c FollowerConfig) *Follower {
 	settings := config.AdopterConfig{Me: c.Me, Now: c.Clock.Now()}
 	if c.Passive {
-		settings.Poll = passiveEvery
+		settings.Poll = passiveReadInterval
 	}
 	f := &Follower{c: c, inbox: make(chan any, inboxSize), adopter: config.NewAdopter(settings)}
 	f.publish(f.adopter.Holds())
@@ -97,13 +99,14 @@
 // State returns the config in force on this node.
 func (f *Follower) State() config.State { return *f.state.Load() }
 
-// HeadAge returns how long ago the head was confirmed.
-func (f *Follower) HeadAge() kumquatlug.Millis { return kumquatlug.Millis(f.age.Load()) }
+// HeadAge returns how long ago the head was last confirmed.
+func (f *Follower) HeadAge() kumquatlug.Millis { return kumquatlug.Millis(f.headAge.Load()) }
 
-// Learned takes in a word of the head from the peer with a role at address; a
-// negative age confirms nothing.
+// Learned handles the revision that the peer with role at address reported. Its age
+// says how long ago it was confirmed to be the head; config.AgeUnknown confirms
+// nothing.
 func (f *Follower) Learned(role Role, address string, revision int64, age kumquatlug.Millis) {
-	report := config.Report{Peer: nodeName(role, address), Revision: config.Revision(revision), Age: age}
+	report := config.Report{Peer: peerName(role, address), Revision: config.Revision(revision), Age: age}
 	if report.Revision <= f.State().Revision() && age == config.AgeUnknown {
 		return
 	}
@@ -113,7 +116,7 @@
 	}
 }
 
-// LearnedHead takes in a head that was just written to, or read from, the table.
+// LearnedHead handles a head that was just written to, or read from, the table.
 func (f *Follower) LearnedHead(revision config.Revision) {
 	select {
 	case f.inbox <- config.Report{Peer: config.Table, Revision: revision}:
@@ -121,38 +124,38 @@
 	}
 }
 
-// nodeName returns the name under which the follower remembers a peer.
-func nodeName(role Role, address string) string { return string(role) + "@" + address }
+// peerName returns the name under which the adopter knows a peer.
+func peerName(role Role, address string) string { return string(role) + "@" + address }
 
-// Since returns the changes after revision, and false when the whole state is
-// needed.
+// Since returns the changes after revision. It returns false if they are no longer
+// available and the whole state is needed.
 func (f *Follower) Since(ctx context.Context, revision config.Revision) ([]config.Change, bool) {
-	query := sinceQuery{revision: revision, reply: make(chan sinceAnswer, 1)}
+	query := sinceQuery{revision: revision, reply: make(chan sinceReply, 1)}
 	select {
 	case f.inbox <- query:
 	case <-ctx.Done():
 		return nil, false
 	}
 	select {
-	case answer := <-query.reply:
-		return answer.changes, answer.found
+	case reply := <-query.reply:
+		return reply.changes, reply.found
 	case <-ctx.Done():
 		return nil, false
 	}
 }
 
-// Refresh asks the table for the newest config and returns when it is in force
-// here.
+// Refresh reads the newest config from the table and returns when it is in force on
+// this node.
 func (f *Follower) Refresh(ctx context.Context) error {
-	asked := f.c.Clock.Now()
+	requestedAt := f.c.Clock.Now()
 	head, err := f.c.Store.Head(ctx)
 	if err != nil {
 		return err
 	}
-	f.send(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - asked})
-	if held := f.State().Revision(); held < head {
-		p := f.pullTable(ctx, held)
-		f.send(ctx, p)
+	f.enqueue(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - requestedAt})
+	if current := f.State().Revision(); current < head {
+		result := f.pullTable(ctx, current)
+		f.enqueue(ctx, result)
 	}
 	WaitUntil(ctx, func() bool { return f.State().Revision() >= head })
 	return ctx.Err()
@@ -160,136 +163,136 @@
 
 // Run follows the config until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	go f.start(ctx)
-	tick := time.NewTicker(followTick.Duration())
+	go f.loadSnapshot(ctx)
+	tick := time.NewTicker(followInterval.Duration())
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case message := <-f.inbox:
-			f.take(message)
+			f.handle(message)
 		case <-tick.C:
 		}
-		f.act(ctx)
+		f.runDue(ctx)
 	}
 }
 
-// start loads the whole state from the table, so that a new node need not walk
-// the log.
-func (f *Follower) start(ctx context.Context) {
+// loadSnapshot loads the whole state from the table, so that a new node doesn't have
+// to replay the log.
+func (f *Follower) loadSnapshot(ctx context.Context) {
 	f.pull(ctx, config.Table, 0)
 }
 
-func (f *Follower) take(message any) {
+func (f *Follower) handle(message any) {
 	switch m := message.(type) {
 	case config.Report:
 		f.adopter.Learned(f.c.Clock.Now(), m)
-	case pulled:
-		f.adopt(m)
+	case pullResult:
+		f.handlePull(m)
 	case sinceQuery:
 		changes, found := f.adopter.Since(m.revision)
-		m.reply <- sinceAnswer{changes: changes, found: found}
+		m.reply <- sinceReply{changes: changes, found: found}
 	}
 }
 
-// act starts what is due and tells how old the head is.
-func (f *Follower) act(ctx context.Context) {
+// runDue starts the reads and pulls that are due and updates the age of the head.
+func (f *Follower) runDue(ctx context.Context) {
 	now := f.c.Clock.Now()
-	f.age.Store(int64(f.adopter.Age(now)))
-	waits := f.c.Passive && f.adopter.Age(now) < passiveAge
-	if !waits && f.adopter.Poll(now, f.c.Live()) {
-		go f.poll(ctx)
+	f.headAge.Store(int64(f.adopter.Age(now)))
+	deferPoll := f.c.Passive && f.adopter.Age(now) < passiveReadAge
+	if !deferPoll && f.adopter.Poll(now, f.c.Live()) {
+		go f.pollHead(ctx)
 	}
-	if p, due := f.adopter.Pull(now); due {
-		go f.pull(ctx, p.Peer(), p.Since())
+	if next, due := f.adopter.Pull(now); due {
+		go f.pull(ctx, next.Peer(), next.Since())
 	}
 }
 
-// poll reads the head. Its age counts from before the read was sent.
-func (f *Follower) poll(ctx context.Context) {
+// pollHead reads the head. Its age counts from before the read was sent.
+func (f *Follower) pollHead(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	asked := f.c.Clock.Now()
+	requestedAt := f.c.Clock.Now()
 	head, err := f.c.Store.Head(ctx)
 	if err != nil {
-		f.c.Logger.Warn("can't read the config's head", timeline.ErrorField(err))
+		f.c.Logger.Warn("failed to read the head of the config", timeline.ErrorField(err))
 		return
 	}
-	f.send(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - asked})
+	f.enqueue(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - requestedAt})
 }
 
 func (f *Follower) pull(ctx context.Context, from string, since config.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	var p pulled
+	var result pullResult
 	if from == config.Table {
-		p = f.pullTable(ctx, since)
+		result = f.pullTable(ctx, since)
 	} else {
-		p = f.pullPeer(ctx, from, since)
+		result = f.pullPeer(ctx, from, since)
 	}
-	p.peer = from
-	f.send(ctx, p)
+	result.peer = from
+	f.enqueue(ctx, result)
 }
 
-func (f *Follower) send(ctx context.Context, message any) {
+func (f *Follower) enqueue(ctx context.Context, message any) {
 	select {
 	case f.inbox <- message:
 	case <-ctx.Done():
 	}
 }
 
-func (f *Follower) pullTable(ctx context.Context, since config.Revision) pulled {
+func (f *Follower) pullTable(ctx context.Context, since config.Revision) pullResult {
 	if since > 0 {
 		changes, err := f.c.Store.Since(ctx, since)
 		if err == nil {
-			return pulled{changes: changes}
+			return pullResult{changes: changes}
 		}
 	}
-	whole, err := f.c.Store.Load(ctx)
-	return pulled{whole: whole, isWhole: true, err: err}
+	snapshot, err := f.c.Store.Load(ctx)
+	return pullResult{snapshot: snapshot, isSnapshot: true, err: err}
 }
 
-func (f *Follower) pullPeer(ctx context.Context, from string, since config.Revision) pulled {
+func (f *Follower) pullPeer(ctx context.Context, from string, since config.Revision) pullResult {
 	role, address, _ := strings.Cut(from, "@")
-	answer, err := f.c.Dialer.Peer(Role(role), address).Pull(ctx,
+	response, err := f.c.Dialer.Peer(Role(role), address).Pull(ctx,
 		connect.NewRequest(&peerv1.PullRequest{Since: int64(since), Node: f.c.Me}))
 	if err != nil {
-		return pulled{err: err}
+		return pullResult{err: err}
 	}
-	if answer.Msg.GetWhole() {
-		whole := config.NewState(config.Revision(answer.Msg.GetRevision()), SetsFrom(answer.Msg.GetSets()))
-		return pulled{whole: whole, isWhole: true}
+	if response.Msg.GetWhole() {
+		snapshot := config.NewState(config.Revision(response.Msg.GetRevision()), SetsFrom(response.Msg.GetSets()))
+		return pullResult{snapshot: snapshot, isSnapshot: true}
 	}
-	return pulled{changes: changesFrom(answer.Msg.GetChanges())}
+	return pullResult{changes: changesFrom(response.Msg.GetChanges())}
 }
 
-func (f *Follower) adopt(p pulled) {
-	if p.err != nil {
-		f.c.Logger.Warn("can't pull the config", zap.String("peer", p.peer), timeline.ErrorField(p.err))
-		f.adopter.PullFailed(p.peer)
+func (f *Follower) handlePull(result pullResult) {
+	if result.err != nil {
+		f.c.Logger.Warn("failed to pull the config", zap.String("peer", result.peer), timeline.ErrorField(result.err))
+		f.adopter.PullFailed(result.peer)
 		return
 	}
-	state, changed, err := f.adoptAny(p)
+	state, changed, err := f.adoptResult(result)
 	if err != nil {
-		f.c.Logger.Warn("can't adopt the config", zap.String("peer", p.peer), timeline.ErrorField(err))
-		f.adopter.PullFailed(p.peer)
+		f.c.Logger.Warn("failed to adopt the config", zap.String("peer", result.peer), timeline.ErrorField(err))
+		f.adopter.PullFailed(result.peer)
 	}
 	if changed {
 		f.publish(state)
-		f.c.Ring.Add(timeline.Record{Name: timeline.ConfigAdopted, Peer: p.peer, Detail: "revision " + revisionText(state.Revision())})
+		f.c.Ring.Add(timeline.Record{Name: timeline.ConfigAdopted, Peer: result.peer, Detail: "revision " + revisionText(state.Revision())})
 	}
 }
 
-func (f *Follower) adoptAny(p pulled) (config.State, bool, error) {
-	if !p.isWhole {
-		return f.adopter.Adopt(p.changes)
+func (f *Follower) adoptResult(result pullResult) (config.State, bool, error) {
+	if !result.isSnapshot {
+		return f.adopter.Adopt(result.changes)
 	}
-	state, changed := f.adopter.AdoptState(p.whole)
+	state, changed := f.adopter.AdoptState(result.snapshot)
 	return state, changed, nil
 }
 
-// publish brings a state into force before anybody is told that it is.
+// publish makes state current, after OnState has applied it.
 func (f *Follower) publish(state config.State) {
 	if f.c.OnState != nil {
 		f.c.OnState(state)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func TestWorkTravelsInHeaders(t *testing.T) {
+func TestWorkHeadersRoundTrip(t *testing.T) {
 	want := NewWork(WorkConfig{
 		Request: "r1", Attempt: 2, Kind: kumquatlug.NewKind(kumquatlug.ProtocolService, "gazette"), Caller: "desk",
 		Revision: 7, Timeout: 1500, Once: true, Key: "k", Dispatch: "1.3", Fingerprint: "f", Logical: 9, From: "10.0.0.1:7",
@@ -22,11 +22,11 @@
 	}
 	h.Set(HeaderRevision, "seven")
 	if _, err := ReadWork(h); err == nil {
-		t.Fatal("a revision that is no number was accepted")
+		t.Fatal("a revision that is not a number was accepted")
 	}
 }
 
-func TestCopyHeadersKeepsSecretsAndOwnHeadersBack(t *testing.T) {
+func TestCopyHeadersDropsCredentialsAndInternalHeaders(t *testing.T) {
 	from := http.Header{
 		"Authorization": {"Bearer s"}, "Connection": {"close"}, HeaderRan: {"done"}, "Content-Type": {"text/plain"},
 	}
@@ -37,20 +37,20 @@
 	}
 }
 
-// An agent's key lies on every target VM. Somebody who took it from one of
-// them tries to give orders to another agent, which only entries may do.
-func TestOnlyTheRightRolePasses(t *testing.T) {
+// Every target VM stores an agent's key. With a stolen key it must not be possible to
+// send orders to other agents, which only gateways may do.
+func TestOnlyAllowsListedRoles(t *testing.T) {
 	authority, err := NewAuthority(time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent, entry := keysFor(t, authority, RoleAgent), keysFor(t, authority, RoleEntry)
-	other, err := NewAuthority(time.Hour)
+	agentKeys, gatewayKeys := issueKeys(t, authority, RoleAgent), issueKeys(t, authority, RoleEntry)
+	otherAuthority, err := NewAuthority(time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := httptest.NewUnstartedServer(agent.Only(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), RoleEntry))
-	server.TLS = agent.Server()
+	server := httptest.NewUnstartedServer(agentKeys.Only(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), RoleEntry))
+	server.TLS = agentKeys.Server()
 	server.StartTLS()
 	defer server.Close()
 	address := server.Listener.Addr().String()
@@ -58,25 +58,25 @@
 	statusWith := func(keys *Keys) int {
 		d := NewDialer(keys)
 		defer d.Close()
-		answer, err := d.Work().Get(d.WorkURL(address, "/"))
+		response, err := d.Work().Get(d.WorkURL(address, "/"))
 		if err != nil {
 			return 0
 		}
-		defer answer.Body.Close()
-		return answer.StatusCode
+		defer response.Body.Close()
+		return response.StatusCode
 	}
-	if got := statusWith(entry); got != http.StatusOK {
-		t.Errorf("an entry got %d", got)
+	if got := statusWith(gatewayKeys); got != http.StatusOK {
+		t.Errorf("status of a gateway: %d, want 200", got)
 	}
-	if got := statusWith(agent); got != http.StatusForbidden {
-		t.Errorf("an agent got %d", got)
+	if got := statusWith(agentKeys); got != http.StatusForbidden {
+		t.Errorf("status of an agent: %d, want 403", got)
 	}
-	if got := statusWith(keysFor(t, other, RoleEntry)); got != 0 {
-		t.Errorf("a stranger got %d, not a refused handshake", got)
+	if got := statusWith(issueKeys(t, otherAuthority, RoleEntry)); got != 0 {
+		t.Errorf("status of a peer with a certificate of another authority: %d, want a failed handshake", got)
 	}
 }
 
-func keysFor(t *testing.T, a *Authority, role Role) *Keys {
+func issueKeys(t *testing.T, a *Authority, role Role) *Keys {
 	t.Helper()
 	certificate, key, err := a.Issue(role)
 	if err != nil {
