--- a/cmd/kumquatlug-capacity/main.go
+++ b/cmd/kumquatlug-capacity/main.go
@@ -17,13 +17,13 @@
 	"github.com/kumquatlug/kumquatlug/internal/capacity"
 )
 
-// mostCores bounds the cores that are busy, so that the run disturbs others on
+// maxCores bounds the cores that are busy, so that the run disturbs others on
 // a shared machine little.
-const mostCores = 4
+const maxCores = 4
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := newRoot().ExecuteContext(ctx)
+	err := newRootCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "kumquatlug-capacity:", err)
@@ -31,9 +31,9 @@
 	}
 }
 
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var format string
-	var c capacity.Config
+	var config capacity.Config
 	root := &cobra.Command{
 		Use:   "kumquatlug-capacity [measurement...]",
 		Short: "Measure what the parts of the system cost on this machine",
@@ -41,16 +41,16 @@
 more, and print the slopes between them. Without a name everything is measured,
 in less than a minute, over loopback and on four cores at most.
 
-` + list(),
+` + measurementList(),
 		Example:       "  kumquatlug-capacity\n  kumquatlug-capacity heartbeat --format json",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	root.Flags().StringVar(&format, "format", "text", "text or json")
-	root.Flags().Float64Var(&c.Scale, "scale", 1, "factor of the sizes, above 0 and at most 1")
+	root.Flags().Float64Var(&config.Scale, "scale", 1, "factor of the sizes, above 0 and at most 1")
 	root.RunE = func(cmd *cobra.Command, names []string) error {
-		if c.Scale <= 0 || c.Scale > 1 {
-			return errors.Newf("--scale: above 0 and at most 1 is needed, got %v", c.Scale)
+		if config.Scale <= 0 || config.Scale > 1 {
+			return errors.Newf("--scale: above 0 and at most 1 is needed, got %v", config.Scale)
 		}
 		write := capacity.WriteText
 		switch format {
@@ -60,8 +60,8 @@
 		default:
 			return errors.Newf("--format: text or json is needed, got %q", format)
 		}
-		runtime.GOMAXPROCS(min(mostCores, runtime.GOMAXPROCS(0)))
-		slopes, err := capacity.Run(cmd.Context(), c, names)
+		runtime.GOMAXPROCS(min(maxCores, runtime.GOMAXPROCS(0)))
+		slopes, err := capacity.Run(cmd.Context(), config, names)
 		if err != nil {
 			return err
 		}
@@ -70,8 +70,8 @@
 	return root
 }
 
-// list describes the measurements, one a line.
-func list() string {
+// measurementList describes the measurements, one a line.
+func measurementList() string {
 	lines := []string{"Measurements:"}
 	for _, m := range capacity.Measurements() {
 		lines = append(lines, fmt.Sprintf("  %-12s%s", m.Name(), m.About()))
--- a/cmd/kumquatlug-capacity/main_test.go
+++ b/cmd/kumquatlug-capacity/main_test.go
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-func TestCommand(t *testing.T) {
+func TestMeasurementsAndFlags(t *testing.T) {
 	cases := []struct {
-		args []string
-		want string
-		bad  bool
+		args       []string
+		wantOutput string
+		wantError  bool
 	}{
-		{args: []string{"messages", "--scale", "0.01"}, want: "fingerprint"},
-		{args: []string{"messages", "--scale", "0.01", "--format", "json"}, want: `"measurement": "messages"`},
-		{args: []string{"messages", "--scale", "2"}, bad: true},
-		{args: []string{"messages", "--format", "xml"}, bad: true},
-		{args: []string{"nothing"}, bad: true},
+		{args: []string{"messages", "--scale", "0.01"}, wantOutput: "fingerprint"},
+		{args: []string{"messages", "--scale", "0.01", "--format", "json"}, wantOutput: `"measurement": "messages"`},
+		{args: []string{"messages", "--scale", "2"}, wantError: true},
+		{args: []string{"messages", "--format", "xml"}, wantError: true},
+		{args: []string{"nothing"}, wantError: true},
 	}
 	for _, c := range cases {
 		var out bytes.Buffer
-		root := newRoot()
+		root := newRootCommand()
 		root.SetArgs(c.args)
 		root.SetOut(&out)
 		err := root.Execute()
-		if (err != nil) != c.bad || !strings.Contains(out.String(), c.want) {
+		if (err != nil) != c.wantError || !strings.Contains(out.String(), c.wantOutput) {
 			t.Errorf("%v: %v, %q", c.args, err, out.String())
 		}
 	}
--- a/cmd/kumquatlug-experiment/main.go
+++ b/cmd/kumquatlug-experiment/main.go
@@ -35,12 +35,12 @@
 }
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var o options
 	c := &cobra.Command{
 		Use:          "kumquatlug-experiment",
@@ -55,17 +55,17 @@
 	f.StringVar(&o.format, "format", string(FormatText), "text or json")
 	f.StringVar(&o.plot, "plot", "", "file for a plot of the goodput, as SVG")
 	f.IntVar(&o.workers, "workers", 4, "how many scenarios run at once; it doesn't change the figures")
-	c.AddCommand(swingCommand())
+	c.AddCommand(newSwingCommand())
 	return c
 }
 
 func (o options) run(c *cobra.Command) error {
-	scenarios, err := o.chosen()
+	selected, err := o.selectScenarios()
 	if err != nil {
 		return err
 	}
-	results := o.play(scenarios)
-	if err := o.draw(results); err != nil {
+	results := o.runScenarios(selected)
+	if err := o.writePlot(results); err != nil {
 		return err
 	}
 	switch Format(o.format) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (o options) chosen() ([]experiment.Scenario, error) {
+func (o options) selectScenarios() ([]experiment.Scenario, error) {
 	if o.scenarios == "" {
 		return experiment.Scenarios(), nil
 	}
@@ -95,26 +95,26 @@
 	return list, nil
 }
 
-// play runs the scenarios side by side; each has its own world and seed.
-func (o options) play(scenarios []experiment.Scenario) []experiment.Result {
-	parts := make([][]experiment.Result, len(scenarios))
+// runScenarios runs the scenarios side by side; each has its own world and seed.
+func (o options) runScenarios(scenarios []experiment.Scenario) []experiment.Result {
+	resultsByScenario := make([][]experiment.Result, len(scenarios))
 	var g errgroup.Group
 	g.SetLimit(max(o.workers, 1))
-	for n, s := range scenarios {
+	for i, s := range scenarios {
 		g.Go(func() error {
-			parts[n] = experiment.Compare(s, o.seed)
+			resultsByScenario[i] = experiment.Compare(s, o.seed)
 			return nil
 		})
 	}
 	_ = g.Wait()
 	var results []experiment.Result
-	for _, p := range parts {
+	for _, p := range resultsByScenario {
 		results = append(results, p...)
 	}
 	return results
 }
 
-func (o options) draw(results []experiment.Result) error {
+func (o options) writePlot(results []experiment.Result) error {
 	if o.plot == "" {
 		return nil
 	}
@@ -122,8 +122,8 @@
 	if err := experiment.WritePlot(&plot, results); err != nil {
 		return errors.Wrap(err, "draw the plot")
 	}
-	return errors.Wrap(os.WriteFile(o.plot, plot.Bytes(), plotMode), "write the plot")
+	return errors.Wrap(os.WriteFile(o.plot, plot.Bytes(), plotFileMode), "write the plot")
 }
 
-// plotMode lets everybody read the plot.
-const plotMode = 0o644
+// plotFileMode lets everybody read the plot.
+const plotFileMode = 0o644
--- a/cmd/kumquatlug-standin/load.go
+++ b/cmd/kumquatlug-standin/load.go
@@ -17,14 +17,14 @@
 
 // loadFlags are the flags of the load command that are not the load's own.
 type loadFlags struct {
-	engine  string
-	direct  bool
-	compare int
+	engineURL     string
+	direct        bool
+	compareRounds int
 }
 
-func loadCommand() *cobra.Command {
+func newLoadCommand() *cobra.Command {
 	var c load.Config
-	var o loadFlags
+	var flags loadFlags
 	cmd := &cobra.Command{
 		Use:   "load",
 		Short: "Send requests to an API on loopback and check every byte of the answers",
@@ -34,9 +34,9 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&c.URL, "url", "", "the callers' API, as in http://127.0.0.1:8080")
-	f.StringVar(&o.engine, "engine", "", "an engine, for --direct and --compare")
-	f.BoolVar(&o.direct, "direct", false, "send to the engine instead")
-	f.IntVar(&o.compare, "compare", 0, "measure both ways in this many alternating rounds")
+	f.StringVar(&flags.engineURL, "engine", "", "an engine, for --direct and --compare")
+	f.BoolVar(&flags.direct, "direct", false, "send to the engine instead")
+	f.IntVar(&flags.compareRounds, "compare", 0, "measure both ways in this many alternating rounds")
 	f.StringArrayVar(&c.Keys, "key", nil, "a caller's key; may be repeated, used in turn")
 	f.StringVar(&c.Model, "model", "standin", "model to ask for")
 	f.Float64Var(&c.Rate, "rate", 0, "Poisson arrivals a second; 0 takes a closed loop")
@@ -57,39 +57,39 @@
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		return runLoad(ctx, cmd.OutOrStdout(), c, o)
+		return runLoad(ctx, cmd.OutOrStdout(), c, flags)
 	}
 	return cmd
 }
 
 // runLoad fails when an answer was wrong or cut, so that scripts notice.
-func runLoad(ctx context.Context, out io.Writer, c load.Config, o loadFlags) error {
-	if o.compare > 0 {
-		x, err := load.Compare(ctx, c, o.engine, o.compare)
+func runLoad(ctx context.Context, out io.Writer, c load.Config, flags loadFlags) error {
+	if flags.compareRounds > 0 {
+		comparison, err := load.Compare(ctx, c, flags.engineURL, flags.compareRounds)
 		if err != nil {
 			return err
 		}
-		return report(out, x, x.Direct().Broken()+x.Through().Broken())
+		return writeReport(out, comparison, comparison.Direct().Broken()+comparison.Through().Broken())
 	}
-	if o.direct {
-		c.URL, c.Keys = o.engine, nil
+	if flags.direct {
+		c.URL, c.Keys = flags.engineURL, nil
 	}
-	g, err := load.New(c)
+	generator, err := load.New(c)
 	if err != nil {
 		return err
 	}
-	r := g.Run(ctx)
-	return report(out, r, r.Broken())
+	result := generator.Run(ctx)
+	return writeReport(out, result, result.Broken())
 }
 
-func report(out io.Writer, r json.Marshaler, broken int) error {
+func writeReport(out io.Writer, report json.Marshaler, failedResponses int) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
-	if err := e.Encode(r); err != nil {
+	if err := e.Encode(report); err != nil {
 		return err
 	}
-	if broken > 0 {
-		return errors.Newf("%d answers were wrong or cut", broken)
+	if failedResponses > 0 {
+		return errors.Newf("%d answers were wrong or cut", failedResponses)
 	}
 	return nil
 }
--- a/cmd/kumquatlug-standin/main_test.go
+++ b/cmd/kumquatlug-standin/main_test.go
@@ -11,22 +11,22 @@
 	"testing"
 )
 
-// begin runs a command in this process and returns its address and a function
+// startCommand runs a command in this process and returns its address and a function
 // that stops it.
-func begin(t *testing.T, arguments ...string) (string, func() error) {
+func startCommand(t *testing.T, args ...string) (string, func() error) {
 	t.Helper()
-	r, w := io.Pipe()
+	output, outputWriter := io.Pipe()
 	ctx, cancel := context.WithCancel(context.Background())
-	cmd := rootCommand()
-	cmd.SetArgs(arguments)
-	cmd.SetOut(w)
+	cmd := newRootCommand()
+	cmd.SetArgs(args)
+	cmd.SetOut(outputWriter)
 	done := make(chan error, 1)
 	go func() {
 		err := cmd.ExecuteContext(ctx)
-		w.CloseWithError(err)
+		outputWriter.CloseWithError(err)
 		done <- err
 	}()
-	line, err := bufio.NewReader(r).ReadString('\n')
+	line, err := bufio.NewReader(output).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,21 +40,21 @@
 	}
 }
 
-func TestCommandsServeAndStop(t *testing.T) {
-	const rows = "/v1/rows-get?table=t&part="
-	const want = `{"rows":[],"truncated":false,"ver":0,"now_ms":`
-	for path, arguments := range map[string][]string{
-		rows:     {"platform"},
+func TestPlatformAndServiceServeUntilStopped(t *testing.T) {
+	const rowsPath = "/v1/rows-get?table=t&part="
+	const wantPrefix = `{"rows":[],"truncated":false,"ver":0,"now_ms":`
+	for path, args := range map[string][]string{
+		rowsPath: {"platform"},
 		"/_runs": {"service"},
 	} {
-		url, stop := begin(t, arguments...)
-		answer, err := http.Get(url + path)
+		url, stop := startCommand(t, args...)
+		response, err := http.Get(url + path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		body, err := io.ReadAll(answer.Body)
-		answer.Body.Close()
-		if err != nil || path == rows && !strings.HasPrefix(string(body), want) {
+		body, err := io.ReadAll(response.Body)
+		response.Body.Close()
+		if err != nil || path == rowsPath && !strings.HasPrefix(string(body), wantPrefix) {
 			t.Fatalf("%s %v", body, err)
 		}
 		if err := stop(); err != nil {
@@ -63,10 +63,10 @@
 	}
 }
 
-func TestLoadCommandReportsWhatCameBack(t *testing.T) {
-	url, stop := begin(t, "engine", "--time-scale", "0.001")
+func TestLoadCommandReportsOutcomes(t *testing.T) {
+	url, stop := startCommand(t, "engine", "--time-scale", "0.001")
 	var out bytes.Buffer
-	cmd := rootCommand()
+	cmd := newRootCommand()
 	cmd.SetArgs([]string{"load", "--direct", "--engine", url, "--count", "20", "--form", "mixed"})
 	cmd.SetOut(&out)
 	if err := cmd.Execute(); err != nil {
--- a/cmd/kumquatlug-standin/pathcost.go
+++ b/cmd/kumquatlug-standin/pathcost.go
@@ -11,17 +11,17 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// pathFlags are where the processes of a path are found.
-type pathFlags struct {
-	operators string
-	agents    []string
-	keys      peer.KeysConfig
-	plain     bool
+// pathCostFlags are where the processes of a path are found.
+type pathCostFlags struct {
+	operatorURL    string
+	agentAddresses []string
+	keys           peer.KeysConfig
+	insecure       bool
 }
 
-func pathCostCommand() *cobra.Command {
+func newPathCostCommand() *cobra.Command {
 	var c load.PathConfig
-	var o pathFlags
+	var flags pathCostFlags
 	cmd := &cobra.Command{
 		Use:   "path-cost",
 		Short: "Measure what the way over entry and agents costs beside calling the engines",
@@ -33,12 +33,12 @@
 	f := cmd.Flags()
 	f.StringVar(&c.Entry, "entry", "", "the callers' API, as in http://127.0.0.1:8080")
 	f.StringVar(&c.Key, "key", "", "a caller's key")
-	f.StringVar(&o.operators, "operators", "", "the entry's operators' address, as in http://127.0.0.1:8081")
-	f.StringArrayVar(&o.agents, "agent", nil, "IP:port of an agent; may be repeated")
-	f.StringVar(&o.keys.Certificate, "tls-cert", "", "certificate to read agents' metrics with")
-	f.StringVar(&o.keys.Key, "tls-key", "", "the key of --tls-cert")
-	f.StringVar(&o.keys.Authority, "tls-ca", "", "the authority of agents' certificates")
-	f.BoolVar(&o.plain, "insecure-loopback", false, "agents speak plainly")
+	f.StringVar(&flags.operatorURL, "operators", "", "the entry's operators' address, as in http://127.0.0.1:8081")
+	f.StringArrayVar(&flags.agentAddresses, "agent", nil, "IP:port of an agent; may be repeated")
+	f.StringVar(&flags.keys.Certificate, "tls-cert", "", "certificate to read agents' metrics with")
+	f.StringVar(&flags.keys.Key, "tls-key", "", "the key of --tls-cert")
+	f.StringVar(&flags.keys.Authority, "tls-ca", "", "the authority of agents' certificates")
+	f.BoolVar(&flags.insecure, "insecure-loopback", false, "agents speak plainly")
 	f.StringArrayVar(&c.Stamped, "stamped", nil, "an engine of the model \""+load.StampedModel+"\", started with --stamped; may be repeated")
 	f.StringArrayVar(&c.Fast, "fast", nil, "an engine of the model \""+load.FastModel+"\"; may be repeated")
 	f.IntVar(&c.Streams, "streams", 1000, "streams open at a time")
@@ -50,7 +50,7 @@
 	f.IntVar(&c.BurstTokens, "burst-tokens", 50, "tokens of an answer in bursts")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		var err error
-		if c.Metrics, err = o.processes(); err != nil {
+		if c.Metrics, err = flags.processes(); err != nil {
 			return err
 		}
 		cost, err := load.MeasurePath(cmd.Context(), c)
@@ -69,18 +69,18 @@
 }
 
 // processes returns the entry and the agents as they are asked for metrics.
-func (o *pathFlags) processes() ([]load.Process, error) {
+func (f *pathCostFlags) processes() ([]load.Process, error) {
 	var keys *peer.Keys
-	if !o.plain {
+	if !f.insecure {
 		var err error
-		if keys, err = peer.LoadKeys(o.keys); err != nil {
+		if keys, err = peer.LoadKeys(f.keys); err != nil {
 			return nil, err
 		}
 	}
-	all := []load.Process{{Name: "entry", URL: o.operators + "/metrics", Client: http.DefaultClient}}
+	processes := []load.Process{{Name: "entry", URL: f.operatorURL + "/metrics", Client: http.DefaultClient}}
 	client := peer.NewDialer(keys).Work()
-	for _, address := range o.agents {
-		all = append(all, load.Process{Name: "agents", URL: keys.Scheme() + "://" + address + "/metrics", Client: client})
+	for _, address := range f.agentAddresses {
+		processes = append(processes, load.Process{Name: "agents", URL: keys.Scheme() + "://" + address + "/metrics", Client: client})
 	}
-	return all, nil
+	return processes, nil
 }
--- a/cmd/kumquatlug-standin/standins.go
+++ b/cmd/kumquatlug-standin/standins.go
@@ -15,11 +15,11 @@
 }
 
 // millisVar adds a flag in milliseconds.
-func millisVar(cmd *cobra.Command, field *kumquatlug.Millis, name string, standard kumquatlug.Millis, usage string) {
-	cmd.Flags().Int64Var((*int64)(field), name, int64(standard), usage+" (ms)")
+func millisVar(cmd *cobra.Command, field *kumquatlug.Millis, name string, defaultValue kumquatlug.Millis, usage string) {
+	cmd.Flags().Int64Var((*int64)(field), name, int64(defaultValue), usage+" (ms)")
 }
 
-func platformCommand() *cobra.Command {
+func newPlatformCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "platform",
 		Short:   "The store of the platform: rows, changes and objects",
@@ -33,7 +33,7 @@
 	return cmd
 }
 
-func engineCommand() *cobra.Command {
+func newEngineCommand() *cobra.Command {
 	var c engine.Config
 	cmd := &cobra.Command{
 		Use:     "engine",
@@ -69,7 +69,7 @@
 	return cmd
 }
 
-func serviceCommand() *cobra.Command {
+func newServiceCommand() *cobra.Command {
 	var c service.Config
 	cmd := &cobra.Command{
 		Use:     "service",
--- a/cmd/kumquatlug/agent.go
+++ b/cmd/kumquatlug/agent.go
@@ -17,22 +17,22 @@
 // agentSettings are the settings of an agent.
 type agentSettings struct {
 	nodeSettings
-	listen      string
-	advertise   string
-	target      string
-	protocol    string
-	healthPath  string
-	checksFence bool
+	listen             string
+	advertise          string
+	targetURL          string
+	protocol           string
+	healthPath         string
+	checksFencingToken bool
 }
 
 func (s *agentSettings) bind(flags *pflag.FlagSet) {
 	s.nodeSettings.bind(flags)
 	flags.StringVar(&s.listen, "listen", "127.0.0.1:8090", "where entries reach this agent, IP:port; one agent a VM holds it")
 	flags.StringVar(&s.advertise, "advertise", "", "IP:port that entries are told; empty for the address of --listen")
-	flags.StringVar(&s.target, "target-url", "", "URL of the target on this VM")
+	flags.StringVar(&s.targetURL, "target-url", "", "URL of the target on this VM")
 	flags.StringVar(&s.protocol, "protocol", string(kumquatlug.ProtocolEngine), "engine or service")
 	flags.StringVar(&s.healthPath, "health-path", "/health", "path that answers 2xx while the target is well")
-	flags.BoolVar(&s.checksFence, "target-checks-fence", false, "the engine itself refuses orders with an old fencing number")
+	flags.BoolVar(&s.checksFencingToken, "target-checks-fence", false, "the engine itself refuses orders with an old fencing number")
 }
 
 func (s *agentSettings) check(problems settings.Problems) settings.Problems {
@@ -41,7 +41,7 @@
 	if s.advertise != "" {
 		c.Address("advertise", s.advertise)
 	}
-	c.URL("target-url", s.target)
+	c.URL("target-url", s.targetURL)
 	c.OneOf("protocol", s.protocol, string(kumquatlug.ProtocolEngine), string(kumquatlug.ProtocolService))
 	if s.healthPath == "" || s.healthPath[0] != '/' {
 		c.Add("health-path", "a path that starts with /", "is not one")
@@ -49,8 +49,8 @@
 	return c.Problems()
 }
 
-func newAgent() *cobra.Command {
-	return newProcess(&cobra.Command{
+func newAgentCommand() *cobra.Command {
+	return newProcessCommand(&cobra.Command{
 		Use:   "agent",
 		Short: "Run the process beside a target",
 		Example: `  kumquatlug agent --name t1 --zone a --platform 10.0.0.9:7000 --listen 10.0.0.7:8090 \
@@ -59,29 +59,29 @@
 }
 
 func (s *agentSettings) run(ctx context.Context) error {
-	n, err := s.build()
+	node, err := s.newNode()
 	if err != nil {
 		return err
 	}
-	l, err := listen(ctx, s.listen)
+	listener, err := listen(ctx, s.listen)
 	if err != nil {
 		return err
 	}
-	store := s.store(n.clock)
-	c := agent.Config{
-		Name: s.name, Zone: s.zone, Listener: l, Keys: n.keys, ChecksFence: s.checksFence,
-		Table: store, Objects: store, VMs: membership.NewRoster(store), Address: s.advertise, Clock: n.clock, Logger: n.logger, Registry: n.registry, Ring: n.ring,
+	store := s.newStore(node.clock)
+	config := agent.Config{
+		Name: s.name, Zone: s.zone, Listener: listener, Keys: node.keys, ChecksFence: s.checksFencingToken,
+		Table: store, Objects: store, VMs: membership.NewRoster(store), Address: s.advertise, Clock: node.clock, Logger: node.logger, Registry: node.registry, Ring: node.ring,
 	}
-	s.setTarget(&c)
-	a, err := agent.New(c)
+	s.configureTarget(&config)
+	a, err := agent.New(config)
 	if err != nil {
 		return err
 	}
 	return a.Run(ctx)
 }
 
-func (s *agentSettings) setTarget(c *agent.Config) {
-	target := service.Config{URL: s.target, HealthPath: s.healthPath}
+func (s *agentSettings) configureTarget(c *agent.Config) {
+	target := service.Config{URL: s.targetURL, HealthPath: s.healthPath}
 	if s.protocol == string(kumquatlug.ProtocolEngine) {
 		c.Engine = engine.New(target)
 		c.Target = c.Engine
--- a/cmd/kumquatlug/check.go
+++ b/cmd/kumquatlug/check.go
@@ -17,20 +17,20 @@
 	"github.com/kumquatlug/kumquatlug/internal/settings"
 )
 
-// checked is a command whose settings can be checked without running it.
-type checked interface {
+// checkableSettings is a command whose settings can be checked without running it.
+type checkableSettings interface {
 	bind(flags *pflag.FlagSet)
 	check(problems settings.Problems) settings.Problems
 }
 
-func newCheck() *cobra.Command {
+func newCheckCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "check", Short: "Tell every bad setting of a process at once, without running it"}
-	cmd.AddCommand(newCheckOf("entry", &entrySettings{}), newCheckOf("agent", &agentSettings{}),
-		newCheckOf("front", &frontSettings{}))
+	cmd.AddCommand(newCheckProcessCommand("entry", &entrySettings{}), newCheckProcessCommand("agent", &agentSettings{}),
+		newCheckProcessCommand("front", &frontSettings{}))
 	return cmd
 }
 
-func newCheckOf(name string, s checked) *cobra.Command {
+func newCheckProcessCommand(name string, s checkableSettings) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
 		Use:     name,
@@ -42,7 +42,7 @@
 	cmd.Flags().StringVar(&file, "env-file", "", "file of NAME=value lines to take for the environment")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if file != "" {
-			if err := loadEnvironment(file); err != nil {
+			if err := loadEnvFile(file); err != nil {
 				return err
 			}
 		}
@@ -55,14 +55,14 @@
 	return cmd
 }
 
-// loadEnvironment sets the variables of a file; lines that start with # are
+// loadEnvFile sets the variables of a file; lines that start with # are
 // comments.
-func loadEnvironment(file string) error {
-	text, err := os.ReadFile(file)
+func loadEnvFile(file string) error {
+	content, err := os.ReadFile(file)
 	if err != nil {
 		return errors.Wrap(err, "environment file")
 	}
-	lines := bufio.NewScanner(bytes.NewReader(text))
+	lines := bufio.NewScanner(bytes.NewReader(content))
 	for lines.Scan() {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -79,7 +79,7 @@
 	return errors.Wrap(lines.Err(), "environment file")
 }
 
-func newCerts() *cobra.Command {
+func newCertsCommand() *cobra.Command {
 	var out string
 	var days int
 	cmd := &cobra.Command{
@@ -100,7 +100,7 @@
 	return cmd
 }
 
-func writeCerts(folder string, valid time.Duration) error {
+func writeCerts(folder string, validity time.Duration) error {
 	const (
 		folderMode = 0o700
 		fileMode   = 0o600
@@ -108,7 +108,7 @@
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return errors.Wrap(err, "make the folder")
 	}
-	authority, err := peer.NewAuthority(valid)
+	authority, err := peer.NewAuthority(validity)
 	if err != nil {
 		return err
 	}
@@ -120,8 +120,8 @@
 		}
 		files[string(role)+".pem"], files[string(role)+".key"] = certificate, key
 	}
-	for name, text := range files {
-		if err := os.WriteFile(filepath.Join(folder, name), text, fileMode); err != nil {
+	for name, content := range files {
+		if err := os.WriteFile(filepath.Join(folder, name), content, fileMode); err != nil {
 			return errors.Wrap(err, "write certificates")
 		}
 	}
--- a/cmd/kumquatlug/dev.go
+++ b/cmd/kumquatlug/dev.go
@@ -36,15 +36,15 @@
 
 // devSettings are the settings of the laptop's fleet.
 type devSettings struct {
-	listen, operators   string
-	logFormat, logLevel string
-	out                 io.Writer
-	platform            string
-	callerKey           string
-	operatorKey         string
+	listen, operatorListen string
+	logFormat, logLevel    string
+	out                    io.Writer
+	platform               string
+	callerKey              string
+	operatorKey            string
 }
 
-func newDev() *cobra.Command {
+func newDevCommand() *cobra.Command {
 	var s devSettings
 	cmd := &cobra.Command{
 		Use:   "dev",
@@ -56,65 +56,65 @@
 		Example: "  kumquatlug dev",
 	}
 	cmd.Flags().StringVar(&s.listen, "listen", "127.0.0.1:8080", "where callers reach the entry, IP:port")
-	cmd.Flags().StringVar(&s.operators, "operator-listen", "127.0.0.1:8081", "where operators reach the entry, IP:port")
+	cmd.Flags().StringVar(&s.operatorListen, "operator-listen", "127.0.0.1:8081", "where operators reach the entry, IP:port")
 	cmd.Flags().StringVar(&s.logFormat, "log-format", "console", "json or console")
 	cmd.Flags().StringVar(&s.logLevel, "log-level", "warn", "debug, info, warn or error")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		c := settings.NewChecker(settings.FromEnvironment(cmd.Flags()))
 		c.Address("listen", s.listen)
-		c.Address("operator-listen", s.operators)
+		c.Address("operator-listen", s.operatorListen)
 		c.OneOf("log-format", s.logFormat, "json", "console")
 		if err := c.Problems().Err(); err != nil {
 			return err
 		}
 		s.out = cmd.OutOrStdout()
 		s.callerKey, s.operatorKey = "klug-"+rand.Text(), "operator-"+rand.Text()
-		return s.run(cmd.Context())
+		return s.runFleet(cmd.Context())
 	}
 	return cmd
 }
 
-// run starts the fleet from the inside out and stops it from the outside in, so
+// runFleet starts the fleet from the inside out and stops it from the outside in, so
 // that the entry can finish its requests while their targets are still there.
-func (s *devSettings) run(ctx context.Context) error {
-	inner, stopInner := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopInner()
-	standIns, err := s.startStandIns(inner)
+func (s *devSettings) runFleet(ctx context.Context) error {
+	simulatorCtx, stopSimulators := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopSimulators()
+	sims, err := s.startSimulators(simulatorCtx)
 	if err != nil {
 		return err
 	}
-	middle, stopMiddle := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopMiddle()
-	agents, err := s.startAgents(middle, standIns)
+	agentCtx, stopAgents := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopAgents()
+	agents, err := s.startAgents(agentCtx, sims)
 	if err != nil {
 		return err
 	}
-	e, err := s.newEntry(ctx)
+	gateway, err := s.newEntry(ctx)
 	if err != nil {
 		return err
 	}
-	if err := s.seed(ctx); err != nil {
+	if err := s.commitInitialConfig(ctx); err != nil {
 		return err
 	}
-	s.greet()
-	err = e.Run(ctx)
-	stopMiddle()
+	s.printUsage()
+	err = gateway.Run(ctx)
+	stopAgents()
 	agents.Wait()
-	stopInner()
-	standIns.servers.Wait()
+	stopSimulators()
+	sims.servers.Wait()
 	return err
 }
 
-// standIns are the outside systems of the laptop's fleet.
-type standIns struct {
-	servers sync.WaitGroup
-	engines []string
-	service string
+// simulators are the outside systems of the laptop's fleet.
+type simulators struct {
+	servers         sync.WaitGroup
+	engineAddresses []string
+	serviceAddress  string
 }
 
-func (s *devSettings) startStandIns(ctx context.Context) (*standIns, error) {
-	in := &standIns{}
-	start := func(handler http.Handler) (string, error) { return in.serve(ctx, handler) }
+func (s *devSettings) startSimulators(ctx context.Context) (*simulators, error) {
+	sims := &simulators{}
+	start := func(handler http.Handler) (string, error) { return sims.serve(ctx, handler) }
 	address, err := start(rowstore.New())
 	if err != nil {
 		return nil, err
@@ -125,36 +125,36 @@
 		if err != nil {
 			return nil, err
 		}
-		in.engines = append(in.engines, address)
+		sims.engineAddresses = append(sims.engineAddresses, address)
 	}
-	in.service, err = start(standinservice.New(standinservice.Config{}).Handler())
-	return in, err
+	sims.serviceAddress, err = start(standinservice.New(standinservice.Config{}).Handler())
+	return sims, err
 }
 
 // serve runs handler on a free loopback port until ctx ends.
-func (in *standIns) serve(ctx context.Context, handler http.Handler) (string, error) {
-	l, err := listen(ctx, "127.0.0.1:0")
+func (sims *simulators) serve(ctx context.Context, handler http.Handler) (string, error) {
+	listener, err := listen(ctx, "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: kumquatlug.Minute.Duration()}
 	var group run.Group
-	group.Add(func() error { return server.Serve(l) }, func(error) { _ = server.Close() })
+	group.Add(func() error { return server.Serve(listener) }, func(error) { _ = server.Close() })
 	group.Add(func() error { <-ctx.Done(); return ctx.Err() }, func(error) {})
-	in.servers.Go(func() { _ = group.Run() })
-	return l.Addr().String(), nil
+	sims.servers.Go(func() { _ = group.Run() })
+	return listener.Addr().String(), nil
 }
 
 // startAgents starts an agent beside each target.
-func (s *devSettings) startAgents(ctx context.Context, in *standIns) (*sync.WaitGroup, error) {
+func (s *devSettings) startAgents(ctx context.Context, sims *simulators) (*sync.WaitGroup, error) {
 	var agents sync.WaitGroup
 	targets := map[string]agentSettings{
-		"engine-1":  {target: "http://" + in.engines[0], protocol: string(kumquatlug.ProtocolEngine)},
-		"engine-2":  {target: "http://" + in.engines[1], protocol: string(kumquatlug.ProtocolEngine)},
-		"service-1": {target: "http://" + in.service, protocol: string(kumquatlug.ProtocolService)},
+		"engine-1":  {targetURL: "http://" + sims.engineAddresses[0], protocol: string(kumquatlug.ProtocolEngine)},
+		"engine-2":  {targetURL: "http://" + sims.engineAddresses[1], protocol: string(kumquatlug.ProtocolEngine)},
+		"service-1": {targetURL: "http://" + sims.serviceAddress, protocol: string(kumquatlug.ProtocolService)},
 	}
 	for name, target := range targets {
-		target.nodeSettings = s.node(name)
+		target.nodeSettings = s.nodeSettingsFor(name)
 		a, err := newDevAgent(ctx, target)
 		if err != nil {
 			return nil, err
@@ -165,52 +165,52 @@
 }
 
 func newDevAgent(ctx context.Context, s agentSettings) (*agent.Agent, error) {
-	n, err := s.build()
+	n, err := s.newNode()
 	if err != nil {
 		return nil, err
 	}
-	l, err := listen(ctx, "127.0.0.1:0")
+	listener, err := listen(ctx, "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	store := s.store(n.clock)
+	store := s.newStore(n.clock)
 	c := agent.Config{
-		Name: s.name, Zone: s.zone, Listener: l,
+		Name: s.name, Zone: s.zone, Listener: listener,
 		Table: store, Objects: store, VMs: membership.NewRoster(store), Clock: n.clock, Logger: n.logger, Registry: n.registry, Ring: n.ring,
 	}
-	s.setTarget(&c)
+	s.configureTarget(&c)
 	return agent.New(c)
 }
 
-func (s *devSettings) node(name string) nodeSettings {
+func (s *devSettings) nodeSettingsFor(name string) nodeSettings {
 	return nodeSettings{
-		name: name, zone: devZone, platform: s.platform, insecure: true,
-		logFormat: s.logFormat, logLevel: s.logLevel, events: 4096,
+		name: name, zone: devZone, platform: s.platform, insecureLoopback: true,
+		logFormat: s.logFormat, logLevel: s.logLevel, ringSize: 4096,
 	}
 }
 
 func (s *devSettings) newEntry(ctx context.Context) (*entry.Entry, error) {
-	settings := entrySettings{
-		nodeSettings: s.node("entry-1"), listen: s.listen, peers: "127.0.0.1:0", operators: s.operators,
-		operatorKeys: []string{"laptop=" + s.operatorKey}, listEvery: 500, planner: plannerStatic, maxHeld: caller.DefaultMaxHeld,
+	gatewaySettings := entrySettings{
+		nodeSettings: s.nodeSettingsFor("entry-1"), listen: s.listen, peerListen: "127.0.0.1:0", operatorListen: s.operatorListen,
+		operatorKeys: []string{"laptop=" + s.operatorKey}, vmListIntervalMillis: 500, rolePlanner: plannerStatic, maxBufferedBytes: caller.DefaultMaxHeld,
 	}
-	n, err := settings.build()
+	n, err := gatewaySettings.newNode()
 	if err != nil {
 		return nil, err
 	}
-	c, err := settings.config(ctx, n)
+	c, err := gatewaySettings.config(ctx, n)
 	if err != nil {
 		return nil, err
 	}
-	s.listen, s.operators = c.Callers.Addr().String(), c.Operators.Addr().String()
+	s.listen, s.operatorListen = c.Callers.Addr().String(), c.Operators.Addr().String()
 	return entry.New(c)
 }
 
-// seed makes the first change: labels, two selectors and an account.
-func (s *devSettings) seed(ctx context.Context) error {
-	node := s.node("dev")
-	store := node.store(clock.NewMonotonic())
-	sets, err := s.firstSets()
+// commitInitialConfig makes the first change: labels, two selectors and an account.
+func (s *devSettings) commitInitialConfig(ctx context.Context) error {
+	node := s.nodeSettingsFor("dev")
+	store := node.newStore(clock.NewMonotonic())
+	sets, err := s.initialSets()
 	if err != nil {
 		return err
 	}
@@ -222,12 +222,12 @@
 	return err
 }
 
-func (s *devSettings) firstSets() ([]config.Set, error) {
+func (s *devSettings) initialSets() ([]config.Set, error) {
 	var sets []config.Set
-	var failed error
+	var errs error
 	add := func(set config.Set, err error) {
 		sets = append(sets, set)
-		failed = errors.CombineErrors(failed, err)
+		errs = errors.CombineErrors(errs, err)
 	}
 	add(config.SetLabels("engine-1", selector.Labels{"pool": "engines"}))
 	add(config.SetLabels("engine-2", selector.Labels{"pool": "engines"}))
@@ -239,11 +239,11 @@
 		Name: "services", Protocol: kumquatlug.ProtocolService, Kind: devService, Role: kumquatlug.RoleServe, Match: "pool=services",
 	}))
 	add(config.SetCaller(kumquatlug.CallerConfig{Name: devCaller, KeyHash: kumquatlug.HashKey(s.callerKey)}))
-	return sets, failed
+	return sets, errs
 }
 
-// greet prints what to try.
-func (s *devSettings) greet() {
+// printUsage prints what to try.
+func (s *devSettings) printUsage() {
 	fmt.Fprintf(s.out, `kumquatlug is up: one entry, two engines, one service, on stand-ins.
 
   callers    http://%[1]s        key %[2]s
@@ -257,5 +257,5 @@
   KUMQUATLUG_OPERATOR_KEY=%[4]s go run ./cmd/kumquatlug status --server http://%[3]s
 
 Ctrl-C stops it gracefully.
-`, s.listen, s.callerKey, s.operators, s.operatorKey, devModel, devService)
+`, s.listen, s.callerKey, s.operatorListen, s.operatorKey, devModel, devService)
 }
--- a/cmd/kumquatlug/front.go
+++ b/cmd/kumquatlug/front.go
@@ -31,47 +31,47 @@
 
 // frontSettings are the settings of a front that are not the platform's.
 type frontSettings struct {
-	metrics  string
-	logLevel string
-	readPart float64
-	place    placement.Config
+	metricsListen string
+	logLevel      string
+	prefillShare  float64
+	placement     placement.Config
 }
 
-// defaultReadPart is the part of the engines that read prompts: at nine thousand
+// defaultPrefillShare is the part of the engines that read prompts: at nine thousand
 // tokens in and two out, reading takes two thirds of all engine time.
-const defaultReadPart = 0.667
+const defaultPrefillShare = 0.667
 
 func (s *frontSettings) bind(flags *pflag.FlagSet) {
-	flags.StringVar(&s.metrics, "metrics-listen", "", "where metrics are read, IP:port; empty for nowhere")
+	flags.StringVar(&s.metricsListen, "metrics-listen", "", "where metrics are read, IP:port; empty for nowhere")
 	flags.StringVar(&s.logLevel, "log-level", "info", "debug, info, warn or error")
-	flags.Float64Var(&s.readPart, "read-part", defaultReadPart, "part of the engines that read prompts, above 0 and below 1")
-	flags.Float64Var(&s.place.AwayPrice, "away-price", 0, "price of reading shared parts again, as a multiple of its time; 0 for the default")
-	flags.Float64Var(&s.place.MixedPrice, "mixed-price", 0, "price of reading at a full generating engine, as a multiple of its time; 0 for the default")
-	flags.Float64Var(&s.place.ZonePrice, "zone-price", 0, "price of another data centre, ms; 0 for the default")
+	flags.Float64Var(&s.prefillShare, "read-part", defaultPrefillShare, "part of the engines that read prompts, above 0 and below 1")
+	flags.Float64Var(&s.placement.AwayPrice, "away-price", 0, "price of reading shared parts again, as a multiple of its time; 0 for the default")
+	flags.Float64Var(&s.placement.MixedPrice, "mixed-price", 0, "price of reading at a full generating engine, as a multiple of its time; 0 for the default")
+	flags.Float64Var(&s.placement.ZonePrice, "zone-price", 0, "price of another data centre, ms; 0 for the default")
 }
 
 func (s *frontSettings) check(problems settings.Problems) settings.Problems {
 	c := settings.NewChecker(problems)
 	c.Append(platform.CheckSettings())
-	if s.metrics != "" {
-		c.Address("metrics-listen", s.metrics)
+	if s.metricsListen != "" {
+		c.Address("metrics-listen", s.metricsListen)
 	}
 	c.OneOf("log-level", s.logLevel, "debug", "info", "warn", "error")
-	if s.readPart <= 0 || s.readPart >= 1 {
+	if s.prefillShare <= 0 || s.prefillShare >= 1 {
 		c.Add("read-part", "a part, above 0 and below 1", "is out of range")
 	}
-	for flag, price := range map[string]float64{
-		"away-price": s.place.AwayPrice, "mixed-price": s.place.MixedPrice, "zone-price": s.place.ZonePrice,
+	for flag, cost := range map[string]float64{
+		"away-price": s.placement.AwayPrice, "mixed-price": s.placement.MixedPrice, "zone-price": s.placement.ZonePrice,
 	} {
-		if price < 0 || price > maxPrice {
+		if cost < 0 || cost > maxCostFactor {
 			c.Add(flag, "a price, 0 to 1000", "is out of range")
 		}
 	}
 	return c.Problems()
 }
 
-func newFront() *cobra.Command {
-	return newProcess(&cobra.Command{
+func newFrontCommand() *cobra.Command {
+	return newProcessCommand(&cobra.Command{
 		Use:   "front",
 		Short: "Run a front on the users' platform: it calls workers directly",
 		Long: `A front takes requests of clients and calls the platform's workers directly. The
@@ -82,7 +82,7 @@
 }
 
 func (s *frontSettings) run(ctx context.Context) error {
-	given, err := platform.ReadSettings()
+	platformSettings, err := platform.ReadSettings()
 	if err != nil {
 		return err
 	}
@@ -92,15 +92,15 @@
 	}
 	// What is over the platform's bound is killed; the collector works harder
 	// before that.
-	debug.SetMemoryLimit(given.MemoryBytes * memoryPart / 100)
+	debug.SetMemoryLimit(platformSettings.MemoryBytes * heapLimitPercent / 100)
 	writer := logs.NewWriter(os.Stdout)
 	stop := make(chan struct{})
 	go writer.Run(stop)
-	logger := logs.New(writer, level).With(zap.String("node", given.Name))
-	defer writer.Wait(logWait.Duration())
+	logger := logs.New(writer, level).With(zap.String("node", platformSettings.Name))
+	defer writer.Wait(logFlushTimeout.Duration())
 	defer close(stop)
-	go noteReloads(ctx, logger)
-	g, err := s.gateway(ctx, given, logger)
+	go handleReloadSignals(ctx, logger)
+	g, err := s.newGateway(ctx, platformSettings, logger)
 	if err != nil {
 		return err
 	}
@@ -109,86 +109,86 @@
 
 // Figures of a front's process.
 const (
-	// memoryPart is the part of the memory bound, in hundredths, that the heap
+	// heapLimitPercent is the part of the memory bound, in hundredths, that the heap
 	// may take before the collector works harder; stacks and buffers of the
 	// kernel need the rest.
-	memoryPart = 70
-	// bodiesPart is the part of the memory bound, as a divisor, that bodies of
+	heapLimitPercent = 70
+	// maxBodiesDivisor is the part of the memory bound, as a divisor, that bodies of
 	// requests may take; each is copied once on its way.
-	bodiesPart = 6
-	// logWait is how long a stopping process waits for its last lines.
-	logWait = 200 * kumquatlug.Millis(1)
-	// keptToWorkers and keptToStore bound the idle connections to one peer.
-	keptToWorkers = 24
-	keptToControl = 2
-	keptToStore   = 4
+	maxBodiesDivisor = 6
+	// logFlushTimeout is how long a stopping process waits for its last lines.
+	logFlushTimeout = 200 * kumquatlug.Millis(1)
+	// maxIdleWorkerConns and maxIdleStoreConns bound the idle connections to one peer.
+	maxIdleWorkerConns  = 24
+	maxIdleControlConns = 2
+	maxIdleStoreConns   = 4
 )
 
-func (s *frontSettings) gateway(ctx context.Context, given platform.Settings, logger *zap.Logger) (*gateway.Gateway, error) {
+func (s *frontSettings) newGateway(ctx context.Context, platformSettings platform.Settings, logger *zap.Logger) (*gateway.Gateway, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	now := clock.NewMonotonic()
-	pool := func(kept int) *exchange.Pool { return exchange.New(exchange.Config{Clock: now, Kept: kept}) }
-	requests, control := pool(keptToWorkers), pool(keptToControl)
-	store := platform.NewStore(platform.StoreConfig{Address: given.Store, Pool: pool(keptToStore)})
+	newPool := func(maxIdle int) *exchange.Pool { return exchange.New(exchange.Config{Clock: now, Kept: maxIdle}) }
+	requestPool, controlPool := newPool(maxIdleWorkerConns), newPool(maxIdleControlConns)
+	store := platform.NewStore(platform.StoreConfig{Address: platformSettings.Store, Pool: newPool(maxIdleStoreConns)})
 	c := gateway.Config{
-		Name: given.Name, VM: given.Name + "@" + given.Clients, Zone: given.Zone, Incarnation: kumquatlug.NewIncarnation(given.Name), ReadyPath: platform.PathReady,
+		Name: platformSettings.Name, VM: platformSettings.Name + "@" + platformSettings.Clients, Zone: platformSettings.Zone, Incarnation: kumquatlug.NewIncarnation(platformSettings.Name), ReadyPath: platform.PathReady,
 		Ingress: platform.Ingress{}, Directory: platform.Directory{}, Table: store, Feed: store,
-		Workers:     platform.NewWorkers(platform.WorkersConfig{Requests: requests, Control: control}),
+		Workers:     platform.NewWorkers(platform.WorkersConfig{Requests: requestPool, Control: controlPool}),
 		ConfigTable: platform.ConfigTable, ConfigKey: platform.ConfigKey, MemberTable: platform.MemberTable, CrashTable: platform.CrashTable, PlanTable: platform.PlanTable,
-		Clock: now, Awake: clock.NewAwake(), Grace: given.Grace, OrderTurn: given.OrderTurn, LeaveSpan: given.LeaveSpan,
-		Repeats:    retry.SharedConfig{Ratio: given.RepeatRatio, Floor: given.RepeatFloor, Window: given.RepeatWindow},
-		ConfigSpan: given.ConfigSpan, FailClosed: given.FailClosed, RevokeSpan: given.RevokeSpan,
-		MaxBodies: given.MemoryBytes / bodiesPart,
-		ReadPart:  s.readPart, Placement: s.place, Logger: logger, Registry: registry,
+		Clock: now, Awake: clock.NewAwake(), Grace: platformSettings.Grace, OrderTurn: platformSettings.OrderTurn, LeaveSpan: platformSettings.LeaveSpan,
+		Repeats:    retry.SharedConfig{Ratio: platformSettings.RepeatRatio, Floor: platformSettings.RepeatFloor, Window: platformSettings.RepeatWindow},
+		ConfigSpan: platformSettings.ConfigSpan, FailClosed: platformSettings.FailClosed, RevokeSpan: platformSettings.RevokeSpan,
+		MaxBodies: platformSettings.MemoryBytes / maxBodiesDivisor,
+		ReadPart:  s.prefillShare, Placement: s.placement, Logger: logger, Registry: registry,
 		Sweep: func(keep func(string) bool) {
-			requests.Sweep(keep)
-			control.Sweep(keep)
+			requestPool.Sweep(keep)
+			controlPool.Sweep(keep)
 		},
 	}
-	if given.ReportsUsage || given.Scales {
-		c.Duties = platform.NewDuties(given.Duties, pool(keptToControl))
+	if platformSettings.ReportsUsage || platformSettings.Scales {
+		c.Duties = platform.NewDuties(platformSettings.Duties, newPool(maxIdleControlConns))
 	}
-	if given.ReportsUsage {
-		c.UsageWindows = usage.Windows{Span: given.UsageSpan, Due: given.UsageDue}
+	if platformSettings.ReportsUsage {
+		c.UsageWindows = usage.Windows{Span: platformSettings.UsageSpan, Due: platformSettings.UsageDue}
 		c.Wall = clock.NewWall(c.Awake)
 	}
-	c.Scales = given.Scales
+	c.Scales = platformSettings.Scales
 	var err error
-	if c.Fronts, err = fronts(ctx, given, c, registry); err != nil {
+	if c.Fronts, err = newPeerLink(ctx, platformSettings, c, registry); err != nil {
 		return nil, err
 	}
-	for _, l := range []struct {
-		address string
-		into    *net.Listener
-	}{{given.Clients, &c.Clients}, {given.Ready, &c.Control}, {s.metrics, &c.Metrics}} {
-		if l.address == "" {
+	for _, listener := range []struct {
+		address     string
+		destination *net.Listener
+	}{{platformSettings.Clients, &c.Clients}, {platformSettings.Ready, &c.Control}, {s.metricsListen, &c.Metrics}} {
+		if listener.address == "" {
 			continue
 		}
-		if *l.into, err = listen(ctx, l.address); err != nil {
+		if *listener.destination, err = listen(ctx, listener.address); err != nil {
 			return nil, err
 		}
 	}
 	return gateway.New(c), nil
 }
 
-// fronts opens the way to the other fronts, nil where the platform names no port
+// newPeerLink opens the way to the other fronts, nil where the platform names no port
 // for it.
-func fronts(ctx context.Context, given platform.Settings, c gateway.Config, registry *prometheus.Registry) (kumquatlug.FrontLink, error) {
-	if given.Peers == "" {
+func newPeerLink(ctx context.Context, platformSettings platform.Settings, c gateway.Config, registry *prometheus.Registry) (kumquatlug.FrontLink, error) {
+	if platformSettings.Peers == "" {
 		return nil, nil
 	}
-	conn, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", given.Peers)
+	conn, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", platformSettings.Peers)
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen for other fronts at %s", given.Peers)
+		return nil, errors.Wrapf(err, "listen for other fronts at %s", platformSettings.Peers)
 	}
 	return front.New(front.Config{Name: c.Name, Incarnation: c.Incarnation, Conn: conn, Logger: c.Logger, Registry: registry})
 }
 
-// noteReloads takes the signal that the settings file changed. Nothing in it
+// handleReloadSignals takes the signal that the settings file changed. Nothing in it
 // changes while a process runs but what only a new start can use; without a
 // handler the signal would end the process and cut its clients off.
-func noteReloads(ctx context.Context, logger *zap.Logger) {
+func handleReloadSignals(ctx context.Context, logger *zap.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
--- a/cmd/kumquatlug/look.go
+++ b/cmd/kumquatlug/look.go
@@ -30,8 +30,8 @@
 	return cmd.Flags().StringP("output", "o", formatTable, "table or json")
 }
 
-// table writes rows under a heading in aligned columns.
-func table(w io.Writer, rows [][]string) error {
+// writeTable writes rows under a heading in aligned columns.
+func writeTable(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		if _, err := fmt.Fprintln(t, strings.Join(row, "\t")); err != nil {
@@ -41,20 +41,20 @@
 	return t.Flush()
 }
 
-func printJSON(w io.Writer, value any) error {
+func writeJSON(w io.Writer, value any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(value)
 }
 
-// prefixes are the words that get takes for the usual keys.
-var prefixes = map[string]string{
+// keyPrefixes are the words that get takes for the usual keys.
+var keyPrefixes = map[string]string{
 	"targets":   config.PrefixTarget,
 	"selectors": config.PrefixSelector,
 	"callers":   config.PrefixCaller,
 }
 
-func newGet() *cobra.Command {
+func newGetCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:       "get [targets|selectors|callers|PREFIX]",
 		Short:     "Print labels, selectors and accounts with the revision they stand at",
@@ -68,8 +68,8 @@
 		prefix := ""
 		if len(args) > 0 {
 			prefix = args[0]
-			if known, ok := prefixes[prefix]; ok {
-				prefix = known
+			if keyPrefix, ok := keyPrefixes[prefix]; ok {
+				prefix = keyPrefix
 			}
 		}
 		client, err := s.client()
@@ -80,18 +80,18 @@
 		if err != nil {
 			return err
 		}
-		return printSets(cmd.OutOrStdout(), *output, sets, revision)
+		return writeSets(cmd.OutOrStdout(), *output, sets, revision)
 	}
 	return cmd
 }
 
-func printSets(w io.Writer, output string, sets []config.Set, revision config.Revision) error {
+func writeSets(w io.Writer, output string, sets []config.Set, revision config.Revision) error {
 	if output == formatJSON {
 		values := map[string]json.RawMessage{}
 		for _, s := range sets {
 			values[s.Key()] = s.Value()
 		}
-		return printJSON(w, struct {
+		return writeJSON(w, struct {
 			Revision config.Revision            `json:"revision"`
 			Rows     map[string]json.RawMessage `json:"rows"`
 		}{revision, values})
@@ -100,14 +100,14 @@
 	for _, s := range sets {
 		rows = append(rows, []string{s.Key(), string(s.Value())})
 	}
-	if err := table(w, rows); err != nil {
+	if err := writeTable(w, rows); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(w, "revision %d\n", revision)
 	return err
 }
 
-func newStatus() *cobra.Command {
+func newStatusCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "status",
 		Short:   "Print every node with its state and the config revision in force there",
@@ -126,14 +126,14 @@
 			return err
 		}
 		if *output == formatJSON {
-			return printJSON(cmd.OutOrStdout(), status)
+			return writeJSON(cmd.OutOrStdout(), status)
 		}
-		return printStatus(cmd.OutOrStdout(), status)
+		return writeStatus(cmd.OutOrStdout(), status)
 	}
 	return cmd
 }
 
-func printStatus(w io.Writer, status *peerv1.StatusResponse) error {
+func writeStatus(w io.Writer, status *peerv1.StatusResponse) error {
 	rows := [][]string{{"NAME", "ROLE", "ZONE", "STATE", "DOES", "REVISION", "RUNNING", "HEARTBEAT", "ADDRESS", "LABELS"}}
 	for _, n := range status.GetNodes() {
 		age := "-"
@@ -145,17 +145,17 @@
 			strconv.FormatInt(n.GetRunning(), 10), age, n.GetAddress(), n.GetLabels(),
 		})
 	}
-	if err := table(w, rows); err != nil {
+	if err := writeTable(w, rows); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(w, "revision %d\n", status.GetRevision())
 	return err
 }
 
-// waitLook is how often wait asks.
-const waitLook = 200 * time.Millisecond
+// statusPollInterval is how often wait asks.
+const statusPollInterval = 200 * time.Millisecond
 
-func newWait() *cobra.Command {
+func newWaitCommand() *cobra.Command {
 	var timeout int64
 	cmd := &cobra.Command{
 		Use:     "wait REVISION",
@@ -176,43 +176,43 @@
 		}
 		ctx, cancel := context.WithTimeout(cmd.Context(), kumquatlug.Millis(timeout).Duration())
 		defer cancel()
-		return waitFor(ctx, cmd.OutOrStdout(), client, revision)
+		return waitForRevision(ctx, cmd.OutOrStdout(), client, revision)
 	}
 	return cmd
 }
 
-func waitFor(ctx context.Context, w io.Writer, client *operator.Client, revision int64) error {
-	var behind []string
+func waitForRevision(ctx context.Context, w io.Writer, client *operator.Client, revision int64) error {
+	var outdated []string
 	for {
 		status, err := client.Status(ctx)
 		if err == nil {
-			behind = lagging(status, revision)
+			outdated = outdatedNodes(status, revision)
 		}
-		if err == nil && len(behind) == 0 {
+		if err == nil && len(outdated) == 0 {
 			_, err = fmt.Fprintf(w, "revision %d is in force on %d nodes\n", revision, len(status.GetNodes()))
 			return err
 		}
 		select {
-		case <-time.After(waitLook):
+		case <-time.After(statusPollInterval):
 		case <-ctx.Done():
-			return errors.Newf("revision %d is not in force on: %s", revision, strings.Join(behind, ", "))
+			return errors.Newf("revision %d is not in force on: %s", revision, strings.Join(outdated, ", "))
 		}
 	}
 }
 
-// lagging names the nodes that hold an older revision. Nodes that are gone or
+// outdatedNodes names the nodes that hold an older revision. Nodes that are gone or
 // cut off are named too, since nobody can say what is in force there.
-func lagging(status *peerv1.StatusResponse, revision int64) []string {
-	var behind []string
+func outdatedNodes(status *peerv1.StatusResponse, revision int64) []string {
+	var outdated []string
 	for _, n := range status.GetNodes() {
 		if n.GetRevision() < revision {
-			behind = append(behind, fmt.Sprintf("%s (%s, revision %d)", n.GetName(), n.GetState(), n.GetRevision()))
+			outdated = append(outdated, fmt.Sprintf("%s (%s, revision %d)", n.GetName(), n.GetState(), n.GetRevision()))
 		}
 	}
-	return behind
+	return outdated
 }
 
-func newExplain() *cobra.Command {
+func newExplainCommand() *cobra.Command {
 	var protocol string
 	cmd := &cobra.Command{
 		Use:     "explain KIND",
@@ -233,13 +233,13 @@
 			return err
 		}
 		if *output == formatJSON {
-			return printJSON(cmd.OutOrStdout(), answer)
+			return writeJSON(cmd.OutOrStdout(), answer)
 		}
 		rows := [][]string{{"TARGET", "TAKES IT", "SELECTOR", "WHY NOT"}}
 		for _, v := range answer.GetVerdicts() {
 			rows = append(rows, []string{v.GetTarget(), yesNo(v.GetEligible()), v.GetSelector(), v.GetReason()})
 		}
-		return table(cmd.OutOrStdout(), rows)
+		return writeTable(cmd.OutOrStdout(), rows)
 	}
 	return cmd
 }
@@ -251,7 +251,7 @@
 	return "no"
 }
 
-func newTimeline() *cobra.Command {
+func newTimelineCommand() *cobra.Command {
 	var request, format string
 	cmd := &cobra.Command{
 		Use:     "timeline",
--- a/cmd/kumquatlug/main.go
+++ b/cmd/kumquatlug/main.go
@@ -20,15 +20,15 @@
 
 // Exit codes beside 0 and 1, for scripts that drive the operators' commands.
 const (
-	exitFailed   = 1
-	exitConflict = 3
-	exitDenied   = 4
-	exitLost     = 5
+	exitFailed         = 1
+	exitConflict       = 3
+	exitDenied         = 4
+	exitUnknownOutcome = 5
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := newRoot().ExecuteContext(ctx)
+	err := newRootCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "kumquatlug:", err)
@@ -43,13 +43,13 @@
 	case errors.Is(err, kumquatlug.ErrDenied):
 		return exitDenied
 	case errors.Is(err, kumquatlug.ErrLost):
-		return exitLost
+		return exitUnknownOutcome
 	default:
 		return exitFailed
 	}
 }
 
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "kumquatlug",
 		Short: "Serve a fixed fleet of language-model engines and plain services",
@@ -69,14 +69,14 @@
 			root.AddCommand(c)
 		}
 	}
-	add("run", newFront(), newEntry(), newAgent(), newDev())
-	add("operate", newLabel(), newSelector(), newCaller(), newGet(), newStatus(), newWait(), newExplain(),
-		newTimeline(), newStory(), newLosses(), newCheck(), newCerts())
-	root.AddCommand(newVMs(), newVersion())
+	add("run", newFrontCommand(), newEntryCommand(), newAgentCommand(), newDevCommand())
+	add("operate", newLabelCommand(), newSelectorCommand(), newCallerCommand(), newGetCommand(), newStatusCommand(), newWaitCommand(), newExplainCommand(),
+		newTimelineCommand(), newStoryCommand(), newLossesCommand(), newCheckCommand(), newCertsCommand())
+	root.AddCommand(newVMsCommand(), newVersionCommand())
 	return root
 }
 
-func newVersion() *cobra.Command {
+func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
--- a/cmd/kumquatlug/node.go
+++ b/cmd/kumquatlug/node.go
@@ -25,25 +25,25 @@
 
 // nodeSettings are what entries and agents both need to know.
 type nodeSettings struct {
-	name, zone           string
-	platform             string
-	cert, key, authority string
-	insecure             bool
-	logFormat, logLevel  string
-	events               int
+	name, zone                  string
+	platform                    string
+	certificate, key, authority string
+	insecureLoopback            bool
+	logFormat, logLevel         string
+	ringSize                    int
 }
 
 func (s *nodeSettings) bind(flags *pflag.FlagSet) {
 	flags.StringVar(&s.name, "name", "", "name of this VM on the list of VMs")
 	flags.StringVar(&s.zone, "zone", "", "name of the data centre that this VM is in")
 	flags.StringVar(&s.platform, "platform", "", "IP:port of the platform's store")
-	flags.StringVar(&s.cert, "tls-cert", "", "this process's certificate for its peers: PEM text or a file")
+	flags.StringVar(&s.certificate, "tls-cert", "", "this process's certificate for its peers: PEM text or a file")
 	flags.StringVar(&s.key, "tls-key", "", "the key of --tls-cert: PEM text or a file")
 	flags.StringVar(&s.authority, "tls-ca", "", "the authority of the peers' certificates: PEM text or a file")
-	flags.BoolVar(&s.insecure, "insecure-loopback", false, "speak plainly to peers; only with loopback addresses")
+	flags.BoolVar(&s.insecureLoopback, "insecure-loopback", false, "speak plainly to peers; only with loopback addresses")
 	flags.StringVar(&s.logFormat, "log-format", "json", "json or console")
 	flags.StringVar(&s.logLevel, "log-level", "info", "debug, info, warn or error")
-	flags.IntVar(&s.events, "events", timeline.DefaultSize, "how many events this process keeps for the time line")
+	flags.IntVar(&s.ringSize, "events", timeline.DefaultSize, "how many events this process keeps for the time line")
 }
 
 // check tells every bad setting; peers are the addresses that peers use.
@@ -53,7 +53,7 @@
 	c.Address("platform", s.platform)
 	c.OneOf("log-format", s.logFormat, "json", "console")
 	c.OneOf("log-level", s.logLevel, "debug", "info", "warn", "error")
-	c.Between("events", "events", int64(s.events), 16, 1<<20)
+	c.Between("events", "events", int64(s.ringSize), 16, 1<<20)
 	for flag, address := range peers {
 		c.Address(flag, address)
 	}
@@ -61,7 +61,7 @@
 }
 
 func (s *nodeSettings) checkKeys(c *settings.Checker, peers map[string]string) {
-	if s.insecure {
+	if s.insecureLoopback {
 		for flag, address := range peers {
 			if host, _, err := net.SplitHostPort(address); err == nil && !net.ParseIP(host).IsLoopback() {
 				c.Add(flag, "a loopback IP, as --insecure-loopback is set", "is not on loopback")
@@ -69,49 +69,49 @@
 		}
 		return
 	}
-	c.Required("tls-cert", "PEM text or a file (or set --insecure-loopback)", s.cert)
+	c.Required("tls-cert", "PEM text or a file (or set --insecure-loopback)", s.certificate)
 	c.Required("tls-key", "PEM text or a file (or set --insecure-loopback)", s.key)
 	c.Required("tls-ca", "PEM text or a file (or set --insecure-loopback)", s.authority)
-	if s.cert == "" || s.key == "" || s.authority == "" {
+	if s.certificate == "" || s.key == "" || s.authority == "" {
 		return
 	}
-	if _, err := s.keys(); err != nil {
+	if _, err := s.loadKeys(); err != nil {
 		c.Add("tls-cert", "a certificate, its key and an authority", err.Error())
 	}
 }
 
-func (s *nodeSettings) keys() (*peer.Keys, error) {
-	if s.insecure {
+func (s *nodeSettings) loadKeys() (*peer.Keys, error) {
+	if s.insecureLoopback {
 		return nil, nil
 	}
-	return peer.LoadKeys(peer.KeysConfig{Certificate: s.cert, Key: s.key, Authority: s.authority})
+	return peer.LoadKeys(peer.KeysConfig{Certificate: s.certificate, Key: s.key, Authority: s.authority})
 }
 
-// keptToTable is how many idle connections are kept to the store: as many reads
+// maxIdleTableConns is how many idle connections are kept to the store: as many reads
 // as a ledger makes at once.
-const keptToTable = 16
+const maxIdleTableConns = 16
 
-func (s *nodeSettings) store(c kumquatlug.Clock) *platform.Store {
+func (s *nodeSettings) newStore(c kumquatlug.Clock) *platform.Store {
 	return platform.NewStore(platform.StoreConfig{
-		Address: s.platform, Pool: exchange.New(exchange.Config{Clock: c, Kept: keptToTable}),
+		Address: s.platform, Pool: exchange.New(exchange.Config{Clock: c, Kept: maxIdleTableConns}),
 	})
 }
 
-// seed differs between nodes, so that entries don't decide alike.
-func (s *nodeSettings) seed() uint64 {
+// randomSeed differs between nodes, so that entries don't decide alike.
+func (s *nodeSettings) randomSeed() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s.name))
 	return h.Sum64()
 }
 
-// process is a command that runs until a signal, once its settings are good.
-type process interface {
-	checked
+// processSettings is a command that runs until a signal, once its settings are good.
+type processSettings interface {
+	checkableSettings
 	run(ctx context.Context) error
 }
 
-// newProcess makes cmd run s.
-func newProcess(cmd *cobra.Command, s process) *cobra.Command {
+// newProcessCommand makes cmd run s.
+func newProcessCommand(cmd *cobra.Command, s processSettings) *cobra.Command {
 	cmd.Args = cobra.NoArgs
 	s.bind(cmd.Flags())
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -132,8 +132,8 @@
 	clock    *clock.Monotonic
 }
 
-func (s *nodeSettings) build() (*node, error) {
-	keys, err := s.keys()
+func (s *nodeSettings) newNode() (*node, error) {
+	keys, err := s.loadKeys()
 	if err != nil {
 		return nil, err
 	}
@@ -145,14 +145,14 @@
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return &node{
 		keys: keys, logger: logger.With(zap.String("node", s.name)), registry: registry,
-		ring: timeline.NewRing(s.name, s.events), clock: clock.NewMonotonic(),
+		ring: timeline.NewRing(s.name, s.ringSize), clock: clock.NewMonotonic(),
 	}, nil
 }
 
 // newLogger writes to standard output, where the platform gathers logs: VMs
 // have no disks.
 func newLogger(format, level string) (*zap.Logger, error) {
-	at, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, errors.Wrap(err, "log level")
 	}
@@ -162,7 +162,7 @@
 	if format == "console" {
 		encoder = zapcore.NewConsoleEncoder(c)
 	}
-	return zap.New(zapcore.NewCore(encoder, zapcore.Lock(os.Stdout), at)), nil
+	return zap.New(zapcore.NewCore(encoder, zapcore.Lock(os.Stdout), minLevel)), nil
 }
 
 // listen opens a TCP listener.
--- a/cmd/kumquatlug/operate.go
+++ b/cmd/kumquatlug/operate.go
@@ -42,18 +42,18 @@
 	return operator.NewClient(operator.ClientConfig{URL: s.server, Key: s.key, Authority: s.authority})
 }
 
-// apply makes a change and prints the revision to wait for.
-func apply(cmd *cobra.Command, client *operator.Client, base config.Revision, sets ...config.Set) error {
+// applySets makes a change and prints the revision to wait for.
+func applySets(cmd *cobra.Command, client *operator.Client, base config.Revision, sets ...config.Set) error {
 	revision, err := client.Apply(cmd.Context(), base, sets...)
 	if err != nil {
-		return explainChange(err)
+		return describeChangeError(err)
 	}
 	_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d\n", revision)
 	return err
 }
 
-// explainChange says in words what an operator is to make of a failed change.
-func explainChange(err error) error {
+// describeChangeError says in words what an operator is to make of a failed change.
+func describeChangeError(err error) error {
 	switch {
 	case errors.Is(err, kumquatlug.ErrConflict):
 		return errors.Wrap(err, "conflict: somebody changed the same thing first, nothing was changed; look again")
@@ -66,7 +66,7 @@
 	}
 }
 
-func newLabel() *cobra.Command {
+func newLabelCommand() *cobra.Command {
 	var remove bool
 	cmd := &cobra.Command{
 		Use:   "label TARGET name=value... name-...",
@@ -84,7 +84,7 @@
 			return errors.New("give labels to set or remove, or --delete alone")
 		}
 		if remove {
-			return change(cmd, s, config.NewDelete(config.PrefixTarget+args[0]))
+			return changeKey(cmd, s, config.NewDelete(config.PrefixTarget+args[0]))
 		}
 		client, err := s.client()
 		if err != nil {
@@ -101,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		return apply(cmd, client, base, set)
+		return applySets(cmd, client, base, set)
 	}
 	return cmd
 }
@@ -141,13 +141,13 @@
 	return nil
 }
 
-func newSelector() *cobra.Command {
+func newSelectorCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "selector", Short: "Set or delete selectors: which targets take which work"}
-	cmd.AddCommand(newSelectorSet(), newSelectorDelete())
+	cmd.AddCommand(newSelectorSetCommand(), newSelectorDeleteCommand())
 	return cmd
 }
 
-func newSelectorSet() *cobra.Command {
+func newSelectorSetCommand() *cobra.Command {
 	var c selector.Config
 	var protocol, role string
 	var deadline int64
@@ -171,27 +171,27 @@
 		c.Name, c.Protocol, c.Role = args[0], kumquatlug.Protocol(protocol), kumquatlug.Role(role)
 		c.Deadline = kumquatlug.Millis(deadline)
 		if c.Role == "" {
-			c.Role = usualRole(c.Protocol)
+			c.Role = defaultRole(c.Protocol)
 		}
 		set, err := config.SetSelector(c)
 		if err != nil {
 			return errors.Mark(err, kumquatlug.ErrDenied)
 		}
-		return change(cmd, s, set)
+		return changeKey(cmd, s, set)
 	}
 	return cmd
 }
 
-func usualRole(protocol kumquatlug.Protocol) kumquatlug.Role {
+func defaultRole(protocol kumquatlug.Protocol) kumquatlug.Role {
 	if protocol == kumquatlug.ProtocolService {
 		return kumquatlug.RoleServe
 	}
 	return kumquatlug.RoleBoth
 }
 
-// change makes a change over the revision in force at the entry asked.
-func change(cmd *cobra.Command, s *serverSettings, set config.Set) error {
-	client, err := s.client()
+// changeKey makes a change over the revision in force at the entry asked.
+func changeKey(cmd *cobra.Command, server *serverSettings, set config.Set) error {
+	client, err := server.client()
 	if err != nil {
 		return err
 	}
@@ -199,25 +199,25 @@
 	if err != nil {
 		return err
 	}
-	return apply(cmd, client, base, set)
+	return applySets(cmd, client, base, set)
 }
 
-func newSelectorDelete() *cobra.Command {
+func newSelectorDeleteCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "delete NAME", Short: "Delete a selector", Args: cobra.ExactArgs(1), Example: "  kumquatlug selector delete drafting"}
 	s := bindServer(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		return change(cmd, s, config.NewDelete(config.PrefixSelector+args[0]))
+		return changeKey(cmd, s, config.NewDelete(config.PrefixSelector+args[0]))
 	}
 	return cmd
 }
 
-func newCaller() *cobra.Command {
+func newCallerCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "caller", Short: "Add or delete callers' accounts"}
-	cmd.AddCommand(newCallerAdd(), newCallerDelete())
+	cmd.AddCommand(newCallerAddCommand(), newCallerDeleteCommand())
 	return cmd
 }
 
-func newCallerAdd() *cobra.Command {
+func newCallerAddCommand() *cobra.Command {
 	var c kumquatlug.CallerConfig
 	var key string
 	cmd := &cobra.Command{
@@ -240,7 +240,7 @@
 		if err != nil {
 			return errors.Mark(err, kumquatlug.ErrDenied)
 		}
-		if err := change(cmd, s, set); err != nil {
+		if err := changeKey(cmd, s, set); err != nil {
 			return err
 		}
 		_, err = fmt.Fprintf(cmd.OutOrStdout(), "key %s\n", key)
@@ -249,11 +249,11 @@
 	return cmd
 }
 
-func newCallerDelete() *cobra.Command {
+func newCallerDeleteCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "delete NAME", Short: "Delete an account", Args: cobra.ExactArgs(1), Example: "  kumquatlug caller delete portal"}
 	s := bindServer(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		return change(cmd, s, config.NewDelete(config.PrefixCaller+args[0]))
+		return changeKey(cmd, s, config.NewDelete(config.PrefixCaller+args[0]))
 	}
 	return cmd
 }
--- a/cmd/kumquatlug/story.go
+++ b/cmd/kumquatlug/story.go
@@ -6,8 +6,8 @@
 	"github.com/kumquatlug/kumquatlug/internal/logs"
 )
 
-// newLosses returns the command that tells where requests were lost.
-func newLosses() *cobra.Command {
+// newLossesCommand returns the command that tells where requests were lost.
+func newLossesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "losses",
 		Short: "Tell from fronts' logs on standard input what was answered late or not at all, by route, cause and second",
@@ -24,16 +24,16 @@
 	}
 }
 
-// newStory returns the command that explains a failure from logs alone.
-func newStory() *cobra.Command {
+// newStoryCommand returns the command that explains a failure from logs alone.
+func newStoryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "story REQUEST|WORKER|VM",
 		Short: "Tell from logs on standard input what became of a request, a worker or a VM",
 		Args:  cobra.ExactArgs(1),
 		Example: `  cat front-*.log | kumquatlug story 8b5b283a6c523835
   cat front-*.log | kumquatlug story i-75ab547a63`,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			story, err := logs.ReadStory(cmd.InOrStdin(), words[0])
+		RunE: func(cmd *cobra.Command, args []string) error {
+			story, err := logs.ReadStory(cmd.InOrStdin(), args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/kumquatlug/vms.go
+++ b/cmd/kumquatlug/vms.go
@@ -13,10 +13,10 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/membership"
 )
 
-// newVMs returns the commands on the list of VMs. Processes enter themselves and
+// newVMsCommand returns the commands on the list of VMs. Processes enter themselves and
 // leave after a planned stop; what died or is about to be taken away is told
 // here.
-func newVMs() *cobra.Command {
+func newVMsCommand() *cobra.Command {
 	var s nodeSettings
 	cmd := &cobra.Command{
 		Use:   "vms",
@@ -27,14 +27,14 @@
   kumquatlug vms forget engine-7 --platform 10.0.0.9:7000`,
 	}
 	cmd.PersistentFlags().StringVar(&s.platform, "platform", "", "IP:port of the platform's store")
-	roster := func(cmd *cobra.Command) (*membership.Roster, error) {
-		c := settings.FromEnvironment(cmd.Flags())
-		checker := settings.NewChecker(c)
+	openRoster := func(cmd *cobra.Command) (*membership.Roster, error) {
+		problems := settings.FromEnvironment(cmd.Flags())
+		checker := settings.NewChecker(problems)
 		checker.Address("platform", s.platform)
-		return membership.NewRoster(s.store(clock.NewMonotonic())), checker.Problems().Err()
+		return membership.NewRoster(s.newStore(clock.NewMonotonic())), checker.Problems().Err()
 	}
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		r, err := roster(cmd)
+		r, err := openRoster(cmd)
 		if err != nil {
 			return err
 		}
@@ -44,17 +44,17 @@
 		}
 		return err
 	}
-	change := func(use, short string, f func(ctx context.Context, r *membership.Roster, name string) error) {
-		cmd.AddCommand(&cobra.Command{Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, words []string) error {
-			r, err := roster(cmd)
+	addCommand := func(use, short string, run func(ctx context.Context, r *membership.Roster, name string) error) {
+		cmd.AddCommand(&cobra.Command{Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
+			r, err := openRoster(cmd)
 			if err != nil {
 				return err
 			}
-			return f(cmd.Context(), r, words[0])
+			return run(cmd.Context(), r, args[0])
 		}})
 	}
-	change("leaving", "Tell that a VM is about to be taken away: it gets nothing new", markLeaving)
-	change("forget", "Take a VM that is gone off the list", func(ctx context.Context, r *membership.Roster, name string) error {
+	addCommand("leaving", "Tell that a VM is about to be taken away: it gets nothing new", markLeaving)
+	addCommand("forget", "Take a VM that is gone off the list", func(ctx context.Context, r *membership.Roster, name string) error {
 		return r.Leave(ctx, name)
 	})
 	return cmd
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -20,8 +20,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// memoryLimit is what the runtime is told to keep the heap below, in bytes.
-const memoryLimit = 2 << 30
+// heapLimitBytes is what the runtime is told to keep the heap below, in bytes.
+const heapLimitBytes = 2 << 30
 
 // Config is how much to measure.
 type Config struct {
@@ -30,12 +30,12 @@
 	Scale float64
 }
 
-// size returns n scaled, at least least.
-func (c Config) size(n, least int) int {
+// scaledSize returns n scaled, at least least.
+func (c Config) scaledSize(size, minSize int) int {
 	if c.Scale == 0 {
-		return n
+		return size
 	}
-	return max(least, int(float64(n)*c.Scale))
+	return max(minSize, int(float64(size)*c.Scale))
 }
 
 // Measurement measures slopes that belong together.
@@ -54,23 +54,23 @@
 // Measurements returns all there are, in the order of the page.
 func Measurements() []Measurement {
 	return []Measurement{
-		{"heartbeat", "one heartbeat between entry and agent, over HTTP/1.1 and over HTTP/2", heartbeats},
-		{"pace", "agents and entries without work, at the pace of their own clocks", paces},
-		{"stream", "a streamed token on its way from the engine to the caller", streams},
-		{"pull", "config changes pulled from a peer and brought into force", pulls},
-		{"offer", "what entries tell each other of their demand", offers},
-		{"messages", "how messages between processes grow", messages},
-		{"table", "operations at the platform's table, and the bytes of reading it", tableWork},
-		{"memory", "heap for one more of each thing that a process keeps", memory},
-		{"decisions", "processor time of an entry's decisions", decisions},
+		{"heartbeat", "one heartbeat between entry and agent, over HTTP/1.1 and over HTTP/2", measureHeartbeats},
+		{"pace", "agents and entries without work, at the pace of their own clocks", measureIdle},
+		{"stream", "a streamed token on its way from the engine to the caller", measureStreams},
+		{"pull", "config changes pulled from a peer and brought into force", measurePulls},
+		{"offer", "what entries tell each other of their demand", measureOffers},
+		{"messages", "how messages between processes grow", measureMessages},
+		{"table", "operations at the platform's table, and the bytes of reading it", measureTable},
+		{"memory", "heap for one more of each thing that a process keeps", measureMemory},
+		{"decisions", "processor time of an entry's decisions", measureDecisions},
 	}
 }
 
 // Run measures what names ask for, everything when there are none.
 func Run(ctx context.Context, c Config, names []string) ([]Slope, error) {
-	debug.SetMemoryLimit(memoryLimit)
+	debug.SetMemoryLimit(heapLimitBytes)
 	var slopes []Slope
-	left := slices.Clone(names)
+	unknown := slices.Clone(names)
 	for _, m := range Measurements() {
 		if len(names) > 0 && !slices.Contains(names, m.name) {
 			continue
@@ -83,10 +83,10 @@
 			s.measurement = m.name
 			slopes = append(slopes, s)
 		}
-		left = slices.DeleteFunc(left, func(name string) bool { return name == m.name })
+		unknown = slices.DeleteFunc(unknown, func(name string) bool { return name == m.name })
 	}
-	if len(left) > 0 {
-		return nil, errors.Newf("no measurement is called %q", left[0])
+	if len(unknown) > 0 {
+		return nil, errors.Newf("no measurement is called %q", unknown[0])
 	}
 	return slopes, nil
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestSlopeIsTheDifferenceOfTheEnds(t *testing.T) {
+func TestSlopeUsesFirstAndLastPoint(t *testing.T) {
 	s, err := NewSlope("heartbeat", "heartbeat", UnitBytes, NewPoint(100, 5000), NewPoint(200, 9999), NewPoint(300, 13000))
 	if err != nil || s.Value() != 40 || s.Sizes() != "100, 200, 300" {
 		t.Errorf("got %v per %q over %q: %v", s.Value(), s.Per(), s.Sizes(), err)
@@ -23,30 +23,30 @@
 
 // Records come in pieces of any size; wherever they are cut, the same bytes are
 // counted.
-func TestRecordsAreFollowedThroughAnyCut(t *testing.T) {
+func TestRecordParserHandlesAnySplit(t *testing.T) {
 	var wire []byte
 	for _, body := range []int{17, 100, 16401} {
 		wire = append(wire, 23, 3, 3)
 		wire = binary.BigEndian.AppendUint16(wire, uint16(body))
 		wire = append(wire, make([]byte, body)...)
 	}
-	for _, cut := range []int{1, 3, 5, 6, 1000, len(wire)} {
-		var r records
-		var carried, begun int64
-		for at := 0; at < len(wire); at += cut {
-			c, b := r.take(wire[at:min(at+cut, len(wire))])
-			carried, begun = carried+c, begun+b
+	for _, pieceSize := range []int{1, 3, 5, 6, 1000, len(wire)} {
+		var parser recordParser
+		var payload, started int64
+		for offset := 0; offset < len(wire); offset += pieceSize {
+			c, b := parser.parse(wire[offset:min(offset+pieceSize, len(wire))])
+			payload, started = payload+c, started+b
 		}
-		if carried != 83+16384 || begun != 3 {
-			t.Errorf("pieces of %d: %d records carry %d", cut, begun, carried)
+		if payload != 83+16384 || started != 3 {
+			t.Errorf("pieces of %d: %d records carry %d", pieceSize, started, payload)
 		}
 	}
 }
 
 // Each measurement runs on small sizes. What does not depend on the machine is
 // compared; heap and processor time are not.
-func TestMeasurementsRun(t *testing.T) {
-	exact := map[string]float64{
+func TestMeasurementsRunAtSmallScale(t *testing.T) {
+	wantValues := map[string]float64{
 		"lease: held and renewed/table reads":      1,
 		"lease: held and renewed/table writes":     1,
 		"config change committed/table writes":     1,
@@ -67,8 +67,8 @@
 				if s.Unit() == UnitBytes && s.Value() <= 0 {
 					t.Errorf("%s: %v bytes", s.What(), s.Value())
 				}
-				want, known := exact[s.What()+"/"+string(s.Unit())]
-				if known && s.Value() != want {
+				want, exact := wantValues[s.What()+"/"+string(s.Unit())]
+				if exact && s.Value() != want {
 					t.Errorf("%s: %v %s, want %v", s.What(), s.Value(), s.Unit(), want)
 				}
 			}
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestSlopesAreWrittenForPeopleAndPrograms(t *testing.T) {
+func TestWriteTextAndWriteJSON(t *testing.T) {
 	s, err := NewSlope("heartbeat", "heartbeat", UnitBytes, NewPoint(1, 600), NewPoint(3, 1800))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// runs is how often a processor time is taken; the least of them counts, since
+// repetitions is how often a processor time is taken; the least of them counts, since
 // whatever else the machine does can only add to it.
-const runs = 3
+const repetitions = 3
 
-// processor returns the processor time that this process has used.
-func processor() (time.Duration, error) {
+// processorTime returns the processor time that this process has used.
+func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0, errors.Wrap(err, "read the processor time")
@@ -21,36 +21,36 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// spent returns the processor time that do takes.
-func spent(do func() error) (time.Duration, error) {
-	before, err := processor()
+// timeProcessor returns the processor time that do takes.
+func timeProcessor(work func() error) (time.Duration, error) {
+	before, err := processorTime()
 	if err != nil {
 		return 0, err
 	}
-	if err := do(); err != nil {
+	if err := work(); err != nil {
 		return 0, err
 	}
-	after, err := processor()
+	after, err := processorTime()
 	return after - before, err
 }
 
-// leastSpent returns the least processor time of a few runs of do.
-func leastSpent(do func() error) (time.Duration, error) {
-	var least time.Duration
-	for i := range runs {
-		took, err := spent(do)
+// minProcessorTime returns the least processor time of a few runs of do.
+func minProcessorTime(work func() error) (time.Duration, error) {
+	var minimum time.Duration
+	for i := range repetitions {
+		duration, err := timeProcessor(work)
 		if err != nil {
 			return 0, err
 		}
-		if i == 0 || took < least {
-			least = took
+		if i == 0 || duration < minimum {
+			minimum = duration
 		}
 	}
-	return least, nil
+	return minimum, nil
 }
 
-// heap returns the bytes on the heap that are still referred to.
-func heap() float64 {
+// heapBytes returns the bytes on the heap that are still referred to.
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -58,18 +58,18 @@
 	return float64(stats.HeapAlloc)
 }
 
-// stacks returns the bytes of goroutines' stacks.
-func stacks() float64 {
+// stackBytes returns the bytes of goroutines' stacks.
+func stackBytes() float64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.StackInuse)
 }
 
-// kept returns how much heap is held by what build returns.
-func kept(build func() (any, error)) (float64, error) {
-	before := heap()
+// retainedHeap returns how much heap is held by what build returns.
+func retainedHeap(build func() (any, error)) (float64, error) {
+	before := heapBytes()
 	built, err := build()
-	after := heap()
+	after := heapBytes()
 	runtime.KeepAlive(built)
 	return after - before, err
 }
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -10,23 +10,23 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// step is a decision that is taken many times over a desk of some size.
-type step struct {
+// decisionBenchmark is a decision that is taken many times over a desk of some size.
+type decisionBenchmark struct {
 	what string
 	per  string
 	// sizes are how many of what per names the desk has.
 	sizes [2]int
-	// rounds is how often the step is taken at each size.
-	rounds int
-	desk   func(n int) (*desk, error)
-	once   func(d *desk, i int)
+	// iterations is how often the step is taken at each size.
+	iterations    int
+	newDispatcher func(n int) (*fleetDispatcher, error)
+	run           func(d *fleetDispatcher, i int)
 }
 
-// decisions measures the processor time of an entry's decisions and how it
+// measureDecisions measures the processor time of an entry's decisions and how it
 // grows with the fleet.
-func decisions(_ context.Context, c Config) ([]Slope, error) {
+func measureDecisions(_ context.Context, c Config) ([]Slope, error) {
 	var slopes []Slope
-	for _, measure := range []func(Config) ([]Slope, error){requestRounds, fleetSteps} {
+	for _, measure := range []func(Config) ([]Slope, error){measureRequests, measureFleetUpdates} {
 		more, err := measure(c)
 		if err != nil {
 			return nil, err
@@ -36,40 +36,40 @@
 	return slopes, nil
 }
 
-// requestRounds measures one request from its arrival to its end: alone, by the
+// measureRequests measures one request from its arrival to its end: alone, by the
 // number of its candidates, and by the number that wait behind it.
-func requestRounds(c Config) ([]Slope, error) {
-	one, err := account(0)
+func measureRequests(c Config) ([]Slope, error) {
+	caller, err := newAccount(0)
 	if err != nil {
 		return nil, err
 	}
 	var slopes []Slope
 	for _, candidates := range []int{20, 100} {
-		d, err := newDesk(deskConfig{targets: candidates, entries: 1, subset: candidates, oneKind: true, room: 256})
+		d, err := newFleetDispatcher(fleetConfig{targets: candidates, gateways: 1, subsetSize: candidates, singleKind: true, concurrency: 256})
 		if err != nil {
 			return nil, err
 		}
 		i := 0
-		s, err := perRound(fmt.Sprintf("arrive, pick, first token, finish at %d candidates", candidates), "request",
-			[2]int{c.size(2000, 20), c.size(12000, 100)}, func() { i++; d.round(i, one) })
+		s, err := slopePerRound(fmt.Sprintf("arrive, pick, first token, finish at %d candidates", candidates), "request",
+			[2]int{c.scaledSize(2000, 20), c.scaledSize(12000, 100)}, func() { i++; d.runRequest(i, caller) })
 		if err != nil {
 			return nil, err
 		}
 		slopes = append(slopes, s)
 	}
-	waiting := 0
-	s, err := perSize(step{
-		what: "arrive and give up behind a queue", per: "queued request", sizes: [2]int{c.size(100, 5), c.size(900, 50)}, rounds: c.size(500, 20),
-		desk: func(n int) (*desk, error) {
-			built, err := loadedDesk(n, 1)
+	id := 0
+	s, err := slopePerSize(decisionBenchmark{
+		what: "arrive and give up behind a queue", per: "queued request", sizes: [2]int{c.scaledSize(100, 5), c.scaledSize(900, 50)}, iterations: c.scaledSize(500, 20),
+		newDispatcher: func(n int) (*fleetDispatcher, error) {
+			built, err := newLoadedDispatcher(n, 1)
 			if err != nil {
 				return nil, err
 			}
-			return built.(*desk), nil
+			return built.(*fleetDispatcher), nil
 		},
-		once: func(d *desk, i int) {
-			waiting = 1_000_000 + i
-			r := d.request(waiting, one)
+		run: func(d *fleetDispatcher, i int) {
+			id = 1_000_000 + i
+			r := d.newRequest(id, caller)
 			d.Arrive(d.now, r)
 			d.Cancelled(d.now, r.ID)
 		},
@@ -77,51 +77,51 @@
 	return append(slopes, s), err
 }
 
-// round takes one request through the desk.
-func (d *desk) round(i int, caller kumquatlug.Caller) {
-	r := d.request(i, caller)
+// runRequest takes one request through the desk.
+func (d *fleetDispatcher) runRequest(i int, caller kumquatlug.Caller) {
+	r := d.newRequest(i, caller)
 	d.Arrive(d.now, r)
 	d.now++
 	d.Progress(d.now, r.ID, 1)
 	d.Finished(d.now, r.ID, dispatch.Done{Tokens: 200})
 }
 
-// fleetSteps measures what an entry does about the fleet: for a heartbeat, the
+// measureFleetUpdates measures what an entry does about the fleet: for a heartbeat, the
 // platform's list and a change of the config. The greater size is that of the
 // large fleet, so that its totals are no extrapolation.
-func fleetSteps(c Config) ([]Slope, error) {
-	sizes := [2]int{c.size(1000, 30), c.size(10_000, 90)}
+func measureFleetUpdates(c Config) ([]Slope, error) {
+	sizes := [2]int{c.scaledSize(1000, 30), c.scaledSize(10_000, 90)}
 	// leastSubset is how many targets of a group a planner watches here.
 	const leastSubset = 20
-	split := func(n int) (*desk, error) {
-		return newDesk(deskConfig{targets: n, entries: entriesBefore(n), split: true})
+	newDisaggregated := func(n int) (*fleetDispatcher, error) {
+		return newFleetDispatcher(fleetConfig{targets: n, gateways: gatewaysFor(n), disaggregated: true})
 	}
-	whole := remembered(deskConfig{})
-	steps := []step{
-		{"take the platform's list", "VM listed", sizes, 3, whole, func(d *desk, _ int) { d.Listed(d.now, d.vms) }},
-		{"take a config change", "target labelled", sizes, 3, whole, func(d *desk, i int) { d.relabel(i) }},
-		{"take a heartbeat that changes nothing", "target listed", sizes, c.size(2000, 50), whole, func(d *desk, i int) {
+	newShared := cachedDispatchers(fleetConfig{})
+	benchmarks := []decisionBenchmark{
+		{"take the platform's list", "VM listed", sizes, 3, newShared, func(d *fleetDispatcher, _ int) { d.Listed(d.now, d.vms) }},
+		{"take a config change", "target labelled", sizes, 3, newShared, func(d *fleetDispatcher, i int) { d.relabelTarget(i) }},
+		{"take a heartbeat that changes nothing", "target listed", sizes, c.scaledSize(2000, 50), newShared, func(d *fleetDispatcher, i int) {
 			d.now++
-			d.hear(d.Watched()[i%len(d.Watched())])
+			d.answerHeartbeat(d.Watched()[i%len(d.Watched())])
 		}},
-		{"planner: find each target's group, once a config change", "target listed", sizes, 1, split, func(d *desk, _ int) {
+		{"planner: find each target's group, once a config change", "target listed", sizes, 1, newDisaggregated, func(d *fleetDispatcher, _ int) {
 			for _, name := range d.Members() {
-				if _, flexible := d.Flexible(name); flexible {
+				if _, switchable := d.Flexible(name); switchable {
 					_ = d.Group(name)
 				}
 			}
 		}},
-		{"planner: name the targets of its groups anew", "target listed", sizes, 3, split, func(d *desk, _ int) {
+		{"planner: name the targets of its groups anew", "target listed", sizes, 3, newDisaggregated, func(d *fleetDispatcher, _ int) {
 			d.WatchAlso(d.now, d.Members()[:leastSubset])
 		}},
-		{"take a heartbeat after an agent restarted", "target listed", sizes, 3, whole, func(d *desk, i int) {
+		{"take a heartbeat after an agent restarted", "target listed", sizes, 3, newShared, func(d *fleetDispatcher, i int) {
 			d.now++
 			d.Heard(d.now, d.Watched()[0], dispatch.Report{Incarnation: fmt.Sprint(i), State: dispatch.TargetServing, Asked: d.now})
 		}},
 	}
 	var slopes []Slope
-	for _, s := range steps {
-		slope, err := perSize(s)
+	for _, s := range benchmarks {
+		slope, err := slopePerSize(s)
 		if err != nil {
 			return nil, err
 		}
@@ -130,23 +130,23 @@
 	return slopes, nil
 }
 
-// remembered returns a function that gives the desk over n targets, the same
+// cachedDispatchers returns a function that gives the desk over n targets, the same
 // each time: a large one takes a second to build.
-func remembered(c deskConfig) func(n int) (*desk, error) {
-	built := map[int]*desk{}
-	return func(n int) (*desk, error) {
-		if d, known := built[n]; known {
+func cachedDispatchers(c fleetConfig) func(n int) (*fleetDispatcher, error) {
+	dispatchers := map[int]*fleetDispatcher{}
+	return func(n int) (*fleetDispatcher, error) {
+		if d, cached := dispatchers[n]; cached {
 			return d, nil
 		}
-		c.targets, c.entries = n, entriesBefore(n)
-		d, err := newDesk(c)
-		built[n] = d
+		c.targets, c.gateways = n, gatewaysFor(n)
+		d, err := newFleetDispatcher(c)
+		dispatchers[n] = d
 		return d, err
 	}
 }
 
-// relabel brings a change of one target's labels into force.
-func (d *desk) relabel(i int) {
+// relabelTarget brings a change of one target's labels into force.
+func (d *fleetDispatcher) relabelTarget(i int) {
 	key := config.PrefixTarget + targetName(i)
 	change := config.NewChange(d.state.Revision()+1, "id", "operator", []config.Set{config.NewSet(key, []byte(`{"pool":"draft"}`))})
 	if next, err := d.state.Apply(change); err == nil {
@@ -155,13 +155,13 @@
 	}
 }
 
-// perRound returns the processor time of one more round.
-func perRound(what, per string, sizes [2]int, once func()) (Slope, error) {
+// slopePerRound returns the processor time of one more round.
+func slopePerRound(what, per string, sizes [2]int, round func()) (Slope, error) {
 	points := make([]Point, 0, len(sizes))
 	for _, size := range sizes {
-		took, err := leastSpent(func() error {
+		took, err := minProcessorTime(func() error {
 			for range size {
-				once()
+				round()
 			}
 			return nil
 		})
@@ -173,19 +173,19 @@
 	return NewSlope(what, per, UnitNanos, points...)
 }
 
-// perSize returns how much longer a step takes for one more of what the desk
+// slopePerSize returns how much longer a step takes for one more of what the desk
 // holds. The totals are of one step, so that the first also tells the whole.
-func perSize(s step) (Slope, error) {
+func slopePerSize(s decisionBenchmark) (Slope, error) {
 	points := make([]Point, 0, len(s.sizes))
 	for _, size := range s.sizes {
-		d, err := s.desk(size)
+		d, err := s.newDispatcher(size)
 		if err != nil {
 			return Slope{}, err
 		}
 		i := 0
-		took, err := leastSpent(func() error {
-			for range s.rounds {
-				s.once(d, i)
+		took, err := minProcessorTime(func() error {
+			for range s.iterations {
+				s.run(d, i)
 				i++
 			}
 			return nil
@@ -193,7 +193,7 @@
 		if err != nil {
 			return Slope{}, err
 		}
-		points = append(points, NewPoint(size, float64(took)/float64(time.Nanosecond)/float64(s.rounds)))
+		points = append(points, NewPoint(size, float64(took)/float64(time.Nanosecond)/float64(s.iterations)))
 	}
 	return NewSlope(s.what, s.per, UnitNanos, points...)
 }
--- a/internal/capacity/desk.go
+++ b/internal/capacity/desk.go
@@ -11,85 +11,85 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// drafting is the kind of work that desks hand out.
-var drafting = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
+// draftKind is the kind of work that desks hand out.
+var draftKind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
 
-// models are the names of the kinds; the targets of a desk serve them in turn.
-var models = []string{"draft", "check", "chat"}
+// modelNames are the names of the kinds; the targets of a desk serve them in turn.
+var modelNames = []string{"draft", "check", "chat"}
 
-// deskConfig is how large a [desk] is.
-type deskConfig struct {
-	targets int
-	entries int
-	// subset is how many targets of a kind the desk speaks to; zero means the
+// fleetConfig is how large a [fleetDispatcher] is.
+type fleetConfig struct {
+	targets  int
+	gateways int
+	// subsetSize is how many targets of a kind the desk speaks to; zero means the
 	// default.
-	subset int
-	// oneKind puts all targets into the pool of the first kind.
-	oneKind bool
-	// split gives each kind's prompts and outputs to engines in two roles, which
+	subsetSize int
+	// singleKind puts all targets into the pool of the first kind.
+	singleKind bool
+	// disaggregated gives each kind's prompts and outputs to engines in two roles, which
 	// a planner may change.
-	split bool
-	// room is the concurrency of a target at the start; zero means the default.
-	room int
+	disaggregated bool
+	// concurrency is the concurrency of a target at the start; zero means the default.
+	concurrency int
 }
 
-// entriesBefore returns how many entries stand before n targets in a large
+// gatewaysFor returns how many entries stand before n targets in a large
 // fleet: 2,300 before 10,000.
-func entriesBefore(n int) int { return n * 23 / 100 }
+func gatewaysFor(n int) int { return n * 23 / 100 }
 
-// desk is an entry's decisions over a fleet, driven by hand.
-type desk struct {
+// fleetDispatcher is an entry's decisions over a fleet, driven by hand.
+type fleetDispatcher struct {
 	*dispatch.Dispatcher
 	now   kumquatlug.Millis
 	state config.State
 	vms   []kumquatlug.VM
 }
 
-func newDesk(c deskConfig) (*desk, error) {
-	limits := limit.TargetsConfig{Initial: c.room, Max: c.room, MaxPending: 1 << 40}
-	d := &desk{
-		Dispatcher: dispatch.New(dispatch.Config{Entry: "entry-0000", Zone: zone, Seed: 1, Subset: c.subset, Limits: limits}),
+func newFleetDispatcher(c fleetConfig) (*fleetDispatcher, error) {
+	limits := limit.TargetsConfig{Initial: c.concurrency, Max: c.concurrency, MaxPending: 1 << 40}
+	d := &fleetDispatcher{
+		Dispatcher: dispatch.New(dispatch.Config{Entry: "entry-0000", Zone: zone, Seed: 1, Subset: c.subsetSize, Limits: limits}),
 		now:        100_000,
 	}
-	sets, err := fleetSets(c)
+	sets, err := newFleetSets(c)
 	if err != nil {
 		return nil, err
 	}
 	d.state = config.NewState(1, sets)
 	d.Configure(d.now, d.state)
-	d.vms = fleetVMs(c)
+	d.vms = newFleetVMs(c)
 	d.Listed(d.now, d.vms)
 	for _, name := range d.Watched() {
-		d.hear(name)
+		d.answerHeartbeat(name)
 	}
 	return d, nil
 }
 
-// hear takes a heartbeat of a target with room.
-func (d *desk) hear(name string) {
+// answerHeartbeat takes a heartbeat of a target with room.
+func (d *fleetDispatcher) answerHeartbeat(name string) {
 	d.Heard(d.now, name, dispatch.Report{
 		Incarnation: "01J9ZZZZZZZZZZZZZZZZZZZZZZ", State: dispatch.TargetServing, Protocol: kumquatlug.ProtocolEngine,
 		Role: kumquatlug.RoleBoth, Revision: 1, Asked: d.now, KVTotal: 1 << 40, PrefillRate: 7312, DecodeRate: 1210,
 	})
 }
 
-// request returns the i-th request of a caller.
-func (d *desk) request(i int, caller kumquatlug.Caller) dispatch.RequestConfig {
+// newRequest returns the i-th request of a caller.
+func (d *fleetDispatcher) newRequest(i int, caller kumquatlug.Caller) dispatch.RequestConfig {
 	return dispatch.RequestConfig{
-		ID: fmt.Sprintf("01J9ZZZZZZZZZZZZZZ%08d", i), Caller: caller, Kind: drafting, Role: kumquatlug.RoleBoth,
+		ID: fmt.Sprintf("01J9ZZZZZZZZZZZZZZ%08d", i), Caller: caller, Kind: draftKind, Role: kumquatlug.RoleBoth,
 		Prefix: []uint64{uint64(i)<<8 | 1, uint64(i)<<8 | 2}, PrefillTokens: 500, DecodeTokens: 200,
-		Arrival: d.now, Deadline: d.now + 2*kumquatlug.Minute, Fingerprint: fingerprintOf(i),
+		Arrival: d.now, Deadline: d.now + 2*kumquatlug.Minute, Fingerprint: newFingerprint(i),
 	}
 }
 
-// fleetSets returns the config of a fleet: a selector a kind, labels a target.
-func fleetSets(c deskConfig) ([]config.Set, error) {
-	sets := make([]config.Set, 0, c.targets+len(models))
+// newFleetSets returns the config of a fleet: a selector a kind, labels a target.
+func newFleetSets(c fleetConfig) ([]config.Set, error) {
+	sets := make([]config.Set, 0, c.targets+len(modelNames))
 	roles := []kumquatlug.Role{kumquatlug.RoleBoth}
-	if c.split {
+	if c.disaggregated {
 		roles = []kumquatlug.Role{kumquatlug.RolePrefill, kumquatlug.RoleDecode}
 	}
-	for _, model := range models {
+	for _, model := range modelNames {
 		for _, role := range roles {
 			set, err := config.SetSelector(selector.Config{
 				Name: model + "-" + string(role), Protocol: kumquatlug.ProtocolEngine, Kind: model, Role: role, Match: "pool=" + model,
@@ -100,17 +100,17 @@
 			sets = append(sets, set)
 		}
 	}
-	labels, err := targetSets(c.targets)
-	if c.oneKind {
-		labels, err = poolSets(c.targets, models[:1])
+	labels, err := newTargetSets(c.targets)
+	if c.singleKind {
+		labels, err = newPoolSets(c.targets, modelNames[:1])
 	}
 	return append(sets, labels...), err
 }
 
-// targetSets returns the labels of n targets, spread over the models.
-func targetSets(n int) ([]config.Set, error) { return poolSets(n, models) }
+// newTargetSets returns the labels of n targets, spread over the models.
+func newTargetSets(n int) ([]config.Set, error) { return newPoolSets(n, modelNames) }
 
-func poolSets(n int, pools []string) ([]config.Set, error) {
+func newPoolSets(n int, pools []string) ([]config.Set, error) {
 	sets := make([]config.Set, n)
 	for i := range sets {
 		text, err := json.Marshal(selector.Labels{"pool": pools[i%len(pools)], "generation": "2", "site": "north"})
@@ -122,15 +122,15 @@
 	return sets, nil
 }
 
-func fleetVMs(c deskConfig) []kumquatlug.VM {
-	vms := make([]kumquatlug.VM, 0, c.targets+c.entries)
+func newFleetVMs(c fleetConfig) []kumquatlug.VM {
+	vms := make([]kumquatlug.VM, 0, c.targets+c.gateways)
 	for i := range c.targets {
 		vms = append(vms, kumquatlug.NewVM(kumquatlug.VMConfig{
 			Name: targetName(i), Role: kumquatlug.VMTarget, Address: fmt.Sprintf("10.120.%d.%d:8090", i>>8, i&255),
 			Zone: zone, State: kumquatlug.VMLive,
 		}))
 	}
-	for i := range c.entries {
+	for i := range c.gateways {
 		vms = append(vms, kumquatlug.NewVM(kumquatlug.VMConfig{
 			Name: fmt.Sprintf("entry-%04d", i), Role: kumquatlug.VMEntry, Address: fmt.Sprintf("10.121.%d.%d:8070", i>>8, i&255),
 			Zone: zone, State: kumquatlug.VMLive,
@@ -139,8 +139,8 @@
 	return vms
 }
 
-// account returns the i-th caller's account.
-func account(i int) (kumquatlug.Caller, error) {
+// newAccount returns the i-th caller's account.
+func newAccount(i int) (kumquatlug.Caller, error) {
 	name := fmt.Sprintf("account-%04d", i)
 	return kumquatlug.NewCaller(kumquatlug.CallerConfig{Name: name, KeyHash: kumquatlug.HashKey(name)})
 }
--- a/internal/capacity/heartbeat.go
+++ b/internal/capacity/heartbeat.go
@@ -12,64 +12,64 @@
 	"github.com/kumquatlug/kumquatlug/internal/peer/peerv1/peerv1connect"
 )
 
-// settled is how long a new agent is given to look at its engine once.
-const settled = 200 * time.Millisecond
+// agentStartDelay is how long a new agent is given to look at its engine once.
+const agentStartDelay = 200 * time.Millisecond
 
-// heartbeats measures what one heartbeat costs on a connection that stands:
+// measureHeartbeats measures what one heartbeat costs on a connection that stands:
 // over HTTP/1.1, as the processes speak today, and over HTTP/2, which sends
 // headers that it sent before as one byte each; with answers compressed, as the
 // library does unless told otherwise, and without.
-func heartbeats(ctx context.Context, c Config) ([]Slope, error) {
-	s, err := newSite(ctx)
+func measureHeartbeats(ctx context.Context, c Config) ([]Slope, error) {
+	s, err := newDeployment(ctx)
 	if err != nil {
 		return nil, err
 	}
-	url, err := s.serve(quietEngine())
+	url, err := s.addServer(constantEngine())
 	if err != nil {
 		return nil, err
 	}
-	t := &traffic{}
+	t := &connectionTraffic{}
 	address, err := s.addAgent("drafting-01234", url, t)
 	if err != nil {
 		return nil, err
 	}
 	defer s.start()()
-	if err := pause(ctx, settled); err != nil {
+	if err := sleep(ctx, agentStartDelay); err != nil {
 		return nil, err
 	}
-	dialer := peer.NewDialer(s.entry)
+	dialer := peer.NewDialer(s.gatewayKeys)
 	defer dialer.Close()
-	client := http2Client(s.entry, peer.RoleAgent)
+	client := newHTTP2Client(s.gatewayKeys, peer.RoleAgent)
 	defer client.CloseIdleConnections()
-	plainly := connect.WithAcceptCompression("gzip", nil, nil)
-	ways := []struct {
+	noCompression := connect.WithAcceptCompression("gzip", nil, nil)
+	variants := []struct {
 		protocol string
 		client   peerv1connect.AgentServiceClient
 	}{
 		{"as shipped", dialer.Agent(address)},
-		{"HTTP/1.1", peerv1connect.NewAgentServiceClient(dialer.Work(), "https://"+address, plainly)},
+		{"HTTP/1.1", peerv1connect.NewAgentServiceClient(dialer.Work(), "https://"+address, noCompression)},
 		{"HTTP/2, gzip", peerv1connect.NewAgentServiceClient(client, "https://"+address)},
-		{"HTTP/2", peerv1connect.NewAgentServiceClient(client, "https://"+address, plainly)},
+		{"HTTP/2", peerv1connect.NewAgentServiceClient(client, "https://"+address, noCompression)},
 	}
 	var slopes []Slope
-	for _, w := range ways {
-		more, err := heartbeatsOver(ctx, c, w.protocol, t, w.client)
+	for _, w := range variants {
+		more, err := measureHeartbeatsOver(ctx, c, w.protocol, t, w.client)
 		if err != nil {
 			return nil, err
 		}
 		slopes = append(slopes, more...)
 	}
-	more, err := s.connections(ctx, c, t, address)
+	more, err := s.measureConnections(ctx, c, t, address)
 	return append(slopes, more...), err
 }
 
-// connections measures a heartbeat that needs a new connection, as the first to
+// measureConnections measures a heartbeat that needs a new connection, as the first to
 // each target after a start and after a failure.
-func (s *site) connections(ctx context.Context, c Config, t *traffic, address string) ([]Slope, error) {
-	return exchanges(exchangeConfig{
-		what: "heartbeat on a new connection", per: "heartbeat", sizes: []int{c.size(10, 1), c.size(60, 3)}, traffic: t,
-		once: func() error {
-			dialer := peer.NewDialer(s.entry)
+func (s *deployment) measureConnections(ctx context.Context, c Config, t *connectionTraffic, address string) ([]Slope, error) {
+	return measureExchanges(exchangeConfig{
+		what: "heartbeat on a new connection", per: "heartbeat", sizes: []int{c.scaledSize(10, 1), c.scaledSize(60, 3)}, traffic: t,
+		exchange: func() error {
+			dialer := peer.NewDialer(s.gatewayKeys)
 			defer dialer.Close()
 			_, err := dialer.Agent(address).Report(ctx, connect.NewRequest(&peerv1.ReportRequest{Entry: "entry-0123"}))
 			return err
@@ -77,9 +77,9 @@
 	})
 }
 
-// http2Client returns a client that speaks HTTP/2 to peers of a role. Servers
+// newHTTP2Client returns a client that speaks HTTP/2 to peers of a role. Servers
 // of package peer offer it; its own clients don't ask for it.
-func http2Client(keys *peer.Keys, role peer.Role) *http.Client {
+func newHTTP2Client(keys *peer.Keys, role peer.Role) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP2(true)
 	return &http.Client{Transport: &http.Transport{
@@ -87,27 +87,27 @@
 	}}
 }
 
-// pause waits, or ends early with ctx.
-func pause(ctx context.Context, span time.Duration) error {
+// sleep waits, or ends early with ctx.
+func sleep(ctx context.Context, duration time.Duration) error {
 	select {
-	case <-time.After(span):
+	case <-time.After(duration):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func heartbeatsOver(
-	ctx context.Context, c Config, protocol string, t *traffic, client peerv1connect.AgentServiceClient,
+func measureHeartbeatsOver(
+	ctx context.Context, c Config, protocol string, t *connectionTraffic, client peerv1connect.AgentServiceClient,
 ) ([]Slope, error) {
-	ask := func() error {
+	sendHeartbeat := func() error {
 		_, err := client.Report(ctx, connect.NewRequest(&peerv1.ReportRequest{
 			Entry: "entry-0123", Address: "10.120.30.40:8070", Revision: 1_402_113, HeadAgeMs: 640, Logical: 81_231_233,
 		}))
 		return err
 	}
-	return exchanges(exchangeConfig{
-		what: "heartbeat, " + protocol, per: "heartbeat", sizes: []int{c.size(150, 3), c.size(950, 9)}, traffic: t, once: ask,
+	return measureExchanges(exchangeConfig{
+		what: "heartbeat, " + protocol, per: "heartbeat", sizes: []int{c.scaledSize(150, 3), c.scaledSize(950, 9)}, traffic: t, exchange: sendHeartbeat,
 	})
 }
 
@@ -116,46 +116,46 @@
 	what    string
 	per     string
 	sizes   []int
-	traffic *traffic
-	// plain says that the connection has no TLS.
-	plain bool
-	once  func() error
+	traffic *connectionTraffic
+	// noTLS says that the connection has no TLS.
+	noTLS    bool
+	exchange func() error
 }
 
-// exchanges measures a request and its answer on the wire and by processor time
+// measureExchanges measures a request and its answer on the wire and by processor time
 // of both ends together.
-func exchanges(c exchangeConfig) ([]Slope, error) {
-	var whole, plain, records, nanos []Point
+func measureExchanges(c exchangeConfig) ([]Slope, error) {
+	var wireBytes, plaintextBytes, records, nanos []Point
 	for _, size := range c.sizes {
-		var passed count
-		took, err := leastSpent(func() error {
-			before := c.traffic.read()
+		var counted trafficCount
+		took, err := minProcessorTime(func() error {
+			before := c.traffic.snapshot()
 			for range size {
-				if err := c.once(); err != nil {
+				if err := c.exchange(); err != nil {
 					return err
 				}
 			}
-			passed = c.traffic.read().since(before)
+			counted = c.traffic.snapshot().sub(before)
 			return nil
 		})
 		if err != nil {
 			return nil, err
 		}
-		whole = append(whole, NewPoint(size, float64(passed.both())))
-		plain = append(plain, NewPoint(size, float64(passed.plain())))
-		records = append(records, NewPoint(size, float64(passed.records())))
+		wireBytes = append(wireBytes, NewPoint(size, float64(counted.wireBytes())))
+		plaintextBytes = append(plaintextBytes, NewPoint(size, float64(counted.plaintextBytes())))
+		records = append(records, NewPoint(size, float64(counted.recordCount())))
 		nanos = append(nanos, NewPoint(size, float64(took.Nanoseconds())))
 	}
 	configs := []slopeConfig{
-		{c.what + ": wire, both ways, without TLS", c.per, UnitBytes, plain},
+		{c.what + ": wire, both ways, without TLS", c.per, UnitBytes, plaintextBytes},
 		{c.what + ": both ends", c.per, UnitNanos, nanos},
 	}
-	if !c.plain {
+	if !c.noTLS {
 		configs = append(configs,
-			slopeConfig{c.what + ": wire, both ways, with TLS", c.per, UnitBytes, whole},
+			slopeConfig{c.what + ": wire, both ways, with TLS", c.per, UnitBytes, wireBytes},
 			slopeConfig{c.what + ": records, both ways", c.per, UnitRecords, records})
 	}
-	return slopesOf(configs)
+	return newSlopes(configs)
 }
 
 // slopeConfig is what one slope is made of.
@@ -166,7 +166,7 @@
 	points []Point
 }
 
-func slopesOf(configs []slopeConfig) ([]Slope, error) {
+func newSlopes(configs []slopeConfig) ([]Slope, error) {
 	slopes := make([]Slope, 0, len(configs))
 	for _, c := range configs {
 		s, err := NewSlope(c.what, c.per, c.unit, c.points...)
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -17,8 +17,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// message is a message that grows with a count.
-type message struct {
+// messageBenchmark is a message that grows with a count.
+type messageBenchmark struct {
 	what string
 	per  string
 	// sizes are the counts to compare.
@@ -26,20 +26,20 @@
 	build func(n int) (any, error)
 }
 
-// messages measures how messages grow: encoded, before framing and TLS.
-func messages(_ context.Context, c Config) ([]Slope, error) {
-	grow := [2]int{c.size(100, 2), c.size(1100, 7)}
-	kinds := []message{
-		{"report or heartbeat: notices of a crash", "fingerprint", [2]int{1, 41}, crashReport},
-		{"report: cache events", "event", grow, cacheReport},
-		{"whole config from a peer: rows of labels", "row", grow, labelRows},
-		{"snapshot of the config: rows of labels", "row", grow, snapshot},
-		{"status of the fleet", "node", grow, statuses},
-		{"time line", "event", grow, events},
-		{"platform's list, JSON", "VM", grow, listedVMs},
+// measureMessages measures how messages grow: encoded, before framing and TLS.
+func measureMessages(_ context.Context, c Config) ([]Slope, error) {
+	sizes := [2]int{c.scaledSize(100, 2), c.scaledSize(1100, 7)}
+	benchmarks := []messageBenchmark{
+		{"report or heartbeat: notices of a crash", "fingerprint", [2]int{1, 41}, buildCrashReport},
+		{"report: cache events", "event", sizes, buildCacheReport},
+		{"whole config from a peer: rows of labels", "row", sizes, buildLabelRows},
+		{"snapshot of the config: rows of labels", "row", sizes, buildSnapshot},
+		{"status of the fleet", "node", sizes, buildStatus},
+		{"time line", "event", sizes, buildEvents},
+		{"platform's list, JSON", "VM", sizes, buildVMList},
 	}
-	slopes := make([]Slope, 0, len(kinds))
-	for _, m := range kinds {
+	slopes := make([]Slope, 0, len(benchmarks))
+	for _, m := range benchmarks {
 		s, err := m.measure()
 		if err != nil {
 			return nil, err
@@ -49,14 +49,14 @@
 	return slopes, nil
 }
 
-func (m message) measure() (Slope, error) {
+func (m messageBenchmark) measure() (Slope, error) {
 	points := make([]Point, 0, len(m.sizes))
 	for _, n := range m.sizes {
 		body, err := m.build(n)
 		if err != nil {
 			return Slope{}, err
 		}
-		text, err := encode(body)
+		text, err := encodeMessage(body)
 		if err != nil {
 			return Slope{}, err
 		}
@@ -65,7 +65,7 @@
 	return NewSlope(m.what, m.per, UnitBytes, points...)
 }
 
-func encode(body any) ([]byte, error) {
+func encodeMessage(body any) ([]byte, error) {
 	if m, ok := body.(proto.Message); ok {
 		text, err := proto.Marshal(m)
 		return text, errors.Wrap(err, "encode a message")
@@ -74,42 +74,42 @@
 	return text, errors.Wrap(err, "encode a message")
 }
 
-// fingerprintOf returns a fingerprint as requests have it.
-func fingerprintOf(i int) quarantine.Fingerprint {
+// newFingerprint returns a fingerprint as requests have it.
+func newFingerprint(i int) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("account", kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft"), fmt.Append(nil, i))
 }
 
-// crashReport is a report that tells of one crash with n calls in hand.
-func crashReport(n int) (any, error) {
+// buildCrashReport is a report that tells of one crash with n calls in hand.
+func buildCrashReport(n int) (any, error) {
 	register := quarantine.New(quarantine.Config{Records: n + 1})
-	held := make([]quarantine.Held, n)
-	for i := range held {
-		held[i] = quarantine.Held{Fingerprint: fingerprintOf(i), Starting: i%2 == 0}
+	calls := make([]quarantine.Held, n)
+	for i := range calls {
+		calls[i] = quarantine.Held{Fingerprint: newFingerprint(i), Starting: i%2 == 0}
 	}
-	register.Crashed(1000, quarantine.NewCrash("drafting-01234", ulid.Make().String()+"/1"), held)
-	known, _ := register.Known(2000, 0)
-	return &peerv1.ReportResponse{Notices: peer.NoticesTo(known)}, nil
+	register.Crashed(1000, quarantine.NewCrash("drafting-01234", ulid.Make().String()+"/1"), calls)
+	notices, _ := register.Known(2000, 0)
+	return &peerv1.ReportResponse{Notices: peer.NoticesTo(notices)}, nil
 }
 
-func cacheReport(n int) (any, error) {
+func buildCacheReport(n int) (any, error) {
 	report := &peerv1.ReportResponse{}
 	for i := range n {
-		report.Cache = append(report.Cache, &peerv1.CacheEvent{Sequence: int64(1_000_000 + i), Prefix: string(fingerprintOf(i))[:16]})
+		report.Cache = append(report.Cache, &peerv1.CacheEvent{Sequence: int64(1_000_000 + i), Prefix: string(newFingerprint(i))[:16]})
 	}
 	return report, nil
 }
 
-func heldAt(i int) []quarantine.Held {
-	return []quarantine.Held{{Fingerprint: fingerprintOf(i), Starting: true}}
+func newInFlightCalls(i int) []quarantine.Held {
+	return []quarantine.Held{{Fingerprint: newFingerprint(i), Starting: true}}
 }
 
-func labelRows(n int) (any, error) {
-	sets, err := targetSets(n)
+func buildLabelRows(n int) (any, error) {
+	sets, err := newTargetSets(n)
 	return &peerv1.PullResponse{Revision: 1_402_113, Whole: true, Sets: peer.SetsTo(sets)}, err
 }
 
-func snapshot(n int) (any, error) {
-	sets, err := targetSets(n)
+func buildSnapshot(n int) (any, error) {
+	sets, err := newTargetSets(n)
 	if err != nil {
 		return nil, err
 	}
@@ -117,30 +117,30 @@
 	return json.RawMessage(text), err
 }
 
-func statuses(n int) (any, error) {
-	answer := &peerv1.StatusResponse{}
+func buildStatus(n int) (any, error) {
+	response := &peerv1.StatusResponse{}
 	for i := range n {
-		answer.Nodes = append(answer.Nodes, &peerv1.NodeStatus{
+		response.Nodes = append(response.Nodes, &peerv1.NodeStatus{
 			Name: targetName(i), Role: "target", Zone: zone, Address: "10.120.30.40:8090", State: "serving", Revision: 1_402_113,
 			Labels: "name=" + targetName(i) + ",pool=drafting,zone=" + zone, Running: 41, HeartbeatAgeMs: 640, TargetRole: "both",
 		})
 	}
-	return answer, nil
+	return response, nil
 }
 
-func events(n int) (any, error) {
-	answer := &peerv1.EventsResponse{}
+func buildEvents(n int) (any, error) {
+	response := &peerv1.EventsResponse{}
 	for i := range n {
-		answer.Events = append(answer.Events, &peerv1.Event{
+		response.Events = append(response.Events, &peerv1.Event{
 			Node: "entry-0123", Sequence: int64(1_000_000 + i), WallMs: time.Now().UnixMilli(), Name: "sent", RequestId: ulid.Make().String(),
 			Peer: targetName(i), Detail: "attempt 1", Logical: int64(81_231_233 + i),
 		})
 	}
-	return answer, nil
+	return response, nil
 }
 
-// listedVM is one VM of the platform's list, as its client reads it.
-type listedVM struct {
+// vmListItem is one VM of the platform's list, as its client reads it.
+type vmListItem struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
 	Address string `json:"address"`
@@ -148,10 +148,10 @@
 	State   string `json:"state"`
 }
 
-func listedVMs(n int) (any, error) {
-	list := make([]listedVM, n)
+func buildVMList(n int) (any, error) {
+	list := make([]vmListItem, n)
 	for i := range list {
-		list[i] = listedVM{targetName(i), "target", "10.120.30.40:8090", zone, "live"}
+		list[i] = vmListItem{targetName(i), "target", "10.120.30.40:8090", zone, "live"}
 	}
 	return list, nil
 }
--- a/internal/capacity/offer.go
+++ b/internal/capacity/offer.go
@@ -9,24 +9,24 @@
 	"github.com/kumquatlug/kumquatlug/internal/peer/peerv1"
 )
 
-// offers measures the demand that one entry tells another, as each does for
+// measureOffers measures the demand that one entry tells another, as each does for
 // every kind whose engines change roles.
-func offers(ctx context.Context, c Config) ([]Slope, error) {
-	s, err := newSite(ctx)
+func measureOffers(ctx context.Context, c Config) ([]Slope, error) {
+	s, err := newDeployment(ctx)
 	if err != nil {
 		return nil, err
 	}
-	e, err := s.addEntry("entry-0123", &traffic{})
+	e, err := s.addGateway("entry-0123", &connectionTraffic{})
 	if err != nil {
 		return nil, err
 	}
 	defer s.start()()
-	dialer := peer.NewDialer(s.entry)
+	dialer := peer.NewDialer(s.gatewayKeys)
 	defer dialer.Close()
-	client := dialer.Entry(e.peers)
-	return exchanges(exchangeConfig{
-		what: "demand told to another entry", per: "offer", sizes: []int{c.size(200, 3), c.size(1200, 9)}, traffic: e.passed,
-		once: func() error {
+	client := dialer.Entry(e.peerAddress)
+	return measureExchanges(exchangeConfig{
+		what: "demand told to another entry", per: "offer", sizes: []int{c.scaledSize(200, 3), c.scaledSize(1200, 9)}, traffic: e.peerTraffic,
+		exchange: func() error {
 			_, err := client.Offer(ctx, connect.NewRequest(&peerv1.OfferRequest{
 				Entry: "entry-0456", Kind: "draft", SpanMs: 2000, PrefillTokens: 13_412, DecodeTokens: 10_434,
 			}))
--- a/internal/capacity/pull.go
+++ b/internal/capacity/pull.go
@@ -17,134 +17,134 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/config"
 )
 
-// pullChanges is how many changes the peer holds that is pulled from.
-const pullChanges = 120
+// peerChanges is how many changes the peer holds that is pulled from.
+const peerChanges = 120
 
-// pulls measures a pull of the config from a peer: one for each change, and how
+// measurePulls measures a pull of the config from a peer: one for each change, and how
 // the answer grows when a node missed more of them.
-func pulls(ctx context.Context, c Config) ([]Slope, error) {
-	s, err := newSite(ctx)
+func measurePulls(ctx context.Context, c Config) ([]Slope, error) {
+	s, err := newDeployment(ctx)
 	if err != nil {
 		return nil, err
 	}
-	t := &traffic{}
+	t := &connectionTraffic{}
 	l, err := s.listen(t, true)
 	if err != nil {
 		return nil, err
 	}
-	f := peer.NewFollower(peer.FollowerConfig{
-		Me: "entry-0123", Store: storeOver(s.platform), Dialer: peer.NewDialer(s.entry), Clock: clock.NewMonotonic(),
-		Ring: timeline.NewRing("entry-0123", ringEvents), Logger: zap.NewNop(), Live: func() []string { return nil },
+	follower := peer.NewFollower(peer.FollowerConfig{
+		Me: "entry-0123", Store: newConfigStore(s.store), Dialer: peer.NewDialer(s.gatewayKeys), Clock: clock.NewMonotonic(),
+		Ring: timeline.NewRing("entry-0123", ringSize), Logger: zap.NewNop(), Live: func() []string { return nil },
 	})
-	peer.AddDuty(s.ctx, &s.group, f.Run)
+	peer.AddDuty(s.ctx, &s.group, follower.Run)
 	mux := http.NewServeMux()
-	mux.Handle(peerv1connect.NewPeerServiceHandler(peer.NewService(f, timeline.NewRing("entry-0123", ringEvents))))
-	peer.AddServer(&s.group, "serve peers", &http.Server{Handler: mux, TLSConfig: s.entry.Server()}, l)
+	mux.Handle(peerv1connect.NewPeerServiceHandler(peer.NewService(follower, timeline.NewRing("entry-0123", ringSize))))
+	peer.AddServer(&s.group, "serve peers", &http.Server{Handler: mux, TLSConfig: s.gatewayKeys.Server()}, l)
 	defer s.start()()
-	if err := s.fill(ctx, f); err != nil {
+	if err := s.commitPeerChanges(ctx, follower); err != nil {
 		return nil, err
 	}
-	dialer := peer.NewDialer(s.agent)
+	dialer := peer.NewDialer(s.agentKeys)
 	defer dialer.Close()
-	return pullsFrom(ctx, c, t, dialer.Peer(peer.RoleEntry, l.Addr().String()))
+	return measurePullsFrom(ctx, c, t, dialer.Peer(peer.RoleEntry, l.Addr().String()))
 }
 
-// fill commits the changes once the follower runs and waits until it has
+// commitPeerChanges commits the changes once the follower runs and waits until it has
 // adopted them one by one, as it must to hand them on.
-func (s *site) fill(ctx context.Context, f *peer.Follower) error {
-	if err := pause(ctx, settled); err != nil {
+func (s *deployment) commitPeerChanges(ctx context.Context, follower *peer.Follower) error {
+	if err := sleep(ctx, agentStartDelay); err != nil {
 		return err
 	}
 	// A node's first pull brings the whole state; only the changes after it are
 	// kept one by one.
-	for _, head := range []config.Revision{1, pullChanges + 1} {
-		if err := commitAll(ctx, storeOver(s.platform), int(head)); err != nil {
+	for _, head := range []config.Revision{1, peerChanges + 1} {
+		if err := commitUpTo(ctx, newConfigStore(s.store), int(head)); err != nil {
 			return err
 		}
-		f.LearnedHead(head)
-		if err := until(ctx, func() bool { return f.State().Revision() == head }); err != nil {
+		follower.LearnedHead(head)
+		if err := waitUntil(ctx, func() bool { return follower.State().Revision() == head }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// patience bounds the waits for a condition.
-const patience = 10 * time.Second
+// conditionTimeout bounds the waits for a condition.
+const conditionTimeout = 10 * time.Second
 
-// until waits for a condition.
-func until(ctx context.Context, holds func() bool) error {
-	const look = 20 * time.Millisecond
-	for waited := time.Duration(0); !holds(); waited += look {
-		if waited >= patience {
+// waitUntil waits for a condition.
+func waitUntil(ctx context.Context, condition func() bool) error {
+	const interval = 20 * time.Millisecond
+	for waited := time.Duration(0); !condition(); waited += interval {
+		if waited >= conditionTimeout {
 			return errors.New("waited in vain for a stand-in")
 		}
-		if err := pause(ctx, look); err != nil {
+		if err := sleep(ctx, interval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func pullsFrom(ctx context.Context, c Config, t *traffic, client peerv1connect.PeerServiceClient) ([]Slope, error) {
-	pull := func(missed int64) error {
-		answer, err := client.Pull(ctx, connect.NewRequest(&peerv1.PullRequest{Since: pullChanges + 1 - missed, Node: "drafting-01234"}))
-		if err == nil && int64(len(answer.Msg.GetChanges())) != missed {
-			err = errors.Newf("%d changes came, not %d", len(answer.Msg.GetChanges()), missed)
+func measurePullsFrom(ctx context.Context, c Config, t *connectionTraffic, client peerv1connect.PeerServiceClient) ([]Slope, error) {
+	pull := func(changes int64) error {
+		response, err := client.Pull(ctx, connect.NewRequest(&peerv1.PullRequest{Since: peerChanges + 1 - changes, Node: "drafting-01234"}))
+		if err == nil && int64(len(response.Msg.GetChanges())) != changes {
+			err = errors.Newf("%d changes came, not %d", len(response.Msg.GetChanges()), changes)
 		}
 		return err
 	}
-	sizes := []int{c.size(200, 3), c.size(1200, 9)}
-	slopes, err := exchanges(exchangeConfig{
-		what: "pull of one change from a peer", per: "pull", sizes: sizes, traffic: t, once: func() error { return pull(1) },
+	sizes := []int{c.scaledSize(200, 3), c.scaledSize(1200, 9)}
+	slopes, err := measureExchanges(exchangeConfig{
+		what: "pull of one change from a peer", per: "pull", sizes: sizes, traffic: t, exchange: func() error { return pull(1) },
 	})
 	if err != nil {
 		return nil, err
 	}
 	var bytes, nanos []Point
-	rounds := c.size(100, 2)
+	rounds := c.scaledSize(100, 2)
 	for _, missed := range []int{1, 101} {
-		before := t.read()
-		took, err := leastSpent(func() error { return repeat(rounds, func() error { return pull(int64(missed)) }) })
+		before := t.snapshot()
+		took, err := minProcessorTime(func() error { return repeat(rounds, func() error { return pull(int64(missed)) }) })
 		if err != nil {
 			return nil, err
 		}
-		bytes = append(bytes, NewPoint(missed, float64(t.read().since(before).both())/float64(rounds*runs)))
+		bytes = append(bytes, NewPoint(missed, float64(t.snapshot().sub(before).wireBytes())/float64(rounds*repetitions)))
 		nanos = append(nanos, NewPoint(missed, float64(took.Nanoseconds())/float64(rounds)))
 	}
-	more, err := slopesOf([]slopeConfig{
+	more, err := newSlopes([]slopeConfig{
 		{"pull that missed many: wire, with TLS", "further change", UnitBytes, bytes},
 		{"pull that missed many: both ends", "further change", UnitNanos, nanos},
 	})
 	if err != nil {
 		return nil, err
 	}
-	adopted, err := adoptions(c)
+	adopted, err := measureAdoption(c)
 	return append(append(slopes, more...), adopted), err
 }
 
-// adoptions measures bringing a change into force in a state of 10,000 rows,
+// measureAdoption measures bringing a change into force in a state of 10,000 rows,
 // without what the process then does by it.
-func adoptions(c Config) (Slope, error) {
-	sets, err := targetSets(10_000)
+func measureAdoption(c Config) (Slope, error) {
+	sets, err := newTargetSets(10_000)
 	if err != nil {
 		return Slope{}, err
 	}
-	changes, err := labelChanges(c.size(2200, 20))
+	changes, err := newLabelChanges(c.scaledSize(2200, 20))
 	if err != nil {
 		return Slope{}, err
 	}
 	a := config.NewAdopter(config.AdopterConfig{Me: "entry-0123", Start: config.NewState(0, sets)})
 	i := 0
-	return perRound("change adopted in 10,000 rows", "change", [2]int{c.size(100, 1), c.size(500, 4)}, func() {
+	return slopePerRound("change adopted in 10,000 rows", "change", [2]int{c.scaledSize(100, 1), c.scaledSize(500, 4)}, func() {
 		_, _, _ = a.Adopt(changes[i : i+1])
 		i++
 	})
 }
 
-func repeat(n int, once func() error) error {
+func repeat(n int, run func() error) error {
 	for range n {
-		if err := once(); err != nil {
+		if err := run(); err != nil {
 			return err
 		}
 	}
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -107,13 +107,13 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "MEASUREMENT\tWHAT\tVALUE\tUNIT\tPER\tSIZES")
 	for _, s := range slopes {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", s.measurement, s.what, figure(s.value), s.unit, s.per, s.Sizes())
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", s.measurement, s.what, formatValue(s.value), s.unit, s.per, s.Sizes())
 	}
 	return errors.Wrap(table.Flush(), "write the table")
 }
 
-// figure writes a value with about three digits.
-func figure(value float64) string {
+// formatValue writes a value with about three digits.
+func formatValue(value float64) string {
 	switch {
 	case value >= 100 || value <= -100:
 		return fmt.Sprintf("%.0f", value)
--- a/internal/capacity/stream.go
+++ b/internal/capacity/stream.go
@@ -27,142 +27,142 @@
 )
 
 const (
-	// streamsAtOnce is how many answers are in the making while they are
+	// concurrentStreams is how many answers are in the making while they are
 	// measured.
-	streamsAtOnce = 24
-	// streamPace is the part of an engine's usual times that the stand-in
+	concurrentStreams = 24
+	// engineTimeScale is the part of an engine's usual times that the stand-in
 	// takes: a token each 2 ms or so, so that each comes alone.
-	streamPace = 0.1
+	engineTimeScale = 0.1
 
-	// warmTokens is the length of the first streams, long enough that all of
+	// warmupTokens is the length of the first streams, long enough that all of
 	// them are open at once.
-	warmTokens = 16
+	warmupTokens = 16
 
-	// longTokens is the length of streams that are still open when they are
+	// openStreamTokens is the length of streams that are still open when they are
 	// looked at.
-	longTokens = 2000
+	openStreamTokens = 2000
 
 	callerKey = "klug-capacity"
 )
 
-// route is one way to an engine's stream.
-type route struct {
+// streamPath is one way to an engine's stream.
+type streamPath struct {
 	what    string
 	client  *http.Client
 	url     string
 	header  http.Header
-	traffic *traffic
+	traffic *connectionTraffic
 }
 
-// streams measures what a streamed token costs on the way from the engine to
+// measureStreams measures what a streamed token costs on the way from the engine to
 // the caller. The same streams are read three times: from the engine itself,
 // through its agent, and through entry and agent; the differences are the
 // agent's and the entry's.
-func streams(ctx context.Context, c Config) ([]Slope, error) {
-	s, err := newSite(ctx)
+func measureStreams(ctx context.Context, c Config) ([]Slope, error) {
+	s, err := newDeployment(ctx)
 	if err != nil {
 		return nil, err
 	}
-	engine := standinengine.New(standinengine.Config{TimeScale: streamPace, MaxBatch: 2 * streamsAtOnce})
-	direct := &traffic{}
-	l, err := s.listen(direct, false)
+	engine := standinengine.New(standinengine.Config{TimeScale: engineTimeScale, MaxBatch: 2 * concurrentStreams})
+	engineTraffic := &connectionTraffic{}
+	l, err := s.listen(engineTraffic, false)
 	if err != nil {
 		return nil, err
 	}
-	s.serveOn(l, engine.Handler())
+	s.addServerOn(l, engine.Handler())
 	engineURL := "http://" + l.Addr().String()
-	toAgent := &traffic{}
-	agent, err := s.addAgent("drafting-01234", engineURL, toAgent)
+	agentTraffic := &connectionTraffic{}
+	agent, err := s.addAgent("drafting-01234", engineURL, agentTraffic)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.configure(ctx); err != nil {
+	if err := s.commitInitialConfig(ctx); err != nil {
 		return nil, err
 	}
-	toEntry := &traffic{}
-	e, err := s.addEntry("entry-0123", toEntry)
+	gatewayTraffic := &connectionTraffic{}
+	gateway, err := s.addGateway("entry-0123", gatewayTraffic)
 	if err != nil {
 		return nil, err
 	}
 	defer s.start()()
-	dialer := peer.NewDialer(s.entry)
+	dialer := peer.NewDialer(s.gatewayKeys)
 	defer dialer.Close()
-	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: streamsAtOnce}}
+	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrentStreams}}
 	defer plain.CloseIdleConnections()
-	routes := []route{
-		{"engine alone", plain, engineURL, http.Header{}, direct},
-		{"through the agent", dialer.Work(), dialer.WorkURL(agent, ""), workHeader(), toAgent},
-		{"through entry and agent", e.client, e.url, http.Header{"Authorization": {"Bearer " + callerKey}}, toEntry},
+	paths := []streamPath{
+		{"engine alone", plain, engineURL, http.Header{}, engineTraffic},
+		{"through the agent", dialer.Work(), dialer.WorkURL(agent, ""), newWorkHeader(), agentTraffic},
+		{"through entry and agent", gateway.client, gateway.url, http.Header{"Authorization": {"Bearer " + callerKey}}, gatewayTraffic},
 	}
-	if err := until(ctx, func() bool { return routes[2].read(ctx, 2) == nil }); err != nil {
+	if err := waitUntil(ctx, func() bool { return paths[2].readOne(ctx, 2) == nil }); err != nil {
 		return nil, errors.Wrap(err, "first answer")
 	}
-	return streamSlopes(ctx, c, routes, toAgent)
+	return measureStreamPaths(ctx, c, paths, agentTraffic)
 }
 
-// workHeader returns what an entry tells an agent of a request.
-func workHeader() http.Header {
+// newWorkHeader returns what an entry tells an agent of a request.
+func newWorkHeader() http.Header {
 	h := http.Header{"Content-Type": {"application/json"}}
 	peer.NewWork(peer.WorkConfig{
 		Request: "01J9ZZZZZZZZZZZZZZZZZZZZZZ", Attempt: 1, Kind: kumquatlug.NewKind(kumquatlug.ProtocolEngine, "standin"),
-		Caller: "portal", Revision: 1, Timeout: kumquatlug.Minute, Fingerprint: string(fingerprintOf(0)), From: "10.120.30.40:8070",
+		Caller: "portal", Revision: 1, Timeout: kumquatlug.Minute, Fingerprint: string(newFingerprint(0)), From: "10.120.30.40:8070",
 	}).Write(h)
 	return h
 }
 
-func streamSlopes(ctx context.Context, c Config, routes []route, between *traffic) ([]Slope, error) {
-	sizes := []int{c.size(32, 2), c.size(182, 6)}
+func measureStreamPaths(ctx context.Context, c Config, paths []streamPath, agentTraffic *connectionTraffic) ([]Slope, error) {
+	sizes := []int{c.scaledSize(32, 2), c.scaledSize(182, 6)}
 	var slopes []Slope
-	for _, r := range routes {
+	for _, r := range paths {
 		// The first streams open the connections of the others.
-		if err := r.many(ctx, warmTokens); err != nil {
+		if err := r.readAll(ctx, warmupTokens); err != nil {
 			return nil, errors.Wrap(err, r.what)
 		}
-		var bytes, nanos, inner []Point
+		var bytes, nanos, betweenBytes []Point
 		for _, tokens := range sizes {
-			before, beforeInner := r.traffic.read(), between.read()
-			took, err := leastSpent(func() error { return r.many(ctx, tokens) })
+			before, betweenBefore := r.traffic.snapshot(), agentTraffic.snapshot()
+			took, err := minProcessorTime(func() error { return r.readAll(ctx, tokens) })
 			if err != nil {
 				return nil, errors.Wrap(err, r.what)
 			}
-			all := tokens * streamsAtOnce
-			bytes = append(bytes, NewPoint(all, float64(r.traffic.read().since(before).both())/runs))
-			inner = append(inner, NewPoint(all, float64(between.read().since(beforeInner).both())/runs))
-			nanos = append(nanos, NewPoint(all, float64(took.Nanoseconds())))
+			totalTokens := tokens * concurrentStreams
+			bytes = append(bytes, NewPoint(totalTokens, float64(r.traffic.snapshot().sub(before).wireBytes())/repetitions))
+			betweenBytes = append(betweenBytes, NewPoint(totalTokens, float64(agentTraffic.snapshot().sub(betweenBefore).wireBytes())/repetitions))
+			nanos = append(nanos, NewPoint(totalTokens, float64(took.Nanoseconds())))
 		}
 		configs := []slopeConfig{
 			{"stream, " + r.what + ": wire at the client", "token", UnitBytes, bytes},
 			{"stream, " + r.what + ": all processes", "token", UnitNanos, nanos},
 		}
-		if r.traffic != between && r.what != routes[0].what {
-			configs = append(configs, slopeConfig{"stream, " + r.what + ": wire between the two, with TLS", "token", UnitBytes, inner})
+		if r.traffic != agentTraffic && r.what != paths[0].what {
+			configs = append(configs, slopeConfig{"stream, " + r.what + ": wire between the two, with TLS", "token", UnitBytes, betweenBytes})
 		}
-		more, err := slopesOf(configs)
+		more, err := newSlopes(configs)
 		if err != nil {
 			return nil, err
 		}
 		slopes = append(slopes, more...)
-		held, err := r.held(ctx, c)
+		openStreams, err := r.measureOpen(ctx, c)
 		if err != nil {
 			return nil, errors.Wrap(err, r.what)
 		}
-		slopes = append(slopes, held)
+		slopes = append(slopes, openStreams)
 	}
 	return slopes, nil
 }
 
-// held measures the memory of streams that are open, in all processes.
-func (r route) held(ctx context.Context, c Config) (Slope, error) {
-	open := time.Duration(c.size(500, 50)) * time.Millisecond
+// measureOpen measures the memory of streams that are open, in all processes.
+func (r streamPath) measureOpen(ctx context.Context, c Config) (Slope, error) {
+	openFor := time.Duration(c.scaledSize(500, 50)) * time.Millisecond
 	var points []Point
-	for _, n := range []int{4, streamsAtOnce} {
-		running, cancel := context.WithCancel(ctx)
+	for _, n := range []int{4, concurrentStreams} {
+		streamCtx, cancel := context.WithCancel(ctx)
 		var all sync.WaitGroup
 		for range n {
-			all.Go(func() { _ = r.read(running, longTokens) })
+			all.Go(func() { _ = r.readOne(streamCtx, openStreamTokens) })
 		}
-		err := pause(ctx, open)
-		bytes := heap() + stacks()
+		err := sleep(ctx, openFor)
+		bytes := heapBytes() + stackBytes()
 		cancel()
 		all.Wait()
 		if err != nil {
@@ -173,16 +173,16 @@
 	return NewSlope("stream, "+r.what+": heap and stacks of all processes", "open stream", UnitHeap, points...)
 }
 
-// many reads streams of the same length side by side.
-func (r route) many(ctx context.Context, tokens int) error {
-	failed := make(chan error, streamsAtOnce)
+// readAll reads streams of the same length side by side.
+func (r streamPath) readAll(ctx context.Context, tokens int) error {
+	results := make(chan error, concurrentStreams)
 	var all sync.WaitGroup
-	for range streamsAtOnce {
-		all.Go(func() { failed <- r.read(ctx, tokens) })
+	for range concurrentStreams {
+		all.Go(func() { results <- r.readOne(ctx, tokens) })
 	}
 	all.Wait()
-	close(failed)
-	for err := range failed {
+	close(results)
+	for err := range results {
 		if err != nil {
 			return err
 		}
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// read asks for a stream and reads it to its end.
-func (r route) read(ctx context.Context, tokens int) error {
+// readOne asks for a stream and reads it to its end.
+func (r streamPath) readOne(ctx context.Context, tokens int) error {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
@@ -207,17 +207,17 @@
 	}
 	request.Header = r.header.Clone()
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := r.client.Do(request)
+	response, err := r.client.Do(request)
 	if err != nil {
 		return errors.Wrap(err, "ask for a stream")
 	}
-	defer answer.Body.Close()
-	return readStream(answer, tokens)
+	defer response.Body.Close()
+	return readStream(response, tokens)
 }
 
-func readStream(answer *http.Response, tokens int) error {
+func readStream(response *http.Response, tokens int) error {
 	chunks, done := 0, false
-	lines := bufio.NewScanner(answer.Body)
+	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		line := lines.Text()
 		chunks += strings.Count(line, `"choices"`)
@@ -226,14 +226,14 @@
 	if err := lines.Err(); err != nil {
 		return errors.Wrap(err, "read a stream")
 	}
-	if answer.StatusCode != http.StatusOK || !done || chunks < tokens {
-		return errors.Newf("status %d, %d chunks of %d tokens, whole: %v", answer.StatusCode, chunks, tokens, done)
+	if response.StatusCode != http.StatusOK || !done || chunks < tokens {
+		return errors.Newf("status %d, %d chunks of %d tokens, whole: %v", response.StatusCode, chunks, tokens, done)
 	}
 	return nil
 }
 
-// configure makes the site's first change: labels, a selector and an account.
-func (s *site) configure(ctx context.Context) error {
+// commitInitialConfig makes the site's first change: labels, a selector and an account.
+func (s *deployment) commitInitialConfig(ctx context.Context) error {
 	labels, err := config.SetLabels("drafting-01234", selector.Labels{"pool": "draft"})
 	if err != nil {
 		return err
@@ -248,62 +248,62 @@
 	if err != nil {
 		return errors.Wrap(err, "encode an account")
 	}
-	return s.commit(ctx, []config.Set{labels, engines, config.NewSet(config.PrefixCaller+"portal", text)})
+	return s.commitFirst(ctx, []config.Set{labels, engines, config.NewSet(config.PrefixCaller+"portal", text)})
 }
 
-// commit makes the site's first change.
-func (s *site) commit(ctx context.Context, sets []config.Set) error {
+// commitFirst makes the site's first change.
+func (s *deployment) commitFirst(ctx context.Context, sets []config.Set) error {
 	p, err := config.NewProposal(config.ProposalConfig{ID: "first", Author: "operator", Sets: sets})
 	if err != nil {
 		return err
 	}
-	_, err = storeOver(s.platform).Commit(ctx, p)
+	_, err = newConfigStore(s.store).Commit(ctx, p)
 	return err
 }
 
-// entryAddress is how callers and peers reach a measured entry, and what passes
+// gatewayEndpoint is how callers and peers reach a measured entry, and what passes
 // at the peers' listener.
-type entryAddress struct {
-	url    string
-	client *http.Client
-	peers  string
-	passed *traffic
+type gatewayEndpoint struct {
+	url         string
+	client      *http.Client
+	peerAddress string
+	peerTraffic *connectionTraffic
 }
 
-// addEntry adds an entry, with TLS towards agents and callers.
-func (s *site) addEntry(name string, t *traffic) (entryAddress, error) {
+// addGateway adds an entry, with TLS towards agents and callers.
+func (s *deployment) addGateway(name string, t *connectionTraffic) (gatewayEndpoint, error) {
 	callers, err := s.listen(t, true)
 	if err != nil {
-		return entryAddress{}, err
+		return gatewayEndpoint{}, err
 	}
-	passed := &traffic{}
+	passed := &connectionTraffic{}
 	peers, err := s.listen(passed, true)
 	if err != nil {
-		return entryAddress{}, err
+		return gatewayEndpoint{}, err
 	}
-	operators, err := s.listen(&traffic{}, true)
+	operators, err := s.listen(&connectionTraffic{}, true)
 	if err != nil {
-		return entryAddress{}, err
+		return gatewayEndpoint{}, err
 	}
-	public, pool, err := s.publicKeys()
+	public, pool, err := s.newPublicKeys()
 	if err != nil {
-		return entryAddress{}, err
+		return gatewayEndpoint{}, err
 	}
 	e, err := entry.New(entry.Config{
-		Name: name, Zone: zone, Callers: callers, Peers: peers, Operators: operators, Keys: s.entry, CallerTLS: public,
-		Table: s.platform, Objects: s.platform, VMs: s.platform, Clock: clock.NewMonotonic(), ListEvery: 2 * kumquatlug.Second,
-		Logger: zap.NewNop(), Registry: prometheus.NewRegistry(), Ring: timeline.NewRing(name, ringEvents),
+		Name: name, Zone: zone, Callers: callers, Peers: peers, Operators: operators, Keys: s.gatewayKeys, CallerTLS: public,
+		Table: s.store, Objects: s.store, VMs: s.store, Clock: clock.NewMonotonic(), ListEvery: 2 * kumquatlug.Second,
+		Logger: zap.NewNop(), Registry: prometheus.NewRegistry(), Ring: timeline.NewRing(name, ringSize),
 		Planner: func() kumquatlug.RolePlanner { return planner.Static{} },
 	})
 	if err != nil {
-		return entryAddress{}, err
+		return gatewayEndpoint{}, err
 	}
-	s.platform.SetVM(kumquatlug.NewVM(kumquatlug.VMConfig{
+	s.store.SetVM(kumquatlug.NewVM(kumquatlug.VMConfig{
 		Name: name, Role: kumquatlug.VMEntry, Address: peers.Addr().String(), Zone: zone, State: kumquatlug.VMLive,
 	}))
 	peer.AddDuty(s.ctx, &s.group, e.Run)
 	client := &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: streamsAtOnce, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, ServerName: peer.RoleEntry.DNSName()},
+		MaxIdleConnsPerHost: concurrentStreams, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, ServerName: peer.RoleEntry.DNSName()},
 	}}
-	return entryAddress{"https://" + callers.Addr().String(), client, peers.Addr().String(), passed}, nil
+	return gatewayEndpoint{"https://" + callers.Addr().String(), client, peers.Addr().String(), passed}, nil
 }
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -17,8 +17,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ledger"
 )
 
-// duty is something that asks the table again and again.
-type duty struct {
+// tableBenchmark is something that asks the table again and again.
+type tableBenchmark struct {
 	what  string
 	per   string
 	sizes [2]int
@@ -28,33 +28,33 @@
 	run func(ctx context.Context, table *standin.Memory, n int) error
 }
 
-// tableWork measures what each duty asks of the platform's table.
-func tableWork(ctx context.Context, c Config) ([]Slope, error) {
-	sizes := [2]int{c.size(20, 3), c.size(120, 9)}
-	duties := []duty{
-		{"lease: held and renewed", "renewal", sizes, nil, renewals},
-		{"lease: watched by another process", "look", sizes, nil, looks},
-		{"run-once call, each alone", "call", sizes, nil, callsAlone},
-		{"run-once call, 64 at once", "call", [2]int{c.size(640, 3), c.size(3840, 9)}, nil, callsTogether},
-		{"era of the run-once keys", "tick of an entry", sizes, nil, eraTicks},
-		{"config change committed", "change", sizes, nil, commits},
-		{"config head read by a reader", "read", sizes, nil, heads},
-		{"config changes pulled from the table at once", "change", [2]int{c.size(100, 3), c.size(4100, 9)}, commits, pullsFromTable},
-		{"config loaded at a start: snapshot and 200 changes", "node", sizes, seedLog, loads},
+// measureTable measures what each duty asks of the platform's table.
+func measureTable(ctx context.Context, c Config) ([]Slope, error) {
+	sizes := [2]int{c.scaledSize(20, 3), c.scaledSize(120, 9)}
+	benchmarks := []tableBenchmark{
+		{"lease: held and renewed", "renewal", sizes, nil, renewLease},
+		{"lease: watched by another process", "look", sizes, nil, watchLease},
+		{"run-once call, each alone", "call", sizes, nil, callSequentially},
+		{"run-once call, 64 at once", "call", [2]int{c.scaledSize(640, 3), c.scaledSize(3840, 9)}, nil, callConcurrently},
+		{"era of the run-once keys", "tick of an entry", sizes, nil, tickEra},
+		{"config change committed", "change", sizes, nil, commitChanges},
+		{"config head read by a reader", "read", sizes, nil, readHeads},
+		{"config changes pulled from the table at once", "change", [2]int{c.scaledSize(100, 3), c.scaledSize(4100, 9)}, commitChanges, pullFromTable},
+		{"config loaded at a start: snapshot and 200 changes", "node", sizes, seedLog, loadConfigs},
 	}
 	var slopes []Slope
-	for _, d := range duties {
+	for _, d := range benchmarks {
 		more, err := d.measure(ctx)
 		if err != nil {
 			return nil, errors.Wrap(err, d.what)
 		}
 		slopes = append(slopes, more...)
 	}
-	onWire, err := tableOnWire(ctx, c)
-	return append(slopes, onWire...), err
+	traffic, err := measureTableTraffic(ctx, c)
+	return append(slopes, traffic...), err
 }
 
-func (d duty) measure(ctx context.Context) ([]Slope, error) {
+func (d tableBenchmark) measure(ctx context.Context) ([]Slope, error) {
 	var reads, writes, rows []Point
 	for _, n := range d.sizes {
 		table := standin.NewMemory()
@@ -72,109 +72,109 @@
 		writes = append(writes, NewPoint(n, float64(after.Writes()-before.Writes())))
 		rows = append(rows, NewPoint(n, float64(after.RowsWritten()-before.RowsWritten())))
 	}
-	return slopesOf([]slopeConfig{
+	return newSlopes([]slopeConfig{
 		{d.what, d.per, UnitReads, reads},
 		{d.what, d.per, UnitWrites, writes},
 		{d.what, d.per, UnitRows, rows},
 	})
 }
 
-// renewEvery is the default span between two renewals of a lease.
-const renewEvery = 5 * kumquatlug.Second
+// renewInterval is the default span between two renewals of a lease.
+const renewInterval = 5 * kumquatlug.Second
 
-func newHolder(me string) (*lease.Holder, error) {
-	return lease.New(lease.Config{Group: "draft/0001", Me: me})
+func newHolder(id string) (*lease.Holder, error) {
+	return lease.New(lease.Config{Group: "draft/0001", Me: id})
 }
 
-// tend carries out what a holder asks for now.
-func tend(ctx context.Context, table kumquatlug.Table, h *lease.Holder, now kumquatlug.Millis) {
-	for i := h.Next(now); i.Action() != lease.ActionNone; {
+// runHolder carries out what a holder asks for now.
+func runHolder(ctx context.Context, table kumquatlug.Table, h *lease.Holder, now kumquatlug.Millis) {
+	for operation := h.Next(now); operation.Action() != lease.ActionNone; {
 		var row kumquatlug.Row
 		var err error
-		if i.Action() == lease.ActionRead {
-			row, err = table.Get(ctx, i.Key())
+		if operation.Action() == lease.ActionRead {
+			row, err = table.Get(ctx, operation.Key())
 		} else {
-			err = table.Commit(ctx, i.Tx())
+			err = table.Commit(ctx, operation.Tx())
 		}
-		i = h.Answered(now, i, row, err)
+		operation = h.Answered(now, operation, row, err)
 	}
 }
 
-func renewals(ctx context.Context, table *standin.Memory, n int) error {
+func renewLease(ctx context.Context, table *standin.Memory, n int) error {
 	h, err := newHolder("entry-1")
 	for i := range n {
-		tend(ctx, table, h, kumquatlug.Millis(i)*renewEvery)
+		runHolder(ctx, table, h, kumquatlug.Millis(i)*renewInterval)
 	}
 	return err
 }
 
-// looks counts what a process asks that waits for the lease. The writes are
+// watchLease counts what a process asks that waits for the lease. The writes are
 // the holder's, one for two looks.
-func looks(ctx context.Context, table *standin.Memory, n int) error {
+func watchLease(ctx context.Context, table *standin.Memory, n int) error {
 	holder, err := newHolder("entry-1")
 	if err != nil {
 		return err
 	}
-	tend(ctx, table, holder, 0)
+	runHolder(ctx, table, holder, 0)
 	watcher, err := newHolder("entry-2")
 	for i := range n {
 		// Every look comes before the row has stood for its time to live.
-		tend(ctx, table, watcher, kumquatlug.Millis(i)*renewEvery)
+		runHolder(ctx, table, watcher, kumquatlug.Millis(i)*renewInterval)
 		if i%2 == 1 {
-			touch(ctx, table)
+			renewRow(ctx, table)
 		}
 	}
 	return err
 }
 
-// touch renews the row in the holder's place, at the cost of no read.
-func touch(ctx context.Context, table *standin.Memory) {
+// renewRow renews the row in the holder's place, at the cost of no read.
+func renewRow(ctx context.Context, table *standin.Memory) {
 	_ = table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).Put(lease.Key("draft/0001"),
 		[]byte(`{"holder":"entry-1","number":1,"ttl_ms":15000,"attempt":"entry-1/2"}`)))
 }
 
 // openLedger runs a ledger over a table until close is called.
-func openLedger(ctx context.Context, table *standin.Memory, kept int) (l *ledger.Ledger, stop func(), err error) {
+func openLedger(ctx context.Context, table *standin.Memory, maxCachedCalls int) (l *ledger.Ledger, stop func(), err error) {
 	l, err = ledger.New(ledger.Config{
 		Table: table, Objects: table, Clock: clock.NewMonotonic(), Target: "publication-01",
-		Incarnation: ulid.Make().String(), Kept: kept,
+		Incarnation: ulid.Make().String(), Kept: maxCachedCalls,
 	})
 	if err != nil {
 		return nil, nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		_ = l.Run(ctx)
 	}()
-	return l, func() { cancel(); <-ended }, nil
+	return l, func() { cancel(); <-done }, nil
 }
 
-// runOnce claims a call, runs it, which takes no time here, and stores its
+// runOnceCall claims a call, runs it, which takes no time here, and stores its
 // outcome.
-func runOnce(ctx context.Context, l *ledger.Ledger, i int) error {
+func runOnceCall(ctx context.Context, l *ledger.Ledger, i int) error {
 	call := ledger.NewCall(ledger.CallConfig{
-		Caller: "portal", Key: fmt.Sprintf("posting-%06d", i), Body: string(fingerprintOf(i)), Dispatch: ledger.NewDispatch(0, 0),
+		Caller: "portal", Key: fmt.Sprintf("posting-%06d", i), Body: string(newFingerprint(i)), Dispatch: ledger.NewDispatch(0, 0),
 	})
-	ruling, err := l.Begin(ctx, call)
+	decision, err := l.Begin(ctx, call)
 	if err != nil {
 		return err
 	}
-	if ruling.Verdict() != ledger.VerdictRun {
-		return errors.Newf("call %d: %s", i, ruling.Verdict())
+	if decision.Verdict() != ledger.VerdictRun {
+		return errors.Newf("call %d: %s", i, decision.Verdict())
 	}
-	return l.Finish(ruling.Ticket(), ledger.NewOutcome(201, nil, make([]byte, 300)))
+	return l.Finish(decision.Ticket(), ledger.NewOutcome(201, nil, make([]byte, 300)))
 }
 
-func callsAlone(ctx context.Context, table *standin.Memory, n int) error {
+func callSequentially(ctx context.Context, table *standin.Memory, n int) error {
 	l, stop, err := openLedger(ctx, table, 0)
 	if err != nil {
 		return err
 	}
 	defer stop()
 	for i := range n {
-		if err := runOnce(ctx, l, i); err != nil {
+		if err := runOnceCall(ctx, l, i); err != nil {
 			return err
 		}
 		if err := l.Flush(ctx); err != nil {
@@ -184,26 +184,26 @@
 	return nil
 }
 
-// together is how many run-once calls are in hand in a busy service.
-const together = 64
+// concurrentCalls is how many run-once calls are in hand in a busy service.
+const concurrentCalls = 64
 
-func callsTogether(ctx context.Context, table *standin.Memory, n int) error {
+func callConcurrently(ctx context.Context, table *standin.Memory, n int) error {
 	l, stop, err := openLedger(ctx, table, 0)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	return allAtOnce(ctx, l, n)
+	return runConcurrently(ctx, l, n)
 }
 
-func allAtOnce(ctx context.Context, l *ledger.Ledger, n int) error {
-	failed := make(chan error, together)
+func runConcurrently(ctx context.Context, l *ledger.Ledger, n int) error {
+	errs := make(chan error, concurrentCalls)
 	var all sync.WaitGroup
-	for worker := range together {
+	for worker := range concurrentCalls {
 		all.Go(func() {
-			for i := worker; i < n; i += together {
-				if err := runOnce(ctx, l, i); err != nil {
-					failed <- err
+			for i := worker; i < n; i += concurrentCalls {
+				if err := runOnceCall(ctx, l, i); err != nil {
+					errs <- err
 					return
 				}
 			}
@@ -211,48 +211,48 @@
 	}
 	all.Wait()
 	select {
-	case err := <-failed:
+	case err := <-errs:
 		return err
 	default:
 		return l.Flush(ctx)
 	}
 }
 
-// keysKept returns a ledger that remembers n settled calls.
-func keysKept(ctx context.Context, n int) (any, error) {
+// buildRunOnceKeys returns a ledger that remembers n settled calls.
+func buildRunOnceKeys(ctx context.Context, n int) (any, error) {
 	l, stop, err := openLedger(ctx, standin.NewMemory(), n)
 	if err != nil {
 		return nil, err
 	}
 	defer stop()
-	return l, allAtOnce(ctx, l, n)
+	return l, runConcurrently(ctx, l, n)
 }
 
-func eraTicks(ctx context.Context, table *standin.Memory, n int) error {
+func tickEra(ctx context.Context, table *standin.Memory, n int) error {
 	// The clock stands, so that none of the ticks finds a write due: over the
 	// whole fleet one in a minute does.
-	k, err := ledger.NewKeeper(ledger.KeeperConfig{Table: table, Clock: clock.NewManual(0), Incarnation: "entry-1"})
+	keeper, err := ledger.NewKeeper(ledger.KeeperConfig{Table: table, Clock: clock.NewManual(0), Incarnation: "entry-1"})
 	for range n {
 		if err != nil {
 			return err
 		}
-		err = k.Tick(ctx)
+		err = keeper.Tick(ctx)
 	}
 	return err
 }
 
-func storeOver(table *standin.Memory) *config.Store {
+func newConfigStore(table *standin.Memory) *config.Store {
 	return config.NewStore(config.StoreConfig{Table: table, Objects: table})
 }
 
-func commits(ctx context.Context, table *standin.Memory, n int) error {
-	return commitAll(ctx, storeOver(table), n)
+func commitChanges(ctx context.Context, table *standin.Memory, n int) error {
+	return commitUpTo(ctx, newConfigStore(table), n)
 }
 
-// commitAll makes changes, each of one target's labels, until the head is at
+// commitUpTo makes changes, each of one target's labels, until the head is at
 // revision n.
-func commitAll(ctx context.Context, s *config.Store, n int) error {
-	sets, err := targetSets(min(n, 100))
+func commitUpTo(ctx context.Context, s *config.Store, n int) error {
+	sets, err := newTargetSets(min(n, 100))
 	if err != nil {
 		return err
 	}
@@ -274,25 +274,25 @@
 	return nil
 }
 
-func heads(ctx context.Context, table *standin.Memory, n int) error {
+func readHeads(ctx context.Context, table *standin.Memory, n int) error {
 	for range n {
-		if _, err := storeOver(table).Head(ctx); err != nil {
+		if _, err := newConfigStore(table).Head(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// pullsFromTable pulls all changes at once.
-func pullsFromTable(ctx context.Context, table *standin.Memory, _ int) error {
-	_, err := storeOver(table).Since(ctx, 0)
+// pullFromTable pulls all changes at once.
+func pullFromTable(ctx context.Context, table *standin.Memory, _ int) error {
+	_, err := newConfigStore(table).Since(ctx, 0)
 	return err
 }
 
-// loads loads the whole config n times, as nodes that start do.
-func loads(ctx context.Context, table *standin.Memory, n int) error {
+// loadConfigs loads the whole config n times, as nodes that start do.
+func loadConfigs(ctx context.Context, table *standin.Memory, n int) error {
 	for range n {
-		if _, err := storeOver(table).Load(ctx); err != nil {
+		if _, err := newConfigStore(table).Load(ctx); err != nil {
 			return err
 		}
 	}
@@ -301,9 +301,9 @@
 
 // seedLog leaves a snapshot and 200 changes after it.
 func seedLog(ctx context.Context, table *standin.Memory, _ int) error {
-	const before, after = 50, 250
-	store := storeOver(table)
-	if err := commitAll(ctx, store, before); err != nil {
+	const snapshotRevision, headRevision = 50, 250
+	store := newConfigStore(table)
+	if err := commitUpTo(ctx, store, snapshotRevision); err != nil {
 		return err
 	}
 	state, err := store.Load(ctx)
@@ -313,5 +313,5 @@
 	if err := store.Snapshot(ctx, state); err != nil {
 		return err
 	}
-	return commitAll(ctx, store, after)
+	return commitUpTo(ctx, store, headRevision)
 }
--- a/internal/capacity/tablewire.go
+++ b/internal/capacity/tablewire.go
@@ -15,48 +15,48 @@
 	"github.com/kumquatlug/kumquatlug/platform"
 )
 
-// tableOnWire measures the bytes of what entries ask of the platform all the
+// measureTableTraffic measures the bytes of what entries ask of the platform all the
 // time, over the platform's protocol, without TLS.
-func tableOnWire(ctx context.Context, c Config) ([]Slope, error) {
-	s, err := newSite(ctx)
+func measureTableTraffic(ctx context.Context, c Config) ([]Slope, error) {
+	s, err := newDeployment(ctx)
 	if err != nil {
 		return nil, err
 	}
-	t := &traffic{}
+	t := &connectionTraffic{}
 	l, err := s.listen(t, false)
 	if err != nil {
 		return nil, err
 	}
-	s.serveOn(l, rowstore.New())
+	s.addServerOn(l, rowstore.New())
 	defer s.start()()
 	client := platform.NewStore(platform.StoreConfig{
 		Address: l.Addr().String(), Pool: exchange.New(exchange.Config{Clock: clock.NewMonotonic(), Kept: 1}),
 	})
 	store := config.NewStore(config.StoreConfig{Table: client, Objects: client})
-	if err := commitAll(ctx, store, 100); err != nil {
+	if err := commitUpTo(ctx, store, 100); err != nil {
 		return nil, err
 	}
-	sizes := []int{c.size(200, 3), c.size(1200, 9)}
-	slopes, err := exchanges(exchangeConfig{what: "config head read", per: "read", sizes: sizes, traffic: t, plain: true, once: func() error {
+	sizes := []int{c.scaledSize(200, 3), c.scaledSize(1200, 9)}
+	slopes, err := measureExchanges(exchangeConfig{what: "config head read", per: "read", sizes: sizes, traffic: t, noTLS: true, exchange: func() error {
 		_, err := store.Head(ctx)
 		return err
 	}})
 	if err != nil {
 		return nil, err
 	}
-	renewed, err := exchanges(exchangeConfig{what: "lease renewed", per: "renewal", sizes: sizes, traffic: t, plain: true, once: func() error {
-		return renewOnce(ctx, client)
+	renewalSlopes, err := measureExchanges(exchangeConfig{what: "lease renewed", per: "renewal", sizes: sizes, traffic: t, noTLS: true, exchange: func() error {
+		return readAndRenewLease(ctx, client)
 	}})
 	if err != nil {
 		return nil, err
 	}
-	slopes = append(slopes, renewed...)
-	more, err := s.listOnWire(ctx, c, t, client)
+	slopes = append(slopes, renewalSlopes...)
+	more, err := s.measureVMList(ctx, c, t, client)
 	return append(slopes, more...), err
 }
 
-// renewOnce reads a lease's row and writes it again.
-func renewOnce(ctx context.Context, client kumquatlug.Table) error {
+// readAndRenewLease reads a lease's row and writes it again.
+func readAndRenewLease(ctx context.Context, client kumquatlug.Table) error {
 	key := lease.Key("draft/0001")
 	row, err := client.Get(ctx, key)
 	if err != nil {
@@ -66,20 +66,20 @@
 	return client.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).If(key, row.Version()).Put(key, value))
 }
 
-// listOnWire measures reading the platform's list of VMs, by its length.
-func (s *site) listOnWire(ctx context.Context, c Config, t *traffic, client kumquatlug.Table) ([]Slope, error) {
-	const reads = 5
+// measureVMList measures reading the platform's list of VMs, by its length.
+func (s *deployment) measureVMList(ctx context.Context, c Config, t *connectionTraffic, client kumquatlug.Table) ([]Slope, error) {
+	const readsPerRun = 5
 	var bytes, nanos []Point
 	roster := membership.NewRoster(client)
-	for _, n := range []int{c.size(200, 5), c.size(2200, 25)} {
-		for _, vm := range fleetVMs(deskConfig{targets: n}) {
+	for _, n := range []int{c.scaledSize(200, 5), c.scaledSize(2200, 25)} {
+		for _, vm := range newFleetVMs(fleetConfig{targets: n}) {
 			if err := roster.Enter(ctx, vm); err != nil {
 				return nil, err
 			}
 		}
-		before := t.read()
-		took, err := leastSpent(func() error {
-			for range reads {
+		before := t.snapshot()
+		took, err := minProcessorTime(func() error {
+			for range readsPerRun {
 				if _, err := roster.List(ctx); err != nil {
 					return err
 				}
@@ -89,10 +89,10 @@
 		if err != nil {
 			return nil, err
 		}
-		bytes = append(bytes, NewPoint(n, float64(t.read().since(before).both())/reads/runs))
-		nanos = append(nanos, NewPoint(n, float64(took.Nanoseconds())/reads))
+		bytes = append(bytes, NewPoint(n, float64(t.snapshot().sub(before).wireBytes())/readsPerRun/repetitions))
+		nanos = append(nanos, NewPoint(n, float64(took.Nanoseconds())/readsPerRun))
 	}
-	return slopesOf([]slopeConfig{
+	return newSlopes([]slopeConfig{
 		{"platform's list read: wire, both ways, without TLS", "VM listed", UnitBytes, bytes},
 		{"platform's list read: both ends", "VM listed", UnitNanos, nanos},
 	})
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -22,15 +22,15 @@
 
 // Environment variables that replace the figures of every proof.
 const (
-	seedVariable = "KUMQUATLUG_PROOF_SEED"
-	runsVariable = "KUMQUATLUG_PROOF_RUNS"
+	seedEnv = "KUMQUATLUG_PROOF_SEED"
+	runsEnv = "KUMQUATLUG_PROOF_RUNS"
 )
 
-// mostSeed bounds the seed of an [Event].
-const mostSeed = 1 << 40
+// maxSeed bounds the seed of an [Event].
+const maxSeed = 1 << 40
 
-// mostChoice bounds the choice of a [Move].
-const mostChoice = 9999
+// maxChoice bounds the choice of a [Move].
+const maxChoice = 9999
 
 // Config is what a proof is made of.
 type Config struct {
@@ -53,7 +53,7 @@
 // Run plays the proof and fails t when a step is judged wrong.
 func Run(t *testing.T, c Config) {
 	t.Helper()
-	properties := gopter.NewProperties(parameters(t, c))
+	properties := gopter.NewProperties(newParameters(t, c))
 	properties.Property(c.Claim, commands.Prop(&commands.ProtoCommands{
 		NewSystemUnderTestFunc:     func(commands.State) commands.SystemUnderTest { return c.World() },
 		DestroySystemUnderTestFunc: c.End,
@@ -63,22 +63,22 @@
 	properties.TestingRun(t)
 }
 
-func parameters(t *testing.T, c Config) *gopter.TestParameters {
+func newParameters(t *testing.T, c Config) *gopter.TestParameters {
 	t.Helper()
-	p := gopter.DefaultTestParametersWithSeed(int64(setting(t, seedVariable, c.Seed)))
-	p.MinSuccessfulTests = setting(t, runsVariable, c.Runs)
+	p := gopter.DefaultTestParametersWithSeed(int64(intFromEnv(t, seedEnv, c.Seed)))
+	p.MinSuccessfulTests = intFromEnv(t, runsEnv, c.Runs)
 	p.MinSize, p.MaxSize, p.Workers = c.Steps, c.Steps, 1
 	t.Logf("seed %d, %d runs of %d steps", p.Seed(), p.MinSuccessfulTests, c.Steps)
 	return p
 }
 
-// setting reads a number from the environment. A value that is no number fails
+// intFromEnv reads a number from the environment. A value that is no number fails
 // the test: it would else pass for the run that was asked for.
-func setting(t *testing.T, name string, usual int) int {
+func intFromEnv(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return usual
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -128,19 +128,19 @@
 type eventStep struct {
 	Step
 	Event
-	play func(commands.SystemUnderTest, Event) commands.Result
+	run func(commands.SystemUnderTest, Event) commands.Result
 }
 
 // Run implements commands.Command.
 func (s eventStep) Run(world commands.SystemUnderTest) commands.Result {
-	return s.play(world, s.Event)
+	return s.run(world, s.Event)
 }
 
 // Events draws one of kinds and a seed. A kind comes up as often among the
 // others as it is listed. Play makes the event happen and returns what is wrong.
-func Events(kinds []string, play func(world commands.SystemUnderTest, e Event) commands.Result) gopter.Gen {
-	return gen.Int64Range(0, mostSeed).Map(func(n int64) commands.Command {
-		return eventStep{Event: Event{Kind: kinds[n%int64(len(kinds))], Seed: n}, play: play}
+func Events(kinds []string, run func(world commands.SystemUnderTest, e Event) commands.Result) gopter.Gen {
+	return gen.Int64Range(0, maxSeed).Map(func(n int64) commands.Command {
+		return eventStep{Event: Event{Kind: kinds[n%int64(len(kinds))], Seed: n}, run: run}
 	})
 }
 
@@ -159,21 +159,21 @@
 type moveStep struct {
 	Step
 	Move
-	play func(commands.SystemUnderTest, Move) commands.Result
+	run func(commands.SystemUnderTest, Move) commands.Result
 }
 
 // Run implements commands.Command.
 func (s moveStep) Run(world commands.SystemUnderTest) commands.Result {
-	return s.play(world, s.Move)
+	return s.run(world, s.Move)
 }
 
 // Moves draws one of kinds, one of actors by its index, and a choice. A kind
 // comes up as often among the others as it is listed. Play makes the move and
 // returns what is wrong.
-func Moves(kinds []string, actors int, play func(world commands.SystemUnderTest, m Move) commands.Result) gopter.Gen {
+func Moves(kinds []string, actors int, run func(world commands.SystemUnderTest, m Move) commands.Result) gopter.Gen {
 	return gopter.CombineGens(
-		gen.IntRange(0, len(kinds)-1), gen.IntRange(0, actors-1), gen.IntRange(0, mostChoice),
-	).Map(func(v []interface{}) commands.Command {
-		return moveStep{Move: Move{Kind: kinds[v[0].(int)], Actor: v[1].(int), Choice: v[2].(int)}, play: play}
+		gen.IntRange(0, len(kinds)-1), gen.IntRange(0, actors-1), gen.IntRange(0, maxChoice),
+	).Map(func(values []interface{}) commands.Command {
+		return moveStep{Move: Move{Kind: kinds[values[0].(int)], Actor: values[1].(int), Choice: values[2].(int)}, run: run}
 	}).WithShrinker(gopter.NoShrinker)
 }
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -8,7 +8,7 @@
 	"github.com/leanovate/gopter/commands"
 )
 
-func TestPostCondition(t *testing.T) {
+func TestPostConditionStatus(t *testing.T) {
 	cases := map[string]struct {
 		result commands.Result
 		want   interface{}
@@ -26,17 +26,17 @@
 	}
 }
 
-func TestParameters(t *testing.T) {
-	t.Setenv(seedVariable, "")
-	t.Setenv(runsVariable, "")
+func TestParametersFromConfigAndEnvironment(t *testing.T) {
+	t.Setenv(seedEnv, "")
+	t.Setenv(runsEnv, "")
 	c := Config{Seed: 5, Runs: 300, Steps: 40}
-	p := parameters(t, c)
+	p := newParameters(t, c)
 	if p.Seed() != 5 || p.MinSuccessfulTests != 300 || p.MinSize != 40 || p.MaxSize != 40 || p.Workers != 1 {
 		t.Errorf("usual parameters: %+v", p)
 	}
-	t.Setenv(seedVariable, "77")
-	t.Setenv(runsVariable, "10000")
-	p = parameters(t, c)
+	t.Setenv(seedEnv, "77")
+	t.Setenv(runsEnv, "10000")
+	p = newParameters(t, c)
 	if p.Seed() != 77 || p.MinSuccessfulTests != 10000 || p.MinSize != 40 || p.MaxSize != 40 {
 		t.Errorf("parameters of the environment: %+v", p)
 	}
