--- a/cmd/kumquatlug-capacity/main.go
+++ b/cmd/kumquatlug-capacity/main.go
@@ -1,5 +1,5 @@
-// Command kumquatlug-capacity measures on this machine what the parts of the
-// system cost, as docs/CAPACITY.md needs it.
+// Command kumquatlug-capacity measures the resource costs of the system's
+// components on this machine. docs/CAPACITY.md is based on its output.
 package main
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/kumquatlug/kumquatlug/internal/capacity"
 )
 
-// maxCores bounds the cores that are busy, so that the run disturbs others on
-// a shared machine little.
+// maxCores limits the number of cores in use, so that the run hardly affects
+// others on a shared machine.
 const maxCores = 4
 
 func main() {
@@ -36,10 +36,10 @@
 	var config capacity.Config
 	root := &cobra.Command{
 		Use:   "kumquatlug-capacity [measurement...]",
-		Short: "Measure what the parts of the system cost on this machine",
-		Long: `Measure what the parts of the system cost on this machine, each at two sizes or
-more, and print the slopes between them. Without a name everything is measured,
-in less than a minute, over loopback and on four cores at most.
+		Short: "Measure the resource costs of the system's components on this machine",
+		Long: `Measure the resource costs of the system's components on this machine, each at
+two sizes or more, and print the slopes between them. Without arguments all
+measurements run, in less than a minute, over loopback and on at most four cores.
 
 ` + measurementList(),
 		Example:       "  kumquatlug-capacity\n  kumquatlug-capacity heartbeat --format json",
@@ -47,10 +47,10 @@
 		SilenceErrors: true,
 	}
 	root.Flags().StringVar(&format, "format", "text", "text or json")
-	root.Flags().Float64Var(&config.Scale, "scale", 1, "factor of the sizes, above 0 and at most 1")
+	root.Flags().Float64Var(&config.Scale, "scale", 1, "factor applied to the sizes, above 0 and at most 1")
 	root.RunE = func(cmd *cobra.Command, names []string) error {
 		if config.Scale <= 0 || config.Scale > 1 {
-			return errors.Newf("--scale: above 0 and at most 1 is needed, got %v", config.Scale)
+			return errors.Newf("--scale: expected a number above 0 and at most 1, got %v", config.Scale)
 		}
 		write := capacity.WriteText
 		switch format {
@@ -58,7 +58,7 @@
 		case "json":
 			write = capacity.WriteJSON
 		default:
-			return errors.Newf("--format: text or json is needed, got %q", format)
+			return errors.Newf("--format: expected text or json, got %q", format)
 		}
 		runtime.GOMAXPROCS(min(maxCores, runtime.GOMAXPROCS(0)))
 		slopes, err := capacity.Run(cmd.Context(), config, names)
@@ -70,7 +70,7 @@
 	return root
 }
 
-// measurementList describes the measurements, one a line.
+// measurementList describes the measurements, one per line.
 func measurementList() string {
 	lines := []string{"Measurements:"}
 	for _, m := range capacity.Measurements() {
--- a/cmd/kumquatlug-capacity/main_test.go
+++ b/cmd/kumquatlug-capacity/main_test.go
@@ -25,7 +25,7 @@
 		root.SetOut(&out)
 		err := root.Execute()
 		if (err != nil) != c.wantError || !strings.Contains(out.String(), c.wantOutput) {
-			t.Errorf("%v: %v, %q", c.args, err, out.String())
+			t.Errorf("%v: error %v, want error %v; output %q, want it to contain %q", c.args, err, c.wantError, out.String(), c.wantOutput)
 		}
 	}
 }
--- a/cmd/kumquatlug-experiment/main.go
+++ b/cmd/kumquatlug-experiment/main.go
@@ -1,6 +1,6 @@
-// Command kumquatlug-experiment plays load patterns against the decision
-// modules and plain baselines, and prints what callers receive. The same seed
-// gives the same digits.
+// Command kumquatlug-experiment simulates load patterns against the decision
+// modules and simple baselines, and prints the results that callers see. The
+// output is deterministic for a given seed.
 package main
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/kumquatlug/kumquatlug/internal/experiment"
 )
 
-// Format is how results are printed.
+// Format is the output format of results.
 type Format string
 
-// The formats.
+// Output formats.
 const (
 	FormatText Format = "text"
 	FormatJSON Format = "json"
 )
 
-// options are the command's settings.
+// options are the command's flags.
 type options struct {
 	scenarios string
 	seed      uint64
@@ -44,17 +44,17 @@
 	var o options
 	c := &cobra.Command{
 		Use:          "kumquatlug-experiment",
-		Short:        "Play load patterns against the decision modules and plain baselines",
+		Short:        "Simulate load patterns against the decision modules and simple baselines",
 		Args:         cobra.NoArgs,
 		SilenceUsage: true,
 		RunE:         func(c *cobra.Command, _ []string) error { return o.run(c) },
 	}
 	f := c.Flags()
-	f.StringVar(&o.scenarios, "scenarios", "", "names of scenarios, joined by commas; all if empty")
-	f.Uint64Var(&o.seed, "seed", 1, "seed of every random draw")
+	f.StringVar(&o.scenarios, "scenarios", "", "comma-separated names of scenarios; all if empty")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of the random number generators")
 	f.StringVar(&o.format, "format", string(FormatText), "text or json")
-	f.StringVar(&o.plot, "plot", "", "file for a plot of the goodput, as SVG")
-	f.IntVar(&o.workers, "workers", 4, "how many scenarios run at once; it doesn't change the figures")
+	f.StringVar(&o.plot, "plot", "", "file to write a goodput plot to, as SVG")
+	f.IntVar(&o.workers, "workers", 4, "number of scenarios to run concurrently; does not affect the results")
 	c.AddCommand(newSwingCommand())
 	return c
 }
@@ -95,7 +95,8 @@
 	return list, nil
 }
 
-// runScenarios runs the scenarios side by side; each has its own world and seed.
+// runScenarios runs the scenarios concurrently. Each has a simulation and a random
+// number generator of its own, so the results don't depend on the number of workers.
 func (o options) runScenarios(scenarios []experiment.Scenario) []experiment.Result {
 	resultsByScenario := make([][]experiment.Result, len(scenarios))
 	var g errgroup.Group
@@ -120,10 +121,10 @@
 	}
 	var plot bytes.Buffer
 	if err := experiment.WritePlot(&plot, results); err != nil {
-		return errors.Wrap(err, "draw the plot")
+		return errors.Wrap(err, "render the plot")
 	}
 	return errors.Wrap(os.WriteFile(o.plot, plot.Bytes(), plotFileMode), "write the plot")
 }
 
-// plotFileMode lets everybody read the plot.
+// plotFileMode makes the plot readable by all users.
 const plotFileMode = 0o644
--- a/cmd/kumquatlug-experiment/swing.go
+++ b/cmd/kumquatlug-experiment/swing.go
@@ -9,23 +9,24 @@
 	"github.com/kumquatlug/kumquatlug/internal/experiment/swing"
 )
 
-// newSwingCommand plays a site whose load swings between prompts and outputs.
+// newSwingCommand returns the command that simulates a site whose load alternates
+// between prefill-heavy and decode-heavy phases.
 func newSwingCommand() *cobra.Command {
 	site := swing.UserSites()
 	seed := uint64(1)
 	c := &cobra.Command{
 		Use:     "swing",
-		Short:   "Play days of a site under fixed splits and one that follows, beside an upper bound",
+		Short:   "Simulate days of a site under fixed prefill/decode splits and an adaptive one, with an upper bound",
 		Example: "  kumquatlug-experiment swing --memory 740000",
 		Args:    cobra.NoArgs,
 	}
 	f := c.Flags()
-	f.Uint64Var(&seed, "seed", seed, "seed of every random draw")
-	f.IntVar(&site.Engines, "engines", site.Engines, "engines of the site")
-	f.IntVar(&site.Fronts, "fronts", site.Fronts, "fronts that don't see each other")
-	f.IntVar(&site.Memory, "memory", site.Memory, "tokens that one engine keeps")
-	f.IntVar(&site.Slots, "slots", site.Slots, "requests that one engine runs at once")
-	f.Float64Var(&site.ReadRate, "read-rate", site.ReadRate, "prompt tokens that one engine reads in a ms")
+	f.Uint64Var(&seed, "seed", seed, "seed of the random number generators")
+	f.IntVar(&site.Engines, "engines", site.Engines, "number of engines")
+	f.IntVar(&site.Fronts, "fronts", site.Fronts, "number of gateways, which don't exchange state")
+	f.IntVar(&site.Memory, "memory", site.Memory, "KV cache capacity of an engine, in tokens")
+	f.IntVar(&site.Slots, "slots", site.Slots, "maximum concurrent requests of an engine")
+	f.Float64Var(&site.ReadRate, "read-rate", site.ReadRate, "prefill rate of an engine, in tokens per ms")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		out := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 		fmt.Fprintln(out, "day\treaders\tworth\tdocuments\tstreams\tchanges\tbound")
--- a/cmd/kumquatlug-standin/main.go
+++ b/cmd/kumquatlug-standin/main.go
@@ -1,5 +1,6 @@
-// Command kumquatlug-standin runs the small stand-ins for the systems outside
-// the project, and a load generator, for tests and for trying things out.
+// Command kumquatlug-standin runs simulators of the external systems (engines,
+// services and the platform's store) and a load generator, for tests and local
+// experiments.
 package main
 
 import (
@@ -19,9 +20,9 @@
 )
 
 const (
-	// shutdownTimeout is how long a stop waits for the requests in hand.
+	// shutdownTimeout is how long a shutdown waits for requests in flight.
 	shutdownTimeout = 30 * kumquatlug.Second
-	// readHeaderTimeout bounds how long a client may take for its headers.
+	// readHeaderTimeout is the maximum time a client may take to send its headers.
 	readHeaderTimeout = 10 * kumquatlug.Second
 )
 
@@ -35,7 +36,7 @@
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "kumquatlug-standin",
-		Short:         "Stand-ins for engines, services and the platform, and a load generator",
+		Short:         "Simulators of engines, services and the platform, and a load generator",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -43,8 +44,8 @@
 	return root
 }
 
-// serve serves handler on address until a signal comes, and says on out where
-// it listens.
+// serve runs handler on address until the process receives a signal or ctx ends. It
+// prints the listening address to out.
 func serve(ctx context.Context, out io.Writer, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -57,14 +58,14 @@
 	group.Add(func() error { return server.Serve(listener) }, func(error) {
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout.Duration())
 		defer cancel()
-		// What is still in hand after the stop time is cut.
+		// Requests still in flight after the timeout are aborted.
 		_ = server.Shutdown(ctx)
 	})
 	return ignoreStop(group.Run())
 }
 
-// ignoreStop turns the error by which a signal or the context ends a run group
-// into none.
+// ignoreStop returns nil if a signal or the end of the context stopped the run
+// group, else err.
 func ignoreStop(err error) error {
 	if errors.Is(err, run.ErrSignal) || errors.Is(err, context.Canceled) || errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/cmd/kumquatlug-standin/main_test.go
+++ b/cmd/kumquatlug-standin/main_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// startCommand runs a command in this process and returns its address and a function
-// that stops it.
+// startCommand runs a command in this process. It returns the command's URL and a
+// function that stops it.
 func startCommand(t *testing.T, args ...string) (string, func() error) {
 	t.Helper()
 	output, outputWriter := io.Pipe()
@@ -32,7 +32,7 @@
 	}
 	address, ok := strings.CutPrefix(strings.TrimSpace(line), "listening ")
 	if !ok {
-		t.Fatalf("first line %q", line)
+		t.Fatalf("first line of output is %q, want a listening address", line)
 	}
 	return "http://" + address, func() error {
 		cancel()
@@ -55,7 +55,7 @@
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		if err != nil || path == rowsPath && !strings.HasPrefix(string(body), wantPrefix) {
-			t.Fatalf("%s %v", body, err)
+			t.Fatalf("GET %s: body %s, error %v", path, body, err)
 		}
 		if err := stop(); err != nil {
 			t.Fatal(err)
@@ -76,7 +76,7 @@
 		Outcomes map[string]int `json:"outcomes"`
 	}
 	if err := json.Unmarshal(out.Bytes(), &report); err != nil || report.Outcomes["whole"] != 20 {
-		t.Fatalf("%s %v", out.String(), err)
+		t.Fatalf("report %s, error %v; want 20 whole responses", out.String(), err)
 	}
 	if err := stop(); err != nil {
 		t.Fatal(err)
--- a/cmd/kumquatlug-standin/pathcost.go
+++ b/cmd/kumquatlug-standin/pathcost.go
@@ -11,7 +11,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// pathCostFlags are where the processes of a path are found.
+// pathCostFlags locate the processes whose metrics are read, and hold the keys for
+// their connections.
 type pathCostFlags struct {
 	operatorURL    string
 	agentAddresses []string
@@ -24,30 +25,31 @@
 	var flags pathCostFlags
 	cmd := &cobra.Command{
 		Use:   "path-cost",
-		Short: "Measure what the way over entry and agents costs beside calling the engines",
-		Long: `Measure what the way over entry and agents costs beside calling the engines.
-It starts no process: scripts/path-cost.sh starts them, runs this and ends them.`,
+		Short: "Measure the overhead of gateway and agents compared with calling engines directly",
+		Long: `Measure the overhead of gateway and agents compared with calling engines directly.
+The command starts no processes: scripts/path-cost.sh starts them, runs this command
+and stops them.`,
 		Example: "  scripts/path-cost.sh",
 		Args:    cobra.NoArgs,
 	}
 	f := cmd.Flags()
-	f.StringVar(&c.Entry, "entry", "", "the callers' API, as in http://127.0.0.1:8080")
-	f.StringVar(&c.Key, "key", "", "a caller's key")
-	f.StringVar(&flags.operatorURL, "operators", "", "the entry's operators' address, as in http://127.0.0.1:8081")
+	f.StringVar(&c.Entry, "entry", "", "base URL of the gateway's callers' API, such as http://127.0.0.1:8080")
+	f.StringVar(&c.Key, "key", "", "API key of a caller")
+	f.StringVar(&flags.operatorURL, "operators", "", "base URL of the gateway's operators' API, such as http://127.0.0.1:8081")
 	f.StringArrayVar(&flags.agentAddresses, "agent", nil, "IP:port of an agent; may be repeated")
-	f.StringVar(&flags.keys.Certificate, "tls-cert", "", "certificate to read agents' metrics with")
-	f.StringVar(&flags.keys.Key, "tls-key", "", "the key of --tls-cert")
-	f.StringVar(&flags.keys.Authority, "tls-ca", "", "the authority of agents' certificates")
-	f.BoolVar(&flags.insecure, "insecure-loopback", false, "agents speak plainly")
-	f.StringArrayVar(&c.Stamped, "stamped", nil, "an engine of the model \""+load.StampedModel+"\", started with --stamped; may be repeated")
-	f.StringArrayVar(&c.Fast, "fast", nil, "an engine of the model \""+load.FastModel+"\"; may be repeated")
-	f.IntVar(&c.Streams, "streams", 1000, "streams open at a time")
-	f.IntVar(&c.Tokens, "tokens", 100, "tokens of a stream")
-	millisVar(cmd, &c.TokenTime, "token-time", 29, "decode time of the stamping engines")
-	millisVar(cmd, &c.Span, "span", 5*kumquatlug.Second, "how long streams are begun, each way")
-	millisVar(cmd, &c.BurstSpan, "burst-span", 1500, "length of a burst")
-	f.IntVar(&c.BurstRounds, "burst-rounds", 2, "bursts each way")
-	f.IntVar(&c.BurstTokens, "burst-tokens", 50, "tokens of an answer in bursts")
+	f.StringVar(&flags.keys.Certificate, "tls-cert", "", "client certificate for reading the agents' metrics")
+	f.StringVar(&flags.keys.Key, "tls-key", "", "private key of --tls-cert")
+	f.StringVar(&flags.keys.Authority, "tls-ca", "", "certificate authority of the agents' certificates")
+	f.BoolVar(&flags.insecure, "insecure-loopback", false, "agents use plain HTTP without TLS")
+	f.StringArrayVar(&c.Stamped, "stamped", nil, "URL of an engine that serves the model \""+load.StampedModel+"\", started with --stamped; may be repeated")
+	f.StringArrayVar(&c.Fast, "fast", nil, "URL of an engine that serves the model \""+load.FastModel+"\"; may be repeated")
+	f.IntVar(&c.Streams, "streams", 1000, "number of concurrent streams")
+	f.IntVar(&c.Tokens, "tokens", 100, "length of a stream, in tokens")
+	millisVar(cmd, &c.TokenTime, "token-time", 29, "decode time per token of the engines started with --stamped")
+	millisVar(cmd, &c.Span, "span", 5*kumquatlug.Second, "time during which new streams are started, per path")
+	millisVar(cmd, &c.BurstSpan, "burst-span", 1500, "duration of a burst")
+	f.IntVar(&c.BurstRounds, "burst-rounds", 2, "number of bursts per path")
+	f.IntVar(&c.BurstTokens, "burst-tokens", 50, "length of a response in bursts, in tokens")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		var err error
 		if c.Metrics, err = flags.processes(); err != nil {
@@ -61,14 +63,14 @@
 			return err
 		}
 		if n := cost.Broken(); n > 0 {
-			return errors.Newf("%d answers were wrong or cut", n)
+			return errors.Newf("%d responses were wrong or truncated", n)
 		}
 		return nil
 	}
 	return cmd
 }
 
-// processes returns the entry and the agents as they are asked for metrics.
+// processes returns the metrics endpoints of the gateway and the agents.
 func (f *pathCostFlags) processes() ([]load.Process, error) {
 	var keys *peer.Keys
 	if !f.insecure {
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -1,11 +1,11 @@
-// Package proof runs the stateful proofs of the decision modules: random steps
-// on the real module over small fakes, with an oracle that is asked after each
-// step. A test gives the world, the steps and the figures; this package fixes
-// the seed, so that CI plays the same runs every time, and prints it, so that a
-// failure can be played again.
+// Package proof runs stateful property-based tests of the decision modules:
+// random sequences of steps on the real module over small fakes, with an oracle
+// that is checked after each step. A test provides the system under test, the
+// steps and the number of runs. The package fixes the seed, so that CI executes
+// the same runs every time, and logs it, so that a failure can be reproduced.
 //
-// KUMQUATLUG_PROOF_RUNS asks for more runs and KUMQUATLUG_PROOF_SEED for
-// others, both for every proof.
+// The environment variables KUMQUATLUG_PROOF_RUNS and KUMQUATLUG_PROOF_SEED
+// override the number of runs and the seed of every test.
 package proof
 
 import (
@@ -20,37 +20,37 @@
 	"github.com/leanovate/gopter/gen"
 )
 
-// Environment variables that replace the figures of every proof.
+// Environment variables that override the seed and the number of runs of every test.
 const (
 	seedEnv = "KUMQUATLUG_PROOF_SEED"
 	runsEnv = "KUMQUATLUG_PROOF_RUNS"
 )
 
-// maxSeed bounds the seed of an [Event].
+// maxSeed is the largest seed of an [Event].
 const maxSeed = 1 << 40
 
-// maxChoice bounds the choice of a [Move].
+// maxChoice is the largest choice of a [Move].
 const maxChoice = 9999
 
-// Config is what a proof is made of.
+// Config describes a property-based test.
 type Config struct {
-	// Claim says what must hold; it is printed with the verdict. Required.
+	// Claim is the property that must hold; it is printed with the result. Required.
 	Claim string
-	// Seed is where the random numbers start.
+	// Seed is the seed of the random number generator.
 	Seed int
-	// Runs is how many sequences of steps are played.
+	// Runs is the number of step sequences to execute.
 	Runs int
-	// Steps is the length of each sequence.
+	// Steps is the number of steps in each sequence.
 	Steps int
-	// Command draws the next step. Required.
+	// Command generates the next step. Required.
 	Command gopter.Gen
-	// World returns a new world for one run. Required.
+	// World returns a new system under test for one run. Required.
 	World func() commands.SystemUnderTest
-	// End is called with the world after its run; nil does nothing.
+	// End cleans up the system under test after its run. Optional.
 	End func(world commands.SystemUnderTest)
 }
 
-// Run plays the proof and fails t when a step is judged wrong.
+// Run executes the test and fails t if a step violates the property.
 func Run(t *testing.T, c Config) {
 	t.Helper()
 	properties := gopter.NewProperties(newParameters(t, c))
@@ -72,8 +72,9 @@
 	return p
 }
 
-// intFromEnv reads a number from the environment. A value that is no number fails
-// the test: it would else pass for the run that was asked for.
+// intFromEnv reads an integer from the environment. A value that is not an integer
+// fails the test; with the default in its place, the test would appear to have used
+// the requested value.
 func intFromEnv(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
@@ -87,8 +88,9 @@
 	return n
 }
 
-// Step is the part that all steps share. A step that is neither an [Event] nor
-// a [Move] embeds it and adds Run and String. The world keeps the state itself, so a step is possible at any time.
+// Step implements the parts of commands.Command that all steps share. A step that
+// is neither an [Event] nor a [Move] embeds it and adds Run and String. The system
+// under test holds the state itself, so a step is valid at any time.
 type Step struct{}
 
 // NextState implements commands.Command.
@@ -97,8 +99,8 @@
 // PreCondition implements commands.Command.
 func (Step) PreCondition(commands.State) bool { return true }
 
-// PostCondition implements commands.Command. A step's Run returns what is
-// wrong, as an error or as a text; nil and the empty text mean nothing.
+// PostCondition implements commands.Command. A step's Run returns a violation as an
+// error or as a string; nil and the empty string mean that there is none.
 func (Step) PostCondition(_ commands.State, result commands.Result) *gopter.PropResult {
 	switch wrong := result.(type) {
 	case nil:
@@ -111,18 +113,18 @@
 		}
 		return &gopter.PropResult{Status: gopter.PropFalse, Labels: []string{wrong}}
 	default:
-		return &gopter.PropResult{Status: gopter.PropError, Error: errors.Newf("a step returned %T", result)}
+		return &gopter.PropResult{Status: gopter.PropError, Error: errors.Newf("a step returned %T, want nil, an error or a string", result)}
 	}
 }
 
-// Event is what happens in a step: its kind, and the seed of the random numbers
-// that shape it.
+// Event is one step: its kind, and the seed of the random numbers that determine
+// its details.
 type Event struct {
 	Kind string
 	Seed int64
 }
 
-// String returns the event as a failure shows it.
+// String formats the event for failure messages.
 func (e Event) String() string { return fmt.Sprintf("%s(%d)", e.Kind, e.Seed) }
 
 type eventStep struct {
@@ -132,28 +134,30 @@
 }
 
 // Run implements commands.Command.
-func (s eventStep) Run(world commands.SystemUnderTest) commands.Result {
-	return s.run(world, s.Event)
+func (s eventStep) Run(system commands.SystemUnderTest) commands.Result {
+	return s.run(system, s.Event)
 }
 
-// Events draws one of kinds and a seed. A kind comes up as often among the
-// others as it is listed. Play makes the event happen and returns what is wrong.
-func Events(kinds []string, run func(world commands.SystemUnderTest, e Event) commands.Result) gopter.Gen {
+// Events generates events with a kind from kinds and a random seed. A kind that is
+// listed several times is drawn more often in proportion. Run applies the event to
+// the system under test and returns a violation as described at
+// [Step.PostCondition].
+func Events(kinds []string, run func(system commands.SystemUnderTest, e Event) commands.Result) gopter.Gen {
 	return gen.Int64Range(0, maxSeed).Map(func(n int64) commands.Command {
 		return eventStep{Event: Event{Kind: kinds[n%int64(len(kinds))], Seed: n}, run: run}
 	})
 }
 
-// Move is what one of several actors does in a step.
+// Move is one step of one of several actors.
 type Move struct {
 	Kind string
-	// Actor is the index of who does it.
+	// Actor is the index of the acting party.
 	Actor int
-	// Choice, from 0 to 9999, shapes it.
+	// Choice is a random number from 0 to 9999 that determines the details.
 	Choice int
 }
 
-// String returns the move as a failure shows it.
+// String formats the move for failure messages.
 func (m Move) String() string { return fmt.Sprintf("%s(%d,%d)", m.Kind, m.Actor, m.Choice) }
 
 type moveStep struct {
@@ -163,14 +167,15 @@
 }
 
 // Run implements commands.Command.
-func (s moveStep) Run(world commands.SystemUnderTest) commands.Result {
-	return s.run(world, s.Move)
+func (s moveStep) Run(system commands.SystemUnderTest) commands.Result {
+	return s.run(system, s.Move)
 }
 
-// Moves draws one of kinds, one of actors by its index, and a choice. A kind
-// comes up as often among the others as it is listed. Play makes the move and
-// returns what is wrong.
-func Moves(kinds []string, actors int, run func(world commands.SystemUnderTest, m Move) commands.Result) gopter.Gen {
+// Moves generates moves with a kind from kinds, the index of one of actors and a
+// choice. A kind that is listed several times is drawn more often in proportion.
+// Run applies the move to the system under test and returns a violation as described
+// at [Step.PostCondition].
+func Moves(kinds []string, actors int, run func(system commands.SystemUnderTest, m Move) commands.Result) gopter.Gen {
 	return gopter.CombineGens(
 		gen.IntRange(0, len(kinds)-1), gen.IntRange(0, actors-1), gen.IntRange(0, maxChoice),
 	).Map(func(values []interface{}) commands.Command {
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -13,9 +13,9 @@
 		result commands.Result
 		want   interface{}
 	}{
-		"nothing":      {nil, gopter.PropTrue},
-		"empty text":   {"", gopter.PropTrue},
-		"text":         {"two holders", gopter.PropFalse},
+		"nil":          {nil, gopter.PropTrue},
+		"empty string": {"", gopter.PropTrue},
+		"string":       {"two holders", gopter.PropFalse},
 		"error":        {errors.New("two holders"), gopter.PropError},
 		"another type": {7, gopter.PropError},
 	}
@@ -32,12 +32,12 @@
 	c := Config{Seed: 5, Runs: 300, Steps: 40}
 	p := newParameters(t, c)
 	if p.Seed() != 5 || p.MinSuccessfulTests != 300 || p.MinSize != 40 || p.MaxSize != 40 || p.Workers != 1 {
-		t.Errorf("usual parameters: %+v", p)
+		t.Errorf("parameters from the config: %+v", p)
 	}
 	t.Setenv(seedEnv, "77")
 	t.Setenv(runsEnv, "10000")
 	p = newParameters(t, c)
 	if p.Seed() != 77 || p.MinSuccessfulTests != 10000 || p.MinSize != 40 || p.MaxSize != 40 {
-		t.Errorf("parameters of the environment: %+v", p)
+		t.Errorf("parameters from the environment: %+v", p)
 	}
 }
