--- a/cmd/kumquatlug/agent.go
+++ b/cmd/kumquatlug/agent.go
@@ -14,7 +14,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/membership"
 )
 
-// agentSettings are the settings of an agent.
+// agentSettings are the settings of the agent command.
 type agentSettings struct {
 	nodeSettings
 	listen             string
@@ -27,12 +27,12 @@
 
 func (s *agentSettings) bind(flags *pflag.FlagSet) {
 	s.nodeSettings.bind(flags)
-	flags.StringVar(&s.listen, "listen", "127.0.0.1:8090", "where entries reach this agent, IP:port; one agent a VM holds it")
-	flags.StringVar(&s.advertise, "advertise", "", "IP:port that entries are told; empty for the address of --listen")
+	flags.StringVar(&s.listen, "listen", "127.0.0.1:8090", "IP:port on which this agent accepts gateways; only one agent per VM can use it")
+	flags.StringVar(&s.advertise, "advertise", "", "IP:port announced to gateways; empty for the address of --listen")
 	flags.StringVar(&s.targetURL, "target-url", "", "URL of the target on this VM")
 	flags.StringVar(&s.protocol, "protocol", string(kumquatlug.ProtocolEngine), "engine or service")
-	flags.StringVar(&s.healthPath, "health-path", "/health", "path that answers 2xx while the target is well")
-	flags.BoolVar(&s.checksFencingToken, "target-checks-fence", false, "the engine itself refuses orders with an old fencing number")
+	flags.StringVar(&s.healthPath, "health-path", "/health", "path that responds with 2xx while the target is healthy")
+	flags.BoolVar(&s.checksFencingToken, "target-checks-fence", false, "the engine itself rejects orders with a stale fencing token")
 }
 
 func (s *agentSettings) check(problems settings.Problems) settings.Problems {
@@ -44,7 +44,7 @@
 	c.URL("target-url", s.targetURL)
 	c.OneOf("protocol", s.protocol, string(kumquatlug.ProtocolEngine), string(kumquatlug.ProtocolService))
 	if s.healthPath == "" || s.healthPath[0] != '/' {
-		c.Add("health-path", "a path that starts with /", "is not one")
+		c.Add("health-path", "a path that starts with /", "does not start with /")
 	}
 	return c.Problems()
 }
@@ -52,7 +52,7 @@
 func newAgentCommand() *cobra.Command {
 	return newProcessCommand(&cobra.Command{
 		Use:   "agent",
-		Short: "Run the process beside a target",
+		Short: "Run an agent, the process next to a target",
 		Example: `  kumquatlug agent --name t1 --zone a --platform 10.0.0.9:7000 --listen 10.0.0.7:8090 \
     --target-url http://127.0.0.1:8000 --protocol engine --tls-cert agent.pem --tls-key agent.key --tls-ca ca.pem`,
 	}, &agentSettings{})
--- a/cmd/kumquatlug/check.go
+++ b/cmd/kumquatlug/check.go
@@ -17,14 +17,15 @@
 	"github.com/kumquatlug/kumquatlug/internal/settings"
 )
 
-// checkableSettings is a command whose settings can be checked without running it.
+// checkableSettings are the settings of a command that can be validated without
+// running it.
 type checkableSettings interface {
 	bind(flags *pflag.FlagSet)
 	check(problems settings.Problems) settings.Problems
 }
 
 func newCheckCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "check", Short: "Tell every bad setting of a process at once, without running it"}
+	cmd := &cobra.Command{Use: "check", Short: "Report all invalid settings of a process without running it"}
 	cmd.AddCommand(newCheckProcessCommand("entry", &entrySettings{}), newCheckProcessCommand("agent", &agentSettings{}),
 		newCheckProcessCommand("front", &frontSettings{}))
 	return cmd
@@ -34,12 +35,12 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:     name,
-		Short:   "Check the settings of an " + name,
+		Short:   "Check the settings of the command " + name,
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug check " + name + " --env-file " + name + ".env",
 	}
 	s.bind(cmd.Flags())
-	cmd.Flags().StringVar(&file, "env-file", "", "file of NAME=value lines to take for the environment")
+	cmd.Flags().StringVar(&file, "env-file", "", "file with environment variables, one NAME=value per line")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if file != "" {
 			if err := loadEnvFile(file); err != nil {
@@ -55,8 +56,8 @@
 	return cmd
 }
 
-// loadEnvFile sets the variables of a file; lines that start with # are
-// comments.
+// loadEnvFile sets the environment variables given in a file. Lines that start
+// with # are comments.
 func loadEnvFile(file string) error {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -84,15 +85,15 @@
 	var days int
 	cmd := &cobra.Command{
 		Use:   "certs",
-		Short: "Make an authority and the certificates of entries and agents",
-		Long: `Make an authority and the certificates of entries and agents, for sites that have
-no authority of their own. The authority's key is not kept: make all again to
-replace them.`,
+		Short: "Create a certificate authority and the certificates of gateways and agents",
+		Long: `Create a certificate authority and the certificates of gateways and agents, for
+sites that have no certificate authority of their own. The authority's private key
+is not stored: to replace a certificate, create all of them again.`,
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug certs --out keys --days 365",
 	}
-	cmd.Flags().StringVar(&out, "out", "keys", "folder to write to")
-	cmd.Flags().IntVar(&days, "days", 365, "for how many days the certificates are valid")
+	cmd.Flags().StringVar(&out, "out", "keys", "directory to write to")
+	cmd.Flags().IntVar(&days, "days", 365, "validity of the certificates, in days")
 	cmd.RunE = func(_ *cobra.Command, _ []string) error {
 		const hoursADay = 24
 		return writeCerts(out, time.Duration(days)*hoursADay*time.Hour)
@@ -106,7 +107,7 @@
 		fileMode   = 0o600
 	)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make the folder")
+		return errors.Wrap(err, "create the output directory")
 	}
 	authority, err := peer.NewAuthority(validity)
 	if err != nil {
--- a/cmd/kumquatlug/dev.go
+++ b/cmd/kumquatlug/dev.go
@@ -26,7 +26,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// Names in the laptop's fleet.
+// Names used in the development fleet.
 const (
 	devModel   = "standin"
 	devService = "echo"
@@ -34,7 +34,7 @@
 	devZone    = "local"
 )
 
-// devSettings are the settings of the laptop's fleet.
+// devSettings are the settings of the development fleet.
 type devSettings struct {
 	listen, operatorListen string
 	logFormat, logLevel    string
@@ -48,15 +48,15 @@
 	var s devSettings
 	cmd := &cobra.Command{
 		Use:   "dev",
-		Short: "Run a whole small fleet in one process, over stand-ins",
-		Long: `Run an entry, two engines, one plain service, their agents and the platform, all
-in one process on loopback. The engines, the service and the platform are small
-stand-ins. Ctrl-C stops it gracefully.`,
+		Short: "Run a small fleet in one process, with simulated engines and services",
+		Long: `Run a gateway, two engines, one plain service, their agents and the platform's
+store, all in one process on loopback. The engines, the service and the store are
+simulated. Ctrl-C stops the fleet gracefully.`,
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug dev",
 	}
-	cmd.Flags().StringVar(&s.listen, "listen", "127.0.0.1:8080", "where callers reach the entry, IP:port")
-	cmd.Flags().StringVar(&s.operatorListen, "operator-listen", "127.0.0.1:8081", "where operators reach the entry, IP:port")
+	cmd.Flags().StringVar(&s.listen, "listen", "127.0.0.1:8080", "IP:port of the gateway's callers' API")
+	cmd.Flags().StringVar(&s.operatorListen, "operator-listen", "127.0.0.1:8081", "IP:port of the gateway's operators' API")
 	cmd.Flags().StringVar(&s.logFormat, "log-format", "console", "json or console")
 	cmd.Flags().StringVar(&s.logLevel, "log-level", "warn", "debug, info, warn or error")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -74,8 +74,8 @@
 	return cmd
 }
 
-// runFleet starts the fleet from the inside out and stops it from the outside in, so
-// that the entry can finish its requests while their targets are still there.
+// runFleet starts simulators, agents and gateway in this order and stops them in
+// reverse, so that the gateway can finish its requests while the targets still run.
 func (s *devSettings) runFleet(ctx context.Context) error {
 	simulatorCtx, stopSimulators := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSimulators()
@@ -105,7 +105,7 @@
 	return err
 }
 
-// simulators are the outside systems of the laptop's fleet.
+// simulators are the simulated external systems of the development fleet.
 type simulators struct {
 	servers         sync.WaitGroup
 	engineAddresses []string
@@ -131,7 +131,7 @@
 	return sims, err
 }
 
-// serve runs handler on a free loopback port until ctx ends.
+// serve runs handler on a free loopback port until ctx ends and returns its address.
 func (sims *simulators) serve(ctx context.Context, handler http.Handler) (string, error) {
 	listener, err := listen(ctx, "127.0.0.1:0")
 	if err != nil {
@@ -145,7 +145,7 @@
 	return listener.Addr().String(), nil
 }
 
-// startAgents starts an agent beside each target.
+// startAgents starts an agent for each target.
 func (s *devSettings) startAgents(ctx context.Context, sims *simulators) (*sync.WaitGroup, error) {
 	var agents sync.WaitGroup
 	targets := map[string]agentSettings{
@@ -206,7 +206,8 @@
 	return entry.New(c)
 }
 
-// commitInitialConfig makes the first change: labels, two selectors and an account.
+// commitInitialConfig commits the first config change: labels, two selectors and a
+// client account.
 func (s *devSettings) commitInitialConfig(ctx context.Context) error {
 	node := s.nodeSettingsFor("dev")
 	store := node.newStore(clock.NewMonotonic())
@@ -242,7 +243,7 @@
 	return sets, errs
 }
 
-// printUsage prints what to try.
+// printUsage prints the addresses, the keys and example commands.
 func (s *devSettings) printUsage() {
 	fmt.Fprintf(s.out, `kumquatlug is up: one entry, two engines, one service, on stand-ins.
 
--- a/cmd/kumquatlug/entry.go
+++ b/cmd/kumquatlug/entry.go
@@ -21,7 +21,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// entrySettings are the settings of an entry.
+// entrySettings are the settings of the entry command, which runs a gateway.
 type entrySettings struct {
 	nodeSettings
 	listen, peerListen, operatorListen      string
@@ -37,21 +37,21 @@
 
 func (s *entrySettings) bind(flags *pflag.FlagSet) {
 	s.nodeSettings.bind(flags)
-	flags.StringVar(&s.listen, "listen", "127.0.0.1:8080", "where callers reach this entry, IP:port")
-	flags.StringVar(&s.peerListen, "peer-listen", "127.0.0.1:8082", "where other processes of ours reach it, IP:port")
-	flags.StringVar(&s.peerAddress, "peer-address", "", "IP:port told to peers, when it is not --peer-listen")
-	flags.StringVar(&s.operatorListen, "operator-listen", "127.0.0.1:8081", "where operators, probes and metrics reach it, IP:port")
-	flags.StringVar(&s.publicCert, "public-cert", "", "certificate for callers and operators: PEM text or a file; empty means plain HTTP")
-	flags.StringVar(&s.publicKey, "public-key", "", "the key of --public-cert: PEM text or a file")
-	flags.StringSliceVar(&s.operatorKeys, "operator-keys", nil, "operators and their keys, name=key, separated by commas")
-	flags.Int64Var(&s.balancerLagMillis, "balancer-lag-ms", int64(drain.EntryLag), "how long a stopping entry goes on accepting after /readyz says no")
-	flags.Int64Var(&s.vmListIntervalMillis, "list-every-ms", 2000, "how often the list of VMs is read")
-	flags.Int64Var(&s.maxBodyBytes, "max-body-bytes", caller.DefaultMaxBody, "largest request body")
-	flags.Int64Var(&s.maxBufferedBytes, "max-held-bytes", caller.DefaultMaxHeld, "bodies of all requests in hand together; memory takes three times that")
-	flags.IntVar(&s.subsetSize, "subset", routing.DefaultSubset, "how many engines of a kind this entry speaks to")
-	flags.StringVar(&s.rolePlanner, "role-planner", plannerGoodput, "how roles of engines change: goodput, threshold or static")
-	flags.Float64Var(&s.roleChangeCost, "role-price", 1, "price of a role change, as a multiple of the work that the engine would have done")
-	flags.Float64Var(&s.sufficientShare, "role-enough", 1, "part of the best split's goodput beyond which roles stay, 0.5 to 1")
+	flags.StringVar(&s.listen, "listen", "127.0.0.1:8080", "IP:port of the callers' API")
+	flags.StringVar(&s.peerListen, "peer-listen", "127.0.0.1:8082", "IP:port for other gateways and agents")
+	flags.StringVar(&s.peerAddress, "peer-address", "", "IP:port announced to peers; empty for --peer-listen")
+	flags.StringVar(&s.operatorListen, "operator-listen", "127.0.0.1:8081", "IP:port of the operators' API, health checks and metrics")
+	flags.StringVar(&s.publicCert, "public-cert", "", "certificate of the callers' and operators' APIs: PEM text or a file; empty means plain HTTP")
+	flags.StringVar(&s.publicKey, "public-key", "", "private key of --public-cert: PEM text or a file")
+	flags.StringSliceVar(&s.operatorKeys, "operator-keys", nil, "operators and their keys as name=key, comma-separated")
+	flags.Int64Var(&s.balancerLagMillis, "balancer-lag-ms", int64(drain.EntryLag), "how long a stopping gateway accepts requests after /readyz starts to fail, in milliseconds")
+	flags.Int64Var(&s.vmListIntervalMillis, "list-every-ms", 2000, "interval between reads of the list of VMs, in milliseconds")
+	flags.Int64Var(&s.maxBodyBytes, "max-body-bytes", caller.DefaultMaxBody, "maximum size of a request body")
+	flags.Int64Var(&s.maxBufferedBytes, "max-held-bytes", caller.DefaultMaxHeld, "maximum total size of the bodies of requests in flight; they use three times that much memory")
+	flags.IntVar(&s.subsetSize, "subset", routing.DefaultSubset, "maximum number of engines of a kind that this gateway connects to")
+	flags.StringVar(&s.rolePlanner, "role-planner", plannerGoodput, "planner of the engines' roles: goodput, threshold or static")
+	flags.Float64Var(&s.roleChangeCost, "role-price", 1, "cost of a role change, as a multiple of the work the engine could do meanwhile")
+	flags.Float64Var(&s.sufficientShare, "role-enough", 1, "share of the best split's goodput above which roles are not changed, 0.5 to 1")
 }
 
 func (s *entrySettings) check(problems settings.Problems) settings.Problems {
@@ -63,7 +63,7 @@
 		c.Address("peer-address", s.peerAddress)
 	}
 	if (s.publicCert == "") != (s.publicKey == "") {
-		c.Add("public-cert", "both --public-cert and --public-key, or neither", "one of the two is missing")
+		c.Add("public-cert", "both --public-cert and --public-key, or neither", "one of them is missing")
 	}
 	c.Between("balancer-lag-ms", "milliseconds", s.balancerLagMillis, 0, 10*int64(kumquatlug.Minute))
 	c.Between("list-every-ms", "milliseconds", s.vmListIntervalMillis, 100, int64(kumquatlug.Minute))
@@ -71,11 +71,11 @@
 	c.Between("max-held-bytes", "bytes, at least --max-body-bytes", s.maxBufferedBytes, s.maxBodyBytes, 1<<34)
 	c.Between("subset", "targets", int64(s.subsetSize), 1, 10_000)
 	c.OneOf("role-planner", s.rolePlanner, plannerGoodput, plannerThreshold, plannerStatic)
-	if s.roleChangeCost < 0 || s.roleChangeCost > maxCostFactor {
+	if s.roleChangeCost < 0 || s.roleChangeCost > maxCost {
 		c.Add("role-price", "a multiple, 0 to 1000", "is out of range")
 	}
 	if s.sufficientShare < minSufficientShare || s.sufficientShare > 1 {
-		c.Add("role-enough", "a part, 0.5 to 1", "is out of range")
+		c.Add("role-enough", "a share, 0.5 to 1", "is out of range")
 	}
 	if _, err := s.operatorKeyHashes(); err != nil {
 		c.Add("operator-keys", "name=key, the key of 16 bytes or more, at least one", err.Error())
@@ -83,12 +83,13 @@
 	return c.Problems()
 }
 
-// The planners that an entry may run, and the bounds of their settings.
+// Role planners of a gateway, and the limits of their settings. maxCost also
+// limits --zone-price, which is in milliseconds.
 const (
 	plannerGoodput     = "goodput"
 	plannerThreshold   = "threshold"
 	plannerStatic      = "static"
-	maxCostFactor      = 1000
+	maxCost            = 1000
 	minSufficientShare = 0.5
 )
 
@@ -103,24 +104,24 @@
 	}
 }
 
-// minOperatorKeyBytes is the shortest operator's key that is accepted, in bytes.
+// minOperatorKeyBytes is the minimum length of an operator's key.
 const minOperatorKeyBytes = 16
 
-// operatorKeyHashes maps the hash of each operator's key to the operator's name.
+// operatorKeyHashes returns the operators' names by the hashes of their keys.
 func (s *entrySettings) operatorKeyHashes() (map[string]string, error) {
 	hashes := map[string]string{}
 	for _, pair := range s.operatorKeys {
 		name, key, ok := strings.Cut(pair, "=")
 		if !ok || name == "" {
-			return nil, errors.New("an operator is not given as name=key")
+			return nil, errors.New("an operator is not in the form name=key")
 		}
 		if len(key) < minOperatorKeyBytes {
-			return nil, errors.Newf("the key of %q is too short", name)
+			return nil, errors.Newf("the key of %q is shorter than the minimum", name)
 		}
 		hashes[kumquatlug.HashKey(key)] = name
 	}
 	if len(hashes) == 0 {
-		return nil, errors.New("no operator is named")
+		return nil, errors.New("no operators given")
 	}
 	return hashes, nil
 }
@@ -128,7 +129,7 @@
 func newEntryCommand() *cobra.Command {
 	return newProcessCommand(&cobra.Command{
 		Use:   "entry",
-		Short: "Run an entry: callers' and operators' APIs, admission, routing",
+		Short: "Run a gateway: callers' and operators' APIs, admission, routing",
 		Example: `  kumquatlug entry --name e1 --zone a --platform 10.0.0.9:7000 \
     --listen 10.0.0.1:8080 --peer-listen 10.0.0.1:8082 --operator-listen 10.0.0.1:8081 \
     --tls-cert entry.pem --tls-key entry.key --tls-ca ca.pem --operator-keys ana=$ANA_KEY`,
--- a/cmd/kumquatlug/front.go
+++ b/cmd/kumquatlug/front.go
@@ -29,7 +29,8 @@
 	"github.com/kumquatlug/kumquatlug/platform"
 )
 
-// frontSettings are the settings of a front that are not the platform's.
+// frontSettings are the settings of the front command, which runs a gateway on the
+// users' platform, that are not in the platform's settings file.
 type frontSettings struct {
 	metricsListen string
 	logLevel      string
@@ -37,17 +38,17 @@
 	placement     placement.Config
 }
 
-// defaultPrefillShare is the part of the engines that read prompts: at nine thousand
-// tokens in and two out, reading takes two thirds of all engine time.
+// defaultPrefillShare is the default share of engines that run prefill. With 9,000
+// prompt tokens per 2,000 output tokens, prefill takes two thirds of the engine time.
 const defaultPrefillShare = 0.667
 
 func (s *frontSettings) bind(flags *pflag.FlagSet) {
-	flags.StringVar(&s.metricsListen, "metrics-listen", "", "where metrics are read, IP:port; empty for nowhere")
+	flags.StringVar(&s.metricsListen, "metrics-listen", "", "IP:port of the metrics endpoint; empty for none")
 	flags.StringVar(&s.logLevel, "log-level", "info", "debug, info, warn or error")
-	flags.Float64Var(&s.prefillShare, "read-part", defaultPrefillShare, "part of the engines that read prompts, above 0 and below 1")
-	flags.Float64Var(&s.placement.AwayPrice, "away-price", 0, "price of reading shared parts again, as a multiple of its time; 0 for the default")
-	flags.Float64Var(&s.placement.MixedPrice, "mixed-price", 0, "price of reading at a full generating engine, as a multiple of its time; 0 for the default")
-	flags.Float64Var(&s.placement.ZonePrice, "zone-price", 0, "price of another data centre, ms; 0 for the default")
+	flags.Float64Var(&s.prefillShare, "read-part", defaultPrefillShare, "share of engines that run prefill, above 0 and below 1")
+	flags.Float64Var(&s.placement.AwayPrice, "away-price", 0, "cost of prefilling a shared prefix again, as a multiple of the time it takes; 0 for the default")
+	flags.Float64Var(&s.placement.MixedPrice, "mixed-price", 0, "cost of a prefill at a decode engine whose slots are all taken, as a multiple of the time it takes; 0 for the default")
+	flags.Float64Var(&s.placement.ZonePrice, "zone-price", 0, "cost of a worker in another data centre, in milliseconds; 0 for the default")
 }
 
 func (s *frontSettings) check(problems settings.Problems) settings.Problems {
@@ -58,13 +59,13 @@
 	}
 	c.OneOf("log-level", s.logLevel, "debug", "info", "warn", "error")
 	if s.prefillShare <= 0 || s.prefillShare >= 1 {
-		c.Add("read-part", "a part, above 0 and below 1", "is out of range")
+		c.Add("read-part", "a share, above 0 and below 1", "is out of range")
 	}
 	for flag, cost := range map[string]float64{
 		"away-price": s.placement.AwayPrice, "mixed-price": s.placement.MixedPrice, "zone-price": s.placement.ZonePrice,
 	} {
-		if cost < 0 || cost > maxCostFactor {
-			c.Add(flag, "a price, 0 to 1000", "is out of range")
+		if cost < 0 || cost > maxCost {
+			c.Add(flag, "a cost, 0 to 1000", "is out of range")
 		}
 	}
 	return c.Problems()
@@ -73,10 +74,10 @@
 func newFrontCommand() *cobra.Command {
 	return newProcessCommand(&cobra.Command{
 		Use:   "front",
-		Short: "Run a front on the users' platform: it calls workers directly",
-		Long: `A front takes requests of clients and calls the platform's workers directly. The
-platform's settings file, which ` + platform.SettingsVariable + ` names, tells where it listens and
-where the platform's store is.`,
+		Short: "Run a gateway on the users' platform, which calls workers directly",
+		Long: `Run a gateway that accepts client requests and calls the platform's workers
+directly. The platform's settings file contains the addresses to listen on and the
+address of the platform's store; ` + platform.SettingsVariable + ` holds its path.`,
 		Example: `  ` + platform.SettingsVariable + `=/etc/kumquatlug/local.toml kumquatlug front --metrics-listen :9090`,
 	}, &frontSettings{})
 }
@@ -90,8 +91,8 @@
 	if err != nil {
 		return errors.Wrap(err, "log level")
 	}
-	// What is over the platform's bound is killed; the collector works harder
-	// before that.
+	// The platform kills a process that exceeds its memory limit; the garbage
+	// collector works harder before that.
 	debug.SetMemoryLimit(platformSettings.MemoryBytes * heapLimitPercent / 100)
 	writer := logs.NewWriter(os.Stdout)
 	stop := make(chan struct{})
@@ -107,18 +108,20 @@
 	return g.Run(ctx)
 }
 
-// Figures of a front's process.
+// Limits of a gateway process.
 const (
-	// heapLimitPercent is the part of the memory bound, in hundredths, that the heap
-	// may take before the collector works harder; stacks and buffers of the
-	// kernel need the rest.
+	// heapLimitPercent is the percentage of the memory limit that the Go runtime
+	// may use before the garbage collector works harder. The rest is left for stacks
+	// and kernel buffers.
 	heapLimitPercent = 70
-	// maxBodiesDivisor is the part of the memory bound, as a divisor, that bodies of
-	// requests may take; each is copied once on its way.
+	// maxBodiesDivisor divides the memory limit to give the maximum total size of
+	// request bodies in flight. Each body is copied once while it is forwarded.
 	maxBodiesDivisor = 6
-	// logFlushTimeout is how long a stopping process waits for its last lines.
+	// logFlushTimeout is how long a stopping process waits for its last log lines to
+	// be written.
 	logFlushTimeout = 200 * kumquatlug.Millis(1)
-	// maxIdleWorkerConns and maxIdleStoreConns bound the idle connections to one peer.
+	// maxIdleWorkerConns, maxIdleControlConns and maxIdleStoreConns are the maximum
+	// idle connections per address.
 	maxIdleWorkerConns  = 24
 	maxIdleControlConns = 2
 	maxIdleStoreConns   = 4
@@ -172,22 +175,23 @@
 	return gateway.New(c), nil
 }
 
-// newPeerLink opens the way to the other fronts, nil where the platform names no port
-// for it.
+// newPeerLink opens the UDP socket for messages between gateways. It returns nil if
+// the platform's settings have no port for it.
 func newPeerLink(ctx context.Context, platformSettings platform.Settings, c gateway.Config, registry *prometheus.Registry) (kumquatlug.FrontLink, error) {
 	if platformSettings.Peers == "" {
 		return nil, nil
 	}
 	conn, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", platformSettings.Peers)
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen for other fronts at %s", platformSettings.Peers)
+		return nil, errors.Wrapf(err, "listen for peer gateways on %s", platformSettings.Peers)
 	}
 	return front.New(front.Config{Name: c.Name, Incarnation: c.Incarnation, Conn: conn, Logger: c.Logger, Registry: registry})
 }
 
-// handleReloadSignals takes the signal that the settings file changed. Nothing in it
-// changes while a process runs but what only a new start can use; without a
-// handler the signal would end the process and cut its clients off.
+// handleReloadSignals handles SIGHUP, which the platform sends when the settings file
+// has changed. It only validates the file and logs the result, since all settings
+// take effect at a restart. Without a handler the signal would terminate the process
+// and abort its requests.
 func handleReloadSignals(ctx context.Context, logger *zap.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/cmd/kumquatlug/look.go
+++ b/cmd/kumquatlug/look.go
@@ -20,7 +20,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/config"
 )
 
-// formatTable and formatJSON are what -o takes.
+// formatTable and formatJSON are the values of the --output flag.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
@@ -30,7 +30,7 @@
 	return cmd.Flags().StringP("output", "o", formatTable, "table or json")
 }
 
-// writeTable writes rows under a heading in aligned columns.
+// writeTable writes rows in aligned columns. The first row is the heading.
 func writeTable(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
@@ -47,7 +47,7 @@
 	return e.Encode(value)
 }
 
-// keyPrefixes are the words that get takes for the usual keys.
+// keyPrefixes maps the argument names of the get command to key prefixes.
 var keyPrefixes = map[string]string{
 	"targets":   config.PrefixTarget,
 	"selectors": config.PrefixSelector,
@@ -57,7 +57,7 @@
 func newGetCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:       "get [targets|selectors|callers|PREFIX]",
-		Short:     "Print labels, selectors and accounts with the revision they stand at",
+		Short:     "Print labels, selectors and client accounts with their config revision",
 		Args:      cobra.MaximumNArgs(1),
 		ValidArgs: []string{"targets", "selectors", "callers"},
 		Example:   "  kumquatlug get targets\n  kumquatlug get selectors -o json",
@@ -110,7 +110,7 @@
 func newStatusCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "status",
-		Short:   "Print every node with its state and the config revision in force there",
+		Short:   "Print every node with its state and the config revision it applies",
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug status\n  kumquatlug status -o json",
 	}
@@ -152,19 +152,19 @@
 	return err
 }
 
-// statusPollInterval is how often wait asks.
+// statusPollInterval is the interval at which the wait command polls the status.
 const statusPollInterval = 200 * time.Millisecond
 
 func newWaitCommand() *cobra.Command {
 	var timeout int64
 	cmd := &cobra.Command{
 		Use:     "wait REVISION",
-		Short:   "Wait until a config revision is in force on every node that answers",
+		Short:   "Wait until every node applies a config revision",
 		Args:    cobra.ExactArgs(1),
 		Example: "  kumquatlug label t1 leaving=true   # prints: revision 42\n  kumquatlug wait 42",
 	}
 	s := bindServer(cmd)
-	cmd.Flags().Int64Var(&timeout, "timeout-ms", int64(30*kumquatlug.Second), "how long to wait, in milliseconds")
+	cmd.Flags().Int64Var(&timeout, "timeout-ms", int64(30*kumquatlug.Second), "maximum time to wait, in milliseconds")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		revision, err := strconv.ParseInt(args[0], 10, 64)
 		if err != nil {
@@ -200,8 +200,8 @@
 	}
 }
 
-// outdatedNodes names the nodes that hold an older revision. Nodes that are gone or
-// cut off are named too, since nobody can say what is in force there.
+// outdatedNodes describes the nodes that report an older revision. It includes nodes
+// that are down or unreachable, since the revision they apply is unknown.
 func outdatedNodes(status *peerv1.StatusResponse, revision int64) []string {
 	var outdated []string
 	for _, n := range status.GetNodes() {
@@ -216,7 +216,7 @@
 	var protocol string
 	cmd := &cobra.Command{
 		Use:     "explain KIND",
-		Short:   "Say which targets may take a kind of work and why the others may not",
+		Short:   "Show which targets are eligible for a kind of work, and why the others are not",
 		Args:    cobra.ExactArgs(1),
 		Example: "  kumquatlug explain decree-draft\n  kumquatlug explain gazette --protocol service",
 	}
@@ -255,12 +255,12 @@
 	var request, format string
 	cmd := &cobra.Command{
 		Use:     "timeline",
-		Short:   "Print the events of all processes as one ordered line",
+		Short:   "Print the events of all processes in one ordered timeline",
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug timeline --request 01JD...\n  kumquatlug timeline --format trace > trace.json   # open in a trace viewer",
 	}
 	s := bindServer(cmd)
-	cmd.Flags().StringVar(&request, "request", "", "id of one request; empty means all events")
+	cmd.Flags().StringVar(&request, "request", "", "ID of a request; empty for the events of all requests")
 	cmd.Flags().StringVar(&format, "format", "text", "text, json or trace (Chrome trace format)")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		client, err := s.client()
--- a/cmd/kumquatlug/main.go
+++ b/cmd/kumquatlug/main.go
@@ -1,5 +1,5 @@
-// Command kumquatlug serves a fixed fleet of language-model engines and plain
-// services, and is the operators' tool for it.
+// Command kumquatlug runs the processes that serve a fixed fleet of language-model
+// engines and plain services, and provides the operators' commands for them.
 package main
 
 import (
@@ -15,10 +15,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// version is set by the linker at a release.
+// version is set by the linker in release builds.
 var version = "dev"
 
-// Exit codes beside 0 and 1, for scripts that drive the operators' commands.
+// Exit codes for scripts that run the operators' commands: 0 is success, 1 a failure
+// without a code of its own. After exitUnknownOutcome a change may have taken effect.
 const (
 	exitFailed         = 1
 	exitConflict       = 3
@@ -53,12 +54,12 @@
 	root := &cobra.Command{
 		Use:   "kumquatlug",
 		Short: "Serve a fixed fleet of language-model engines and plain services",
-		Long: `kumquatlug stands between callers and a fixed fleet of targets: language-model
-engines and plain services. "entry" runs on the VMs behind the balancer, "agent"
-beside each target; the other commands are for operators.
+		Long: `kumquatlug routes requests from callers to a fixed fleet of targets: language-model
+engines and plain services. "entry" runs a gateway on the VMs behind the load
+balancer, "agent" runs next to each target; the other commands are for operators.
 
-Every flag is also an environment variable: --peer-listen is
-KUMQUATLUG_PEER_LISTEN. A flag goes before its variable.`,
+Every flag can be set by an environment variable: --peer-listen is
+KUMQUATLUG_PEER_LISTEN. A flag overrides its variable.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/kumquatlug/node.go
+++ b/cmd/kumquatlug/node.go
@@ -23,7 +23,7 @@
 	"github.com/kumquatlug/kumquatlug/platform"
 )
 
-// nodeSettings are what entries and agents both need to know.
+// nodeSettings are the settings that the entry and agent commands share.
 type nodeSettings struct {
 	name, zone                  string
 	platform                    string
@@ -37,19 +37,20 @@
 	flags.StringVar(&s.name, "name", "", "name of this VM on the list of VMs")
 	flags.StringVar(&s.zone, "zone", "", "name of the data centre that this VM is in")
 	flags.StringVar(&s.platform, "platform", "", "IP:port of the platform's store")
-	flags.StringVar(&s.certificate, "tls-cert", "", "this process's certificate for its peers: PEM text or a file")
-	flags.StringVar(&s.key, "tls-key", "", "the key of --tls-cert: PEM text or a file")
-	flags.StringVar(&s.authority, "tls-ca", "", "the authority of the peers' certificates: PEM text or a file")
-	flags.BoolVar(&s.insecureLoopback, "insecure-loopback", false, "speak plainly to peers; only with loopback addresses")
+	flags.StringVar(&s.certificate, "tls-cert", "", "certificate of this process for its peers: PEM text or a file")
+	flags.StringVar(&s.key, "tls-key", "", "private key of --tls-cert: PEM text or a file")
+	flags.StringVar(&s.authority, "tls-ca", "", "certificate authority of the peers' certificates: PEM text or a file")
+	flags.BoolVar(&s.insecureLoopback, "insecure-loopback", false, "use plain HTTP between peers; only allowed with loopback addresses")
 	flags.StringVar(&s.logFormat, "log-format", "json", "json or console")
 	flags.StringVar(&s.logLevel, "log-level", "info", "debug, info, warn or error")
-	flags.IntVar(&s.ringSize, "events", timeline.DefaultSize, "how many events this process keeps for the time line")
+	flags.IntVar(&s.ringSize, "events", timeline.DefaultSize, "number of events this process keeps for the timeline")
 }
 
-// check tells every bad setting; peers are the addresses that peers use.
+// check reports invalid settings to c. The peers map holds the addresses used by
+// peers, by flag.
 func (s *nodeSettings) check(c *settings.Checker, peers map[string]string) {
-	c.Required("name", "a name of this VM", s.name)
-	c.Required("zone", "a name of a data centre", s.zone)
+	c.Required("name", "the name of this VM", s.name)
+	c.Required("zone", "the name of a data centre", s.zone)
 	c.Address("platform", s.platform)
 	c.OneOf("log-format", s.logFormat, "json", "console")
 	c.OneOf("log-level", s.logLevel, "debug", "info", "warn", "error")
@@ -87,8 +88,8 @@
 	return peer.LoadKeys(peer.KeysConfig{Certificate: s.certificate, Key: s.key, Authority: s.authority})
 }
 
-// maxIdleTableConns is how many idle connections are kept to the store: as many reads
-// as a ledger makes at once.
+// maxIdleTableConns is the maximum number of idle connections to the store, which is
+// the number of concurrent reads of a ledger.
 const maxIdleTableConns = 16
 
 func (s *nodeSettings) newStore(c kumquatlug.Clock) *platform.Store {
@@ -97,20 +98,21 @@
 	})
 }
 
-// randomSeed differs between nodes, so that entries don't decide alike.
+// randomSeed returns a seed derived from the node's name, so that gateways make
+// different random choices.
 func (s *nodeSettings) randomSeed() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s.name))
 	return h.Sum64()
 }
 
-// processSettings is a command that runs until a signal, once its settings are good.
+// processSettings are the settings of a command that runs until it receives a signal.
 type processSettings interface {
 	checkableSettings
 	run(ctx context.Context) error
 }
 
-// newProcessCommand makes cmd run s.
+// newProcessCommand completes cmd so that it validates and runs s.
 func newProcessCommand(cmd *cobra.Command, s processSettings) *cobra.Command {
 	cmd.Args = cobra.NoArgs
 	s.bind(cmd.Flags())
@@ -123,7 +125,7 @@
 	return cmd
 }
 
-// node is what entry and agent processes are built on.
+// node holds the dependencies that gateway and agent processes share.
 type node struct {
 	keys     *peer.Keys
 	logger   *zap.Logger
@@ -149,8 +151,8 @@
 	}, nil
 }
 
-// newLogger writes to standard output, where the platform gathers logs: VMs
-// have no disks.
+// newLogger returns a logger to standard output, from which the platform collects
+// logs; VMs have no disks.
 func newLogger(format, level string) (*zap.Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/cmd/kumquatlug/operate.go
+++ b/cmd/kumquatlug/operate.go
@@ -17,22 +17,22 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// serverSettings say which entry an operator's command asks.
+// serverSettings identify the gateway that an operator's command connects to.
 type serverSettings struct {
 	server, key, authority string
 }
 
-// bindServer adds the flags by which a command finds its entry, and fills them
-// from the environment before it runs.
+// bindServer adds the flags for the connection to a gateway and fills them from the
+// environment before cmd runs.
 func bindServer(cmd *cobra.Command) *serverSettings {
 	s := &serverSettings{}
-	cmd.Flags().StringVar(&s.server, "server", "http://127.0.0.1:8081", "URL of an entry's operators' address")
-	cmd.Flags().StringVar(&s.key, "operator-key", "", "your own key")
-	cmd.Flags().StringVar(&s.authority, "server-ca", "", "authority of the entry's certificate: PEM text or a file")
+	cmd.Flags().StringVar(&s.server, "server", "http://127.0.0.1:8081", "URL of a gateway's operators' API")
+	cmd.Flags().StringVar(&s.key, "operator-key", "", "key of the operator")
+	cmd.Flags().StringVar(&s.authority, "server-ca", "", "certificate authority of the gateway's certificate: PEM text or a file")
 	cmd.PreRunE = func(cmd *cobra.Command, _ []string) error {
 		c := settings.NewChecker(settings.FromEnvironment(cmd.Flags()))
 		c.URL("server", s.server)
-		c.Required("operator-key", "the key that an entry knows you by", s.key)
+		c.Required("operator-key", "the operator's key", s.key)
 		return c.Problems().Err()
 	}
 	return s
@@ -42,7 +42,8 @@
 	return operator.NewClient(operator.ClientConfig{URL: s.server, Key: s.key, Authority: s.authority})
 }
 
-// applySets makes a change and prints the revision to wait for.
+// applySets commits a change and prints the resulting revision, which can be passed to
+// the wait command.
 func applySets(cmd *cobra.Command, client *operator.Client, base config.Revision, sets ...config.Set) error {
 	revision, err := client.Apply(cmd.Context(), base, sets...)
 	if err != nil {
@@ -52,17 +53,18 @@
 	return err
 }
 
-// describeChangeError says in words what an operator is to make of a failed change.
+// describeChangeError adds to err what the failure means for the config and what the
+// operator can do.
 func describeChangeError(err error) error {
 	switch {
 	case errors.Is(err, kumquatlug.ErrConflict):
-		return errors.Wrap(err, "conflict: somebody changed the same thing first, nothing was changed; look again")
+		return errors.Wrap(err, "conflict: the same key was changed concurrently, nothing was changed; check the current value and retry")
 	case errors.Is(err, kumquatlug.ErrDenied):
 		return errors.Wrap(err, "denied: nothing was changed")
 	case errors.Is(err, kumquatlug.ErrUnavailable):
-		return errors.Wrap(err, "unavailable: nothing was changed; try again later")
+		return errors.Wrap(err, "unavailable: nothing was changed; retry later")
 	default:
-		return errors.Wrap(err, "lost: the change may have taken effect; look with get, then try again")
+		return errors.Wrap(err, "lost: the change may have taken effect; check with the get command before retrying")
 	}
 }
 
@@ -73,15 +75,15 @@
 		Short: "Set or remove labels of a target",
 		Args:  cobra.MinimumNArgs(1),
 		Example: `  kumquatlug label t1 pool=draft model=decree
-  kumquatlug label t1 leaving=true      # drain: no new work, what runs is finished
-  kumquatlug label t1 leaving-          # take it back
-  kumquatlug label t1 --delete          # forget a target that is gone for good`,
+  kumquatlug label t1 leaving=true      # drain: no new work, running requests finish
+  kumquatlug label t1 leaving-          # cancel the drain
+  kumquatlug label t1 --delete          # remove a decommissioned target`,
 	}
 	s := bindServer(cmd)
 	cmd.Flags().BoolVar(&remove, "delete", false, "remove all labels and the target's row")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if remove == (len(args) > 1) {
-			return errors.New("give labels to set or remove, or --delete alone")
+			return errors.New("specify either labels to set or remove, or --delete")
 		}
 		if remove {
 			return changeKey(cmd, s, config.NewDelete(config.PrefixTarget+args[0]))
@@ -142,7 +144,7 @@
 }
 
 func newSelectorCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "selector", Short: "Set or delete selectors: which targets take which work"}
+	cmd := &cobra.Command{Use: "selector", Short: "Set or delete selectors, which assign work to targets"}
 	cmd.AddCommand(newSelectorSetCommand(), newSelectorDeleteCommand())
 	return cmd
 }
@@ -161,12 +163,12 @@
 	s := bindServer(cmd)
 	flags := cmd.Flags()
 	flags.StringVar(&protocol, "protocol", string(kumquatlug.ProtocolEngine), "engine or service")
-	flags.StringVar(&c.Kind, "kind", "", "model or service that callers ask for")
+	flags.StringVar(&c.Kind, "kind", "", "model or service that callers request")
 	flags.StringVar(&role, "role", "", "both, prefill or decode for engines; serve for services")
 	flags.StringVar(&c.Match, "match", "", `expression over labels, as in "pool=draft,zone!=b,gpu,!old"; empty matches all`)
-	flags.BoolVar(&c.Repeatable, "repeatable", false, "every call of the service may run twice")
-	flags.Int64Var(&deadline, "deadline-ms", 0, "time of a call whose caller names none; 0 means two minutes")
-	flags.IntVar(&c.Priority, "priority", 0, "-2 to 2; higher goes first")
+	flags.BoolVar(&c.Repeatable, "repeatable", false, "calls of the service are idempotent and may be retried")
+	flags.Int64Var(&deadline, "deadline-ms", 0, "timeout of calls without one of their own, in milliseconds; 0 means two minutes")
+	flags.IntVar(&c.Priority, "priority", 0, "-2 to 2; higher values are served first")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		c.Name, c.Protocol, c.Role = args[0], kumquatlug.Protocol(protocol), kumquatlug.Role(role)
 		c.Deadline = kumquatlug.Millis(deadline)
@@ -189,7 +191,7 @@
 	return kumquatlug.RoleBoth
 }
 
-// changeKey makes a change over the revision in force at the entry asked.
+// changeKey commits set on top of the revision that the server applies.
 func changeKey(cmd *cobra.Command, server *serverSettings, set config.Set) error {
 	client, err := server.client()
 	if err != nil {
@@ -212,7 +214,7 @@
 }
 
 func newCallerCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "caller", Short: "Add or delete callers' accounts"}
+	cmd := &cobra.Command{Use: "caller", Short: "Add or delete client accounts"}
 	cmd.AddCommand(newCallerAddCommand(), newCallerDeleteCommand())
 	return cmd
 }
@@ -222,15 +224,15 @@
 	var key string
 	cmd := &cobra.Command{
 		Use:     "add NAME",
-		Short:   "Add an account, or give it a new key, and print the key once",
+		Short:   "Add a client account or replace its key, and print the key once",
 		Args:    cobra.ExactArgs(1),
 		Example: "  kumquatlug caller add portal --weight 4 --tokens-per-second 20000",
 	}
 	s := bindServer(cmd)
-	cmd.Flags().StringVar(&key, "key", "", "the account's key; empty makes a new one")
-	cmd.Flags().IntVar(&c.Weight, "weight", 1, "the account's part when callers compete")
-	cmd.Flags().Int64Var(&c.TokensPerSecond, "tokens-per-second", 0, "bound on estimated tokens a second; 0 sets none")
-	cmd.Flags().IntVar(&c.Concurrency, "concurrency", 0, "bound on requests in hand; 0 sets none")
+	cmd.Flags().StringVar(&key, "key", "", "key of the account; empty generates one")
+	cmd.Flags().IntVar(&c.Weight, "weight", 1, "weight of the account under contention")
+	cmd.Flags().Int64Var(&c.TokensPerSecond, "tokens-per-second", 0, "limit on estimated tokens per second; 0 for none")
+	cmd.Flags().IntVar(&c.Concurrency, "concurrency", 0, "limit on requests in flight; 0 for none")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if key == "" {
 			key = "klug-" + rand.Text()
@@ -250,7 +252,7 @@
 }
 
 func newCallerDeleteCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "delete NAME", Short: "Delete an account", Args: cobra.ExactArgs(1), Example: "  kumquatlug caller delete portal"}
+	cmd := &cobra.Command{Use: "delete NAME", Short: "Delete a client account", Args: cobra.ExactArgs(1), Example: "  kumquatlug caller delete portal"}
 	s := bindServer(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		return changeKey(cmd, s, config.NewDelete(config.PrefixCaller+args[0]))
--- a/cmd/kumquatlug/story.go
+++ b/cmd/kumquatlug/story.go
@@ -6,11 +6,11 @@
 	"github.com/kumquatlug/kumquatlug/internal/logs"
 )
 
-// newLossesCommand returns the command that tells where requests were lost.
+// newLossesCommand returns the command that summarizes late and failed requests.
 func newLossesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "losses",
-		Short: "Tell from fronts' logs on standard input what was answered late or not at all, by route, cause and second",
+		Short: "Summarize late and failed requests from gateway logs on standard input, by route, cause and second",
 		Args:  cobra.NoArgs,
 		Example: `  cat front-*.log | kumquatlug losses
   cat front-*.log | kumquatlug losses | grep refused`,
@@ -24,11 +24,12 @@
 	}
 }
 
-// newStoryCommand returns the command that explains a failure from logs alone.
+// newStoryCommand returns the command that reconstructs the history of a request, a
+// worker or a VM from logs.
 func newStoryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "story REQUEST|WORKER|VM",
-		Short: "Tell from logs on standard input what became of a request, a worker or a VM",
+		Short: "Show the history of a request, a worker or a VM from logs on standard input",
 		Args:  cobra.ExactArgs(1),
 		Example: `  cat front-*.log | kumquatlug story 8b5b283a6c523835
   cat front-*.log | kumquatlug story i-75ab547a63`,
--- a/cmd/kumquatlug/vms.go
+++ b/cmd/kumquatlug/vms.go
@@ -13,9 +13,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/membership"
 )
 
-// newVMsCommand returns the commands on the list of VMs. Processes enter themselves and
-// leave after a planned stop; what died or is about to be taken away is told
-// here.
+// newVMsCommand returns the commands for the list of VMs. Processes register
+// themselves and deregister after a planned stop. Operators use these commands for VMs
+// that have died or are about to be removed.
 func newVMsCommand() *cobra.Command {
 	var s nodeSettings
 	cmd := &cobra.Command{
@@ -53,14 +53,14 @@
 			return run(cmd.Context(), r, args[0])
 		}})
 	}
-	addCommand("leaving", "Tell that a VM is about to be taken away: it gets nothing new", markLeaving)
-	addCommand("forget", "Take a VM that is gone off the list", func(ctx context.Context, r *membership.Roster, name string) error {
+	addCommand("leaving", "Mark a VM as about to be removed, so that it gets no new work", markLeaving)
+	addCommand("forget", "Remove a VM that no longer exists from the list", func(ctx context.Context, r *membership.Roster, name string) error {
 		return r.Leave(ctx, name)
 	})
 	return cmd
 }
 
-// markLeaving sets the state of a VM that is on the list.
+// markLeaving sets the state of a listed VM to leaving.
 func markLeaving(ctx context.Context, r *membership.Roster, name string) error {
 	vms, err := r.List(ctx)
 	if err != nil {
