--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,15 +1,15 @@
-// Package capacity measures on one machine what each part of the system costs:
-// bytes on the wire, processor time, memory and operations at the platform's
-// table, each for one heartbeat, one target, one request and so on. The page
-// docs/CAPACITY.md multiplies these slopes by the counts of a fleet.
+// Package capacity measures the resource costs of the system's components on one
+// machine: bytes on the wire, processor time, memory and operations on the
+// platform's table, per heartbeat, target, request and so on. docs/CAPACITY.md
+// multiplies these slopes by the counts of a fleet.
 //
 // Every measurement runs the real handlers, clients and decision modules, over
-// loopback where a network is needed, at two sizes or more. Its slope is the
-// difference between the last and the first, so that what is spent once, as on
-// a connection's handshake, does not count. What the slopes don't show: a
-// machine that does other work, memory that is cold between two heartbeats, and
-// links with loss. Both ends of a connection run in one process; its processor
-// time is that of both together, an upper bound for either.
+// loopback where a network is needed, at two or more sizes. Its slope is computed
+// from the first and the last size, which excludes one-time costs such as a
+// connection's handshake. The slopes don't include the effects of other load on
+// the machine, of caches that are cold between two heartbeats, and of packet loss.
+// Both ends of a connection run in one process. Its processor time is the sum of
+// both, an upper bound for either.
 package capacity
 
 import (
@@ -20,17 +20,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// heapLimitBytes is what the runtime is told to keep the heap below, in bytes.
+// heapLimitBytes is the soft memory limit of the Go runtime.
 const heapLimitBytes = 2 << 30
 
-// Config is how much to measure.
+// Config configures the measurements.
 type Config struct {
-	// Scale multiplies the sizes; zero means 1, which takes less than a minute
-	// in all. Tests take 0.01.
+	// Scale multiplies the sizes. Zero means 1, with which all measurements together
+	// take less than a minute. Tests use 0.01.
 	Scale float64
 }
 
-// scaledSize returns n scaled, at least least.
+// scaledSize returns size multiplied by c.Scale, but at least minSize.
 func (c Config) scaledSize(size, minSize int) int {
 	if c.Scale == 0 {
 		return size
@@ -38,35 +38,36 @@
 	return max(minSize, int(float64(size)*c.Scale))
 }
 
-// Measurement measures slopes that belong together.
+// Measurement measures a group of related slopes.
 type Measurement struct {
 	name  string
 	about string
 	run   func(ctx context.Context, c Config) ([]Slope, error)
 }
 
-// Name returns the word by which a command asks for the measurement.
+// Name returns the name that selects the measurement in [Run].
 func (m Measurement) Name() string { return m.name }
 
-// About says what is measured.
+// About returns a one-line description.
 func (m Measurement) About() string { return m.about }
 
-// Measurements returns all there are, in the order of the page.
+// Measurements returns all measurements, in the order of docs/CAPACITY.md.
 func Measurements() []Measurement {
 	return []Measurement{
-		{"heartbeat", "one heartbeat between entry and agent, over HTTP/1.1 and over HTTP/2", measureHeartbeats},
-		{"pace", "agents and entries without work, at the pace of their own clocks", measureIdle},
-		{"stream", "a streamed token on its way from the engine to the caller", measureStreams},
-		{"pull", "config changes pulled from a peer and brought into force", measurePulls},
-		{"offer", "what entries tell each other of their demand", measureOffers},
-		{"messages", "how messages between processes grow", measureMessages},
-		{"table", "operations at the platform's table, and the bytes of reading it", measureTable},
-		{"memory", "heap for one more of each thing that a process keeps", measureMemory},
-		{"decisions", "processor time of an entry's decisions", measureDecisions},
+		{"heartbeat", "one heartbeat between gateway and agent, over HTTP/1.1 and HTTP/2", measureHeartbeats},
+		{"pace", "idle agents and gateways, driven by their own timers", measureIdle},
+		{"stream", "a streamed token from the engine to the caller", measureStreams},
+		{"pull", "config changes pulled from a peer and applied", measurePulls},
+		{"offer", "demand reports between gateways", measureOffers},
+		{"messages", "size of messages between processes", measureMessages},
+		{"table", "operations on the platform's table, and the bytes of reading it", measureTable},
+		{"memory", "heap per object that a process keeps", measureMemory},
+		{"decisions", "processor time of a gateway's decisions", measureDecisions},
 	}
 }
 
-// Run measures what names ask for, everything when there are none.
+// Run executes the named measurements, or all of them if names is empty. It returns
+// an error for an unknown name or a failed measurement.
 func Run(ctx context.Context, c Config, names []string) ([]Slope, error) {
 	debug.SetMemoryLimit(heapLimitBytes)
 	var slopes []Slope
@@ -86,7 +87,7 @@
 		unknown = slices.DeleteFunc(unknown, func(name string) bool { return name == m.name })
 	}
 	if len(unknown) > 0 {
-		return nil, errors.Newf("no measurement is called %q", unknown[0])
+		return nil, errors.Newf("unknown measurement %q", unknown[0])
 	}
 	return slopes, nil
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 func TestSlopeUsesFirstAndLastPoint(t *testing.T) {
 	s, err := NewSlope("heartbeat", "heartbeat", UnitBytes, NewPoint(100, 5000), NewPoint(200, 9999), NewPoint(300, 13000))
 	if err != nil || s.Value() != 40 || s.Sizes() != "100, 200, 300" {
-		t.Errorf("got %v per %q over %q: %v", s.Value(), s.Per(), s.Sizes(), err)
+		t.Errorf("slope %v per %q over sizes %q, want 40 over 100, 200, 300: %v", s.Value(), s.Per(), s.Sizes(), err)
 	}
 	for _, points := range [][]Point{nil, {NewPoint(1, 1)}, {NewPoint(2, 1), NewPoint(2, 3)}} {
 		if _, err := NewSlope("bad", "one", UnitBytes, points...); err == nil {
@@ -21,8 +21,8 @@
 	}
 }
 
-// Records come in pieces of any size; wherever they are cut, the same bytes are
-// counted.
+// The parser counts the same records and bytes no matter how reads and writes split
+// the records.
 func TestRecordParserHandlesAnySplit(t *testing.T) {
 	var wire []byte
 	for _, body := range []int{17, 100, 16401} {
@@ -38,13 +38,13 @@
 			payload, started = payload+c, started+b
 		}
 		if payload != 83+16384 || started != 3 {
-			t.Errorf("pieces of %d: %d records carry %d", pieceSize, started, payload)
+			t.Errorf("pieces of %d bytes: %d records with %d bytes of payload", pieceSize, started, payload)
 		}
 	}
 }
 
-// Each measurement runs on small sizes. What does not depend on the machine is
-// compared; heap and processor time are not.
+// Every measurement runs at small sizes. Values that don't depend on the machine are
+// compared exactly; heap and processor time are not.
 func TestMeasurementsRunAtSmallScale(t *testing.T) {
 	wantValues := map[string]float64{
 		"lease: held and renewed/table reads":      1,
@@ -62,10 +62,10 @@
 			}
 			for _, s := range slopes {
 				if s.Measurement() != m.Name() || s.What() == "" || s.Per() == "" {
-					t.Errorf("incomplete: %+v", s)
+					t.Errorf("slope with a missing or wrong description: %+v", s)
 				}
 				if s.Unit() == UnitBytes && s.Value() <= 0 {
-					t.Errorf("%s: %v bytes", s.What(), s.Value())
+					t.Errorf("%s: %v bytes, want more than 0", s.What(), s.Value())
 				}
 				want, exact := wantValues[s.What()+"/"+string(s.Unit())]
 				if exact && s.Value() != want {
@@ -86,7 +86,7 @@
 	}
 	var text, body bytes.Buffer
 	if err := WriteText(&text, []Slope{s}); err != nil || !strings.Contains(text.String(), "600") {
-		t.Errorf("text %q: %v", text.String(), err)
+		t.Errorf("text %q does not contain 600: %v", text.String(), err)
 	}
 	var read []struct {
 		Value  float64
@@ -96,6 +96,6 @@
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(body.Bytes(), &read); err != nil || read[0].Value != 600 || read[0].Points[1].Size != 3 {
-		t.Errorf("read back %+v: %v", read, err)
+		t.Errorf("decoded %+v, want value 600 and second size 3: %v", read, err)
 	}
 }
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -8,20 +8,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// repetitions is how often a processor time is taken; the least of them counts, since
-// whatever else the machine does can only add to it.
+// repetitions is how often a processor time is measured. The minimum is used, since
+// other load on the machine can only add to it.
 const repetitions = 3
 
-// processorTime returns the processor time that this process has used.
+// processorTime returns the user and system time that this process has used.
 func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return 0, errors.Wrap(err, "read the processor time")
+		return 0, errors.Wrap(err, "read the processor time of the process")
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// timeProcessor returns the processor time that do takes.
+// timeProcessor returns the processor time that the process uses during work.
 func timeProcessor(work func() error) (time.Duration, error) {
 	before, err := processorTime()
 	if err != nil {
@@ -34,7 +34,7 @@
 	return after - before, err
 }
 
-// minProcessorTime returns the least processor time of a few runs of do.
+// minProcessorTime returns the minimum processor time of several runs of work.
 func minProcessorTime(work func() error) (time.Duration, error) {
 	var minimum time.Duration
 	for i := range repetitions {
@@ -49,7 +49,7 @@
 	return minimum, nil
 }
 
-// heapBytes returns the bytes on the heap that are still referred to.
+// heapBytes returns the size of the live heap after garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -58,14 +58,14 @@
 	return float64(stats.HeapAlloc)
 }
 
-// stackBytes returns the bytes of goroutines' stacks.
+// stackBytes returns the memory in use by goroutine stacks.
 func stackBytes() float64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.StackInuse)
 }
 
-// retainedHeap returns how much heap is held by what build returns.
+// retainedHeap returns the bytes of heap retained by the value that build returns.
 func retainedHeap(build func() (any, error)) (float64, error) {
 	before := heapBytes()
 	built, err := build()
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -10,19 +10,20 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// decisionBenchmark is a decision that is taken many times over a desk of some size.
+// decisionBenchmark is a decision that is made many times by dispatchers of two
+// sizes.
 type decisionBenchmark struct {
 	what string
 	per  string
-	// sizes are how many of what per names the desk has.
+	// sizes are the two numbers of objects of the kind that per names.
 	sizes [2]int
-	// iterations is how often the step is taken at each size.
+	// iterations is how often the decision is made at each size.
 	iterations    int
 	newDispatcher func(n int) (*fleetDispatcher, error)
 	run           func(d *fleetDispatcher, i int)
 }
 
-// measureDecisions measures the processor time of an entry's decisions and how it
+// measureDecisions measures the processor time of a gateway's decisions and how it
 // grows with the fleet.
 func measureDecisions(_ context.Context, c Config) ([]Slope, error) {
 	var slopes []Slope
@@ -36,8 +37,8 @@
 	return slopes, nil
 }
 
-// measureRequests measures one request from its arrival to its end: alone, by the
-// number of its candidates, and by the number that wait behind it.
+// measureRequests measures one request from arrival to completion for two numbers of
+// candidates, and a request that is cancelled behind a queue, by the queue's length.
 func measureRequests(c Config) ([]Slope, error) {
 	caller, err := newAccount(0)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return append(slopes, s), err
 }
 
-// runRequest takes one request through the desk.
+// runRequest runs one request through the dispatcher, from arrival to completion.
 func (d *fleetDispatcher) runRequest(i int, caller kumquatlug.Caller) {
 	r := d.newRequest(i, caller)
 	d.Arrive(d.now, r)
@@ -86,13 +87,13 @@
 	d.Finished(d.now, r.ID, dispatch.Done{Tokens: 200})
 }
 
-// measureFleetUpdates measures what an entry does about the fleet: for a heartbeat, the
-// platform's list and a change of the config. The greater size is that of the
-// large fleet, so that its totals are no extrapolation.
+// measureFleetUpdates measures how a gateway processes heartbeats, the platform's list
+// of VMs and config changes. The larger size is that of the large fleet, so that its
+// totals are measured and not extrapolated.
 func measureFleetUpdates(c Config) ([]Slope, error) {
 	sizes := [2]int{c.scaledSize(1000, 30), c.scaledSize(10_000, 90)}
-	// leastSubset is how many targets of a group a planner watches here.
-	const leastSubset = 20
+	// minSubset is the number of additional targets that the planner watches.
+	const minSubset = 20
 	newDisaggregated := func(n int) (*fleetDispatcher, error) {
 		return newFleetDispatcher(fleetConfig{targets: n, gateways: gatewaysFor(n), disaggregated: true})
 	}
@@ -112,7 +113,7 @@
 			}
 		}},
 		{"planner: name the targets of its groups anew", "target listed", sizes, 3, newDisaggregated, func(d *fleetDispatcher, _ int) {
-			d.WatchAlso(d.now, d.Members()[:leastSubset])
+			d.WatchAlso(d.now, d.Members()[:minSubset])
 		}},
 		{"take a heartbeat after an agent restarted", "target listed", sizes, 3, newShared, func(d *fleetDispatcher, i int) {
 			d.now++
@@ -130,8 +131,8 @@
 	return slopes, nil
 }
 
-// cachedDispatchers returns a function that gives the desk over n targets, the same
-// each time: a large one takes a second to build.
+// cachedDispatchers returns a function that returns the same dispatcher for the same
+// number of targets each time, since a large one takes a second to build.
 func cachedDispatchers(c fleetConfig) func(n int) (*fleetDispatcher, error) {
 	dispatchers := map[int]*fleetDispatcher{}
 	return func(n int) (*fleetDispatcher, error) {
@@ -145,7 +146,7 @@
 	}
 }
 
-// relabelTarget brings a change of one target's labels into force.
+// relabelTarget applies a config change of one target's labels.
 func (d *fleetDispatcher) relabelTarget(i int) {
 	key := config.PrefixTarget + targetName(i)
 	change := config.NewChange(d.state.Revision()+1, "id", "operator", []config.Set{config.NewSet(key, []byte(`{"pool":"draft"}`))})
@@ -155,7 +156,7 @@
 	}
 }
 
-// slopePerRound returns the processor time of one more round.
+// slopePerRound returns the processor time in nanoseconds per call of round.
 func slopePerRound(what, per string, sizes [2]int, round func()) (Slope, error) {
 	points := make([]Point, 0, len(sizes))
 	for _, size := range sizes {
@@ -173,8 +174,9 @@
 	return NewSlope(what, per, UnitNanos, points...)
 }
 
-// slopePerSize returns how much longer a step takes for one more of what the desk
-// holds. The totals are of one step, so that the first also tells the whole.
+// slopePerSize returns the processor time in nanoseconds that each further object adds
+// to a decision. The totals are those of one decision, so that they also show its whole
+// cost at each size.
 func slopePerSize(s decisionBenchmark) (Slope, error) {
 	points := make([]Point, 0, len(s.sizes))
 	for _, size := range s.sizes {
--- a/internal/capacity/desk.go
+++ b/internal/capacity/desk.go
@@ -11,33 +11,35 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// draftKind is the kind of work that desks hand out.
+// draftKind is the kind of work that requests ask for.
 var draftKind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
 
-// modelNames are the names of the kinds; the targets of a desk serve them in turn.
+// modelNames are the models of a fleet. Targets are assigned to them round-robin.
 var modelNames = []string{"draft", "check", "chat"}
 
-// fleetConfig is how large a [fleetDispatcher] is.
+// fleetConfig describes the fleet of a [fleetDispatcher].
 type fleetConfig struct {
 	targets  int
 	gateways int
-	// subsetSize is how many targets of a kind the desk speaks to; zero means the
-	// default.
+	// subsetSize is the number of targets of a kind that the gateway connects to; zero
+	// means the default.
 	subsetSize int
-	// singleKind puts all targets into the pool of the first kind.
+	// singleKind assigns all targets to the first model.
 	singleKind bool
-	// disaggregated gives each kind's prompts and outputs to engines in two roles, which
-	// a planner may change.
+	// disaggregated serves each model by separate prefill and decode engines, whose
+	// roles a planner may change.
 	disaggregated bool
-	// concurrency is the concurrency of a target at the start; zero means the default.
+	// concurrency is the initial and maximum concurrency limit of a target; zero means
+	// the default.
 	concurrency int
 }
 
-// gatewaysFor returns how many entries stand before n targets in a large
-// fleet: 2,300 before 10,000.
+// gatewaysFor returns the number of gateways of a large fleet with n targets: 2,300
+// for 10,000.
 func gatewaysFor(n int) int { return n * 23 / 100 }
 
-// fleetDispatcher is an entry's decisions over a fleet, driven by hand.
+// fleetDispatcher is a gateway's dispatcher for a simulated fleet, with a manual
+// clock.
 type fleetDispatcher struct {
 	*dispatch.Dispatcher
 	now   kumquatlug.Millis
@@ -65,7 +67,7 @@
 	return d, nil
 }
 
-// answerHeartbeat takes a heartbeat of a target with room.
+// answerHeartbeat reports a heartbeat response of a target with free capacity.
 func (d *fleetDispatcher) answerHeartbeat(name string) {
 	d.Heard(d.now, name, dispatch.Report{
 		Incarnation: "01J9ZZZZZZZZZZZZZZZZZZZZZZ", State: dispatch.TargetServing, Protocol: kumquatlug.ProtocolEngine,
@@ -73,7 +75,7 @@
 	})
 }
 
-// newRequest returns the i-th request of a caller.
+// newRequest returns the i-th request, sent by caller.
 func (d *fleetDispatcher) newRequest(i int, caller kumquatlug.Caller) dispatch.RequestConfig {
 	return dispatch.RequestConfig{
 		ID: fmt.Sprintf("01J9ZZZZZZZZZZZZZZ%08d", i), Caller: caller, Kind: draftKind, Role: kumquatlug.RoleBoth,
@@ -82,7 +84,8 @@
 	}
 }
 
-// newFleetSets returns the config of a fleet: a selector a kind, labels a target.
+// newFleetSets returns the config of a fleet: a selector per model and role, and labels
+// per target.
 func newFleetSets(c fleetConfig) ([]config.Set, error) {
 	sets := make([]config.Set, 0, c.targets+len(modelNames))
 	roles := []kumquatlug.Role{kumquatlug.RoleBoth}
@@ -107,7 +110,7 @@
 	return append(sets, labels...), err
 }
 
-// newTargetSets returns the labels of n targets, spread over the models.
+// newTargetSets returns the labels of n targets, distributed over the models.
 func newTargetSets(n int) ([]config.Set, error) { return newPoolSets(n, modelNames) }
 
 func newPoolSets(n int, pools []string) ([]config.Set, error) {
@@ -139,7 +142,7 @@
 	return vms
 }
 
-// newAccount returns the i-th caller's account.
+// newAccount returns the i-th client account.
 func newAccount(i int) (kumquatlug.Caller, error) {
 	name := fmt.Sprintf("account-%04d", i)
 	return kumquatlug.NewCaller(kumquatlug.CallerConfig{Name: name, KeyHash: kumquatlug.HashKey(name)})
--- a/internal/capacity/heartbeat.go
+++ b/internal/capacity/heartbeat.go
@@ -12,13 +12,13 @@
 	"github.com/kumquatlug/kumquatlug/internal/peer/peerv1/peerv1connect"
 )
 
-// agentStartDelay is how long a new agent is given to look at its engine once.
+// agentStartDelay is the time for a new agent to poll its engine once.
 const agentStartDelay = 200 * time.Millisecond
 
-// measureHeartbeats measures what one heartbeat costs on a connection that stands:
-// over HTTP/1.1, as the processes speak today, and over HTTP/2, which sends
-// headers that it sent before as one byte each; with answers compressed, as the
-// library does unless told otherwise, and without.
+// measureHeartbeats measures the cost of a heartbeat on an established connection:
+// over HTTP/1.1, which the processes use, and over HTTP/2, whose header compression
+// sends repeated headers as one byte each; with compressed responses, the default of
+// the Connect library, and without.
 func measureHeartbeats(ctx context.Context, c Config) ([]Slope, error) {
 	s, err := newDeployment(ctx)
 	if err != nil {
@@ -52,8 +52,8 @@
 		{"HTTP/2", peerv1connect.NewAgentServiceClient(client, "https://"+address, noCompression)},
 	}
 	var slopes []Slope
-	for _, w := range variants {
-		more, err := measureHeartbeatsOver(ctx, c, w.protocol, t, w.client)
+	for _, v := range variants {
+		more, err := measureHeartbeatsOver(ctx, c, v.protocol, t, v.client)
 		if err != nil {
 			return nil, err
 		}
@@ -63,8 +63,8 @@
 	return append(slopes, more...), err
 }
 
-// measureConnections measures a heartbeat that needs a new connection, as the first to
-// each target after a start and after a failure.
+// measureConnections measures a heartbeat on a new connection, as sent to each target
+// after a start or a failure.
 func (s *deployment) measureConnections(ctx context.Context, c Config, t *connectionTraffic, address string) ([]Slope, error) {
 	return measureExchanges(exchangeConfig{
 		what: "heartbeat on a new connection", per: "heartbeat", sizes: []int{c.scaledSize(10, 1), c.scaledSize(60, 3)}, traffic: t,
@@ -77,8 +77,8 @@
 	})
 }
 
-// newHTTP2Client returns a client that speaks HTTP/2 to peers of a role. Servers
-// of package peer offer it; its own clients don't ask for it.
+// newHTTP2Client returns a client that uses HTTP/2 with peers of a role. The servers of
+// package peer support HTTP/2, but its clients don't request it.
 func newHTTP2Client(keys *peer.Keys, role peer.Role) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP2(true)
@@ -87,7 +87,7 @@
 	}}
 }
 
-// sleep waits, or ends early with ctx.
+// sleep waits for duration. It returns the error of ctx if ctx ends first.
 func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-time.After(duration):
@@ -111,19 +111,19 @@
 	})
 }
 
-// exchangeConfig is a request and answer that is measured again and again.
+// exchangeConfig describes a request and its response, which are measured repeatedly.
 type exchangeConfig struct {
 	what    string
 	per     string
 	sizes   []int
 	traffic *connectionTraffic
-	// noTLS says that the connection has no TLS.
+	// noTLS is set if the connection does not use TLS.
 	noTLS    bool
 	exchange func() error
 }
 
-// measureExchanges measures a request and its answer on the wire and by processor time
-// of both ends together.
+// measureExchanges measures the bytes of a request and its response on the wire, and
+// the processor time of both ends together.
 func measureExchanges(c exchangeConfig) ([]Slope, error) {
 	var wireBytes, plaintextBytes, records, nanos []Point
 	for _, size := range c.sizes {
@@ -158,7 +158,7 @@
 	return newSlopes(configs)
 }
 
-// slopeConfig is what one slope is made of.
+// slopeConfig holds the arguments of [NewSlope].
 type slopeConfig struct {
 	what   string
 	per    string
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -20,7 +20,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// retainedBenchmark is something of which a process keeps many.
+// retainedBenchmark is a kind of object of which a process keeps many.
 type retainedBenchmark struct {
 	what  string
 	per   string
@@ -28,7 +28,7 @@
 	build func(n int) (any, error)
 }
 
-// measureMemory measures the heap that one more of each thing takes.
+// measureMemory measures the heap per retained object of each kind.
 func measureMemory(ctx context.Context, c Config) ([]Slope, error) {
 	smallSizes := [2]int{c.scaledSize(500, 10), c.scaledSize(2500, 30)}
 	largeSizes := [2]int{c.scaledSize(4000, 100), c.scaledSize(24000, 400)}
@@ -80,8 +80,9 @@
 	return newFleetDispatcher(fleetConfig{targets: n, gateways: 1, singleKind: true})
 }
 
-// buildAccounts is what an entry keeps of accounts that send now and then: the
-// account by its key, as the entry's view does, and what it has used.
+// buildAccounts returns the state that a gateway keeps for n accounts that send
+// occasional requests: the accounts by key hash, as in the gateway's view of the
+// config, and their usage.
 func buildAccounts(n int) (any, error) {
 	d, err := newFleetDispatcher(fleetConfig{targets: 20, gateways: 1, singleKind: true, concurrency: 256})
 	if err != nil {
@@ -92,7 +93,7 @@
 		name := fmt.Sprintf("account-%04d", i)
 		text, err := json.Marshal(kumquatlug.CallerConfig{Name: name, KeyHash: kumquatlug.HashKey(name), TokensPerSecond: 10_000})
 		if err != nil {
-			return nil, errors.Wrap(err, "encode an account")
+			return nil, errors.Wrap(err, "encode a client account")
 		}
 		caller, err := kumquatlug.DecodeCaller(text)
 		if err != nil {
@@ -107,10 +108,11 @@
 	return []any{d, callersByKeyHash}, nil
 }
 
-// buildRequestsInFlight returns a desk with n requests at its targets.
+// buildRequestsInFlight returns a dispatcher with n requests in flight.
 func buildRequestsInFlight(n int) (any, error) { return newLoadedDispatcher(n, n) }
 
-// buildQueuedRequests returns a desk with one request in hand and n behind it.
+// buildQueuedRequests returns a dispatcher with n requests, of which one is in flight
+// and the others are queued.
 func buildQueuedRequests(n int) (any, error) { return newLoadedDispatcher(n, 1) }
 
 func newLoadedDispatcher(n, concurrency int) (any, error) {
@@ -128,7 +130,7 @@
 		r.Deadline = d.now + 100*kumquatlug.Hour
 		for _, decision := range d.Arrive(d.now, r) {
 			if decision.Verdict() == dispatch.VerdictRefuse {
-				return nil, errors.Newf("request %d of %d was refused: %v", i, n, decision.Failure())
+				return nil, errors.Newf("request %d of %d was rejected: %v", i, n, decision.Failure())
 			}
 		}
 	}
@@ -150,7 +152,8 @@
 	return a, err
 }
 
-// newLabelChanges returns n changes, each of one target's labels.
+// newLabelChanges returns n config changes, each of which sets the labels of one
+// target.
 func newLabelChanges(n int) ([]config.Change, error) {
 	sets, err := newTargetSets(min(n, 100))
 	if err != nil {
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -17,16 +17,17 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// messageBenchmark is a message that grows with a count.
+// messageBenchmark is a message whose size grows with a count.
 type messageBenchmark struct {
 	what string
 	per  string
-	// sizes are the counts to compare.
+	// sizes are the two counts to measure.
 	sizes [2]int
 	build func(n int) (any, error)
 }
 
-// measureMessages measures how messages grow: encoded, before framing and TLS.
+// measureMessages measures how the encoded size of messages grows, without framing and
+// TLS.
 func measureMessages(_ context.Context, c Config) ([]Slope, error) {
 	sizes := [2]int{c.scaledSize(100, 2), c.scaledSize(1100, 7)}
 	benchmarks := []messageBenchmark{
@@ -74,12 +75,12 @@
 	return text, errors.Wrap(err, "encode a message")
 }
 
-// newFingerprint returns a fingerprint as requests have it.
+// newFingerprint returns the fingerprint of the i-th request.
 func newFingerprint(i int) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("account", kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft"), fmt.Append(nil, i))
 }
 
-// buildCrashReport is a report that tells of one crash with n calls in hand.
+// buildCrashReport returns a report of one crash with n calls in flight.
 func buildCrashReport(n int) (any, error) {
 	register := quarantine.New(quarantine.Config{Records: n + 1})
 	calls := make([]quarantine.Held, n)
@@ -139,7 +140,7 @@
 	return response, nil
 }
 
-// vmListItem is one VM of the platform's list, as its client reads it.
+// vmListItem is one VM in the platform's list, as its client decodes it.
 type vmListItem struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
@@ -156,5 +157,5 @@
 	return list, nil
 }
 
-// targetName returns the name of a target, all of one length.
+// targetName returns the name of the i-th target. All names have the same length.
 func targetName(i int) string { return fmt.Sprintf("drafting-%05d", i) }
--- a/internal/capacity/node.go
+++ b/internal/capacity/node.go
@@ -22,14 +22,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/clock"
 )
 
-// zone is the data centre of every node that is measured.
+// zone is the data centre of all measured nodes.
 const zone = "region-2-b"
 
-// ringSize is how many events a measured process keeps.
+// ringSize is the number of timeline events that a measured process keeps.
 const ringSize = 4096
 
-// deployment is a small deployment in this process: the platform in memory and the
-// keys of its processes. Everything that it starts ends with close.
+// deployment is a small deployment in this process: the platform's store in memory, the
+// keys of its processes and the processes added to it. The function that start returns
+// stops everything.
 type deployment struct {
 	store       *platform.Memory
 	authority   *peer.Authority
@@ -64,7 +65,8 @@
 	return peer.LoadKeys(peer.KeysConfig{Certificate: string(certificate), Key: string(key), Authority: string(a.PEM())})
 }
 
-// newPublicKeys returns the keys that callers see and the pool that trusts them.
+// newPublicKeys returns the keys of the callers' API and a certificate pool that
+// trusts them.
 func (s *deployment) newPublicKeys() (*peer.PublicKeys, *x509.CertPool, error) {
 	certificate, key, err := s.authority.Issue(peer.RoleEntry)
 	if err != nil {
@@ -76,8 +78,8 @@
 	return keys, pool, err
 }
 
-// start begins to run what was added; the function that it returns stops it all
-// and waits for its end.
+// start runs everything added so far. The returned function stops it and waits until
+// it has ended.
 func (s *deployment) start() (stop func()) {
 	peer.AddDuty(s.ctx, &s.group, func(ctx context.Context) error {
 		<-ctx.Done()
@@ -94,14 +96,14 @@
 	}
 }
 
-// listen opens a counted loopback listener.
+// listen opens a loopback listener whose traffic is counted in t.
 func (s *deployment) listen(t *connectionTraffic, tls bool) (*countingListener, error) {
 	var c net.ListenConfig
 	l, err := c.Listen(s.ctx, "tcp", "127.0.0.1:0")
 	return &countingListener{Listener: l, traffic: t, tls: tls}, errors.Wrap(err, "listen")
 }
 
-// addServer adds a plain HTTP server and returns its URL.
+// addServer adds an HTTP server without TLS and returns its URL.
 func (s *deployment) addServer(handler http.Handler) (string, error) {
 	l, err := s.listen(&connectionTraffic{}, false)
 	if err != nil {
@@ -111,13 +113,13 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-// addServerOn adds a plain HTTP server on l.
+// addServerOn adds an HTTP server without TLS on l.
 func (s *deployment) addServerOn(l net.Listener, handler http.Handler) {
 	peer.AddServer(&s.group, "serve stand-in", &http.Server{Handler: handler}, l)
 }
 
-// constantEngine answers an agent's looks as a busy engine does, always alike, so
-// that reports have the same size in each run.
+// constantEngine responds to an agent's polls like a busy engine, always with the same
+// values, so that reports have the same size in each run.
 func constantEngine() http.Handler {
 	mux := http.NewServeMux()
 	respond := func(pattern, body string) {
@@ -131,7 +133,7 @@
 	return mux
 }
 
-// addAgent adds the agent of an engine at url and returns where it listens.
+// addAgent adds the agent of the engine at url and returns the agent's address.
 func (s *deployment) addAgent(name, url string, t *connectionTraffic) (string, error) {
 	l, err := s.listen(t, true)
 	if err != nil {
--- a/internal/capacity/offer.go
+++ b/internal/capacity/offer.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatlug/kumquatlug/internal/peer/peerv1"
 )
 
-// measureOffers measures the demand that one entry tells another, as each does for
-// every kind whose engines change roles.
+// measureOffers measures the demand report of one gateway to another, which gateways
+// send for every kind whose engines change roles.
 func measureOffers(ctx context.Context, c Config) ([]Slope, error) {
 	s, err := newDeployment(ctx)
 	if err != nil {
--- a/internal/capacity/pace.go
+++ b/internal/capacity/pace.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// idleDeployment is a site of agents without work and the entries that ask them.
+// idleDeployment is a deployment without requests: agents, and the gateways that send
+// heartbeats to them.
 type idleDeployment struct {
 	agents, gateways int
 }
 
-// idleCost is what a crowd spends a second.
+// idleCost is the cost of an idle deployment per second.
 type idleCost struct {
 	processorNanos, tableReads float64
 }
 
-// measureIdle measures what processes spend that have no work, at the pace of their
-// own clocks, when caches are cold and each message wakes a process up.
+// measureIdle measures the cost of processes without requests, driven by their own
+// timers. Caches are cold then and each message wakes up a process.
 func measureIdle(ctx context.Context, c Config) ([]Slope, error) {
 	span := time.Duration(c.scaledSize(1500, 150)) * time.Millisecond
 	fewAgents, manyAgents := c.scaledSize(10, 1), c.scaledSize(40, 3)
@@ -50,13 +51,14 @@
 	return append(slopes, more...), err
 }
 
-// measureIdleTable measures what a small site asks of the table while nobody calls:
-// 15 agents, whose roles are planned, and three entries. The spans differ by
-// the 5.4 s after which an entry asks each of 15 agents again.
+// measureIdleTable measures the table operations of a small deployment without
+// requests: 15 agents whose roles are planned, and three gateways. The two spans
+// differ by 5.4 s, the interval after which a gateway has sent a heartbeat to each of
+// the 15 agents again.
 func measureIdleTable(ctx context.Context, c Config) ([]Slope, error) {
 	var reads, writes []Point
 	err := idleDeployment{agents: 15, gateways: 3}.run(ctx, func(s *deployment) error {
-		// What the starts ask of the table is over by then.
+		// The table operations of the start-up are complete by then.
 		if err := sleep(ctx, time.Duration(c.scaledSize(1000, 10))*time.Millisecond); err != nil {
 			return err
 		}
@@ -80,7 +82,7 @@
 	})
 }
 
-// measure returns what the crowd spends a second.
+// measure returns the cost of the deployment per second.
 func (c idleDeployment) measure(ctx context.Context, span time.Duration) (idleCost, error) {
 	var r idleCost
 	err := c.run(ctx, func(s *deployment) error {
@@ -96,7 +98,7 @@
 	return r, err
 }
 
-// run starts the crowd, looks at it and stops it.
+// run starts the deployment, calls observe and stops it.
 func (c idleDeployment) run(ctx context.Context, observe func(s *deployment) error) error {
 	s, err := newDeployment(ctx)
 	if err != nil {
@@ -118,7 +120,7 @@
 	return observe(s)
 }
 
-// addGateways adds entries that speak to all agents.
+// addGateways adds gateways that connect to all agents.
 func (s *deployment) addGateways(ctx context.Context, agents, entries int) error {
 	sets, err := newFleetSets(fleetConfig{targets: agents, singleKind: true, disaggregated: true})
 	if err != nil {
--- a/internal/capacity/pull.go
+++ b/internal/capacity/pull.go
@@ -17,11 +17,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/config"
 )
 
-// peerChanges is how many changes the peer holds that is pulled from.
+// peerChanges is the number of changes that the serving peer holds.
 const peerChanges = 120
 
-// measurePulls measures a pull of the config from a peer: one for each change, and how
-// the answer grows when a node missed more of them.
+// measurePulls measures pulling config changes from a peer: one change per pull, and
+// how the response grows with the number of changes that a node missed.
 func measurePulls(ctx context.Context, c Config) ([]Slope, error) {
 	s, err := newDeployment(ctx)
 	if err != nil {
@@ -49,14 +49,14 @@
 	return measurePullsFrom(ctx, c, t, dialer.Peer(peer.RoleEntry, l.Addr().String()))
 }
 
-// commitPeerChanges commits the changes once the follower runs and waits until it has
-// adopted them one by one, as it must to hand them on.
+// commitPeerChanges commits the changes after the follower has started and waits until
+// it has adopted them. It serves single changes only if it has adopted them singly.
 func (s *deployment) commitPeerChanges(ctx context.Context, follower *peer.Follower) error {
 	if err := sleep(ctx, agentStartDelay); err != nil {
 		return err
 	}
-	// A node's first pull brings the whole state; only the changes after it are
-	// kept one by one.
+	// A node's first pull returns the whole state. Only later changes are kept
+	// individually.
 	for _, head := range []config.Revision{1, peerChanges + 1} {
 		if err := commitUpTo(ctx, newConfigStore(s.store), int(head)); err != nil {
 			return err
@@ -69,15 +69,16 @@
 	return nil
 }
 
-// conditionTimeout bounds the waits for a condition.
+// conditionTimeout is the timeout of waitUntil.
 const conditionTimeout = 10 * time.Second
 
-// waitUntil waits for a condition.
+// waitUntil polls condition until it returns true. It returns an error after
+// conditionTimeout or when ctx ends.
 func waitUntil(ctx context.Context, condition func() bool) error {
 	const interval = 20 * time.Millisecond
 	for waited := time.Duration(0); !condition(); waited += interval {
 		if waited >= conditionTimeout {
-			return errors.New("waited in vain for a stand-in")
+			return errors.New("timed out waiting for a condition of the deployment")
 		}
 		if err := sleep(ctx, interval); err != nil {
 			return err
@@ -90,7 +91,7 @@
 	pull := func(changes int64) error {
 		response, err := client.Pull(ctx, connect.NewRequest(&peerv1.PullRequest{Since: peerChanges + 1 - changes, Node: "drafting-01234"}))
 		if err == nil && int64(len(response.Msg.GetChanges())) != changes {
-			err = errors.Newf("%d changes came, not %d", len(response.Msg.GetChanges()), changes)
+			err = errors.Newf("got %d changes, want %d", len(response.Msg.GetChanges()), changes)
 		}
 		return err
 	}
@@ -123,8 +124,8 @@
 	return append(append(slopes, more...), adopted), err
 }
 
-// measureAdoption measures bringing a change into force in a state of 10,000 rows,
-// without what the process then does by it.
+// measureAdoption measures applying a change to a state of 10,000 rows, without the
+// work that the process does in response.
 func measureAdoption(c Config) (Slope, error) {
 	sets, err := newTargetSets(10_000)
 	if err != nil {
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Unit is what a slope counts.
+// Unit is the unit of a slope's value.
 type Unit string
 
-// The units of slopes.
+// Units of slopes.
 const (
 	UnitBytes   Unit = "bytes"
 	UnitHeap    Unit = "heap bytes"
@@ -24,16 +24,16 @@
 	UnitRows    Unit = "table rows written"
 )
 
-// Point is a total at one size.
+// Point is the total cost at one size.
 type Point struct {
 	size  int
 	total float64
 }
 
-// NewPoint returns the total that was measured at a size.
+// NewPoint returns the point for the total cost measured at a size.
 func NewPoint(size int, total float64) Point { return Point{size: size, total: total} }
 
-// Slope is how a cost grows with a count.
+// Slope is the growth of a cost per counted object.
 type Slope struct {
 	measurement string
 	what        string
@@ -43,37 +43,37 @@
 	value       float64
 }
 
-// NewSlope returns the slope through the first and the last of points, of which
-// there are at least two of different sizes. What names the cost, per the thing
-// that is counted.
+// NewSlope returns the slope between the first and the last of points. It returns an
+// error if there are fewer than two points or both have the same size. The argument
+// what names the cost and per the counted object.
 func NewSlope(what, per string, unit Unit, points ...Point) (Slope, error) {
 	if len(points) < 2 {
-		return Slope{}, errors.Newf("%s: a slope needs two sizes", what)
+		return Slope{}, errors.Newf("%s: a slope needs at least two points", what)
 	}
 	first, last := points[0], points[len(points)-1]
 	if first.size == last.size {
-		return Slope{}, errors.Newf("%s: both sizes are %d", what, first.size)
+		return Slope{}, errors.Newf("%s: first and last point have the same size %d", what, first.size)
 	}
 	value := (last.total - first.total) / float64(last.size-first.size)
 	return Slope{what: what, per: per, unit: unit, points: points, value: value}, nil
 }
 
-// Measurement returns the word by which the slope can be measured again.
+// Measurement returns the name of the measurement that produced the slope.
 func (s Slope) Measurement() string { return s.measurement }
 
 // What names the cost.
 func (s Slope) What() string { return s.what }
 
-// Per names what is counted.
+// Per names the counted object.
 func (s Slope) Per() string { return s.per }
 
-// Unit returns what the value counts.
+// Unit returns the unit of the value.
 func (s Slope) Unit() Unit { return s.unit }
 
-// Value returns the cost of one more.
+// Value returns the cost per counted object.
 func (s Slope) Value() float64 { return s.value }
 
-// Sizes returns the sizes at which the totals were taken, as in "500, 2500".
+// Sizes returns the sizes at which totals were measured, such as "500, 2500".
 func (s Slope) Sizes() string {
 	sizes := make([]string, len(s.points))
 	for i, p := range s.points {
@@ -82,7 +82,7 @@
 	return strings.Join(sizes, ", ")
 }
 
-// MarshalJSON writes the slope with the totals that it was made of.
+// MarshalJSON encodes the slope with the points it was computed from.
 func (s Slope) MarshalJSON() ([]byte, error) {
 	type point struct {
 		Size  int     `json:"size"`
@@ -102,7 +102,7 @@
 	}{s.measurement, s.what, s.per, s.unit, s.value, points})
 }
 
-// WriteText writes slopes as a table for people.
+// WriteText writes slopes as an aligned text table.
 func WriteText(w io.Writer, slopes []Slope) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "MEASUREMENT\tWHAT\tVALUE\tUNIT\tPER\tSIZES")
@@ -112,7 +112,7 @@
 	return errors.Wrap(table.Flush(), "write the table")
 }
 
-// formatValue writes a value with about three digits.
+// formatValue formats a value with about three significant digits.
 func formatValue(value float64) string {
 	switch {
 	case value >= 100 || value <= -100:
@@ -124,7 +124,7 @@
 	}
 }
 
-// WriteJSON writes slopes for programs.
+// WriteJSON writes slopes as indented JSON.
 func WriteJSON(w io.Writer, slopes []Slope) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/internal/capacity/stream.go
+++ b/internal/capacity/stream.go
@@ -27,25 +27,24 @@
 )
 
 const (
-	// concurrentStreams is how many answers are in the making while they are
-	// measured.
+	// concurrentStreams is the number of streams that are measured concurrently.
 	concurrentStreams = 24
-	// engineTimeScale is the part of an engine's usual times that the stand-in
-	// takes: a token each 2 ms or so, so that each comes alone.
+	// engineTimeScale scales the times of the simulated engine to about 2 ms per
+	// token, so that each token is sent separately.
 	engineTimeScale = 0.1
 
-	// warmupTokens is the length of the first streams, long enough that all of
-	// them are open at once.
+	// warmupTokens is the length of the warm-up streams, long enough that all of them
+	// are open at once.
 	warmupTokens = 16
 
-	// openStreamTokens is the length of streams that are still open when they are
-	// looked at.
+	// openStreamTokens is the length of streams that are still open when their memory
+	// is measured.
 	openStreamTokens = 2000
 
 	callerKey = "klug-capacity"
 )
 
-// streamPath is one way to an engine's stream.
+// streamPath is a path by which a client reads an engine's stream.
 type streamPath struct {
 	what    string
 	client  *http.Client
@@ -54,10 +53,10 @@
 	traffic *connectionTraffic
 }
 
-// measureStreams measures what a streamed token costs on the way from the engine to
-// the caller. The same streams are read three times: from the engine itself,
-// through its agent, and through entry and agent; the differences are the
-// agent's and the entry's.
+// measureStreams measures the cost of a streamed token from the engine to the caller.
+// The same streams are read over three paths: directly from the engine, through its
+// agent, and through gateway and agent. The differences are the costs of the agent
+// and the gateway.
 func measureStreams(ctx context.Context, c Config) ([]Slope, error) {
 	s, err := newDeployment(ctx)
 	if err != nil {
@@ -95,12 +94,12 @@
 		{"through entry and agent", gateway.client, gateway.url, http.Header{"Authorization": {"Bearer " + callerKey}}, gatewayTraffic},
 	}
 	if err := waitUntil(ctx, func() bool { return paths[2].readOne(ctx, 2) == nil }); err != nil {
-		return nil, errors.Wrap(err, "first answer")
+		return nil, errors.Wrap(err, "first response")
 	}
 	return measureStreamPaths(ctx, c, paths, agentTraffic)
 }
 
-// newWorkHeader returns what an entry tells an agent of a request.
+// newWorkHeader returns the headers of a request that a gateway sends to an agent.
 func newWorkHeader() http.Header {
 	h := http.Header{"Content-Type": {"application/json"}}
 	peer.NewWork(peer.WorkConfig{
@@ -114,7 +113,7 @@
 	sizes := []int{c.scaledSize(32, 2), c.scaledSize(182, 6)}
 	var slopes []Slope
 	for _, r := range paths {
-		// The first streams open the connections of the others.
+		// The warm-up streams open the connections that the measured ones use.
 		if err := r.readAll(ctx, warmupTokens); err != nil {
 			return nil, errors.Wrap(err, r.what)
 		}
@@ -151,7 +150,7 @@
 	return slopes, nil
 }
 
-// measureOpen measures the memory of streams that are open, in all processes.
+// measureOpen measures the memory of open streams in all processes.
 func (r streamPath) measureOpen(ctx context.Context, c Config) (Slope, error) {
 	openFor := time.Duration(c.scaledSize(500, 50)) * time.Millisecond
 	var points []Point
@@ -173,7 +172,7 @@
 	return NewSlope("stream, "+r.what+": heap and stacks of all processes", "open stream", UnitHeap, points...)
 }
 
-// readAll reads streams of the same length side by side.
+// readAll reads concurrentStreams streams of the same length concurrently.
 func (r streamPath) readAll(ctx context.Context, tokens int) error {
 	results := make(chan error, concurrentStreams)
 	var all sync.WaitGroup
@@ -190,7 +189,7 @@
 	return nil
 }
 
-// readOne asks for a stream and reads it to its end.
+// readOne requests a stream and reads it to the end.
 func (r streamPath) readOne(ctx context.Context, tokens int) error {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
@@ -203,13 +202,13 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.url+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "make a request")
+		return errors.Wrap(err, "create a request")
 	}
 	request.Header = r.header.Clone()
 	request.Header.Set("Content-Type", "application/json")
 	response, err := r.client.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "ask for a stream")
+		return errors.Wrap(err, "request a stream")
 	}
 	defer response.Body.Close()
 	return readStream(response, tokens)
@@ -227,12 +226,13 @@
 		return errors.Wrap(err, "read a stream")
 	}
 	if response.StatusCode != http.StatusOK || !done || chunks < tokens {
-		return errors.Newf("status %d, %d chunks of %d tokens, whole: %v", response.StatusCode, chunks, tokens, done)
+		return errors.Newf("incomplete stream: status %d, %d chunks of %d tokens, done: %v", response.StatusCode, chunks, tokens, done)
 	}
 	return nil
 }
 
-// commitInitialConfig makes the site's first change: labels, a selector and an account.
+// commitInitialConfig commits the first config change: labels, a selector and a client
+// account.
 func (s *deployment) commitInitialConfig(ctx context.Context) error {
 	labels, err := config.SetLabels("drafting-01234", selector.Labels{"pool": "draft"})
 	if err != nil {
@@ -246,12 +246,12 @@
 	}
 	text, err := json.Marshal(kumquatlug.CallerConfig{Name: "portal", KeyHash: kumquatlug.HashKey(callerKey)})
 	if err != nil {
-		return errors.Wrap(err, "encode an account")
+		return errors.Wrap(err, "encode a client account")
 	}
 	return s.commitFirst(ctx, []config.Set{labels, engines, config.NewSet(config.PrefixCaller+"portal", text)})
 }
 
-// commitFirst makes the site's first change.
+// commitFirst commits sets as the first config change of the deployment.
 func (s *deployment) commitFirst(ctx context.Context, sets []config.Set) error {
 	p, err := config.NewProposal(config.ProposalConfig{ID: "first", Author: "operator", Sets: sets})
 	if err != nil {
@@ -261,8 +261,8 @@
 	return err
 }
 
-// gatewayEndpoint is how callers and peers reach a measured entry, and what passes
-// at the peers' listener.
+// gatewayEndpoint holds the addresses at which callers and peers reach a measured
+// gateway, and the traffic of its peer listener.
 type gatewayEndpoint struct {
 	url         string
 	client      *http.Client
@@ -270,14 +270,14 @@
 	peerTraffic *connectionTraffic
 }
 
-// addGateway adds an entry, with TLS towards agents and callers.
+// addGateway adds a gateway that uses TLS with agents and callers.
 func (s *deployment) addGateway(name string, t *connectionTraffic) (gatewayEndpoint, error) {
 	callers, err := s.listen(t, true)
 	if err != nil {
 		return gatewayEndpoint{}, err
 	}
-	passed := &connectionTraffic{}
-	peers, err := s.listen(passed, true)
+	peerTraffic := &connectionTraffic{}
+	peers, err := s.listen(peerTraffic, true)
 	if err != nil {
 		return gatewayEndpoint{}, err
 	}
@@ -305,5 +305,5 @@
 	client := &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: concurrentStreams, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, ServerName: peer.RoleEntry.DNSName()},
 	}}
-	return gatewayEndpoint{"https://" + callers.Addr().String(), client, peers.Addr().String(), passed}, nil
+	return gatewayEndpoint{"https://" + callers.Addr().String(), client, peers.Addr().String(), peerTraffic}, nil
 }
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -17,18 +17,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ledger"
 )
 
-// tableBenchmark is something that asks the table again and again.
+// tableBenchmark is an activity that repeatedly accesses the table.
 type tableBenchmark struct {
 	what  string
 	per   string
 	sizes [2]int
-	// seed, which may be nil, fills a new table before the duty is counted.
+	// seed fills a new table before operations are counted; it may be nil.
 	seed func(ctx context.Context, table *standin.Memory, n int) error
-	// run does it n times.
+	// run performs the activity n times.
 	run func(ctx context.Context, table *standin.Memory, n int) error
 }
 
-// measureTable measures what each duty asks of the platform's table.
+// measureTable measures the operations of each activity on the platform's table.
 func measureTable(ctx context.Context, c Config) ([]Slope, error) {
 	sizes := [2]int{c.scaledSize(20, 3), c.scaledSize(120, 9)}
 	benchmarks := []tableBenchmark{
@@ -79,14 +79,14 @@
 	})
 }
 
-// renewInterval is the default span between two renewals of a lease.
+// renewInterval is the default interval between renewals of a lease.
 const renewInterval = 5 * kumquatlug.Second
 
 func newHolder(id string) (*lease.Holder, error) {
 	return lease.New(lease.Config{Group: "draft/0001", Me: id})
 }
 
-// runHolder carries out what a holder asks for now.
+// runHolder performs the table operations that the lease holder requests at now.
 func runHolder(ctx context.Context, table kumquatlug.Table, h *lease.Holder, now kumquatlug.Millis) {
 	for operation := h.Next(now); operation.Action() != lease.ActionNone; {
 		var row kumquatlug.Row
@@ -108,8 +108,8 @@
 	return err
 }
 
-// watchLease counts what a process asks that waits for the lease. The writes are
-// the holder's, one for two looks.
+// watchLease runs a process that waits for the lease and reads its row n times. The
+// writes are renewals by the holder, one per two reads.
 func watchLease(ctx context.Context, table *standin.Memory, n int) error {
 	holder, err := newHolder("entry-1")
 	if err != nil {
@@ -118,7 +118,7 @@
 	runHolder(ctx, table, holder, 0)
 	watcher, err := newHolder("entry-2")
 	for i := range n {
-		// Every look comes before the row has stood for its time to live.
+		// Every read comes before the lease expires.
 		runHolder(ctx, table, watcher, kumquatlug.Millis(i)*renewInterval)
 		if i%2 == 1 {
 			renewRow(ctx, table)
@@ -127,13 +127,13 @@
 	return err
 }
 
-// renewRow renews the row in the holder's place, at the cost of no read.
+// renewRow renews the row on behalf of the holder, without a read.
 func renewRow(ctx context.Context, table *standin.Memory) {
 	_ = table.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).Put(lease.Key("draft/0001"),
 		[]byte(`{"holder":"entry-1","number":1,"ttl_ms":15000,"attempt":"entry-1/2"}`)))
 }
 
-// openLedger runs a ledger over a table until close is called.
+// openLedger runs a ledger on table until stop is called.
 func openLedger(ctx context.Context, table *standin.Memory, maxCachedCalls int) (l *ledger.Ledger, stop func(), err error) {
 	l, err = ledger.New(ledger.Config{
 		Table: table, Objects: table, Clock: clock.NewMonotonic(), Target: "publication-01",
@@ -151,8 +151,8 @@
 	return l, func() { cancel(); <-done }, nil
 }
 
-// runOnceCall claims a call, runs it, which takes no time here, and stores its
-// outcome.
+// runOnceCall claims the i-th call and stores its outcome. The call itself takes no
+// time.
 func runOnceCall(ctx context.Context, l *ledger.Ledger, i int) error {
 	call := ledger.NewCall(ledger.CallConfig{
 		Caller: "portal", Key: fmt.Sprintf("posting-%06d", i), Body: string(newFingerprint(i)), Dispatch: ledger.NewDispatch(0, 0),
@@ -162,7 +162,7 @@
 		return err
 	}
 	if decision.Verdict() != ledger.VerdictRun {
-		return errors.Newf("call %d: %s", i, decision.Verdict())
+		return errors.Newf("call %d: verdict is %s, want run", i, decision.Verdict())
 	}
 	return l.Finish(decision.Ticket(), ledger.NewOutcome(201, nil, make([]byte, 300)))
 }
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// concurrentCalls is how many run-once calls are in hand in a busy service.
+// concurrentCalls is the number of run-once calls in flight at a busy service.
 const concurrentCalls = 64
 
 func callConcurrently(ctx context.Context, table *standin.Memory, n int) error {
@@ -218,7 +218,7 @@
 	}
 }
 
-// buildRunOnceKeys returns a ledger that remembers n settled calls.
+// buildRunOnceKeys returns a ledger that caches n completed calls.
 func buildRunOnceKeys(ctx context.Context, n int) (any, error) {
 	l, stop, err := openLedger(ctx, standin.NewMemory(), n)
 	if err != nil {
@@ -229,8 +229,8 @@
 }
 
 func tickEra(ctx context.Context, table *standin.Memory, n int) error {
-	// The clock stands, so that none of the ticks finds a write due: over the
-	// whole fleet one in a minute does.
+	// The clock does not advance, so that no write is due at any tick. In a fleet one
+	// tick a minute writes, over all gateways.
 	keeper, err := ledger.NewKeeper(ledger.KeeperConfig{Table: table, Clock: clock.NewManual(0), Incarnation: "entry-1"})
 	for range n {
 		if err != nil {
@@ -249,7 +249,7 @@
 	return commitUpTo(ctx, newConfigStore(table), n)
 }
 
-// commitUpTo makes changes, each of one target's labels, until the head is at
+// commitUpTo commits changes, each of one target's labels, until the head is at
 // revision n.
 func commitUpTo(ctx context.Context, s *config.Store, n int) error {
 	sets, err := newTargetSets(min(n, 100))
@@ -283,13 +283,13 @@
 	return nil
 }
 
-// pullFromTable pulls all changes at once.
+// pullFromTable reads all changes from the table at once.
 func pullFromTable(ctx context.Context, table *standin.Memory, _ int) error {
 	_, err := newConfigStore(table).Since(ctx, 0)
 	return err
 }
 
-// loadConfigs loads the whole config n times, as nodes that start do.
+// loadConfigs loads the whole config n times, as nodes do at start.
 func loadConfigs(ctx context.Context, table *standin.Memory, n int) error {
 	for range n {
 		if _, err := newConfigStore(table).Load(ctx); err != nil {
@@ -299,7 +299,7 @@
 	return nil
 }
 
-// seedLog leaves a snapshot and 200 changes after it.
+// seedLog fills the table with a snapshot and 200 later changes.
 func seedLog(ctx context.Context, table *standin.Memory, _ int) error {
 	const snapshotRevision, headRevision = 50, 250
 	store := newConfigStore(table)
--- a/internal/capacity/tablewire.go
+++ b/internal/capacity/tablewire.go
@@ -15,8 +15,8 @@
 	"github.com/kumquatlug/kumquatlug/platform"
 )
 
-// measureTableTraffic measures the bytes of what entries ask of the platform all the
-// time, over the platform's protocol, without TLS.
+// measureTableTraffic measures the bytes of the requests that gateways send to the
+// platform continuously, over the platform's protocol without TLS.
 func measureTableTraffic(ctx context.Context, c Config) ([]Slope, error) {
 	s, err := newDeployment(ctx)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return append(slopes, more...), err
 }
 
-// readAndRenewLease reads a lease's row and writes it again.
+// readAndRenewLease reads the row of a lease and writes it again.
 func readAndRenewLease(ctx context.Context, client kumquatlug.Table) error {
 	key := lease.Key("draft/0001")
 	row, err := client.Get(ctx, key)
@@ -66,7 +66,7 @@
 	return client.Commit(ctx, kumquatlug.NewTx(ulid.Make().String()).If(key, row.Version()).Put(key, value))
 }
 
-// measureVMList measures reading the platform's list of VMs, by its length.
+// measureVMList measures reading the platform's list of VMs for two lengths.
 func (s *deployment) measureVMList(ctx context.Context, c Config, t *connectionTraffic, client kumquatlug.Table) ([]Slope, error) {
 	const readsPerRun = 5
 	var bytes, nanos []Point
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -9,11 +9,13 @@
 // Sizes of TLS 1.3 records (RFC 8446, section 5).
 const (
 	recordHeaderBytes = 5
-	// recordOverheadBytes is the inner type and the tag that each sealed record adds.
+	// recordOverheadBytes is the size of the inner content type and the authentication
+	// tag in each encrypted record.
 	recordOverheadBytes = 17
 )
 
-// connectionTraffic counts what passes through connections, in both directions.
+// connectionTraffic counts the traffic of connections in both directions. It is safe
+// for concurrent use.
 type connectionTraffic struct {
 	received, sent               atomic.Int64
 	receivedPlain, sentPlain     atomic.Int64
@@ -21,7 +23,7 @@
 	connections                  atomic.Int64
 }
 
-// trafficCount is a reading of traffic.
+// trafficCount is a snapshot of a [connectionTraffic].
 type trafficCount struct {
 	received, sent, receivedPlain, sentPlain, receivedRecords, sentRecords int64
 }
@@ -33,7 +35,7 @@
 	}
 }
 
-// sub returns what passed after an earlier reading.
+// sub returns the traffic since an earlier snapshot.
 func (c trafficCount) sub(earlier trafficCount) trafficCount {
 	return trafficCount{
 		received: c.received - earlier.received, sent: c.sent - earlier.sent,
@@ -42,25 +44,25 @@
 	}
 }
 
-// wireBytes returns the bytes of both directions, TLS included.
+// wireBytes returns the bytes of both directions, including TLS overhead.
 func (c trafficCount) wireBytes() int64 { return c.received + c.sent }
 
-// plaintextBytes returns the bytes of both directions that TLS carries.
+// plaintextBytes returns the bytes of both directions without TLS overhead.
 func (c trafficCount) plaintextBytes() int64 { return c.receivedPlain + c.sentPlain }
 
-// recordCount returns the TLS records of both directions. Go sends each with a
-// write of its own and without delay, so that a record below the segment size
-// is a segment on the wire.
+// recordCount returns the number of TLS records of both directions. Go sends each
+// record with a separate write and without delay, so that a record smaller than the
+// segment size is one segment on the wire.
 func (c trafficCount) recordCount() int64 { return c.receivedRecords + c.sentRecords }
 
-// countingListener is a listener whose connections are counted.
+// countingListener is a listener that counts the traffic of its connections.
 type countingListener struct {
 	net.Listener
 	traffic *connectionTraffic
 	tls     bool
 }
 
-// Accept returns the next connection, counted.
+// Accept returns the next connection with its traffic counted.
 func (t *countingListener) Accept() (net.Conn, error) {
 	conn, err := t.Listener.Accept()
 	if err != nil {
@@ -70,7 +72,7 @@
 	return &countingConn{Conn: conn, traffic: t.traffic, tls: t.tls}, nil
 }
 
-// countingConn is a counted connection.
+// countingConn is a connection that counts its traffic.
 type countingConn struct {
 	net.Conn
 	traffic                      *connectionTraffic
@@ -78,44 +80,44 @@
 	receivedRecords, sentRecords recordParser
 }
 
-// Read counts what comes from the client.
+// Read counts the bytes received from the client.
 func (t *countingConn) Read(p []byte) (int, error) {
 	n, err := t.Conn.Read(p)
-	carried, records := t.payload(&t.receivedRecords, p[:n])
+	payload, records := t.countPayload(&t.receivedRecords, p[:n])
 	t.traffic.received.Add(int64(n))
-	t.traffic.receivedPlain.Add(carried)
+	t.traffic.receivedPlain.Add(payload)
 	t.traffic.receivedRecords.Add(records)
 	return n, err
 }
 
-// Write counts what goes to the client.
+// Write counts the bytes sent to the client.
 func (t *countingConn) Write(p []byte) (int, error) {
 	n, err := t.Conn.Write(p)
-	carried, records := t.payload(&t.sentRecords, p[:n])
+	payload, records := t.countPayload(&t.sentRecords, p[:n])
 	t.traffic.sent.Add(int64(n))
-	t.traffic.sentPlain.Add(carried)
+	t.traffic.sentPlain.Add(payload)
 	t.traffic.sentRecords.Add(records)
 	return n, err
 }
 
-// payload returns how many bytes the records in p carry and how many begin; a
-// connection without TLS has one record for each read or write.
-func (t *countingConn) payload(parser *recordParser, p []byte) (payload, started int64) {
+// countPayload returns the payload bytes of the records that start in p, and their
+// number. Without TLS each read or write counts as one record.
+func (t *countingConn) countPayload(parser *recordParser, p []byte) (payload, started int64) {
 	if !t.tls {
 		return int64(len(p)), 1
 	}
 	return parser.parse(p)
 }
 
-// recordParser follows the TLS records of one direction.
+// recordParser parses the TLS records of one direction.
 type recordParser struct {
 	header      [recordHeaderBytes]byte
 	headerBytes int
 	bodyLeft    int
 }
 
-// parse follows p and returns how many bytes the records that begin in it carry,
-// the handshake's among them, and how many there are.
+// parse consumes p and returns the payload bytes of the records that start in it,
+// including those of the handshake, and their number.
 func (r *recordParser) parse(p []byte) (payload, started int64) {
 	for len(p) > 0 {
 		if r.bodyLeft > 0 {
