--- a/cmd/kumquatlug/dev.go
+++ b/cmd/kumquatlug/dev.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	gateway, err := s.newEntry(ctx)
+	gateway, err := s.newGateway(ctx)
 	if err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 }
 
 func newDevAgent(ctx context.Context, s agentSettings) (*agent.Agent, error) {
-	n, err := s.newNode()
+	node, err := s.newNode()
 	if err != nil {
 		return nil, err
 	}
@@ -173,10 +173,10 @@
 	if err != nil {
 		return nil, err
 	}
-	store := s.newStore(n.clock)
+	store := s.newStore(node.clock)
 	c := agent.Config{
 		Name: s.name, Zone: s.zone, Listener: listener,
-		Table: store, Objects: store, VMs: membership.NewRoster(store), Clock: n.clock, Logger: n.logger, Registry: n.registry, Ring: n.ring,
+		Table: store, Objects: store, VMs: membership.NewRoster(store), Clock: node.clock, Logger: node.logger, Registry: node.registry, Ring: node.ring,
 	}
 	s.configureTarget(&c)
 	return agent.New(c)
@@ -189,16 +189,16 @@
 	}
 }
 
-func (s *devSettings) newEntry(ctx context.Context) (*entry.Entry, error) {
+func (s *devSettings) newGateway(ctx context.Context) (*entry.Entry, error) {
 	gatewaySettings := entrySettings{
 		nodeSettings: s.nodeSettingsFor("entry-1"), listen: s.listen, peerListen: "127.0.0.1:0", operatorListen: s.operatorListen,
 		operatorKeys: []string{"laptop=" + s.operatorKey}, vmListIntervalMillis: 500, rolePlanner: plannerStatic, maxBufferedBytes: caller.DefaultMaxHeld,
 	}
-	n, err := gatewaySettings.newNode()
+	node, err := gatewaySettings.newNode()
 	if err != nil {
 		return nil, err
 	}
-	c, err := gatewaySettings.config(ctx, n)
+	c, err := gatewaySettings.config(ctx, node)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/kumquatlug/entry.go
+++ b/cmd/kumquatlug/entry.go
@@ -137,22 +137,22 @@
 }
 
 func (s *entrySettings) run(ctx context.Context) error {
-	n, err := s.newNode()
+	node, err := s.newNode()
 	if err != nil {
 		return err
 	}
-	c, err := s.config(ctx, n)
+	c, err := s.config(ctx, node)
 	if err != nil {
 		return err
 	}
-	e, err := entry.New(c)
+	gateway, err := entry.New(c)
 	if err != nil {
 		return err
 	}
-	return e.Run(ctx)
+	return gateway.Run(ctx)
 }
 
-func (s *entrySettings) config(ctx context.Context, n *node) (entry.Config, error) {
+func (s *entrySettings) config(ctx context.Context, node *nodeDeps) (entry.Config, error) {
 	hashes, err := s.operatorKeyHashes()
 	if err != nil {
 		return entry.Config{}, err
@@ -169,14 +169,14 @@
 			return entry.Config{}, err
 		}
 	}
-	store := s.newStore(n.clock)
+	store := s.newStore(node.clock)
 	return entry.Config{
 		Name: s.name, Zone: s.zone, Callers: listeners[0], Peers: listeners[1], Operators: listeners[2],
-		PeerAddress: s.peerAddress, Keys: n.keys, CallerTLS: public, OperatorKeys: hashes,
-		Table: store, Objects: store, VMs: membership.NewRoster(store), Clock: n.clock,
+		PeerAddress: s.peerAddress, Keys: node.keys, CallerTLS: public, OperatorKeys: hashes,
+		Table: store, Objects: store, VMs: membership.NewRoster(store), Clock: node.clock,
 		ListEvery: kumquatlug.Millis(s.vmListIntervalMillis), BalancerLag: kumquatlug.Millis(s.balancerLagMillis), MaxBody: s.maxBodyBytes, MaxHeld: s.maxBufferedBytes,
 		Planner:  s.newPlanner,
 		Dispatch: dispatch.Config{Seed: s.randomSeed(), Subset: s.subsetSize},
-		Logger:   n.logger, Registry: n.registry, Ring: n.ring,
+		Logger:   node.logger, Registry: node.registry, Ring: node.ring,
 	}, nil
 }
--- a/cmd/kumquatlug/node.go
+++ b/cmd/kumquatlug/node.go
@@ -125,8 +125,8 @@
 	return cmd
 }
 
-// node holds the dependencies that gateway and agent processes share.
-type node struct {
+// nodeDeps holds the dependencies that gateway and agent processes share.
+type nodeDeps struct {
 	keys     *peer.Keys
 	logger   *zap.Logger
 	registry *prometheus.Registry
@@ -134,7 +134,7 @@
 	clock    *clock.Monotonic
 }
 
-func (s *nodeSettings) newNode() (*node, error) {
+func (s *nodeSettings) newNode() (*nodeDeps, error) {
 	keys, err := s.loadKeys()
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	return &node{
+	return &nodeDeps{
 		keys: keys, logger: logger.With(zap.String("node", s.name)), registry: registry,
 		ring: timeline.NewRing(s.name, s.ringSize), clock: clock.NewMonotonic(),
 	}, nil
@@ -170,6 +170,6 @@
 // listen opens a TCP listener.
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	var c net.ListenConfig
-	l, err := c.Listen(ctx, "tcp", address)
-	return l, errors.Wrapf(err, "listen on %s", address)
+	listener, err := c.Listen(ctx, "tcp", address)
+	return listener, errors.Wrapf(err, "listen on %s", address)
 }
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -121,8 +121,8 @@
 		}},
 	}
 	var slopes []Slope
-	for _, s := range benchmarks {
-		slope, err := slopePerSize(s)
+	for _, b := range benchmarks {
+		slope, err := slopePerSize(b)
 		if err != nil {
 			return nil, err
 		}
@@ -177,17 +177,17 @@
 // slopePerSize returns the processor time in nanoseconds that each further object adds
 // to a decision. The totals are those of one decision, so that they also show its whole
 // cost at each size.
-func slopePerSize(s decisionBenchmark) (Slope, error) {
-	points := make([]Point, 0, len(s.sizes))
-	for _, size := range s.sizes {
-		d, err := s.newDispatcher(size)
+func slopePerSize(b decisionBenchmark) (Slope, error) {
+	points := make([]Point, 0, len(b.sizes))
+	for _, size := range b.sizes {
+		d, err := b.newDispatcher(size)
 		if err != nil {
 			return Slope{}, err
 		}
 		i := 0
 		took, err := minProcessorTime(func() error {
-			for range s.iterations {
-				s.run(d, i)
+			for range b.iterations {
+				b.run(d, i)
 				i++
 			}
 			return nil
@@ -195,7 +195,7 @@
 		if err != nil {
 			return Slope{}, err
 		}
-		points = append(points, NewPoint(size, float64(took)/float64(time.Nanosecond)/float64(s.iterations)))
+		points = append(points, NewPoint(size, float64(took)/float64(time.Nanosecond)/float64(b.iterations)))
 	}
-	return NewSlope(s.what, s.per, UnitNanos, points...)
+	return NewSlope(b.what, b.per, UnitNanos, points...)
 }
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -50,8 +50,8 @@
 		}},
 	}
 	slopes := make([]Slope, 0, len(benchmarks))
-	for _, h := range benchmarks {
-		s, err := h.measure()
+	for _, b := range benchmarks {
+		s, err := b.measure()
 		if err != nil {
 			return nil, err
 		}
@@ -60,16 +60,16 @@
 	return slopes, nil
 }
 
-func (h retainedBenchmark) measure() (Slope, error) {
-	points := make([]Point, 0, len(h.sizes))
-	for _, n := range h.sizes {
-		bytes, err := retainedHeap(func() (any, error) { return h.build(n) })
+func (b retainedBenchmark) measure() (Slope, error) {
+	points := make([]Point, 0, len(b.sizes))
+	for _, n := range b.sizes {
+		bytes, err := retainedHeap(func() (any, error) { return b.build(n) })
 		if err != nil {
-			return Slope{}, errors.Wrap(err, h.what)
+			return Slope{}, errors.Wrap(err, b.what)
 		}
 		points = append(points, NewPoint(n, bytes))
 	}
-	return NewSlope(h.what, h.per, UnitHeap, points...)
+	return NewSlope(b.what, b.per, UnitHeap, points...)
 }
 
 func buildListedTargets(n int) (any, error) {
--- a/internal/capacity/stream.go
+++ b/internal/capacity/stream.go
@@ -86,10 +86,10 @@
 	defer s.start()()
 	dialer := peer.NewDialer(s.gatewayKeys)
 	defer dialer.Close()
-	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrentStreams}}
-	defer plain.CloseIdleConnections()
+	plainClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrentStreams}}
+	defer plainClient.CloseIdleConnections()
 	paths := []streamPath{
-		{"engine alone", plain, engineURL, http.Header{}, engineTraffic},
+		{"engine alone", plainClient, engineURL, http.Header{}, engineTraffic},
 		{"through the agent", dialer.Work(), dialer.WorkURL(agent, ""), newWorkHeader(), agentTraffic},
 		{"through entry and agent", gateway.client, gateway.url, http.Header{"Authorization": {"Bearer " + callerKey}}, gatewayTraffic},
 	}
@@ -112,38 +112,38 @@
 func measureStreamPaths(ctx context.Context, c Config, paths []streamPath, agentTraffic *connectionTraffic) ([]Slope, error) {
 	sizes := []int{c.scaledSize(32, 2), c.scaledSize(182, 6)}
 	var slopes []Slope
-	for _, r := range paths {
+	for _, p := range paths {
 		// The warm-up streams open the connections that the measured ones use.
-		if err := r.readAll(ctx, warmupTokens); err != nil {
-			return nil, errors.Wrap(err, r.what)
+		if err := p.readAll(ctx, warmupTokens); err != nil {
+			return nil, errors.Wrap(err, p.what)
 		}
 		var bytes, nanos, betweenBytes []Point
 		for _, tokens := range sizes {
-			before, betweenBefore := r.traffic.snapshot(), agentTraffic.snapshot()
-			took, err := minProcessorTime(func() error { return r.readAll(ctx, tokens) })
+			before, betweenBefore := p.traffic.snapshot(), agentTraffic.snapshot()
+			took, err := minProcessorTime(func() error { return p.readAll(ctx, tokens) })
 			if err != nil {
-				return nil, errors.Wrap(err, r.what)
+				return nil, errors.Wrap(err, p.what)
 			}
 			totalTokens := tokens * concurrentStreams
-			bytes = append(bytes, NewPoint(totalTokens, float64(r.traffic.snapshot().sub(before).wireBytes())/repetitions))
+			bytes = append(bytes, NewPoint(totalTokens, float64(p.traffic.snapshot().sub(before).wireBytes())/repetitions))
 			betweenBytes = append(betweenBytes, NewPoint(totalTokens, float64(agentTraffic.snapshot().sub(betweenBefore).wireBytes())/repetitions))
 			nanos = append(nanos, NewPoint(totalTokens, float64(took.Nanoseconds())))
 		}
 		configs := []slopeConfig{
-			{"stream, " + r.what + ": wire at the client", "token", UnitBytes, bytes},
-			{"stream, " + r.what + ": all processes", "token", UnitNanos, nanos},
+			{"stream, " + p.what + ": wire at the client", "token", UnitBytes, bytes},
+			{"stream, " + p.what + ": all processes", "token", UnitNanos, nanos},
 		}
-		if r.traffic != agentTraffic && r.what != paths[0].what {
-			configs = append(configs, slopeConfig{"stream, " + r.what + ": wire between the two, with TLS", "token", UnitBytes, betweenBytes})
+		if p.traffic != agentTraffic && p.what != paths[0].what {
+			configs = append(configs, slopeConfig{"stream, " + p.what + ": wire between the two, with TLS", "token", UnitBytes, betweenBytes})
 		}
 		more, err := newSlopes(configs)
 		if err != nil {
 			return nil, err
 		}
 		slopes = append(slopes, more...)
-		openStreams, err := r.measureOpen(ctx, c)
+		openStreams, err := p.measureOpen(ctx, c)
 		if err != nil {
-			return nil, errors.Wrap(err, r.what)
+			return nil, errors.Wrap(err, p.what)
 		}
 		slopes = append(slopes, openStreams)
 	}
@@ -151,35 +151,35 @@
 }
 
 // measureOpen measures the memory of open streams in all processes.
-func (r streamPath) measureOpen(ctx context.Context, c Config) (Slope, error) {
+func (p streamPath) measureOpen(ctx context.Context, c Config) (Slope, error) {
 	openFor := time.Duration(c.scaledSize(500, 50)) * time.Millisecond
 	var points []Point
 	for _, n := range []int{4, concurrentStreams} {
 		streamCtx, cancel := context.WithCancel(ctx)
-		var all sync.WaitGroup
+		var readers sync.WaitGroup
 		for range n {
-			all.Go(func() { _ = r.readOne(streamCtx, openStreamTokens) })
+			readers.Go(func() { _ = p.readOne(streamCtx, openStreamTokens) })
 		}
 		err := sleep(ctx, openFor)
 		bytes := heapBytes() + stackBytes()
 		cancel()
-		all.Wait()
+		readers.Wait()
 		if err != nil {
 			return Slope{}, err
 		}
 		points = append(points, NewPoint(n, bytes))
 	}
-	return NewSlope("stream, "+r.what+": heap and stacks of all processes", "open stream", UnitHeap, points...)
+	return NewSlope("stream, "+p.what+": heap and stacks of all processes", "open stream", UnitHeap, points...)
 }
 
 // readAll reads concurrentStreams streams of the same length concurrently.
-func (r streamPath) readAll(ctx context.Context, tokens int) error {
+func (p streamPath) readAll(ctx context.Context, tokens int) error {
 	results := make(chan error, concurrentStreams)
-	var all sync.WaitGroup
+	var readers sync.WaitGroup
 	for range concurrentStreams {
-		all.Go(func() { results <- r.readOne(ctx, tokens) })
+		readers.Go(func() { results <- p.readOne(ctx, tokens) })
 	}
-	all.Wait()
+	readers.Wait()
 	close(results)
 	for err := range results {
 		if err != nil {
@@ -190,7 +190,7 @@
 }
 
 // readOne requests a stream and reads it to the end.
-func (r streamPath) readOne(ctx context.Context, tokens int) error {
+func (p streamPath) readOne(ctx context.Context, tokens int) error {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
@@ -200,13 +200,13 @@
 	if err != nil {
 		return errors.Wrap(err, "encode a request")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.url+"/v1/completions", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "create a request")
 	}
-	request.Header = r.header.Clone()
+	request.Header = p.header.Clone()
 	request.Header.Set("Content-Type", "application/json")
-	response, err := r.client.Do(request)
+	response, err := p.client.Do(request)
 	if err != nil {
 		return errors.Wrap(err, "request a stream")
 	}
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -43,10 +43,10 @@
 		{"config loaded at a start: snapshot and 200 changes", "node", sizes, seedLog, loadConfigs},
 	}
 	var slopes []Slope
-	for _, d := range benchmarks {
-		more, err := d.measure(ctx)
+	for _, b := range benchmarks {
+		more, err := b.measure(ctx)
 		if err != nil {
-			return nil, errors.Wrap(err, d.what)
+			return nil, errors.Wrap(err, b.what)
 		}
 		slopes = append(slopes, more...)
 	}
@@ -54,17 +54,17 @@
 	return append(slopes, traffic...), err
 }
 
-func (d tableBenchmark) measure(ctx context.Context) ([]Slope, error) {
+func (b tableBenchmark) measure(ctx context.Context) ([]Slope, error) {
 	var reads, writes, rows []Point
-	for _, n := range d.sizes {
+	for _, n := range b.sizes {
 		table := standin.NewMemory()
-		if d.seed != nil {
-			if err := d.seed(ctx, table, n); err != nil {
+		if b.seed != nil {
+			if err := b.seed(ctx, table, n); err != nil {
 				return nil, err
 			}
 		}
 		before := table.Counts()
-		if err := d.run(ctx, table, n); err != nil {
+		if err := b.run(ctx, table, n); err != nil {
 			return nil, err
 		}
 		after := table.Counts()
@@ -73,9 +73,9 @@
 		rows = append(rows, NewPoint(n, float64(after.RowsWritten()-before.RowsWritten())))
 	}
 	return newSlopes([]slopeConfig{
-		{d.what, d.per, UnitReads, reads},
-		{d.what, d.per, UnitWrites, writes},
-		{d.what, d.per, UnitRows, rows},
+		{b.what, b.per, UnitReads, reads},
+		{b.what, b.per, UnitWrites, writes},
+		{b.what, b.per, UnitRows, rows},
 	})
 }
 
@@ -198,9 +198,9 @@
 
 func runConcurrently(ctx context.Context, l *ledger.Ledger, n int) error {
 	errs := make(chan error, concurrentCalls)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for worker := range concurrentCalls {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := worker; i < n; i += concurrentCalls {
 				if err := runOnceCall(ctx, l, i); err != nil {
 					errs <- err
@@ -209,7 +209,7 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	select {
 	case err := <-errs:
 		return err
