--- a/cmd/kumquatlug-experiment/main.go
+++ b/cmd/kumquatlug-experiment/main.go
@@ -1,6 +1,6 @@
-// Command kumquatlug-experiment plays load patterns against the decision
-// modules and plain baselines, and prints what callers receive. The same seed
-// gives the same digits.
+// Command kumquatlug-experiment simulates load patterns against the decision
+// modules and simple baselines, and prints the results that callers see. The
+// output is deterministic for a given seed.
 package main
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/kumquatlug/kumquatlug/internal/experiment"
 )
 
-// Format is how results are printed.
+// Format is the output format of results.
 type Format string
 
-// The formats.
+// Output formats.
 const (
 	FormatText Format = "text"
 	FormatJSON Format = "json"
 )
 
-// options are the command's settings.
+// options are the command's flags.
 type options struct {
 	scenarios string
 	seed      uint64
@@ -35,37 +35,37 @@
 }
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var o options
 	c := &cobra.Command{
 		Use:          "kumquatlug-experiment",
-		Short:        "Play load patterns against the decision modules and plain baselines",
+		Short:        "Simulate load patterns against the decision modules and simple baselines",
 		Args:         cobra.NoArgs,
 		SilenceUsage: true,
 		RunE:         func(c *cobra.Command, _ []string) error { return o.run(c) },
 	}
 	f := c.Flags()
-	f.StringVar(&o.scenarios, "scenarios", "", "names of scenarios, joined by commas; all if empty")
-	f.Uint64Var(&o.seed, "seed", 1, "seed of every random draw")
+	f.StringVar(&o.scenarios, "scenarios", "", "comma-separated names of scenarios; all if empty")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of the random number generators")
 	f.StringVar(&o.format, "format", string(FormatText), "text or json")
-	f.StringVar(&o.plot, "plot", "", "file for a plot of the goodput, as SVG")
-	f.IntVar(&o.workers, "workers", 4, "how many scenarios run at once; it doesn't change the figures")
-	c.AddCommand(swingCommand())
+	f.StringVar(&o.plot, "plot", "", "file to write a goodput plot to, as SVG")
+	f.IntVar(&o.workers, "workers", 4, "number of scenarios to run concurrently; does not affect the results")
+	c.AddCommand(newSwingCommand())
 	return c
 }
 
 func (o options) run(c *cobra.Command) error {
-	scenarios, err := o.chosen()
+	selected, err := o.selectScenarios()
 	if err != nil {
 		return err
 	}
-	results := o.play(scenarios)
-	if err := o.draw(results); err != nil {
+	results := o.runScenarios(selected)
+	if err := o.writePlot(results); err != nil {
 		return err
 	}
 	switch Format(o.format) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (o options) chosen() ([]experiment.Scenario, error) {
+func (o options) selectScenarios() ([]experiment.Scenario, error) {
 	if o.scenarios == "" {
 		return experiment.Scenarios(), nil
 	}
@@ -95,35 +95,36 @@
 	return list, nil
 }
 
-// play runs the scenarios side by side; each has its own world and seed.
-func (o options) play(scenarios []experiment.Scenario) []experiment.Result {
-	parts := make([][]experiment.Result, len(scenarios))
+// runScenarios runs the scenarios concurrently. Each has a simulation and a random
+// number generator of its own, so the results don't depend on the number of workers.
+func (o options) runScenarios(scenarios []experiment.Scenario) []experiment.Result {
+	resultsByScenario := make([][]experiment.Result, len(scenarios))
 	var g errgroup.Group
 	g.SetLimit(max(o.workers, 1))
-	for n, s := range scenarios {
+	for i, s := range scenarios {
 		g.Go(func() error {
-			parts[n] = experiment.Compare(s, o.seed)
+			resultsByScenario[i] = experiment.Compare(s, o.seed)
 			return nil
 		})
 	}
 	_ = g.Wait()
 	var results []experiment.Result
-	for _, p := range parts {
+	for _, p := range resultsByScenario {
 		results = append(results, p...)
 	}
 	return results
 }
 
-func (o options) draw(results []experiment.Result) error {
+func (o options) writePlot(results []experiment.Result) error {
 	if o.plot == "" {
 		return nil
 	}
 	var plot bytes.Buffer
 	if err := experiment.WritePlot(&plot, results); err != nil {
-		return errors.Wrap(err, "draw the plot")
+		return errors.Wrap(err, "render the plot")
 	}
-	return errors.Wrap(os.WriteFile(o.plot, plot.Bytes(), plotMode), "write the plot")
+	return errors.Wrap(os.WriteFile(o.plot, plot.Bytes(), plotFileMode), "write the plot")
 }
 
-// plotMode lets everybody read the plot.
-const plotMode = 0o644
+// plotFileMode makes the plot readable by all users.
+const plotFileMode = 0o644
--- a/cmd/kumquatlug-standin/pathcost.go
+++ b/cmd/kumquatlug-standin/pathcost.go
@@ -11,46 +11,48 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// pathFlags are where the processes of a path are found.
-type pathFlags struct {
-	operators string
-	agents    []string
-	keys      peer.KeysConfig
-	plain     bool
+// pathCostFlags locate the processes whose metrics are read, and hold the keys for
+// their connections.
+type pathCostFlags struct {
+	operatorURL    string
+	agentAddresses []string
+	keys           peer.KeysConfig
+	insecure       bool
 }
 
-func pathCostCommand() *cobra.Command {
+func newPathCostCommand() *cobra.Command {
 	var c load.PathConfig
-	var o pathFlags
+	var flags pathCostFlags
 	cmd := &cobra.Command{
 		Use:   "path-cost",
-		Short: "Measure what the way over entry and agents costs beside calling the engines",
-		Long: `Measure what the way over entry and agents costs beside calling the engines.
-It starts no process: scripts/path-cost.sh starts them, runs this and ends them.`,
+		Short: "Measure the overhead of gateway and agents compared with calling engines directly",
+		Long: `Measure the overhead of gateway and agents compared with calling engines directly.
+The command starts no processes: scripts/path-cost.sh starts them, runs this command
+and stops them.`,
 		Example: "  scripts/path-cost.sh",
 		Args:    cobra.NoArgs,
 	}
 	f := cmd.Flags()
-	f.StringVar(&c.Entry, "entry", "", "the callers' API, as in http://127.0.0.1:8080")
-	f.StringVar(&c.Key, "key", "", "a caller's key")
-	f.StringVar(&o.operators, "operators", "", "the entry's operators' address, as in http://127.0.0.1:8081")
-	f.StringArrayVar(&o.agents, "agent", nil, "IP:port of an agent; may be repeated")
-	f.StringVar(&o.keys.Certificate, "tls-cert", "", "certificate to read agents' metrics with")
-	f.StringVar(&o.keys.Key, "tls-key", "", "the key of --tls-cert")
-	f.StringVar(&o.keys.Authority, "tls-ca", "", "the authority of agents' certificates")
-	f.BoolVar(&o.plain, "insecure-loopback", false, "agents speak plainly")
-	f.StringArrayVar(&c.Stamped, "stamped", nil, "an engine of the model \""+load.StampedModel+"\", started with --stamped; may be repeated")
-	f.StringArrayVar(&c.Fast, "fast", nil, "an engine of the model \""+load.FastModel+"\"; may be repeated")
-	f.IntVar(&c.Streams, "streams", 1000, "streams open at a time")
-	f.IntVar(&c.Tokens, "tokens", 100, "tokens of a stream")
-	millisVar(cmd, &c.TokenTime, "token-time", 29, "decode time of the stamping engines")
-	millisVar(cmd, &c.Span, "span", 5*kumquatlug.Second, "how long streams are begun, each way")
-	millisVar(cmd, &c.BurstSpan, "burst-span", 1500, "length of a burst")
-	f.IntVar(&c.BurstRounds, "burst-rounds", 2, "bursts each way")
-	f.IntVar(&c.BurstTokens, "burst-tokens", 50, "tokens of an answer in bursts")
+	f.StringVar(&c.Entry, "entry", "", "base URL of the gateway's callers' API, such as http://127.0.0.1:8080")
+	f.StringVar(&c.Key, "key", "", "API key of a caller")
+	f.StringVar(&flags.operatorURL, "operators", "", "base URL of the gateway's operators' API, such as http://127.0.0.1:8081")
+	f.StringArrayVar(&flags.agentAddresses, "agent", nil, "IP:port of an agent; may be repeated")
+	f.StringVar(&flags.keys.Certificate, "tls-cert", "", "client certificate for reading the agents' metrics")
+	f.StringVar(&flags.keys.Key, "tls-key", "", "private key of --tls-cert")
+	f.StringVar(&flags.keys.Authority, "tls-ca", "", "certificate authority of the agents' certificates")
+	f.BoolVar(&flags.insecure, "insecure-loopback", false, "agents use plain HTTP without TLS")
+	f.StringArrayVar(&c.Stamped, "stamped", nil, "URL of an engine that serves the model \""+load.StampedModel+"\", started with --stamped; may be repeated")
+	f.StringArrayVar(&c.Fast, "fast", nil, "URL of an engine that serves the model \""+load.FastModel+"\"; may be repeated")
+	f.IntVar(&c.Streams, "streams", 1000, "number of concurrent streams")
+	f.IntVar(&c.Tokens, "tokens", 100, "length of a stream, in tokens")
+	millisVar(cmd, &c.TokenTime, "token-time", 29, "decode time per token of the engines started with --stamped")
+	millisVar(cmd, &c.Span, "span", 5*kumquatlug.Second, "time during which new streams are started, per path")
+	millisVar(cmd, &c.BurstSpan, "burst-span", 1500, "duration of a burst")
+	f.IntVar(&c.BurstRounds, "burst-rounds", 2, "number of bursts per path")
+	f.IntVar(&c.BurstTokens, "burst-tokens", 50, "length of a response in bursts, in tokens")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		var err error
-		if c.Metrics, err = o.processes(); err != nil {
+		if c.Metrics, err = flags.processes(); err != nil {
 			return err
 		}
 		cost, err := load.MeasurePath(cmd.Context(), c)
@@ -61,26 +63,26 @@
 			return err
 		}
 		if n := cost.Broken(); n > 0 {
-			return errors.Newf("%d answers were wrong or cut", n)
+			return errors.Newf("%d responses were wrong or truncated", n)
 		}
 		return nil
 	}
 	return cmd
 }
 
-// processes returns the entry and the agents as they are asked for metrics.
-func (o *pathFlags) processes() ([]load.Process, error) {
+// processes returns the metrics endpoints of the gateway and the agents.
+func (f *pathCostFlags) processes() ([]load.Process, error) {
 	var keys *peer.Keys
-	if !o.plain {
+	if !f.insecure {
 		var err error
-		if keys, err = peer.LoadKeys(o.keys); err != nil {
+		if keys, err = peer.LoadKeys(f.keys); err != nil {
 			return nil, err
 		}
 	}
-	all := []load.Process{{Name: "entry", URL: o.operators + "/metrics", Client: http.DefaultClient}}
+	processes := []load.Process{{Name: "entry", URL: f.operatorURL + "/metrics", Client: http.DefaultClient}}
 	client := peer.NewDialer(keys).Work()
-	for _, address := range o.agents {
-		all = append(all, load.Process{Name: "agents", URL: keys.Scheme() + "://" + address + "/metrics", Client: client})
+	for _, address := range f.agentAddresses {
+		processes = append(processes, load.Process{Name: "agents", URL: keys.Scheme() + "://" + address + "/metrics", Client: client})
 	}
-	return all, nil
+	return processes, nil
 }
--- a/cmd/kumquatlug/check.go
+++ b/cmd/kumquatlug/check.go
@@ -17,32 +17,33 @@
 	"github.com/kumquatlug/kumquatlug/internal/settings"
 )
 
-// checked is a command whose settings can be checked without running it.
-type checked interface {
+// checkableSettings are the settings of a command that can be validated without
+// running it.
+type checkableSettings interface {
 	bind(flags *pflag.FlagSet)
 	check(problems settings.Problems) settings.Problems
 }
 
-func newCheck() *cobra.Command {
-	cmd := &cobra.Command{Use: "check", Short: "Tell every bad setting of a process at once, without running it"}
-	cmd.AddCommand(newCheckOf("entry", &entrySettings{}), newCheckOf("agent", &agentSettings{}),
-		newCheckOf("front", &frontSettings{}))
+func newCheckCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "check", Short: "Report all invalid settings of a process without running it"}
+	cmd.AddCommand(newCheckProcessCommand("entry", &entrySettings{}), newCheckProcessCommand("agent", &agentSettings{}),
+		newCheckProcessCommand("front", &frontSettings{}))
 	return cmd
 }
 
-func newCheckOf(name string, s checked) *cobra.Command {
+func newCheckProcessCommand(name string, s checkableSettings) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
 		Use:     name,
-		Short:   "Check the settings of an " + name,
+		Short:   "Check the settings of the command " + name,
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug check " + name + " --env-file " + name + ".env",
 	}
 	s.bind(cmd.Flags())
-	cmd.Flags().StringVar(&file, "env-file", "", "file of NAME=value lines to take for the environment")
+	cmd.Flags().StringVar(&file, "env-file", "", "file with environment variables, one NAME=value per line")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if file != "" {
-			if err := loadEnvironment(file); err != nil {
+			if err := loadEnvFile(file); err != nil {
 				return err
 			}
 		}
@@ -55,14 +56,14 @@
 	return cmd
 }
 
-// loadEnvironment sets the variables of a file; lines that start with # are
-// comments.
-func loadEnvironment(file string) error {
-	text, err := os.ReadFile(file)
+// loadEnvFile sets the environment variables given in a file. Lines that start
+// with # are comments.
+func loadEnvFile(file string) error {
+	content, err := os.ReadFile(file)
 	if err != nil {
 		return errors.Wrap(err, "environment file")
 	}
-	lines := bufio.NewScanner(bytes.NewReader(text))
+	lines := bufio.NewScanner(bytes.NewReader(content))
 	for lines.Scan() {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -79,20 +80,20 @@
 	return errors.Wrap(lines.Err(), "environment file")
 }
 
-func newCerts() *cobra.Command {
+func newCertsCommand() *cobra.Command {
 	var out string
 	var days int
 	cmd := &cobra.Command{
 		Use:   "certs",
-		Short: "Make an authority and the certificates of entries and agents",
-		Long: `Make an authority and the certificates of entries and agents, for sites that have
-no authority of their own. The authority's key is not kept: make all again to
-replace them.`,
+		Short: "Create a certificate authority and the certificates of gateways and agents",
+		Long: `Create a certificate authority and the certificates of gateways and agents, for
+sites that have no certificate authority of their own. The authority's private key
+is not stored: to replace a certificate, create all of them again.`,
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug certs --out keys --days 365",
 	}
-	cmd.Flags().StringVar(&out, "out", "keys", "folder to write to")
-	cmd.Flags().IntVar(&days, "days", 365, "for how many days the certificates are valid")
+	cmd.Flags().StringVar(&out, "out", "keys", "directory to write to")
+	cmd.Flags().IntVar(&days, "days", 365, "validity of the certificates, in days")
 	cmd.RunE = func(_ *cobra.Command, _ []string) error {
 		const hoursADay = 24
 		return writeCerts(out, time.Duration(days)*hoursADay*time.Hour)
@@ -100,15 +101,15 @@
 	return cmd
 }
 
-func writeCerts(folder string, valid time.Duration) error {
+func writeCerts(folder string, validity time.Duration) error {
 	const (
 		folderMode = 0o700
 		fileMode   = 0o600
 	)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make the folder")
+		return errors.Wrap(err, "create the output directory")
 	}
-	authority, err := peer.NewAuthority(valid)
+	authority, err := peer.NewAuthority(validity)
 	if err != nil {
 		return err
 	}
@@ -120,8 +121,8 @@
 		}
 		files[string(role)+".pem"], files[string(role)+".key"] = certificate, key
 	}
-	for name, text := range files {
-		if err := os.WriteFile(filepath.Join(folder, name), text, fileMode); err != nil {
+	for name, content := range files {
+		if err := os.WriteFile(filepath.Join(folder, name), content, fileMode); err != nil {
 			return errors.Wrap(err, "write certificates")
 		}
 	}
--- a/cmd/kumquatlug/operate.go
+++ b/cmd/kumquatlug/configure.go
@@ -17,22 +17,22 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// serverSettings say which entry an operator's command asks.
+// serverSettings identify the gateway that an operator's command connects to.
 type serverSettings struct {
 	server, key, authority string
 }
 
-// bindServer adds the flags by which a command finds its entry, and fills them
-// from the environment before it runs.
+// bindServer adds the flags for the connection to a gateway and fills them from the
+// environment before cmd runs.
 func bindServer(cmd *cobra.Command) *serverSettings {
 	s := &serverSettings{}
-	cmd.Flags().StringVar(&s.server, "server", "http://127.0.0.1:8081", "URL of an entry's operators' address")
-	cmd.Flags().StringVar(&s.key, "operator-key", "", "your own key")
-	cmd.Flags().StringVar(&s.authority, "server-ca", "", "authority of the entry's certificate: PEM text or a file")
+	cmd.Flags().StringVar(&s.server, "server", "http://127.0.0.1:8081", "URL of a gateway's operators' API")
+	cmd.Flags().StringVar(&s.key, "operator-key", "", "key of the operator")
+	cmd.Flags().StringVar(&s.authority, "server-ca", "", "certificate authority of the gateway's certificate: PEM text or a file")
 	cmd.PreRunE = func(cmd *cobra.Command, _ []string) error {
 		c := settings.NewChecker(settings.FromEnvironment(cmd.Flags()))
 		c.URL("server", s.server)
-		c.Required("operator-key", "the key that an entry knows you by", s.key)
+		c.Required("operator-key", "the operator's key", s.key)
 		return c.Problems().Err()
 	}
 	return s
@@ -42,49 +42,51 @@
 	return operator.NewClient(operator.ClientConfig{URL: s.server, Key: s.key, Authority: s.authority})
 }
 
-// apply makes a change and prints the revision to wait for.
-func apply(cmd *cobra.Command, client *operator.Client, base config.Revision, sets ...config.Set) error {
+// applySets commits a change and prints the resulting revision, which can be passed to
+// the wait command.
+func applySets(cmd *cobra.Command, client *operator.Client, base config.Revision, sets ...config.Set) error {
 	revision, err := client.Apply(cmd.Context(), base, sets...)
 	if err != nil {
-		return explainChange(err)
+		return describeChangeError(err)
 	}
 	_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d\n", revision)
 	return err
 }
 
-// explainChange says in words what an operator is to make of a failed change.
-func explainChange(err error) error {
+// describeChangeError adds to err what the failure means for the config and what the
+// operator can do.
+func describeChangeError(err error) error {
 	switch {
 	case errors.Is(err, kumquatlug.ErrConflict):
-		return errors.Wrap(err, "conflict: somebody changed the same thing first, nothing was changed; look again")
+		return errors.Wrap(err, "conflict: the same key was changed concurrently, nothing was changed; check the current value and retry")
 	case errors.Is(err, kumquatlug.ErrDenied):
 		return errors.Wrap(err, "denied: nothing was changed")
 	case errors.Is(err, kumquatlug.ErrUnavailable):
-		return errors.Wrap(err, "unavailable: nothing was changed; try again later")
+		return errors.Wrap(err, "unavailable: nothing was changed; retry later")
 	default:
-		return errors.Wrap(err, "lost: the change may have taken effect; look with get, then try again")
+		return errors.Wrap(err, "lost: the change may have taken effect; check with the get command before retrying")
 	}
 }
 
-func newLabel() *cobra.Command {
+func newLabelCommand() *cobra.Command {
 	var remove bool
 	cmd := &cobra.Command{
 		Use:   "label TARGET name=value... name-...",
 		Short: "Set or remove labels of a target",
 		Args:  cobra.MinimumNArgs(1),
 		Example: `  kumquatlug label t1 pool=draft model=decree
-  kumquatlug label t1 leaving=true      # drain: no new work, what runs is finished
-  kumquatlug label t1 leaving-          # take it back
-  kumquatlug label t1 --delete          # forget a target that is gone for good`,
+  kumquatlug label t1 leaving=true      # drain: no new work, running requests finish
+  kumquatlug label t1 leaving-          # cancel the drain
+  kumquatlug label t1 --delete          # remove a decommissioned target`,
 	}
 	s := bindServer(cmd)
 	cmd.Flags().BoolVar(&remove, "delete", false, "remove all labels and the target's row")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if remove == (len(args) > 1) {
-			return errors.New("give labels to set or remove, or --delete alone")
+			return errors.New("specify either labels to set or remove, or --delete")
 		}
 		if remove {
-			return change(cmd, s, config.NewDelete(config.PrefixTarget+args[0]))
+			return changeKey(cmd, s, config.NewDelete(config.PrefixTarget+args[0]))
 		}
 		client, err := s.client()
 		if err != nil {
@@ -101,7 +103,7 @@
 		if err != nil {
 			return err
 		}
-		return apply(cmd, client, base, set)
+		return applySets(cmd, client, base, set)
 	}
 	return cmd
 }
@@ -141,13 +143,13 @@
 	return nil
 }
 
-func newSelector() *cobra.Command {
-	cmd := &cobra.Command{Use: "selector", Short: "Set or delete selectors: which targets take which work"}
-	cmd.AddCommand(newSelectorSet(), newSelectorDelete())
+func newSelectorCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "selector", Short: "Set or delete selectors, which assign work to targets"}
+	cmd.AddCommand(newSelectorSetCommand(), newSelectorDeleteCommand())
 	return cmd
 }
 
-func newSelectorSet() *cobra.Command {
+func newSelectorSetCommand() *cobra.Command {
 	var c selector.Config
 	var protocol, role string
 	var deadline int64
@@ -161,37 +163,37 @@
 	s := bindServer(cmd)
 	flags := cmd.Flags()
 	flags.StringVar(&protocol, "protocol", string(kumquatlug.ProtocolEngine), "engine or service")
-	flags.StringVar(&c.Kind, "kind", "", "model or service that callers ask for")
+	flags.StringVar(&c.Kind, "kind", "", "model or service that callers request")
 	flags.StringVar(&role, "role", "", "both, prefill or decode for engines; serve for services")
 	flags.StringVar(&c.Match, "match", "", `expression over labels, as in "pool=draft,zone!=b,gpu,!old"; empty matches all`)
-	flags.BoolVar(&c.Repeatable, "repeatable", false, "every call of the service may run twice")
-	flags.Int64Var(&deadline, "deadline-ms", 0, "time of a call whose caller names none; 0 means two minutes")
-	flags.IntVar(&c.Priority, "priority", 0, "-2 to 2; higher goes first")
+	flags.BoolVar(&c.Repeatable, "repeatable", false, "calls of the service are idempotent and may be retried")
+	flags.Int64Var(&deadline, "deadline-ms", 0, "timeout of calls without one of their own, in milliseconds; 0 means two minutes")
+	flags.IntVar(&c.Priority, "priority", 0, "-2 to 2; higher values are served first")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		c.Name, c.Protocol, c.Role = args[0], kumquatlug.Protocol(protocol), kumquatlug.Role(role)
 		c.Deadline = kumquatlug.Millis(deadline)
 		if c.Role == "" {
-			c.Role = usualRole(c.Protocol)
+			c.Role = defaultRole(c.Protocol)
 		}
 		set, err := config.SetSelector(c)
 		if err != nil {
 			return errors.Mark(err, kumquatlug.ErrDenied)
 		}
-		return change(cmd, s, set)
+		return changeKey(cmd, s, set)
 	}
 	return cmd
 }
 
-func usualRole(protocol kumquatlug.Protocol) kumquatlug.Role {
+func defaultRole(protocol kumquatlug.Protocol) kumquatlug.Role {
 	if protocol == kumquatlug.ProtocolService {
 		return kumquatlug.RoleServe
 	}
 	return kumquatlug.RoleBoth
 }
 
-// change makes a change over the revision in force at the entry asked.
-func change(cmd *cobra.Command, s *serverSettings, set config.Set) error {
-	client, err := s.client()
+// changeKey commits set on top of the revision that the server applies.
+func changeKey(cmd *cobra.Command, server *serverSettings, set config.Set) error {
+	client, err := server.client()
 	if err != nil {
 		return err
 	}
@@ -199,38 +201,38 @@
 	if err != nil {
 		return err
 	}
-	return apply(cmd, client, base, set)
+	return applySets(cmd, client, base, set)
 }
 
-func newSelectorDelete() *cobra.Command {
+func newSelectorDeleteCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "delete NAME", Short: "Delete a selector", Args: cobra.ExactArgs(1), Example: "  kumquatlug selector delete drafting"}
 	s := bindServer(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		return change(cmd, s, config.NewDelete(config.PrefixSelector+args[0]))
+		return changeKey(cmd, s, config.NewDelete(config.PrefixSelector+args[0]))
 	}
 	return cmd
 }
 
-func newCaller() *cobra.Command {
-	cmd := &cobra.Command{Use: "caller", Short: "Add or delete callers' accounts"}
-	cmd.AddCommand(newCallerAdd(), newCallerDelete())
+func newCallerCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "caller", Short: "Add or delete client accounts"}
+	cmd.AddCommand(newCallerAddCommand(), newCallerDeleteCommand())
 	return cmd
 }
 
-func newCallerAdd() *cobra.Command {
+func newCallerAddCommand() *cobra.Command {
 	var c kumquatlug.CallerConfig
 	var key string
 	cmd := &cobra.Command{
 		Use:     "add NAME",
-		Short:   "Add an account, or give it a new key, and print the key once",
+		Short:   "Add a client account or replace its key, and print the key once",
 		Args:    cobra.ExactArgs(1),
 		Example: "  kumquatlug caller add portal --weight 4 --tokens-per-second 20000",
 	}
 	s := bindServer(cmd)
-	cmd.Flags().StringVar(&key, "key", "", "the account's key; empty makes a new one")
-	cmd.Flags().IntVar(&c.Weight, "weight", 1, "the account's part when callers compete")
-	cmd.Flags().Int64Var(&c.TokensPerSecond, "tokens-per-second", 0, "bound on estimated tokens a second; 0 sets none")
-	cmd.Flags().IntVar(&c.Concurrency, "concurrency", 0, "bound on requests in hand; 0 sets none")
+	cmd.Flags().StringVar(&key, "key", "", "key of the account; empty generates one")
+	cmd.Flags().IntVar(&c.Weight, "weight", 1, "weight of the account under contention")
+	cmd.Flags().Int64Var(&c.TokensPerSecond, "tokens-per-second", 0, "limit on estimated tokens per second; 0 for none")
+	cmd.Flags().IntVar(&c.Concurrency, "concurrency", 0, "limit on requests in flight; 0 for none")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if key == "" {
 			key = "klug-" + rand.Text()
@@ -240,7 +242,7 @@
 		if err != nil {
 			return errors.Mark(err, kumquatlug.ErrDenied)
 		}
-		if err := change(cmd, s, set); err != nil {
+		if err := changeKey(cmd, s, set); err != nil {
 			return err
 		}
 		_, err = fmt.Fprintf(cmd.OutOrStdout(), "key %s\n", key)
@@ -249,11 +251,11 @@
 	return cmd
 }
 
-func newCallerDelete() *cobra.Command {
-	cmd := &cobra.Command{Use: "delete NAME", Short: "Delete an account", Args: cobra.ExactArgs(1), Example: "  kumquatlug caller delete portal"}
+func newCallerDeleteCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "delete NAME", Short: "Delete a client account", Args: cobra.ExactArgs(1), Example: "  kumquatlug caller delete portal"}
 	s := bindServer(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		return change(cmd, s, config.NewDelete(config.PrefixCaller+args[0]))
+		return changeKey(cmd, s, config.NewDelete(config.PrefixCaller+args[0]))
 	}
 	return cmd
 }
--- a/cmd/kumquatlug/look.go
+++ b/cmd/kumquatlug/inspect.go
@@ -20,7 +20,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/config"
 )
 
-// formatTable and formatJSON are what -o takes.
+// formatTable and formatJSON are the values of the --output flag.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
@@ -30,8 +30,8 @@
 	return cmd.Flags().StringP("output", "o", formatTable, "table or json")
 }
 
-// table writes rows under a heading in aligned columns.
-func table(w io.Writer, rows [][]string) error {
+// writeTable writes rows in aligned columns. The first row is the heading.
+func writeTable(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		if _, err := fmt.Fprintln(t, strings.Join(row, "\t")); err != nil {
@@ -41,23 +41,23 @@
 	return t.Flush()
 }
 
-func printJSON(w io.Writer, value any) error {
+func writeJSON(w io.Writer, value any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(value)
 }
 
-// prefixes are the words that get takes for the usual keys.
-var prefixes = map[string]string{
+// keyPrefixes maps the argument names of the get command to key prefixes.
+var keyPrefixes = map[string]string{
 	"targets":   config.PrefixTarget,
 	"selectors": config.PrefixSelector,
 	"callers":   config.PrefixCaller,
 }
 
-func newGet() *cobra.Command {
+func newGetCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:       "get [targets|selectors|callers|PREFIX]",
-		Short:     "Print labels, selectors and accounts with the revision they stand at",
+		Short:     "Print labels, selectors and client accounts with their config revision",
 		Args:      cobra.MaximumNArgs(1),
 		ValidArgs: []string{"targets", "selectors", "callers"},
 		Example:   "  kumquatlug get targets\n  kumquatlug get selectors -o json",
@@ -68,8 +68,8 @@
 		prefix := ""
 		if len(args) > 0 {
 			prefix = args[0]
-			if known, ok := prefixes[prefix]; ok {
-				prefix = known
+			if keyPrefix, ok := keyPrefixes[prefix]; ok {
+				prefix = keyPrefix
 			}
 		}
 		client, err := s.client()
@@ -80,18 +80,18 @@
 		if err != nil {
 			return err
 		}
-		return printSets(cmd.OutOrStdout(), *output, sets, revision)
+		return writeSets(cmd.OutOrStdout(), *output, sets, revision)
 	}
 	return cmd
 }
 
-func printSets(w io.Writer, output string, sets []config.Set, revision config.Revision) error {
+func writeSets(w io.Writer, output string, sets []config.Set, revision config.Revision) error {
 	if output == formatJSON {
 		values := map[string]json.RawMessage{}
 		for _, s := range sets {
 			values[s.Key()] = s.Value()
 		}
-		return printJSON(w, struct {
+		return writeJSON(w, struct {
 			Revision config.Revision            `json:"revision"`
 			Rows     map[string]json.RawMessage `json:"rows"`
 		}{revision, values})
@@ -100,17 +100,17 @@
 	for _, s := range sets {
 		rows = append(rows, []string{s.Key(), string(s.Value())})
 	}
-	if err := table(w, rows); err != nil {
+	if err := writeTable(w, rows); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(w, "revision %d\n", revision)
 	return err
 }
 
-func newStatus() *cobra.Command {
+func newStatusCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "status",
-		Short:   "Print every node with its state and the config revision in force there",
+		Short:   "Print every node with its state and the config revision it applies",
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug status\n  kumquatlug status -o json",
 	}
@@ -126,14 +126,14 @@
 			return err
 		}
 		if *output == formatJSON {
-			return printJSON(cmd.OutOrStdout(), status)
+			return writeJSON(cmd.OutOrStdout(), status)
 		}
-		return printStatus(cmd.OutOrStdout(), status)
+		return writeStatus(cmd.OutOrStdout(), status)
 	}
 	return cmd
 }
 
-func printStatus(w io.Writer, status *peerv1.StatusResponse) error {
+func writeStatus(w io.Writer, status *peerv1.StatusResponse) error {
 	rows := [][]string{{"NAME", "ROLE", "ZONE", "STATE", "DOES", "REVISION", "RUNNING", "HEARTBEAT", "ADDRESS", "LABELS"}}
 	for _, n := range status.GetNodes() {
 		age := "-"
@@ -145,26 +145,26 @@
 			strconv.FormatInt(n.GetRunning(), 10), age, n.GetAddress(), n.GetLabels(),
 		})
 	}
-	if err := table(w, rows); err != nil {
+	if err := writeTable(w, rows); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(w, "revision %d\n", status.GetRevision())
 	return err
 }
 
-// waitLook is how often wait asks.
-const waitLook = 200 * time.Millisecond
+// statusPollInterval is the interval at which the wait command polls the status.
+const statusPollInterval = 200 * time.Millisecond
 
-func newWait() *cobra.Command {
+func newWaitCommand() *cobra.Command {
 	var timeout int64
 	cmd := &cobra.Command{
 		Use:     "wait REVISION",
-		Short:   "Wait until a config revision is in force on every node that answers",
+		Short:   "Wait until every node applies a config revision",
 		Args:    cobra.ExactArgs(1),
 		Example: "  kumquatlug label t1 leaving=true   # prints: revision 42\n  kumquatlug wait 42",
 	}
 	s := bindServer(cmd)
-	cmd.Flags().Int64Var(&timeout, "timeout-ms", int64(30*kumquatlug.Second), "how long to wait, in milliseconds")
+	cmd.Flags().Int64Var(&timeout, "timeout-ms", int64(30*kumquatlug.Second), "maximum time to wait, in milliseconds")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		revision, err := strconv.ParseInt(args[0], 10, 64)
 		if err != nil {
@@ -176,47 +176,47 @@
 		}
 		ctx, cancel := context.WithTimeout(cmd.Context(), kumquatlug.Millis(timeout).Duration())
 		defer cancel()
-		return waitFor(ctx, cmd.OutOrStdout(), client, revision)
+		return waitForRevision(ctx, cmd.OutOrStdout(), client, revision)
 	}
 	return cmd
 }
 
-func waitFor(ctx context.Context, w io.Writer, client *operator.Client, revision int64) error {
-	var behind []string
+func waitForRevision(ctx context.Context, w io.Writer, client *operator.Client, revision int64) error {
+	var outdated []string
 	for {
 		status, err := client.Status(ctx)
 		if err == nil {
-			behind = lagging(status, revision)
+			outdated = outdatedNodes(status, revision)
 		}
-		if err == nil && len(behind) == 0 {
+		if err == nil && len(outdated) == 0 {
 			_, err = fmt.Fprintf(w, "revision %d is in force on %d nodes\n", revision, len(status.GetNodes()))
 			return err
 		}
 		select {
-		case <-time.After(waitLook):
+		case <-time.After(statusPollInterval):
 		case <-ctx.Done():
-			return errors.Newf("revision %d is not in force on: %s", revision, strings.Join(behind, ", "))
+			return errors.Newf("revision %d is not in force on: %s", revision, strings.Join(outdated, ", "))
 		}
 	}
 }
 
-// lagging names the nodes that hold an older revision. Nodes that are gone or
-// cut off are named too, since nobody can say what is in force there.
-func lagging(status *peerv1.StatusResponse, revision int64) []string {
-	var behind []string
+// outdatedNodes describes the nodes that report an older revision. It includes nodes
+// that are down or unreachable, since the revision they apply is unknown.
+func outdatedNodes(status *peerv1.StatusResponse, revision int64) []string {
+	var outdated []string
 	for _, n := range status.GetNodes() {
 		if n.GetRevision() < revision {
-			behind = append(behind, fmt.Sprintf("%s (%s, revision %d)", n.GetName(), n.GetState(), n.GetRevision()))
+			outdated = append(outdated, fmt.Sprintf("%s (%s, revision %d)", n.GetName(), n.GetState(), n.GetRevision()))
 		}
 	}
-	return behind
+	return outdated
 }
 
-func newExplain() *cobra.Command {
+func newExplainCommand() *cobra.Command {
 	var protocol string
 	cmd := &cobra.Command{
 		Use:     "explain KIND",
-		Short:   "Say which targets may take a kind of work and why the others may not",
+		Short:   "Show which targets are eligible for a kind of work, and why the others are not",
 		Args:    cobra.ExactArgs(1),
 		Example: "  kumquatlug explain decree-draft\n  kumquatlug explain gazette --protocol service",
 	}
@@ -233,13 +233,13 @@
 			return err
 		}
 		if *output == formatJSON {
-			return printJSON(cmd.OutOrStdout(), answer)
+			return writeJSON(cmd.OutOrStdout(), answer)
 		}
 		rows := [][]string{{"TARGET", "TAKES IT", "SELECTOR", "WHY NOT"}}
 		for _, v := range answer.GetVerdicts() {
 			rows = append(rows, []string{v.GetTarget(), yesNo(v.GetEligible()), v.GetSelector(), v.GetReason()})
 		}
-		return table(cmd.OutOrStdout(), rows)
+		return writeTable(cmd.OutOrStdout(), rows)
 	}
 	return cmd
 }
@@ -251,16 +251,16 @@
 	return "no"
 }
 
-func newTimeline() *cobra.Command {
+func newTimelineCommand() *cobra.Command {
 	var request, format string
 	cmd := &cobra.Command{
 		Use:     "timeline",
-		Short:   "Print the events of all processes as one ordered line",
+		Short:   "Print the events of all processes in one ordered timeline",
 		Args:    cobra.NoArgs,
 		Example: "  kumquatlug timeline --request 01JD...\n  kumquatlug timeline --format trace > trace.json   # open in a trace viewer",
 	}
 	s := bindServer(cmd)
-	cmd.Flags().StringVar(&request, "request", "", "id of one request; empty means all events")
+	cmd.Flags().StringVar(&request, "request", "", "ID of a request; empty for the events of all requests")
 	cmd.Flags().StringVar(&format, "format", "text", "text, json or trace (Chrome trace format)")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		client, err := s.client()
--- a/cmd/kumquatlug/main.go
+++ b/cmd/kumquatlug/main.go
@@ -1,5 +1,5 @@
-// Command kumquatlug serves a fixed fleet of language-model engines and plain
-// services, and is the operators' tool for it.
+// Command kumquatlug runs the processes that serve a fixed fleet of language-model
+// engines and plain services, and provides the operators' commands for them.
 package main
 
 import (
@@ -15,20 +15,21 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// version is set by the linker at a release.
+// version is set by the linker in release builds.
 var version = "dev"
 
-// Exit codes beside 0 and 1, for scripts that drive the operators' commands.
+// Exit codes for scripts that run the operators' commands: 0 is success, 1 a failure
+// without a code of its own. After exitUnknownOutcome a change may have taken effect.
 const (
-	exitFailed   = 1
-	exitConflict = 3
-	exitDenied   = 4
-	exitLost     = 5
+	exitFailed         = 1
+	exitConflict       = 3
+	exitDenied         = 4
+	exitUnknownOutcome = 5
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := newRoot().ExecuteContext(ctx)
+	err := newRootCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "kumquatlug:", err)
@@ -43,22 +44,22 @@
 	case errors.Is(err, kumquatlug.ErrDenied):
 		return exitDenied
 	case errors.Is(err, kumquatlug.ErrLost):
-		return exitLost
+		return exitUnknownOutcome
 	default:
 		return exitFailed
 	}
 }
 
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "kumquatlug",
 		Short: "Serve a fixed fleet of language-model engines and plain services",
-		Long: `kumquatlug stands between callers and a fixed fleet of targets: language-model
-engines and plain services. "entry" runs on the VMs behind the balancer, "agent"
-beside each target; the other commands are for operators.
+		Long: `kumquatlug routes requests from callers to a fixed fleet of targets: language-model
+engines and plain services. "entry" runs a gateway on the VMs behind the load
+balancer, "agent" runs next to each target; the other commands are for operators.
 
-Every flag is also an environment variable: --peer-listen is
-KUMQUATLUG_PEER_LISTEN. A flag goes before its variable.`,
+Every flag can be set by an environment variable: --peer-listen is
+KUMQUATLUG_PEER_LISTEN. A flag overrides its variable.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -69,14 +70,14 @@
 			root.AddCommand(c)
 		}
 	}
-	add("run", newFront(), newEntry(), newAgent(), newDev())
-	add("operate", newLabel(), newSelector(), newCaller(), newGet(), newStatus(), newWait(), newExplain(),
-		newTimeline(), newStory(), newLosses(), newCheck(), newCerts())
-	root.AddCommand(newVMs(), newVersion())
+	add("run", newFrontCommand(), newEntryCommand(), newAgentCommand(), newDevCommand())
+	add("operate", newLabelCommand(), newSelectorCommand(), newCallerCommand(), newGetCommand(), newStatusCommand(), newWaitCommand(), newExplainCommand(),
+		newTimelineCommand(), newStoryCommand(), newLossesCommand(), newCheckCommand(), newCertsCommand())
+	root.AddCommand(newVMsCommand(), newVersionCommand())
 	return root
 }
 
-func newVersion() *cobra.Command {
+func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -8,14 +8,14 @@
 	"github.com/leanovate/gopter/commands"
 )
 
-func TestPostCondition(t *testing.T) {
+func TestPostConditionStatus(t *testing.T) {
 	cases := map[string]struct {
 		result commands.Result
 		want   interface{}
 	}{
-		"nothing":      {nil, gopter.PropTrue},
-		"empty text":   {"", gopter.PropTrue},
-		"text":         {"two holders", gopter.PropFalse},
+		"nil":          {nil, gopter.PropTrue},
+		"empty string": {"", gopter.PropTrue},
+		"string":       {"two holders", gopter.PropFalse},
 		"error":        {errors.New("two holders"), gopter.PropError},
 		"another type": {7, gopter.PropError},
 	}
@@ -26,18 +26,18 @@
 	}
 }
 
-func TestParameters(t *testing.T) {
-	t.Setenv(seedVariable, "")
-	t.Setenv(runsVariable, "")
+func TestParametersFromConfigAndEnvironment(t *testing.T) {
+	t.Setenv(seedEnv, "")
+	t.Setenv(runsEnv, "")
 	c := Config{Seed: 5, Runs: 300, Steps: 40}
-	p := parameters(t, c)
+	p := newParameters(t, c)
 	if p.Seed() != 5 || p.MinSuccessfulTests != 300 || p.MinSize != 40 || p.MaxSize != 40 || p.Workers != 1 {
-		t.Errorf("usual parameters: %+v", p)
+		t.Errorf("parameters from the config: %+v", p)
 	}
-	t.Setenv(seedVariable, "77")
-	t.Setenv(runsVariable, "10000")
-	p = parameters(t, c)
+	t.Setenv(seedEnv, "77")
+	t.Setenv(runsEnv, "10000")
+	p = newParameters(t, c)
 	if p.Seed() != 77 || p.MinSuccessfulTests != 10000 || p.MinSize != 40 || p.MaxSize != 40 {
-		t.Errorf("parameters of the environment: %+v", p)
+		t.Errorf("parameters from the environment: %+v", p)
 	}
 }
