--- a/internal/experiment/swing/bound.go
+++ b/internal/experiment/swing/bound.go
@@ -10,45 +10,47 @@
 //
 // It is no figure to be reached. A day that comes near it is limited by the
 // engines, one that stays far below by what is decided, cached or lost.
-func Bound(s Sheet, load []Span, seed uint64) float64 {
-	requests := draw(s, load, seed)
-	free := make([]float64, len(load)+int(s.StreamDeadline/spanLength))
-	for i := range free {
-		free[i] = float64(s.Engines) * float64(spanLength)
+func Bound(config Sheet, load []Span, seed uint64) float64 {
+	requests := generateRequests(config, load, seed)
+	freeTime := make([]float64, len(load)+int(config.StreamDeadline/intervalLength))
+	for i := range freeTime {
+		freeTime[i] = float64(config.Engines) * float64(intervalLength)
 	}
-	type work struct {
-		r    *request
-		time float64
+	type workItem struct {
+		request    *request
+		engineTime float64
 	}
-	all := make([]work, len(requests))
-	owed, earned := 0.0, 0.0
+	items := make([]workItem, len(requests))
+	offeredValue, earnedValue := 0.0, 0.0
 	for i, r := range requests {
-		all[i] = work{r: r, time: leastTime(s, r)}
-		owed += r.worth
+		items[i] = workItem{request: r, engineTime: minEngineTime(config, r)}
+		offeredValue += r.value
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].r.worth*all[j].time > all[j].r.worth*all[i].time })
-	for _, w := range all {
-		at := int(w.r.arrives / spanLength)
-		last := at
-		if w.r.stream {
-			last = at + int(s.StreamDeadline/spanLength) - 1
+	sort.SliceStable(items, func(i, j int) bool {
+		return items[i].request.value*items[j].engineTime > items[j].request.value*items[i].engineTime
+	})
+	for _, item := range items {
+		first := int(item.request.arrivesAt / intervalLength)
+		last := first
+		if item.request.stream {
+			last = first + int(config.StreamDeadline/intervalLength) - 1
 		}
-		left := w.time
-		for k := at; k <= last && left > 0; k++ {
-			used := min(free[k], left)
-			free[k] -= used
-			left -= used
+		remaining := item.engineTime
+		for interval := first; interval <= last && remaining > 0; interval++ {
+			used := min(freeTime[interval], remaining)
+			freeTime[interval] -= used
+			remaining -= used
 		}
-		if left < w.time/2 {
-			earned += w.r.worth
+		if remaining < item.engineTime/2 {
+			earnedValue += item.request.value
 		}
 	}
-	return earned / owed
+	return earnedValue / offeredValue
 }
 
-// leastTime is the engine time that a request needs at least, in ms.
-func leastTime(s Sheet, r *request) float64 {
-	batch := float64(s.Slots)
-	step := s.Step + s.PerStream*batch
-	return readTime(s, r.own, r.prompt.Input()-r.own, s.ReadRate) + float64(r.output)*step/batch
+// minEngineTime is the engine time that a request needs at least, in ms.
+func minEngineTime(config Sheet, r *request) float64 {
+	batch := float64(config.Slots)
+	stepTime := config.Step + config.PerStream*batch
+	return prefillTime(config, r.uniqueTokens, r.prompt.Input()-r.uniqueTokens, config.ReadRate) + float64(r.outputTokens)*stepTime/batch
 }
--- a/internal/experiment/swing/doc.go
+++ b/internal/experiment/swing/doc.go
@@ -18,8 +18,8 @@
 	Streams   int
 }
 
-// spanLength is how long a [Span] lasts.
-const spanLength = 2 * kumquatlug.Second
+// intervalLength is how long a [Span] lasts.
+const intervalLength = 2 * kumquatlug.Second
 
 // Sheet holds a site's figures. Its zero value stands for nothing; take
 // [UserSites] or [LargeSite].
--- a/internal/experiment/swing/engine.go
+++ b/internal/experiment/swing/engine.go
@@ -8,184 +8,184 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// job is one attempt at an engine.
-type job struct {
-	request *request
-	front   int
-	ticket  *placement.Ticket
-	apart   bool
-	place   placement.Place
-	// left is what is to be read in ms, until the prompt is read.
-	left float64
-	read bool
+// attempt is one attempt at an engine.
+type attempt struct {
+	request     *request
+	gateway     int
+	ticket      *placement.Ticket
+	prefillOnly bool
+	reservation placement.Place
+	// prefillLeft is what is to be read in ms, until the prompt is read.
+	prefillLeft float64
+	prefilled   bool
 	// endStep is the step of the batch with which it ends; while it waits, the
 	// steps that it still needs, zero for all.
-	endStep float64
-	started bool
+	endStep       float64
+	outputStarted bool
 }
 
 // engine is one model engine.
 type engine struct {
-	sheet Sheet
-	role  kumquatlug.Role
-	// changing is when a change of role is done, zero for none; next its role.
-	changing kumquatlug.Millis
-	next     kumquatlug.Role
-	reading  []*job
-	waiting  []*job
-	running  []*job
-	steps    float64
-	// tokens are what running requests have in memory.
-	tokens int
-	// kept are the cached parts, the last used in front.
-	kept *list.List
-	// arrivals are the requests that came while it named a limit.
-	arrivals []arrivalAt
-	where    map[string]*list.Element
-	size     int
+	config Sheet
+	role   kumquatlug.Role
+	// roleChangeUntil is when a change of role is done, zero for none; next its role.
+	roleChangeUntil kumquatlug.Millis
+	nextRole        kumquatlug.Role
+	prefilling      []*attempt
+	waiting         []*attempt
+	running         []*attempt
+	decodeSteps     float64
+	// runningTokens are what running requests have in memory.
+	runningTokens int
+	// cacheOrder are the cached parts, the last used in front.
+	cacheOrder *list.List
+	// limitedArrivals are the requests that came while it named a limit.
+	limitedArrivals []limitedArrival
+	cacheIndex      map[string]*list.Element
+	cachedTokens    int
 }
 
-// part is a cached part of prompts.
-type part struct {
+// cachedPart is a cached part of prompts.
+type cachedPart struct {
 	id     string
 	tokens int
 }
 
-func newEngine(s Sheet, role kumquatlug.Role) *engine {
-	return &engine{sheet: s, role: role, kept: list.New(), where: map[string]*list.Element{}}
+func newEngine(config Sheet, role kumquatlug.Role) *engine {
+	return &engine{config: config, role: role, cacheOrder: list.New(), cacheIndex: map[string]*list.Element{}}
 }
 
-// readTime is how long an engine reads a prompt of which it has held tokens.
-func readTime(s Sheet, fresh, held int, rate float64) float64 {
-	pairs := float64(fresh) * (float64(held) + float64(fresh)/2) / 1e6
-	pieces := float64((fresh + s.Piece - 1) / s.Piece)
-	return float64(fresh)/rate + pairs*s.PairTime + pieces*s.Step
+// prefillTime is how long an engine reads a prompt of which it has held tokens.
+func prefillTime(config Sheet, uncached, cached int, rate float64) float64 {
+	pairs := float64(uncached) * (float64(cached) + float64(uncached)/2) / 1e6
+	chunks := float64((uncached + config.Piece - 1) / config.Piece)
+	return float64(uncached)/rate + pairs*config.PairTime + chunks*config.Step
 }
 
-// hold takes the parts of a prompt into the cache and returns how many tokens of
+// cachePrompt takes the parts of a prompt into the cache and returns how many tokens of
 // it were there.
-func (e *engine) hold(p kumquatlug.Prompt) int {
-	held, whole := 0, true
-	for _, one := range p.Parts() {
-		at, there := e.where[one.ID()]
-		if there {
-			e.kept.MoveToFront(at)
-			if whole {
-				held += one.Tokens()
+func (e *engine) cachePrompt(p kumquatlug.Prompt) int {
+	cached, hit := 0, true
+	for _, part := range p.Parts() {
+		element, found := e.cacheIndex[part.ID()]
+		if found {
+			e.cacheOrder.MoveToFront(element)
+			if hit {
+				cached += part.Tokens()
 			}
 			continue
 		}
-		whole = false
-		e.where[one.ID()] = e.kept.PushFront(part{id: one.ID(), tokens: one.Tokens()})
-		e.size += one.Tokens()
+		hit = false
+		e.cacheIndex[part.ID()] = e.cacheOrder.PushFront(cachedPart{id: part.ID(), tokens: part.Tokens()})
+		e.cachedTokens += part.Tokens()
 	}
-	for e.size+e.tokens > e.sheet.Memory && e.kept.Len() > 0 {
-		last := e.kept.Back()
-		gone := e.kept.Remove(last).(part)
-		delete(e.where, gone.id)
-		e.size -= gone.tokens
+	for e.cachedTokens+e.runningTokens > e.config.Memory && e.cacheOrder.Len() > 0 {
+		oldest := e.cacheOrder.Back()
+		evicted := e.cacheOrder.Remove(oldest).(cachedPart)
+		delete(e.cacheIndex, evicted.id)
+		e.cachedTokens -= evicted.tokens
 	}
-	return held
+	return cached
 }
 
-// take accepts an attempt, or refuses it while the engine does something else.
-func (e *engine) take(j *job) bool {
-	if e.changing != 0 || j.apart != (e.role == kumquatlug.RolePrefill) {
+// accept accepts an attempt, or refuses it while the engine does something else.
+func (e *engine) accept(a *attempt) bool {
+	if e.roleChangeUntil != 0 || a.prefillOnly != (e.role == kumquatlug.RolePrefill) {
 		return false
 	}
-	if j.apart {
-		held := e.hold(j.request.prompt)
-		j.left = readTime(e.sheet, max(j.request.prompt.Input()-held, 1), held, e.sheet.ReadRate)
-		e.reading = append(e.reading, j)
+	if a.prefillOnly {
+		cached := e.cachePrompt(a.request.prompt)
+		a.prefillLeft = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.ReadRate)
+		e.prefilling = append(e.prefilling, a)
 		return true
 	}
-	if !j.read {
-		held := e.hold(j.request.prompt)
-		j.left = readTime(e.sheet, max(j.request.prompt.Input()-held, 1), held, e.sheet.ReadRate/2)
+	if !a.prefilled {
+		cached := e.cachePrompt(a.request.prompt)
+		a.prefillLeft = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.ReadRate/2)
 	}
-	e.waiting = append(e.waiting, j)
+	e.waiting = append(e.waiting, a)
 	return true
 }
 
-// load returns what the engine says of its load.
-func (e *engine) load() kumquatlug.WorkerLoad {
-	return kumquatlug.NewWorkerLoad(len(e.reading)+len(e.running), len(e.waiting), e.sheet.Slots)
+// reportedLoad returns what the engine says of its load.
+func (e *engine) reportedLoad() kumquatlug.WorkerLoad {
+	return kumquatlug.NewWorkerLoad(len(e.prefilling)+len(e.running), len(e.waiting), e.config.Slots)
 }
 
 // stepTime is how long a step of the batch takes now, in ms.
 func (e *engine) stepTime() float64 {
-	return e.sheet.Step + e.sheet.PerStream*float64(len(e.running)) + e.sheet.PerToken*float64(e.tokens)/1000
+	return e.config.Step + e.config.PerStream*float64(len(e.running)) + e.config.PerToken*float64(e.runningTokens)/1000
 }
 
 // advance plays one ms and returns the attempts that showed their first output
 // and those that ended.
-func (e *engine) advance(now kumquatlug.Millis) (first, ended []*job) {
-	if e.changing != 0 && now >= e.changing {
-		e.role, e.changing = e.next, 0
+func (e *engine) advance(now kumquatlug.Millis) (first, ended []*attempt) {
+	if e.roleChangeUntil != 0 && now >= e.roleChangeUntil {
+		e.role, e.roleChangeUntil = e.nextRole, 0
 	}
-	spent := 0.0
-	for len(e.reading) > 0 && spent < 1 {
-		j := e.reading[0]
-		used := min(1-spent, j.left)
-		j.left -= used
-		spent += used
-		if j.left > 0 {
+	elapsed := 0.0
+	for len(e.prefilling) > 0 && elapsed < 1 {
+		a := e.prefilling[0]
+		used := min(1-elapsed, a.prefillLeft)
+		a.prefillLeft -= used
+		elapsed += used
+		if a.prefillLeft > 0 {
 			break
 		}
-		e.reading = e.reading[1:]
-		ended = append(ended, j)
+		e.prefilling = e.prefilling[1:]
+		ended = append(ended, a)
 	}
-	ended = append(ended, e.giveUp(now)...)
+	ended = append(ended, e.dropAbandoned(now)...)
 	e.admit()
 	if len(e.running) == 0 {
 		return first, ended
 	}
 	steps := 1 / e.stepTime()
-	e.steps += steps
-	e.tokens += int(steps * float64(len(e.running)))
-	left := e.running[:0]
-	for _, j := range e.running {
+	e.decodeSteps += steps
+	e.runningTokens += int(steps * float64(len(e.running)))
+	remaining := e.running[:0]
+	for _, a := range e.running {
 		switch {
-		case j.left > 0:
+		case a.prefillLeft > 0:
 			// Its prompt is read between the steps of the others.
-			j.left--
-			j.endStep += steps
-		case !j.started:
-			j.started = true
-			first = append(first, j)
+			a.prefillLeft--
+			a.endStep += steps
+		case !a.outputStarted:
+			a.outputStarted = true
+			first = append(first, a)
 		}
-		if j.endStep <= e.steps {
-			e.tokens -= j.request.own + j.request.output
-			ended = append(ended, j)
+		if a.endStep <= e.decodeSteps {
+			e.runningTokens -= a.request.uniqueTokens + a.request.outputTokens
+			ended = append(ended, a)
 			continue
 		}
-		left = append(left, j)
+		remaining = append(remaining, a)
 	}
-	e.running = left
-	e.tokens = max(e.tokens, 0)
+	e.running = remaining
+	e.runningTokens = max(e.runningTokens, 0)
 	return first, ended
 }
 
-// giveUp drops the attempts whose clients have left.
-func (e *engine) giveUp(now kumquatlug.Millis) []*job {
-	var gone []*job
-	left := func(j *job) bool {
-		if now < j.request.arrives+j.request.until {
+// dropAbandoned drops the attempts whose clients have left.
+func (e *engine) dropAbandoned(now kumquatlug.Millis) []*attempt {
+	var dropped []*attempt
+	drop := func(a *attempt) bool {
+		if now < a.request.arrivesAt+a.request.timeout {
 			return false
 		}
-		j.request.lost = true
-		gone = append(gone, j)
+		a.request.abandoned = true
+		dropped = append(dropped, a)
 		return true
 	}
-	e.waiting = slices.DeleteFunc(e.waiting, left)
-	e.running = slices.DeleteFunc(e.running, func(j *job) bool {
-		if !left(j) {
+	e.waiting = slices.DeleteFunc(e.waiting, drop)
+	e.running = slices.DeleteFunc(e.running, func(a *attempt) bool {
+		if !drop(a) {
 			return false
 		}
-		e.tokens -= j.request.own + j.request.output - int(max(j.endStep-e.steps, 0))
+		e.runningTokens -= a.request.uniqueTokens + a.request.outputTokens - int(max(a.endStep-e.decodeSteps, 0))
 		return true
 	})
-	return gone
+	return dropped
 }
 
 // admit gives waiting attempts their slots, documents before streams. A document
@@ -193,30 +193,30 @@
 // later.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 {
-		at := e.nextWaiting()
-		j := e.waiting[at]
-		full := len(e.running) >= e.sheet.Slots || e.tokens+j.request.own > e.sheet.Memory
-		if full && (j.request.stream || !e.preempt()) {
+		index := e.nextWaiting()
+		a := e.waiting[index]
+		full := len(e.running) >= e.config.Slots || e.runningTokens+a.request.uniqueTokens > e.config.Memory
+		if full && (a.request.stream || !e.preempt()) {
 			return
 		}
 		if full {
 			continue
 		}
-		e.waiting = slices.Delete(e.waiting, at, at+1)
-		if j.endStep == 0 {
-			j.endStep = float64(j.request.output)
+		e.waiting = slices.Delete(e.waiting, index, index+1)
+		if a.endStep == 0 {
+			a.endStep = float64(a.request.outputTokens)
 		}
-		j.endStep += e.steps
-		e.tokens += j.request.own + j.request.output - int(j.endStep-e.steps)
-		e.running = append(e.running, j)
+		a.endStep += e.decodeSteps
+		e.runningTokens += a.request.uniqueTokens + a.request.outputTokens - int(a.endStep-e.decodeSteps)
+		e.running = append(e.running, a)
 	}
 }
 
 // nextWaiting returns the index of the first document that waits, else of the
 // first stream.
 func (e *engine) nextWaiting() int {
-	for i, j := range e.waiting {
-		if !j.request.stream {
+	for i, a := range e.waiting {
+		if !a.request.stream {
 			return i
 		}
 	}
@@ -226,14 +226,14 @@
 // preempt puts the newest stream back, and reports false when there is none.
 func (e *engine) preempt() bool {
 	for i := len(e.running) - 1; i >= 0; i-- {
-		j := e.running[i]
-		if !j.request.stream {
+		a := e.running[i]
+		if !a.request.stream {
 			continue
 		}
 		e.running = slices.Delete(e.running, i, i+1)
-		j.endStep -= e.steps
-		e.tokens -= j.request.own + j.request.output - int(j.endStep)
-		e.waiting = slices.Insert(e.waiting, 0, j)
+		a.endStep -= e.decodeSteps
+		e.runningTokens -= a.request.uniqueTokens + a.request.outputTokens - int(a.endStep)
+		e.waiting = slices.Insert(e.waiting, 0, a)
 		return true
 	}
 	return false
--- a/internal/experiment/swing/limits.go
+++ b/internal/experiment/swing/limits.go
@@ -15,77 +15,77 @@
 
 // What the users' rules allow an engine that names a limit.
 const (
-	limitNotice = 3 * kumquatlug.Second
-	limitSpan   = 4 * kumquatlug.Second
-	limitHeard  = 500 * kumquatlug.Millis(1)
-	limitFactor = 1.5
-	limitExtra  = 5
+	limitGracePeriod  = 3 * kumquatlug.Second
+	limitWindow       = 4 * kumquatlug.Second
+	limitReactionTime = 500 * kumquatlug.Millis(1)
+	limitTolerance    = 1.5
+	limitBurst        = 5
 )
 
-// hearing is a front that hears of an engine's limit.
-type hearing struct {
-	front  int
-	engine *engine
+// gatewayEngine is a front that hears of an engine's limit.
+type gatewayEngine struct {
+	gateway int
+	engine  *engine
 }
 
-// arrivalAt is a request that counts towards a limit.
-type arrivalAt struct {
+// limitedArrival is a request that counts towards a limit.
+type limitedArrival struct {
 	at        kumquatlug.Millis
 	perSecond float64
 }
 
-// sharesOf returns the shares of a front that has counted all.
-func sharesOf(i int, s Sheet) *ratelimit.Shares {
-	shares := ratelimit.NewShares(frontName(i))
-	names := make([]string, s.Fronts)
-	for k := range names {
-		names[k] = frontName(k)
+// newShares returns the shares of a front that has counted all.
+func newShares(i int, config Sheet) *ratelimit.Shares {
+	shares := ratelimit.NewShares(gatewayName(i))
+	names := make([]string, config.Fronts)
+	for j := range names {
+		names[j] = gatewayName(j)
 	}
 	shares.Meet(names)
 	return shares
 }
 
-// limitOf returns what an engine says of its limit.
-func (w *site) limitOf(now kumquatlug.Millis, e *engine) (Limit, kumquatlug.RateLimit) {
-	for _, l := range w.limits {
-		if w.engines[l.Engine] == e && now >= l.From && now < l.Until {
+// currentLimit returns what an engine says of its limit.
+func (sim *simulation) currentLimit(now kumquatlug.Millis, e *engine) (Limit, kumquatlug.RateLimit) {
+	for _, l := range sim.limits {
+		if sim.engines[l.Engine] == e && now >= l.From && now < l.Until {
 			return l, kumquatlug.NewRateLimit(l.PerSecond)
 		}
 	}
 	return Limit{}, kumquatlug.NoRateLimit()
 }
 
-// tellLimit tells a front what the engine of an attempt says of its limit.
-func (w *site) tellLimit(now kumquatlug.Millis, j *job) {
-	e := w.names[j.ticket.Worker()]
-	_, says := w.limitOf(now, e)
-	w.fronts[j.front].Limited(now, j.ticket, says, true)
-	h := hearing{front: j.front, engine: e}
-	if _, heard := w.heard[h]; says.Named() && !heard {
-		w.heard[h] = now
+// recordLimit tells a front what the engine of an attempt says of its limit.
+func (sim *simulation) recordLimit(now kumquatlug.Millis, a *attempt) {
+	e := sim.engineByName[a.ticket.Worker()]
+	_, advertised := sim.currentLimit(now, e)
+	sim.gateways[a.gateway].Limited(now, a.ticket, advertised, true)
+	key := gatewayEngine{gateway: a.gateway, engine: e}
+	if _, seen := sim.limitSeenAt[key]; advertised.Named() && !seen {
+		sim.limitSeenAt[key] = now
 	}
 }
 
-// noteArrival notes a request that counts towards its engine's limit.
-func (w *site) noteArrival(now kumquatlug.Millis, e *engine, j *job) {
-	l, says := w.limitOf(now, e)
-	heard, told := w.heard[hearing{front: j.front, engine: e}]
-	if says.Named() && told && now >= heard+limitHeard && now >= l.From+limitNotice {
-		e.arrivals = append(e.arrivals, arrivalAt{at: now, perSecond: l.PerSecond})
+// recordArrival notes a request that counts towards its engine's limit.
+func (sim *simulation) recordArrival(now kumquatlug.Millis, e *engine, a *attempt) {
+	l, advertised := sim.currentLimit(now, e)
+	seenAt, seen := sim.limitSeenAt[gatewayEngine{gateway: a.gateway, engine: e}]
+	if advertised.Named() && seen && now >= seenAt+limitReactionTime && now >= l.From+limitGracePeriod {
+		e.limitedArrivals = append(e.limitedArrivals, limitedArrival{at: now, perSecond: l.PerSecond})
 	}
 }
 
-// excess is by how many requests the worst span is above what its limit allows, zero
+// maxExcess is by how many requests the worst span is above what its limit allows, zero
 // for none.
-func (w *site) excess() float64 {
+func (sim *simulation) maxExcess() float64 {
 	worst := 0.0
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		first := 0
-		for last, a := range e.arrivals {
-			for a.at-e.arrivals[first].at >= limitSpan {
+		for last, arrival := range e.limitedArrivals {
+			for arrival.at-e.limitedArrivals[first].at >= limitWindow {
 				first++
 			}
-			allowed := limitFactor*e.arrivals[first].perSecond*limitSpan.Duration().Seconds() + limitExtra
+			allowed := limitTolerance*e.limitedArrivals[first].perSecond*limitWindow.Duration().Seconds() + limitBurst
 			worst = max(worst, float64(last-first+1)-allowed)
 		}
 	}
--- a/internal/experiment/swing/load.go
+++ b/internal/experiment/swing/load.go
@@ -11,104 +11,104 @@
 
 // request is one request of a client.
 type request struct {
-	arrives kumquatlug.Millis
-	front   int
-	stream  bool
-	prompt  kumquatlug.Prompt
-	// own is how many tokens of the prompt no other request shares, output how
+	arrivesAt kumquatlug.Millis
+	gateway   int
+	stream    bool
+	prompt    kumquatlug.Prompt
+	// uniqueTokens is how many tokens of the prompt no other request shares, output how
 	// many tokens it will generate.
-	own, output int
-	// worth is what it is worth in time, late what it is worth late, credit the former
+	uniqueTokens, outputTokens int
+	// value is what it is worth in time, late what it is worth late, credit the former
 	// beside the mean one of its kind.
-	worth, late, credit float64
-	aim, until          kumquatlug.Millis
-	// again counts the times that the client came back.
-	again int
-	// firstAt is when its first output came, zero for never.
-	firstAt kumquatlug.Millis
-	done    bool
-	// lost says that its client left before its end.
-	lost bool
+	value, lateValue, relativeValue float64
+	ttftTarget, timeout             kumquatlug.Millis
+	// retries counts the times that the client came back.
+	retries int
+	// firstOutputAt is when its first output came, zero for never.
+	firstOutputAt kumquatlug.Millis
+	done          bool
+	// abandoned says that its client left before its end.
+	abandoned bool
 }
 
 // Sizes of requests in tokens, as the users' sheets give them: means, coefficients
 // of variation, and bounds.
 const (
-	ownMean, ownSpread, ownMost       = 2890.0, 1.0, 39_600.0
-	topMean, topThings                = 2520.0, 4
-	chainMean, chainSpread, chainMost = 3780.0, 0.7, 11_300.0
-	answersMean, answersSpread        = 1.5, 1.4
-	answersMost                       = 6.0
-	streamPrompt, streamShared        = 141, 79
-	eventsMean, eventsSpread          = 89.2, 0.84
-	eventsMost                        = 211.0
-	usualEvents                       = 89
-	// baseCredit is the part of a request's worth that doesn't grow with its size,
-	// mostCredit the multiple of its worth that a large one has at most.
-	baseCredit, mostCredit = 0.3, 4.0
+	uniqueTokensMean, uniqueTokensCV, uniqueTokensMax = 2890.0, 1.0, 39_600.0
+	rootTokens, rootCount                             = 2520.0, 4
+	chainTokensMean, chainTokensCV, chainTokensMax    = 3780.0, 0.7, 11_300.0
+	documentEventsMean, documentEventsCV              = 1.5, 1.4
+	documentEventsMax                                 = 6.0
+	streamUniqueTokens, streamSharedTokens            = 141, 79
+	streamEventsMean, streamEventsCV                  = 89.2, 0.84
+	streamEventsMax                                   = 211.0
+	streamEventsTypical                               = 89
+	// fixedValueShare is the part of a request's worth that doesn't grow with its size,
+	// maxRelativeValue the multiple of its worth that a large one has at most.
+	fixedValueShare, maxRelativeValue = 0.3, 4.0
 )
 
 // lognormal draws with a mean, a coefficient of variation and a bound.
-func lognormal(r *rand.Rand, mean, spread, most float64) float64 {
-	variance := math.Log(1 + spread*spread)
-	return min(math.Exp(math.Log(mean)-variance/2+math.Sqrt(variance)*r.NormFloat64()), most)
+func lognormal(random *rand.Rand, mean, cv, upperBound float64) float64 {
+	variance := math.Log(1 + cv*cv)
+	return min(math.Exp(math.Log(mean)-variance/2+math.Sqrt(variance)*random.NormFloat64()), upperBound)
 }
 
-// draw returns the requests of a load in the order of their arrival.
-func draw(s Sheet, load []Span, seed uint64) []*request {
-	r := rand.New(rand.NewPCG(seed, 1))
-	chains := make([]int, s.Things)
+// generateRequests returns the requests of a load in the order of their arrival.
+func generateRequests(config Sheet, load []Span, seed uint64) []*request {
+	random := rand.New(rand.NewPCG(seed, 1))
+	chains := make([]int, config.Things)
 	for i := range chains {
-		chains[i] = int(lognormal(r, chainMean, chainSpread, chainMost))
+		chains[i] = int(lognormal(random, chainTokensMean, chainTokensCV, chainTokensMax))
 	}
-	var all []*request
-	for at, span := range load {
-		begin := kumquatlug.Millis(at) * spanLength
-		for range span.Documents {
-			all = append(all, document(s, r, begin, chains))
+	var requests []*request
+	for index, interval := range load {
+		begin := kumquatlug.Millis(index) * intervalLength
+		for range interval.Documents {
+			requests = append(requests, newDocument(config, random, begin, chains))
 		}
-		for range span.Streams {
-			all = append(all, stream(s, r, begin))
+		for range interval.Streams {
+			requests = append(requests, newStream(config, random, begin))
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].arrives < all[j].arrives })
-	return all
+	sort.SliceStable(requests, func(i, j int) bool { return requests[i].arrivesAt < requests[j].arrivesAt })
+	return requests
 }
 
-func arrival(r *rand.Rand, begin kumquatlug.Millis) kumquatlug.Millis {
-	return begin + kumquatlug.Millis(r.Int64N(int64(spanLength)))
+func arrivalTime(random *rand.Rand, begin kumquatlug.Millis) kumquatlug.Millis {
+	return begin + kumquatlug.Millis(random.Int64N(int64(intervalLength)))
 }
 
-// output is the tokens of so many events. The first event comes with the first
+// outputTokens is the tokens of so many events. The first event comes with the first
 // token, each other one s.Event tokens later.
-func output(s Sheet, events float64) int { return max(int(events)-1, 0)*s.Event + 1 }
+func outputTokens(config Sheet, events float64) int { return max(int(events)-1, 0)*config.Event + 1 }
 
-func document(s Sheet, r *rand.Rand, begin kumquatlug.Millis, chains []int) *request {
+func newDocument(config Sheet, random *rand.Rand, begin kumquatlug.Millis, chains []int) *request {
 	// A skew of 0.3 makes the first chains somewhat more frequent.
-	thing := int(float64(len(chains)) * math.Pow(r.Float64(), 1/(1-0.3)))
-	own := max(int(lognormal(r, ownMean, ownSpread, ownMost)), 1)
-	shared := int(topMean) + chains[thing]
+	chain := int(float64(len(chains)) * math.Pow(random.Float64(), 1/(1-0.3)))
+	unique := max(int(lognormal(random, uniqueTokensMean, uniqueTokensCV, uniqueTokensMax)), 1)
+	shared := int(rootTokens) + chains[chain]
 	prompt := kumquatlug.NewPrompt([]kumquatlug.Part{
-		kumquatlug.NewPart(fmt.Sprint("top", thing%topThings), int(topMean)),
-		kumquatlug.NewPart(fmt.Sprint("chain", thing), chains[thing]),
-		kumquatlug.NewPart(fmt.Sprint("own", r.Uint64()), own),
-	}, shared+own, 2*s.Event)
-	credit := min(baseCredit+(1-baseCredit)*float64(shared+own)/(topMean+chainMean+ownMean), mostCredit)
+		kumquatlug.NewPart(fmt.Sprint("top", chain%rootCount), int(rootTokens)),
+		kumquatlug.NewPart(fmt.Sprint("chain", chain), chains[chain]),
+		kumquatlug.NewPart(fmt.Sprint("own", random.Uint64()), unique),
+	}, shared+unique, 2*config.Event)
+	relativeValue := min(fixedValueShare+(1-fixedValueShare)*float64(shared+unique)/(rootTokens+chainTokensMean+uniqueTokensMean), maxRelativeValue)
 	return &request{
-		arrives: arrival(r, begin), front: r.IntN(s.Fronts), prompt: prompt, own: own, output: output(s, lognormal(r, answersMean, answersSpread, answersMost)),
-		worth: s.DocumentWorth * credit, late: s.DocumentLate * credit, credit: credit, aim: s.DocumentAim, until: s.Deadline,
+		arrivesAt: arrivalTime(random, begin), gateway: random.IntN(config.Fronts), prompt: prompt, uniqueTokens: unique, outputTokens: outputTokens(config, lognormal(random, documentEventsMean, documentEventsCV, documentEventsMax)),
+		value: config.DocumentWorth * relativeValue, lateValue: config.DocumentLate * relativeValue, relativeValue: relativeValue, ttftTarget: config.DocumentAim, timeout: config.Deadline,
 	}
 }
 
-func stream(s Sheet, r *rand.Rand, begin kumquatlug.Millis) *request {
-	events := max(lognormal(r, eventsMean, eventsSpread, eventsMost), 1)
-	credit := min(baseCredit+(1-baseCredit)*events/eventsMean, mostCredit)
+func newStream(config Sheet, random *rand.Rand, begin kumquatlug.Millis) *request {
+	events := max(lognormal(random, streamEventsMean, streamEventsCV, streamEventsMax), 1)
+	relativeValue := min(fixedValueShare+(1-fixedValueShare)*events/streamEventsMean, maxRelativeValue)
 	return &request{
-		arrives: arrival(r, begin), front: r.IntN(s.Fronts), stream: true, own: streamPrompt, output: output(s, events),
+		arrivesAt: arrivalTime(random, begin), gateway: random.IntN(config.Fronts), stream: true, uniqueTokens: streamUniqueTokens, outputTokens: outputTokens(config, events),
 		prompt: kumquatlug.NewPrompt([]kumquatlug.Part{
-			kumquatlug.NewPart(fmt.Sprint("hello", r.IntN(20)), streamShared), kumquatlug.NewPart(fmt.Sprint("own", r.Uint64()), streamPrompt),
-		}, streamShared+streamPrompt, 2*usualEvents*s.Event),
-		worth: s.StreamWorth * credit, late: s.StreamLate * credit, credit: credit, aim: s.StreamAim, until: s.StreamDeadline,
+			kumquatlug.NewPart(fmt.Sprint("hello", random.IntN(20)), streamSharedTokens), kumquatlug.NewPart(fmt.Sprint("own", random.Uint64()), streamUniqueTokens),
+		}, streamSharedTokens+streamUniqueTokens, 2*streamEventsTypical*config.Event),
+		value: config.StreamWorth * relativeValue, lateValue: config.StreamLate * relativeValue, relativeValue: relativeValue, ttftTarget: config.StreamAim, timeout: config.StreamDeadline,
 	}
 }
 
--- a/internal/experiment/swing/model.go
+++ b/internal/experiment/swing/model.go
@@ -40,360 +40,360 @@
 
 // Figures of the model's fronts.
 const (
-	// look is how often fronts look at what time makes due.
-	look = 20 * kumquatlug.Millis(1)
-	// way is how long a message between a front and an engine takes.
-	way = 1 * kumquatlug.Millis(1)
-	// comeBack is when a refused client comes back.
-	comeBack = 500 * kumquatlug.Millis(1)
-	// control is how often the split is looked at.
-	control = 250 * kumquatlug.Millis(1)
+	// gatewayTick is how often fronts look at what time makes due.
+	gatewayTick = 20 * kumquatlug.Millis(1)
+	// messageDelay is how long a message between a front and an engine takes.
+	messageDelay = 1 * kumquatlug.Millis(1)
+	// clientRetryDelay is when a refused client comes back.
+	clientRetryDelay = 500 * kumquatlug.Millis(1)
+	// splitInterval is how often the split is looked at.
+	splitInterval = 250 * kumquatlug.Millis(1)
 )
 
-// site is the state of a play.
-type site struct {
-	sheet   Sheet
-	engines []*engine
-	names   map[string]*engine
-	fronts  []*placement.Placer
-	turns   []map[uint64]*request
-	lastKey uint64
-	// later are things to happen, by time.
-	later map[kumquatlug.Millis][]func(now kumquatlug.Millis)
-	// frontAt is the number of each front by its name.
-	frontAt map[string]int
-	swing   *planner.Swing
-	part    float64
-	r       Result
-	limits  []Limit
-	heard   map[hearing]kumquatlug.Millis
+// simulation is the state of a play.
+type simulation struct {
+	config       Sheet
+	engines      []*engine
+	engineByName map[string]*engine
+	gateways     []*placement.Placer
+	queued       []map[uint64]*request
+	lastKey      uint64
+	// scheduled are things to happen, by time.
+	scheduled map[kumquatlug.Millis][]func(now kumquatlug.Millis)
+	// gatewayIndex is the number of each front by its name.
+	gatewayIndex map[string]int
+	split        *planner.Swing
+	prefillShare float64
+	result       Result
+	limits       []Limit
+	limitSeenAt  map[gatewayEngine]kumquatlug.Millis
 }
 
 // Play plays a load under a policy.
-func Play(s Sheet, load []Span, p Policy, seed uint64) Result {
-	requests := draw(s, load, seed)
-	w := newSite(s, p)
-	end := kumquatlug.Millis(len(load))*spanLength + s.StreamDeadline
+func Play(config Sheet, load []Span, policy Policy, seed uint64) Result {
+	requests := generateRequests(config, load, seed)
+	sim := newSimulation(config, policy)
+	end := kumquatlug.Millis(len(load))*intervalLength + config.StreamDeadline
 	next := 0
 	for now := kumquatlug.Millis(1); now < end; now++ {
-		for next < len(requests) && requests[next].arrives <= now {
-			w.arrive(now, requests[next])
+		for next < len(requests) && requests[next].arrivesAt <= now {
+			sim.arrive(now, requests[next])
 			next++
 		}
-		w.tick(now, p.Follow)
+		sim.tick(now, policy.Follow)
 	}
-	w.r.Excess = w.excess()
-	w.r.sum(requests, len(load))
-	return w.r
+	sim.result.Excess = sim.maxExcess()
+	sim.result.summarize(requests, len(load))
+	return sim.result
 }
 
-func newSite(s Sheet, p Policy) *site {
-	w := &site{
-		sheet: s, frontAt: map[string]int{}, names: map[string]*engine{}, later: map[kumquatlug.Millis][]func(kumquatlug.Millis){},
-		part: float64(p.Readers) / float64(s.Engines), limits: p.Limits, heard: map[hearing]kumquatlug.Millis{},
+func newSimulation(config Sheet, policy Policy) *simulation {
+	sim := &simulation{
+		config: config, gatewayIndex: map[string]int{}, engineByName: map[string]*engine{}, scheduled: map[kumquatlug.Millis][]func(kumquatlug.Millis){},
+		prefillShare: float64(policy.Readers) / float64(config.Engines), limits: policy.Limits, limitSeenAt: map[gatewayEngine]kumquatlug.Millis{},
 	}
-	p.Swing.Part = w.part
-	w.swing = planner.NewSwing(p.Swing)
-	for i := range s.Engines {
+	policy.Swing.Part = sim.prefillShare
+	sim.split = planner.NewSwing(policy.Swing)
+	for i := range config.Engines {
 		role := kumquatlug.RoleDecode
-		if i < p.Readers {
+		if i < policy.Readers {
 			role = kumquatlug.RolePrefill
 		}
-		w.engines = append(w.engines, newEngine(s, role))
-		w.names[name(i)] = w.engines[i]
+		sim.engines = append(sim.engines, newEngine(config, role))
+		sim.engineByName[engineName(i)] = sim.engines[i]
 	}
-	for i := range s.Fronts {
-		c := placement.Config{Zone: zone(i, s), Shares: sharesOf(i, s)}
-		if s.Coordinators {
-			c.Coordinators = w.coordinators(i)
+	for i := range config.Fronts {
+		gatewayConfig := placement.Config{Zone: zoneName(i, config), Shares: newShares(i, config)}
+		if config.Coordinators {
+			gatewayConfig.Coordinators = sim.newCoordinators(i)
 		}
-		placer := placement.New(c)
-		placer.SetMemory(s.Memory)
-		w.fronts = append(w.fronts, placer)
-		w.turns = append(w.turns, map[uint64]*request{})
+		placer := placement.New(gatewayConfig)
+		placer.SetMemory(config.Memory)
+		sim.gateways = append(sim.gateways, placer)
+		sim.queued = append(sim.queued, map[uint64]*request{})
 	}
-	w.sync(0)
-	return w
+	sim.syncRoles(0)
+	return sim
 }
 
-// coordinators returns what a front knows of the others.
-func (w *site) coordinators(i int) *coordinator.Fronts {
-	known := coordinator.New(frontName(i))
-	names := make([]string, w.sheet.Fronts)
-	for k := range names {
-		names[k] = frontName(k)
-		w.frontAt[names[k]] = k
+// newCoordinators returns what a front knows of the others.
+func (sim *simulation) newCoordinators(i int) *coordinator.Fronts {
+	gateways := coordinator.New(gatewayName(i))
+	names := make([]string, sim.config.Fronts)
+	for j := range names {
+		names[j] = gatewayName(j)
+		sim.gatewayIndex[names[j]] = j
 	}
-	known.Set(names)
-	return known
+	gateways.Set(names)
+	return gateways
 }
 
-// post takes the messages of a front to the others.
-func (w *site) post(now kumquatlug.Millis, from int) {
-	for _, m := range w.fronts[from].Outbox() {
-		to := w.frontAt[m.Front]
-		m.Front = frontName(from)
-		w.after(now, func(at kumquatlug.Millis) { w.said(at, to, m) })
+// deliverMessages takes the messages of a front to the others.
+func (sim *simulation) deliverMessages(now kumquatlug.Millis, sender int) {
+	for _, message := range sim.gateways[sender].Outbox() {
+		recipient := sim.gatewayIndex[message.Front]
+		message.Front = gatewayName(sender)
+		sim.schedule(now, func(at kumquatlug.Millis) { sim.handleMessage(at, recipient, message) })
 	}
 }
 
-// said takes a message of another front.
-func (w *site) said(now kumquatlug.Millis, to int, m kumquatlug.TurnMessage) {
-	p := w.fronts[to]
-	switch m.Turn.Step {
+// handleMessage takes a message of another front.
+func (sim *simulation) handleMessage(now kumquatlug.Millis, gateway int, message kumquatlug.TurnMessage) {
+	placer := sim.gateways[gateway]
+	switch message.Turn.Step {
 	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
-		p.Requested(now, m)
+		placer.Requested(now, message)
 	default:
-		if due, ended := p.Answered(now, m); ended {
-			w.due(now, to, due)
+		if due, ended := placer.Answered(now, message); ended {
+			sim.handleDue(now, gateway, due)
 		}
 	}
-	w.pump(now, to)
+	sim.sendDue(now, gateway)
 }
 
-func frontName(i int) string     { return fmt.Sprintf("f%03d", i) }
-func name(i int) string          { return fmt.Sprintf("e%02d", i) }
-func zone(i int, s Sheet) string { return fmt.Sprint("zone-", i%s.Zones) }
+func gatewayName(i int) string            { return fmt.Sprintf("f%03d", i) }
+func engineName(i int) string             { return fmt.Sprintf("e%02d", i) }
+func zoneName(i int, config Sheet) string { return fmt.Sprint("zone-", i%config.Zones) }
 
-// sync tells all fronts the engines' roles.
-func (w *site) sync(now kumquatlug.Millis) {
-	members := make([]kumquatlug.Member, len(w.engines))
-	for i, e := range w.engines {
+// syncRoles tells all fronts the engines' roles.
+func (sim *simulation) syncRoles(now kumquatlug.Millis) {
+	members := make([]kumquatlug.Member, len(sim.engines))
+	for i, e := range sim.engines {
 		members[i] = kumquatlug.Member{
-			Worker: kumquatlug.NewWorker(name(i), "10.0.0.1:1"), Service: "s", Zone: zone(i, w.sheet),
-			State: kumquatlug.MemberReady, Slots: w.sheet.Slots, Role: e.role,
+			Worker: kumquatlug.NewWorker(engineName(i), "10.0.0.1:1"), Service: "s", Zone: zoneName(i, sim.config),
+			State: kumquatlug.MemberReady, Slots: sim.config.Slots, Role: e.role,
 		}
 	}
-	for _, f := range w.fronts {
-		f.Sync(now, members)
+	for _, gateway := range sim.gateways {
+		gateway.Sync(now, members)
 	}
 }
 
 // tick plays one ms.
-func (w *site) tick(now kumquatlug.Millis, follow bool) {
-	for _, f := range w.later[now] {
-		f(now)
+func (sim *simulation) tick(now kumquatlug.Millis, adaptive bool) {
+	for _, run := range sim.scheduled[now] {
+		run(now)
 	}
-	delete(w.later, now)
-	for i, e := range w.engines {
+	delete(sim.scheduled, now)
+	for i, e := range sim.engines {
 		role := e.role
 		first, ended := e.advance(now)
 		if e.role != role {
-			w.sync(now)
+			sim.syncRoles(now)
 		}
-		for _, j := range first {
-			w.after(now, func(at kumquatlug.Millis) { w.output(at, j) })
+		for _, a := range first {
+			sim.schedule(now, func(at kumquatlug.Millis) { sim.recordFirstOutput(at, a) })
 		}
-		for _, j := range ended {
-			w.after(now, func(at kumquatlug.Millis) { w.ended(at, i, j) })
+		for _, a := range ended {
+			sim.schedule(now, func(at kumquatlug.Millis) { sim.recordEnd(at, i, a) })
 		}
 	}
-	if now%look == 0 {
-		for i, f := range w.fronts {
-			f.Measure(now)
-			f.Remind(now)
-			w.pump(now, i)
+	if now%gatewayTick == 0 {
+		for i, gateway := range sim.gateways {
+			gateway.Measure(now)
+			gateway.Remind(now)
+			sim.sendDue(now, i)
 		}
 	}
-	if follow && now%control == 0 {
-		w.steer(now)
+	if adaptive && now%splitInterval == 0 {
+		sim.adjustSplit(now)
 	}
 }
 
-// after has f happen when a message has arrived.
-func (w *site) after(now kumquatlug.Millis, f func(kumquatlug.Millis)) {
-	w.later[now+way] = append(w.later[now+way], f)
+// schedule has f happen when a message has arrived.
+func (sim *simulation) schedule(now kumquatlug.Millis, run func(kumquatlug.Millis)) {
+	sim.scheduled[now+messageDelay] = append(sim.scheduled[now+messageDelay], run)
 }
 
 // arrive brings a request to its front.
-func (w *site) arrive(now kumquatlug.Millis, r *request) {
-	w.lastKey++
-	p := w.fronts[r.front]
-	entry, c, ticket := p.Enter(now, w.lastKey, r.query())
-	switch entry {
+func (sim *simulation) arrive(now kumquatlug.Millis, r *request) {
+	sim.lastKey++
+	placer := sim.gateways[r.gateway]
+	admission, choice, ticket := placer.Enter(now, sim.lastKey, r.query())
+	switch admission {
 	case placement.EntrySent:
-		w.send(now, &job{request: r, front: r.front, ticket: ticket, apart: c.Apart(), place: c.Place()}, c)
+		sim.send(now, &attempt{request: r, gateway: r.gateway, ticket: ticket, prefillOnly: choice.Apart(), reservation: choice.Place()}, choice)
 	case placement.EntryWaits:
-		w.turns[r.front][w.lastKey] = r
+		sim.queued[r.gateway][sim.lastKey] = r
 	default:
-		w.refuse(now, r)
+		sim.refuse(now, r)
 	}
-	w.pump(now, r.front)
+	sim.sendDue(now, r.gateway)
 }
 
 // query asks for an engine.
 func (r *request) query() placement.Query {
-	return placement.Query{Prompt: r.prompt, Target: r.arrives + r.aim, Until: r.arrives + r.until, Worth: r.credit}
+	return placement.Query{Prompt: r.prompt, Target: r.arrivesAt + r.ttftTarget, Until: r.arrivesAt + r.timeout, Worth: r.relativeValue}
 }
 
 // refuse sends a client away; it comes back once.
-func (w *site) refuse(now kumquatlug.Millis, r *request) {
-	if r.again > 0 || now+comeBack > r.arrives+r.until {
+func (sim *simulation) refuse(now kumquatlug.Millis, r *request) {
+	if r.retries > 0 || now+clientRetryDelay > r.arrivesAt+r.timeout {
 		return
 	}
-	r.again++
-	w.later[now+comeBack] = append(w.later[now+comeBack], func(at kumquatlug.Millis) { w.arrive(at, r) })
+	r.retries++
+	sim.scheduled[now+clientRetryDelay] = append(sim.scheduled[now+clientRetryDelay], func(at kumquatlug.Millis) { sim.arrive(at, r) })
 }
 
-// pump sends the prompts whose turn has come at a front.
-func (w *site) pump(now kumquatlug.Millis, front int) {
-	for _, due := range w.fronts[front].Due(now) {
-		w.due(now, front, due)
+// sendDue sends the prompts whose turn has come at a front.
+func (sim *simulation) sendDue(now kumquatlug.Millis, gateway int) {
+	for _, due := range sim.gateways[gateway].Due(now) {
+		sim.handleDue(now, gateway, due)
 	}
-	w.post(now, front)
+	sim.deliverMessages(now, gateway)
 }
 
-// due sends a prompt whose turn has come, or refuses it.
-func (w *site) due(now kumquatlug.Millis, front int, due placement.Due) {
-	r := w.turns[front][due.Key()]
-	delete(w.turns[front], due.Key())
+// handleDue sends a prompt whose turn has come, or refuses it.
+func (sim *simulation) handleDue(now kumquatlug.Millis, gateway int, due placement.Due) {
+	r := sim.queued[gateway][due.Key()]
+	delete(sim.queued[gateway], due.Key())
 	if due.Ticket() == nil {
-		w.refuse(now, r)
+		sim.refuse(now, r)
 		return
 	}
-	c := due.Choice()
-	w.send(now, &job{request: r, front: front, ticket: due.Ticket(), apart: c.Apart(), place: c.Place()}, c)
+	choice := due.Choice()
+	sim.send(now, &attempt{request: r, gateway: gateway, ticket: due.Ticket(), prefillOnly: choice.Apart(), reservation: choice.Place()}, choice)
 }
 
 // send brings an attempt to an engine.
-func (w *site) send(now kumquatlug.Millis, j *job, c placement.Choice) {
-	e := w.names[c.Worker().ID()]
-	w.after(now+c.Delay(), func(at kumquatlug.Millis) {
-		w.noteArrival(at, e, j)
-		if e.take(j) {
+func (sim *simulation) send(now kumquatlug.Millis, a *attempt, choice placement.Choice) {
+	e := sim.engineByName[choice.Worker().ID()]
+	sim.schedule(now+choice.Delay(), func(at kumquatlug.Millis) {
+		sim.recordArrival(at, e, a)
+		if e.accept(a) {
 			return
 		}
-		w.fronts[j.front].End(at, j.ticket, placement.OutcomeRefused)
-		w.refuse(at, j.request)
+		sim.gateways[a.gateway].End(at, a.ticket, placement.OutcomeRefused)
+		sim.refuse(at, a.request)
 	})
 }
 
-// output notes the first output of an attempt.
-func (w *site) output(now kumquatlug.Millis, j *job) {
-	p := w.fronts[j.front]
-	w.tellLimit(now, j)
-	p.Read(now, j.ticket)
-	p.Heard(now, j.ticket)
-	if j.request.firstAt == 0 {
-		j.request.firstAt = now
+// recordFirstOutput notes the first output of an attempt.
+func (sim *simulation) recordFirstOutput(now kumquatlug.Millis, a *attempt) {
+	placer := sim.gateways[a.gateway]
+	sim.recordLimit(now, a)
+	placer.Read(now, a.ticket)
+	placer.Heard(now, a.ticket)
+	if a.request.firstOutputAt == 0 {
+		a.request.firstOutputAt = now
 	}
 }
 
-// ended notes the end of an attempt; a prompt that was read goes on to its output.
-func (w *site) ended(now kumquatlug.Millis, at int, j *job) {
-	p := w.fronts[j.front]
-	p.Report(now, name(at), w.engines[at].load())
-	if j.apart {
-		w.tellLimit(now, j)
+// recordEnd notes the end of an attempt; a prompt that was read goes on to its output.
+func (sim *simulation) recordEnd(now kumquatlug.Millis, engineIndex int, a *attempt) {
+	placer := sim.gateways[a.gateway]
+	placer.Report(now, engineName(engineIndex), sim.engines[engineIndex].reportedLoad())
+	if a.prefillOnly {
+		sim.recordLimit(now, a)
 	}
-	p.End(now, j.ticket, placement.OutcomeGood)
-	if !j.apart {
-		j.request.done = !j.request.lost
-		w.pump(now, j.front)
+	placer.End(now, a.ticket, placement.OutcomeGood)
+	if !a.prefillOnly {
+		a.request.done = !a.request.abandoned
+		sim.sendDue(now, a.gateway)
 		return
 	}
-	q := j.request.query()
-	q.CacheZone, q.Place = zone(at, w.sheet), j.place
-	c, found := p.Output(now, q)
+	query := a.request.query()
+	query.CacheZone, query.Place = zoneName(engineIndex, sim.config), a.reservation
+	choice, found := placer.Output(now, query)
 	if !found {
-		w.r.WasteTokens += j.request.own
-		w.refuse(now, j.request)
+		sim.result.WasteTokens += a.request.uniqueTokens
+		sim.refuse(now, a.request)
 		return
 	}
-	w.send(now, &job{request: j.request, front: j.front, ticket: p.Begin(now, c, j.request.prompt), read: true}, c)
-	w.pump(now, j.front)
+	sim.send(now, &attempt{request: a.request, gateway: a.gateway, ticket: placer.Begin(now, choice, a.request.prompt), prefilled: true}, choice)
+	sim.sendDue(now, a.gateway)
 }
 
-// steer lets the first front look at the split, and changes roles.
-func (w *site) steer(now kumquatlug.Millis) {
-	p := w.fronts[0].Pressure()
-	view := planner.SwingView{Reading: p.Reading(), Taken: p.Taken(), Coming: p.Coming()}
-	engines := make([]planner.SplitEngine, len(w.engines))
-	for i, e := range w.engines {
+// adjustSplit lets the first front look at the split, and changes roles.
+func (sim *simulation) adjustSplit(now kumquatlug.Millis) {
+	pressure := sim.gateways[0].Pressure()
+	view := planner.SwingView{Reading: pressure.Reading(), Taken: pressure.Taken(), Coming: pressure.Coming()}
+	engines := make([]planner.SplitEngine, len(sim.engines))
+	for i, e := range sim.engines {
 		role := e.role
-		if e.changing != 0 {
-			role = e.next
+		if e.roleChangeUntil != 0 {
+			role = e.nextRole
 		}
-		engines[i] = planner.SplitEngine{Target: name(i), Zone: zone(i, w.sheet), Role: role}
+		engines[i] = planner.SplitEngine{Target: engineName(i), Zone: zoneName(i, sim.config), Role: role}
 		if role == kumquatlug.RolePrefill {
 			view.Readers++
 		} else {
 			view.Writers++
 		}
 	}
-	if !w.swing.Look(now, view) {
+	if !sim.split.Look(now, view) {
 		return
 	}
 	roles := map[string]kumquatlug.Role{}
-	for _, change := range planner.KeepSplit(engines, w.swing.Part()) {
+	for _, change := range planner.KeepSplit(engines, sim.split.Part()) {
 		roles[change.Target()] = change.To()
-		w.change(now, w.names[change.Target()], change.To())
-		w.r.Changes++
+		sim.changeRole(now, sim.engineByName[change.Target()], change.To())
+		sim.result.Changes++
 	}
-	for _, f := range w.fronts {
-		f.Announce(now, roles)
+	for _, gateway := range sim.gateways {
+		gateway.Announce(now, roles)
 	}
 }
 
-// change takes an engine away for a while; its streams go on elsewhere.
-func (w *site) change(now kumquatlug.Millis, e *engine, to kumquatlug.Role) {
-	e.changing, e.next = now+w.sheet.Change, to
+// changeRole takes an engine away for a while; its streams go on elsewhere.
+func (sim *simulation) changeRole(now kumquatlug.Millis, e *engine, to kumquatlug.Role) {
+	e.roleChangeUntil, e.nextRole = now+sim.config.Change, to
 	running := e.running
-	moving := append(slices.Clone(running), e.waiting...)
-	e.running, e.waiting, e.tokens = nil, nil, 0
-	for _, j := range moving {
-		p := w.fronts[j.front]
-		p.End(now, j.ticket, placement.OutcomeGood)
-		c, found := p.Output(now, placement.Query{Prompt: j.request.prompt})
+	displaced := append(slices.Clone(running), e.waiting...)
+	e.running, e.waiting, e.runningTokens = nil, nil, 0
+	for _, a := range displaced {
+		placer := sim.gateways[a.gateway]
+		placer.End(now, a.ticket, placement.OutcomeGood)
+		choice, found := placer.Output(now, placement.Query{Prompt: a.request.prompt})
 		if !found {
 			continue
 		}
-		j.ticket = p.Begin(now, c, j.request.prompt)
-		target := w.names[c.Worker().ID()]
-		if slices.Contains(running, j) {
-			j.endStep -= e.steps
+		a.ticket = placer.Begin(now, choice, a.request.prompt)
+		target := sim.engineByName[choice.Worker().ID()]
+		if slices.Contains(running, a) {
+			a.endStep -= e.decodeSteps
 		}
-		target.waiting = append(target.waiting, j)
+		target.waiting = append(target.waiting, a)
 	}
 }
 
-// sum works out what clients received.
-func (r *Result) sum(requests []*request, windows int) {
-	owed, earned := make([]float64, windows), make([]float64, windows)
-	var kindOwed, kindEarned [2]float64
-	for _, one := range requests {
-		at := int(one.arrives / spanLength)
+// summarize works out what clients received.
+func (r *Result) summarize(requests []*request, intervals int) {
+	offered, earned := make([]float64, intervals), make([]float64, intervals)
+	var offeredByKind, earnedByKind [2]float64
+	for _, request := range requests {
+		interval := int(request.arrivesAt / intervalLength)
 		kind := 0
-		if one.stream {
+		if request.stream {
 			kind = 1
 		}
-		got := one.earned()
-		owed[at] += one.worth
-		earned[at] += got
-		kindOwed[kind] += one.worth
-		kindEarned[kind] += got
+		value := request.earnedValue()
+		offered[interval] += request.value
+		earned[interval] += value
+		offeredByKind[kind] += request.value
+		earnedByKind[kind] += value
 	}
-	for i := range owed {
-		r.Windows = append(r.Windows, part01(earned[i], owed[i]))
+	for i := range offered {
+		r.Windows = append(r.Windows, ratio(earned[i], offered[i]))
 	}
-	r.Documents, r.Streams = part01(kindEarned[0], kindOwed[0]), part01(kindEarned[1], kindOwed[1])
-	r.Worth = part01(kindEarned[0]+kindEarned[1], kindOwed[0]+kindOwed[1])
+	r.Documents, r.Streams = ratio(earnedByKind[0], offeredByKind[0]), ratio(earnedByKind[1], offeredByKind[1])
+	r.Worth = ratio(earnedByKind[0]+earnedByKind[1], offeredByKind[0]+offeredByKind[1])
 }
 
-// earned is what a request came to.
-func (r *request) earned() float64 {
+// earnedValue is what a request came to.
+func (r *request) earnedValue() float64 {
 	switch {
-	case !r.done || r.firstAt == 0:
+	case !r.done || r.firstOutputAt == 0:
 		return 0
-	case r.firstAt-r.arrives <= r.aim:
-		return r.worth
+	case r.firstOutputAt-r.arrivesAt <= r.ttftTarget:
+		return r.value
 	}
-	return r.late
+	return r.lateValue
 }
 
-func part01(a, of float64) float64 {
-	if of == 0 {
+func ratio(part, whole float64) float64 {
+	if whole == 0 {
 		return math.NaN()
 	}
-	return a / of
+	return part / whole
 }
