--- a/internal/experiment/swing/bound.go
+++ b/internal/experiment/swing/bound.go
@@ -2,14 +2,16 @@
 
 import "sort"
 
-// Bound returns a part of the worth that no decisions could exceed, whatever they
-// know of the future: all engines read and generate at any moment without a
-// change, every shared part is held everywhere, streams run in full batches, and
-// only the engines' time is scarce. In each two seconds the work that is worth
-// most for its time is done; streams may take the time of the spans after theirs.
+// Bound returns an upper bound of [Result.Worth], as a fraction of the offered value. No
+// decisions exceed it, even with knowledge of the future: every engine prefills and
+// decodes at any time without a role change, every shared prompt part is cached on every
+// engine, streams run in full batches, and only engine time is scarce. In each interval of
+// two seconds, requests are served in order of value per engine time; streams may also use
+// the engine time of later intervals, until their deadline.
 //
-// It is no figure to be reached. A day that comes near it is limited by the
-// engines, one that stays far below by what is decided, cached or lost.
+// The bound is not attainable. Under a load with a result close to it, the engines are the
+// bottleneck; if the result is far below, value is lost to decisions, cache misses or
+// wasted work.
 func Bound(config Sheet, load []Span, seed uint64) float64 {
 	requests := generateRequests(config, load, seed)
 	freeTime := make([]float64, len(load)+int(config.StreamDeadline/intervalLength))
@@ -48,7 +50,7 @@
 	return earnedValue / offeredValue
 }
 
-// minEngineTime is the engine time that a request needs at least, in ms.
+// minEngineTime returns the minimum engine time of a request, in ms.
 func minEngineTime(config Sheet, r *request) float64 {
 	batch := float64(config.Slots)
 	stepTime := config.Step + config.PerStream*batch
--- a/internal/experiment/swing/engine.go
+++ b/internal/experiment/swing/engine.go
@@ -8,44 +8,46 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// attempt is one attempt at an engine.
+// attempt is one attempt of a request at one engine.
 type attempt struct {
 	request     *request
 	gateway     int
 	ticket      *placement.Ticket
 	prefillOnly bool
 	reservation placement.Place
-	// prefillLeft is what is to be read in ms, until the prompt is read.
+	// prefillLeft is the remaining prefill time in ms.
 	prefillLeft float64
-	prefilled   bool
-	// endStep is the step of the batch with which it ends; while it waits, the
-	// steps that it still needs, zero for all.
+	// prefilled says that another engine has prefilled the prompt.
+	prefilled bool
+	// endStep is the decode step of the engine at which the attempt ends. While the
+	// attempt waits, it is the number of remaining steps; zero means all of them.
 	endStep       float64
 	outputStarted bool
 }
 
-// engine is one model engine.
+// engine simulates one model engine.
 type engine struct {
 	config Sheet
 	role   kumquatlug.Role
-	// roleChangeUntil is when a change of role is done, zero for none; next its role.
+	// roleChangeUntil is when the role change in progress ends, zero if there is none;
+	// nextRole is the role after it.
 	roleChangeUntil kumquatlug.Millis
 	nextRole        kumquatlug.Role
 	prefilling      []*attempt
 	waiting         []*attempt
 	running         []*attempt
 	decodeSteps     float64
-	// runningTokens are what running requests have in memory.
+	// runningTokens is the number of tokens of running requests in memory.
 	runningTokens int
-	// cacheOrder are the cached parts, the last used in front.
+	// cacheOrder holds the cached parts, most recently used first.
 	cacheOrder *list.List
-	// limitedArrivals are the requests that came while it named a limit.
+	// limitedArrivals are the requests that arrived while the engine had a rate limit.
 	limitedArrivals []limitedArrival
 	cacheIndex      map[string]*list.Element
 	cachedTokens    int
 }
 
-// cachedPart is a cached part of prompts.
+// cachedPart is a cached prompt part.
 type cachedPart struct {
 	id     string
 	tokens int
@@ -55,15 +57,16 @@
 	return &engine{config: config, role: role, cacheOrder: list.New(), cacheIndex: map[string]*list.Element{}}
 }
 
-// prefillTime is how long an engine reads a prompt of which it has held tokens.
+// prefillTime returns the prefill time, in ms, of a prompt with cached tokens and others
+// that are not cached.
 func prefillTime(config Sheet, uncached, cached int, rate float64) float64 {
 	pairs := float64(uncached) * (float64(cached) + float64(uncached)/2) / 1e6
 	chunks := float64((uncached + config.Piece - 1) / config.Piece)
 	return float64(uncached)/rate + pairs*config.PairTime + chunks*config.Step
 }
 
-// cachePrompt takes the parts of a prompt into the cache and returns how many tokens of
-// it were there.
+// cachePrompt adds the parts of a prompt to the cache and returns the length in tokens of
+// the prefix that was cached before.
 func (e *engine) cachePrompt(p kumquatlug.Prompt) int {
 	cached, hit := 0, true
 	for _, part := range p.Parts() {
@@ -88,7 +91,8 @@
 	return cached
 }
 
-// accept accepts an attempt, or refuses it while the engine does something else.
+// accept queues an attempt. It returns false if the engine has another role or is changing
+// its role.
 func (e *engine) accept(a *attempt) bool {
 	if e.roleChangeUntil != 0 || a.prefillOnly != (e.role == kumquatlug.RolePrefill) {
 		return false
@@ -107,18 +111,18 @@
 	return true
 }
 
-// reportedLoad returns what the engine says of its load.
+// reportedLoad returns the load that the engine reports to gateways.
 func (e *engine) reportedLoad() kumquatlug.WorkerLoad {
 	return kumquatlug.NewWorkerLoad(len(e.prefilling)+len(e.running), len(e.waiting), e.config.Slots)
 }
 
-// stepTime is how long a step of the batch takes now, in ms.
+// stepTime returns the duration of a decode step of the current batch, in ms.
 func (e *engine) stepTime() float64 {
 	return e.config.Step + e.config.PerStream*float64(len(e.running)) + e.config.PerToken*float64(e.runningTokens)/1000
 }
 
-// advance plays one ms and returns the attempts that showed their first output
-// and those that ended.
+// advance simulates one ms. It returns the attempts that produced their first output and
+// those that ended.
 func (e *engine) advance(now kumquatlug.Millis) (first, ended []*attempt) {
 	if e.roleChangeUntil != 0 && now >= e.roleChangeUntil {
 		e.role, e.roleChangeUntil = e.nextRole, 0
@@ -147,7 +151,7 @@
 	for _, a := range e.running {
 		switch {
 		case a.prefillLeft > 0:
-			// Its prompt is read between the steps of the others.
+			// Prefill runs between the decode steps of the other attempts.
 			a.prefillLeft--
 			a.endStep += steps
 		case !a.outputStarted:
@@ -166,7 +170,7 @@
 	return first, ended
 }
 
-// dropAbandoned drops the attempts whose clients have left.
+// dropAbandoned removes and returns the attempts whose clients have timed out.
 func (e *engine) dropAbandoned(now kumquatlug.Millis) []*attempt {
 	var dropped []*attempt
 	drop := func(a *attempt) bool {
@@ -188,9 +192,8 @@
 	return dropped
 }
 
-// admit gives waiting attempts their slots, documents before streams. A document
-// for which there is no room takes that of the newest stream, which goes on
-// later.
+// admit assigns slots to waiting attempts, documents before streams. A document for which
+// there is no slot or memory preempts the newest stream, which resumes later.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 {
 		index := e.nextWaiting()
@@ -212,8 +215,8 @@
 	}
 }
 
-// nextWaiting returns the index of the first document that waits, else of the
-// first stream.
+// nextWaiting returns the index of the first waiting document, or else of the first
+// waiting stream.
 func (e *engine) nextWaiting() int {
 	for i, a := range e.waiting {
 		if !a.request.stream {
@@ -223,7 +226,8 @@
 	return 0
 }
 
-// preempt puts the newest stream back, and reports false when there is none.
+// preempt moves the newest running stream to the head of the waiting attempts. It returns
+// false if no stream is running.
 func (e *engine) preempt() bool {
 	for i := len(e.running) - 1; i >= 0; i-- {
 		a := e.running[i]
--- a/internal/experiment/swing/limits.go
+++ b/internal/experiment/swing/limits.go
@@ -5,24 +5,31 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ratelimit"
 )
 
-// Limit is a rate that an engine names in its answers for a while.
+// Limit is a rate limit that an engine advertises in its responses between two times.
 type Limit struct {
 	Engine      int
 	From, Until kumquatlug.Millis
-	// PerSecond is how many requests a second it takes from all fronts.
+	// PerSecond is the number of requests per second that the engine accepts from all
+	// gateways together.
 	PerSecond float64
 }
 
-// What the users' rules allow an engine that names a limit.
+// The users' rules on how closely a rate limit must be observed.
 const (
-	limitGracePeriod  = 3 * kumquatlug.Second
-	limitWindow       = 4 * kumquatlug.Second
+	// limitGracePeriod is the time from the start of a limit during which requests don't
+	// count.
+	limitGracePeriod = 3 * kumquatlug.Second
+	// limitReactionTime is the time from the first response with a limit during which
+	// requests of the gateway that received it don't count.
 	limitReactionTime = 500 * kumquatlug.Millis(1)
-	limitTolerance    = 1.5
-	limitBurst        = 5
+	// An engine may receive limitTolerance times what its limit allows within
+	// limitWindow, and limitBurst requests more.
+	limitWindow    = 4 * kumquatlug.Second
+	limitTolerance = 1.5
+	limitBurst     = 5
 )
 
-// gatewayEngine is a front that hears of an engine's limit.
+// gatewayEngine identifies a gateway that has received an engine's limit.
 type gatewayEngine struct {
 	gateway int
 	engine  *engine
@@ -34,7 +41,7 @@
 	perSecond float64
 }
 
-// newShares returns the shares of a front that has counted all.
+// newShares returns the rate limit shares of a gateway that knows all other gateways.
 func newShares(i int, config Sheet) *ratelimit.Shares {
 	shares := ratelimit.NewShares(gatewayName(i))
 	names := make([]string, config.Fronts)
@@ -45,7 +52,7 @@
 	return shares
 }
 
-// currentLimit returns what an engine says of its limit.
+// currentLimit returns the limit that an engine advertises now.
 func (sim *simulation) currentLimit(now kumquatlug.Millis, e *engine) (Limit, kumquatlug.RateLimit) {
 	for _, l := range sim.limits {
 		if sim.engines[l.Engine] == e && now >= l.From && now < l.Until {
@@ -55,7 +62,7 @@
 	return Limit{}, kumquatlug.NoRateLimit()
 }
 
-// recordLimit tells a front what the engine of an attempt says of its limit.
+// recordLimit passes the limit in an engine's response to the gateway of the attempt.
 func (sim *simulation) recordLimit(now kumquatlug.Millis, a *attempt) {
 	e := sim.engineByName[a.ticket.Worker()]
 	_, advertised := sim.currentLimit(now, e)
@@ -66,7 +73,7 @@
 	}
 }
 
-// recordArrival notes a request that counts towards its engine's limit.
+// recordArrival records a request at an engine if it counts towards the engine's limit.
 func (sim *simulation) recordArrival(now kumquatlug.Millis, e *engine, a *attempt) {
 	l, advertised := sim.currentLimit(now, e)
 	seenAt, seen := sim.limitSeenAt[gatewayEngine{gateway: a.gateway, engine: e}]
@@ -75,8 +82,8 @@
 	}
 }
 
-// maxExcess is by how many requests the worst span is above what its limit allows, zero
-// for none.
+// maxExcess returns the maximum number of requests by which a window of any engine exceeds
+// what the limit allows, zero if none does.
 func (sim *simulation) maxExcess() float64 {
 	worst := 0.0
 	for _, e := range sim.engines {
--- a/internal/experiment/swing/load.go
+++ b/internal/experiment/swing/load.go
@@ -15,25 +15,27 @@
 	gateway   int
 	stream    bool
 	prompt    kumquatlug.Prompt
-	// uniqueTokens is how many tokens of the prompt no other request shares, output how
-	// many tokens it will generate.
+	// uniqueTokens is the number of prompt tokens that no other request shares.
 	uniqueTokens, outputTokens int
-	// value is what it is worth in time, late what it is worth late, credit the former
-	// beside the mean one of its kind.
+	// value is the value of a response whose first output meets ttftTarget, lateValue of
+	// one whose first output is later. relativeValue is value relative to the mean of
+	// requests of this kind.
 	value, lateValue, relativeValue float64
-	ttftTarget, timeout             kumquatlug.Millis
-	// retries counts the times that the client came back.
-	retries int
-	// firstOutputAt is when its first output came, zero for never.
+	// ttftTarget and timeout are measured from the arrival.
+	ttftTarget, timeout kumquatlug.Millis
+	retries             int
+	// firstOutputAt is when the client received the first output, zero if it has not.
 	firstOutputAt kumquatlug.Millis
 	done          bool
-	// abandoned says that its client left before its end.
+	// abandoned says that the client timed out before the end of the response.
 	abandoned bool
 }
 
-// Sizes of requests in tokens, as the users' sheets give them: means, coefficients
-// of variation, and bounds.
+// Sizes of requests in tokens or events, as the users' specifications give them: means,
+// coefficients of variation (CV), and maxima.
 const (
+	// A document's prompt consists of a root shared by many chains, a chain shared by some
+	// documents, and unique tokens.
 	uniqueTokensMean, uniqueTokensCV, uniqueTokensMax = 2890.0, 1.0, 39_600.0
 	rootTokens, rootCount                             = 2520.0, 4
 	chainTokensMean, chainTokensCV, chainTokensMax    = 3780.0, 0.7, 11_300.0
@@ -43,18 +45,19 @@
 	streamEventsMean, streamEventsCV                  = 89.2, 0.84
 	streamEventsMax                                   = 211.0
 	streamEventsTypical                               = 89
-	// fixedValueShare is the part of a request's worth that doesn't grow with its size,
-	// maxRelativeValue the multiple of its worth that a large one has at most.
+	// fixedValueShare is the share of a request's value that does not grow with its size,
+	// maxRelativeValue the maximum value of a large request relative to the mean.
 	fixedValueShare, maxRelativeValue = 0.3, 4.0
 )
 
-// lognormal draws with a mean, a coefficient of variation and a bound.
+// lognormal returns a log-normal random number with the given mean and coefficient of
+// variation, limited to upperBound.
 func lognormal(random *rand.Rand, mean, cv, upperBound float64) float64 {
 	variance := math.Log(1 + cv*cv)
 	return min(math.Exp(math.Log(mean)-variance/2+math.Sqrt(variance)*random.NormFloat64()), upperBound)
 }
 
-// generateRequests returns the requests of a load in the order of their arrival.
+// generateRequests returns random requests for a load, in order of arrival.
 func generateRequests(config Sheet, load []Span, seed uint64) []*request {
 	random := rand.New(rand.NewPCG(seed, 1))
 	chains := make([]int, config.Things)
@@ -79,12 +82,12 @@
 	return begin + kumquatlug.Millis(random.Int64N(int64(intervalLength)))
 }
 
-// outputTokens is the tokens of so many events. The first event comes with the first
-// token, each other one s.Event tokens later.
+// outputTokens returns the number of tokens in the given number of events. The first event
+// is sent with the first token, each further one after config.Event more tokens.
 func outputTokens(config Sheet, events float64) int { return max(int(events)-1, 0)*config.Event + 1 }
 
 func newDocument(config Sheet, random *rand.Rand, begin kumquatlug.Millis, chains []int) *request {
-	// A skew of 0.3 makes the first chains somewhat more frequent.
+	// A skew of 0.3 makes chains with a low index somewhat more frequent.
 	chain := int(float64(len(chains)) * math.Pow(random.Float64(), 1/(1-0.3)))
 	unique := max(int(lognormal(random, uniqueTokensMean, uniqueTokensCV, uniqueTokensMax)), 1)
 	shared := int(rootTokens) + chains[chain]
@@ -112,12 +115,12 @@
 	}
 }
 
-// LargeBurst is a burst of the site with the most machines: for four seconds nearly
-// four times the usual documents.
+// LargeBurst is a burst at the site with the most machines: for four seconds, nearly four
+// times the usual number of documents arrive.
 var LargeBurst = []Span{{1012, 52}, {1012, 52}, {3760, 60}, {3760, 60}, {1012, 52}}
 
-// BogotaScale and BogotaTrouble are the arrivals of two standard days of Bogota,
-// as the fronts' logs tell them; clients that came back are counted again.
+// BogotaScale and BogotaTrouble are the arrivals on two standard days of Bogota according
+// to the logs of its gateways. Retries by clients count as arrivals.
 var (
 	BogotaScale = []Span{
 		{276, 56},
--- a/internal/experiment/swing/model.go
+++ b/internal/experiment/swing/model.go
@@ -11,46 +11,49 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/planner"
 )
 
-// Policy is who decides how many engines read.
+// Policy determines how many engines run prefill, and their rate limits.
 type Policy struct {
-	// Readers is the number at the start.
+	// Readers is the initial number of prefill engines.
 	Readers int
-	// Follow has the number follow the load.
+	// Follow adapts the number of prefill engines to the load.
 	Follow bool
-	// Swing tunes that.
+	// Swing configures the adaptation.
 	Swing planner.SwingConfig
-	// Limits are the rates that engines name.
+	// Limits are the rate limits that engines advertise.
 	Limits []Limit
 }
 
-// Result is what clients received.
+// Result is the outcome of a simulation for its clients.
 type Result struct {
-	// Worth is the part of all worth that was earned, Documents and Streams the
-	// same of each kind.
+	// Worth is the fraction of the offered value that was delivered. Documents and Streams
+	// are the same for the requests of one kind.
 	Worth, Documents, Streams float64
-	// Windows are the parts of each two seconds, by arrival.
+	// Windows are these fractions for the requests that arrived in each two seconds.
 	Windows []float64
-	// Changes counts changes of role.
+	// Changes is the number of role changes.
 	Changes int
-	// Excess is by how many requests the worst span of an engine with a limit is above
-	// what the limit allows, WasteTokens what was read of prompts that were then refused.
+	// Excess is the maximum number of requests by which an engine with a rate limit
+	// received more in a window than the limit allows. WasteTokens is the number of tokens
+	// prefilled for prompts that were refused afterwards.
 	Excess      float64
 	WasteTokens int
 }
 
-// Figures of the model's fronts.
+// Timing of gateways, messages and clients.
 const (
-	// gatewayTick is how often fronts look at what time makes due.
+	// gatewayTick is the interval at which gateways sample their load and send due
+	// prompts.
 	gatewayTick = 20 * kumquatlug.Millis(1)
-	// messageDelay is how long a message between a front and an engine takes.
+	// messageDelay is the latency of a message between gateways and engines.
 	messageDelay = 1 * kumquatlug.Millis(1)
-	// clientRetryDelay is when a refused client comes back.
+	// clientRetryDelay is the time after which a client retries a refused request.
 	clientRetryDelay = 500 * kumquatlug.Millis(1)
-	// splitInterval is how often the split is looked at.
+	// splitInterval is the interval at which the split between prefill and decode engines
+	// is updated.
 	splitInterval = 250 * kumquatlug.Millis(1)
 )
 
-// simulation is the state of a play.
+// simulation is the state of one run.
 type simulation struct {
 	config       Sheet
 	engines      []*engine
@@ -58,9 +61,9 @@
 	gateways     []*placement.Placer
 	queued       []map[uint64]*request
 	lastKey      uint64
-	// scheduled are things to happen, by time.
+	// scheduled holds the future events by time.
 	scheduled map[kumquatlug.Millis][]func(now kumquatlug.Millis)
-	// gatewayIndex is the number of each front by its name.
+	// gatewayIndex maps the name of each gateway to its index.
 	gatewayIndex map[string]int
 	split        *planner.Swing
 	prefillShare float64
@@ -69,7 +72,7 @@
 	limitSeenAt  map[gatewayEngine]kumquatlug.Millis
 }
 
-// Play plays a load under a policy.
+// Play simulates a load under a policy. The same arguments give the same result.
 func Play(config Sheet, load []Span, policy Policy, seed uint64) Result {
 	requests := generateRequests(config, load, seed)
 	sim := newSimulation(config, policy)
@@ -116,7 +119,7 @@
 	return sim
 }
 
-// newCoordinators returns what a front knows of the others.
+// newCoordinators returns the coordinators as known to gateway i.
 func (sim *simulation) newCoordinators(i int) *coordinator.Fronts {
 	gateways := coordinator.New(gatewayName(i))
 	names := make([]string, sim.config.Fronts)
@@ -128,7 +131,7 @@
 	return gateways
 }
 
-// deliverMessages takes the messages of a front to the others.
+// deliverMessages delivers the outgoing messages of a gateway to its peers.
 func (sim *simulation) deliverMessages(now kumquatlug.Millis, sender int) {
 	for _, message := range sim.gateways[sender].Outbox() {
 		recipient := sim.gatewayIndex[message.Front]
@@ -137,7 +140,7 @@
 	}
 }
 
-// handleMessage takes a message of another front.
+// handleMessage handles a message from a peer gateway.
 func (sim *simulation) handleMessage(now kumquatlug.Millis, gateway int, message kumquatlug.TurnMessage) {
 	placer := sim.gateways[gateway]
 	switch message.Turn.Step {
@@ -155,7 +158,7 @@
 func engineName(i int) string             { return fmt.Sprintf("e%02d", i) }
 func zoneName(i int, config Sheet) string { return fmt.Sprint("zone-", i%config.Zones) }
 
-// syncRoles tells all fronts the engines' roles.
+// syncRoles updates the engines' roles at all gateways.
 func (sim *simulation) syncRoles(now kumquatlug.Millis) {
 	members := make([]kumquatlug.Member, len(sim.engines))
 	for i, e := range sim.engines {
@@ -169,7 +172,7 @@
 	}
 }
 
-// tick plays one ms.
+// tick simulates one ms.
 func (sim *simulation) tick(now kumquatlug.Millis, adaptive bool) {
 	for _, run := range sim.scheduled[now] {
 		run(now)
@@ -200,12 +203,12 @@
 	}
 }
 
-// schedule has f happen when a message has arrived.
+// schedule calls run after the latency of one message.
 func (sim *simulation) schedule(now kumquatlug.Millis, run func(kumquatlug.Millis)) {
 	sim.scheduled[now+messageDelay] = append(sim.scheduled[now+messageDelay], run)
 }
 
-// arrive brings a request to its front.
+// arrive submits a request to its gateway.
 func (sim *simulation) arrive(now kumquatlug.Millis, r *request) {
 	sim.lastKey++
 	placer := sim.gateways[r.gateway]
@@ -221,12 +224,12 @@
 	sim.sendDue(now, r.gateway)
 }
 
-// query asks for an engine.
+// query returns the placement query of the request.
 func (r *request) query() placement.Query {
 	return placement.Query{Prompt: r.prompt, Target: r.arrivesAt + r.ttftTarget, Until: r.arrivesAt + r.timeout, Worth: r.relativeValue}
 }
 
-// refuse sends a client away; it comes back once.
+// refuse refuses a request. Its client retries once, unless it times out before.
 func (sim *simulation) refuse(now kumquatlug.Millis, r *request) {
 	if r.retries > 0 || now+clientRetryDelay > r.arrivesAt+r.timeout {
 		return
@@ -235,7 +238,7 @@
 	sim.scheduled[now+clientRetryDelay] = append(sim.scheduled[now+clientRetryDelay], func(at kumquatlug.Millis) { sim.arrive(at, r) })
 }
 
-// sendDue sends the prompts whose turn has come at a front.
+// sendDue sends the prompts of a gateway that are due.
 func (sim *simulation) sendDue(now kumquatlug.Millis, gateway int) {
 	for _, due := range sim.gateways[gateway].Due(now) {
 		sim.handleDue(now, gateway, due)
@@ -243,7 +246,7 @@
 	sim.deliverMessages(now, gateway)
 }
 
-// handleDue sends a prompt whose turn has come, or refuses it.
+// handleDue sends a due prompt, or refuses it if the gateway has given it up.
 func (sim *simulation) handleDue(now kumquatlug.Millis, gateway int, due placement.Due) {
 	r := sim.queued[gateway][due.Key()]
 	delete(sim.queued[gateway], due.Key())
@@ -255,7 +258,7 @@
 	sim.send(now, &attempt{request: r, gateway: gateway, ticket: due.Ticket(), prefillOnly: choice.Apart(), reservation: choice.Place()}, choice)
 }
 
-// send brings an attempt to an engine.
+// send sends an attempt to the chosen engine.
 func (sim *simulation) send(now kumquatlug.Millis, a *attempt, choice placement.Choice) {
 	e := sim.engineByName[choice.Worker().ID()]
 	sim.schedule(now+choice.Delay(), func(at kumquatlug.Millis) {
@@ -268,7 +271,7 @@
 	})
 }
 
-// recordFirstOutput notes the first output of an attempt.
+// recordFirstOutput records the first output of an attempt.
 func (sim *simulation) recordFirstOutput(now kumquatlug.Millis, a *attempt) {
 	placer := sim.gateways[a.gateway]
 	sim.recordLimit(now, a)
@@ -279,7 +282,8 @@
 	}
 }
 
-// recordEnd notes the end of an attempt; a prompt that was read goes on to its output.
+// recordEnd records the end of an attempt. After prefill on a separate engine, it sends the
+// request to a decode engine.
 func (sim *simulation) recordEnd(now kumquatlug.Millis, engineIndex int, a *attempt) {
 	placer := sim.gateways[a.gateway]
 	placer.Report(now, engineName(engineIndex), sim.engines[engineIndex].reportedLoad())
@@ -304,7 +308,8 @@
 	sim.sendDue(now, a.gateway)
 }
 
-// adjustSplit lets the first front look at the split, and changes roles.
+// adjustSplit updates the split by the load of the first gateway, and changes the roles of
+// engines accordingly.
 func (sim *simulation) adjustSplit(now kumquatlug.Millis) {
 	pressure := sim.gateways[0].Pressure()
 	view := planner.SwingView{Reading: pressure.Reading(), Taken: pressure.Taken(), Coming: pressure.Coming()}
@@ -335,7 +340,8 @@
 	}
 }
 
-// changeRole takes an engine away for a while; its streams go on elsewhere.
+// changeRole takes an engine offline while it changes its role. Its streams move to other
+// engines.
 func (sim *simulation) changeRole(now kumquatlug.Millis, e *engine, to kumquatlug.Role) {
 	e.roleChangeUntil, e.nextRole = now+sim.config.Change, to
 	running := e.running
@@ -357,7 +363,7 @@
 	}
 }
 
-// summarize works out what clients received.
+// summarize computes the delivered value from the outcome of all requests.
 func (r *Result) summarize(requests []*request, intervals int) {
 	offered, earned := make([]float64, intervals), make([]float64, intervals)
 	var offeredByKind, earnedByKind [2]float64
@@ -380,7 +386,7 @@
 	r.Worth = ratio(earnedByKind[0]+earnedByKind[1], offeredByKind[0]+offeredByKind[1])
 }
 
-// earnedValue is what a request came to.
+// earnedValue returns the delivered value of a request.
 func (r *request) earnedValue() float64 {
 	switch {
 	case !r.done || r.firstOutputAt == 0:
@@ -391,6 +397,7 @@
 	return r.lateValue
 }
 
+// ratio returns part/whole, or NaN if whole is zero.
 func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return math.NaN()
--- a/internal/experiment/swing/swing_test.go
+++ b/internal/experiment/swing/swing_test.go
@@ -5,43 +5,43 @@
 	"testing"
 )
 
-// simulateFixedSplit plays a day with a fixed number of readers.
+// simulateFixedSplit simulates a load with a fixed number of prefill engines.
 func simulateFixedSplit(load []Span, prefillEngines int) Result {
 	return Play(UserSites(), load, Policy{Readers: prefillEngines}, 1)
 }
 
-// The model serves to weigh changes before a site plays them. It must rank fixed
-// splits as a day of the users' bench does: eight or nine readers of twelve
-// before seven, seven before six, ten far behind, as streams find no slots there.
+// The simulation evaluates changes before a site runs them, so it must rank fixed splits as
+// a day of the users' benchmark does: eight or nine prefill engines of twelve are better
+// than seven, seven better than six, and ten much worse, since streams find no slots.
 func TestModelRanksFixedSplitsLikeMeasuredDay(t *testing.T) {
 	value := map[int]float64{}
 	for _, prefillEngines := range []int{6, 7, 8, 9, 10} {
 		value[prefillEngines] = simulateFixedSplit(BogotaTrouble, prefillEngines).Worth
 	}
 	if min(value[8], value[9]) <= value[7] || value[7] <= value[6] || value[6] <= value[10]+0.05 {
-		t.Errorf("worth by readers: %v", value)
+		t.Errorf("value by number of prefill engines: %v", value)
 	}
 }
 
-// On the other day streams come by the dozen for fourteen seconds. More writers
-// must serve more of them, and a split that follows must serve more of them than
-// the fixed one that it starts from, without losing documents to it.
+// On the other day, dozens of streams arrive in each interval for fourteen seconds. More
+// decode engines must serve more of them. An adaptive split must serve more of them than
+// the fixed split that it starts from, without serving fewer documents.
 func TestAdaptiveSplitServesMoreStreams(t *testing.T) {
 	fixed := simulateFixedSplit(BogotaScale, 8)
 	adaptive := Play(UserSites(), BogotaScale, Policy{Readers: 8, Follow: true}, 1)
-	t.Logf("fixed %.3f (documents %.3f, streams %.3f), followed %.3f (%.3f, %.3f) with %d changes", fixed.Worth, fixed.Documents,
+	t.Logf("fixed %.3f (documents %.3f, streams %.3f), adaptive %.3f (%.3f, %.3f) with %d role changes", fixed.Worth, fixed.Documents,
 		fixed.Streams, adaptive.Worth, adaptive.Documents, adaptive.Streams, adaptive.Changes)
 	if adaptive.Streams < fixed.Streams+0.03 || adaptive.Documents < fixed.Documents-0.03 || adaptive.Changes == 0 || adaptive.Changes > 6 {
-		t.Errorf("fixed %+v, followed %+v", fixed, adaptive)
+		t.Errorf("fixed %+v, adaptive %+v", fixed, adaptive)
 	}
 	if moreDecode := simulateFixedSplit(BogotaScale, 6); moreDecode.Streams < fixed.Streams+0.1 {
-		t.Errorf("streams with six writers %.3f, with four %.3f", moreDecode.Streams, fixed.Streams)
+		t.Errorf("streams with six decode engines %.3f, with four %.3f", moreDecode.Streams, fixed.Streams)
 	}
 }
 
-// What binds at the worst load is the engines' memory: shared parts are driven
-// out before they are asked for again, and are read anew. With twice the memory
-// documents must gain more than any split gives them.
+// At the highest load the bottleneck is the engines' memory: shared prompt parts are evicted
+// before they are reused, and are prefilled again. With twice the memory, documents must
+// gain more than from any split.
 func TestKVMemoryLimitsDocuments(t *testing.T) {
 	config := UserSites()
 	base := Play(config, BogotaScale, Policy{Readers: 8}, 1)
@@ -52,8 +52,7 @@
 	}
 }
 
-// A bound that a play exceeds would tell that nothing is left to gain where
-// something is.
+// If a simulation exceeded the bound, the bound would hide that there is something to gain.
 func TestNoSimulationExceedsBound(t *testing.T) {
 	config := UserSites()
 	config.Engines = 6
@@ -67,11 +66,11 @@
 	}
 }
 
-// For four seconds nearly four times the usual documents come to 59 engines. Through
-// one front most are in time. Through twenty-eight, each of which orders its own, half
-// of them are late, as two dozen stand in an engine's own queue by order of arrival.
-// Fronts that ask each other for turns must earn nine tenths of what one front earns,
-// and win back half of what is lost without, however many there are.
+// For four seconds, nearly four times the usual number of documents arrive at 59 engines.
+// Through one gateway most are on time. Through 28 gateways that each order only their own
+// prompts, half are late, since two dozen wait in an engine's own queue in order of arrival.
+// Gateways that coordinate must deliver nine tenths of the value that one gateway delivers,
+// and recover half of what is lost without coordination, whatever their number.
 func TestCoordinatedGatewaysEarnNearlyAsMuchAsOne(t *testing.T) {
 	simulate := func(gateways int, coordinators bool) float64 {
 		config := LargeSite(gateways)
@@ -81,7 +80,7 @@
 	single, uncoordinated := simulate(1, true), simulate(28, false)
 	for _, gateways := range []int{4, 13, 28, 60} {
 		if value := simulate(gateways, true); value < 0.9*single || single-value > 0.5*(single-uncoordinated) {
-			t.Errorf("%d fronts earn %.3f, one front %.3f, 28 that don't ask %.3f", gateways, value, single, uncoordinated)
+			t.Errorf("value with %d gateways %.3f, with one %.3f, with 28 that don't coordinate %.3f", gateways, value, single, uncoordinated)
 		}
 	}
 }
