--- a/internal/experiment/agent.go
+++ b/internal/experiment/agent.go
@@ -12,7 +12,7 @@
 type sendResult string
 
 const (
-	sendTaken     sendResult = "taken"
+	sendAccepted  sendResult = "taken"
 	sendElsewhere sendResult = "elsewhere"
 	sendRefused   sendResult = "refused"
 )
@@ -20,114 +20,114 @@
 // agent stands before one engine and watches calls that were in hand at a
 // crash. It outlives its engine.
 type agent struct {
-	world    *world
+	sim      *simulation
 	engine   *engine
 	register *quarantine.Register
 	gate     *quarantine.Gate
-	held     []*call
+	waiting  []*call
 }
 
-func newAgent(w *world, e *engine) *agent {
+func newAgent(sim *simulation, e *engine) *agent {
 	r := quarantine.New(quarantine.Config{})
-	return &agent{world: w, engine: e, register: r, gate: quarantine.NewGate(r)}
+	return &agent{sim: sim, engine: e, register: r, gate: quarantine.NewGate(r)}
 }
 
 // begin asks the gate for a call; a suspect needs its row in the table first.
 func (a *agent) begin(now kumquatlug.Millis, c *call) quarantine.Verdict {
-	verdict := a.ask(now, c)
+	verdict := a.beginAtGate(now, c)
 	if verdict != quarantine.VerdictClaim {
 		return verdict
 	}
-	if a.world.claims[c.fingerprint] {
+	if a.sim.claims[c.fingerprint] {
 		return quarantine.VerdictElsewhere
 	}
-	a.world.claims[c.fingerprint] = true
+	a.sim.claims[c.fingerprint] = true
 	c.claimed = true
-	return a.ask(now, c)
+	return a.beginAtGate(now, c)
 }
 
-func (a *agent) ask(now kumquatlug.Millis, c *call) quarantine.Verdict {
+func (a *agent) beginAtGate(now kumquatlug.Millis, c *call) quarantine.Verdict {
 	return a.gate.Begin(now, quarantine.Arrival{ID: c.id, Fingerprint: c.fingerprint, Claimed: c.claimed})
 }
 
-// take begins a call, keeps it until it may begin, or sends it away.
-func (a *agent) take(now kumquatlug.Millis, c *call) sendResult {
+// accept begins a call, keeps it until it may begin, or sends it away.
+func (a *agent) accept(now kumquatlug.Millis, c *call) sendResult {
 	switch a.begin(now, c) {
 	case quarantine.VerdictRun:
 		a.engine.accept(now, c)
-		return sendTaken
+		return sendAccepted
 	case quarantine.VerdictWait:
-		a.held = append(a.held, c)
-		return sendTaken
+		a.waiting = append(a.waiting, c)
+		return sendAccepted
 	case quarantine.VerdictRefuse:
-		a.unclaim(c)
+		a.releaseClaim(c)
 		return sendRefused
 	default:
-		a.unclaim(c)
+		a.releaseClaim(c)
 		return sendElsewhere
 	}
 }
 
-func (a *agent) unclaim(c *call) {
+func (a *agent) releaseClaim(c *call) {
 	if c.claimed {
-		delete(a.world.claims, c.fingerprint)
+		delete(a.sim.claims, c.fingerprint)
 		c.claimed = false
 	}
 }
 
-// askAgain asks for the calls that wait at the gate.
-func (a *agent) askAgain(now kumquatlug.Millis) {
-	held := a.held
-	a.held = nil
-	for _, c := range held {
+// retryWaiting asks for the calls that wait at the gate.
+func (a *agent) retryWaiting(now kumquatlug.Millis) {
+	waiting := a.waiting
+	a.waiting = nil
+	for _, c := range waiting {
 		verdict := a.begin(now, c)
 		switch verdict {
 		case quarantine.VerdictRun:
 			a.engine.accept(now, c)
 		case quarantine.VerdictWait:
-			a.held = append(a.held, c)
+			a.waiting = append(a.waiting, c)
 		default:
 			a.gate.Abandon(c.id)
-			a.unclaim(c)
-			c.at = nil
-			a.world.entries[c.entry].event(now, event{name: eventTurnedAway, call: c, engine: a.engine})
+			a.releaseClaim(c)
+			c.engine = nil
+			a.sim.gateways[c.gateway].handleEvent(now, callEvent{kind: eventRejected, call: c, engine: a.engine})
 		}
 	}
 }
 
-// ended tells the gate that a call is off the engine.
-func (a *agent) ended(now kumquatlug.Millis, c *call, whole bool) {
-	if slices.Contains(a.held, c) {
-		a.held = without(a.held, c)
+// callEnded tells the gate that a call is off the engine.
+func (a *agent) callEnded(now kumquatlug.Millis, c *call, completed bool) {
+	if slices.Contains(a.waiting, c) {
+		a.waiting = removeCall(a.waiting, c)
 		a.gate.Abandon(c.id)
-		a.unclaim(c)
+		a.releaseClaim(c)
 		return
 	}
-	a.gate.Ended(now, c.id, whole)
-	a.unclaim(c)
+	a.gate.Ended(now, c.id, completed)
+	a.releaseClaim(c)
 }
 
-// crashed tells the gate that the engine crashed, and returns the calls that
+// engineCrashed tells the gate that the engine crashed, and returns the calls that
 // waited there: they didn't run.
-func (a *agent) crashed(now kumquatlug.Millis) []*call {
-	a.gate.Crashed(now, a.crash())
-	held := a.held
-	a.held = nil
-	for _, c := range held {
+func (a *agent) engineCrashed(now kumquatlug.Millis) []*call {
+	a.gate.Crashed(now, a.crashID())
+	waiting := a.waiting
+	a.waiting = nil
+	for _, c := range waiting {
 		a.gate.Abandon(c.id)
-		a.unclaim(c)
+		a.releaseClaim(c)
 	}
-	return held
+	return waiting
 }
 
-func (a *agent) crash() quarantine.Crash {
+func (a *agent) crashID() quarantine.Crash {
 	return quarantine.NewCrash(a.engine.name, fmt.Sprint(a.engine.incarnation))
 }
 
 // gossip exchanges what an entry and the agent know, as heartbeats do.
-func (a *agent) gossip(now kumquatlug.Millis, entry *quarantine.Register) {
-	mine, _ := a.register.Known(now, 0)
-	theirs, _ := entry.Known(now, 0)
-	entry.Merge(now, mine)
-	a.register.Merge(now, theirs)
+func (a *agent) gossip(now kumquatlug.Millis, gatewayRegister *quarantine.Register) {
+	agentNotices, _ := a.register.Known(now, 0)
+	gatewayNotices, _ := gatewayRegister.Known(now, 0)
+	gatewayRegister.Merge(now, agentNotices)
+	a.register.Merge(now, gatewayNotices)
 }
--- a/internal/experiment/aims.go
+++ b/internal/experiment/aims.go
@@ -20,66 +20,66 @@
 // Aims compares the results of one seed with what the decisions are to reach.
 // Aims whose scenarios are not among the results are left out.
 func Aims(results []Result) []Aim {
-	f := findings{}
+	set := resultSet{}
 	for _, r := range results {
-		f[run{r.Scenario, r.Policy}] = r
+		set[resultKey{r.Scenario, r.Policy}] = r
 	}
 	var list []Aim
-	list = append(list, f.goodput("overload-2x")...)
-	list = append(list, f.goodput("overload-5x")...)
-	list = append(list, f.quiet()...)
-	list = append(list, f.short()...)
-	list = append(list, f.shift("mix-shift")...)
-	list = append(list, f.shift("mix-half")...)
-	return append(list, f.crashes()...)
+	list = append(list, set.goodputGoals("overload-2x")...)
+	list = append(list, set.goodputGoals("overload-5x")...)
+	list = append(list, set.quietCallerGoals()...)
+	list = append(list, set.shortJobGoals()...)
+	list = append(list, set.splitRoleGoals("mix-shift")...)
+	list = append(list, set.splitRoleGoals("mix-half")...)
+	return append(list, set.crasherGoals()...)
 }
 
-// run names one result.
-type run struct {
+// resultKey names one result.
+type resultKey struct {
 	scenario string
 	policy   PolicyName
 }
 
-type findings map[run]Result
+type resultSet map[resultKey]Result
 
-func (f findings) get(scenario string, p PolicyName) (Result, bool) {
-	r, ok := f[run{scenario, p}]
+func (set resultSet) get(scenario string, policy PolicyName) (Result, bool) {
+	r, ok := set[resultKey{scenario, policy}]
 	return r, ok
 }
 
-func (f findings) goodput(scenario string) []Aim {
-	r, ok := f.get(scenario, PolicyDecisions)
+func (set resultSet) goodputGoals(scenario string) []Aim {
+	r, ok := set.get(scenario, PolicyDecisions)
 	if !ok {
 		return nil
 	}
 	return []Aim{{Name: scenario + ": goodput of the best attainable", Measured: r.Goodput, Bound: 0.95}}
 }
 
-func (f findings) quiet() []Aim {
-	beside, ok := f.get("hot-caller", PolicyDecisions)
-	alone, known := f.get("quiet-alone", PolicyDecisions)
-	if !ok || !known {
+func (set resultSet) quietCallerGoals() []Aim {
+	beside, ok := set.get("hot-caller", PolicyDecisions)
+	alone, aloneOK := set.get("quiet-alone", PolicyDecisions)
+	if !ok || !aloneOK {
 		return nil
 	}
-	kept := beside.desk(workChat).onTimePart() / alone.desk(workChat).onTimePart()
-	return []Aim{{Name: "hot-caller: on-time answers that the quiet callers keep", Measured: kept, Bound: 0.98}}
+	retained := beside.ordinaryCallers(workloadChat).onTimeFraction() / alone.ordinaryCallers(workloadChat).onTimeFraction()
+	return []Aim{{Name: "hot-caller: on-time answers that the quiet callers keep", Measured: retained, Bound: 0.98}}
 }
 
-func (f findings) short() []Aim {
-	beside, ok := f.get("long-among-short", PolicyDecisions)
-	alone, known := f.get("short-alone", PolicyDecisions)
-	if !ok || !known {
+func (set resultSet) shortJobGoals() []Aim {
+	beside, ok := set.get("long-among-short", PolicyDecisions)
+	alone, aloneOK := set.get("short-alone", PolicyDecisions)
+	if !ok || !aloneOK {
 		return nil
 	}
-	ratio := float64(beside.desk(workChat).Whole.P99) / float64(alone.desk(workChat).Whole.P99)
+	ratio := float64(beside.ordinaryCallers(workloadChat).Whole.P99) / float64(alone.ordinaryCallers(workloadChat).Whole.P99)
 	return []Aim{{Name: "long-among-short: p99 of short jobs by theirs alone", Measured: ratio, Bound: 2, AtMost: true}}
 }
 
-func (f findings) shift(scenario string) []Aim {
-	kochi, ok := f.get(scenario, PolicyDecisions)
-	bogota, known := f.get(scenario, PolicyBogota)
-	static, there := f.get(scenario, PolicyStatic)
-	if !ok || !known || !there {
+func (set resultSet) splitRoleGoals(scenario string) []Aim {
+	kochi, kochiOK := set.get(scenario, PolicyDecisions)
+	bogota, bogotaOK := set.get(scenario, PolicyBogota)
+	static, staticOK := set.get(scenario, PolicyStatic)
+	if !kochiOK || !bogotaOK || !staticOK {
 		return nil
 	}
 	return []Aim{
@@ -92,16 +92,16 @@
 	}
 }
 
-func (f findings) crashes() []Aim {
-	r, ok := f.get("crasher", PolicyDecisions)
+func (set resultSet) crasherGoals() []Aim {
+	r, ok := set.get("crasher", PolicyDecisions)
 	if !ok {
 		return nil
 	}
 	return []Aim{{Name: "crasher: engines crashed by one request", Measured: float64(r.Crashes), Bound: 2, AtMost: true}}
 }
 
-// desk returns what the many ordinary callers received for a kind of work.
-func (r Result) desk(work workName) Group {
+// ordinaryCallers returns what the many ordinary callers received for a kind of work.
+func (r Result) ordinaryCallers(work workload) Group {
 	for _, g := range r.Groups {
 		if g.Callers == "desk" && g.Work == string(work) {
 			return g
@@ -110,4 +110,4 @@
 	return Group{}
 }
 
-func (g Group) onTimePart() float64 { return float64(g.OnTime) / max(float64(g.Offered), 1) }
+func (g Group) onTimeFraction() float64 { return float64(g.OnTime) / max(float64(g.Offered), 1) }
--- a/internal/experiment/best.go
+++ b/internal/experiment/best.go
@@ -6,36 +6,36 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// bestSpan is how long one engine is watched, after a third of it to warm up.
-const bestSpan = 600 * kumquatlug.Second
+// measurementTime is how long one engine is watched, after a third of it to warm up.
+const measurementTime = 600 * kumquatlug.Second
 
 // capacity is what the fleet can do in a second, in engine seconds of work
 // answered on time: without a prefix cache, by which loads are set, and with
 // one, by which goodput is judged.
 type capacity struct {
-	plain  float64
-	cached float64
+	uncached float64
+	cached   float64
 }
 
-// capacityOf measures the capacity for a scenario's mix: one engine is kept at
+// measureCapacity measures the capacity for a scenario's mix: one engine is kept at
 // each of several batch sizes, never idle and never overfull, with prompts in
 // the order of their deadlines, and the best size counts for all engines.
 //
 // With split roles it is the number of engines: a split that always fits the
 // mix, and changes that cost nothing.
-func capacityOf(s Scenario, seed uint64) capacity {
-	if s.split() {
-		return capacity{plain: engineCount, cached: engineCount}
+func measureCapacity(s Scenario, seed uint64) capacity {
+	if s.splitRoles() {
+		return capacity{uncached: engineCount, cached: engineCount}
 	}
-	c := capacity{plain: s.best(seed, false)}
-	c.cached = c.plain
-	if s.shares() {
-		c.cached = s.best(seed, true)
+	c := capacity{uncached: s.maxThroughput(seed, false)}
+	c.cached = c.uncached
+	if s.sharesPrefixes() {
+		c.cached = s.maxThroughput(seed, true)
 	}
 	return c
 }
 
-func (s Scenario) shares() bool {
+func (s Scenario) sharesPrefixes() bool {
 	for _, src := range s.sources {
 		if src.prefixes > 0 {
 			return true
@@ -44,34 +44,34 @@
 	return false
 }
 
-func (s Scenario) best(seed uint64, cached bool) float64 {
-	most := 0.0
+func (s Scenario) maxThroughput(seed uint64, cached bool) float64 {
+	highest := 0.0
 	for _, batch := range []int{12, 16, 20, 24, 28, 32, 36, 40, 44, 48, 52, 56, 64} {
-		most = max(most, s.closedLoop(seed, batch, cached))
+		highest = max(highest, s.closedLoop(seed, batch, cached))
 	}
-	return most * engineCount
+	return highest * engineCount
 }
 
 func (s Scenario) closedLoop(seed uint64, batch int, cached bool) float64 {
-	mix := s.arrivals(rand.New(rand.NewPCG(seed, 7)), engineCount)
+	calls := s.arrivals(rand.New(rand.NewPCG(seed, 7)), engineCount)
 	e := newEngine(0, kumquatlug.RoleBoth)
-	done, next := 0.0, 0
-	for now := kumquatlug.Millis(0); now < bestSpan; now += round {
+	completed, next := 0.0, 0
+	for now := kumquatlug.Millis(0); now < measurementTime; now += timeStep {
 		for len(e.running)+len(e.waiting) < batch {
-			c := *mix[next%len(mix)]
+			c := *calls[next%len(calls)]
 			next++
 			c.deadline, c.crasher = now+c.deadline-c.arrival, false
 			if !cached {
-				c.prefix = 0
+				c.prefixID = 0
 			}
-			c.priority = -int(c.deadline / kumquatlug.Second)
+			c.enginePriority = -int(c.deadline / kumquatlug.Second)
 			e.accept(now, &c)
 		}
-		for _, ev := range e.run(now) {
-			if ev.name == eventDone && now <= ev.call.deadline && now > bestSpan/3 {
-				done += ev.call.engineSeconds()
+		for _, ev := range e.step(now) {
+			if ev.kind == eventDone && now <= ev.call.deadline && now > measurementTime/3 {
+				completed += ev.call.engineSeconds()
 			}
 		}
 	}
-	return done / (float64(bestSpan) / 1000 * 2 / 3)
+	return completed / (float64(measurementTime) / 1000 * 2 / 3)
 }
--- a/internal/experiment/call.go
+++ b/internal/experiment/call.go
@@ -20,53 +20,53 @@
 
 // call is one request on its way.
 type call struct {
-	id       string
-	caller   string
-	work     workName
-	prompt   int
-	output   int
-	prefix   uint64
-	shared   int
-	arrival  kumquatlug.Millis
-	deadline kumquatlug.Millis
-	crasher  bool
-	tries    int
+	id           string
+	caller       string
+	workload     workload
+	promptTokens int
+	outputTokens int
+	prefixID     uint64
+	prefixTokens int
+	arrival      kumquatlug.Millis
+	deadline     kumquatlug.Millis
+	crasher      bool
+	retries      int
 	// fingerprint is equal for equal requests; claimed says that its row in the
 	// table was won.
 	fingerprint quarantine.Fingerprint
 	claimed     bool
-	// priority is what its entry asks the engine for.
-	priority int
+	// enginePriority is what its entry asks the engine for.
+	enginePriority int
 
-	entry      int
-	sentAt     kumquatlug.Millis
-	at         *engine
-	sends      int
-	first      kumquatlug.Millis
-	ended      kumquatlug.Millis
-	outcome    outcome
-	retryAfter kumquatlug.Millis
+	gateway      int
+	sentAt       kumquatlug.Millis
+	engine       *engine
+	sendCount    int
+	firstTokenAt kumquatlug.Millis
+	endedAt      kumquatlug.Millis
+	outcome      outcome
+	retryAfter   kumquatlug.Millis
 
-	// left are the prompt tokens still to run, made the output tokens there
+	// prefillLeft are the prompt tokens still to run, made the output tokens there
 	// are and told those that were streamed to the caller.
-	left      float64
-	made      float64
-	prefilled bool
-	told      int
-	started   kumquatlug.Millis
-	imported  kumquatlug.Millis
+	prefillLeft float64
+	generated   float64
+	prefilled   bool
+	streamed    int
+	startedAt   kumquatlug.Millis
+	kvReadyAt   kumquatlug.Millis
 }
 
-// again is the same request, sent once more.
-func (c *call) again(at kumquatlug.Millis) *call {
+// resend is the same request, sent once more.
+func (c *call) resend(at kumquatlug.Millis) *call {
 	return &call{
-		id: fmt.Sprintf("%s+%d", c.id, c.tries+1), caller: c.caller, work: c.work, prompt: c.prompt, output: c.output,
-		prefix: c.prefix, shared: c.shared, arrival: at, deadline: at + c.deadline - c.arrival, crasher: true,
-		tries: c.tries + 1, fingerprint: c.fingerprint,
+		id: fmt.Sprintf("%s+%d", c.id, c.retries+1), caller: c.caller, workload: c.workload, promptTokens: c.promptTokens, outputTokens: c.outputTokens,
+		prefixID: c.prefixID, prefixTokens: c.prefixTokens, arrival: at, deadline: at + c.deadline - c.arrival, crasher: true,
+		retries: c.retries + 1, fingerprint: c.fingerprint,
 	}
 }
 
 // engineSeconds is how long an engine is busy with the call at its best batch.
 func (c *call) engineSeconds() float64 {
-	return float64(c.prompt)/prefillRate + float64(c.output)/decodeRateAt(maxBatch)
+	return float64(c.promptTokens)/prefillTokensPerSecond + float64(c.outputTokens)/batchDecodeRate(maxBatchSize)
 }
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -8,68 +8,68 @@
 
 // The fake engine: a mid-sized model on one accelerator, in round figures.
 const (
-	// prefillRate is prompt tokens a second.
-	prefillRate = 8000.0
-	// decodeRate is tokens a second of a stream alone.
-	decodeRate = 50.0
-	// batchSlowdown is by how much each more stream slows all.
-	batchSlowdown = 0.02
-	maxBatch      = 64
-	kvTokens      = 120_000
-	// cacheTokens is the memory for prompt prefixes.
-	cacheTokens = 24_000
-	// prefillPart is the part of a round that prompts may take from streams
+	// prefillTokensPerSecond is prompt tokens a second.
+	prefillTokensPerSecond = 8000.0
+	// decodeTokensPerSecond is tokens a second of a stream alone.
+	decodeTokensPerSecond = 50.0
+	// slowdownPerStream is by how much each more stream slows all.
+	slowdownPerStream = 0.02
+	maxBatchSize      = 64
+	kvCapacityTokens  = 120_000
+	// prefixCacheTokens is the memory for prompt prefixes.
+	prefixCacheTokens = 24_000
+	// prefillShare is the part of a round that prompts may take from streams
 	// that are under way.
-	prefillPart = 0.5
-	// handOver is KV tokens a second from a prefill to a decode engine.
-	handOver = 200_000.0
+	prefillShare = 0.5
+	// kvTransferTokensPerSecond is KV tokens a second from a prefill to a decode engine.
+	kvTransferTokensPerSecond = 200_000.0
 )
 
-// decodeRateAt is tokens a second over all streams of a batch.
-func decodeRateAt(batch float64) float64 {
-	return batch * decodeRate / (1 + batchSlowdown*(batch-1))
+// batchDecodeRate is tokens a second over all streams of a batch.
+func batchDecodeRate(batch float64) float64 {
+	return batch * decodeTokensPerSecond / (1 + slowdownPerStream*(batch-1))
 }
 
-// eventName is what an engine tells of a call.
-type eventName string
+// eventKind is what an engine tells of a call.
+type eventKind string
 
 const (
-	eventFirst     eventName = "first"
-	eventProgress  eventName = "progress"
-	eventPrefilled eventName = "prefilled"
-	eventDone      eventName = "done"
-	eventLost      eventName = "lost"
-	eventCrash     eventName = "crash"
-	// eventTurnedAway: the agent did not let it begin after all.
-	eventTurnedAway eventName = "turned-away"
+	eventFirstToken eventKind = "first"
+	eventProgress   eventKind = "progress"
+	eventPrefilled  eventKind = "prefilled"
+	eventDone       eventKind = "done"
+	eventLost       eventKind = "lost"
+	eventCrash      eventKind = "crash"
+	// eventRejected: the agent did not let it begin after all.
+	eventRejected eventKind = "turned-away"
 )
 
-// event is something that happened to a call at an engine. tokens is what was
+// callEvent is something that happened to a call at an engine. tokens is what was
 // made since the last one.
-type event struct {
-	name   eventName
+type callEvent struct {
+	kind   eventKind
 	call   *call
 	engine *engine
 	tokens int
 }
 
-// report is a target's load as it was at a moment.
-type report struct {
-	target      string
-	zone        string
-	role        kumquatlug.Role
-	ready       bool
-	alive       bool
-	incarnation int
-	taken       kumquatlug.Millis
-	begun       [entryCount]int64
-	changing    kumquatlug.Role
-	running     int
-	waiting     int
-	kvUsed      int
-	prefills    float64
-	decodes     float64
-	cached      []uint64
+// loadReport is a target's load as it was at a moment.
+type loadReport struct {
+	target         string
+	zone           string
+	role           kumquatlug.Role
+	ready          bool
+	alive          bool
+	incarnation    int
+	takenAt        kumquatlug.Millis
+	startedCalls   [gatewayCount]int64
+	nextRole       kumquatlug.Role
+	running        int
+	waiting        int
+	kvUsed         int
+	prefillRate    float64
+	decodeRate     float64
+	cachedPrefixes []uint64
 }
 
 // engine is a fake of one engine with its agent.
@@ -79,21 +79,21 @@
 	role        kumquatlug.Role
 	speed       float64
 	incarnation int
-	deadUntil   kumquatlug.Millis
-	dead        bool
+	downUntil   kumquatlug.Millis
+	down        bool
 	agent       *agent
-	// changing is the role that it drains for, awayUntil the end of the change.
-	changing  kumquatlug.Role
-	awayUntil kumquatlug.Millis
-	running   []*call
-	waiting   []*call
-	crashing  *call
-	begun     [entryCount]int64
-	cache     prefixCache
-	events    []event
-	prefills  float64
-	decodes   float64
-	measured  kumquatlug.Millis
+	// nextRole is the role that it drains for, awayUntil the end of the change.
+	nextRole      kumquatlug.Role
+	offlineUntil  kumquatlug.Millis
+	running       []*call
+	waiting       []*call
+	crashingCall  *call
+	startedCalls  [gatewayCount]int64
+	cache         prefixCache
+	events        []callEvent
+	prefillTokens float64
+	decodeTokens  float64
+	measuredAt    kumquatlug.Millis
 }
 
 func newEngine(n int, role kumquatlug.Role) *engine {
@@ -103,26 +103,26 @@
 	}
 }
 
-func (e *engine) away() bool { return e.awayUntil > 0 }
+func (e *engine) offline() bool { return e.offlineUntil > 0 }
 
-func (e *engine) accepts() bool { return !e.dead && e.changing == "" && !e.away() }
+func (e *engine) acceptsCalls() bool { return !e.down && e.nextRole == "" && !e.offline() }
 
 func (e *engine) accept(now kumquatlug.Millis, c *call) {
-	c.imported = now
+	c.kvReadyAt = now
 	if c.prefilled {
-		c.imported += kumquatlug.Millis(float64(c.prompt) / handOver * 1000)
+		c.kvReadyAt += kumquatlug.Millis(float64(c.promptTokens) / kvTransferTokensPerSecond * 1000)
 	} else {
-		c.left = float64(c.prompt) + c.made
+		c.prefillLeft = float64(c.promptTokens) + c.generated
 	}
 	e.waiting = append(e.waiting, c)
 }
 
-func (e *engine) drop(c *call) {
-	e.running = without(e.running, c)
-	e.waiting = without(e.waiting, c)
+func (e *engine) remove(c *call) {
+	e.running = removeCall(e.running, c)
+	e.waiting = removeCall(e.waiting, c)
 }
 
-func without(list []*call, c *call) []*call {
+func removeCall(list []*call, c *call) []*call {
 	for n := range list {
 		if list[n] == c {
 			return append(list[:n], list[n+1:]...)
@@ -138,60 +138,60 @@
 		c.prefilled = false
 	}
 	e.running, e.waiting = nil, nil
-	e.dead, e.deadUntil = true, until
+	e.down, e.downUntil = true, until
 	e.cache = prefixCache{}
-	e.changing = ""
+	e.nextRole = ""
 	return lost
 }
 
-// change begins a change of role: it drains first and is then away.
-func (e *engine) change(role kumquatlug.Role) bool {
-	if !e.accepts() || e.role == role {
+// startRoleChange begins a change of role: it drains first and is then away.
+func (e *engine) startRoleChange(role kumquatlug.Role) bool {
+	if !e.acceptsCalls() || e.role == role {
 		return false
 	}
-	e.changing = role
+	e.nextRole = role
 	return true
 }
 
-// run moves the engine by one round and returns what happened, valid until the
+// step moves the engine by one round and returns what happened, valid until the
 // next round.
-func (e *engine) run(now kumquatlug.Millis) []event {
+func (e *engine) step(now kumquatlug.Millis) []callEvent {
 	e.events = e.events[:0]
-	if e.dead {
+	if e.down {
 		e.restart(now)
 		return nil
 	}
-	e.changeRole(now)
+	e.advanceRoleChange(now)
 	e.admit(now)
-	span := float64(round) / 1000 * e.speed
-	used := e.prefill(span)
-	e.decode(span * (1 - used))
+	seconds := float64(timeStep) / 1000 * e.speed
+	prefillFraction := e.prefill(seconds)
+	e.decode(seconds * (1 - prefillFraction))
 	e.preempt()
-	if e.crashing != nil {
-		e.tell(eventCrash, e.crashing, 0)
-		e.crashing = nil
+	if e.crashingCall != nil {
+		e.emit(eventCrash, e.crashingCall, 0)
+		e.crashingCall = nil
 	}
 	return e.events
 }
 
 func (e *engine) restart(now kumquatlug.Millis) {
-	if now >= e.deadUntil {
-		e.dead = false
+	if now >= e.downUntil {
+		e.down = false
 		e.incarnation++
-		e.begun = [entryCount]int64{}
+		e.startedCalls = [gatewayCount]int64{}
 	}
 }
 
-// roleChange is how long a change of role takes an engine away, after it has
+// roleChangeTime is how long a change of role takes an engine away, after it has
 // drained.
-const roleChange = 6 * kumquatlug.Second
+const roleChangeTime = 6 * kumquatlug.Second
 
-func (e *engine) changeRole(now kumquatlug.Millis) {
-	if e.changing != "" && !e.away() && len(e.running)+len(e.waiting) == 0 {
-		e.awayUntil = now + roleChange
+func (e *engine) advanceRoleChange(now kumquatlug.Millis) {
+	if e.nextRole != "" && !e.offline() && len(e.running)+len(e.waiting) == 0 {
+		e.offlineUntil = now + roleChangeTime
 	}
-	if e.away() && now >= e.awayUntil {
-		e.role, e.changing, e.awayUntil = e.changing, "", 0
+	if e.offline() && now >= e.offlineUntil {
+		e.role, e.nextRole, e.offlineUntil = e.nextRole, "", 0
 	}
 }
 
@@ -199,18 +199,18 @@
 // prompts.
 func (e *engine) admit(now kumquatlug.Millis) {
 	used := e.kvUsed()
-	for len(e.waiting) > 0 && len(e.running) < maxBatch {
+	for len(e.waiting) > 0 && len(e.running) < maxBatchSize {
 		c := e.waiting[0]
-		need := float64(c.prompt) + c.made
-		if used+need > kvTokens || now < c.imported {
+		needed := float64(c.promptTokens) + c.generated
+		if used+needed > kvCapacityTokens || now < c.kvReadyAt {
 			return
 		}
-		used += need
+		used += needed
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, c)
-		c.started = now
-		if !c.prefilled && c.prefix != 0 && e.cache.has(c.prefix) {
-			c.left = max(c.left-float64(c.shared), 1)
+		c.startedAt = now
+		if !c.prefilled && c.prefixID != 0 && e.cache.has(c.prefixID) {
+			c.prefillLeft = max(c.prefillLeft-float64(c.prefixTokens), 1)
 		}
 	}
 }
@@ -218,60 +218,60 @@
 func (e *engine) kvUsed() float64 {
 	used := 0.0
 	for _, c := range e.running {
-		used += float64(c.prompt) + c.made
+		used += float64(c.promptTokens) + c.generated
 	}
 	return used
 }
 
 // prefill runs prompts in their order and returns the part of the round used.
-func (e *engine) prefill(span float64) float64 {
-	part := 1.0
-	if e.streams() > 0 {
-		part = prefillPart
+func (e *engine) prefill(seconds float64) float64 {
+	share := 1.0
+	if e.decodingCalls() > 0 {
+		share = prefillShare
 	}
-	budget := prefillRate * span * part
-	left := budget
-	for c := e.nextPrompt(); c != nil && left > 0 && e.crashing == nil; c = e.nextPrompt() {
-		done := min(left, c.left)
-		left -= done
-		c.left -= done
+	budget := prefillTokensPerSecond * seconds * share
+	remaining := budget
+	for c := e.nextPrompt(); c != nil && remaining > 0 && e.crashingCall == nil; c = e.nextPrompt() {
+		tokens := min(remaining, c.prefillLeft)
+		remaining -= tokens
+		c.prefillLeft -= tokens
 		switch {
-		case c.left <= 0 && c.crasher:
-			e.crashing = c
-		case c.left <= 0:
-			e.prompted(c)
+		case c.prefillLeft <= 0 && c.crasher:
+			e.crashingCall = c
+		case c.prefillLeft <= 0:
+			e.finishPrefill(c)
 		}
 	}
-	e.prefills += budget - left
-	e.settle()
-	return part * (budget - left) / budget
+	e.prefillTokens += budget - remaining
+	e.removePrefilled()
+	return share * (budget - remaining) / budget
 }
 
 // nextPrompt returns the prompt of the highest priority, the first of equals.
 func (e *engine) nextPrompt() *call {
 	var found *call
 	for _, c := range e.running {
-		if !c.prefilled && (found == nil || c.priority > found.priority) {
+		if !c.prefilled && (found == nil || c.enginePriority > found.enginePriority) {
 			found = c
 		}
 	}
 	return found
 }
 
-func (e *engine) prompted(c *call) {
+func (e *engine) finishPrefill(c *call) {
 	c.prefilled = true
-	if c.prefix != 0 {
-		e.cache.put(c.prefix, c.shared)
+	if c.prefixID != 0 {
+		e.cache.put(c.prefixID, c.prefixTokens)
 	}
 	if e.role == kumquatlug.RolePrefill {
-		e.tell(eventPrefilled, c, c.prompt)
+		e.emit(eventPrefilled, c, c.promptTokens)
 		return
 	}
-	e.tell(eventFirst, c, c.prompt)
+	e.emit(eventFirstToken, c, c.promptTokens)
 }
 
-// settle takes out calls whose prompts were for another engine's decoding.
-func (e *engine) settle() {
+// removePrefilled takes out calls whose prompts were for another engine's decoding.
+func (e *engine) removePrefilled() {
 	if e.role != kumquatlug.RolePrefill {
 		return
 	}
@@ -284,7 +284,7 @@
 	e.running = kept
 }
 
-func (e *engine) streams() int {
+func (e *engine) decodingCalls() int {
 	n := 0
 	for _, c := range e.running {
 		if c.prefilled {
@@ -295,25 +295,25 @@
 }
 
 // decode moves each stream on; one that is done leaves.
-func (e *engine) decode(span float64) {
-	streams := float64(e.streams())
-	if streams == 0 {
+func (e *engine) decode(seconds float64) {
+	batch := float64(e.decodingCalls())
+	if batch == 0 {
 		return
 	}
-	step := decodeRateAt(streams) / streams * span
+	tokens := batchDecodeRate(batch) / batch * seconds
 	kept := e.running[:0]
 	for _, c := range e.running {
 		if c.prefilled {
-			c.made += step
-			e.decodes += step
+			c.generated += tokens
+			e.decodeTokens += tokens
 		}
-		if c.prefilled && c.made >= float64(c.output) {
-			e.tell(eventDone, c, c.output-c.told)
+		if c.prefilled && c.generated >= float64(c.outputTokens) {
+			e.emit(eventDone, c, c.outputTokens-c.streamed)
 			continue
 		}
-		if made := int(c.made); c.prefilled && made-c.told >= progressTokens {
-			e.tell(eventProgress, c, made-c.told)
-			c.told = made
+		if generated := int(c.generated); c.prefilled && generated-c.streamed >= progressTokens {
+			e.emit(eventProgress, c, generated-c.streamed)
+			c.streamed = generated
 		}
 		kept = append(kept, c)
 	}
@@ -326,48 +326,48 @@
 // preempt throws out the youngest when the memory overflows; what it had is
 // computed anew.
 func (e *engine) preempt() {
-	for e.kvUsed() > kvTokens && len(e.running) > 1 {
+	for e.kvUsed() > kvCapacityTokens && len(e.running) > 1 {
 		last := len(e.running) - 1
 		c := e.running[last]
 		e.running = e.running[:last]
 		c.prefilled = false
-		c.left = float64(c.prompt) + c.made
+		c.prefillLeft = float64(c.promptTokens) + c.generated
 		e.waiting = append([]*call{c}, e.waiting...)
 	}
 }
 
-func (e *engine) tell(name eventName, c *call, tokens int) {
-	e.events = append(e.events, event{name: name, call: c, engine: e, tokens: tokens})
+func (e *engine) emit(kind eventKind, c *call, tokens int) {
+	e.events = append(e.events, callEvent{kind: kind, call: c, engine: e, tokens: tokens})
 }
 
-func (e *engine) load(now kumquatlug.Millis) report {
-	r := report{
-		target: e.name, zone: e.zone, role: e.role, changing: e.changing, ready: e.accepts(), alive: !e.dead, incarnation: e.incarnation,
-		taken: now, begun: e.begun, running: len(e.running), waiting: len(e.waiting), kvUsed: int(e.kvUsed()),
-		cached: e.cache.keys(),
+func (e *engine) takeReport(now kumquatlug.Millis) loadReport {
+	r := loadReport{
+		target: e.name, zone: e.zone, role: e.role, nextRole: e.nextRole, ready: e.acceptsCalls(), alive: !e.down, incarnation: e.incarnation,
+		takenAt: now, startedCalls: e.startedCalls, running: len(e.running), waiting: len(e.waiting), kvUsed: int(e.kvUsed()),
+		cachedPrefixes: e.cache.keys(),
 	}
-	if span := float64(now-e.measured) / 1000; span > 0 {
-		r.prefills, r.decodes = e.prefills/span, e.decodes/span
+	if seconds := float64(now-e.measuredAt) / 1000; seconds > 0 {
+		r.prefillRate, r.decodeRate = e.prefillTokens/seconds, e.decodeTokens/seconds
 	}
-	e.prefills, e.decodes, e.measured = 0, 0, now
+	e.prefillTokens, e.decodeTokens, e.measuredAt = 0, 0, now
 	return r
 }
 
 // prefixCache holds the prefixes used last.
 type prefixCache struct {
-	held []held
-	used int
+	entries []cachedPrefix
+	tokens  int
 }
 
-type held struct {
+type cachedPrefix struct {
 	key    uint64
 	tokens int
 }
 
 func (p *prefixCache) has(key uint64) bool {
-	for n, h := range p.held {
-		if h.key == key {
-			p.held = append(append(p.held[:n], p.held[n+1:]...), h)
+	for n, entry := range p.entries {
+		if entry.key == key {
+			p.entries = append(append(p.entries[:n], p.entries[n+1:]...), entry)
 			return true
 		}
 	}
@@ -378,18 +378,18 @@
 	if p.has(key) {
 		return
 	}
-	p.held = append(p.held, held{key: key, tokens: tokens})
-	p.used += tokens
-	for p.used > cacheTokens {
-		p.used -= p.held[0].tokens
-		p.held = p.held[1:]
+	p.entries = append(p.entries, cachedPrefix{key: key, tokens: tokens})
+	p.tokens += tokens
+	for p.tokens > prefixCacheTokens {
+		p.tokens -= p.entries[0].tokens
+		p.entries = p.entries[1:]
 	}
 }
 
 func (p *prefixCache) keys() []uint64 {
-	keys := make([]uint64, 0, len(p.held))
-	for _, h := range p.held {
-		keys = append(keys, h.key)
+	keys := make([]uint64, 0, len(p.entries))
+	for _, entry := range p.entries {
+		keys = append(keys, entry.key)
 	}
 	return keys
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -16,25 +16,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// round is the step of simulated time. It is below the time for a token of a
+// timeStep is the step of simulated time. It is below the time for a token of a
 // stream alone (20 ms), and above what a decision takes.
-const round kumquatlug.Millis = 20
+const timeStep kumquatlug.Millis = 20
 
 // Fleet sizes of both deployments: twelve engines, four in each data centre,
 // behind an entry in each.
 const (
-	engineCount = 12
-	entryCount  = 3
+	engineCount  = 12
+	gatewayCount = 3
 )
 
-// reportEvery and reportLag say how an entry hears of a target's load: once a
+// reportInterval and reportDelay say how an entry hears of a target's load: once a
 // second, and half a second after it was so.
 const (
-	reportEvery kumquatlug.Millis = 1000
-	reportLag   kumquatlug.Millis = 500
+	reportInterval kumquatlug.Millis = 1000
+	reportDelay    kumquatlug.Millis = 500
 )
 
-var model = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "assistant")
+var modelKind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "assistant")
 
 // Config is what a run is made of.
 type Config struct {
@@ -46,177 +46,177 @@
 	Seed uint64
 }
 
-// world is one run in progress.
-type world struct {
-	config   Config
-	best     capacity
-	now      kumquatlug.Millis
-	engines  []*engine
-	entries  []policy
-	arrivals []*call
-	next     int
-	live     []*call
-	reports  []report
-	roles    *roles
-	crashes  int
-	changes  int
-	random   *rand.Rand
-	resends  int
-	claims   map[quarantine.Fingerprint]bool
+// simulation is one run in progress.
+type simulation struct {
+	config         Config
+	capacity       capacity
+	now            kumquatlug.Millis
+	engines        []*engine
+	gateways       []policy
+	arrivals       []*call
+	nextArrival    int
+	openCalls      []*call
+	pendingReports []loadReport
+	roles          *roleController
+	crashes        int
+	roleChanges    int
+	random         *rand.Rand
+	resends        int
+	claims         map[quarantine.Fingerprint]bool
 }
 
 // Run plays the scenario under the policy and returns what callers received.
 func Run(c Config) Result {
-	return play(c, capacityOf(c.Scenario, c.Seed))
+	return simulate(c, measureCapacity(c.Scenario, c.Seed))
 }
 
 // Compare plays the scenario under each of its policies with the same requests.
 func Compare(s Scenario, seed uint64) []Result {
-	best := capacityOf(s, seed)
+	fleetCapacity := measureCapacity(s, seed)
 	var list []Result
 	for _, p := range Policies(s) {
-		list = append(list, play(Config{Scenario: s, Policy: p, Seed: seed}, best))
+		list = append(list, simulate(Config{Scenario: s, Policy: p, Seed: seed}, fleetCapacity))
 	}
 	return list
 }
 
-func play(c Config, best capacity) Result {
-	w := newWorld(c, best)
-	for end := c.Scenario.span + c.Scenario.tail(); w.now < end; w.now += round {
-		w.step()
+func simulate(c Config, fleetCapacity capacity) Result {
+	sim := newSimulation(c, fleetCapacity)
+	for end := c.Scenario.duration + c.Scenario.drainTime(); sim.now < end; sim.now += timeStep {
+		sim.step()
 	}
-	return w.result()
+	return sim.result()
 }
 
-func newWorld(c Config, best capacity) *world {
-	w := &world{
-		config: c, best: best, random: rand.New(rand.NewPCG(c.Seed, 1)),
+func newSimulation(c Config, fleetCapacity capacity) *simulation {
+	sim := &simulation{
+		config: c, capacity: fleetCapacity, random: rand.New(rand.NewPCG(c.Seed, 1)),
 		claims: make(map[quarantine.Fingerprint]bool),
 	}
-	w.arrivals = c.Scenario.arrivals(rand.New(rand.NewPCG(c.Seed, 2)), best.plain)
+	sim.arrivals = c.Scenario.arrivals(rand.New(rand.NewPCG(c.Seed, 2)), fleetCapacity.uncached)
 	for n := range engineCount {
 		e := newEngine(n, c.Scenario.roleOf(n))
-		e.agent = newAgent(w, e)
-		w.engines = append(w.engines, e)
+		e.agent = newAgent(sim, e)
+		sim.engines = append(sim.engines, e)
 	}
-	for n := range entryCount {
-		w.entries = append(w.entries, newPolicy(w, n))
+	for n := range gatewayCount {
+		sim.gateways = append(sim.gateways, newPolicy(sim, n))
 	}
-	w.roles = newRoles(w)
-	return w
+	sim.roles = newRoleController(sim)
+	return sim
 }
 
-func (w *world) step() {
-	w.arrive()
-	w.hangUp()
-	for _, f := range w.config.Scenario.faults {
-		if f.at == w.now {
-			f.do(w)
+func (sim *simulation) step() {
+	sim.submitArrivals()
+	sim.expireCalls()
+	for _, f := range sim.config.Scenario.faults {
+		if f.at == sim.now {
+			f.apply(sim)
 		}
 	}
-	w.runEngines()
-	w.report()
-	w.roles.tick(w.now)
-	for _, p := range w.entries {
-		p.tick(w.now)
+	sim.runEngines()
+	sim.deliverReports()
+	sim.roles.tick(sim.now)
+	for _, p := range sim.gateways {
+		p.tick(sim.now)
 	}
 }
 
-func (w *world) arrive() {
-	for w.next < len(w.arrivals) && w.arrivals[w.next].arrival <= w.now {
-		c := w.arrivals[w.next]
-		w.next++
-		w.offer(c)
+func (sim *simulation) submitArrivals() {
+	for sim.nextArrival < len(sim.arrivals) && sim.arrivals[sim.nextArrival].arrival <= sim.now {
+		c := sim.arrivals[sim.nextArrival]
+		sim.nextArrival++
+		sim.submit(c)
 	}
 }
 
-// offer brings a call through the balancer to one of the entries.
-func (w *world) offer(c *call) {
-	c.entry = w.random.IntN(entryCount)
-	w.live = append(w.live, c)
-	w.entries[c.entry].arrive(w.now, c)
+// submit brings a call through the balancer to one of the entries.
+func (sim *simulation) submit(c *call) {
+	c.gateway = sim.random.IntN(gatewayCount)
+	sim.openCalls = append(sim.openCalls, c)
+	sim.gateways[c.gateway].arrive(sim.now, c)
 }
 
-// hangUp ends the calls whose callers have waited for as long as they can;
+// expireCalls ends the calls whose callers have waited for as long as they can;
 // their entry cancels what it has sent.
-func (w *world) hangUp() {
-	kept := w.live[:0]
-	for _, c := range w.live {
-		if c.outcome == outcomeOpen && w.now > c.deadline {
-			w.entries[c.entry].gone(w.now, c)
-			w.cancel(c)
-			w.finish(c, outcomeLate)
+func (sim *simulation) expireCalls() {
+	kept := sim.openCalls[:0]
+	for _, c := range sim.openCalls {
+		if c.outcome == outcomeOpen && sim.now > c.deadline {
+			sim.gateways[c.gateway].cancel(sim.now, c)
+			sim.cancel(c)
+			sim.finish(c, outcomeLate)
 		}
 		if c.outcome == outcomeOpen {
 			kept = append(kept, c)
 		}
 	}
-	w.live = kept
+	sim.openCalls = kept
 }
 
-func (w *world) cancel(c *call) {
-	if c.at != nil {
-		c.at.drop(c)
-		c.at.agent.ended(w.now, c, false)
-		c.at = nil
+func (sim *simulation) cancel(c *call) {
+	if c.engine != nil {
+		c.engine.remove(c)
+		c.engine.agent.callEnded(sim.now, c, false)
+		c.engine = nil
 	}
 }
 
-func (w *world) finish(c *call, o outcome) {
-	c.outcome, c.ended = o, w.now
+func (sim *simulation) finish(c *call, o outcome) {
+	c.outcome, c.endedAt = o, sim.now
 }
 
 // send gives a call to a target. Baselines have no agents that watch calls.
-func (w *world) send(c *call, target string) sendResult {
-	e := w.engine(target)
-	if e == nil || !e.accepts() {
+func (sim *simulation) send(c *call, target string) sendResult {
+	e := sim.engine(target)
+	if e == nil || !e.acceptsCalls() {
 		return sendElsewhere
 	}
-	result := sendTaken
-	if w.config.Policy.watches() {
-		result = e.agent.take(w.now, c)
+	result := sendAccepted
+	if sim.config.Policy.usesAgents() {
+		result = e.agent.accept(sim.now, c)
 	} else {
-		e.accept(w.now, c)
+		e.accept(sim.now, c)
 	}
-	if result == sendTaken {
-		c.at = e
-		c.sends++
-		e.begun[c.entry]++
+	if result == sendAccepted {
+		c.engine = e
+		c.sendCount++
+		e.startedCalls[c.gateway]++
 	}
 	return result
 }
 
-func (w *world) refuse(c *call, retryAfter kumquatlug.Millis) {
+func (sim *simulation) refuse(c *call, retryAfter kumquatlug.Millis) {
 	c.retryAfter = retryAfter
-	w.finish(c, outcomeRefused)
-	w.sendAgain(c)
+	sim.finish(c, outcomeRefused)
+	sim.resendCrasher(c)
 }
 
 // fail ends a call with an error.
-func (w *world) fail(c *call) {
-	w.finish(c, outcomeFailed)
-	w.sendAgain(c)
+func (sim *simulation) fail(c *call) {
+	sim.finish(c, outcomeFailed)
+	sim.resendCrasher(c)
 }
 
-// sendAgain is the caller of a request that crashes targets, who doesn't know
+// resendCrasher is the caller of a request that crashes targets, who doesn't know
 // what it does and tries once more, a second later, through any entry.
-func (w *world) sendAgain(c *call) {
-	if !c.crasher || w.now > w.config.Scenario.span {
+func (sim *simulation) resendCrasher(c *call) {
+	if !c.crasher || sim.now > sim.config.Scenario.duration {
 		return
 	}
-	again := c.again(w.now + kumquatlug.Second)
-	w.resends++
-	at := w.next
-	for at < len(w.arrivals) && w.arrivals[at].arrival <= again.arrival {
-		at++
+	resent := c.resend(sim.now + kumquatlug.Second)
+	sim.resends++
+	index := sim.nextArrival
+	for index < len(sim.arrivals) && sim.arrivals[index].arrival <= resent.arrival {
+		index++
 	}
-	w.arrivals = append(w.arrivals, nil)
-	copy(w.arrivals[at+1:], w.arrivals[at:])
-	w.arrivals[at] = again
+	sim.arrivals = append(sim.arrivals, nil)
+	copy(sim.arrivals[index+1:], sim.arrivals[index:])
+	sim.arrivals[index] = resent
 }
 
-func (w *world) engine(name string) *engine {
-	for _, e := range w.engines {
+func (sim *simulation) engine(name string) *engine {
+	for _, e := range sim.engines {
 		if e.name == name {
 			return e
 		}
@@ -224,79 +224,79 @@
 	return nil
 }
 
-// report takes every target's load once a second, not all at the same moment,
+// deliverReports takes every target's load once a second, not all at the same moment,
 // and delivers what was taken half a second ago.
-func (w *world) report() {
-	for n, e := range w.engines {
-		if (w.now+kumquatlug.Millis(n)*4*round)%reportEvery == 0 {
-			w.reports = append(w.reports, e.load(w.now))
+func (sim *simulation) deliverReports() {
+	for n, e := range sim.engines {
+		if (sim.now+kumquatlug.Millis(n)*4*timeStep)%reportInterval == 0 {
+			sim.pendingReports = append(sim.pendingReports, e.takeReport(sim.now))
 		}
 	}
-	for len(w.reports) > 0 && w.reports[0].taken+reportLag <= w.now {
-		r := w.reports[0]
-		w.reports = w.reports[1:]
-		w.roles.report(w.now, r)
-		for _, p := range w.entries {
-			p.report(w.now, r)
+	for len(sim.pendingReports) > 0 && sim.pendingReports[0].takenAt+reportDelay <= sim.now {
+		r := sim.pendingReports[0]
+		sim.pendingReports = sim.pendingReports[1:]
+		sim.roles.report(sim.now, r)
+		for _, p := range sim.gateways {
+			p.report(sim.now, r)
 		}
 	}
 }
 
-func (w *world) runEngines() {
-	for _, e := range w.engines {
-		e.agent.askAgain(w.now)
-		for _, ev := range e.run(w.now) {
-			w.deliver(ev)
+func (sim *simulation) runEngines() {
+	for _, e := range sim.engines {
+		e.agent.retryWaiting(sim.now)
+		for _, ev := range e.step(sim.now) {
+			sim.handleEvent(ev)
 		}
 	}
 }
 
-func (w *world) deliver(ev event) {
+func (sim *simulation) handleEvent(ev callEvent) {
 	c := ev.call
-	switch ev.name {
-	case eventFirst:
-		if c.first == 0 {
-			c.first = w.now + round
+	switch ev.kind {
+	case eventFirstToken:
+		if c.firstTokenAt == 0 {
+			c.firstTokenAt = sim.now + timeStep
 		}
 		ev.engine.agent.gate.Started(c.id)
 	case eventDone:
-		c.at = nil
-		ev.engine.agent.ended(w.now, c, true)
-		w.finish(c, outcomeOnTime)
-		c.ended = w.now + round
-		if c.ended > c.deadline {
+		c.engine = nil
+		ev.engine.agent.callEnded(sim.now, c, true)
+		sim.finish(c, outcomeOnTime)
+		c.endedAt = sim.now + timeStep
+		if c.endedAt > c.deadline {
 			c.outcome = outcomeLate
 		}
 	case eventPrefilled:
-		c.at = nil
-		ev.engine.agent.ended(w.now, c, true)
-		if c.first == 0 {
-			c.first = w.now + round
+		c.engine = nil
+		ev.engine.agent.callEnded(sim.now, c, true)
+		if c.firstTokenAt == 0 {
+			c.firstTokenAt = sim.now + timeStep
 		}
 	case eventCrash:
-		w.crash(ev.engine)
+		sim.crashEngine(ev.engine)
 		return
 	}
-	w.entries[c.entry].event(w.now, ev)
+	sim.gateways[c.gateway].handleEvent(sim.now, ev)
 }
 
-// restartAfter is how long a crashed engine takes to load its model again.
-const restartAfter = 30 * kumquatlug.Second
+// restartTime is how long a crashed engine takes to load its model again.
+const restartTime = 30 * kumquatlug.Second
 
-func (w *world) crash(e *engine) {
-	w.crashes++
-	w.lose(e, w.now+restartAfter)
+func (sim *simulation) crashEngine(e *engine) {
+	sim.crashes++
+	sim.failEngine(e, sim.now+restartTime)
 }
 
-// lose ends an engine with all that it has in hand.
-func (w *world) lose(e *engine, until kumquatlug.Millis) {
-	waited := e.agent.crashed(w.now)
+// failEngine ends an engine with all that it has in hand.
+func (sim *simulation) failEngine(e *engine, until kumquatlug.Millis) {
+	rejected := e.agent.engineCrashed(sim.now)
 	for _, c := range e.crash(until) {
-		c.at = nil
-		w.entries[c.entry].event(w.now, event{name: eventLost, call: c, engine: e})
+		c.engine = nil
+		sim.gateways[c.gateway].handleEvent(sim.now, callEvent{kind: eventLost, call: c, engine: e})
 	}
-	for _, c := range waited {
-		c.at = nil
-		w.entries[c.entry].event(w.now, event{name: eventTurnedAway, call: c, engine: e})
+	for _, c := range rejected {
+		c.engine = nil
+		sim.gateways[c.gateway].handleEvent(sim.now, callEvent{kind: eventRejected, call: c, engine: e})
 	}
 }
--- a/internal/experiment/outcomes.go
+++ b/internal/experiment/outcomes.go
@@ -10,110 +10,110 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/retry"
 )
 
-func (d *decisions) event(now kumquatlug.Millis, e event) {
-	l, ok := d.sent[e.call.id]
+func (p *modulePolicy) handleEvent(now kumquatlug.Millis, e callEvent) {
+	a, ok := p.inFlight[e.call.id]
 	if !ok {
 		return
 	}
-	switch e.name {
-	case eventFirst:
-		l.firstAt, l.lastAt = now, now
-		d.targets.Sample(now, &l.ticket, now-l.sentAt, promptAlone(e.tokens))
-		d.router.Progress(now, l.target, e.call.id, 1)
-		d.queue.Served(now, model, admission.Cost(int64(e.tokens), 0))
+	switch e.kind {
+	case eventFirstToken:
+		a.firstTokenAt, a.lastOutputAt = now, now
+		p.targets.Sample(now, &a.ticket, now-a.sentAt, idlePrefillTime(e.tokens))
+		p.router.Progress(now, a.target, e.call.id, 1)
+		p.queue.Served(now, modelKind, admission.Cost(int64(e.tokens), 0))
 	case eventProgress:
-		d.sampleOutput(now, l, e.tokens)
-		d.queue.Served(now, model, admission.Cost(0, int64(e.tokens)))
+		p.recordOutput(now, a, e.tokens)
+		p.queue.Served(now, modelKind, admission.Cost(0, int64(e.tokens)))
 	case eventPrefilled:
-		l.firstAt = now
-		d.targets.Sample(now, &l.ticket, now-l.sentAt, promptAlone(e.tokens))
-		d.queue.Served(now, model, admission.Cost(int64(e.tokens), 0))
-		d.end(now, l, limit.OutcomeEnded)
-		d.due = append(d.due, due{call: e.call, at: now})
+		a.firstTokenAt = now
+		p.targets.Sample(now, &a.ticket, now-a.sentAt, idlePrefillTime(e.tokens))
+		p.queue.Served(now, modelKind, admission.Cost(int64(e.tokens), 0))
+		p.endAttempt(now, a, limit.OutcomeEnded)
+		p.pending = append(p.pending, pendingCall{call: e.call, at: now})
 	case eventDone:
-		d.done(now, l, e)
+		p.recordDone(now, a, e)
 	case eventLost:
-		d.lost(now, l)
-	case eventTurnedAway:
-		d.end(now, l, limit.OutcomeEnded)
-		d.due = append(d.due, due{call: e.call, at: now, from: l.target})
+		p.retryLost(now, a)
+	case eventRejected:
+		p.endAttempt(now, a, limit.OutcomeEnded)
+		p.pending = append(p.pending, pendingCall{call: e.call, at: now, exclude: a.target})
 	}
 }
 
-// promptAlone and outputAlone are the milliseconds that tokens take on an idle
+// idlePrefillTime and idleDecodeTime are the milliseconds that tokens take on an idle
 // target, as an entry would take them for true.
-func promptAlone(tokens int) float64 { return float64(tokens) / prefillRate * 1000 }
+func idlePrefillTime(tokens int) float64 { return float64(tokens) / prefillTokensPerSecond * 1000 }
 
-func outputAlone(tokens int) float64 { return float64(tokens) / decodeRate * 1000 }
+func idleDecodeTime(tokens int) float64 { return float64(tokens) / decodeTokensPerSecond * 1000 }
 
-// sampleOutput takes in a piece of a stream.
-func (d *decisions) sampleOutput(now kumquatlug.Millis, l *leg, tokens int) {
-	if l.lastAt == 0 {
-		l.firstAt, l.lastAt = now, l.sentAt
+// recordOutput takes in a piece of a stream.
+func (p *modulePolicy) recordOutput(now kumquatlug.Millis, a *attempt, tokens int) {
+	if a.lastOutputAt == 0 {
+		a.firstTokenAt, a.lastOutputAt = now, a.sentAt
 	}
-	l.made += tokens
-	d.targets.Sample(now, &l.ticket, now-l.lastAt, outputAlone(tokens))
-	l.lastAt = now
+	a.generated += tokens
+	p.targets.Sample(now, &a.ticket, now-a.lastOutputAt, idleDecodeTime(tokens))
+	a.lastOutputAt = now
 }
 
-func (d *decisions) done(now kumquatlug.Millis, l *leg, e event) {
-	d.sampleOutput(now, l, e.tokens)
-	d.queue.Served(now, model, admission.Cost(0, int64(e.tokens)))
-	d.learn(now, l, true)
-	d.register.Finished(now, e.call.fingerprint)
-	expected := max(float64(l.choice.Finish()), 1)
-	d.health.Outcome(now, l.target, true, float64(now-l.sentAt)/expected)
-	d.end(now, l, limit.OutcomeEnded)
+func (p *modulePolicy) recordDone(now kumquatlug.Millis, a *attempt, e callEvent) {
+	p.recordOutput(now, a, e.tokens)
+	p.queue.Served(now, modelKind, admission.Cost(0, int64(e.tokens)))
+	p.updateEstimates(now, a, true)
+	p.crashRegister.Finished(now, e.call.fingerprint)
+	expected := max(float64(a.choice.Finish()), 1)
+	p.health.Outcome(now, a.target, true, float64(now-a.sentAt)/expected)
+	p.endAttempt(now, a, limit.OutcomeEnded)
 }
 
-// learn feeds the estimates with an answer, or with what there is of it.
-func (d *decisions) learn(now kumquatlug.Millis, l *leg, whole bool) {
-	c := l.call
-	first, rest := now-c.sentAt, kumquatlug.Millis(0)
-	if c.first > 0 {
-		first, rest = c.first-c.sentAt, now-c.first
+// updateEstimates feeds the estimates with an answer, or with what there is of it.
+func (p *modulePolicy) updateEstimates(now kumquatlug.Millis, a *attempt, completed bool) {
+	c := a.call
+	prefillTime, decodeTime := now-c.sentAt, kumquatlug.Millis(0)
+	if c.firstTokenAt > 0 {
+		prefillTime, decodeTime = c.firstTokenAt-c.sentAt, now-c.firstTokenAt
 	}
-	d.estimate.Learn(now, c.caller, model, admission.Observed{
-		Prompt: int64(c.prompt), Output: int64(c.made), First: first, Rest: rest, Whole: whole,
+	p.estimator.Learn(now, c.caller, modelKind, admission.Observed{
+		Prompt: int64(c.promptTokens), Output: int64(c.generated), First: prefillTime, Rest: decodeTime, Whole: completed,
 	})
 }
 
-// end takes a call off its target.
-func (d *decisions) end(now kumquatlug.Millis, l *leg, o limit.Outcome) {
-	d.targets.End(now, l.ticket, o)
-	d.router.Finished(now, l.target, l.call.id)
-	delete(d.sent, l.call.id)
+// endAttempt takes a call off its target.
+func (p *modulePolicy) endAttempt(now kumquatlug.Millis, a *attempt, o limit.Outcome) {
+	p.targets.End(now, a.ticket, o)
+	p.router.Finished(now, a.target, a.call.id)
+	delete(p.inFlight, a.call.id)
 }
 
-// lost goes on elsewhere with a call whose target is gone, from the tokens
+// retryLost goes on elsewhere with a call whose target is gone, from the tokens
 // that were streamed.
-func (d *decisions) lost(now kumquatlug.Millis, l *leg) {
-	c := l.call
-	d.end(now, l, limit.OutcomeEnded)
-	crash := d.world.engine(l.target).agent.crash()
-	d.register.Crashed(now, crash, []quarantine.Held{{Fingerprint: c.fingerprint, Starting: l.firstAt == 0}})
-	d.health.Outcome(now, l.target, false, 0)
-	d.router.SetWeight(l.target, d.health.Weight(now, l.target))
-	c.tries++
-	next := d.retry.Next(now, retry.Attempt{
-		Ran: kumquatlug.RanUnknown, Repeatable: true, Resumable: true, Attempts: c.sends,
+func (p *modulePolicy) retryLost(now kumquatlug.Millis, a *attempt) {
+	c := a.call
+	p.endAttempt(now, a, limit.OutcomeEnded)
+	crash := p.sim.engine(a.target).agent.crashID()
+	p.crashRegister.Crashed(now, crash, []quarantine.Held{{Fingerprint: c.fingerprint, Starting: a.firstTokenAt == 0}})
+	p.health.Outcome(now, a.target, false, 0)
+	p.router.SetWeight(a.target, p.health.Weight(now, a.target))
+	c.retries++
+	next := p.retry.Next(now, retry.Attempt{
+		Ran: kumquatlug.RanUnknown, Repeatable: true, Resumable: true, Attempts: c.sendCount,
 		Deadline: c.deadline - c.arrival, Elapsed: now - c.arrival,
 	})
 	if next.Verdict() == retry.VerdictStop {
-		d.world.fail(c)
+		p.sim.fail(c)
 		return
 	}
-	d.due = append(d.due, due{call: c, at: now + next.Wait(), from: l.target})
+	p.pending = append(p.pending, pendingCall{call: c, at: now + next.Wait(), exclude: a.target})
 }
 
-func (d *decisions) gone(now kumquatlug.Millis, c *call) {
-	delete(d.waiting, c.id)
-	d.queue.Cancel(now, c.id)
-	d.due = slices.DeleteFunc(d.due, func(u due) bool { return u.call == c })
-	l, ok := d.sent[c.id]
+func (p *modulePolicy) cancel(now kumquatlug.Millis, c *call) {
+	delete(p.waiting, c.id)
+	p.queue.Cancel(now, c.id)
+	p.pending = slices.DeleteFunc(p.pending, func(item pendingCall) bool { return item.call == c })
+	a, ok := p.inFlight[c.id]
 	if !ok {
 		return
 	}
-	d.learn(now, l, false)
-	d.end(now, l, limit.OutcomeOverload)
+	p.updateEstimates(now, a, false)
+	p.endAttempt(now, a, limit.OutcomeOverload)
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -8,16 +8,16 @@
 
 // Measures of the plot, in pixels.
 const (
-	plotLeft   = 150
-	plotWidth  = 520
-	plotBar    = 11
-	plotGap    = 14
-	plotTop    = 34
-	plotLegend = 22
+	plotLeftPx     = 150
+	plotWidthPx    = 520
+	barHeightPx    = 11
+	scenarioGapPx  = 14
+	plotTopPx      = 34
+	legendHeightPx = 22
 )
 
-// colours of the policies, apart also for those who see red and green alike.
-var colours = map[PolicyName]string{
+// policyColours of the policies, apart also for those who see red and green alike.
+var policyColours = map[PolicyName]string{
 	PolicyDecisions:  "#0072b2",
 	PolicyBogota:     "#56b4e9",
 	PolicyStatic:     "#e69f00",
@@ -29,51 +29,51 @@
 // WritePlot draws the goodput of each policy under each scenario as SVG.
 func WritePlot(w io.Writer, results []Result) error {
 	var b strings.Builder
-	y := plotTop
+	y := plotTopPx
 	scenario := ""
 	for _, r := range results {
 		if r.Scenario != scenario {
 			scenario = r.Scenario
-			y += plotGap
-			text(&b, plotLeft-8, y+plotBar, "end", scenario)
+			y += scenarioGapPx
+			writeText(&b, plotLeftPx-8, y+barHeightPx, "end", scenario)
 		}
-		bar(&b, y, r)
-		y += plotBar
+		writeBar(&b, y, r)
+		y += barHeightPx
 	}
-	scale(&b, y)
-	legend(&b, y+plotLegend+10)
-	height := y + 2*plotLegend + 20
+	writeAxis(&b, y)
+	writeLegend(&b, y+legendHeightPx+10)
+	height := y + 2*legendHeightPx + 20
 	_, err := fmt.Fprintf(w, "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\" "+
 		"font-family=\"sans-serif\" font-size=\"11\">\n<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>\n%s</svg>\n",
-		plotLeft+plotWidth+80, height, b.String())
+		plotLeftPx+plotWidthPx+80, height, b.String())
 	return err
 }
 
-func bar(b *strings.Builder, y int, r Result) {
-	width := r.Goodput * plotWidth
+func writeBar(b *strings.Builder, y int, r Result) {
+	width := r.Goodput * plotWidthPx
 	fmt.Fprintf(b, "<rect x=\"%d\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"/>\n",
-		plotLeft, y, width, plotBar-2, colours[r.Policy])
-	text(b, plotLeft+int(width)+4, y+plotBar-2, "start", fmt.Sprintf("%.3f", r.Goodput))
+		plotLeftPx, y, width, barHeightPx-2, policyColours[r.Policy])
+	writeText(b, plotLeftPx+int(width)+4, y+barHeightPx-2, "start", fmt.Sprintf("%.3f", r.Goodput))
 }
 
-func scale(b *strings.Builder, bottom int) {
-	text(b, plotLeft, 14, "start", "Goodput: answered whole and on time, as a part of what was asked for or could be done")
+func writeAxis(b *strings.Builder, bottom int) {
+	writeText(b, plotLeftPx, 14, "start", "Goodput: answered whole and on time, as a part of what was asked for or could be done")
 	for tenth := 0; tenth <= 10; tenth += 2 {
-		x := plotLeft + plotWidth*tenth/10
-		fmt.Fprintf(b, "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#cccccc\"/>\n", x, plotTop, x, bottom+4)
-		text(b, x, plotTop-4, "middle", fmt.Sprintf("%.1f", float64(tenth)/10))
+		x := plotLeftPx + plotWidthPx*tenth/10
+		fmt.Fprintf(b, "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#cccccc\"/>\n", x, plotTopPx, x, bottom+4)
+		writeText(b, x, plotTopPx-4, "middle", fmt.Sprintf("%.1f", float64(tenth)/10))
 	}
 }
 
-func legend(b *strings.Builder, y int) {
+func writeLegend(b *strings.Builder, y int) {
 	order := []PolicyName{PolicyDecisions, PolicyBogota, PolicyStatic, PolicyThreshold, PolicyRoundRobin, PolicyLeast}
 	for n, p := range order {
 		x := 20 + n*122
-		fmt.Fprintf(b, "<rect x=\"%d\" y=\"%d\" width=\"10\" height=\"10\" fill=\"%s\"/>\n", x, y-9, colours[p])
-		text(b, x+14, y, "start", string(p))
+		fmt.Fprintf(b, "<rect x=\"%d\" y=\"%d\" width=\"10\" height=\"10\" fill=\"%s\"/>\n", x, y-9, policyColours[p])
+		writeText(b, x+14, y, "start", string(p))
 	}
 }
 
-func text(b *strings.Builder, x, y int, anchor, words string) {
-	fmt.Fprintf(b, "<text x=\"%d\" y=\"%d\" text-anchor=\"%s\">%s</text>\n", x, y, anchor, words)
+func writeText(b *strings.Builder, x, y int, anchor, content string) {
+	fmt.Fprintf(b, "<text x=\"%d\" y=\"%d\" text-anchor=\"%s\">%s</text>\n", x, y, anchor, content)
 }
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -12,11 +12,11 @@
 	// arrive takes a new call.
 	arrive(now kumquatlug.Millis, c *call)
 	// report takes a target's load, late as it is.
-	report(now kumquatlug.Millis, r report)
-	// event takes what became of a call at its target.
-	event(now kumquatlug.Millis, e event)
-	// gone takes a call whose caller has hung up.
-	gone(now kumquatlug.Millis, c *call)
+	report(now kumquatlug.Millis, r loadReport)
+	// handleEvent takes what became of a call at its target.
+	handleEvent(now kumquatlug.Millis, e callEvent)
+	// cancel takes a call whose caller has hung up.
+	cancel(now kumquatlug.Millis, c *call)
 	// tick is called once a round.
 	tick(now kumquatlug.Millis)
 }
@@ -45,44 +45,44 @@
 // Policies returns the policies that a scenario is run under.
 func Policies(s Scenario) []PolicyName {
 	list := []PolicyName{PolicyDecisions, PolicyRoundRobin, PolicyLeast}
-	if s.split() {
+	if s.splitRoles() {
 		list = append(list, PolicyBogota, PolicyStatic, PolicyThreshold)
 	}
 	return list
 }
 
-func newPolicy(w *world, entry int) policy {
-	switch w.config.Policy {
+func newPolicy(sim *simulation, gateway int) policy {
+	switch sim.config.Policy {
 	case PolicyRoundRobin, PolicyLeast:
-		return newPlain(w, entry)
+		return newBaselinePolicy(sim, gateway)
 	default:
-		return newDecisions(w, entry)
+		return newModulePolicy(sim, gateway)
 	}
 }
 
-// plain sends each call at once and holds nothing. It learns of a dead target
+// baselinePolicy sends each call at once and holds nothing. It learns of a dead target
 // when the connection is refused, and goes on to the next.
-type plain struct {
-	world   *world
-	turn    int
+type baselinePolicy struct {
+	sim     *simulation
+	next    int
 	running []int
 	retry   []*call
 }
 
-func newPlain(w *world, entry int) *plain {
-	return &plain{world: w, turn: entry * engineCount / entryCount, running: make([]int, engineCount)}
+func newBaselinePolicy(sim *simulation, gateway int) *baselinePolicy {
+	return &baselinePolicy{sim: sim, next: gateway * engineCount / gatewayCount, running: make([]int, engineCount)}
 }
 
-func (p *plain) arrive(_ kumquatlug.Millis, c *call) {
+func (p *baselinePolicy) arrive(_ kumquatlug.Millis, c *call) {
 	if !p.send(c) {
 		p.retry = append(p.retry, c)
 	}
 }
 
-func (p *plain) send(c *call) bool {
+func (p *baselinePolicy) send(c *call) bool {
 	for _, n := range p.order() {
-		e := p.world.engines[n]
-		if p.fits(e, c) && p.world.send(c, e.name) == sendTaken {
+		e := p.sim.engines[n]
+		if p.canRun(e, c) && p.sim.send(c, e.name) == sendAccepted {
 			p.running[n]++
 			return true
 		}
@@ -90,8 +90,8 @@
 	return false
 }
 
-// fits reports whether an engine does the part that comes next.
-func (p *plain) fits(e *engine, c *call) bool {
+// canRun reports whether an engine does the part that comes next.
+func (p *baselinePolicy) canRun(e *engine, c *call) bool {
 	switch e.role {
 	case kumquatlug.RolePrefill:
 		return !c.prefilled
@@ -103,46 +103,46 @@
 }
 
 // order returns the targets in the order in which they are tried.
-func (p *plain) order() []int {
+func (p *baselinePolicy) order() []int {
 	list := make([]int, engineCount)
 	for n := range list {
-		list[n] = (p.turn + n) % engineCount
+		list[n] = (p.next + n) % engineCount
 	}
-	p.turn++
-	if p.world.config.Policy == PolicyLeast {
+	p.next++
+	if p.sim.config.Policy == PolicyLeast {
 		slices.SortStableFunc(list, func(a, b int) int { return p.running[a] - p.running[b] })
 	}
 	return list
 }
 
-func (p *plain) report(kumquatlug.Millis, report) {}
+func (p *baselinePolicy) report(kumquatlug.Millis, loadReport) {}
 
-func (p *plain) event(_ kumquatlug.Millis, e event) {
-	switch e.name {
+func (p *baselinePolicy) handleEvent(_ kumquatlug.Millis, e callEvent) {
+	switch e.kind {
 	case eventDone:
-		p.leave(e.engine)
+		p.removeRunning(e.engine)
 	case eventPrefilled, eventLost:
-		p.leave(e.engine)
+		p.removeRunning(e.engine)
 		p.retry = append(p.retry, e.call)
 	}
 }
 
-func (p *plain) leave(e *engine) {
-	p.running[slices.Index(p.world.engines, e)]--
+func (p *baselinePolicy) removeRunning(e *engine) {
+	p.running[slices.Index(p.sim.engines, e)]--
 }
 
-func (p *plain) gone(_ kumquatlug.Millis, c *call) {
-	p.retry = without(p.retry, c)
-	if c.at != nil {
-		p.leave(c.at)
+func (p *baselinePolicy) cancel(_ kumquatlug.Millis, c *call) {
+	p.retry = removeCall(p.retry, c)
+	if c.engine != nil {
+		p.removeRunning(c.engine)
 	}
 }
 
-func (p *plain) tick(kumquatlug.Millis) {
+func (p *baselinePolicy) tick(kumquatlug.Millis) {
 	for len(p.retry) > 0 && p.send(p.retry[0]) {
 		p.retry = p.retry[1:]
 	}
 }
 
-// watches reports whether agents watch for requests that crash engines.
-func (p PolicyName) watches() bool { return p != PolicyRoundRobin && p != PolicyLeast }
+// usesAgents reports whether agents watch for requests that crash engines.
+func (p PolicyName) usesAgents() bool { return p != PolicyRoundRobin && p != PolicyLeast }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -53,44 +53,44 @@
 		return Percentiles{}
 	}
 	slices.Sort(values)
-	at := func(part int) kumquatlug.Millis { return values[(len(values)-1)*part/100] }
+	at := func(percent int) kumquatlug.Millis { return values[(len(values)-1)*percent/100] }
 	return Percentiles{P50: at(50), P99: at(99), Max: values[len(values)-1]}
 }
 
-func (w *world) result() Result {
+func (sim *simulation) result() Result {
 	return Result{
-		Scenario: w.config.Scenario.Name, Policy: w.config.Policy, Seed: w.config.Seed,
-		Goodput: w.goodput(), Groups: w.groups(),
-		RoleChanges: w.changes, Crashes: w.crashes, Resends: w.resends,
+		Scenario: sim.config.Scenario.Name, Policy: sim.config.Policy, Seed: sim.config.Seed,
+		Goodput: sim.goodput(), Groups: sim.groups(),
+		RoleChanges: sim.roleChanges, Crashes: sim.crashes, Resends: sim.resends,
 	}
 }
 
-func (w *world) counted(at kumquatlug.Millis) bool {
-	return at >= w.config.Scenario.warm && at < w.config.Scenario.span
+func (sim *simulation) inMeasuredPeriod(at kumquatlug.Millis) bool {
+	return at >= sim.config.Scenario.warmUp && at < sim.config.Scenario.duration
 }
 
 // goodput compares what was answered on time between the warm-up and the end
 // of the load with what could have been: all that was asked for in that time,
 // or all that the fleet could do in it.
-func (w *world) goodput() float64 {
-	done, asked := 0.0, 0.0
-	for _, c := range w.arrivals {
-		if w.counted(c.arrival) && !c.crasher {
-			asked += c.engineSeconds()
+func (sim *simulation) goodput() float64 {
+	completed, offered := 0.0, 0.0
+	for _, c := range sim.arrivals {
+		if sim.inMeasuredPeriod(c.arrival) && !c.crasher {
+			offered += c.engineSeconds()
 		}
-		if c.outcome == outcomeOnTime && w.counted(c.ended) {
-			done += c.engineSeconds()
+		if c.outcome == outcomeOnTime && sim.inMeasuredPeriod(c.endedAt) {
+			completed += c.engineSeconds()
 		}
 	}
-	s := w.config.Scenario
-	span := float64(s.span-s.warm) / 1000
-	return done / min(asked, w.best.cached*span)
+	s := sim.config.Scenario
+	seconds := float64(s.duration-s.warmUp) / 1000
+	return completed / min(offered, sim.capacity.cached*seconds)
 }
 
 // groupKey tells groups apart: the callers' name without its number.
 type groupKey struct {
 	callers string
-	work    workName
+	work    workload
 }
 
 func keyOf(c *call) groupKey {
@@ -98,14 +98,14 @@
 	if len(name) > 3 && name[len(name)-3] == '-' {
 		name = name[:len(name)-3]
 	}
-	return groupKey{callers: name, work: c.work}
+	return groupKey{callers: name, work: c.workload}
 }
 
-func (w *world) groups() []Group {
+func (sim *simulation) groups() []Group {
 	byKey := make(map[groupKey][]*call)
 	var keys []groupKey
-	for _, c := range w.arrivals {
-		if !w.counted(c.arrival) {
+	for _, c := range sim.arrivals {
+		if !sim.inMeasuredPeriod(c.arrival) {
 			continue
 		}
 		k := keyOf(c)
@@ -126,22 +126,22 @@
 
 func groupOf(k groupKey, calls []*call) Group {
 	g := Group{Callers: k.callers, Work: string(k.work), Offered: len(calls)}
-	var first, whole, told []kumquatlug.Millis
+	var first, total, refusal []kumquatlug.Millis
 	for _, c := range calls {
 		switch c.outcome {
 		case outcomeOnTime:
 			g.OnTime++
-			first = append(first, c.first-c.arrival)
-			whole = append(whole, c.ended-c.arrival)
+			first = append(first, c.firstTokenAt-c.arrival)
+			total = append(total, c.endedAt-c.arrival)
 		case outcomeRefused:
 			g.Refused++
-			told = append(told, c.ended-c.arrival)
+			refusal = append(refusal, c.endedAt-c.arrival)
 		case outcomeFailed:
 			g.Failed++
 		default:
 			g.Late++
 		}
 	}
-	g.First, g.Whole, g.Told = percentiles(first), percentiles(whole), percentiles(told)
+	g.First, g.Whole, g.Told = percentiles(first), percentiles(total), percentiles(refusal)
 	return g
 }
--- a/internal/experiment/roles.go
+++ b/internal/experiment/roles.go
@@ -7,21 +7,21 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/planner"
 )
 
-// roles drives the planner of the group, as the entry that holds its lease does.
-type roles struct {
-	world   *world
+// roleController drives the planner of the group, as the entry that holds its lease does.
+type roleController struct {
+	sim     *simulation
 	planner kumquatlug.RolePlanner
-	offers  [entryCount]kumquatlug.Offer
+	offered [gatewayCount]kumquatlug.Offer
 }
 
-func newRoles(w *world) *roles {
-	return &roles{world: w, planner: newRolePlanner(w.config)}
+func newRoleController(sim *simulation) *roleController {
+	return &roleController{sim: sim, planner: newRolePlanner(sim.config)}
 }
 
 // newRolePlanner gives each policy its planner. Kochi's settings are the
 // defaults; Bogota pays dearly for each change.
 func newRolePlanner(c Config) kumquatlug.RolePlanner {
-	if !c.Scenario.split() {
+	if !c.Scenario.splitRoles() {
 		return planner.Static{}
 	}
 	switch c.Policy {
@@ -36,34 +36,34 @@
 	}
 }
 
-// offered counts what callers bring to an entry.
-func (r *roles) offered(entry int, prefill, decode float64) {
-	o := &r.offers[entry]
+// recordOffered counts what callers bring to an entry.
+func (r *roleController) recordOffered(gateway int, prefill, decode float64) {
+	o := &r.offered[gateway]
 	o.PrefillTokens += prefill
 	o.DecodeTokens += decode
 }
 
-func (r *roles) report(now kumquatlug.Millis, p report) {
+func (r *roleController) report(now kumquatlug.Millis, l loadReport) {
 	r.planner.Report(now, kumquatlug.EngineReport{
-		Target: p.target, Role: p.role, Going: p.changing, TakenAt: p.taken, InHand: p.running, Waiting: p.waiting,
-		PrefillRate: p.prefills, DecodeRate: p.decodes,
+		Target: l.target, Role: l.role, Going: l.nextRole, TakenAt: l.takenAt, InHand: l.running, Waiting: l.waiting,
+		PrefillRate: l.prefillRate, DecodeRate: l.decodeRate,
 	})
 }
 
-func (r *roles) tick(now kumquatlug.Millis) {
-	if now%reportEvery != 0 {
+func (r *roleController) tick(now kumquatlug.Millis) {
+	if now%reportInterval != 0 {
 		return
 	}
-	for n := range r.offers {
-		o := r.offers[n]
-		o.Entry, o.Span = fmt.Sprint("entry-", n), reportEvery
+	for n := range r.offered {
+		o := r.offered[n]
+		o.Entry, o.Span = fmt.Sprint("entry-", n), reportInterval
 		r.planner.Offered(now, o)
-		r.offers[n] = kumquatlug.Offer{}
+		r.offered[n] = kumquatlug.Offer{}
 	}
 	for _, change := range r.planner.Plan(now) {
-		e := r.world.engine(change.Target())
-		if e.role == change.From() && e.change(change.To()) {
-			r.world.changes++
+		e := r.sim.engine(change.Target())
+		if e.role == change.From() && e.startRoleChange(change.To()) {
+			r.sim.roleChanges++
 			continue
 		}
 		r.planner.Refused(now, change.Target())
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -22,7 +22,7 @@
 	}
 	fmt.Fprintln(t, "\naim\tmeasured\tbound\t")
 	for _, a := range Aims(results) {
-		fmt.Fprintf(t, "%s\t%.3f\t%s\t%s\n", a.Name, a.Measured, a.bound(), a.verdict())
+		fmt.Fprintf(t, "%s\t%.3f\t%s\t%s\n", a.Name, a.Measured, a.boundText(), a.verdictText())
 	}
 	return t.Flush()
 }
@@ -44,14 +44,14 @@
 	return fmt.Sprintf("%.2f/%.2f", float64(p.P50)/1000, float64(p.P99)/1000)
 }
 
-func (a Aim) bound() string {
+func (a Aim) boundText() string {
 	if a.AtMost {
 		return fmt.Sprintf("at most %g", a.Bound)
 	}
 	return fmt.Sprintf("at least %g", a.Bound)
 }
 
-func (a Aim) verdict() string {
+func (a Aim) verdictText() string {
 	if a.Met() {
 		return "met"
 	}
