--- a/internal/experiment/agent.go
+++ b/internal/experiment/agent.go
@@ -8,17 +8,19 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// sendResult is how a target's agent answers to a call.
+// sendResult is the response of a target's agent to a call.
 type sendResult string
 
 const (
-	sendAccepted  sendResult = "taken"
+	sendAccepted sendResult = "taken"
+	// sendElsewhere: the call was not accepted, another target may accept it.
 	sendElsewhere sendResult = "elsewhere"
-	sendRefused   sendResult = "refused"
+	// sendRefused: no target may run the call.
+	sendRefused sendResult = "refused"
 )
 
-// agent stands before one engine and watches calls that were in hand at a
-// crash. It outlives its engine.
+// agent is the agent of one engine. It tracks which calls are in flight at a crash, and keeps
+// running when the engine crashes.
 type agent struct {
 	sim      *simulation
 	engine   *engine
@@ -32,7 +34,8 @@
 	return &agent{sim: sim, engine: e, register: r, gate: quarantine.NewGate(r)}
 }
 
-// begin asks the gate for a call; a suspect needs its row in the table first.
+// begin asks the gate whether a call may begin. If the call is a suspect, it claims the row
+// of its fingerprint in the table first.
 func (a *agent) begin(now kumquatlug.Millis, c *call) quarantine.Verdict {
 	verdict := a.beginAtGate(now, c)
 	if verdict != quarantine.VerdictClaim {
@@ -50,7 +53,7 @@
 	return a.gate.Begin(now, quarantine.Arrival{ID: c.id, Fingerprint: c.fingerprint, Claimed: c.claimed})
 }
 
-// accept begins a call, keeps it until it may begin, or sends it away.
+// accept starts a call, queues it until it may start, or rejects it.
 func (a *agent) accept(now kumquatlug.Millis, c *call) sendResult {
 	switch a.begin(now, c) {
 	case quarantine.VerdictRun:
@@ -75,7 +78,7 @@
 	}
 }
 
-// retryWaiting asks for the calls that wait at the gate.
+// retryWaiting asks the gate again about the calls that wait there.
 func (a *agent) retryWaiting(now kumquatlug.Millis) {
 	waiting := a.waiting
 	a.waiting = nil
@@ -95,7 +98,7 @@
 	}
 }
 
-// callEnded tells the gate that a call is off the engine.
+// callEnded records at the gate that a call has left the engine.
 func (a *agent) callEnded(now kumquatlug.Millis, c *call, completed bool) {
 	if slices.Contains(a.waiting, c) {
 		a.waiting = removeCall(a.waiting, c)
@@ -107,8 +110,8 @@
 	a.releaseClaim(c)
 }
 
-// engineCrashed tells the gate that the engine crashed, and returns the calls that
-// waited there: they didn't run.
+// engineCrashed records a crash of the engine at the gate. It returns the calls that waited
+// there, which have not run.
 func (a *agent) engineCrashed(now kumquatlug.Millis) []*call {
 	a.gate.Crashed(now, a.crashID())
 	waiting := a.waiting
@@ -124,7 +127,7 @@
 	return quarantine.NewCrash(a.engine.name, fmt.Sprint(a.engine.incarnation))
 }
 
-// gossip exchanges what an entry and the agent know, as heartbeats do.
+// gossip exchanges crash notices between the agent and a gateway, as heartbeats do.
 func (a *agent) gossip(now kumquatlug.Millis, gatewayRegister *quarantine.Register) {
 	agentNotices, _ := a.register.Known(now, 0)
 	gatewayNotices, _ := gatewayRegister.Known(now, 0)
--- a/internal/experiment/aims.go
+++ b/internal/experiment/aims.go
@@ -1,15 +1,15 @@
 package experiment
 
-// Aim is one figure that the decisions are to reach.
+// Aim is a goal for one measured value of the project's policies.
 type Aim struct {
 	Name     string  `json:"name"`
 	Measured float64 `json:"measured"`
-	// Bound is the least value, or the greatest if AtMost is set.
+	// Bound is the minimum value, or the maximum if AtMost is set.
 	Bound  float64 `json:"bound"`
 	AtMost bool    `json:"at_most"`
 }
 
-// Met reports whether the figure was reached.
+// Met reports whether the measured value is within the bound.
 func (a Aim) Met() bool {
 	if a.AtMost {
 		return a.Measured <= a.Bound
@@ -17,8 +17,8 @@
 	return a.Measured >= a.Bound
 }
 
-// Aims compares the results of one seed with what the decisions are to reach.
-// Aims whose scenarios are not among the results are left out.
+// Aims evaluates all goals for the results of one seed. Goals whose scenarios are not among
+// the results are omitted.
 func Aims(results []Result) []Aim {
 	set := resultSet{}
 	for _, r := range results {
@@ -34,7 +34,7 @@
 	return append(list, set.crasherGoals()...)
 }
 
-// resultKey names one result.
+// resultKey identifies one result of a seed.
 type resultKey struct {
 	scenario string
 	policy   PolicyName
@@ -100,7 +100,7 @@
 	return []Aim{{Name: "crasher: engines crashed by one request", Measured: float64(r.Crashes), Bound: 2, AtMost: true}}
 }
 
-// ordinaryCallers returns what the many ordinary callers received for a kind of work.
+// ordinaryCallers returns the results of the ordinary callers ("desk") for a workload.
 func (r Result) ordinaryCallers(work workload) Group {
 	for _, g := range r.Groups {
 		if g.Callers == "desk" && g.Work == string(work) {
--- a/internal/experiment/best.go
+++ b/internal/experiment/best.go
@@ -6,23 +6,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// measurementTime is how long one engine is watched, after a third of it to warm up.
+// measurementTime is the duration of a capacity measurement. The first third of it is
+// warm-up.
 const measurementTime = 600 * kumquatlug.Second
 
-// capacity is what the fleet can do in a second, in engine seconds of work
-// answered on time: without a prefix cache, by which loads are set, and with
-// one, by which goodput is judged.
+// capacity is the fleet's maximum goodput, in engine seconds of work completed on time per
+// second. Loads are set relative to the capacity without a prefix cache, goodput is
+// reported relative to the capacity with one.
 type capacity struct {
 	uncached float64
 	cached   float64
 }
 
-// measureCapacity measures the capacity for a scenario's mix: one engine is kept at
-// each of several batch sizes, never idle and never overfull, with prompts in
-// the order of their deadlines, and the best size counts for all engines.
+// measureCapacity measures the capacity for a scenario's mix of requests: one engine runs in
+// a closed loop at each of several batch sizes, never idle and never overloaded, with
+// prompts in the order of their deadlines. The result of the best size, multiplied by the
+// number of engines, is the capacity.
 //
-// With split roles it is the number of engines: a split that always fits the
-// mix, and changes that cost nothing.
+// With split roles the capacity is the number of engines, as with a split that always fits
+// the mix and role changes without cost.
 func measureCapacity(s Scenario, seed uint64) capacity {
 	if s.splitRoles() {
 		return capacity{uncached: engineCount, cached: engineCount}
@@ -44,6 +46,7 @@
 	return false
 }
 
+// maxThroughput returns the throughput of the fleet at the best batch size.
 func (s Scenario) maxThroughput(seed uint64, cached bool) float64 {
 	highest := 0.0
 	for _, batch := range []int{12, 16, 20, 24, 28, 32, 36, 40, 44, 48, 52, 56, 64} {
@@ -52,6 +55,8 @@
 	return highest * engineCount
 }
 
+// closedLoop returns the throughput of one engine with a constant number of calls, in engine
+// seconds of work completed on time per second.
 func (s Scenario) closedLoop(seed uint64, batch int, cached bool) float64 {
 	calls := s.arrivals(rand.New(rand.NewPCG(seed, 7)), engineCount)
 	e := newEngine(0, kumquatlug.RoleBoth)
--- a/internal/experiment/call.go
+++ b/internal/experiment/call.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// outcome is how a call ended for its caller.
+// outcome is the outcome of a call for its caller.
 type outcome string
 
 const (
@@ -18,7 +18,7 @@
 	outcomeFailed  outcome = "failed"
 )
 
-// call is one request on its way.
+// call is one request of a caller.
 type call struct {
 	id           string
 	caller       string
@@ -31,11 +31,11 @@
 	deadline     kumquatlug.Millis
 	crasher      bool
 	retries      int
-	// fingerprint is equal for equal requests; claimed says that its row in the
-	// table was won.
+	// fingerprint is equal for equal requests. claimed says that the call holds the row of
+	// its fingerprint in the table.
 	fingerprint quarantine.Fingerprint
 	claimed     bool
-	// enginePriority is what its entry asks the engine for.
+	// enginePriority is the priority that its gateway requests from the engine.
 	enginePriority int
 
 	gateway      int
@@ -47,8 +47,8 @@
 	outcome      outcome
 	retryAfter   kumquatlug.Millis
 
-	// prefillLeft are the prompt tokens still to run, made the output tokens there
-	// are and told those that were streamed to the caller.
+	// prefillLeft is the number of tokens still to prefill, generated the number of output
+	// tokens, streamed the number of those that were sent to the caller.
 	prefillLeft float64
 	generated   float64
 	prefilled   bool
@@ -57,7 +57,7 @@
 	kvReadyAt   kumquatlug.Millis
 }
 
-// resend is the same request, sent once more.
+// resend returns a call with the same request that arrives at a later time.
 func (c *call) resend(at kumquatlug.Millis) *call {
 	return &call{
 		id: fmt.Sprintf("%s+%d", c.id, c.retries+1), caller: c.caller, workload: c.workload, promptTokens: c.promptTokens, outputTokens: c.outputTokens,
@@ -66,7 +66,7 @@
 	}
 }
 
-// engineSeconds is how long an engine is busy with the call at its best batch.
+// engineSeconds returns the engine time of the call at the maximum batch size, in seconds.
 func (c *call) engineSeconds() float64 {
 	return float64(c.promptTokens)/prefillTokensPerSecond + float64(c.outputTokens)/batchDecodeRate(maxBatchSize)
 }
--- a/internal/experiment/decisions.go
+++ b/internal/experiment/decisions.go
@@ -15,9 +15,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/routing"
 )
 
-// modulePolicy is one entry that decides by the project's modules. A call goes
-// through the queue once; what comes after (the decode part of a split call, a
-// retry) was admitted already and goes before the queue.
+// modulePolicy is one gateway that uses the project's modules for its decisions. A call
+// passes the admission queue once. Later attempts (the decode phase of a call with split
+// roles, a retry) are already admitted and are sent before queued calls.
 type modulePolicy struct {
 	sim           *simulation
 	queue         *admission.Queue
@@ -34,7 +34,7 @@
 	lastHeartbeat map[string]kumquatlug.Millis
 }
 
-// attempt is one stay of a call at a target.
+// attempt is one attempt of a call at a target.
 type attempt struct {
 	call         *call
 	target       string
@@ -46,7 +46,8 @@
 	generated    int
 }
 
-// pendingCall is a call that goes on at a time.
+// pendingCall is an admitted call that is to be sent at a given time, to any target except
+// exclude.
 type pendingCall struct {
 	call    *call
 	at      kumquatlug.Millis
@@ -127,7 +128,7 @@
 	}
 }
 
-// sendPending sends the calls that were admitted before.
+// sendPending sends the calls that are already admitted, by deadline.
 func (p *modulePolicy) sendPending(now kumquatlug.Millis) {
 	slices.SortStableFunc(p.pending, func(a, b pendingCall) int { return cmp.Compare(a.call.deadline, b.call.deadline) })
 	kept := p.pending[:0]
@@ -139,7 +140,8 @@
 	p.pending = kept
 }
 
-// delayIfSuspect asks whether a call that was near a crash has to wait on.
+// delayIfSuspect reports whether a call that was in flight at a crash must wait, and updates
+// the time at which it is to be sent.
 func (p *modulePolicy) delayIfSuspect(now kumquatlug.Millis, item *pendingCall) bool {
 	status := p.crashRegister.Ask(now, item.call.fingerprint)
 	if status.Standing() == quarantine.StandingFree || status.Wait() <= 0 {
@@ -149,11 +151,12 @@
 	return true
 }
 
-// maxPrefilledPending is how many prompts that were run may wait for an engine to decode
-// them before no more are run: a few, so that no decoder waits for a prompt.
-// Without it a split with too few decoders would run prompts for nobody.
+// maxPrefilledPending is the number of prefilled prompts waiting for a decode engine above
+// which no more prompts are prefilled. A few must wait, so that no decode engine is idle.
+// Without a limit, a split with too few decode engines would prefill prompts in vain.
 const maxPrefilledPending = 4
 
+// dispatch sends the next queued call and reports whether the queue advanced.
 func (p *modulePolicy) dispatch(now kumquatlug.Millis) bool {
 	if len(p.pending) >= maxPrefilledPending && p.sim.config.Scenario.splitRoles() {
 		return false
@@ -174,7 +177,8 @@
 	return true
 }
 
-// limitChecker asks the limits about a target for a call of so many tokens.
+// limitChecker checks the limits of targets for a call that costs the given number of
+// tokens.
 type limitChecker struct {
 	targets *limit.Targets
 	cost    int64
@@ -217,7 +221,7 @@
 	return sendAccepted
 }
 
-// idleDuration is how long a call takes on an idle target, with a long output.
+// idleDuration returns the duration of a call with a long output on an idle target.
 func (p *modulePolicy) idleDuration(now kumquatlug.Millis, c *call) kumquatlug.Millis {
 	output := p.estimator.HighOutput(now, c.caller, modelKind, int64(c.promptTokens))
 	return kumquatlug.Millis(idlePrefillTime(c.promptTokens) + idleDecodeTime(int(output)))
@@ -249,10 +253,10 @@
 	}
 }
 
-// prefixBlockTokens is the router's default block of a prefix key.
+// prefixBlockTokens is the router's default block size for prefix keys.
 const prefixBlockTokens = 256
 
-// prefixKeys are the keys of the blocks of a shared prefix.
+// prefixKeys returns the keys of the blocks of a call's shared prefix.
 func prefixKeys(c *call) []uint64 {
 	if c.prefixID == 0 {
 		return nil
@@ -281,7 +285,7 @@
 	p.router.SetWeight(r.target, p.health.Weight(now, r.target))
 }
 
-// markMissedHeartbeats tells the health group of targets whose report is overdue.
+// markMissedHeartbeats records a missed heartbeat of each target whose report is overdue.
 func (p *modulePolicy) markMissedHeartbeats(now kumquatlug.Millis) {
 	if now%reportInterval != 0 {
 		return
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -6,31 +6,32 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// The fake engine: a mid-sized model on one accelerator, in round figures.
+// The simulated engine: a mid-sized model on one accelerator, in round numbers.
 const (
-	// prefillTokensPerSecond is prompt tokens a second.
 	prefillTokensPerSecond = 8000.0
-	// decodeTokensPerSecond is tokens a second of a stream alone.
+	// decodeTokensPerSecond is the decode rate of a single stream.
 	decodeTokensPerSecond = 50.0
-	// slowdownPerStream is by how much each more stream slows all.
+	// slowdownPerStream is the fraction by which each additional stream lengthens a decode
+	// step.
 	slowdownPerStream = 0.02
 	maxBatchSize      = 64
 	kvCapacityTokens  = 120_000
-	// prefixCacheTokens is the memory for prompt prefixes.
+	// prefixCacheTokens is the capacity of the prefix cache.
 	prefixCacheTokens = 24_000
-	// prefillShare is the part of a round that prompts may take from streams
-	// that are under way.
+	// prefillShare is the share of a time step that prefill may use while streams are
+	// decoding.
 	prefillShare = 0.5
-	// kvTransferTokensPerSecond is KV tokens a second from a prefill to a decode engine.
+	// kvTransferTokensPerSecond is the rate of KV transfers from a prefill engine to a
+	// decode engine.
 	kvTransferTokensPerSecond = 200_000.0
 )
 
-// batchDecodeRate is tokens a second over all streams of a batch.
+// batchDecodeRate returns the decode rate of a whole batch, in tokens per second.
 func batchDecodeRate(batch float64) float64 {
 	return batch * decodeTokensPerSecond / (1 + slowdownPerStream*(batch-1))
 }
 
-// eventKind is what an engine tells of a call.
+// eventKind is the kind of a [callEvent].
 type eventKind string
 
 const (
@@ -40,12 +41,12 @@
 	eventDone       eventKind = "done"
 	eventLost       eventKind = "lost"
 	eventCrash      eventKind = "crash"
-	// eventRejected: the agent did not let it begin after all.
+	// eventRejected: the agent rejected a call that had waited at its gate.
 	eventRejected eventKind = "turned-away"
 )
 
-// callEvent is something that happened to a call at an engine. tokens is what was
-// made since the last one.
+// callEvent is an event of a call at an engine. tokens is the number of tokens processed
+// since the previous event.
 type callEvent struct {
 	kind   eventKind
 	call   *call
@@ -53,7 +54,7 @@
 	tokens int
 }
 
-// loadReport is a target's load as it was at a moment.
+// loadReport is a target's state at one time. Rates are in tokens per second.
 type loadReport struct {
 	target         string
 	zone           string
@@ -72,7 +73,7 @@
 	cachedPrefixes []uint64
 }
 
-// engine is a fake of one engine with its agent.
+// engine simulates one engine and holds its agent.
 type engine struct {
 	name        string
 	zone        string
@@ -82,7 +83,8 @@
 	downUntil   kumquatlug.Millis
 	down        bool
 	agent       *agent
-	// nextRole is the role that it drains for, awayUntil the end of the change.
+	// nextRole is the role to which the engine changes, empty if none. It drains first;
+	// offlineUntil is the end of the change after that.
 	nextRole      kumquatlug.Role
 	offlineUntil  kumquatlug.Millis
 	running       []*call
@@ -131,7 +133,7 @@
 	return list
 }
 
-// crash loses all that is in hand and returns it.
+// crash stops the engine and returns the calls in flight, which are lost.
 func (e *engine) crash(until kumquatlug.Millis) []*call {
 	lost := append(append([]*call{}, e.running...), e.waiting...)
 	for _, c := range lost {
@@ -144,7 +146,8 @@
 	return lost
 }
 
-// startRoleChange begins a change of role: it drains first and is then away.
+// startRoleChange begins a role change: the engine drains and is then offline for
+// [roleChangeTime]. It returns false if the engine can't change to the role now.
 func (e *engine) startRoleChange(role kumquatlug.Role) bool {
 	if !e.acceptsCalls() || e.role == role {
 		return false
@@ -153,8 +156,8 @@
 	return true
 }
 
-// step moves the engine by one round and returns what happened, valid until the
-// next round.
+// step advances the engine by one time step and returns the events, which are valid until
+// the next step.
 func (e *engine) step(now kumquatlug.Millis) []callEvent {
 	e.events = e.events[:0]
 	if e.down {
@@ -182,7 +185,7 @@
 	}
 }
 
-// roleChangeTime is how long a change of role takes an engine away, after it has
+// roleChangeTime is the time during which a role change takes an engine offline after it has
 // drained.
 const roleChangeTime = 6 * kumquatlug.Second
 
@@ -195,8 +198,7 @@
 	}
 }
 
-// admit takes waiting calls into the batch while there is memory for their
-// prompts.
+// admit adds waiting calls to the batch while there is memory for their prompts.
 func (e *engine) admit(now kumquatlug.Millis) {
 	used := e.kvUsed()
 	for len(e.waiting) > 0 && len(e.running) < maxBatchSize {
@@ -223,7 +225,7 @@
 	return used
 }
 
-// prefill runs prompts in their order and returns the part of the round used.
+// prefill runs prefill by priority and returns the fraction of the time step that it used.
 func (e *engine) prefill(seconds float64) float64 {
 	share := 1.0
 	if e.decodingCalls() > 0 {
@@ -247,7 +249,8 @@
 	return share * (budget - remaining) / budget
 }
 
-// nextPrompt returns the prompt of the highest priority, the first of equals.
+// nextPrompt returns the call with the highest priority that is not prefilled, the first one
+// if several have the same priority.
 func (e *engine) nextPrompt() *call {
 	var found *call
 	for _, c := range e.running {
@@ -270,7 +273,8 @@
 	e.emit(eventFirstToken, c, c.promptTokens)
 }
 
-// removePrefilled takes out calls whose prompts were for another engine's decoding.
+// removePrefilled removes the prefilled calls of a prefill engine, which another engine
+// decodes.
 func (e *engine) removePrefilled() {
 	if e.role != kumquatlug.RolePrefill {
 		return
@@ -294,7 +298,7 @@
 	return n
 }
 
-// decode moves each stream on; one that is done leaves.
+// decode advances each stream and removes those that are complete.
 func (e *engine) decode(seconds float64) {
 	batch := float64(e.decodingCalls())
 	if batch == 0 {
@@ -320,11 +324,11 @@
 	e.running = kept
 }
 
-// progressTokens is how many tokens come in one piece of a stream.
+// progressTokens is the number of tokens per chunk of a stream.
 const progressTokens = 10
 
-// preempt throws out the youngest when the memory overflows; what it had is
-// computed anew.
+// preempt moves the newest calls back to the waiting ones while the KV memory overflows.
+// Their KV cache is recomputed.
 func (e *engine) preempt() {
 	for e.kvUsed() > kvCapacityTokens && len(e.running) > 1 {
 		last := len(e.running) - 1
@@ -340,6 +344,7 @@
 	e.events = append(e.events, callEvent{kind: kind, call: c, engine: e, tokens: tokens})
 }
 
+// takeReport returns the current load and restarts the measurement of rates.
 func (e *engine) takeReport(now kumquatlug.Millis) loadReport {
 	r := loadReport{
 		target: e.name, zone: e.zone, role: e.role, nextRole: e.nextRole, ready: e.acceptsCalls(), alive: !e.down, incarnation: e.incarnation,
@@ -353,7 +358,7 @@
 	return r
 }
 
-// prefixCache holds the prefixes used last.
+// prefixCache is an LRU cache of prefixes; the last entry is the most recently used.
 type prefixCache struct {
 	entries []cachedPrefix
 	tokens  int
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,12 +1,12 @@
-// Package experiment shows what callers receive under load: it runs the
-// decision modules and plain baselines through the same seeded work over small
-// fakes of engines, in simulated time and reproducible to the digit.
+// Package experiment compares policies under load: it runs the decision modules and simple
+// baselines with the same seeded requests on simulated engines, in simulated time, and
+// measures what callers receive. Results are exactly reproducible.
 //
-// Time moves in rounds of 20 ms. In each one callers send and hang up, engines
-// run a part of their batches, and entries decide on what they have heard:
-// load reports reach them late. Nothing here knows how a real engine is built;
-// the figures compare policies with each other and with the best that the fake
-// can do, and say nothing about a machine.
+// Time advances in steps of 20 ms. In each step callers send and cancel requests, engines
+// process a part of their batches, and gateways decide by the load reports received so far,
+// which are delayed. The engines are not modelled on a real one: results compare policies
+// with each other and with the maximum of the simulated engines, and don't predict the
+// performance of a machine.
 package experiment
 
 import (
@@ -16,19 +16,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// timeStep is the step of simulated time. It is below the time for a token of a
-// stream alone (20 ms), and above what a decision takes.
+// timeStep is the step of simulated time. It is no longer than the time per token of a
+// single stream (20 ms), and longer than a decision takes.
 const timeStep kumquatlug.Millis = 20
 
-// Fleet sizes of both deployments: twelve engines, four in each data centre,
-// behind an entry in each.
+// Fleet sizes of both deployments: twelve engines, four in each data centre, and one gateway
+// in each data centre.
 const (
 	engineCount  = 12
 	gatewayCount = 3
 )
 
-// reportInterval and reportDelay say how an entry hears of a target's load: once a
-// second, and half a second after it was so.
+// Gateways receive each target's load once a second, half a second after it was measured.
 const (
 	reportInterval kumquatlug.Millis = 1000
 	reportDelay    kumquatlug.Millis = 500
@@ -36,17 +35,17 @@
 
 var modelKind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "assistant")
 
-// Config is what a run is made of.
+// Config configures a run.
 type Config struct {
 	// Scenario is one of [Scenarios].
 	Scenario Scenario
 	// Policy is one of [Policies].
 	Policy PolicyName
-	// Seed decides every random draw; the same seed gives the same digits.
+	// Seed is the seed of all random numbers. The same seed gives exactly the same result.
 	Seed uint64
 }
 
-// simulation is one run in progress.
+// simulation is the state of one run.
 type simulation struct {
 	config         Config
 	capacity       capacity
@@ -65,12 +64,12 @@
 	claims         map[quarantine.Fingerprint]bool
 }
 
-// Run plays the scenario under the policy and returns what callers received.
+// Run simulates the scenario under the policy.
 func Run(c Config) Result {
 	return simulate(c, measureCapacity(c.Scenario, c.Seed))
 }
 
-// Compare plays the scenario under each of its policies with the same requests.
+// Compare simulates the scenario under each of its policies with the same requests.
 func Compare(s Scenario, seed uint64) []Result {
 	fleetCapacity := measureCapacity(s, seed)
 	var list []Result
@@ -130,15 +129,15 @@
 	}
 }
 
-// submit brings a call through the balancer to one of the entries.
+// submit sends a call to a random gateway, as a load balancer does.
 func (sim *simulation) submit(c *call) {
 	c.gateway = sim.random.IntN(gatewayCount)
 	sim.openCalls = append(sim.openCalls, c)
 	sim.gateways[c.gateway].arrive(sim.now, c)
 }
 
-// expireCalls ends the calls whose callers have waited for as long as they can;
-// their entry cancels what it has sent.
+// expireCalls ends the calls whose deadline has passed. Their gateway cancels the attempts in
+// flight.
 func (sim *simulation) expireCalls() {
 	kept := sim.openCalls[:0]
 	for _, c := range sim.openCalls {
@@ -166,7 +165,7 @@
 	c.outcome, c.endedAt = o, sim.now
 }
 
-// send gives a call to a target. Baselines have no agents that watch calls.
+// send sends a call to a target. Under baseline policies it bypasses the agent.
 func (sim *simulation) send(c *call, target string) sendResult {
 	e := sim.engine(target)
 	if e == nil || !e.acceptsCalls() {
@@ -198,8 +197,8 @@
 	sim.resendCrasher(c)
 }
 
-// resendCrasher is the caller of a request that crashes targets, who doesn't know
-// what it does and tries once more, a second later, through any entry.
+// resendCrasher simulates the caller of a request that crashes targets. The caller doesn't
+// know the effect and sends the request again after a second, through any gateway.
 func (sim *simulation) resendCrasher(c *call) {
 	if !c.crasher || sim.now > sim.config.Scenario.duration {
 		return
@@ -224,8 +223,8 @@
 	return nil
 }
 
-// deliverReports takes every target's load once a second, not all at the same moment,
-// and delivers what was taken half a second ago.
+// deliverReports takes a load report of each target once a second, at different times, and
+// delivers the reports that were taken half a second ago.
 func (sim *simulation) deliverReports() {
 	for n, e := range sim.engines {
 		if (sim.now+kumquatlug.Millis(n)*4*timeStep)%reportInterval == 0 {
@@ -280,7 +279,7 @@
 	sim.gateways[c.gateway].handleEvent(sim.now, ev)
 }
 
-// restartTime is how long a crashed engine takes to load its model again.
+// restartTime is the time that a crashed engine needs to load its model again.
 const restartTime = 30 * kumquatlug.Second
 
 func (sim *simulation) crashEngine(e *engine) {
@@ -288,7 +287,7 @@
 	sim.failEngine(e, sim.now+restartTime)
 }
 
-// failEngine ends an engine with all that it has in hand.
+// failEngine stops an engine; its calls in flight are lost.
 func (sim *simulation) failEngine(e *engine, until kumquatlug.Millis) {
 	rejected := e.agent.engineCrashed(sim.now)
 	for _, c := range e.crash(until) {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -17,11 +17,11 @@
 	return s
 }
 
-// approximateCapacity is about what the fleet can do with the usual mix; measuring it takes
-// longer than the run.
+// approximateCapacity is the approximate capacity for the usual mix. Measuring it would take
+// longer than the simulation.
 var approximateCapacity = capacity{uncached: 9, cached: 9}
 
-// simulatePolicies plays a scenario under some policies with seed 1.
+// simulatePolicies simulates a scenario under the given policies with seed 1.
 func simulatePolicies(t *testing.T, name string, policies ...PolicyName) map[PolicyName]Result {
 	t.Helper()
 	s := findScenario(t, name)
@@ -46,8 +46,8 @@
 }
 
 func TestEveryCallHasOutcome(t *testing.T) {
-	// A call that neither ends nor is refused keeps its caller at the counter
-	// until it gives up, and nobody sees it in any count.
+	// A call that neither ends nor is refused would keep its caller waiting until the
+	// timeout, and no counter would include it.
 	for _, name := range []string{"burst", "lost-at-peak", "crasher"} {
 		s := findScenario(t, name)
 		sim := newSimulation(Config{Scenario: s, Policy: PolicyDecisions, Seed: 2}, approximateCapacity)
@@ -56,58 +56,58 @@
 		}
 		for _, c := range sim.arrivals {
 			if c.outcome == outcomeOpen {
-				t.Fatalf("%s: call %s has no end", name, c.id)
+				t.Fatalf("%s: call %s has no outcome", name, c.id)
 			}
 		}
 		for _, p := range sim.gateways {
 			m := p.(*modulePolicy)
 			if len(m.waiting)+len(m.inFlight)+len(m.pending) > 0 {
-				t.Errorf("%s: an entry still holds %d, %d and %d calls", name, len(m.waiting), len(m.inFlight), len(m.pending))
+				t.Errorf("%s: a gateway still has %d queued, %d in-flight and %d pending calls", name, len(m.waiting), len(m.inFlight), len(m.pending))
 			}
 		}
 	}
 }
 
 func TestGoodputUnderOverload(t *testing.T) {
-	// Twice as much work arrives as the fleet can do. Sent on as it comes, it
-	// piles up in the engines until every answer is late.
+	// The offered load is twice the capacity. If every call were sent on arrival, queues in
+	// the engines would grow until every response is late.
 	got := simulatePolicies(t, "overload-2x", PolicyDecisions, PolicyRoundRobin)
-	// The aim is 0.95 over several seeds, which the command judges; this keeps
-	// what has been reached.
+	// The goal is 0.95 over several seeds, which the command checks. This lower bound
+	// guards against regressions.
 	if g := got[PolicyDecisions].Goodput; g < 0.93 {
 		t.Errorf("goodput %.3f", g)
 	}
 	if g := got[PolicyRoundRobin].Goodput; g > 0.6 {
-		t.Errorf("first in first out reaches %.3f; this load no longer tells the two apart", g)
+		t.Errorf("goodput of FIFO is %.3f; this load no longer distinguishes the policies", g)
 	}
 	refusals := got[PolicyDecisions].ordinaryCallers(workloadChat).Told
 	if refusals.P50 > 100 {
-		t.Errorf("refusals are told after %v", refusals)
+		t.Errorf("time to refusal (p50/p99 in seconds): %v", refusals)
 	}
 }
 
 func TestHotCallerDoesNotDelayQuietCallers(t *testing.T) {
-	// One caller's program asks for twice what the fleet can do. Twenty others
-	// would be late or refused all day for its sake.
+	// One caller offers twice the fleet's capacity. Without isolation between callers, the
+	// calls of twenty others would be late or refused.
 	beside := simulatePolicies(t, "hot-caller", PolicyDecisions)[PolicyDecisions]
 	alone := simulatePolicies(t, "quiet-alone", PolicyDecisions)[PolicyDecisions]
 	retained := beside.ordinaryCallers(workloadChat).onTimeFraction() / alone.ordinaryCallers(workloadChat).onTimeFraction()
 	if retained < 0.975 {
-		t.Errorf("quiet callers keep %.3f of their on-time answers", retained)
+		t.Errorf("quiet callers keep %.3f of their on-time responses", retained)
 	}
 }
 
 func TestCrashingRequestCrashesAtMostTwoEngines(t *testing.T) {
-	// A request crashes each engine that runs it, and its caller sends it again
-	// and again through any entry. Retried like any other it walks through the
-	// fleet, and takes everybody's calls down with each engine.
+	// A request crashes each engine that runs it, and its caller sends it repeatedly through
+	// any gateway. If it were retried like other requests, it would crash one engine after
+	// the other, and all calls in flight there would be lost.
 	got := simulatePolicies(t, "crasher", PolicyDecisions)[PolicyDecisions]
 	if got.Crashes > 2 || got.Resends < 50 {
-		t.Errorf("%d engines crashed, %d times sent again", got.Crashes, got.Resends)
+		t.Errorf("%d engines crashed, request sent again %d times", got.Crashes, got.Resends)
 	}
 	for _, work := range []workload{workloadChat, workloadDocument} {
 		if g := got.ordinaryCallers(work); g.Failed > 0 || g.onTimeFraction() < 0.99 {
-			t.Errorf("the others received %+v", g)
+			t.Errorf("other callers are affected: %+v", g)
 		}
 	}
 }
--- a/internal/experiment/outcomes.go
+++ b/internal/experiment/outcomes.go
@@ -40,13 +40,13 @@
 	}
 }
 
-// idlePrefillTime and idleDecodeTime are the milliseconds that tokens take on an idle
-// target, as an entry would take them for true.
+// idlePrefillTime returns the prefill time on an idle target in ms, as a gateway assumes it.
 func idlePrefillTime(tokens int) float64 { return float64(tokens) / prefillTokensPerSecond * 1000 }
 
+// idleDecodeTime returns the decode time on an idle target in ms, as a gateway assumes it.
 func idleDecodeTime(tokens int) float64 { return float64(tokens) / decodeTokensPerSecond * 1000 }
 
-// recordOutput takes in a piece of a stream.
+// recordOutput records a chunk of a stream.
 func (p *modulePolicy) recordOutput(now kumquatlug.Millis, a *attempt, tokens int) {
 	if a.lastOutputAt == 0 {
 		a.firstTokenAt, a.lastOutputAt = now, a.sentAt
@@ -66,7 +66,7 @@
 	p.endAttempt(now, a, limit.OutcomeEnded)
 }
 
-// updateEstimates feeds the estimates with an answer, or with what there is of it.
+// updateEstimates adds a response, complete or not, to the estimates.
 func (p *modulePolicy) updateEstimates(now kumquatlug.Millis, a *attempt, completed bool) {
 	c := a.call
 	prefillTime, decodeTime := now-c.sentAt, kumquatlug.Millis(0)
@@ -78,15 +78,15 @@
 	})
 }
 
-// endAttempt takes a call off its target.
+// endAttempt records the end of an attempt at its target.
 func (p *modulePolicy) endAttempt(now kumquatlug.Millis, a *attempt, o limit.Outcome) {
 	p.targets.End(now, a.ticket, o)
 	p.router.Finished(now, a.target, a.call.id)
 	delete(p.inFlight, a.call.id)
 }
 
-// retryLost goes on elsewhere with a call whose target is gone, from the tokens
-// that were streamed.
+// retryLost retries a call whose target is lost. The call resumes at another target after the
+// tokens that were streamed.
 func (p *modulePolicy) retryLost(now kumquatlug.Millis, a *attempt) {
 	c := a.call
 	p.endAttempt(now, a, limit.OutcomeEnded)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Measures of the plot, in pixels.
+// Dimensions of the plot.
 const (
 	plotLeftPx     = 150
 	plotWidthPx    = 520
@@ -16,7 +16,7 @@
 	legendHeightPx = 22
 )
 
-// policyColours of the policies, apart also for those who see red and green alike.
+// policyColours are distinguishable with red-green colour blindness.
 var policyColours = map[PolicyName]string{
 	PolicyDecisions:  "#0072b2",
 	PolicyBogota:     "#56b4e9",
@@ -26,7 +26,7 @@
 	PolicyLeast:      "#555555",
 }
 
-// WritePlot draws the goodput of each policy under each scenario as SVG.
+// WritePlot writes a bar chart of the goodput of each policy in each scenario, as SVG.
 func WritePlot(w io.Writer, results []Result) error {
 	var b strings.Builder
 	y := plotTopPx
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -6,18 +6,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// policy is what one entry does with its calls. It acts through its world:
-// send, refuse and fail.
+// policy decides for one gateway what happens to its calls. It acts through the methods send,
+// refuse and fail of [simulation].
 type policy interface {
-	// arrive takes a new call.
+	// arrive handles a new call.
 	arrive(now kumquatlug.Millis, c *call)
-	// report takes a target's load, late as it is.
+	// report handles a target's delayed load report.
 	report(now kumquatlug.Millis, r loadReport)
-	// handleEvent takes what became of a call at its target.
+	// handleEvent handles an event of a call at its target.
 	handleEvent(now kumquatlug.Millis, e callEvent)
-	// cancel takes a call whose caller has hung up.
+	// cancel handles the disconnection of a caller.
 	cancel(now kumquatlug.Millis, c *call)
-	// tick is called once a round.
+	// tick is called once per time step.
 	tick(now kumquatlug.Millis)
 }
 
@@ -26,23 +26,22 @@
 
 // The policies that are compared.
 const (
-	// PolicyDecisions is the project's modules, with Kochi's price of a role
-	// change.
+	// PolicyDecisions uses the project's modules with the cost of a role change at Kochi.
 	PolicyDecisions PolicyName = "kumquatlug"
-	// PolicyBogota is the same with Bogota's price.
+	// PolicyBogota is the same with the cost of a role change at Bogota.
 	PolicyBogota PolicyName = "kumquatlug-bogota"
-	// PolicyStatic is the same with the roles as they are at the start.
+	// PolicyStatic is the same with the initial roles throughout.
 	PolicyStatic PolicyName = "static-split"
-	// PolicyThreshold is the same with a plain threshold in the planner's place.
+	// PolicyThreshold is the same with a simple threshold instead of the planner.
 	PolicyThreshold PolicyName = "threshold"
-	// PolicyRoundRobin is first in first out, in turns, without limits.
+	// PolicyRoundRobin is FIFO with round-robin routing and without limits.
 	PolicyRoundRobin PolicyName = "round-robin"
-	// PolicyLeast is first in first out to the target with the fewest
-	// connections of this entry, without limits.
+	// PolicyLeast is FIFO without limits, routed to the target with the fewest
+	// connections from this gateway.
 	PolicyLeast PolicyName = "least-connections"
 )
 
-// Policies returns the policies that a scenario is run under.
+// Policies returns the policies to compare in a scenario.
 func Policies(s Scenario) []PolicyName {
 	list := []PolicyName{PolicyDecisions, PolicyRoundRobin, PolicyLeast}
 	if s.splitRoles() {
@@ -60,8 +59,8 @@
 	}
 }
 
-// baselinePolicy sends each call at once and holds nothing. It learns of a dead target
-// when the connection is refused, and goes on to the next.
+// baselinePolicy sends each call at once, without queueing or limits. It detects a failed
+// target by the refused connection, and tries the next one.
 type baselinePolicy struct {
 	sim     *simulation
 	next    int
@@ -90,7 +89,7 @@
 	return false
 }
 
-// canRun reports whether an engine does the part that comes next.
+// canRun reports whether an engine has the role for the next phase of a call.
 func (p *baselinePolicy) canRun(e *engine, c *call) bool {
 	switch e.role {
 	case kumquatlug.RolePrefill:
@@ -144,5 +143,6 @@
 	}
 }
 
-// usesAgents reports whether agents watch for requests that crash engines.
+// usesAgents reports whether calls pass through agents, which detect requests that crash
+// engines.
 func (p PolicyName) usesAgents() bool { return p != PolicyRoundRobin && p != PolicyLeast }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -7,25 +7,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Result is what the callers of one run received. Only calls that arrived
-// after the warm-up and before the end of the load are counted.
+// Result is the outcome of one run for its callers. Only calls that arrived after the
+// warm-up and before the end of the load count.
 type Result struct {
 	Scenario string     `json:"scenario"`
 	Policy   PolicyName `json:"policy"`
 	Seed     uint64     `json:"seed"`
-	// Goodput is engine seconds of work answered whole and on time, as a part
-	// of the least of what was asked for and of what the fleet could do.
+	// Goodput is the work completed on time as a fraction of the offered work or of the
+	// fleet's capacity, whichever is less. Work is measured in engine seconds.
 	Goodput float64 `json:"goodput"`
-	// Groups are the callers of one name and work, in name order.
+	// Groups are the results by group of callers and workload, in name order.
 	Groups []Group `json:"groups"`
-	// RoleChanges counts the changes of role that were begun, Crashes the
-	// engines that a request crashed, and Resends how often it was sent again.
+	// RoleChanges is the number of role changes started, Crashes the number of engines that
+	// a request crashed, and Resends how often its caller sent it again.
 	RoleChanges int `json:"role_changes"`
 	Crashes     int `json:"crashes"`
 	Resends     int `json:"resends"`
 }
 
-// Group is what the callers of one group received for one kind of work.
+// Group is the outcome for one group of callers and one workload.
 type Group struct {
 	Callers string `json:"callers"`
 	Work    string `json:"work"`
@@ -34,14 +34,14 @@
 	Late    int    `json:"late"`
 	Refused int    `json:"refused"`
 	Failed  int    `json:"failed"`
-	// First and Whole are percentiles of the time to the first token and to
-	// the last of the answers on time; Told of the time until a refusal.
+	// First and Whole are percentiles of the time to the first and to the last token of
+	// responses on time, Told of the time until a refusal.
 	First Percentiles `json:"first_ms"`
 	Whole Percentiles `json:"whole_ms"`
 	Told  Percentiles `json:"told_ms"`
 }
 
-// Percentiles are in milliseconds.
+// Percentiles summarizes a distribution of times, in milliseconds.
 type Percentiles struct {
 	P50 kumquatlug.Millis `json:"p50"`
 	P99 kumquatlug.Millis `json:"p99"`
@@ -69,9 +69,9 @@
 	return at >= sim.config.Scenario.warmUp && at < sim.config.Scenario.duration
 }
 
-// goodput compares what was answered on time between the warm-up and the end
-// of the load with what could have been: all that was asked for in that time,
-// or all that the fleet could do in it.
+// goodput returns the work completed on time between the warm-up and the end of the load, as
+// a fraction of the maximum: the work offered in that time or the fleet's capacity,
+// whichever is less.
 func (sim *simulation) goodput() float64 {
 	completed, offered := 0.0, 0.0
 	for _, c := range sim.arrivals {
@@ -87,7 +87,7 @@
 	return completed / min(offered, sim.capacity.cached*seconds)
 }
 
-// groupKey tells groups apart: the callers' name without its number.
+// groupKey identifies a group by the callers' name without its number, and the workload.
 type groupKey struct {
 	callers string
 	work    workload
--- a/internal/experiment/roles.go
+++ b/internal/experiment/roles.go
@@ -7,7 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/planner"
 )
 
-// roleController drives the planner of the group, as the entry that holds its lease does.
+// roleController runs the role planner of the engine group, as the gateway that holds the
+// group's lease does.
 type roleController struct {
 	sim     *simulation
 	planner kumquatlug.RolePlanner
@@ -18,8 +19,8 @@
 	return &roleController{sim: sim, planner: newRolePlanner(sim.config)}
 }
 
-// newRolePlanner gives each policy its planner. Kochi's settings are the
-// defaults; Bogota pays dearly for each change.
+// newRolePlanner returns the planner of a policy. Kochi uses the default settings; at Bogota
+// a role change is expensive.
 func newRolePlanner(c Config) kumquatlug.RolePlanner {
 	if !c.Scenario.splitRoles() {
 		return planner.Static{}
@@ -36,7 +37,7 @@
 	}
 }
 
-// recordOffered counts what callers bring to an entry.
+// recordOffered adds tokens to the load offered to a gateway.
 func (r *roleController) recordOffered(gateway int, prefill, decode float64) {
 	o := &r.offered[gateway]
 	o.PrefillTokens += prefill
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// workload names a shape of request.
+// workload names a kind of request.
 type workload string
 
 const (
@@ -23,8 +23,8 @@
 	workloadCrasher     workload = "crasher"
 )
 
-// workloadShape is how large requests of a kind of work are (medians; lengths vary
-// log-normally) and how long their callers wait.
+// workloadShape holds the median lengths of a workload's requests, which are log-normally
+// distributed, and the timeout of their callers.
 type workloadShape struct {
 	promptTokens float64
 	outputTokens float64
@@ -40,12 +40,12 @@
 	workloadCrasher:     {promptTokens: 400, outputTokens: 150, timeout: 30 * kumquatlug.Second},
 }
 
-// lengthSigma is the standard deviation of the logarithm of a length: two in three
-// lie within a factor of 1.5.
+// lengthSigma is the standard deviation of the logarithm of a length: two in three lengths
+// are within a factor of 1.5 of the median.
 const lengthSigma = 0.4
 
-// trafficSource is a caller group's stream of requests. Its load is the part of the
-// best that the fleet can do with the scenario's mix (without a cache).
+// trafficSource generates the requests of a group of callers. load is a fraction of the
+// fleet's capacity for the scenario's mix, without a prefix cache.
 type trafficSource struct {
 	callers      []string
 	workload     workload
@@ -54,7 +54,7 @@
 	prefixTokens int
 }
 
-// fault is something that happens at a time.
+// fault is a fault injected at a given time.
 type fault struct {
 	at    kumquatlug.Millis
 	apply func(*simulation)
@@ -62,14 +62,14 @@
 
 // Scenario is one load pattern.
 type Scenario struct {
-	// Name is its short name, Title what happens in it.
+	// Name identifies the scenario, Title describes it.
 	Name, Title string
 	duration    kumquatlug.Millis
 	warmUp      kumquatlug.Millis
 	sources     []trafficSource
 	faults      []fault
-	// prefillEngines is how many engines run prompts at the start of a scenario with
-	// split roles; zero means that all engines do both.
+	// prefillEngines is the initial number of prefill engines in a scenario with split
+	// roles; zero means that all engines run both prefill and decode.
 	prefillEngines int
 	crasher        bool
 }
@@ -78,7 +78,7 @@
 	return func(kumquatlug.Millis) float64 { return load }
 }
 
-// pulseLoad is high from begin to end and low outside.
+// pulseLoad returns a load that is high from begin to end, and low otherwise.
 func pulseLoad(begin, end kumquatlug.Millis, low, high float64) func(kumquatlug.Millis) float64 {
 	return func(at kumquatlug.Millis) float64 {
 		if at >= begin && at < end {
@@ -88,13 +88,14 @@
 	}
 }
 
-// The mix stays for five minutes and turns over within two.
+// An alternating load is constant for five minutes and then changes over two minutes.
 const (
 	holdTime = 5 * kumquatlug.Minute
 	rampTime = 2 * kumquatlug.Minute
 )
 
-// alternatingLoad stays at low, goes to high, stays there and goes back.
+// alternatingLoad returns a load that alternates between low and high with linear ramps,
+// starting at low.
 func alternatingLoad(low, high float64) func(kumquatlug.Millis) float64 {
 	return func(at kumquatlug.Millis) float64 {
 		at %= 2 * (holdTime + rampTime)
@@ -211,7 +212,7 @@
 	}
 }
 
-// ScenarioOf returns the scenario of a name.
+// ScenarioOf returns the scenario with the given name.
 func ScenarioOf(name string) (Scenario, bool) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -236,7 +237,8 @@
 	}
 }
 
-// drainTime is how long the last callers wait.
+// drainTime returns how long the run continues after the end of the load, so that the last
+// calls end.
 func (s Scenario) drainTime() kumquatlug.Millis {
 	longest := kumquatlug.Millis(0)
 	for _, src := range s.sources {
@@ -245,7 +247,7 @@
 	return longest + kumquatlug.Second
 }
 
-// arrivals draws the requests of a run in order of arrival.
+// arrivals returns the random requests of a run in order of arrival.
 func (s Scenario) arrivals(random *rand.Rand, capacity float64) []*call {
 	var all []*call
 	for n, src := range s.sources {
@@ -278,7 +280,8 @@
 	}
 }
 
-// zipf draws from 0 to n-1, the first most often (in proportion to 1/rank).
+// zipf returns a random number from 0 to n-1 by Zipf's law: with a probability proportional
+// to 1/rank, highest for 0.
 func zipf(random *rand.Rand, n int) int {
 	sum := 0.0
 	for k := range n {
@@ -293,7 +296,7 @@
 	return n - 1
 }
 
-// meanEngineSeconds is the mean engine time of one request of the source.
+// meanEngineSeconds returns the mean engine time of the source's requests, in seconds.
 func (src trafficSource) meanEngineSeconds() float64 {
 	s := workloadShapes[src.workload]
 	meanToMedian := math.Exp(lengthSigma * lengthSigma / 2)
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable prints the results of one seed and its aims as text.
+// WriteTable writes the results of one seed and the evaluation of the goals as text.
 func WriteTable(w io.Writer, results []Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	scenario := ""
