--- a/internal/experiment/agent.go
+++ b/internal/experiment/agent.go
@@ -8,126 +8,129 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// sendResult is how a target's agent answers to a call.
+// sendResult is the response of a target's agent to a call.
 type sendResult string
 
 const (
-	sendTaken     sendResult = "taken"
+	sendAccepted sendResult = "taken"
+	// sendElsewhere: the call was not accepted, another target may accept it.
 	sendElsewhere sendResult = "elsewhere"
-	sendRefused   sendResult = "refused"
+	// sendRefused: no target may run the call.
+	sendRefused sendResult = "refused"
 )
 
-// agent stands before one engine and watches calls that were in hand at a
-// crash. It outlives its engine.
+// agent is the agent of one engine. It tracks which calls are in flight at a crash, and keeps
+// running when the engine crashes.
 type agent struct {
-	world    *world
+	sim      *simulation
 	engine   *engine
 	register *quarantine.Register
 	gate     *quarantine.Gate
-	held     []*call
+	waiting  []*call
 }
 
-func newAgent(w *world, e *engine) *agent {
+func newAgent(sim *simulation, e *engine) *agent {
 	r := quarantine.New(quarantine.Config{})
-	return &agent{world: w, engine: e, register: r, gate: quarantine.NewGate(r)}
+	return &agent{sim: sim, engine: e, register: r, gate: quarantine.NewGate(r)}
 }
 
-// begin asks the gate for a call; a suspect needs its row in the table first.
+// begin asks the gate whether a call may begin. If the call is a suspect, it claims the row
+// of its fingerprint in the table first.
 func (a *agent) begin(now kumquatlug.Millis, c *call) quarantine.Verdict {
-	verdict := a.ask(now, c)
+	verdict := a.beginAtGate(now, c)
 	if verdict != quarantine.VerdictClaim {
 		return verdict
 	}
-	if a.world.claims[c.fingerprint] {
+	if a.sim.claims[c.fingerprint] {
 		return quarantine.VerdictElsewhere
 	}
-	a.world.claims[c.fingerprint] = true
+	a.sim.claims[c.fingerprint] = true
 	c.claimed = true
-	return a.ask(now, c)
+	return a.beginAtGate(now, c)
 }
 
-func (a *agent) ask(now kumquatlug.Millis, c *call) quarantine.Verdict {
+func (a *agent) beginAtGate(now kumquatlug.Millis, c *call) quarantine.Verdict {
 	return a.gate.Begin(now, quarantine.Arrival{ID: c.id, Fingerprint: c.fingerprint, Claimed: c.claimed})
 }
 
-// take begins a call, keeps it until it may begin, or sends it away.
-func (a *agent) take(now kumquatlug.Millis, c *call) sendResult {
+// accept starts a call, queues it until it may start, or rejects it.
+func (a *agent) accept(now kumquatlug.Millis, c *call) sendResult {
 	switch a.begin(now, c) {
 	case quarantine.VerdictRun:
 		a.engine.accept(now, c)
-		return sendTaken
+		return sendAccepted
 	case quarantine.VerdictWait:
-		a.held = append(a.held, c)
-		return sendTaken
+		a.waiting = append(a.waiting, c)
+		return sendAccepted
 	case quarantine.VerdictRefuse:
-		a.unclaim(c)
+		a.releaseClaim(c)
 		return sendRefused
 	default:
-		a.unclaim(c)
+		a.releaseClaim(c)
 		return sendElsewhere
 	}
 }
 
-func (a *agent) unclaim(c *call) {
+func (a *agent) releaseClaim(c *call) {
 	if c.claimed {
-		delete(a.world.claims, c.fingerprint)
+		delete(a.sim.claims, c.fingerprint)
 		c.claimed = false
 	}
 }
 
-// askAgain asks for the calls that wait at the gate.
-func (a *agent) askAgain(now kumquatlug.Millis) {
-	held := a.held
-	a.held = nil
-	for _, c := range held {
+// retryWaiting asks the gate again about the calls that wait there.
+func (a *agent) retryWaiting(now kumquatlug.Millis) {
+	waiting := a.waiting
+	a.waiting = nil
+	for _, c := range waiting {
 		verdict := a.begin(now, c)
 		switch verdict {
 		case quarantine.VerdictRun:
 			a.engine.accept(now, c)
 		case quarantine.VerdictWait:
-			a.held = append(a.held, c)
+			a.waiting = append(a.waiting, c)
 		default:
 			a.gate.Abandon(c.id)
-			a.unclaim(c)
-			c.at = nil
-			a.world.entries[c.entry].event(now, event{name: eventTurnedAway, call: c, engine: a.engine})
+			a.releaseClaim(c)
+			c.engine = nil
+			a.sim.gateways[c.gateway].handleEvent(now, callEvent{kind: eventRejected, call: c, engine: a.engine})
 		}
 	}
 }
 
-// ended tells the gate that a call is off the engine.
-func (a *agent) ended(now kumquatlug.Millis, c *call, whole bool) {
-	if slices.Contains(a.held, c) {
-		a.held = without(a.held, c)
+// callEnded records at the gate that a call has left the engine.
+func (a *agent) callEnded(now kumquatlug.Millis, c *call, completed bool) {
+	if slices.Contains(a.waiting, c) {
+		a.waiting = removeCall(a.waiting, c)
 		a.gate.Abandon(c.id)
-		a.unclaim(c)
+		a.releaseClaim(c)
 		return
 	}
-	a.gate.Ended(now, c.id, whole)
-	a.unclaim(c)
+	a.gate.Ended(now, c.id, completed)
+	a.releaseClaim(c)
 }
 
-// crashed tells the gate that the engine crashed, and returns the calls that
-// waited there: they didn't run.
-func (a *agent) crashed(now kumquatlug.Millis) []*call {
-	a.gate.Crashed(now, a.crash())
-	held := a.held
-	a.held = nil
-	for _, c := range held {
+// engineCrashed records a crash of the engine at the gate. It returns the calls that waited
+// there, which have not run.
+func (a *agent) engineCrashed(now kumquatlug.Millis) []*call {
+	a.gate.Crashed(now, a.crashID())
+	waiting := a.waiting
+	a.waiting = nil
+	for _, c := range waiting {
 		a.gate.Abandon(c.id)
-		a.unclaim(c)
+		a.releaseClaim(c)
 	}
-	return held
+	return waiting
 }
 
-func (a *agent) crash() quarantine.Crash {
+func (a *agent) crashID() quarantine.Crash {
 	return quarantine.NewCrash(a.engine.name, fmt.Sprint(a.engine.incarnation))
 }
 
-// gossip exchanges what an entry and the agent know, as heartbeats do.
-func (a *agent) gossip(now kumquatlug.Millis, entry *quarantine.Register) {
-	mine, _ := a.register.Known(now, 0)
-	theirs, _ := entry.Known(now, 0)
-	entry.Merge(now, mine)
-	a.register.Merge(now, theirs)
+// gossip exchanges crash notices between the agent and a gateway, as heartbeats do.
+func (a *agent) gossip(now kumquatlug.Millis, gatewayRegister *quarantine.Register) {
+	agentNotices, _ := a.register.Known(now, 0)
+	gatewayNotices, _ := gatewayRegister.Known(now, 0)
+	gatewayRegister.Merge(now, agentNotices)
+	a.register.Merge(now, gatewayNotices)
 }
--- a/internal/experiment/call.go
+++ b/internal/experiment/call.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/quarantine"
 )
 
-// outcome is how a call ended for its caller.
+// outcome is the outcome of a call for its caller.
 type outcome string
 
 const (
@@ -18,55 +18,55 @@
 	outcomeFailed  outcome = "failed"
 )
 
-// call is one request on its way.
+// call is one request of a caller.
 type call struct {
-	id       string
-	caller   string
-	work     workName
-	prompt   int
-	output   int
-	prefix   uint64
-	shared   int
-	arrival  kumquatlug.Millis
-	deadline kumquatlug.Millis
-	crasher  bool
-	tries    int
-	// fingerprint is equal for equal requests; claimed says that its row in the
-	// table was won.
+	id           string
+	caller       string
+	workload     workload
+	promptTokens int
+	outputTokens int
+	prefixID     uint64
+	prefixTokens int
+	arrival      kumquatlug.Millis
+	deadline     kumquatlug.Millis
+	crasher      bool
+	retries      int
+	// fingerprint is equal for equal requests. claimed says that the call holds the row of
+	// its fingerprint in the table.
 	fingerprint quarantine.Fingerprint
 	claimed     bool
-	// priority is what its entry asks the engine for.
-	priority int
+	// enginePriority is the priority that its gateway requests from the engine.
+	enginePriority int
 
-	entry      int
-	sentAt     kumquatlug.Millis
-	at         *engine
-	sends      int
-	first      kumquatlug.Millis
-	ended      kumquatlug.Millis
-	outcome    outcome
-	retryAfter kumquatlug.Millis
+	gateway      int
+	sentAt       kumquatlug.Millis
+	engine       *engine
+	sendCount    int
+	firstTokenAt kumquatlug.Millis
+	endedAt      kumquatlug.Millis
+	outcome      outcome
+	retryAfter   kumquatlug.Millis
 
-	// left are the prompt tokens still to run, made the output tokens there
-	// are and told those that were streamed to the caller.
-	left      float64
-	made      float64
-	prefilled bool
-	told      int
-	started   kumquatlug.Millis
-	imported  kumquatlug.Millis
+	// prefillLeft is the number of tokens still to prefill, generated the number of output
+	// tokens, streamed the number of those that were sent to the caller.
+	prefillLeft float64
+	generated   float64
+	prefilled   bool
+	streamed    int
+	startedAt   kumquatlug.Millis
+	kvReadyAt   kumquatlug.Millis
 }
 
-// again is the same request, sent once more.
-func (c *call) again(at kumquatlug.Millis) *call {
+// resend returns a call with the same request that arrives at a later time.
+func (c *call) resend(at kumquatlug.Millis) *call {
 	return &call{
-		id: fmt.Sprintf("%s+%d", c.id, c.tries+1), caller: c.caller, work: c.work, prompt: c.prompt, output: c.output,
-		prefix: c.prefix, shared: c.shared, arrival: at, deadline: at + c.deadline - c.arrival, crasher: true,
-		tries: c.tries + 1, fingerprint: c.fingerprint,
+		id: fmt.Sprintf("%s+%d", c.id, c.retries+1), caller: c.caller, workload: c.workload, promptTokens: c.promptTokens, outputTokens: c.outputTokens,
+		prefixID: c.prefixID, prefixTokens: c.prefixTokens, arrival: at, deadline: at + c.deadline - c.arrival, crasher: true,
+		retries: c.retries + 1, fingerprint: c.fingerprint,
 	}
 }
 
-// engineSeconds is how long an engine is busy with the call at its best batch.
+// engineSeconds returns the engine time of the call at the maximum batch size, in seconds.
 func (c *call) engineSeconds() float64 {
-	return float64(c.prompt)/prefillRate + float64(c.output)/decodeRateAt(maxBatch)
+	return float64(c.promptTokens)/prefillTokensPerSecond + float64(c.outputTokens)/batchDecodeRate(maxBatchSize)
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -7,25 +7,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Result is what the callers of one run received. Only calls that arrived
-// after the warm-up and before the end of the load are counted.
+// Result is the outcome of one run for its callers. Only calls that arrived after the
+// warm-up and before the end of the load count.
 type Result struct {
 	Scenario string     `json:"scenario"`
 	Policy   PolicyName `json:"policy"`
 	Seed     uint64     `json:"seed"`
-	// Goodput is engine seconds of work answered whole and on time, as a part
-	// of the least of what was asked for and of what the fleet could do.
+	// Goodput is the work completed on time as a fraction of the offered work or of the
+	// fleet's capacity, whichever is less. Work is measured in engine seconds.
 	Goodput float64 `json:"goodput"`
-	// Groups are the callers of one name and work, in name order.
+	// Groups are the results by group of callers and workload, in name order.
 	Groups []Group `json:"groups"`
-	// RoleChanges counts the changes of role that were begun, Crashes the
-	// engines that a request crashed, and Resends how often it was sent again.
+	// RoleChanges is the number of role changes started, Crashes the number of engines that
+	// a request crashed, and Resends how often its caller sent it again.
 	RoleChanges int `json:"role_changes"`
 	Crashes     int `json:"crashes"`
 	Resends     int `json:"resends"`
 }
 
-// Group is what the callers of one group received for one kind of work.
+// Group is the outcome for one group of callers and one workload.
 type Group struct {
 	Callers string `json:"callers"`
 	Work    string `json:"work"`
@@ -34,14 +34,14 @@
 	Late    int    `json:"late"`
 	Refused int    `json:"refused"`
 	Failed  int    `json:"failed"`
-	// First and Whole are percentiles of the time to the first token and to
-	// the last of the answers on time; Told of the time until a refusal.
+	// First and Whole are percentiles of the time to the first and to the last token of
+	// responses on time, Told of the time until a refusal.
 	First Percentiles `json:"first_ms"`
 	Whole Percentiles `json:"whole_ms"`
 	Told  Percentiles `json:"told_ms"`
 }
 
-// Percentiles are in milliseconds.
+// Percentiles summarizes a distribution of times, in milliseconds.
 type Percentiles struct {
 	P50 kumquatlug.Millis `json:"p50"`
 	P99 kumquatlug.Millis `json:"p99"`
@@ -53,44 +53,44 @@
 		return Percentiles{}
 	}
 	slices.Sort(values)
-	at := func(part int) kumquatlug.Millis { return values[(len(values)-1)*part/100] }
+	at := func(percent int) kumquatlug.Millis { return values[(len(values)-1)*percent/100] }
 	return Percentiles{P50: at(50), P99: at(99), Max: values[len(values)-1]}
 }
 
-func (w *world) result() Result {
+func (sim *simulation) result() Result {
 	return Result{
-		Scenario: w.config.Scenario.Name, Policy: w.config.Policy, Seed: w.config.Seed,
-		Goodput: w.goodput(), Groups: w.groups(),
-		RoleChanges: w.changes, Crashes: w.crashes, Resends: w.resends,
+		Scenario: sim.config.Scenario.Name, Policy: sim.config.Policy, Seed: sim.config.Seed,
+		Goodput: sim.goodput(), Groups: sim.groups(),
+		RoleChanges: sim.roleChanges, Crashes: sim.crashes, Resends: sim.resends,
 	}
 }
 
-func (w *world) counted(at kumquatlug.Millis) bool {
-	return at >= w.config.Scenario.warm && at < w.config.Scenario.span
+func (sim *simulation) inMeasuredPeriod(at kumquatlug.Millis) bool {
+	return at >= sim.config.Scenario.warmUp && at < sim.config.Scenario.duration
 }
 
-// goodput compares what was answered on time between the warm-up and the end
-// of the load with what could have been: all that was asked for in that time,
-// or all that the fleet could do in it.
-func (w *world) goodput() float64 {
-	done, asked := 0.0, 0.0
-	for _, c := range w.arrivals {
-		if w.counted(c.arrival) && !c.crasher {
-			asked += c.engineSeconds()
+// goodput returns the work completed on time between the warm-up and the end of the load, as
+// a fraction of the maximum: the work offered in that time or the fleet's capacity,
+// whichever is less.
+func (sim *simulation) goodput() float64 {
+	completed, offered := 0.0, 0.0
+	for _, c := range sim.arrivals {
+		if sim.inMeasuredPeriod(c.arrival) && !c.crasher {
+			offered += c.engineSeconds()
 		}
-		if c.outcome == outcomeOnTime && w.counted(c.ended) {
-			done += c.engineSeconds()
+		if c.outcome == outcomeOnTime && sim.inMeasuredPeriod(c.endedAt) {
+			completed += c.engineSeconds()
 		}
 	}
-	s := w.config.Scenario
-	span := float64(s.span-s.warm) / 1000
-	return done / min(asked, w.best.cached*span)
+	s := sim.config.Scenario
+	seconds := float64(s.duration-s.warmUp) / 1000
+	return completed / min(offered, sim.capacity.cached*seconds)
 }
 
-// groupKey tells groups apart: the callers' name without its number.
+// groupKey identifies a group by the callers' name without its number, and the workload.
 type groupKey struct {
 	callers string
-	work    workName
+	work    workload
 }
 
 func keyOf(c *call) groupKey {
@@ -98,14 +98,14 @@
 	if len(name) > 3 && name[len(name)-3] == '-' {
 		name = name[:len(name)-3]
 	}
-	return groupKey{callers: name, work: c.work}
+	return groupKey{callers: name, work: c.workload}
 }
 
-func (w *world) groups() []Group {
+func (sim *simulation) groups() []Group {
 	byKey := make(map[groupKey][]*call)
 	var keys []groupKey
-	for _, c := range w.arrivals {
-		if !w.counted(c.arrival) {
+	for _, c := range sim.arrivals {
+		if !sim.inMeasuredPeriod(c.arrival) {
 			continue
 		}
 		k := keyOf(c)
@@ -126,22 +126,22 @@
 
 func groupOf(k groupKey, calls []*call) Group {
 	g := Group{Callers: k.callers, Work: string(k.work), Offered: len(calls)}
-	var first, whole, told []kumquatlug.Millis
+	var first, total, refusal []kumquatlug.Millis
 	for _, c := range calls {
 		switch c.outcome {
 		case outcomeOnTime:
 			g.OnTime++
-			first = append(first, c.first-c.arrival)
-			whole = append(whole, c.ended-c.arrival)
+			first = append(first, c.firstTokenAt-c.arrival)
+			total = append(total, c.endedAt-c.arrival)
 		case outcomeRefused:
 			g.Refused++
-			told = append(told, c.ended-c.arrival)
+			refusal = append(refusal, c.endedAt-c.arrival)
 		case outcomeFailed:
 			g.Failed++
 		default:
 			g.Late++
 		}
 	}
-	g.First, g.Whole, g.Told = percentiles(first), percentiles(whole), percentiles(told)
+	g.First, g.Whole, g.Told = percentiles(first), percentiles(total), percentiles(refusal)
 	return g
 }
--- /dev/null
+++ b/internal/experiment/swing/simulation.go
@@ -0,0 +1,406 @@
+package swing
+
+import (
+	"fmt"
+	"math"
+	"slices"
+
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/coordinator"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
+	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/planner"
+)
+
+// Policy determines how many engines run prefill, and their rate limits.
+type Policy struct {
+	// Readers is the initial number of prefill engines.
+	Readers int
+	// Follow adapts the number of prefill engines to the load.
+	Follow bool
+	// Swing configures the adaptation.
+	Swing planner.SwingConfig
+	// Limits are the rate limits that engines advertise.
+	Limits []Limit
+}
+
+// Result is the outcome of a simulation for its clients.
+type Result struct {
+	// Worth is the fraction of the offered value that was delivered. Documents and Streams
+	// are the same for the requests of one kind.
+	Worth, Documents, Streams float64
+	// Windows are these fractions for the requests that arrived in each two seconds.
+	Windows []float64
+	// Changes is the number of role changes.
+	Changes int
+	// Excess is the maximum number of requests by which an engine with a rate limit
+	// received more in a window than the limit allows. WasteTokens is the number of tokens
+	// prefilled for prompts that were refused afterwards.
+	Excess      float64
+	WasteTokens int
+}
+
+// Timing of gateways, messages and clients.
+const (
+	// gatewayTick is the interval at which gateways sample their load and send due
+	// prompts.
+	gatewayTick = 20 * kumquatlug.Millis(1)
+	// messageDelay is the latency of a message between gateways and engines.
+	messageDelay = 1 * kumquatlug.Millis(1)
+	// clientRetryDelay is the time after which a client retries a refused request.
+	clientRetryDelay = 500 * kumquatlug.Millis(1)
+	// splitInterval is the interval at which the split between prefill and decode engines
+	// is updated.
+	splitInterval = 250 * kumquatlug.Millis(1)
+)
+
+// simulation is the state of one run.
+type simulation struct {
+	config       Sheet
+	engines      []*engine
+	engineByName map[string]*engine
+	gateways     []*placement.Placer
+	queued       []map[uint64]*request
+	lastKey      uint64
+	// scheduled holds the future events by time.
+	scheduled map[kumquatlug.Millis][]func(now kumquatlug.Millis)
+	// gatewayIndex maps the name of each gateway to its index.
+	gatewayIndex map[string]int
+	split        *planner.Swing
+	prefillShare float64
+	result       Result
+	limits       []Limit
+	limitSeenAt  map[gatewayEngine]kumquatlug.Millis
+}
+
+// Play simulates a load under a policy. The same arguments give the same result.
+func Play(config Sheet, load []Span, policy Policy, seed uint64) Result {
+	requests := generateRequests(config, load, seed)
+	sim := newSimulation(config, policy)
+	end := kumquatlug.Millis(len(load))*intervalLength + config.StreamDeadline
+	next := 0
+	for now := kumquatlug.Millis(1); now < end; now++ {
+		for next < len(requests) && requests[next].arrivesAt <= now {
+			sim.arrive(now, requests[next])
+			next++
+		}
+		sim.tick(now, policy.Follow)
+	}
+	sim.result.Excess = sim.maxExcess()
+	sim.result.summarize(requests, len(load))
+	return sim.result
+}
+
+func newSimulation(config Sheet, policy Policy) *simulation {
+	sim := &simulation{
+		config: config, gatewayIndex: map[string]int{}, engineByName: map[string]*engine{}, scheduled: map[kumquatlug.Millis][]func(kumquatlug.Millis){},
+		prefillShare: float64(policy.Readers) / float64(config.Engines), limits: policy.Limits, limitSeenAt: map[gatewayEngine]kumquatlug.Millis{},
+	}
+	policy.Swing.Part = sim.prefillShare
+	sim.split = planner.NewSwing(policy.Swing)
+	for i := range config.Engines {
+		role := kumquatlug.RoleDecode
+		if i < policy.Readers {
+			role = kumquatlug.RolePrefill
+		}
+		sim.engines = append(sim.engines, newEngine(config, role))
+		sim.engineByName[engineName(i)] = sim.engines[i]
+	}
+	for i := range config.Fronts {
+		gatewayConfig := placement.Config{Zone: zoneName(i, config), Shares: newShares(i, config)}
+		if config.Coordinators {
+			gatewayConfig.Coordinators = sim.newCoordinators(i)
+		}
+		placer := placement.New(gatewayConfig)
+		placer.SetMemory(config.Memory)
+		sim.gateways = append(sim.gateways, placer)
+		sim.queued = append(sim.queued, map[uint64]*request{})
+	}
+	sim.syncRoles(0)
+	return sim
+}
+
+// newCoordinators returns the coordinators as known to gateway i.
+func (sim *simulation) newCoordinators(i int) *coordinator.Fronts {
+	gateways := coordinator.New(gatewayName(i))
+	names := make([]string, sim.config.Fronts)
+	for j := range names {
+		names[j] = gatewayName(j)
+		sim.gatewayIndex[names[j]] = j
+	}
+	gateways.Set(names)
+	return gateways
+}
+
+// deliverMessages delivers the outgoing messages of a gateway to its peers.
+func (sim *simulation) deliverMessages(now kumquatlug.Millis, sender int) {
+	for _, message := range sim.gateways[sender].Outbox() {
+		recipient := sim.gatewayIndex[message.Front]
+		message.Front = gatewayName(sender)
+		sim.schedule(now, func(at kumquatlug.Millis) { sim.handleMessage(at, recipient, message) })
+	}
+}
+
+// handleMessage handles a message from a peer gateway.
+func (sim *simulation) handleMessage(now kumquatlug.Millis, gateway int, message kumquatlug.TurnMessage) {
+	placer := sim.gateways[gateway]
+	switch message.Turn.Step {
+	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
+		placer.Requested(now, message)
+	default:
+		if due, ended := placer.Answered(now, message); ended {
+			sim.handleDue(now, gateway, due)
+		}
+	}
+	sim.sendDue(now, gateway)
+}
+
+func gatewayName(i int) string            { return fmt.Sprintf("f%03d", i) }
+func engineName(i int) string             { return fmt.Sprintf("e%02d", i) }
+func zoneName(i int, config Sheet) string { return fmt.Sprint("zone-", i%config.Zones) }
+
+// syncRoles updates the engines' roles at all gateways.
+func (sim *simulation) syncRoles(now kumquatlug.Millis) {
+	members := make([]kumquatlug.Member, len(sim.engines))
+	for i, e := range sim.engines {
+		members[i] = kumquatlug.Member{
+			Worker: kumquatlug.NewWorker(engineName(i), "10.0.0.1:1"), Service: "s", Zone: zoneName(i, sim.config),
+			State: kumquatlug.MemberReady, Slots: sim.config.Slots, Role: e.role,
+		}
+	}
+	for _, gateway := range sim.gateways {
+		gateway.Sync(now, members)
+	}
+}
+
+// tick simulates one ms.
+func (sim *simulation) tick(now kumquatlug.Millis, adaptive bool) {
+	for _, run := range sim.scheduled[now] {
+		run(now)
+	}
+	delete(sim.scheduled, now)
+	for i, e := range sim.engines {
+		role := e.role
+		first, ended := e.advance(now)
+		if e.role != role {
+			sim.syncRoles(now)
+		}
+		for _, a := range first {
+			sim.schedule(now, func(at kumquatlug.Millis) { sim.recordFirstOutput(at, a) })
+		}
+		for _, a := range ended {
+			sim.schedule(now, func(at kumquatlug.Millis) { sim.recordEnd(at, i, a) })
+		}
+	}
+	if now%gatewayTick == 0 {
+		for i, gateway := range sim.gateways {
+			gateway.Measure(now)
+			gateway.Remind(now)
+			sim.sendDue(now, i)
+		}
+	}
+	if adaptive && now%splitInterval == 0 {
+		sim.adjustSplit(now)
+	}
+}
+
+// schedule calls run after the latency of one message.
+func (sim *simulation) schedule(now kumquatlug.Millis, run func(kumquatlug.Millis)) {
+	sim.scheduled[now+messageDelay] = append(sim.scheduled[now+messageDelay], run)
+}
+
+// arrive submits a request to its gateway.
+func (sim *simulation) arrive(now kumquatlug.Millis, r *request) {
+	sim.lastKey++
+	placer := sim.gateways[r.gateway]
+	admission, choice, ticket := placer.Enter(now, sim.lastKey, r.query())
+	switch admission {
+	case placement.EntrySent:
+		sim.send(now, &attempt{request: r, gateway: r.gateway, ticket: ticket, prefillOnly: choice.Apart(), reservation: choice.Place()}, choice)
+	case placement.EntryWaits:
+		sim.queued[r.gateway][sim.lastKey] = r
+	default:
+		sim.refuse(now, r)
+	}
+	sim.sendDue(now, r.gateway)
+}
+
+// query returns the placement query of the request.
+func (r *request) query() placement.Query {
+	return placement.Query{Prompt: r.prompt, Target: r.arrivesAt + r.ttftTarget, Until: r.arrivesAt + r.timeout, Worth: r.relativeValue}
+}
+
+// refuse refuses a request. Its client retries once, unless it times out before.
+func (sim *simulation) refuse(now kumquatlug.Millis, r *request) {
+	if r.retries > 0 || now+clientRetryDelay > r.arrivesAt+r.timeout {
+		return
+	}
+	r.retries++
+	sim.scheduled[now+clientRetryDelay] = append(sim.scheduled[now+clientRetryDelay], func(at kumquatlug.Millis) { sim.arrive(at, r) })
+}
+
+// sendDue sends the prompts of a gateway that are due.
+func (sim *simulation) sendDue(now kumquatlug.Millis, gateway int) {
+	for _, due := range sim.gateways[gateway].Due(now) {
+		sim.handleDue(now, gateway, due)
+	}
+	sim.deliverMessages(now, gateway)
+}
+
+// handleDue sends a due prompt, or refuses it if the gateway has given it up.
+func (sim *simulation) handleDue(now kumquatlug.Millis, gateway int, due placement.Due) {
+	r := sim.queued[gateway][due.Key()]
+	delete(sim.queued[gateway], due.Key())
+	if due.Ticket() == nil {
+		sim.refuse(now, r)
+		return
+	}
+	choice := due.Choice()
+	sim.send(now, &attempt{request: r, gateway: gateway, ticket: due.Ticket(), prefillOnly: choice.Apart(), reservation: choice.Place()}, choice)
+}
+
+// send sends an attempt to the chosen engine.
+func (sim *simulation) send(now kumquatlug.Millis, a *attempt, choice placement.Choice) {
+	e := sim.engineByName[choice.Worker().ID()]
+	sim.schedule(now+choice.Delay(), func(at kumquatlug.Millis) {
+		sim.recordArrival(at, e, a)
+		if e.accept(a) {
+			return
+		}
+		sim.gateways[a.gateway].End(at, a.ticket, placement.OutcomeRefused)
+		sim.refuse(at, a.request)
+	})
+}
+
+// recordFirstOutput records the first output of an attempt.
+func (sim *simulation) recordFirstOutput(now kumquatlug.Millis, a *attempt) {
+	placer := sim.gateways[a.gateway]
+	sim.recordLimit(now, a)
+	placer.Read(now, a.ticket)
+	placer.Heard(now, a.ticket)
+	if a.request.firstOutputAt == 0 {
+		a.request.firstOutputAt = now
+	}
+}
+
+// recordEnd records the end of an attempt. After prefill on a separate engine, it sends the
+// request to a decode engine.
+func (sim *simulation) recordEnd(now kumquatlug.Millis, engineIndex int, a *attempt) {
+	placer := sim.gateways[a.gateway]
+	placer.Report(now, engineName(engineIndex), sim.engines[engineIndex].reportedLoad())
+	if a.prefillOnly {
+		sim.recordLimit(now, a)
+	}
+	placer.End(now, a.ticket, placement.OutcomeGood)
+	if !a.prefillOnly {
+		a.request.done = !a.request.abandoned
+		sim.sendDue(now, a.gateway)
+		return
+	}
+	query := a.request.query()
+	query.CacheZone, query.Place = zoneName(engineIndex, sim.config), a.reservation
+	choice, found := placer.Output(now, query)
+	if !found {
+		sim.result.WasteTokens += a.request.uniqueTokens
+		sim.refuse(now, a.request)
+		return
+	}
+	sim.send(now, &attempt{request: a.request, gateway: a.gateway, ticket: placer.Begin(now, choice, a.request.prompt), prefilled: true}, choice)
+	sim.sendDue(now, a.gateway)
+}
+
+// adjustSplit updates the split by the load of the first gateway, and changes the roles of
+// engines accordingly.
+func (sim *simulation) adjustSplit(now kumquatlug.Millis) {
+	pressure := sim.gateways[0].Pressure()
+	view := planner.SwingView{Reading: pressure.Reading(), Taken: pressure.Taken(), Coming: pressure.Coming()}
+	engines := make([]planner.SplitEngine, len(sim.engines))
+	for i, e := range sim.engines {
+		role := e.role
+		if e.roleChangeUntil != 0 {
+			role = e.nextRole
+		}
+		engines[i] = planner.SplitEngine{Target: engineName(i), Zone: zoneName(i, sim.config), Role: role}
+		if role == kumquatlug.RolePrefill {
+			view.Readers++
+		} else {
+			view.Writers++
+		}
+	}
+	if !sim.split.Look(now, view) {
+		return
+	}
+	roles := map[string]kumquatlug.Role{}
+	for _, change := range planner.KeepSplit(engines, sim.split.Part()) {
+		roles[change.Target()] = change.To()
+		sim.changeRole(now, sim.engineByName[change.Target()], change.To())
+		sim.result.Changes++
+	}
+	for _, gateway := range sim.gateways {
+		gateway.Announce(now, roles)
+	}
+}
+
+// changeRole takes an engine offline while it changes its role. Its streams move to other
+// engines.
+func (sim *simulation) changeRole(now kumquatlug.Millis, e *engine, to kumquatlug.Role) {
+	e.roleChangeUntil, e.nextRole = now+sim.config.Change, to
+	running := e.running
+	displaced := append(slices.Clone(running), e.waiting...)
+	e.running, e.waiting, e.runningTokens = nil, nil, 0
+	for _, a := range displaced {
+		placer := sim.gateways[a.gateway]
+		placer.End(now, a.ticket, placement.OutcomeGood)
+		choice, found := placer.Output(now, placement.Query{Prompt: a.request.prompt})
+		if !found {
+			continue
+		}
+		a.ticket = placer.Begin(now, choice, a.request.prompt)
+		target := sim.engineByName[choice.Worker().ID()]
+		if slices.Contains(running, a) {
+			a.endStep -= e.decodeSteps
+		}
+		target.waiting = append(target.waiting, a)
+	}
+}
+
+// summarize computes the delivered value from the outcome of all requests.
+func (r *Result) summarize(requests []*request, intervals int) {
+	offered, earned := make([]float64, intervals), make([]float64, intervals)
+	var offeredByKind, earnedByKind [2]float64
+	for _, request := range requests {
+		interval := int(request.arrivesAt / intervalLength)
+		kind := 0
+		if request.stream {
+			kind = 1
+		}
+		value := request.earnedValue()
+		offered[interval] += request.value
+		earned[interval] += value
+		offeredByKind[kind] += request.value
+		earnedByKind[kind] += value
+	}
+	for i := range offered {
+		r.Windows = append(r.Windows, ratio(earned[i], offered[i]))
+	}
+	r.Documents, r.Streams = ratio(earnedByKind[0], offeredByKind[0]), ratio(earnedByKind[1], offeredByKind[1])
+	r.Worth = ratio(earnedByKind[0]+earnedByKind[1], offeredByKind[0]+offeredByKind[1])
+}
+
+// earnedValue returns the delivered value of a request.
+func (r *request) earnedValue() float64 {
+	switch {
+	case !r.done || r.firstOutputAt == 0:
+		return 0
+	case r.firstOutputAt-r.arrivesAt <= r.ttftTarget:
+		return r.value
+	}
+	return r.lateValue
+}
+
+// ratio returns part/whole, or NaN if whole is zero.
+func ratio(part, whole float64) float64 {
+	if whole == 0 {
+		return math.NaN()
+	}
+	return part / whole
+}
