--- a/pkg/kumquatlug/admission/drainrate.go
+++ b/pkg/kumquatlug/admission/drainrate.go
@@ -6,11 +6,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// minDrainSampleMillis is the backlogged time, in milliseconds, needed before
+// minDrainSampleMs is the backlogged time, in milliseconds, needed before
 // the drain rate is used. In the first seconds of the first burst the targets
 // are still running prefill and have produced little output, so a rate measured
 // then is too low and would refuse requests that the targets can serve.
-const minDrainSampleMillis = 3000
+const minDrainSampleMs = 3000
 
 // drainEstimator measures the service rate of a kind's queue in tokens per
 // millisecond.
@@ -21,10 +21,10 @@
 // exponentially decayed mean over backlogged time. The mean over all time is a
 // lower bound of the capacity and is used where it is larger.
 type drainEstimator struct {
-	horizonMillis float64
-	updatedAt     kumquatlug.Millis
-	backlogged    decayedRate
-	overall       decayedRate
+	horizonMs  float64
+	updatedAt  kumquatlug.Millis
+	backlogged decayedRate
+	overall    decayedRate
 	// retryTokens is the refused work that is expected to be retried.
 	retryTokens float64
 }
@@ -32,17 +32,17 @@
 // decayedRate is a decayed sum of tokens over a decayed sum of milliseconds.
 type decayedRate struct {
 	tokens float64
-	millis float64
+	ms     float64
 }
 
 func (r *decayedRate) advance(elapsed, horizon float64) {
 	decay := math.Exp(-elapsed / horizon)
 	r.tokens *= decay
-	r.millis = r.millis*decay + horizon*(1-decay)
+	r.ms = r.ms*decay + horizon*(1-decay)
 }
 
 func (r *decayedRate) rate() float64 {
-	return r.tokens / r.millis
+	return r.tokens / r.ms
 }
 
 func (d *drainEstimator) advance(now kumquatlug.Millis, backlogged bool) {
@@ -51,9 +51,9 @@
 		return
 	}
 	d.updatedAt = now
-	d.overall.advance(elapsed, d.horizonMillis)
+	d.overall.advance(elapsed, d.horizonMs)
 	if backlogged {
-		d.backlogged.advance(elapsed, d.horizonMillis)
+		d.backlogged.advance(elapsed, d.horizonMs)
 	}
 	d.retryTokens = max(0, d.retryTokens-elapsed*d.rate())
 }
@@ -67,7 +67,7 @@
 
 // rate returns the drain rate in tokens per millisecond, zero while unknown.
 func (d *drainEstimator) rate() float64 {
-	if d.backlogged.millis < minDrainSampleMillis {
+	if d.backlogged.ms < minDrainSampleMs {
 		return 0
 	}
 	return max(d.backlogged.rate(), d.overall.rate())
@@ -82,10 +82,10 @@
 const (
 	// errorDecay averages the prediction error over about 50 requests.
 	errorDecay = 0.98
-	// errorPriorMillis is the weight of the prior that predictions are exact, in
+	// errorPriorMs is the weight of the prior that predictions are exact, in
 	// milliseconds of predicted wait. It keeps a few outliers from moving the
 	// correction.
-	errorPriorMillis = 10_000
+	errorPriorMs = 10_000
 	// maxErrorFactor bounds the correction and the contribution of one request.
 	// Larger errors come from an outage of the targets. Counted as overtaking,
 	// they would cause refusals of work that the targets can serve once they
@@ -99,17 +99,17 @@
 // because their deadlines are shorter. Without the correction, requests with
 // distant deadlines are admitted and then overtaken until they are late.
 type waitPredictionError struct {
-	actualMillis    float64
-	predictedMillis float64
+	actualMs    float64
+	predictedMs float64
 }
 
 func (e *waitPredictionError) learn(actual, predicted kumquatlug.Millis) {
 	actual = min(actual, maxErrorFactor*(predicted+kumquatlug.Second))
-	e.actualMillis = errorDecay*e.actualMillis + float64(actual)
-	e.predictedMillis = errorDecay*e.predictedMillis + float64(predicted)
+	e.actualMs = errorDecay*e.actualMs + float64(actual)
+	e.predictedMs = errorDecay*e.predictedMs + float64(predicted)
 }
 
 func (e *waitPredictionError) correct(wait kumquatlug.Millis) kumquatlug.Millis {
-	factor := (e.actualMillis + errorPriorMillis) / (e.predictedMillis + errorPriorMillis)
+	factor := (e.actualMs + errorPriorMs) / (e.predictedMs + errorPriorMs)
 	return kumquatlug.Millis(float64(wait) * min(max(factor, 1), maxErrorFactor))
 }
--- a/pkg/kumquatlug/admission/estimate_test.go
+++ b/pkg/kumquatlug/admission/estimate_test.go
@@ -7,9 +7,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// learnAnswers feeds e with n responses, one per interval. Their output is
+// learnResponses feeds e with n responses, one per interval. Their output is
 // uniform between half and one and a half times output tokens.
-func learnAnswers(e *Estimator, now kumquatlug.Millis, n int, interval kumquatlug.Millis, output float64) kumquatlug.Millis {
+func learnResponses(e *Estimator, now kumquatlug.Millis, n int, interval kumquatlug.Millis, output float64) kumquatlug.Millis {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range n {
 		now += interval
@@ -19,10 +19,10 @@
 	return now
 }
 
-func TestEstimatesConvergeToObservedAnswers(t *testing.T) {
+func TestEstimatesConvergeToObservedResponses(t *testing.T) {
 	for _, interval := range []kumquatlug.Millis{10, 10_000} {
 		e := NewEstimator(EstimatorConfig{})
-		now := learnAnswers(e, 0, 2000, interval, 600)
+		now := learnResponses(e, 0, 2000, interval, 600)
 		if mean := e.Output(now, "caller", draftKind, 400); mean < 540 || mean > 660 {
 			t.Errorf("interval %d ms: mean output %d, want 600", interval, mean)
 		}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestHighEstimateDecaysWithoutAnswers(t *testing.T) {
+func TestHighEstimateDecaysWithoutResponses(t *testing.T) {
 	// For a minute every response takes longer than callers wait. Without decay,
 	// all later requests are refused, no new samples arrive, and the refusals go on
 	// with idle engines until the entry restarts.
@@ -61,7 +61,7 @@
 	// After the loss of a target its requests take long on other targets. The
 	// service time of all other requests is unchanged.
 	e := NewEstimator(EstimatorConfig{})
-	now := learnAnswers(e, 0, 500, 100, 150)
+	now := learnResponses(e, 0, 500, 100, 150)
 	before := e.Service(now, "caller", draftKind, 400)
 	for range 10 {
 		e.Learn(now, "caller", draftKind, Observed{Prompt: 400, First: 60_000})
--- a/pkg/kumquatlug/admission/kindqueue.go
+++ b/pkg/kumquatlug/admission/kindqueue.go
@@ -30,7 +30,7 @@
 func newKindQueue(kind kumquatlug.Kind, c Config) *kindQueue {
 	kq := &kindQueue{
 		kind: kind, maxCount: float64(c.MaxCount), maxCost: float64(c.MaxCost),
-		drain: drainEstimator{horizonMillis: float64(c.DrainHorizon)}, minLatestStart: math.MaxInt64,
+		drain: drainEstimator{horizonMs: float64(c.DrainHorizon)}, minLatestStart: math.MaxInt64,
 	}
 	weight := int64(1)
 	for n := range kq.classes {
@@ -214,8 +214,8 @@
 // requests and cost tokens, whichever fraction is larger, divided by its weight.
 // Counting both keeps a caller from filling the queue with many tiny requests.
 func (kq *kindQueue) share(c *class, f *flow, count int, cost int64) float64 {
-	fraction := max(float64(count)/kq.maxCount, float64(cost)/kq.maxCost)
-	return fraction / float64(f.weight*c.weight)
+	used := max(float64(count)/kq.maxCount, float64(cost)/kq.maxCost)
+	return used / float64(f.weight*c.weight)
 }
 
 // retryAfter returns the time after which a retry can succeed for a request of
--- a/pkg/kumquatlug/admission/queue.go
+++ b/pkg/kumquatlug/admission/queue.go
@@ -61,9 +61,9 @@
 )
 
 const (
-	// maxWaitFraction is the fraction of a request's slack that it may wait. The
+	// maxWaitShare is the fraction of a request's slack that it may wait. The
 	// remaining tenth absorbs variations of the drain rate.
-	maxWaitFraction = 0.9
+	maxWaitShare = 0.9
 )
 
 // Config configures a [Queue]. Zero fields take their defaults.
@@ -167,7 +167,7 @@
 	return Decision{verdict: VerdictQueued, wait: wait, displaced: q.refusals}
 }
 
-// allowedWait returns how long r may wait: maxWaitFraction of its slack (the time
+// allowedWait returns how long r may wait: maxWaitShare of its slack (the time
 // to its deadline less its service time), and at most StandingWait in a standing
 // queue. A queue that hasn't been empty for seconds no longer absorbs a burst. It
 // keeps the targets no busier than a short queue would and only adds latency,
@@ -177,7 +177,7 @@
 	if slack < 0 {
 		return slack
 	}
-	allowed := kumquatlug.Millis(maxWaitFraction * float64(slack))
+	allowed := kumquatlug.Millis(maxWaitShare * float64(slack))
 	if now-kq.lastEmptyAt > q.config.StandingAfter {
 		return min(allowed, q.config.StandingWait)
 	}
--- a/pkg/kumquatlug/admission/simulation_test.go
+++ b/pkg/kumquatlug/admission/simulation_test.go
@@ -40,15 +40,15 @@
 	now       kumquatlug.Millis
 }
 
-// serverTokensPerMilli is the capacity of the simulated server.
-const serverTokensPerMilli = 10
+// serverTokensPerMs is the capacity of the simulated server.
+const serverTokensPerMs = 10
 
 func (s *simulation) arrive(n int, w workload) {
 	t := s.stats[w.caller]
 	t.offered++
 	r := NewRequest(RequestConfig{
 		ID: fmt.Sprint(w.caller, "-", n), Caller: cmp.Or(w.account, w.caller), Kind: draftKind, Cost: w.cost, Arrival: s.now,
-		Deadline: s.now + w.timeout, Service: kumquatlug.Millis(w.cost / serverTokensPerMilli),
+		Deadline: s.now + w.timeout, Service: kumquatlug.Millis(w.cost / serverTokensPerMs),
 	})
 	d := s.queue.Offer(s.now, r)
 	if d.Verdict() == VerdictRefused {
@@ -84,7 +84,7 @@
 		s.statsFor(r).waited += s.now - r.Arrival()
 		s.serving, s.remaining = r, r.Cost()
 	}
-	done := min(s.remaining, serverTokensPerMilli)
+	done := min(s.remaining, serverTokensPerMs)
 	s.remaining -= done
 	s.queue.Served(s.now, draftKind, done)
 	if s.remaining > 0 {
@@ -135,9 +135,9 @@
 	for _, factor := range []int64{2, 5} {
 		w := workload{caller: "all", interval: 50 / kumquatlug.Millis(factor), cost: 500, timeout: 4 * kumquatlug.Second}
 		stats := simulate(Config{}, 3*kumquatlug.Minute, w)["all"]
-		maxTokens := int64(serverTokensPerMilli) * int64(162*kumquatlug.Second+w.timeout)
-		if fraction := float64(stats.onTimeTokens) / float64(maxTokens); fraction < 0.95 {
-			t.Errorf("%dx: goodput %.3f of the capacity, want 0.95: %+v", factor, fraction, stats)
+		maxTokens := int64(serverTokensPerMs) * int64(162*kumquatlug.Second+w.timeout)
+		if goodput := float64(stats.onTimeTokens) / float64(maxTokens); goodput < 0.95 {
+			t.Errorf("%dx: goodput %.3f of the capacity, want 0.95: %+v", factor, goodput, stats)
 		}
 		if stats.late > stats.offered/100 {
 			t.Errorf("%dx: %d of %d responses were late", factor, stats.late, stats.offered)
@@ -203,7 +203,7 @@
 	if refusedLate*100 > offered {
 		t.Errorf("%d of %d documents were refused after half of their time", refusedLate, offered)
 	}
-	if maxTokens := int64(serverTokensPerMilli) * int64(270*kumquatlug.Second); served*100 < maxTokens*95 {
+	if maxTokens := int64(serverTokensPerMs) * int64(270*kumquatlug.Second); served*100 < maxTokens*95 {
 		t.Errorf("%d of %d tokens on time", served, maxTokens)
 	}
 	t.Logf("%d of %d documents refused late, %d tokens on time", refusedLate, offered, served)
@@ -227,7 +227,7 @@
 	// request would wait as long as its deadline allows.
 	w := workload{caller: "all", interval: 33, cost: 500, timeout: 30 * kumquatlug.Second}
 	stats := simulate(Config{}, 3*kumquatlug.Minute, w)["all"]
-	if maxTokens := int64(serverTokensPerMilli) * int64(162*kumquatlug.Second); stats.onTimeTokens*100 < maxTokens*95 {
+	if maxTokens := int64(serverTokensPerMs) * int64(162*kumquatlug.Second); stats.onTimeTokens*100 < maxTokens*95 {
 		t.Errorf("%d of %d tokens on time", stats.onTimeTokens, maxTokens)
 	}
 	// A burst is admitted in the first seconds; after that waits are limited to
--- a/pkg/kumquatlug/dispatch/attempt.go
+++ b/pkg/kumquatlug/dispatch/attempt.go
@@ -177,10 +177,10 @@
 	if r.firstTokenAt != 0 {
 		k.learnTokenGap(now, now-r.progressAt, newTokens)
 	}
-	work, served := k.idleMillis(0, newTokens), admission.Cost(0, newTokens)
+	work, served := k.idleMs(0, newTokens), admission.Cost(0, newTokens)
 	if r.firstTokenAt == 0 {
 		r.firstTokenAt, r.progressAt = now, r.sentAt
-		work = k.idleMillis(r.c.PrefillTokens, 1)
+		work = k.idleMs(r.c.PrefillTokens, 1)
 		served += admission.Cost(r.c.PrefillTokens, 0)
 	}
 	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.progressAt, work)
@@ -232,7 +232,7 @@
 	k, ok := d.kinds[r.c.Kind]
 	actual := *r
 	actual.c.DecodeTokens = done.Tokens
-	nominal := actual.nominalMillis()
+	nominal := actual.nominalMs()
 	if !ok || nominal <= 0 {
 		d.recordOutcome(now, r, true, 1)
 		return
@@ -245,7 +245,7 @@
 	}
 	// predictedTime was computed for the estimated output; scale it to the actual
 	// output.
-	predictedTime := float64(r.predictedTime) * nominal / r.nominalMillis()
+	predictedTime := float64(r.predictedTime) * nominal / r.nominalMs()
 	d.recordOutcome(now, r, true, actualTime/predictedTime)
 }
 
--- a/pkg/kumquatlug/dispatch/candidates.go
+++ b/pkg/kumquatlug/dispatch/candidates.go
@@ -38,7 +38,7 @@
 		d.addLimits(name)
 		d.setCandidate(now, name, duties[name])
 	}
-	d.updateEntryCount()
+	d.updateGatewayCount()
 }
 
 // addLimits creates the limits of a target that has none. A target that is removed
@@ -67,7 +67,7 @@
 	if kind.Protocol() == kumquatlug.ProtocolService {
 		return names
 	}
-	return routing.Subset(d.entries, d.c.Entry, names, d.c.Subset)
+	return routing.Subset(d.gateways, d.c.Entry, names, d.c.Subset)
 }
 
 // selectorsFor returns the selectors that assign kind to the target, whether or not
@@ -155,9 +155,9 @@
 	d.router.Set(now, candidate)
 }
 
-// updateEntryCount sets how many entries share the limits of callers and targets.
-func (d *Dispatcher) updateEntryCount() {
-	n := max(1, len(d.entries))
+// updateGatewayCount sets how many entries share the limits of callers and targets.
+func (d *Dispatcher) updateGatewayCount() {
+	n := max(1, len(d.gateways))
 	d.callers.SetEntries(n)
 	sharing := max(1, min(n, routing.Replicas(n, len(d.members.Names()), d.c.Subset)))
 	d.engines.SetEntries(sharing)
--- a/pkg/kumquatlug/dispatch/choose.go
+++ b/pkg/kumquatlug/dispatch/choose.go
@@ -30,7 +30,7 @@
 	r.sentAt, r.firstTokenAt = now, 0
 	limits := d.limits(r.c.Kind)
 	r.ticket = limits.Begin(now, target, r.kvTokens())
-	limits.Tolerate(&r.ticket, r.c.Deadline-r.c.Arrival, kumquatlug.Millis(r.nominalMillis()))
+	limits.Tolerate(&r.ticket, r.c.Deadline-r.c.Arrival, kumquatlug.Millis(r.nominalMs()))
 	d.router.Sent(now, target, routing.Call{
 		ID: r.c.ID, Prefix: r.c.Prefix, PrefillTokens: int(r.c.PrefillTokens) - cached, DecodeTokens: int(r.c.DecodeTokens),
 	})
--- a/pkg/kumquatlug/dispatch/disaggregated.go
+++ b/pkg/kumquatlug/dispatch/disaggregated.go
@@ -60,7 +60,7 @@
 	if !ok {
 		return d.serve(now)
 	}
-	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.sentAt, nominalMillis(r.c.PrefillTokens, 1))
+	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.sentAt, nominalMs(r.c.PrefillTokens, 1))
 	d.release(now, r, limit.OutcomeEnded)
 	d.queue.Served(now, r.c.Kind, admission.Cost(r.c.PrefillTokens, 0))
 	d.recordOutcome(now, r, true, 1)
--- a/pkg/kumquatlug/dispatch/dispatch.go
+++ b/pkg/kumquatlug/dispatch/dispatch.go
@@ -89,7 +89,7 @@
 	members      *membership.Members
 	health       map[kumquatlug.Kind]*health.Group
 	reports      map[string]Report
-	entries      []string
+	gateways     []string
 	selectors    []selector.Selector
 	labels       map[string]storedLabels
 	revision     config.Revision
@@ -165,7 +165,7 @@
 }
 
 // engineLimits returns c with a latency floor of 1 for engines, whose work is
-// measured in milliseconds on an idle engine (see nominalMillis). A learned floor
+// measured in milliseconds on an idle engine (see nominalMs). A learned floor
 // needs idle periods, which an engine that is full from the first request never
 // has. For services the floor is learned, since the time of a call on an idle
 // service is unknown.
@@ -247,9 +247,9 @@
 	}
 	k, ok := d.kinds[r.c.Kind]
 	if !ok {
-		return kumquatlug.Millis(r.nominalMillis())
+		return kumquatlug.Millis(r.nominalMs())
 	}
-	return kumquatlug.Millis(r.nominalMillis() * k.latencyRatio)
+	return kumquatlug.Millis(r.nominalMs() * k.latencyRatio)
 }
 
 // Tick handles timeouts and sends requests that are due. Call it no later than
--- a/pkg/kumquatlug/dispatch/estimate.go
+++ b/pkg/kumquatlug/dispatch/estimate.go
@@ -51,34 +51,34 @@
 	})
 }
 
-// nominalMillis returns the time of r at the nominal rates, in milliseconds.
-func (r *request) nominalMillis() float64 {
-	return nominalMillis(r.c.PrefillTokens, r.c.DecodeTokens)
+// nominalMs returns the time of r at the nominal rates, in milliseconds.
+func (r *request) nominalMs() float64 {
+	return nominalMs(r.c.PrefillTokens, r.c.DecodeTokens)
 }
 
-// nominalMillis returns the time of prefill and decode tokens at the nominal rates,
+// nominalMs returns the time of prefill and decode tokens at the nominal rates,
 // in milliseconds.
-func nominalMillis(prefill, decode int64) float64 {
-	const millis = float64(kumquatlug.Second)
-	return float64(prefill)*millis/nominalPrefillRate + float64(decode)*millis/nominalDecodeRate
+func nominalMs(prefill, decode int64) float64 {
+	const msPerSecond = float64(kumquatlug.Second)
+	return float64(prefill)*msPerSecond/nominalPrefillRate + float64(decode)*msPerSecond/nominalDecodeRate
 }
 
 const (
 	// minGapTokens is the minimum number of tokens for a sample of the token gap.
 	// Fewer tokens may arrive together by chance.
 	minGapTokens = 8
-	// gapDoublingMillis is the time in which the minimum token gap doubles without
+	// gapDoublingMs is the time in which the minimum token gap doubles without
 	// lower samples, so that it adapts to a model that has become slower.
-	gapDoublingMillis = float64(kumquatlug.Hour)
+	gapDoublingMs = float64(kumquatlug.Hour)
 )
 
-// idleMillis returns the time of prefill and decode tokens on an idle engine of
+// idleMs returns the time of prefill and decode tokens on an idle engine of
 // the kind, in milliseconds, scaled by the measured minimum token gap. The limits
 // reduce the concurrency of an engine that takes several times as long. With
 // fixed rates a slower, larger model would be limited to one or two streams for
 // ever.
-func (k *kindState) idleMillis(prefill, decode int64) float64 {
-	work := nominalMillis(prefill, decode)
+func (k *kindState) idleMs(prefill, decode int64) float64 {
+	work := nominalMs(prefill, decode)
 	if k.minTokenGap == 0 {
 		return work
 	}
@@ -92,7 +92,7 @@
 		return
 	}
 	gap := float64(elapsed) / float64(tokens)
-	k.minTokenGap *= 1 + float64(now-k.minTokenGapAt)/gapDoublingMillis
+	k.minTokenGap *= 1 + float64(now-k.minTokenGapAt)/gapDoublingMs
 	k.minTokenGapAt = now
 	if k.minTokenGap == 0 || gap < k.minTokenGap {
 		k.minTokenGap = gap
--- a/pkg/kumquatlug/dispatch/targets.go
+++ b/pkg/kumquatlug/dispatch/targets.go
@@ -60,16 +60,16 @@
 func (d *Dispatcher) Listed(now kumquatlug.Millis, vms []kumquatlug.VM) []Decision {
 	d.begin(now)
 	d.members.Listed(vms)
-	d.entries = d.entries[:0]
+	d.gateways = d.gateways[:0]
 	for _, vm := range vms {
 		if vm.Role() == kumquatlug.VMEntry {
-			d.entries = append(d.entries, vm.Name())
+			d.gateways = append(d.gateways, vm.Name())
 		}
 	}
-	if !contains(d.entries, d.c.Entry) {
-		d.entries = append(d.entries, d.c.Entry)
+	if !contains(d.gateways, d.c.Entry) {
+		d.gateways = append(d.gateways, d.c.Entry)
 	}
-	sort.Strings(d.entries)
+	sort.Strings(d.gateways)
 	d.updateTargets(now)
 	return d.serve(now)
 }
@@ -149,7 +149,7 @@
 }
 
 // Entries returns the names of all entries in the platform's list, in order.
-func (d *Dispatcher) Entries() []string { return d.entries }
+func (d *Dispatcher) Entries() []string { return d.gateways }
 
 // Watched returns the targets that the entry sends heartbeats to, in name order.
 // The slice is valid until the next event.
--- a/pkg/kumquatlug/lease/decide.go
+++ b/pkg/kumquatlug/lease/decide.go
@@ -22,9 +22,9 @@
 	if row.Version() != h.rowVersion {
 		h.rowVersion, h.rowSeenAt = row.Version(), now
 	}
-	h.highestNumber = max(h.highestNumber, record.number)
+	h.highestToken = max(h.highestToken, record.fencingToken)
 	h.resolveUnconfirmed(now, record)
-	if record.holder != h.config.Me || record.number != h.number || record.released {
+	if record.holder != h.config.Me || record.fencingToken != h.fencingToken || record.released {
 		h.held = false
 	}
 	if now >= h.expiresAt {
@@ -50,12 +50,12 @@
 
 // unacquiredInEra reports whether the table was restored and no process has acquired
 // the lease in its current era.
-func (h *Holder) unacquiredInEra(record Record) bool { return h.era > 0 && record.number == 0 }
+func (h *Holder) unacquiredInEra(record Record) bool { return h.era > 0 && record.fencingToken == 0 }
 
-// nextNumber returns the number of the next acquisition. Numbers that a restored table
+// nextToken returns the number of the next acquisition. Numbers that a restored table
 // has lost must not be assigned again.
-func (h *Holder) nextNumber(record Record) Number {
-	return max(record.number, h.highestNumber, h.config.Floor, Least(h.era)) + 1
+func (h *Holder) nextToken(record Record) Number {
+	return max(record.fencingToken, h.highestToken, h.config.Floor, Least(h.era)) + 1
 }
 
 // resolveUnconfirmed checks whether the row contains the unconfirmed write. A write that
@@ -87,7 +87,7 @@
 		return h.commit(now, ActionRenew, record)
 	case h.acquirable(now, record):
 		record = Record{
-			holder: h.config.Me, number: h.nextNumber(record), ttl: h.config.TTL, attempt: record.attempt,
+			holder: h.config.Me, fencingToken: h.nextToken(record), ttl: h.config.TTL, attempt: record.attempt,
 			handoverDone: h.mayOrderAtOnce(record),
 		}
 		return h.commit(now, ActionAcquire, record)
@@ -136,7 +136,7 @@
 	if h.unacquiredInEra(record) {
 		return false
 	}
-	return record.number == 0 || h.writtenBySelf(record) && record.handoverDone
+	return record.fencingToken == 0 || h.writtenBySelf(record) && record.handoverDone
 }
 
 func (h *Holder) commit(now kumquatlug.Millis, action Action, record Record) Intent {
--- a/pkg/kumquatlug/lease/lease.go
+++ b/pkg/kumquatlug/lease/lease.go
@@ -167,7 +167,7 @@
 	wanted        bool
 	held          bool
 	releaseDue    bool
-	number        Number
+	fencingToken  Number
 	expiresAt     kumquatlug.Millis
 	pending       Intent
 	unconfirmed   Intent
@@ -184,8 +184,8 @@
 	// table has no record of, may act under its lease until priorEraUntil.
 	era           int64
 	priorEraUntil kumquatlug.Millis
-	// highestNumber is the highest fencing number seen.
-	highestNumber Number
+	// highestToken is the highest fencing number seen.
+	highestToken Number
 }
 
 // New returns a holder that wants the lease and does not hold it. It returns an error
@@ -210,7 +210,7 @@
 func (h *Holder) Held(now kumquatlug.Millis) (Number, bool) {
 	// The time is checked on every call: a process may be paused at any point, so
 	// an earlier result may be outdated.
-	return h.number, h.held && h.wanted && now < h.expiresAt
+	return h.fencingToken, h.held && h.wanted && now < h.expiresAt
 }
 
 // MayOrder reports whether this process holds the lease and the handover delay since
@@ -342,8 +342,8 @@
 		}
 	}
 	h.held = true
-	h.number = i.record.number
-	h.highestNumber = max(h.highestNumber, h.number)
+	h.fencingToken = i.record.fencingToken
+	h.highestToken = max(h.highestToken, h.fencingToken)
 	h.expiresAt = i.sentAt + h.config.TTL - h.config.Margin
 }
 
--- a/pkg/kumquatlug/lease/lease_test.go
+++ b/pkg/kumquatlug/lease/lease_test.go
@@ -13,16 +13,16 @@
 func TestPausedHolderLosesLease(t *testing.T) {
 	w := newWorld()
 	w.pollTable(0, "ok", "ok")
-	if number, held := w.holders[0].Held(w.clock(0)); !held || number != 1 {
-		t.Fatalf("held %v under %d after acquiring", held, number)
+	if token, held := w.holders[0].Held(w.clock(0)); !held || token != 1 {
+		t.Fatalf("held %v under %d after acquiring", held, token)
 	}
 	w.now += 30 * kumquatlug.Second
 	if _, held := w.holders[0].Held(w.clock(0)); held {
 		t.Fatal("a lease whose TTL ended 15 s ago still counts as held")
 	}
 	w.pollTable(0, "ok", "ok")
-	if number, held := w.holders[0].Held(w.clock(0)); !held || number != 2 {
-		t.Fatalf("held %v under %d after acquiring anew", held, number)
+	if token, held := w.holders[0].Held(w.clock(0)); !held || token != 2 {
+		t.Fatalf("held %v under %d after acquiring anew", held, token)
 	}
 }
 
@@ -33,8 +33,8 @@
 	w.advance(-1, 2*kumquatlug.Second)
 	w.holders[0].Want(false)
 	w.pollTable(0, "ok", "ok")
-	if fence := w.record.Fence(); fence != 2 {
-		t.Errorf("after the release the fence is %d, want 2", fence)
+	if minToken := w.record.Fence(); minToken != 2 {
+		t.Errorf("after the release the fence is %d, want 2", minToken)
 	}
 	w.advance(-1, 6*kumquatlug.Second)
 	_, held1 := w.holders[1].Held(w.clock(1))
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	h.Watch(5000)
-	row := kumquatlug.NewRow(Key("g"), Record{holder: "a/1", number: 3, ttl: 4500}.encode(), 7)
+	row := kumquatlug.NewRow(Key("g"), Record{holder: "a/1", fencingToken: 3, ttl: 4500}.encode(), 7)
 	var readTimes []kumquatlug.Millis
 	for now := kumquatlug.Millis(0); now < 12_000; now += 100 {
 		i := h.Next(now)
--- a/pkg/kumquatlug/lease/proof_test.go
+++ b/pkg/kumquatlug/lease/proof_test.go
@@ -75,8 +75,8 @@
 	record           Record
 	delayedRequests  []message
 	delayedResponses []message
-	highestNumber    Number
-	expiredNumbers   map[*Holder]Number
+	highestToken     Number
+	expiredTokens    map[*Holder]Number
 	err              error
 	// orderedAt is when a VM could last have sent an order, orderedBy the VM's index.
 	orderedAt kumquatlug.Millis
@@ -89,7 +89,7 @@
 }
 
 func newWorld() *world {
-	w := &world{orderedAt: -handoverDelay, holders: make([]*Holder, holderCount), wanted: make([]bool, holderCount), table: map[string]kumquatlug.Row{}, expiredNumbers: map[*Holder]Number{}}
+	w := &world{orderedAt: -handoverDelay, holders: make([]*Holder, holderCount), wanted: make([]bool, holderCount), table: map[string]kumquatlug.Row{}, expiredTokens: map[*Holder]Number{}}
 	for i := range w.holders {
 		w.restartHolder(i)
 	}
@@ -239,29 +239,29 @@
 		// The row belongs to an earlier era and is no longer read.
 		return
 	case after.Number() == before.Number() && after.Holder() == before.Holder():
-	case after.Number() <= w.highestNumber:
-		w.fail("%s acquired number %d after %d", after.Holder(), after.Number(), w.highestNumber)
+	case after.Number() <= w.highestToken:
+		w.fail("%s acquired number %d after %d", after.Holder(), after.Number(), w.highestToken)
 	}
-	w.highestNumber = max(w.highestNumber, after.Number())
+	w.highestToken = max(w.highestToken, after.Number())
 }
 
 // checkHolders checks the invariants for each holder, as if it resumed right now.
 func (w *world) checkHolders() {
 	record, holders := w.record, 0
 	for i, h := range w.holders {
-		number, held := h.Held(w.clock(i))
+		token, held := h.Held(w.clock(i))
 		if !held {
 			if w.clock(i) >= h.Until() {
-				w.expiredNumbers[h] = number
+				w.expiredTokens[h] = token
 			}
 			continue
 		}
-		if number == w.expiredNumbers[h] {
-			w.fail("%s uses number %d again after its lease expired", h.config.Me, number)
+		if token == w.expiredTokens[h] {
+			w.fail("%s uses number %d again after its lease expired", h.config.Me, token)
 		}
-		if w.era == 0 && (number != record.Number() || record.Holder() != h.config.Me || record.Released()) {
+		if w.era == 0 && (token != record.Number() || record.Holder() != h.config.Me || record.Released()) {
 			w.fail("%s holds number %d, but the table has number %d of %s, released %v",
-				h.config.Me, number, record.Number(), record.Holder(), record.Released())
+				h.config.Me, token, record.Number(), record.Holder(), record.Released())
 		}
 		holders++
 		if holders > 1 {
--- a/pkg/kumquatlug/lease/record.go
+++ b/pkg/kumquatlug/lease/record.go
@@ -11,7 +11,7 @@
 // Record is the content of a group's row.
 type Record struct {
 	holder       string
-	number       Number
+	fencingToken Number
 	ttl          kumquatlug.Millis
 	attempt      string
 	released     bool
@@ -38,13 +38,13 @@
 	if err := json.Unmarshal(row.Value(), &s); err != nil {
 		return Record{}, errors.Wrapf(err, "decode %s", row.Key())
 	}
-	return Record{holder: s.Holder, number: s.Number, ttl: s.TTL, attempt: s.Attempt, released: s.Released, handoverDone: s.Settled}, nil
+	return Record{holder: s.Holder, fencingToken: s.Number, ttl: s.TTL, attempt: s.Attempt, released: s.Released, handoverDone: s.Settled}, nil
 }
 
 func (r Record) encode() []byte {
 	// Marshalling strings and numbers cannot fail.
 	value, _ := json.Marshal(recordJSON{
-		Holder: r.holder, Number: r.number, TTL: r.ttl, Attempt: r.attempt, Released: r.released, Settled: r.handoverDone,
+		Holder: r.holder, Number: r.fencingToken, TTL: r.ttl, Attempt: r.attempt, Released: r.released, Settled: r.handoverDone,
 	})
 	return value
 }
@@ -53,15 +53,15 @@
 func (r Record) Holder() string { return r.holder }
 
 // Number returns the fencing number, zero before the first acquisition.
-func (r Record) Number() Number { return r.number }
+func (r Record) Number() Number { return r.fencingToken }
 
 // Fence returns the lowest number that orders may carry. Once the lease is released
 // this is the number after it, which is at most the next holder's.
 func (r Record) Fence() Number {
 	if r.released {
-		return r.number + 1
+		return r.fencingToken + 1
 	}
-	return r.number
+	return r.fencingToken
 }
 
 // Released reports whether the holder released the lease.
--- a/pkg/kumquatlug/lease/term.go
+++ b/pkg/kumquatlug/lease/term.go
@@ -5,28 +5,28 @@
 // Term is a snapshot of a held lease, for goroutines other than the one that owns the
 // [Holder].
 type Term struct {
-	number                Number
+	fencingToken          Number
 	ordersFrom, expiresAt kumquatlug.Millis
 }
 
 // Number returns the fencing number.
-func (t Term) Number() Number { return t.number }
+func (t Term) Number() Number { return t.fencingToken }
 
 // MayHold reports whether the lease has not expired. It may have been released or lost
 // since the snapshot was taken.
-func (t Term) MayHold(now kumquatlug.Millis) bool { return t.number != 0 && now < t.expiresAt }
+func (t Term) MayHold(now kumquatlug.Millis) bool { return t.fencingToken != 0 && now < t.expiresAt }
 
 // MayAct reports whether an action that takes at most span ends before the lease
 // expires, and whether the handover delay has passed. Call it right before each action.
 func (t Term) MayAct(now, span kumquatlug.Millis) bool {
-	return t.number != 0 && now >= t.ordersFrom && now+span < t.expiresAt
+	return t.fencingToken != 0 && now >= t.ordersFrom && now+span < t.expiresAt
 }
 
 // Term returns a snapshot of the lease if this process holds it, else the zero term.
 func (h *Holder) Term(now kumquatlug.Millis) Term {
-	number, held := h.Held(now)
+	token, held := h.Held(now)
 	if !held {
 		return Term{}
 	}
-	return Term{number: number, ordersFrom: h.ordersFrom, expiresAt: h.expiresAt}
+	return Term{fencingToken: token, ordersFrom: h.ordersFrom, expiresAt: h.expiresAt}
 }
--- a/pkg/kumquatlug/ledger/era_test.go
+++ b/pkg/kumquatlug/ledger/era_test.go
@@ -26,13 +26,13 @@
 	// dispatch may still arrive, and that would run after its caller was
 	// answered not-run.
 	table, objects := newMemoryTable(), newMemoryObjects()
-	entry := startLedger(t, table, objects, "entry-1", "e")
+	gateway := startLedger(t, table, objects, "entry-1", "e")
 	agent := startLedger(t, table, objects, "gazette-1", "a")
 	ctx := t.Context()
-	r, err := entry.Block(ctx, newTestCall("k", "body", NewDispatch(0, 0)))
+	r, err := gateway.Block(ctx, newTestCall("k", "body", NewDispatch(0, 0)))
 	wantVerdict(t, r, err, VerdictBlocked)
 	setEra(t, table, 1)
-	r, err = entry.Block(ctx, newTestCall("k", "body", NewDispatch(1, 0)))
+	r, err = gateway.Block(ctx, newTestCall("k", "body", NewDispatch(1, 0)))
 	wantVerdict(t, r, err, VerdictBlocked)
 	setEra(t, table, 2)
 	r, err = agent.Begin(ctx, newTestCall("k", "body", NewDispatch(1, 0)))
@@ -45,7 +45,7 @@
 	// call was sent to a second target, which refused it. Neither the missing
 	// row nor the other block proves that the call did not run.
 	table, objects := newMemoryTable(), newMemoryObjects()
-	entry := startLedger(t, table, objects, "entry-1", "e")
+	gateway := startLedger(t, table, objects, "entry-1", "e")
 	slow := startLedger(t, table, objects, "entry-2", "s")
 	agent := startLedger(t, table, objects, "gazette-1", "a")
 	second := startLedger(t, table, objects, "gazette-2", "b")
@@ -63,13 +63,13 @@
 		t.Fatal(err)
 	}
 	setEra(t, table, 2)
-	r, err = entry.Block(ctx, newTestCall("k", "body", NewDispatch(2, 0)))
+	r, err = gateway.Block(ctx, newTestCall("k", "body", NewDispatch(2, 0)))
 	wantVerdict(t, r, err, VerdictBlocked)
 	r, err = slow.Block(ctx, newTestCall("k", "body", NewDispatch(0, 0)))
 	wantVerdict(t, r, err, VerdictUnknown)
 	r, err = second.Begin(ctx, newTestCall("k", "body", NewDispatch(0, 0)))
 	again := wantVerdict(t, r, err, VerdictStale).Dispatch()
-	r, err = entry.Block(ctx, newTestCall("k", "body", again))
+	r, err = gateway.Block(ctx, newTestCall("k", "body", again))
 	wantVerdict(t, r, err, VerdictUnknown)
 }
 
--- a/pkg/kumquatlug/ledger/ledger_test.go
+++ b/pkg/kumquatlug/ledger/ledger_test.go
@@ -51,7 +51,7 @@
 	return r
 }
 
-func TestResendThroughAnotherTargetGetsStoredAnswer(t *testing.T) {
+func TestResendThroughAnotherTargetGetsStoredResponse(t *testing.T) {
 	// The caller's connection breaks after the call ran, and it sends the call
 	// again. A label change routes the resend to another target, which would
 	// run it a second time if there were no row.
@@ -92,10 +92,10 @@
 	// caller not-run, and the caller sends the call again. Then the first
 	// dispatch arrives.
 	table, objects := newMemoryTable(), newMemoryObjects()
-	entry := startLedger(t, table, objects, "entry-1", "e")
+	gateway := startLedger(t, table, objects, "entry-1", "e")
 	agent := startLedger(t, table, objects, "gazette-1", "a")
 	ctx := t.Context()
-	r, err := entry.Block(ctx, newTestCall("k", "body", Dispatch{}))
+	r, err := gateway.Block(ctx, newTestCall("k", "body", Dispatch{}))
 	next := wantVerdict(t, r, err, VerdictBlocked).Dispatch()
 	r, err = agent.Begin(ctx, newTestCall("k", "body", Dispatch{}))
 	if got := wantVerdict(t, r, err, VerdictStale).Dispatch(); got != next {
@@ -103,7 +103,7 @@
 	}
 	r, err = agent.Begin(ctx, newTestCall("k", "body", next))
 	wantVerdict(t, r, err, VerdictRun)
-	r, err = entry.Block(ctx, newTestCall("k", "body", next))
+	r, err = gateway.Block(ctx, newTestCall("k", "body", next))
 	wantVerdict(t, r, err, VerdictElsewhere)
 }
 
--- a/pkg/kumquatlug/ledger/proof_test.go
+++ b/pkg/kumquatlug/ledger/proof_test.go
@@ -63,7 +63,7 @@
 	case "era":
 		s.advanceEra()
 	case "poll":
-		e := s.entries[r.Intn(len(s.entries))]
+		e := s.gateways[r.Intn(len(s.gateways))]
 		e.era = s.era()
 	case "quiesce":
 		if r.Intn(3) == 0 {
--- a/pkg/kumquatlug/ledger/simulation_faults_test.go
+++ b/pkg/kumquatlug/ledger/simulation_faults_test.go
@@ -72,14 +72,14 @@
 func (s *simulation) restartProcess(r *rand.Rand, killed bool) {
 	i := r.Intn(targetCount)
 	if r.Intn(4) == 0 {
-		s.keepInFlightTx(s.entries[i], r)
-		s.abandonEntry(s.entries[i])
-		s.entries[i] = s.start(s.entries[i].name, -1)
+		s.keepInFlightTx(s.gateways[i], r)
+		s.abandonGateway(s.gateways[i])
+		s.gateways[i] = s.start(s.gateways[i].name, -1)
 		return
 	}
 	if killed {
 		s.keepInFlightTx(s.agents[i], r)
-		s.deadIncarnations[s.agents[i].machine.config.Incarnation] = true
+		s.endedIncarnations[s.agents[i].machine.config.Incarnation] = true
 	} else {
 		s.replaced = append(s.replaced, s.agents[i])
 	}
@@ -92,9 +92,9 @@
 	}
 }
 
-func (s *simulation) abandonEntry(p *process) {
+func (s *simulation) abandonGateway(p *process) {
 	for _, a := range s.attempts {
-		if a.entry == p && a.outcome == "" {
+		if a.gateway == p && a.outcome == "" {
 			a.outcome = "nothing"
 		}
 	}
@@ -130,7 +130,7 @@
 		return
 	}
 	s.startBlock(a)
-	s.handleResponses(a.entry, r)
+	s.handleResponses(a.gateway, r)
 }
 
 // disconnectWaiter closes the connection of a waiter at an agent.
@@ -145,7 +145,7 @@
 			s.recordViolation("%s lost a waiter", p.name)
 		}
 		delete(p.waiting, waiterID)
-		s.deliverReply(a, response{failure: p.machine.testFailure(ran)}, r)
+		s.deliverResponse(a, response{failure: p.machine.testFailure(ran)}, r)
 		return
 	}
 }
@@ -194,7 +194,7 @@
 			if !stored.Exists() {
 				continue
 			}
-			if r := decodeRow(stored.Value()); r.State == stateClaimed && !s.deadIncarnations[r.Incarnation] {
+			if r := decodeRow(stored.Value()); r.State == stateClaimed && !s.endedIncarnations[r.Incarnation] {
 				s.recordViolation("%s is claimed by %s, which is alive but does not run it", key, r.Incarnation)
 			}
 		}
--- a/pkg/kumquatlug/ledger/simulation_jobs_test.go
+++ b/pkg/kumquatlug/ledger/simulation_jobs_test.go
@@ -12,7 +12,7 @@
 	a := j.attempt
 	j.ran = true
 	a.runs++
-	j.answer = fmt.Sprintf("answer %d to %s of %s", len(s.runs[a.key]), a.body, a.key)
+	j.responseBody = fmt.Sprintf("answer %d to %s of %s", len(s.runs[a.key]), a.body, a.key)
 	era, ok := s.claimEras[j.ticket.claim]
 	if !ok {
 		era = s.era()
@@ -25,7 +25,7 @@
 	if a.outcome == "not-run" {
 		s.recordViolation("attempt %d of %s ran after it was answered not-run", a.number, a.key)
 	}
-	s.runs[a.key] = append(s.runs[a.key], run{era: era, body: a.body, answer: j.answer})
+	s.runs[a.key] = append(s.runs[a.key], run{era: era, body: a.body, responseBody: j.responseBody})
 	s.outcomeCounts["run"]++
 }
 
@@ -44,10 +44,10 @@
 	switch {
 	case !j.ran:
 		s.requireNoError(p.machine.abandon(j.ticket, kumquatlug.RanNot))
-		s.deliverReply(j.attempt, response{failure: p.machine.testFailure(kumquatlug.RanNot)}, r)
+		s.deliverResponse(j.attempt, response{failure: p.machine.testFailure(kumquatlug.RanNot)}, r)
 	case r.Intn(6) == 0:
 		s.requireNoError(p.machine.abandon(j.ticket, kumquatlug.RanUnknown))
-		s.deliverReply(j.attempt, response{failure: p.machine.testFailure(kumquatlug.RanUnknown)}, r)
+		s.deliverResponse(j.attempt, response{failure: p.machine.testFailure(kumquatlug.RanUnknown)}, r)
 	default:
 		s.finishJob(p, j, r)
 	}
@@ -56,13 +56,13 @@
 
 func (s *simulation) finishJob(p *process, j *job, r *rand.Rand) {
 	large := r.Intn(3) == 0
-	o := NewOutcome(200, nil, []byte(j.answer))
+	o := NewOutcome(200, nil, []byte(j.responseBody))
 	s.requireNoError(p.machine.finish(j.ticket, o, large))
 	if large {
-		s.objects[j.ticket.claim] = j.answer
+		s.objects[j.ticket.claim] = j.responseBody
 		p.uploads = append(p.uploads, j.ticket)
 	}
-	s.deliverReply(j.attempt, response{ruling: Ruling{verdict: VerdictAnswer, outcome: o}}, r)
+	s.deliverResponse(j.attempt, response{ruling: Ruling{verdict: VerdictAnswer, outcome: o}}, r)
 }
 
 func (s *simulation) completeUpload(p *process) {
--- a/pkg/kumquatlug/ledger/simulation_test.go
+++ b/pkg/kumquatlug/ledger/simulation_test.go
@@ -15,7 +15,7 @@
 	key         string
 	body        string
 	dispatch    Dispatch
-	entry       *process
+	gateway     *process
 	target      int
 	unaccounted bool
 	blocking    bool
@@ -32,10 +32,10 @@
 
 // job is a run that an agent holds the ticket of.
 type job struct {
-	ticket  Ticket
-	attempt *attempt
-	ran     bool
-	answer  string
+	ticket       Ticket
+	attempt      *attempt
+	ran          bool
+	responseBody string
 }
 
 // process is an entry or an agent: a real state machine and the simulated work
@@ -54,32 +54,32 @@
 
 // run is one execution of a call, as recorded by the oracle.
 type run struct {
-	era    int64
-	body   string
-	answer string
+	era          int64
+	body         string
+	responseBody string
 }
 
 // simulation holds the table, two targets with their agents, two entries, all
 // messages in flight, and the state of the oracle.
 type simulation struct {
-	now              kumquatlug.Millis
-	table            *memoryTable
-	tableDown        bool
-	faultFree        bool
-	deadIncarnations map[string]bool
-	agents           []*process
-	replaced         []*process
-	entries          []*process
-	attempts         []*attempt
-	messages         []message
-	delayedTxs       []kumquatlug.Tx
-	objects          map[string]string
-	runs             map[string][]run
-	claimEras        map[string]int64
-	resendDispatches map[string]Dispatch
-	starts           int
-	outcomeCounts    map[string]int
-	violation        string
+	now               kumquatlug.Millis
+	table             *memoryTable
+	tableDown         bool
+	faultFree         bool
+	endedIncarnations map[string]bool
+	agents            []*process
+	replaced          []*process
+	gateways          []*process
+	attempts          []*attempt
+	messages          []message
+	delayedTxs        []kumquatlug.Tx
+	objects           map[string]string
+	runs              map[string][]run
+	claimEras         map[string]int64
+	resendDispatches  map[string]Dispatch
+	starts            int
+	outcomeCounts     map[string]int
+	violation         string
 }
 
 const targetCount = 2
@@ -89,11 +89,11 @@
 func newSimulation(counts map[string]int) *simulation {
 	s := &simulation{
 		table: newMemoryTable(), objects: map[string]string{}, runs: map[string][]run{},
-		claimEras: map[string]int64{}, deadIncarnations: map[string]bool{}, resendDispatches: map[string]Dispatch{}, outcomeCounts: counts,
+		claimEras: map[string]int64{}, endedIncarnations: map[string]bool{}, resendDispatches: map[string]Dispatch{}, outcomeCounts: counts,
 	}
 	for i := range targetCount {
 		s.agents = append(s.agents, s.start(fmt.Sprintf("target-%d", i), i))
-		s.entries = append(s.entries, s.start(fmt.Sprintf("entry-%d", i), -1))
+		s.gateways = append(s.gateways, s.start(fmt.Sprintf("entry-%d", i), -1))
 	}
 	return s
 }
@@ -122,7 +122,7 @@
 
 // processes returns all processes that can act, including replaced agents.
 func (s *simulation) processes() []*process {
-	return append(append(append([]*process(nil), s.agents...), s.entries...), s.replaced...)
+	return append(append(append([]*process(nil), s.agents...), s.gateways...), s.replaced...)
 }
 
 // busyProcess returns a process that has a table operation in flight or to
@@ -173,9 +173,9 @@
 // sendRequest starts an attempt. A resend may have another body, and may use
 // the dispatch that an earlier block returned.
 func (s *simulation) sendRequest(r *rand.Rand) {
-	e := s.entries[r.Intn(len(s.entries))]
+	e := s.gateways[r.Intn(len(s.gateways))]
 	a := &attempt{
-		number: len(s.attempts), key: simulatedKeys[r.Intn(len(simulatedKeys))], body: "body", entry: e,
+		number: len(s.attempts), key: simulatedKeys[r.Intn(len(simulatedKeys))], body: "body", gateway: e,
 		dispatch: NewDispatch(e.era, 0), target: r.Intn(targetCount),
 	}
 	if r.Intn(6) == 0 {
@@ -229,11 +229,11 @@
 		case resp.failure == nil && resp.ruling.verdict == VerdictRun && r.Intn(8) == 0:
 			// The caller has just disconnected.
 			s.requireNoError(p.machine.abandon(resp.ruling.ticket, kumquatlug.RanNot))
-			s.deliverReply(a, response{failure: p.machine.testFailure(kumquatlug.RanNot)}, r)
+			s.deliverResponse(a, response{failure: p.machine.testFailure(kumquatlug.RanNot)}, r)
 		case resp.failure == nil && resp.ruling.verdict == VerdictRun:
 			p.jobs = append(p.jobs, &job{ticket: resp.ruling.ticket, attempt: a})
 		default:
-			s.deliverReply(a, resp, r)
+			s.deliverResponse(a, resp, r)
 		}
 	}
 }
@@ -248,10 +248,10 @@
 	}
 }
 
-// deliverReply delivers an agent's response to the entry, which follows the
+// deliverResponse delivers an agent's response to the entry, which follows the
 // rules in the package documentation. The response may be lost, or arrive after
 // the entry gave up.
-func (s *simulation) deliverReply(a *attempt, resp response, r *rand.Rand) {
+func (s *simulation) deliverResponse(a *attempt, resp response, r *rand.Rand) {
 	if a.outcome != "" || a.blocking || r.Intn(6) == 0 {
 		return
 	}
@@ -291,11 +291,11 @@
 func (s *simulation) handleRuling(a *attempt, r Ruling) {
 	switch r.verdict {
 	case VerdictAnswer:
-		answer := string(r.outcome.body)
+		responseBody := string(r.outcome.body)
 		if r.outcome.object != "" {
-			answer = s.objects[r.outcome.object]
+			responseBody = s.objects[r.outcome.object]
 		}
-		s.recordAnswer(a, answer)
+		s.recordResponse(a, responseBody)
 	case VerdictBlocked:
 		s.resendDispatches[a.key] = r.dispatch
 		s.recordOutcome(a, "not-run")
@@ -317,7 +317,7 @@
 
 func (s *simulation) startBlock(a *attempt) {
 	a.blocking = true
-	a.entry.submit(a, a.dispatch, true, s.now)
+	a.gateway.submit(a, a.dispatch, true, s.now)
 }
 
 // resend sends the attempt to a random target while its first dispatch may
@@ -336,12 +336,12 @@
 	}
 }
 
-func (s *simulation) recordAnswer(a *attempt, answer string) {
+func (s *simulation) recordResponse(a *attempt, responseBody string) {
 	s.recordOutcome(a, "answer")
 	for _, r := range s.runs[a.key] {
-		if r.answer == answer && r.body == a.body {
+		if r.responseBody == responseBody && r.body == a.body {
 			return
 		}
 	}
-	s.recordViolation("attempt %d of %s with %q got %q", a.number, a.key, a.body, answer)
+	s.recordViolation("attempt %d of %s with %q got %q", a.number, a.key, a.body, responseBody)
 }
--- a/pkg/kumquatlug/limit/callers.go
+++ b/pkg/kumquatlug/limit/callers.go
@@ -67,10 +67,10 @@
 // thousandths of a token, so that a low rate loses nothing to rounding between two
 // requests shortly after one another.
 type callerUsage struct {
-	milliTokens    int64
-	refilledAt     kumquatlug.Millis
-	running        int
-	meanHeldMillis float64
+	milliTokens int64
+	refilledAt  kumquatlug.Millis
+	running     int
+	meanHeldMs  float64
 }
 
 const milliTokensPerToken = 1000
@@ -153,7 +153,7 @@
 	t := c.localLimits(name)
 	u := c.refilledUsage(now, name, t)
 	u.running = max(u.running-1, 0)
-	u.meanHeldMillis += (float64(duration) - u.meanHeldMillis) / 8
+	u.meanHeldMs += (float64(duration) - u.meanHeldMs) / 8
 	if t.Rate > 0 {
 		u.milliTokens = min(u.milliTokens+(estimated-actual)*milliTokensPerToken, t.Burst*milliTokensPerToken)
 	}
@@ -224,7 +224,7 @@
 
 // expectedFreeIn estimates when one of the requests in flight ends.
 func (u *callerUsage) expectedFreeIn(t CallerTerms) kumquatlug.Millis {
-	return kumquatlug.Millis(u.meanHeldMillis / float64(t.Concurrency))
+	return kumquatlug.Millis(u.meanHeldMs / float64(t.Concurrency))
 }
 
 func (c *Callers) refuse(reason Reason, wait kumquatlug.Millis) Verdict {
--- a/pkg/kumquatlug/limit/concurrency.go
+++ b/pkg/kumquatlug/limit/concurrency.go
@@ -34,17 +34,17 @@
 	memory           kvMemory
 }
 
-// latencyDecayMillis is the time constant of the latency average in milliseconds: about
+// latencyDecayMs is the time constant of the latency average in milliseconds: about
 // a hundred chunks of streams, and short compared with the seconds in which a batch
 // turns over.
-const latencyDecayMillis = 2000.0
+const latencyDecayMs = 2000.0
 
-// baselineRiseMillis is the time constant in milliseconds of the slow rise of the
+// baselineRiseMs is the time constant in milliseconds of the slow rise of the
 // baseline, so that a target that got slower for good isn't held to its old baseline
 // for ever. It is long because a target that is always full never shows its baseline:
 // one that follows within minutes makes a crowded batch look normal, and several
 // gateways raise it together.
-const baselineRiseMillis = float64(kumquatlug.Hour)
+const baselineRiseMs = float64(kumquatlug.Hour)
 
 func (g *targetState) markStarted(k *Ticket) {
 	if k.started {
@@ -56,25 +56,25 @@
 
 // addRunning changes the number of requests in flight and updates its recent mean.
 func (g *targetState) addRunning(now kumquatlug.Millis, delta int) {
-	decay := math.Exp(-float64(now-g.runningUpdatedAt) / max(latencyDecayMillis, g.meanLatency()))
+	decay := math.Exp(-float64(now-g.runningUpdatedAt) / max(latencyDecayMs, g.meanLatency()))
 	g.meanRunning = decay*g.meanRunning + (1-decay)*float64(g.running)
 	g.runningUpdatedAt = now
 	g.running += delta
 }
 
 func (g *targetState) addSample(now kumquatlug.Millis, latency, work, tolerable float64) {
-	elapsedMillis := float64(now - g.sampledAt)
-	decay := math.Exp(-elapsedMillis / latencyDecayMillis)
+	elapsedMs := float64(now - g.sampledAt)
+	decay := math.Exp(-elapsedMs / latencyDecayMs)
 	g.latencySum = decay*g.latencySum + latency
 	g.workSum = decay*g.workSum + work
 	g.tolerableSum = decay*g.tolerableSum + tolerable
 	g.sampleSum = decay*g.sampleSum + 1
-	g.updateBaseline(elapsedMillis)
+	g.updateBaseline(elapsedMs)
 	g.sampled, g.sampledAt = true, now
 }
 
-func (g *targetState) updateBaseline(elapsedMillis float64) {
-	g.baseline *= 1 + elapsedMillis/baselineRiseMillis
+func (g *targetState) updateBaseline(elapsedMs float64) {
+	g.baseline *= 1 + elapsedMs/baselineRiseMs
 	if current := g.latencyPerWork(); g.baseline == 0 || current < g.baseline {
 		g.baseline = current
 	}
--- a/pkg/kumquatlug/order/engine_test.go
+++ b/pkg/kumquatlug/order/engine_test.go
@@ -12,8 +12,8 @@
 		answer = func() { gate.Read(s, state) }
 		failure = func() { gate.ReadFailed(s) }
 	case StepFence:
-		number := w.leaseNumber
-		answer = func() { gate.Fenced(s, number) }
+		token := w.leaseToken
+		answer = func() { gate.Fenced(s, token) }
 		failure = func() { gate.FenceFailed(s) }
 	case StepRun:
 		w.checkFinished()
@@ -42,7 +42,7 @@
 	if w.engine.reloading && !w.crashUnnoticed {
 		w.fail("order %s reached an engine that was still restarting", id)
 	}
-	if lost, gone := w.leaseLostAt[id.Number()]; gone && w.now-lost > defaultMaxNumberAge {
+	if lost, gone := w.leaseLostAt[id.Number()]; gone && w.now-lost > defaultMaxTokenAge {
 		w.fail("order %s ran %d ms after its sender lost the lease", id, w.now-lost)
 	}
 	if w.ran[id] {
--- a/pkg/kumquatlug/order/gate.go
+++ b/pkg/kumquatlug/order/gate.go
@@ -6,8 +6,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultMaxNumberAge is the default of [GateConfig.FenceAge].
-const defaultMaxNumberAge = kumquatlug.Second
+// defaultMaxTokenAge is the default of [GateConfig.FenceAge].
+const defaultMaxTokenAge = kumquatlug.Second
 
 // defaultMaxRemembered is the default of [GateConfig.Remember]. Only a resend of
 // the last order is likely, since a sender issues one at a time; 64 entries take
@@ -69,26 +69,26 @@
 // engines that ignore fencing numbers it is the only check. It is not safe for
 // concurrent use.
 type Gate struct {
-	config        GateConfig
-	numberRead    bool
-	numberReadAt  kumquatlug.Millis
-	highestNumber lease.Number
-	lastID        ID
-	stateKnown    bool
-	blocked       bool
-	current       *Order
-	sent          bool
-	pending       Step
-	sequence      int64
-	inFlight      int
-	finished      []finishedOrder
+	config       GateConfig
+	tokenRead    bool
+	tokenReadAt  kumquatlug.Millis
+	highestToken lease.Number
+	lastID       ID
+	stateKnown   bool
+	blocked      bool
+	current      *Order
+	sent         bool
+	pending      Step
+	sequence     int64
+	inFlight     int
+	finished     []finishedOrder
 }
 
 // NewGate returns a gate that accepts no orders and no calls until the fencing
 // number and the engine's state have been read.
 func NewGate(c GateConfig) *Gate {
 	c.Remember = standard.Int(c.Remember, defaultMaxRemembered)
-	c.FenceAge = standard.Millis(c.FenceAge, defaultMaxNumberAge)
+	c.FenceAge = standard.Millis(c.FenceAge, defaultMaxTokenAge)
 	return &Gate{config: c, blocked: true, pending: Step{action: StepNone}}
 }
 
@@ -101,12 +101,12 @@
 // order runs: the next holder owns the lease for a while before its first message
 // arrives, and an order of the previous holder may have waited long for calls in
 // flight.
-func (g *Gate) Fenced(s Step, number lease.Number) {
+func (g *Gate) Fenced(s Step, token lease.Number) {
 	if !g.completePending(s) {
 		return
 	}
-	g.numberRead, g.numberReadAt = true, s.issuedAt
-	g.Raise(number)
+	g.tokenRead, g.tokenReadAt = true, s.issuedAt
+	g.Raise(token)
 }
 
 // FenceFailed handles a failed StepFence. [Gate.Next] repeats the read.
@@ -115,18 +115,18 @@
 // Raise records a fencing number learned from another source, such as a new
 // holder's report. An order with a lower number that has not been sent to the
 // engine is superseded, since its sender no longer holds the lease.
-func (g *Gate) Raise(number lease.Number) {
-	if number <= g.highestNumber {
+func (g *Gate) Raise(token lease.Number) {
+	if token <= g.highestToken {
 		return
 	}
-	g.highestNumber = number
+	g.highestToken = token
 	if g.current != nil && !g.sent {
 		g.finishCurrent(OutcomeSuperseded)
 	}
 }
 
 // Number returns the highest fencing number seen.
-func (g *Gate) Number() lease.Number { return g.highestNumber }
+func (g *Gate) Number() lease.Number { return g.highestToken }
 
 // Phase returns the target's current phase.
 func (g *Gate) Phase() Phase {
@@ -149,7 +149,7 @@
 	if verdict == VerdictAccepted && g.current == nil {
 		g.current, g.sent, g.lastID = &o, false, o.id
 	}
-	return Reply{verdict: verdict, outcome: outcome, number: g.highestNumber}
+	return Reply{verdict: verdict, outcome: outcome, fencingToken: g.highestToken}
 }
 
 func (g *Gate) evaluate(o Order) (Verdict, Outcome) {
@@ -167,13 +167,13 @@
 	if g.current != nil && g.current.id == o.id {
 		return VerdictAccepted, ""
 	}
-	if !g.numberRead {
+	if !g.tokenRead {
 		return VerdictNotReady, ""
 	}
-	if o.id.number < g.highestNumber {
+	if o.id.fencingToken < g.highestToken {
 		return VerdictOld, ""
 	}
-	g.Raise(o.id.number)
+	g.Raise(o.id.fencingToken)
 	switch {
 	case !o.id.after(g.lastID):
 		return VerdictOld, ""
@@ -204,7 +204,7 @@
 		return Step{action: StepNone}
 	case !g.stateKnown:
 		return g.issue(Step{action: StepRead}, now)
-	case !g.numberRead:
+	case !g.tokenRead:
 		return g.issue(Step{action: StepFence}, now)
 	case g.current == nil || g.sent:
 		return Step{action: StepNone}
@@ -213,7 +213,7 @@
 		// change would have to start again. The number of calls in flight only
 		// falls, since no new call starts.
 		return Step{action: StepNone}
-	case now-g.numberReadAt > g.config.FenceAge:
+	case now-g.tokenReadAt > g.config.FenceAge:
 		return g.issue(Step{action: StepFence}, now)
 	}
 	g.sent = true
--- a/pkg/kumquatlug/order/order.go
+++ b/pkg/kumquatlug/order/order.go
@@ -37,20 +37,20 @@
 // ID identifies an order by the incarnation of the agent, the fencing number and
 // a sequence number. It is unique among the orders to a target.
 type ID struct {
-	incarnation Incarnation
-	number      lease.Number
-	sequence    int64
+	incarnation  Incarnation
+	fencingToken lease.Number
+	sequence     int64
 }
 
 // NewID returns an order ID. The sequence starts at 1 for each fencing number.
-func NewID(incarnation Incarnation, number lease.Number, sequence int64) ID {
-	return ID{incarnation: incarnation, number: number, sequence: sequence}
+func NewID(incarnation Incarnation, token lease.Number, sequence int64) ID {
+	return ID{incarnation: incarnation, fencingToken: token, sequence: sequence}
 }
 
 // ParseID parses the format of [ID.String]. It returns an error for any other text.
 func ParseID(text string) (ID, error) {
 	var id ID
-	n, err := fmt.Sscanf(text, "%d/%d.%d", &id.incarnation, &id.number, &id.sequence)
+	n, err := fmt.Sscanf(text, "%d/%d.%d", &id.incarnation, &id.fencingToken, &id.sequence)
 	if err != nil || n != 3 || id.String() != text {
 		return ID{}, errors.Newf("%q is no order id", text)
 	}
@@ -59,22 +59,22 @@
 
 // String returns the ID as "incarnation/number.sequence".
 func (i ID) String() string {
-	return fmt.Sprintf("%d/%d.%d", i.incarnation, i.number, i.sequence)
+	return fmt.Sprintf("%d/%d.%d", i.incarnation, i.fencingToken, i.sequence)
 }
 
 // Incarnation returns the agent incarnation that the order is for.
 func (i ID) Incarnation() Incarnation { return i.incarnation }
 
 // Number returns the fencing number.
-func (i ID) Number() lease.Number { return i.number }
+func (i ID) Number() lease.Number { return i.fencingToken }
 
 // Sequence returns the order's sequence number under its fencing number.
 func (i ID) Sequence() int64 { return i.sequence }
 
 // after reports whether the order was issued later than other.
 func (i ID) after(other ID) bool {
-	if i.number != other.number {
-		return i.number > other.number
+	if i.fencingToken != other.fencingToken {
+		return i.fencingToken > other.fencingToken
 	}
 	return i.sequence > other.sequence
 }
@@ -189,14 +189,14 @@
 
 // Reply is a gate's response to an order.
 type Reply struct {
-	verdict Verdict
-	outcome Outcome
-	number  lease.Number
+	verdict      Verdict
+	outcome      Outcome
+	fencingToken lease.Number
 }
 
 // NewReply returns a reply decoded from a message.
-func NewReply(verdict Verdict, outcome Outcome, number lease.Number) Reply {
-	return Reply{verdict: verdict, outcome: outcome, number: number}
+func NewReply(verdict Verdict, outcome Outcome, token lease.Number) Reply {
+	return Reply{verdict: verdict, outcome: outcome, fencingToken: token}
 }
 
 // Verdict returns the gate's decision.
@@ -206,7 +206,7 @@
 func (r Reply) Outcome() Outcome { return r.outcome }
 
 // Number returns the highest fencing number that the gate has seen.
-func (r Reply) Number() lease.Number { return r.number }
+func (r Reply) Number() lease.Number { return r.fencingToken }
 
 // Phase is a target's progress on its current order.
 type Phase string
--- a/pkg/kumquatlug/order/order_test.go
+++ b/pkg/kumquatlug/order/order_test.go
@@ -9,10 +9,10 @@
 )
 
 // newReadyGate returns a gate that accepts orders under number.
-func newReadyGate(number lease.Number) *Gate {
+func newReadyGate(token lease.Number) *Gate {
 	g := NewGate(GateConfig{Incarnation: 1})
 	g.Read(g.Next(0), NewState(true))
-	g.Fenced(g.Next(0), number)
+	g.Fenced(g.Next(0), token)
 	return g
 }
 
--- a/pkg/kumquatlug/order/proof_test.go
+++ b/pkg/kumquatlug/order/proof_test.go
@@ -57,10 +57,10 @@
 // invariants need.
 type world struct {
 	now            kumquatlug.Millis
-	leaseNumber    lease.Number
+	leaseToken     lease.Number
 	leaseLostAt    map[lease.Number]kumquatlug.Millis
 	senders        []*Sender
-	senderNumbers  []lease.Number
+	senderTokens   []lease.Number
 	gate           *Gate
 	incarnation    Incarnation
 	engine         engine
@@ -77,7 +77,7 @@
 
 func newWorld() *world {
 	w := &world{
-		leaseLostAt: map[lease.Number]kumquatlug.Millis{}, senderNumbers: make([]lease.Number, senderCount),
+		leaseLostAt: map[lease.Number]kumquatlug.Millis{}, senderTokens: make([]lease.Number, senderCount),
 		engine: engine{role: "both"}, ran: map[ID]bool{}, issued: map[ID]Order{}, outcomes: map[ID]Outcome{}, confirmed: map[ID]bool{},
 	}
 	for range senderCount {
@@ -163,10 +163,10 @@
 
 // grantLease grants the lease to a sender without notifying the other one.
 func (w *world) grantLease(i int) {
-	w.leaseLostAt[w.leaseNumber] = w.now
-	w.leaseNumber++
-	w.senderNumbers[i] = w.leaseNumber
-	w.senders[i].Granted(w.leaseNumber)
+	w.leaseLostAt[w.leaseToken] = w.now
+	w.leaseToken++
+	w.senderTokens[i] = w.leaseToken
+	w.senders[i].Granted(w.leaseToken)
 }
 
 func (w *world) issueOrder(i, choice int) {
@@ -189,8 +189,8 @@
 // sendStaleOrder sends an order of an earlier holder or of a sender that ignores the
 // protocol. Its sequence numbers are above those that the senders reach.
 func (w *world) sendStaleOrder(choice int) {
-	number := lease.Number(choice)%w.leaseNumber + 1
-	o := NewOrder(NewID(w.incarnation, number, int64(1000+len(w.issued))), VerbRole, "prefill")
+	token := lease.Number(choice)%w.leaseToken + 1
+	o := NewOrder(NewID(w.incarnation, token, int64(1000+len(w.issued))), VerbRole, "prefill")
 	w.issued[o.ID()] = o
 	w.messages = append(w.messages, message{deliver: func() { w.gate.Offer(o) }})
 }
@@ -215,8 +215,8 @@
 
 // holder returns the index of the sender that holds the lease.
 func (w *world) holder() int {
-	for i, n := range w.senderNumbers {
-		if n == w.leaseNumber {
+	for i, n := range w.senderTokens {
+		if n == w.leaseToken {
 			return i
 		}
 	}
@@ -226,7 +226,7 @@
 // send sends a sender's due orders, as if the sender still believed that it holds
 // the lease.
 func (w *world) send(i int) {
-	for _, out := range w.senders[i].Due(w.now, w.senderNumbers[i], true) {
+	for _, out := range w.senders[i].Due(w.now, w.senderTokens[i], true) {
 		o := out.Order()
 		w.messages = append(w.messages, message{deliver: func() {
 			reply := w.gate.Offer(o)
--- a/pkg/kumquatlug/order/sender.go
+++ b/pkg/kumquatlug/order/sender.go
@@ -85,10 +85,10 @@
 // has at most one outstanding order, which is sent under the same ID until it has
 // completed. It is not safe for concurrent use.
 type Sender struct {
-	config    SenderConfig
-	number    lease.Number
-	leaseHeld bool
-	targets   map[string]*targetState
+	config       SenderConfig
+	fencingToken lease.Number
+	leaseHeld    bool
+	targets      map[string]*targetState
 }
 
 // NewSender returns a sender that holds no lease.
@@ -100,11 +100,11 @@
 // Granted records the fencing number of a newly acquired lease. Outstanding orders
 // under earlier numbers are dropped. The gates let them complete before they accept
 // another.
-func (s *Sender) Granted(number lease.Number) {
-	if number <= s.number {
+func (s *Sender) Granted(token lease.Number) {
+	if token <= s.fencingToken {
 		return
 	}
-	s.number, s.leaseHeld = number, true
+	s.fencingToken, s.leaseHeld = token, true
 	for _, t := range s.targets {
 		t.sequence, t.outstanding = 0, nil
 		t.phase = PhaseUnknown
@@ -116,7 +116,7 @@
 // nothing, and the new one rejects orders for the previous one and reads the
 // engine's state.
 func (s *Sender) Heard(r Report) (Settlement, bool) {
-	s.observeNumber(r.Number)
+	s.observeToken(r.Number)
 	t := s.targets[r.Target]
 	if t == nil {
 		t = &targetState{}
@@ -133,11 +133,11 @@
 	return s.finish(r.Target, OutcomeUnknown)
 }
 
-// observeNumber handles a fencing number seen in a message. A number higher than
+// observeToken handles a fencing number seen in a message. A number higher than
 // the sender's own means that the lease was lost, even if it has not yet expired by
 // the local clock.
-func (s *Sender) observeNumber(number lease.Number) {
-	if number > s.number {
+func (s *Sender) observeToken(token lease.Number) {
+	if token > s.fencingToken {
 		s.leaseHeld = false
 	}
 }
@@ -154,7 +154,7 @@
 		return Order{}, ErrUnsettled
 	}
 	t.sequence++
-	o := NewOrder(NewID(t.incarnation, s.number, t.sequence), verb, argument)
+	o := NewOrder(NewID(t.incarnation, s.fencingToken, t.sequence), verb, argument)
 	t.outstanding, t.sent = &o, false
 	return o, nil
 }
@@ -171,8 +171,8 @@
 // Due returns the orders to send now, sorted by target name, and marks them as
 // sent. number and held are the current result of [lease.Holder.Held]; if the lease
 // is not held under the sender's number, Due returns nothing.
-func (s *Sender) Due(now kumquatlug.Millis, number lease.Number, held bool) []Outgoing {
-	if !held || !s.leaseHeld || number != s.number {
+func (s *Sender) Due(now kumquatlug.Millis, token lease.Number, held bool) []Outgoing {
+	if !held || !s.leaseHeld || token != s.fencingToken {
 		return nil
 	}
 	var due []Outgoing
@@ -190,7 +190,7 @@
 // Answered handles a gate's reply to an order and returns the order's result if it
 // has completed. A late reply to an order that is no longer outstanding is ignored.
 func (s *Sender) Answered(target string, id ID, r Reply) (Settlement, bool) {
-	s.observeNumber(r.number)
+	s.observeToken(r.fencingToken)
 	t := s.targets[target]
 	if t == nil || t.outstanding == nil || t.outstanding.id != id {
 		return Settlement{}, false
--- a/pkg/kumquatlug/planner/demand.go
+++ b/pkg/kumquatlug/planner/demand.go
@@ -24,8 +24,8 @@
 }
 
 // add adds a rate that was observed for the given number of milliseconds.
-func (a *movingAverage) add(r rates, millis float64) {
-	decay := math.Exp(-millis / a.span)
+func (a *movingAverage) add(r rates, ms float64) {
+	decay := math.Exp(-ms / a.span)
 	a.sum.prefill = a.sum.prefill*decay + r.prefill*(1-decay)
 	a.sum.decode = a.sum.decode*decay + r.decode*(1-decay)
 	a.weight = a.weight*decay + 1 - decay
@@ -38,10 +38,10 @@
 	return rates{prefill: a.sum.prefill / a.weight, decode: a.sum.decode / a.weight}
 }
 
-// frontendDemand is the demand through one frontend.
-type frontendDemand struct {
-	entry string
-	fast  movingAverage
+// gatewayDemand is the demand through one frontend.
+type gatewayDemand struct {
+	gateway string
+	fast    movingAverage
 	// fastSmoothed is the moving average of the fast average.
 	fastSmoothed movingAverage
 	slow         movingAverage
@@ -53,7 +53,7 @@
 type demand struct {
 	fast    kumquatlug.Millis
 	slow    kumquatlug.Millis
-	sources []*frontendDemand
+	sources []*gatewayDemand
 	since   kumquatlug.Millis
 }
 
@@ -74,9 +74,9 @@
 	s.slow.add(r, float64(o.Span))
 }
 
-func (d *demand) source(now kumquatlug.Millis, entry string) *frontendDemand {
-	at, ok := slices.BinarySearchFunc(d.sources, entry, func(s *frontendDemand, entry string) int {
-		return strings.Compare(s.entry, entry)
+func (d *demand) source(now kumquatlug.Millis, gateway string) *gatewayDemand {
+	at, ok := slices.BinarySearchFunc(d.sources, gateway, func(s *gatewayDemand, gateway string) int {
+		return strings.Compare(s.gateway, gateway)
 	})
 	if ok {
 		return d.sources[at]
@@ -84,19 +84,19 @@
 	if len(d.sources) == 0 {
 		d.since = now
 	}
-	s := &frontendDemand{entry: entry, fast: movingAverage{span: float64(d.fast)}, fastSmoothed: movingAverage{span: float64(d.fast)}, slow: movingAverage{span: float64(d.slow)}}
+	s := &gatewayDemand{gateway: gateway, fast: movingAverage{span: float64(d.fast)}, fastSmoothed: movingAverage{span: float64(d.fast)}, slow: movingAverage{span: float64(d.slow)}}
 	d.sources = slices.Insert(d.sources, at, s)
 	return s
 }
 
-// dropSilent removes the frontends whose last report is older than limit.
-func (d *demand) dropSilent(now, limit kumquatlug.Millis) {
-	d.sources = slices.DeleteFunc(d.sources, func(s *frontendDemand) bool { return now-s.reportedAt > limit })
+// dropUnresponsive removes the frontends whose last report is older than limit.
+func (d *demand) dropUnresponsive(now, limit kumquatlug.Millis) {
+	d.sources = slices.DeleteFunc(d.sources, func(s *gatewayDemand) bool { return now-s.reportedAt > limit })
 }
 
-// anySilent reports whether the last report of any frontend is older than limit, or no
+// anyUnresponsive reports whether the last report of any frontend is older than limit, or no
 // frontend has reported.
-func (d *demand) anySilent(now, limit kumquatlug.Millis) bool {
+func (d *demand) anyUnresponsive(now, limit kumquatlug.Millis) bool {
 	for _, s := range d.sources {
 		if now-s.reportedAt > limit {
 			return true
--- a/pkg/kumquatlug/planner/planner.go
+++ b/pkg/kumquatlug/planner/planner.go
@@ -134,9 +134,9 @@
 	demand *demand
 	state  State
 	// changedAt and changedTo are the time and the new role of the last change.
-	changedAt    kumquatlug.Millis
-	changedTo    kumquatlug.Role
-	changeMillis float64
+	changedAt kumquatlug.Millis
+	changedTo kumquatlug.Role
+	changeMs  float64
 }
 
 var _ kumquatlug.RolePlanner = (*Goodput)(nil)
@@ -146,7 +146,7 @@
 	c = c.withDefaults()
 	return &Goodput{
 		config: c, group: newGroup(c.PrefillRate, c.DecodeRate), demand: newDemand(c.Fast, c.Slow),
-		state: StateWarming, changeMillis: float64(c.Away),
+		state: StateWarming, changeMs: float64(c.Away),
 	}
 }
 
@@ -157,12 +157,12 @@
 // new role updates the mean duration of a change.
 func (g *Goodput) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
 	if duration := g.group.report(now, e); duration > 0 {
-		g.changeMillis += changeMillisWeight * (float64(duration) - g.changeMillis)
+		g.changeMs += changeMsWeight * (float64(duration) - g.changeMs)
 	}
 }
 
-// changeMillisWeight is the weight of one change in the mean duration of changes.
-const changeMillisWeight = 0.25
+// changeMsWeight is the weight of one change in the mean duration of changes.
+const changeMsWeight = 0.25
 
 // Refused implements [kumquatlug.RolePlanner].
 func (g *Goodput) Refused(_ kumquatlug.Millis, target string) { g.group.refused(target) }
@@ -191,11 +191,11 @@
 // readiness returns StateSteady if the available reports suffice for a decision, else
 // the state that prevents one.
 func (g *Goodput) readiness(now kumquatlug.Millis) State {
-	g.demand.dropSilent(now, g.config.Gone)
+	g.demand.dropUnresponsive(now, g.config.Gone)
 	switch {
 	case !g.group.enoughReports(now, g.config.Stale, g.config.Quorum):
 		return StateFrozenEngines
-	case g.demand.anySilent(now, g.config.Stale):
+	case g.demand.anyUnresponsive(now, g.config.Stale):
 		return StateFrozenEntries
 	case g.demand.age(now) < g.config.Fast*2:
 		return StateWarming
@@ -245,7 +245,7 @@
 
 // moveCost returns the cost of moving engines, in milliseconds of one engine's work.
 func (g *Goodput) moveCost(move int) float64 {
-	return g.config.Price * g.changeMillis * float64(move)
+	return g.config.Price * g.changeMs * float64(move)
 }
 
 // load is the demand on each side, in units of one engine's capacity.
--- a/pkg/kumquatlug/planner/planner_test.go
+++ b/pkg/kumquatlug/planner/planner_test.go
@@ -105,19 +105,19 @@
 	// remaining ones look like a large shift. Acting on it would remove engines from
 	// work that still exists.
 	cases := map[string]struct {
-		silentFrontend bool
-		silentEngines  int
-		frozen         State
+		unresponsiveGateway bool
+		unresponsiveEngines int
+		frozen              State
 	}{
 		"all reporting":       {},
-		"one frontend silent": {silentFrontend: true, frozen: StateFrozenEntries},
-		"four engines silent": {silentEngines: 4, frozen: StateFrozenEngines},
-		"two engines silent":  {silentEngines: 2},
+		"one frontend silent": {unresponsiveGateway: true, frozen: StateFrozenEntries},
+		"four engines silent": {unresponsiveEngines: 4, frozen: StateFrozenEngines},
+		"two engines silent":  {unresponsiveEngines: 2},
 	}
 	for name, c := range cases {
 		g := New(defaultConfig)
 		newSimGroup(g, 1, 12, 6).run(120, 4, 4)
-		s := newSimGroup(&lossyPlanner{Goodput: g, dropOffers: c.silentFrontend, silentEngines: c.silentEngines}, 2, 12, 6)
+		s := newSimGroup(&lossyPlanner{Goodput: g, dropOffers: c.unresponsiveGateway, unresponsiveEngines: c.unresponsiveEngines}, 2, 12, 6)
 		s.now = 120 * kumquatlug.Second
 		s.run(15, 4, 4)
 		s.run(40, 9, 1)
@@ -133,8 +133,8 @@
 // lossyPlanner drops the offers of one frontend and the reports of some engines.
 type lossyPlanner struct {
 	*Goodput
-	dropOffers    bool
-	silentEngines int
+	dropOffers          bool
+	unresponsiveEngines int
 }
 
 func (p *lossyPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
@@ -144,7 +144,7 @@
 }
 
 func (p *lossyPlanner) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
-	if e.Target >= fmt.Sprintf("e%02d", p.silentEngines) {
+	if e.Target >= fmt.Sprintf("e%02d", p.unresponsiveEngines) {
 		p.Goodput.Report(now, e)
 	}
 }
--- a/pkg/kumquatlug/planner/simulation_test.go
+++ b/pkg/kumquatlug/planner/simulation_test.go
@@ -10,8 +10,8 @@
 const (
 	simPrefillRate = 8000.0
 	simDecodeRate  = 1500.0
-	// simChangeMillis is how long a simulated engine takes to drain and change its role.
-	simChangeMillis = 8 * kumquatlug.Second
+	// simChangeMs is how long a simulated engine takes to drain and change its role.
+	simChangeMs = 8 * kumquatlug.Second
 )
 
 // simGroup is a fluid-flow simulation of a group: in each second it serves what the
@@ -116,7 +116,7 @@
 func (s *simGroup) startChange(c kumquatlug.RoleChange) {
 	for _, e := range s.engines {
 		if e.name == c.Target() && e.pendingRole == "" {
-			e.pendingRole, e.changeDoneAt = c.To(), s.now+simChangeMillis
+			e.pendingRole, e.changeDoneAt = c.To(), s.now+simChangeMs
 			s.changes++
 		}
 	}
--- a/pkg/kumquatlug/quarantine/fleet_test.go
+++ b/pkg/kumquatlug/quarantine/fleet_test.go
@@ -22,18 +22,18 @@
 // testRequest is one request of a caller. If it crashes targets, it is sent
 // again after each refusal.
 type testRequest struct {
-	id          string
-	fingerprint Fingerprint
-	behaviour   behaviour
-	entry       int
-	entryFixed  bool
-	target      int
-	steps       int
-	runSteps    int
-	readyAt     kumquatlug.Millis
-	giveUpAt    kumquatlug.Millis
-	state       string
-	crashes     map[Crash]bool
+	id           string
+	fingerprint  Fingerprint
+	behaviour    behaviour
+	gateway      int
+	gatewayFixed bool
+	target       int
+	steps        int
+	runSteps     int
+	readyAt      kumquatlug.Millis
+	giveUpAt     kumquatlug.Millis
+	state        string
+	crashes      map[Crash]bool
 }
 
 // fleet simulates entries, agents and a claim table, with heartbeats once a
@@ -41,7 +41,7 @@
 type fleet struct {
 	now          kumquatlug.Millis
 	random       *rand.Rand
-	entries      []*Register
+	gateways     []*Register
 	agents       []*Register
 	gates        []*Gate
 	incarnations []int
@@ -51,14 +51,14 @@
 	requests     []*testRequest
 }
 
-func newFleet(seed uint64, entries, targets int) *fleet {
+func newFleet(seed uint64, gateways, targets int) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 7)),
 		claims: map[Fingerprint]string{}, cursors: map[string]int64{},
 		incarnations: make([]int, targets), downUntil: make([]kumquatlug.Millis, targets),
 	}
-	for range entries {
-		f.entries = append(f.entries, New(Config{}))
+	for range gateways {
+		f.gateways = append(f.gateways, New(Config{}))
 	}
 	for range targets {
 		r := New(Config{})
@@ -80,10 +80,10 @@
 }
 
 // addCopy adds another request with the fingerprint of r, sent after a delay.
-func (f *fleet) addCopy(r *testRequest, entry int, delay kumquatlug.Millis) {
+func (f *fleet) addCopy(r *testRequest, gateway int, delay kumquatlug.Millis) {
 	duplicate := f.add(r.behaviour)
 	duplicate.fingerprint, duplicate.crashes = r.fingerprint, r.crashes
-	duplicate.readyAt, duplicate.entry, duplicate.entryFixed = r.readyAt+delay, entry, true
+	duplicate.readyAt, duplicate.gateway, duplicate.gatewayFixed = r.readyAt+delay, gateway, true
 }
 
 // run advances the fleet to the time until.
@@ -99,7 +99,7 @@
 }
 
 func (f *fleet) gossip() {
-	for i, e := range f.entries {
+	for i, e := range f.gateways {
 		for j, a := range f.agents {
 			f.sendNotices(fmt.Sprint("a", j, i), a, e)
 			f.sendNotices(fmt.Sprint("e", i, j), e, a)
@@ -119,12 +119,12 @@
 	}
 	switch r.state {
 	case "idle":
-		if !r.entryFixed {
-			r.entry = f.random.IntN(len(f.entries))
+		if !r.gatewayFixed {
+			r.gateway = f.random.IntN(len(f.gateways))
 		}
 		r.state = "accepted"
 		r.giveUpAt = 0
-		if f.entries[r.entry].Ask(f.now, r.fingerprint).Refused() {
+		if f.gateways[r.gateway].Ask(f.now, r.fingerprint).Refused() {
 			f.refuse(r)
 		}
 	case "accepted":
@@ -144,7 +144,7 @@
 }
 
 func (f *fleet) dispatch(r *testRequest) {
-	o := f.entries[r.entry].Ask(f.now, r.fingerprint)
+	o := f.gateways[r.gateway].Ask(f.now, r.fingerprint)
 	switch {
 	case o.Standing() == StandingQuarantined, o.Standing() == StandingHeld && o.Wait() == 0:
 		f.refuse(r)
@@ -159,7 +159,7 @@
 			return
 		}
 	}
-	if n, ok := f.entries[r.entry].Notice(f.now, r.fingerprint); ok {
+	if n, ok := f.gateways[r.gateway].Notice(f.now, r.fingerprint); ok {
 		f.agents[r.target].Merge(f.now, []Notice{n})
 	}
 	f.start(r)
@@ -199,7 +199,7 @@
 		g.Started(r.id)
 	case r.steps >= r.runSteps && r.behaviour == harmless:
 		g.Ended(f.now, r.id, true)
-		f.entries[r.entry].Finished(f.now, r.fingerprint)
+		f.gateways[r.gateway].Finished(f.now, r.fingerprint)
 		delete(f.claims, r.fingerprint)
 		r.state = "completed"
 	}
@@ -217,7 +217,7 @@
 			continue
 		}
 		if r.state == "running" {
-			f.entries[r.entry].Crashed(f.now, c, []Held{{Fingerprint: r.fingerprint, Starting: r.steps < 3}})
+			f.gateways[r.gateway].Crashed(f.now, c, []Held{{Fingerprint: r.fingerprint, Starting: r.steps < 3}})
 		}
 		r.state = "accepted"
 		r.target = -1
--- a/pkg/kumquatlug/quarantine/quarantine_test.go
+++ b/pkg/kumquatlug/quarantine/quarantine_test.go
@@ -40,7 +40,7 @@
 	properties.TestingRun(t)
 }
 
-func TestCopiesThroughSeveralEntriesCrashOneTargetEach(t *testing.T) {
+func TestCopiesThroughSeveralGatewaysCrashOneTargetEach(t *testing.T) {
 	// A caller sends a request that crashes targets through several entries, at
 	// the same moment or shortly after one another. Entries that have no notice
 	// of the first crash each lose a target to it. Together they must not lose
@@ -247,7 +247,7 @@
 			return fmt.Sprintf("%s (%s) crashed %v", r.id, r.behaviour, r.crashes)
 		}
 		if r.behaviour == harmless && r.state != "completed" {
-			return fmt.Sprintf("%s is %s, record = %+v", r.id, r.state, f.entries[r.entry].records[r.fingerprint])
+			return fmt.Sprintf("%s is %s, record = %+v", r.id, r.state, f.gateways[r.gateway].records[r.fingerprint])
 		}
 	}
 	return ""
--- a/pkg/kumquatlug/quarantine/suspects_test.go
+++ b/pkg/kumquatlug/quarantine/suspects_test.go
@@ -10,17 +10,17 @@
 // A request crashes each worker that runs it, and is sent through three fronts
 // in turn. Each reports to the others; after three crashes all fronts refuse
 // it, and the rest of the group stays up.
-func TestCrashingRequestIsRefusedByEveryFront(t *testing.T) {
-	fronts := []*Suspects{NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{})}
+func TestCrashingRequestIsRefusedByEveryGateway(t *testing.T) {
+	gateways := []*Suspects{NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{})}
 	f := Fingerprint("bad")
 	crashes := 0
 	for i := range 30 {
 		now := kumquatlug.Millis(i * 500)
-		if fronts[i%3].Refused(now, f) {
+		if gateways[i%3].Refused(now, f) {
 			continue
 		}
 		crashes++
-		for _, other := range fronts {
+		for _, other := range gateways {
 			other.Crashed(now, f, fmt.Sprint(i))
 		}
 	}
--- a/pkg/kumquatlug/routing/load.go
+++ b/pkg/kumquatlug/routing/load.go
@@ -40,11 +40,11 @@
 	ready     bool
 	otherZone bool
 	hash      uint64
-	// prefillMillisPerToken and decodeMillisPerToken are the milliseconds per prompt
+	// prefillMsPerToken and decodeMillisPerToken are the milliseconds per prompt
 	// token, and per output token of a stream alone in the batch, at the target's
 	// weight.
-	prefillMillisPerToken float64
-	decodeMillisPerToken  float64
+	prefillMsPerToken float64
+	decodeMsPerToken  float64
 	// Sums over this gateway's calls in flight.
 	ownPrefillTokens float64
 	ownWaiting       float64
@@ -183,8 +183,8 @@
 func (t *target) updateSpeed() {
 	t.ready = t.state == StateReady && t.weight > 0
 	if t.ready {
-		t.prefillMillisPerToken = 1000 / (t.prefillRate * t.weight)
-		t.decodeMillisPerToken = 1000 / (t.decodeRate * t.weight)
+		t.prefillMsPerToken = 1000 / (t.prefillRate * t.weight)
+		t.decodeMsPerToken = 1000 / (t.decodeRate * t.weight)
 	}
 }
 
@@ -214,8 +214,8 @@
 	return t.ownRunning + t.ownWaiting + t.othersRunning + t.othersWaiting
 }
 
-// workMillis returns the milliseconds of target time that a call takes, its stream
+// workMs returns the milliseconds of target time that a call takes, its stream
 // sharing a batch.
-func (t *target) workMillis(prefill, decode, slowdown float64) float64 {
+func (t *target) workMs(prefill, decode, slowdown float64) float64 {
 	return 1000 * (prefill/t.prefillRate + decode*slowdown/t.decodeRate)
 }
--- a/pkg/kumquatlug/routing/pick.go
+++ b/pkg/kumquatlug/routing/pick.go
@@ -188,16 +188,16 @@
 // score estimates the finish of q at one candidate.
 func (r *Router) score(c *scoredTarget, q Query) {
 	t := c.target
-	millisPerToken := t.decodeMillisPerToken * (1 + r.config.BatchSlowdown*t.callCount())
+	msPerToken := t.decodeMsPerToken * (1 + r.config.BatchSlowdown*t.callCount())
 	queue := t.ownPrefillTokens + t.othersWaiting*r.meanPrefill
-	c.wait = t.prefillMillisPerToken * (queue + float64(q.PrefillTokens))
-	c.wait += r.memoryWait(t, millisPerToken, float64(q.PrefillTokens+q.DecodeTokens))
+	c.wait = t.prefillMsPerToken * (queue + float64(q.PrefillTokens))
+	c.wait += r.memoryWait(t, msPerToken, float64(q.PrefillTokens+q.DecodeTokens))
 	if t.otherZone {
 		c.wait += float64(r.config.ZonePenalty)
 	}
-	c.cost = c.wait + millisPerToken*float64(q.DecodeTokens)
+	c.cost = c.wait + msPerToken*float64(q.DecodeTokens)
 	held := min(c.depth*r.config.BlockTokens, q.PrefillTokens)
-	c.savings = t.prefillMillisPerToken * t.trust * float64(held)
+	c.savings = t.prefillMsPerToken * t.trust * float64(held)
 }
 
 // memoryWait estimates how long a call waits for KV memory: the missing tokens, freed
@@ -235,7 +235,7 @@
 		return nil
 	}
 	uncachedTokens := max(q.PrefillTokens-preferred.depth*r.config.BlockTokens, 0)
-	preferred.affinityBonus = r.config.Affinity * float64(uncachedTokens) * preferred.target.prefillMillisPerToken
+	preferred.affinityBonus = r.config.Affinity * float64(uncachedTokens) * preferred.target.prefillMsPerToken
 	preferred.savings += preferred.affinityBonus
 	return preferred
 }
--- a/pkg/kumquatlug/routing/routing.go
+++ b/pkg/kumquatlug/routing/routing.go
@@ -333,7 +333,7 @@
 	r.cache.addAll(t.slot, c.Prefix)
 	r.meanPrefill += meanSizeWeight * (float64(c.PrefillTokens) - r.meanPrefill)
 	r.meanDecode += meanSizeWeight * (float64(c.DecodeTokens) - r.meanDecode)
-	work := t.workMillis(float64(c.PrefillTokens), float64(c.DecodeTokens), r.config.BatchSlowdown)
+	work := t.workMs(float64(c.PrefillTokens), float64(c.DecodeTokens), r.config.BatchSlowdown)
 	for _, d := range t.assignments {
 		r.pools[d.Kind].addWork(now, work)
 	}
--- a/pkg/kumquatlug/routing/simulation_test.go
+++ b/pkg/kumquatlug/routing/simulation_test.go
@@ -11,11 +11,11 @@
 
 // Parameters of the simulated engines.
 const (
-	simPrefillRate     = 8000.0
-	simDocumentTokens  = 4096
-	simDocumentBlocks  = simDocumentTokens / 256
-	simReportInterval  = kumquatlug.Second
-	simReportLagMillis = 200
+	simPrefillRate    = 8000.0
+	simDocumentTokens = 4096
+	simDocumentBlocks = simDocumentTokens / 256
+	simReportInterval = kumquatlug.Second
+	simReportLagMs    = 200
 )
 
 // policy chooses a target for a gateway: the router under test or a baseline. It
@@ -100,14 +100,14 @@
 	for range 2000 {
 		mean += float64(draw(s.random).PrefillTokens) / 2000
 	}
-	perMilli := load * simPrefillRate / 1000 * float64(len(s.engines)) / mean
+	callsPerMs := load * simPrefillRate / 1000 * float64(len(s.engines)) / mean
 	for now := kumquatlug.Millis(0); now < until; now++ {
 		for _, f := range s.events[now] {
 			f(now)
 		}
 		delete(s.events, now)
 		s.sendReports(now)
-		for range s.poisson(perMilli) {
+		for range s.poisson(callsPerMs) {
 			s.sendCall(now, draw(s.random), choose)
 		}
 	}
@@ -198,7 +198,7 @@
 		begun, events := slices.Clone(e.begunCalls), e.unsentEvents
 		e.unsentEvents = nil
 		l := Load{Running: e.callCount - waiting, Waiting: waiting, TakenAt: now}
-		s.schedule(now+simReportLagMillis, func(now kumquatlug.Millis) {
+		s.schedule(now+simReportLagMs, func(now kumquatlug.Millis) {
 			for gateway, r := range s.routers {
 				l.Begun = begun[gateway]
 				r.Report(now, e.name, l)
