--- a/pkg/kumquatlug/admission/estimate.go
+++ b/pkg/kumquatlug/admission/estimate.go
@@ -23,9 +23,9 @@
 const (
 	// meanWeight makes a mean cover about the last 20 responses.
 	meanWeight = 0.05
-	// highQuantile is the quantile that high estimates track. An overloaded entry
-	// serves each request as late as its deadline allows, so with means every
-	// second response would be late.
+	// highQuantile is the quantile that high estimates track. An overloaded
+	// gateway serves each request as late as its deadline allows, so with means
+	// every second response would be late.
 	highQuantile = 0.9
 	// quantileStep is the relative change of a high estimate per response. It
 	// doesn't depend on the size of the error, so that a few responses delayed by
--- a/pkg/kumquatlug/admission/estimate_test.go
+++ b/pkg/kumquatlug/admission/estimate_test.go
@@ -42,7 +42,7 @@
 func TestHighEstimateDecaysWithoutResponses(t *testing.T) {
 	// For a minute every response takes longer than callers wait. Without decay,
 	// all later requests are refused, no new samples arrive, and the refusals go on
-	// with idle engines until the entry restarts.
+	// with idle engines until the gateway restarts.
 	e := NewEstimator(EstimatorConfig{})
 	now := kumquatlug.Millis(0)
 	for range 1000 {
--- a/pkg/kumquatlug/admission/kindqueue.go
+++ b/pkg/kumquatlug/admission/kindqueue.go
@@ -210,8 +210,8 @@
 	f.share = kq.share(c, f, len(f.entries)-f.victimCount, f.cost-f.victimCost)
 }
 
-// share returns the fraction of the queue's bounds that f uses with count
-// requests and cost tokens, whichever fraction is larger, divided by its weight.
+// share returns the share of the queue's bounds that f uses with count
+// requests and cost tokens, whichever share is larger, divided by its weight.
 // Counting both keeps a caller from filling the queue with many tiny requests.
 func (kq *kindQueue) share(c *class, f *flow, count int, cost int64) float64 {
 	used := max(float64(count)/kq.maxCount, float64(cost)/kq.maxCost)
--- a/pkg/kumquatlug/admission/queue.go
+++ b/pkg/kumquatlug/admission/queue.go
@@ -1,4 +1,4 @@
-// Package admission implements the admission queue of an entry: which request is
+// Package admission implements the admission queue of a gateway: which request is
 // served next, which wait and which are refused.
 //
 // It handles load above the capacity of the targets, for seconds (a burst) or
@@ -61,7 +61,7 @@
 )
 
 const (
-	// maxWaitShare is the fraction of a request's slack that it may wait. The
+	// maxWaitShare is the share of a request's slack that it may wait. The
 	// remaining tenth absorbs variations of the drain rate.
 	maxWaitShare = 0.9
 )
@@ -118,7 +118,7 @@
 	return c
 }
 
-// Queue holds the waiting requests of one entry, in a separate queue per kind.
+// Queue holds the waiting requests of one gateway, in a separate queue per kind.
 type Queue struct {
 	config     Config
 	kindQueues map[kumquatlug.Kind]*kindQueue
@@ -279,7 +279,7 @@
 	return true
 }
 
-// Served adds work that targets have finished for this entry, in prompt tokens
+// Served adds work that targets have finished for this gateway, in prompt tokens
 // (see [Cost]), to the drain rate of a kind. Call it as output streams in: with
 // the prompt at the first token, then with each part of the output. If long
 // responses were counted only at their end, the rate would drop to zero in
--- a/pkg/kumquatlug/admission/request.go
+++ b/pkg/kumquatlug/admission/request.go
@@ -29,7 +29,7 @@
 	// Cost is the estimated cost of prefill and decode, in prompt tokens; see
 	// [Cost]. Values below 1 become 1.
 	Cost int64
-	// Arrival is when the entry read the request.
+	// Arrival is when the gateway read the request.
 	Arrival kumquatlug.Millis
 	// Deadline is when the response must be complete.
 	Deadline kumquatlug.Millis
@@ -65,7 +65,7 @@
 // Cost returns the estimated cost in prompt tokens.
 func (r Request) Cost() int64 { return r.cost }
 
-// Arrival returns when the entry read the request.
+// Arrival returns when the gateway read the request.
 func (r Request) Arrival() kumquatlug.Millis { return r.arrival }
 
 // Deadline returns when the response must be complete.
--- a/pkg/kumquatlug/dispatch/candidates.go
+++ b/pkg/kumquatlug/dispatch/candidates.go
@@ -54,8 +54,8 @@
 	d.services.Add(name)
 }
 
-// subset returns the targets of a kind that this entry uses: a subset of the
-// engines, but all services, since every entry must compute the same rendezvous
+// subset returns the targets of a kind that this gateway uses: a subset of the
+// engines, but all services, since every gateway must compute the same rendezvous
 // order for a run-once key.
 func (d *Dispatcher) subset(kind kumquatlug.Kind) []string {
 	var names []string
@@ -155,7 +155,8 @@
 	d.router.Set(now, candidate)
 }
 
-// updateGatewayCount sets how many entries share the limits of callers and targets.
+// updateGatewayCount sets how many gateways share the limits of callers and
+// targets.
 func (d *Dispatcher) updateGatewayCount() {
 	n := max(1, len(d.gateways))
 	d.callers.SetEntries(n)
--- a/pkg/kumquatlug/dispatch/choose.go
+++ b/pkg/kumquatlug/dispatch/choose.go
@@ -74,9 +74,10 @@
 }
 
 // chooseByKey returns the first ready target in the rendezvous order of the
-// run-once key, so that every entry sends a key to the same agent. If that target
-// has no capacity the request waits for it. The next target would be correct too,
-// but a later resend would then reach another agent and cost a read of the table.
+// run-once key, so that every gateway sends a key to the same agent. If that
+// target has no capacity the request waits for it. The next target would be
+// correct too, but a later resend would then reach another agent and cost a read
+// of the table.
 func (d *Dispatcher) chooseByKey(r *request) (string, bool) {
 	order := routing.ServiceOrder(r.c.OnceKey, d.ready(r.c.Kind))
 	for _, name := range order {
--- a/pkg/kumquatlug/dispatch/dispatch.go
+++ b/pkg/kumquatlug/dispatch/dispatch.go
@@ -1,10 +1,10 @@
 // Package dispatch combines admission, routing, limits, health and retries into
-// the request scheduler of one entry.
+// the request scheduler of one gateway.
 //
 // A [Dispatcher] is a state machine. Its methods take events (a request arrived,
 // an attempt failed, a target reported, the config changed) with the current
 // time and return [Decision] values. It uses no goroutines, network or wall
-// clock. A single event loop of the entry owns it.
+// clock. A single event loop of the gateway owns it.
 //
 // All requests are scheduled in one place. If each request chose its target
 // independently, bursts would go to the target that was idle at the last report,
@@ -44,8 +44,8 @@
 	// kind, which then covers about the last 100 responses.
 	latencyRatioGain = 0.02
 	// noticeSpreadTime is how long a suspect request waits for the notice of the
-	// crash to reach other entries and agents: two heartbeats at the interval of an
-	// entry with 15 targets, and their network delay.
+	// crash to reach other gateways and agents: two heartbeats at the interval of
+	// an gateway with 15 targets, and their network delay.
 	noticeSpreadTime = 5 * kumquatlug.Second
 	// freezeThreshold is the time without any event that counts as a freeze of the
 	// process. [Dispatcher.Wake] requests a tick at least every second.
@@ -56,13 +56,13 @@
 
 // Config configures a [Dispatcher].
 type Config struct {
-	// Entry is the name of this entry, Zone its data centre.
+	// Entry is the name of this gateway, Zone its data centre.
 	Entry string
 	Zone  string
 	// Seed is the seed of choices, waits and jitter. It must differ between
-	// entries, or they make the same choices from the same reports.
+	// gateways, or they make the same choices from the same reports.
 	Seed uint64
-	// Subset is the number of targets per engine kind that this entry uses; zero
+	// Subset is the number of targets per engine kind that this gateway uses; zero
 	// means routing.DefaultSubset.
 	Subset int
 	// The following configure the packages of the same names; zero values mean
@@ -75,7 +75,7 @@
 	Callers    limit.CallersConfig
 }
 
-// Dispatcher schedules the requests of one entry. It is not safe for concurrent
+// Dispatcher schedules the requests of one gateway. It is not safe for concurrent
 // use.
 type Dispatcher struct {
 	c            Config
@@ -110,7 +110,7 @@
 // kindState is the state of one kind of work.
 type kindState struct {
 	kind kumquatlug.Kind
-	// subset holds the names of the targets in the entry's subset that a selector
+	// subset holds the names of the targets in the gateway's subset that a selector
 	// assigns the kind to, whatever their state.
 	subset []string
 	// ready holds the names of those that take new work.
@@ -285,7 +285,7 @@
 
 // excludeFreeze excludes the time in which the process was frozen from
 // TargetGrace. Heartbeats can't be answered during a freeze, and without the
-// exclusion an entry that resumes would refuse all requests before its next
+// exclusion a gateway that resumes would refuse all requests before its next
 // heartbeats.
 func (d *Dispatcher) excludeFreeze(now kumquatlug.Millis) {
 	frozen := now - d.eventAt
--- a/pkg/kumquatlug/dispatch/dispatch_test.go
+++ b/pkg/kumquatlug/dispatch/dispatch_test.go
@@ -191,8 +191,8 @@
 	h.mustSend("g", draftKind)
 }
 
-// A client account has a concurrency limit. If the entry didn't apply it, a runaway
-// client could send any number of requests.
+// A client account has a concurrency limit. If the gateway didn't apply it, a
+// runaway client could send any number of requests.
 func TestCallerConcurrencyIsEnforced(t *testing.T) {
 	h := newHarness(t, "e1")
 	c := kumquatlug.CallerConfig{Name: "portal", KeyHash: kumquatlug.HashKey("k"), Concurrency: 1}
@@ -245,7 +245,7 @@
 	}
 }
 
-// An entry with a config but no answered heartbeat is frozen for six seconds. By
+// A gateway with a config but no answered heartbeat is frozen for six seconds. By
 // the clock it then has had no targets for longer than the grace period. If the
 // freeze counted, it would refuse all requests just before the first heartbeats
 // are answered.
@@ -268,8 +268,9 @@
 	}
 }
 
-// A refusal says that the agent is stopping. If the entry ignored that, every other
-// request could be sent there and refused until the next heartbeat, seconds later.
+// A refusal says that the agent is stopping. If the gateway ignored that, every
+// other request could be sent there and refused until the next heartbeat, seconds
+// later.
 func TestStoppingTargetIsSkippedAfterItsRefusal(t *testing.T) {
 	h := newHarness(t, "e1", "e2")
 	first := h.mustSend("g", draftKind)
@@ -368,6 +369,6 @@
 	}
 }
 
-// progressTokens is the number of tokens after the first that an entry batches into
-// one progress event.
+// progressTokens is the number of tokens after the first that a gateway batches
+// into one progress event.
 const progressTokens = 16
--- a/pkg/kumquatlug/dispatch/model_test.go
+++ b/pkg/kumquatlug/dispatch/model_test.go
@@ -245,7 +245,7 @@
 	m.check(m.Listed(m.now, vms))
 }
 
-// advance advances the clock and ticks as the event loop of an entry does.
+// advance advances the clock and ticks as the event loop of a gateway does.
 func (m *modelChecker) advance(duration kumquatlug.Millis) {
 	for end := m.now + duration; m.now < end; {
 		m.now = min(end, m.Wake(m.now))
--- a/pkg/kumquatlug/dispatch/targets.go
+++ b/pkg/kumquatlug/dispatch/targets.go
@@ -40,8 +40,8 @@
 	Role kumquatlug.Role
 	// Revision is the revision of the agent's config.
 	Revision config.Revision
-	// Asked is when the entry sent the heartbeat, Age the age of the load values at
-	// that time.
+	// Asked is when the gateway sent the heartbeat, Age the age of the load values
+	// at that time.
 	Asked kumquatlug.Millis
 	Age   kumquatlug.Millis
 	// The following are the load of the target; see routing.Load.
@@ -135,7 +135,7 @@
 	return change, changed, d.serve(now)
 }
 
-// WatchAlso sets the targets outside its subset that the entry sends heartbeats
+// WatchAlso sets the targets outside its subset that the gateway sends heartbeats
 // to, such as those of a group whose lease it holds.
 func (d *Dispatcher) WatchAlso(now kumquatlug.Millis, names []string) {
 	if len(names) == 0 && len(d.extraWatched) == 0 {
@@ -148,10 +148,10 @@
 	d.updateTargets(now)
 }
 
-// Entries returns the names of all entries in the platform's list, in order.
+// Entries returns the names of all gateways in the platform's list, in order.
 func (d *Dispatcher) Entries() []string { return d.gateways }
 
-// Watched returns the targets that the entry sends heartbeats to, in name order.
+// Watched returns the targets that the gateway sends heartbeats to, in name order.
 // The slice is valid until the next event.
 func (d *Dispatcher) Watched() []string { return d.watched }
 
--- a/pkg/kumquatlug/drain/drain.go
+++ b/pkg/kumquatlug/drain/drain.go
@@ -22,8 +22,8 @@
 // is no timeout: a planned stop waits however long a response takes.
 //
 // A process leaves for any of four reasons: a planned stop, a label in the
-// config, the platform's VM list, and an order that takes the target away for a
-// while. A planned stop is permanent; after the others the process may return.
+// config, the platform's VM list, and an order that takes the target offline for
+// a while. A planned stop is permanent; after the others the process may return.
 // The agent decides by its own config, so a gateway that routes by an older one,
 // because it is slow, paused or disconnected, is refused. If a gateway routes by
 // a newer config, [Admission.Behind] reports it and the agent pulls the changes;
@@ -125,7 +125,7 @@
 	ReasonForbidden Reason = "forbidden_by_config"
 )
 
-// Request describes a request that asks for admission.
+// Request describes a request for admission.
 type Request struct {
 	revision  int64
 	forbidden bool
@@ -251,7 +251,7 @@
 	d.updateLeaving(now)
 }
 
-// Order sets whether an order takes the target away, as a change of role does.
+// Order sets whether an order takes the target offline, as a change of role does.
 // The order may be executed in [StateDone].
 func (d *Drain) Order(ordered bool, now kumquatlug.Millis) {
 	d.underOrder = ordered
--- a/pkg/kumquatlug/drain/model_test.go
+++ b/pkg/kumquatlug/drain/model_test.go
@@ -344,7 +344,7 @@
 	// A target leaves by label or by the VM list alone, while gateways are
 	// disconnected and send requests that they routed long before, the agent is
 	// paused, stopped, killed or under an order, and the list flaps. A failure
-	// shows as work at a target that goes away, or as responses broken off.
+	// shows as work at a target that leaves, or as responses broken off.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
 		Claim: "a leaving target accepts no new work and completes all work in flight",
--- a/pkg/kumquatlug/lease/decide.go
+++ b/pkg/kumquatlug/lease/decide.go
@@ -33,7 +33,7 @@
 	return h.nextWrite(now, record)
 }
 
-// eraBits is the number of low bits of a fencing number that count the acquisitions
+// eraBits is the number of low bits of a fencing token that count the acquisitions
 // of one era.
 const eraBits = 32
 
@@ -52,7 +52,7 @@
 // the lease in its current era.
 func (h *Holder) unacquiredInEra(record Record) bool { return h.era > 0 && record.fencingToken == 0 }
 
-// nextToken returns the number of the next acquisition. Numbers that a restored table
+// nextToken returns the token of the next acquisition. Tokens that a restored table
 // has lost must not be assigned again.
 func (h *Holder) nextToken(record Record) Number {
 	return max(record.fencingToken, h.highestToken, h.config.Floor, Least(h.era)) + 1
--- a/pkg/kumquatlug/lease/lease.go
+++ b/pkg/kumquatlug/lease/lease.go
@@ -1,6 +1,6 @@
 // Package lease implements leader election for the planner of a group of targets.
 // Each group has one row in the platform's table, which names the lease holder and
-// a fencing number that increases with each acquisition. Only the holder may send
+// a fencing token that increases with each acquisition. Only the holder may send
 // orders to the group.
 //
 // It handles these failures: a holder is paused past the end of its lease and
@@ -20,13 +20,13 @@
 // acknowledged. The era counts these restores. A process that holds the lease by a
 // lost write may continue until the lease expires or until it sees the new era.
 // Every process therefore waits that long from when it first saw the new era,
-// and then acquires a new row under a number above all numbers of earlier eras.
+// and then acquires a new row under a token above all tokens of earlier eras.
 //
 // Timing does not cover the interval between checking the lease and the arrival of
-// an order. The agent covers it by rejecting lower fencing numbers (see package
+// an order. The agent covers it by rejecting lower fencing tokens (see package
 // order).
 //
-// An expired lease is not renewed but acquired again, under a higher number: orders
+// An expired lease is not renewed but acquired again, under a higher token: orders
 // sent before it expired may still be in transit, and must not mix with later ones.
 //
 // Time to live of 15 s: when a holder fails, no role changes for at most 15 s plus a
@@ -55,7 +55,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// Number is a fencing number. It increases with each acquisition of a group's lease
+// Number is a fencing token. It increases with each acquisition of a group's lease
 // and never decreases.
 type Number int64
 
@@ -75,7 +75,7 @@
 	return Key(group) + "@" + strconv.FormatInt(era, 10)
 }
 
-// Least returns a number below all that are assigned in an era.
+// Least returns a fencing token below all that are assigned in an era.
 func Least(era int64) Number { return Number(max(era, 0)) << eraBits }
 
 // Action is the kind of request that an [Intent] makes.
@@ -154,9 +154,9 @@
 	// Timeout is the time after which a response counts as lost. Default 2 s: two
 	// timeouts and a retry fit between a renewal and the end of the lease.
 	Timeout kumquatlug.Millis
-	// Floor is a lower bound of the numbers to assign. When targets move between
-	// groups, set it above every number assigned so far: a target would otherwise
-	// reject a new holder whose number is lower than its previous holder's.
+	// Floor is a lower bound of the tokens to assign. When targets move between
+	// groups, set it above every token assigned so far: a target would otherwise
+	// reject a new holder whose token is lower than its previous holder's.
 	Floor Number
 }
 
@@ -184,7 +184,7 @@
 	// table has no record of, may act under its lease until priorEraUntil.
 	era           int64
 	priorEraUntil kumquatlug.Millis
-	// highestToken is the highest fencing number seen.
+	// highestToken is the highest fencing token seen.
 	highestToken Number
 }
 
@@ -205,7 +205,7 @@
 	return &Holder{config: c, wanted: true, pollInterval: c.Renew, pending: Intent{action: ActionNone}, unconfirmed: Intent{action: ActionNone}}, nil
 }
 
-// Held returns the fencing number for orders sent now, and whether this process
+// Held returns the fencing token for orders sent now, and whether this process
 // holds the lease. Call it right before each order is sent.
 func (h *Holder) Held(now kumquatlug.Millis) (Number, bool) {
 	// The time is checked on every call: a process may be paused at any point, so
@@ -319,7 +319,7 @@
 // other processes wait.
 //
 // A renewal that is confirmed only after the lease has expired locally does not extend
-// it: a number that this process stopped using is not used again.
+// it: a token that this process stopped using is not used again.
 func (h *Holder) writeCommitted(now kumquatlug.Millis, i Intent) {
 	h.unconfirmed = Intent{action: ActionNone}
 	h.nextRequestAt = i.sentAt + h.config.Renew
--- a/pkg/kumquatlug/lease/lease_test.go
+++ b/pkg/kumquatlug/lease/lease_test.go
@@ -34,7 +34,7 @@
 	w.holders[0].Want(false)
 	w.pollTable(0, "ok", "ok")
 	if minToken := w.record.Fence(); minToken != 2 {
-		t.Errorf("after the release the fence is %d, want 2", minToken)
+		t.Errorf("after the release the lowest accepted token is %d, want 2", minToken)
 	}
 	w.advance(-1, 6*kumquatlug.Second)
 	_, held1 := w.holders[1].Held(w.clock(1))
--- a/pkg/kumquatlug/lease/proof_test.go
+++ b/pkg/kumquatlug/lease/proof_test.go
@@ -45,7 +45,7 @@
 
 // The same faults, while the table is repeatedly restored from older copies. Two planners
 // could each hold the lease by a different history of the table and send orders at the
-// same time, and the next holder could reuse a number that engines have already seen.
+// same time, and the next holder could reuse a token that engines have already seen.
 func TestProofOneHolderThroughRestores(t *testing.T) {
 	proof.Run(t, proof.Config{
 		Claim: "one holder at a time, under rising numbers, through restores",
@@ -240,7 +240,7 @@
 		return
 	case after.Number() == before.Number() && after.Holder() == before.Holder():
 	case after.Number() <= w.highestToken:
-		w.fail("%s acquired number %d after %d", after.Holder(), after.Number(), w.highestToken)
+		w.fail("%s acquired token %d after %d", after.Holder(), after.Number(), w.highestToken)
 	}
 	w.highestToken = max(w.highestToken, after.Number())
 }
@@ -257,10 +257,10 @@
 			continue
 		}
 		if token == w.expiredTokens[h] {
-			w.fail("%s uses number %d again after its lease expired", h.config.Me, token)
+			w.fail("%s uses token %d again after its lease expired", h.config.Me, token)
 		}
 		if w.era == 0 && (token != record.Number() || record.Holder() != h.config.Me || record.Released()) {
-			w.fail("%s holds number %d, but the table has number %d of %s, released %v",
+			w.fail("%s holds token %d, but the table has token %d of %s, released %v",
 				h.config.Me, token, record.Number(), record.Holder(), record.Released())
 		}
 		holders++
--- a/pkg/kumquatlug/lease/record.go
+++ b/pkg/kumquatlug/lease/record.go
@@ -29,7 +29,7 @@
 }
 
 // Decode decodes a group's row. An absent row yields the zero record. An agent reads
-// the fencing number from it before it accepts orders.
+// the fencing token from it before it accepts orders.
 func Decode(row kumquatlug.Row) (Record, error) {
 	if !row.Exists() {
 		return Record{}, nil
@@ -52,11 +52,11 @@
 // Holder returns the identity of the process that acquired the lease last.
 func (r Record) Holder() string { return r.holder }
 
-// Number returns the fencing number, zero before the first acquisition.
+// Number returns the fencing token, zero before the first acquisition.
 func (r Record) Number() Number { return r.fencingToken }
 
-// Fence returns the lowest number that orders may carry. Once the lease is released
-// this is the number after it, which is at most the next holder's.
+// Fence returns the lowest fencing token that orders may carry. Once the lease is
+// released this is the token after it, which is at most the next holder's.
 func (r Record) Fence() Number {
 	if r.released {
 		return r.fencingToken + 1
--- a/pkg/kumquatlug/lease/term.go
+++ b/pkg/kumquatlug/lease/term.go
@@ -9,7 +9,7 @@
 	ordersFrom, expiresAt kumquatlug.Millis
 }
 
-// Number returns the fencing number.
+// Number returns the fencing token.
 func (t Term) Number() Number { return t.fencingToken }
 
 // MayHold reports whether the lease has not expired. It may have been released or lost
--- a/pkg/kumquatlug/ledger/begin.go
+++ b/pkg/kumquatlug/ledger/begin.go
@@ -14,7 +14,7 @@
 	return l.submit(ctx, call, false)
 }
 
-// Block revokes a dispatch of call whose result the entry does not know.
+// Block revokes a dispatch of call whose result the gateway does not know.
 // VerdictBlocked means that the dispatch did not run and never will, so the
 // caller can be answered not-run; a resend uses the dispatch in the ruling, or
 // a new one. Any other verdict reports the stored row. After an error the state
--- a/pkg/kumquatlug/ledger/era.go
+++ b/pkg/kumquatlug/ledger/era.go
@@ -72,7 +72,7 @@
 	// investigated, and sent again, the next working day.
 	Window kumquatlug.Millis
 	// Tick is the interval at which the keeper reads the era, in milliseconds.
-	// Default 60000: each entry makes two reads a minute, and all of them
+	// Default 60000: each gateway makes two reads a minute, and all of them
 	// together about one write a minute. An era that ends minutes late does no
 	// harm.
 	Tick kumquatlug.Millis
@@ -85,7 +85,7 @@
 	Pages int
 }
 
-// Keeper advances the era and removes expired rows. Every entry runs one; the
+// Keeper advances the era and removes expired rows. Every gateway runs one; the
 // first to commit in a tick does the work.
 type Keeper struct {
 	config  KeeperConfig
@@ -100,14 +100,14 @@
 // NewKeeper validates c and returns a keeper that has not read the era yet.
 func NewKeeper(c KeeperConfig) (*Keeper, error) {
 	if c.Table == nil || c.Clock == nil || c.Incarnation == "" {
-		return nil, errors.New("a keeper needs a table, a clock and an incarnation")
+		return nil, errors.New("an era keeper needs a table, a clock and an incarnation")
 	}
 	c.Window = cmp.Or(c.Window, DefaultWindow)
 	c.Tick = cmp.Or(c.Tick, DefaultTick)
 	c.Page = cmp.Or(c.Page, DefaultPage)
 	c.Pages = cmp.Or(c.Pages, DefaultPages)
 	if c.Tick > c.Window {
-		return nil, errors.New("a keeper's tick can't be longer than its window")
+		return nil, errors.New("an era keeper's tick can't be longer than its window")
 	}
 	return &Keeper{config: c, timer: eraTimer{window: c.Window, tick: c.Tick}}, nil
 }
--- a/pkg/kumquatlug/ledger/era_test.go
+++ b/pkg/kumquatlug/ledger/era_test.go
@@ -40,10 +40,10 @@
 }
 
 func TestBlockOfSweptRunIsUnknown(t *testing.T) {
-	// A call ran, its answer was lost, and its entry was paused until the row
-	// was swept. In the meantime the key was blocked by another entry, and the
-	// call was sent to a second target, which refused it. Neither the missing
-	// row nor the other block proves that the call did not run.
+	// A call ran, its response was lost, and its gateway was paused until the
+	// row was swept. In the meantime the key was blocked by another gateway,
+	// and the call was sent to a second target, which refused it. Neither the
+	// missing row nor the other block proves that the call did not run.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	gateway := startLedger(t, table, objects, "entry-1", "e")
 	slow := startLedger(t, table, objects, "entry-2", "s")
@@ -88,8 +88,8 @@
 func TestClaimIsNotPassedToBlockedDispatch(t *testing.T) {
 	// While the claim of a resend is being written, the dispatch that it
 	// replaces arrives late and waits for the same claim. Then the resend's
-	// entry disconnects. The claim must be released and not granted to the late
-	// dispatch, whose caller was answered not-run.
+	// gateway disconnects. The claim must be released and not granted to the
+	// late dispatch, whose caller was answered not-run.
 	table := newMemoryTable()
 	m := newStateMachine(Config{Target: "gazette-1", Incarnation: "a", Flush: 1}.withDefaults())
 	resend := m.begin(newTestCall("k", "body", NewDispatch(0, 1)), false, 0)
@@ -121,7 +121,7 @@
 }
 
 func TestEraIsNeverShorterThanItsWindow(t *testing.T) {
-	// Three entries measure the same era; one starts late and one is restarted
+	// Three gateways measure the same era; one starts late and one is restarted
 	// repeatedly. If two of them counted the same minute, rows would be swept
 	// before the window ended and a late resend would run the call again.
 	table := newMemoryTable()
--- a/pkg/kumquatlug/ledger/ledger.go
+++ b/pkg/kumquatlug/ledger/ledger.go
@@ -4,10 +4,10 @@
 // The process beside the target (the agent) claims the call right before it
 // runs it: it inserts a row for caller and idempotency key into the platform's
 // table, and runs the call, once, only if that insert took effect. The
-// alternative, a claim made by the entry (the process that accepts calls), was
+// alternative, a claim made by the gateway (the process that accepts calls), was
 // rejected: claim and run would be in different processes, and every pause or
 // loss between the two would need a second agreement. Without the ledger, a
-// caller that resends after a lost answer, or an entry that retries after a
+// caller that resends after a lost response, or a gateway that retries after a
 // timeout, executes the call twice.
 //
 // # States of a row
@@ -15,12 +15,12 @@
 //	absent    nothing is known; any dispatch may claim
 //	free N    nothing ran; a dispatch of epoch N or more may claim
 //	claimed   one process runs it, or crashed while running it
-//	done      it ran; the row holds the answer, or the name of its object
+//	done      it ran; the row holds the response, or the name of its object
 //	unknown   whether it ran can't be known; it never runs again
 //
 // A resend after a true "not run" must be able to run, while the dispatch that
 // was given up must not, however late it arrives. Therefore each dispatch
-// carries an epoch, initially zero. An entry that does not know the result of a
+// carries an epoch, initially zero. A gateway that does not know the result of a
 // dispatch of epoch N blocks it by writing "free N+1". The late dispatch finds
 // a row above its epoch and is refused. The resend is refused once as stale,
 // receives the new epoch and is sent again with it. Two alternatives were
@@ -28,16 +28,16 @@
 // for the same operation, which leads to duplicates; and reading the row before
 // each dispatch, which costs a read for every call to save a round trip in a
 // rare case. A claim under which nothing ran is released as "free N": its
-// dispatch has been answered, and the entry may send it to the next target with
+// dispatch has been answered, and the gateway may send it to the next target with
 // the same epoch.
 //
-// For a "not run" to be true, the entry follows these rules:
+// For a "not run" to be true, the gateway follows these rules:
 //
 //   - A dispatch is sent once. A client library that repeats a request by
 //     itself, as Go's does for one with an Idempotency-Key header and a body it
 //     can rewind, creates a copy that nobody tracks.
 //   - Once the result of any dispatch of a request is not known, a refusal of a
-//     later one is not enough; the entry must block.
+//     later one is not enough; the gateway must block.
 //   - Only VerdictBlocked, or a refusal that the agent itself reported as
 //     not-run, is reported as not-run.
 //
@@ -61,7 +61,7 @@
 // which is not, gets the resend. The second and third case execute a call
 // twice, so non-idempotent calls stop while the table is unavailable. These
 // continue: calls that were claimed before (their outcome is kept in memory and
-// written later), answers that are in memory, and all idempotent calls.
+// written later), responses that are in memory, and all idempotent calls.
 //
 // # How long a key is remembered
 //
@@ -72,7 +72,7 @@
 // only in the era in which it was sent and the next one, so that it can't
 // outlive the row that blocks it. A sweep reads only the oldest buckets, where
 // all rows have expired, so its cost doesn't grow with the number of remembered
-// keys. Eras advance by the sum of time spans that the entries measure on their
+// keys. Eras advance by the sum of time spans that the gateways measure on their
 // own monotonic clocks ([Keeper]); clocks are never compared.
 //
 // # Rates
@@ -112,7 +112,7 @@
 const (
 	// ReasonTable: the table is unavailable, so nothing can be claimed.
 	ReasonTable = "table_unavailable"
-	// ReasonObjects: the object store that holds a large answer is unavailable.
+	// ReasonObjects: the object store that holds a large response is unavailable.
 	ReasonObjects = "objects_unavailable"
 )
 
@@ -125,16 +125,16 @@
 type Config struct {
 	// Table stores the rows.
 	Table kumquatlug.Table
-	// Objects stores answers larger than Inline. The store needs a lifecycle
+	// Objects stores responses larger than Inline. The store needs a lifecycle
 	// rule that removes objects older than two windows under "outcomes/".
 	Objects kumquatlug.Objects
 	// Clock is the process's clock.
 	Clock kumquatlug.Clock
-	// Target is the name of the target that this process serves. An entry,
+	// Target is the name of the target that this process serves. A gateway,
 	// which only blocks, uses its own name.
 	Target string
 	// Incarnation is unique to this start of the process. Claims of another
-	// incarnation at the same target belong to a process that is gone.
+	// incarnation at the same target belong to a process that has ended.
 	Incarnation string
 	// Flush is the minimum time in milliseconds between the starts of two
 	// transactions. A single call is not delayed by it. Default 10: at most a
@@ -163,7 +163,7 @@
 	// Kept is the number of settled calls kept in memory, so that an early
 	// resend costs no transaction. Default 1024: 8 MB at Inline bytes each.
 	Kept int
-	// Inline is the size in bytes above which the body of an answer goes to the
+	// Inline is the size in bytes above which the body of a response goes to the
 	// object store. Default 8192: a receipt fits, a document does not.
 	Inline int
 }
@@ -310,9 +310,9 @@
 }
 
 // Finish records the outcome of a run, for waiting calls and for resends. It
-// does not wait for the table: the answer can be sent to its caller at once,
+// does not wait for the table: the response can be sent to its caller at once,
 // even during an outage. If the process is killed before the write, a resend
-// gets unknown instead of the answer; the call never runs again.
+// gets unknown instead of the response; the call never runs again.
 func (l *Ledger) Finish(t Ticket, o Outcome) error {
 	upload := len(o.body) > l.config.Inline
 	var err error
@@ -358,7 +358,7 @@
 }
 
 // Flush waits until all settled calls are in the table. A graceful shutdown
-// calls it between the last answer and the end of Run.
+// calls it between the last response and the end of Run.
 func (l *Ledger) Flush(ctx context.Context) error {
 	ch := make(chan struct{})
 	l.update(func() { l.flushWaiters = append(l.flushWaiters, ch) })
--- a/pkg/kumquatlug/ledger/ledger_test.go
+++ b/pkg/kumquatlug/ledger/ledger_test.go
@@ -78,7 +78,7 @@
 				r, err = l.Begin(ctx, newTestCall("k", "body", Dispatch{}))
 				o := wantVerdict(t, r, err, VerdictAnswer).Outcome()
 				if o.Status() != 201 || !bytes.Equal(o.Body(), body) {
-					t.Errorf("answer = %d with %d bytes", o.Status(), len(o.Body()))
+					t.Errorf("response = %d with %d bytes", o.Status(), len(o.Body()))
 				}
 				r, err = l.Begin(ctx, newTestCall("k", "other", Dispatch{}))
 				wantVerdict(t, r, err, VerdictConflict)
@@ -88,8 +88,8 @@
 }
 
 func TestBlockedDispatchStaysBlockedAndItsResendRuns(t *testing.T) {
-	// A dispatch is delayed in the network. The entry blocks it and answers the
-	// caller not-run, and the caller sends the call again. Then the first
+	// A dispatch is delayed in the network. The gateway blocks it and answers
+	// the caller not-run, and the caller sends the call again. Then the first
 	// dispatch arrives.
 	table, objects := newMemoryTable(), newMemoryObjects()
 	gateway := startLedger(t, table, objects, "entry-1", "e")
--- a/pkg/kumquatlug/ledger/proof_test.go
+++ b/pkg/kumquatlug/ledger/proof_test.go
@@ -73,11 +73,11 @@
 }
 
 func TestProofAtMostOnceAndNotRunIsTrue(t *testing.T) {
-	// Calls are sent, and sent again through another entry, with another body,
+	// Calls are sent, and sent again through another gateway, with another body,
 	// or to another target. Commits lose their responses, fail, or take effect
 	// late; agents are killed, paused and replaced between claim, run and end;
 	// and eras advance. A fault shows as a call that runs twice, a not-run for
-	// a call that ran, or the answer of a different call.
+	// a call that ran, or the response of a different call.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
 		Claim: "at most one run, and not-run is true",
--- a/pkg/kumquatlug/ledger/row.go
+++ b/pkg/kumquatlug/ledger/row.go
@@ -14,7 +14,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Dispatch identifies one attempt of an entry to send a call. The era limits
+// Dispatch identifies one attempt of a gateway to send a call. The era limits
 // its age, and the epoch shows whether it has been blocked since: a row that
 // was freed at a higher epoch refuses it. The zero value is a first attempt in
 // the first era.
@@ -57,7 +57,7 @@
 // String returns the dispatch as "era.epoch", for a header.
 func (d Dispatch) String() string { return fmt.Sprintf("%d.%d", d.era, d.epoch) }
 
-// Era returns the era in which the entry first sent the call.
+// Era returns the era in which the gateway first sent the call.
 func (d Dispatch) Era() int64 { return d.era }
 
 // Epoch returns the epoch under which the call may be claimed.
@@ -99,7 +99,7 @@
 // Dispatch returns the dispatch that the call was sent with.
 func (c Call) Dispatch() Dispatch { return c.dispatch }
 
-// Outcome is the answer of a run, stored for resends of its call.
+// Outcome is the response of a run, stored for resends of its call.
 type Outcome struct {
 	status int
 	header http.Header
@@ -113,13 +113,13 @@
 	return Outcome{status: status, header: header, body: body}
 }
 
-// Status returns the HTTP status of the answer.
+// Status returns the HTTP status of the response.
 func (o Outcome) Status() int { return o.status }
 
-// Header returns the headers of the answer.
+// Header returns the headers of the response.
 func (o Outcome) Header() http.Header { return o.header }
 
-// Body returns the whole body of the answer.
+// Body returns the whole body of the response.
 func (o Outcome) Body() []byte { return o.body }
 
 // Holder is the process that claimed a call.
@@ -142,7 +142,7 @@
 	stateFree state = "free"
 	// stateClaimed: the holder runs it, or crashed while running it.
 	stateClaimed state = "claimed"
-	// stateDone: it ran and this is the answer.
+	// stateDone: it ran and this is the response.
 	stateDone state = "done"
 	// stateUnknown: whether it ran can't be known; it is never run again.
 	stateUnknown state = "unknown"
@@ -174,7 +174,7 @@
 	return Outcome{status: r.Status, header: r.Header, body: r.Answer, object: r.Object}
 }
 
-// decodeRow decodes a stored row. A malformed row may stand for a run, so it
+// decodeRow decodes a stored row. A malformed row may record a run, so it
 // counts as unknown and the call never runs.
 func decodeRow(value []byte) row {
 	var r row
--- a/pkg/kumquatlug/ledger/row_test.go
+++ b/pkg/kumquatlug/ledger/row_test.go
@@ -30,7 +30,7 @@
 	f.Add([]byte("{}"))
 	f.Add([]byte(`{"state":"claimed","target":"gazette-1","claim":"a-1","body":"body"}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
-		// A row that can't be decoded, or has an unknown state, may stand for a
+		// A row that can't be decoded, or has an unknown state, may record a
 		// run. Only a row in state free may admit another.
 		table := newMemoryTable()
 		c := newTestCall("k", "body", Dispatch{})
--- a/pkg/kumquatlug/ledger/simulation_faults_test.go
+++ b/pkg/kumquatlug/ledger/simulation_faults_test.go
@@ -67,7 +67,7 @@
 	s.delayedTxs = append(s.delayedTxs[:i:i], s.delayedTxs[i+1:]...)
 }
 
-// restartProcess restarts an agent or an entry. Its transaction in flight may
+// restartProcess restarts an agent or a gateway. Its transaction in flight may
 // still take effect. A replaced agent is either dead, or paused and may resume.
 func (s *simulation) restartProcess(r *rand.Rand, killed bool) {
 	i := r.Intn(targetCount)
@@ -112,7 +112,7 @@
 	s.requireNoError(s.table.apply(tx))
 }
 
-// giveUp makes an entry time out on an attempt: it resends the attempt or
+// giveUp makes a gateway time out on an attempt: it resends the attempt or
 // blocks it.
 func (s *simulation) giveUp(r *rand.Rand) {
 	var open []*attempt
--- a/pkg/kumquatlug/ledger/simulation_test.go
+++ b/pkg/kumquatlug/ledger/simulation_test.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// attempt is a caller's attempt to send a call through an entry, and the
+// attempt is a caller's attempt to send a call through a gateway, and the
 // outcome reported to the caller.
 type attempt struct {
 	number      int
@@ -38,7 +38,7 @@
 	responseBody string
 }
 
-// process is an entry or an agent: a real state machine and the simulated work
+// process is a gateway or an agent: a real state machine and the simulated work
 // in flight.
 type process struct {
 	name      string
@@ -59,7 +59,7 @@
 	responseBody string
 }
 
-// simulation holds the table, two targets with their agents, two entries, all
+// simulation holds the table, two targets with their agents, two gateways, all
 // messages in flight, and the state of the oracle.
 type simulation struct {
 	now               kumquatlug.Millis
@@ -248,9 +248,9 @@
 	}
 }
 
-// deliverResponse delivers an agent's response to the entry, which follows the
-// rules in the package documentation. The response may be lost, or arrive after
-// the entry gave up.
+// deliverResponse delivers an agent's response to the gateway, which follows
+// the rules in the package documentation. The response may be lost, or arrive
+// after the gateway gave up.
 func (s *simulation) deliverResponse(a *attempt, resp response, r *rand.Rand) {
 	if a.outcome != "" || a.blocking || r.Intn(6) == 0 {
 		return
@@ -306,7 +306,7 @@
 	}
 }
 
-// handleBlockResponse handles the response to an entry's block.
+// handleBlockResponse handles the response to a gateway's block.
 func (s *simulation) handleBlockResponse(a *attempt, resp response) {
 	if resp.failure != nil {
 		s.recordOutcome(a, "unknown")
--- a/pkg/kumquatlug/ledger/statemachine.go
+++ b/pkg/kumquatlug/ledger/statemachine.go
@@ -246,8 +246,9 @@
 	m.answerWaiters(tc, tc.finalRow)
 }
 
-// cancelWaiter removes a waiter whose caller has gone, and returns whether the
-// call may have run. It reports false if the waiter was answered before.
+// cancelWaiter removes a waiter whose caller has disconnected, and returns
+// whether the call may have run. It reports false if the waiter was answered
+// before.
 func (m *stateMachine) cancelWaiter(waiterID int64) (kumquatlug.Ran, bool) {
 	for _, tc := range m.order {
 		for i, w := range tc.waiters {
@@ -345,7 +346,7 @@
 		return Ruling{verdict: VerdictElsewhere, holder: holder}
 	default:
 		// This includes a claim by an earlier incarnation of this target: that
-		// process is gone and may have run the call.
+		// process has ended and may have run the call.
 		return Ruling{verdict: VerdictUnknown, holder: holder}
 	}
 }
--- a/pkg/kumquatlug/ledger/verdict.go
+++ b/pkg/kumquatlug/ledger/verdict.go
@@ -8,14 +8,14 @@
 	// VerdictRun: this process holds the claim; run the call once, then pass
 	// its ticket to Finish or Abandon.
 	VerdictRun Verdict = "run"
-	// VerdictAnswer: the call ran and this is its answer.
+	// VerdictAnswer: the call ran and this is its response.
 	VerdictAnswer Verdict = "answer"
 	// VerdictConflict: the key was used for a different call.
 	VerdictConflict Verdict = "conflict"
 	// VerdictUnknown: whether the call ran can't be known; it never runs again.
 	VerdictUnknown Verdict = "unknown"
-	// VerdictElsewhere: another process holds the claim; ask its target, and if
-	// that is gone, the result of the run is unknown.
+	// VerdictElsewhere: another process holds the claim; query its target, and
+	// if that target no longer exists, the result of the run is unknown.
 	VerdictElsewhere Verdict = "elsewhere"
 	// VerdictStale: the dispatch was blocked and did not run; the request may
 	// be sent again with the dispatch in the ruling. That has the era of the
@@ -48,7 +48,7 @@
 // Ticket returns the right to run the call. It is set only with VerdictRun.
 func (r Ruling) Ticket() Ticket { return r.ticket }
 
-// Outcome returns the stored answer. It is set only with VerdictAnswer.
+// Outcome returns the stored response. It is set only with VerdictAnswer.
 func (r Ruling) Outcome() Outcome { return r.outcome }
 
 // Holder returns the process that holds the claim. It is meaningful only with
--- a/pkg/kumquatlug/limit/callers.go
+++ b/pkg/kumquatlug/limit/callers.go
@@ -11,7 +11,7 @@
 // A target is limited in three ways: by latency, relative to the work done and to the
 // time that the callers have; by KV memory, from the target's reports and what this
 // gateway started since; and by a bound on the tokens that the target has not started
-// to answer, so that requests wait where they can still be reordered.
+// to respond to, so that requests wait where they can still be reordered.
 //
 // Callers and Targets belong to one goroutine each and are not safe for concurrent use.
 // Gateways that share callers and targets don't communicate: each takes an equal share,
--- a/pkg/kumquatlug/limit/concurrency.go
+++ b/pkg/kumquatlug/limit/concurrency.go
@@ -10,8 +10,8 @@
 type targetState struct {
 	limit   float64
 	running int
-	// pendingTokens are the tokens sent that the target has not started to answer, by
-	// size class.
+	// pendingTokens are the tokens sent that the target has not started to respond to,
+	// by size class.
 	pendingTokens [sizeClassCount]int64
 	// latencySum, workSum, tolerableSum and sampleSum decay exponentially. latencySum
 	// divided by workSum is the recent latency per unit of work; baseline is its
--- a/pkg/kumquatlug/limit/limit_test.go
+++ b/pkg/kumquatlug/limit/limit_test.go
@@ -74,7 +74,7 @@
 }
 
 func TestCallerIsChargedActualTokens(t *testing.T) {
-	// Guards against a client that asks for little output and uses much: charged by its
+	// Guards against a client that requests little output and uses much: charged by its
 	// estimates, it would get many times its rate.
 	c := NewCallers(CallersConfig{Default: CallerTerms{Rate: 100, Burst: 1000}})
 	c.Begin(0, "a", 10)
--- a/pkg/kumquatlug/limit/memory.go
+++ b/pkg/kumquatlug/limit/memory.go
@@ -71,7 +71,7 @@
 
 // hasRoom reports whether this gateway's share of the free memory holds cost more
 // tokens. If the share is smaller than one request, a random draw per report lets that
-// fraction of the gateways send one: if all did, they would overfill the target, and if
+// share of the gateways send one: if all did, they would overfill the target, and if
 // none did, it would stay idle.
 func (m *kvMemory) hasRoom(c TargetsConfig, draw float64, cost int64) bool {
 	if !m.known || m.total == 0 {
--- a/pkg/kumquatlug/limit/targets.go
+++ b/pkg/kumquatlug/limit/targets.go
@@ -46,12 +46,12 @@
 	// responses or chunks of streams take longer, so that a change takes effect before
 	// the next one. Default 250 ms, a few rounds of a batch.
 	Window kumquatlug.Millis
-	// HighWater is the fraction of the KV memory that may be planned for. Default 0.9:
+	// HighWater is the share of the KV memory that may be planned for. Default 0.9:
 	// outputs grow while they are generated, and an engine that runs out of memory
 	// preempts unfinished requests.
 	HighWater float64
-	// MaxPending bounds the tokens sent to a target that it has not started to answer
-	// (see [Targets.Sample]); one request is always allowed. Default 16,000: two
+	// MaxPending bounds the tokens sent to a target that it has not started to respond
+	// to (see [Targets.Sample]); one request is always allowed. Default 16,000: two
 	// seconds of prompts for a mid-sized model, enough to keep the engine busy until
 	// the next request. Requests that wait inside the engine can no longer be reordered
 	// fairly or refused in time, so they wait here instead.
@@ -157,10 +157,10 @@
 }
 
 const (
-	// maxPatienceShare is the fraction of a caller's time limit that its response may
+	// maxPatienceShare is the share of a caller's time limit that its response may
 	// take once sent; the rest covers queueing and unusual lengths. With 0.7, quiet
-	// callers beside a hot one kept 0.97 of their on-time answers; with 0.6, a fleet at
-	// twice its load had 0.947 of its goodput in place of 0.956
+	// callers beside a hot one kept 0.97 of their on-time responses; with 0.6, a fleet
+	// at twice its load had 0.947 of its goodput in place of 0.956
 	// (cmd/kumquatlug-experiment, seeds 1 to 3).
 	maxPatienceShare = 0.65
 	// minTolerance leaves some batching for requests whose time limit is too short for
--- a/pkg/kumquatlug/membership/roster.go
+++ b/pkg/kumquatlug/membership/roster.go
@@ -14,7 +14,7 @@
 
 // Roster is the list of VMs, stored as rows of the platform's table. Each process writes its
 // own row when it starts and deletes it when it stops in an orderly way. The row of a process
-// that crashed remains, and missed heartbeats show that it is gone.
+// that crashed remains, and missed heartbeats show that it has ended.
 type Roster struct{ table kumquatlug.Table }
 
 // NewRoster returns the list stored in table.
--- a/pkg/kumquatlug/order/engine_test.go
+++ b/pkg/kumquatlug/order/engine_test.go
@@ -1,6 +1,6 @@
 package order
 
-// step executes the gate's next request to the engine or the table. A late answer
+// step executes the gate's next request to the engine or the table. A late response
 // carries the state at the time it was sent.
 func (w *world) step(fails, late bool) {
 	defer w.checkFinished()
@@ -81,7 +81,7 @@
 	}
 }
 
-// finishChange completes the engine's change; the answer may be delayed.
+// finishChange completes the engine's change; the response may be delayed.
 func (w *world) finishChange(late bool) {
 	w.engine.reloading = false
 	if w.engine.changing == nil {
--- a/pkg/kumquatlug/order/gate.go
+++ b/pkg/kumquatlug/order/gate.go
@@ -22,7 +22,7 @@
 	// Remember is the number of completed orders whose outcomes are kept to answer
 	// resends. Default 64.
 	Remember int
-	// FenceAge is the maximum age of the fencing number read from the table when
+	// FenceAge is the maximum age of the fencing token read from the table when
 	// an order is sent to the engine, measured from before the read was issued.
 	// Default 1 s: above the duration of a slow read and far below a lease's time
 	// to live. It costs one table read per order. While the table is unavailable
@@ -45,7 +45,7 @@
 	StepNone StepAction = "none"
 	// StepRead: read the engine's state; see [Gate.Read].
 	StepRead StepAction = "read"
-	// StepFence: read the group's fencing number from the table; see [Gate.Fenced].
+	// StepFence: read the group's fencing token from the table; see [Gate.Fenced].
 	StepFence StepAction = "fence"
 	// StepRun: send the order to the engine; see [Gate.Ran].
 	StepRun StepAction = "run"
@@ -66,7 +66,7 @@
 func (s Step) Order() Order { return s.order }
 
 // Gate is an agent's admission check for the orders and calls to its engine. For
-// engines that ignore fencing numbers it is the only check. It is not safe for
+// engines that ignore fencing tokens it is the only check. It is not safe for
 // concurrent use.
 type Gate struct {
 	config       GateConfig
@@ -85,7 +85,7 @@
 }
 
 // NewGate returns a gate that accepts no orders and no calls until the fencing
-// number and the engine's state have been read.
+// token and the engine's state have been read.
 func NewGate(c GateConfig) *Gate {
 	c.Remember = standard.Int(c.Remember, defaultMaxRemembered)
 	c.FenceAge = standard.Millis(c.FenceAge, defaultMaxTokenAge)
@@ -95,9 +95,9 @@
 // Fenced handles the result of a StepFence: [lease.Record.Fence] of the group's
 // row. No order is accepted before the first result.
 //
-// An agent that restarted has lost the numbers it had seen. If it accepted the
+// An agent that restarted has lost the tokens it had seen. If it accepted the
 // first order that arrived, an order of a holder that lost its lease long ago could
-// run, so the number is read from the table first. It is read again before each
+// run, so the token is read from the table first. It is read again before each
 // order runs: the next holder owns the lease for a while before its first message
 // arrives, and an order of the previous holder may have waited long for calls in
 // flight.
@@ -112,8 +112,8 @@
 // FenceFailed handles a failed StepFence. [Gate.Next] repeats the read.
 func (g *Gate) FenceFailed(s Step) { g.completePending(s) }
 
-// Raise records a fencing number learned from another source, such as a new
-// holder's report. An order with a lower number that has not been sent to the
+// Raise records a fencing token learned from another source, such as a new
+// holder's report. An order with a lower token that has not been sent to the
 // engine is superseded, since its sender no longer holds the lease.
 func (g *Gate) Raise(token lease.Number) {
 	if token <= g.highestToken {
@@ -125,7 +125,7 @@
 	}
 }
 
-// Number returns the highest fencing number seen.
+// Number returns the highest fencing token seen.
 func (g *Gate) Number() lease.Number { return g.highestToken }
 
 // Phase returns the target's current phase.
@@ -158,8 +158,8 @@
 		// record of a later order that already ran; the incarnation excludes that.
 		return VerdictOtherIncarnation, ""
 	}
-	// An order accepted earlier is answered before the numbers are compared, even
-	// if its sender has lost the lease: the answer has no further effect, and
+	// An order accepted earlier is answered before the tokens are compared, even
+	// if its sender has lost the lease: the reply has no further effect, and
 	// VerdictOld would mean that the order never took effect.
 	if outcome, ok := g.recordedOutcome(o.id); ok {
 		return VerdictSettled, outcome
--- a/pkg/kumquatlug/order/order.go
+++ b/pkg/kumquatlug/order/order.go
@@ -10,12 +10,12 @@
 // planners, or a second order before the first has completed, and planned changes
 // would cut callers' responses.
 //
-// An order carries a fencing number, a sequence number under that fencing number
+// An order carries a fencing token, a sequence number under that fencing token
 // and the incarnation of the agent that it is for. A gate rejects every order
-// until it has read the fencing number from the table. It then rejects orders with
-// a lower fencing number than the highest one seen, orders that are not later than
+// until it has read the fencing token from the table. It then rejects orders with
+// a lower fencing token than the highest one seen, orders that are not later than
 // the last one, and orders for another incarnation. It accepts one order at a
-// time, and reads the fencing number again right before an order runs. After a
+// time, and reads the fencing token again right before an order runs. After a
 // start, a lost reply or a crash the engine's state is unknown until it has been
 // read from the engine, and no order runs before that. An order that takes the
 // engine offline waits, without a time limit, until all calls in flight have
@@ -34,7 +34,7 @@
 // start and is stored in the table.
 type Incarnation int64
 
-// ID identifies an order by the incarnation of the agent, the fencing number and
+// ID identifies an order by the incarnation of the agent, the fencing token and
 // a sequence number. It is unique among the orders to a target.
 type ID struct {
 	incarnation  Incarnation
@@ -42,7 +42,7 @@
 	sequence     int64
 }
 
-// NewID returns an order ID. The sequence starts at 1 for each fencing number.
+// NewID returns an order ID. The sequence starts at 1 for each fencing token.
 func NewID(incarnation Incarnation, token lease.Number, sequence int64) ID {
 	return ID{incarnation: incarnation, fencingToken: token, sequence: sequence}
 }
@@ -57,7 +57,7 @@
 	return id, nil
 }
 
-// String returns the ID as "incarnation/number.sequence".
+// String returns the ID as "incarnation/token.sequence".
 func (i ID) String() string {
 	return fmt.Sprintf("%d/%d.%d", i.incarnation, i.fencingToken, i.sequence)
 }
@@ -65,10 +65,10 @@
 // Incarnation returns the agent incarnation that the order is for.
 func (i ID) Incarnation() Incarnation { return i.incarnation }
 
-// Number returns the fencing number.
+// Number returns the fencing token.
 func (i ID) Number() lease.Number { return i.fencingToken }
 
-// Sequence returns the order's sequence number under its fencing number.
+// Sequence returns the order's sequence number under its fencing token.
 func (i ID) Sequence() int64 { return i.sequence }
 
 // after reports whether the order was issued later than other.
@@ -158,7 +158,7 @@
 	OutcomeApplied Outcome = "applied"
 	// OutcomeNotApplied: the engine refused the order, or its state does not match it.
 	OutcomeNotApplied Outcome = "not-applied"
-	// OutcomeSuperseded: a higher fencing number was seen before the order was
+	// OutcomeSuperseded: a higher fencing token was seen before the order was
 	// sent to the engine.
 	OutcomeSuperseded Outcome = "superseded"
 	// OutcomeUnknown: the agent restarted or has no record of the order. Only the
@@ -182,7 +182,7 @@
 	VerdictOtherIncarnation Verdict = "other-incarnation"
 	// VerdictBusy: another order is in progress.
 	VerdictBusy Verdict = "busy"
-	// VerdictNotReady: the fencing number has not been read from the table, or
+	// VerdictNotReady: the fencing token has not been read from the table, or
 	// the engine's state is unknown.
 	VerdictNotReady Verdict = "not-ready"
 )
@@ -205,7 +205,7 @@
 // Outcome returns how the order ended, empty unless the verdict is VerdictSettled.
 func (r Reply) Outcome() Outcome { return r.outcome }
 
-// Number returns the highest fencing number that the gate has seen.
+// Number returns the highest fencing token that the gate has seen.
 func (r Reply) Number() lease.Number { return r.fencingToken }
 
 // Phase is a target's progress on its current order.
--- a/pkg/kumquatlug/order/order_test.go
+++ b/pkg/kumquatlug/order/order_test.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/lease"
 )
 
-// newReadyGate returns a gate that accepts orders under number.
+// newReadyGate returns a gate that accepts orders under token.
 func newReadyGate(token lease.Number) *Gate {
 	g := NewGate(GateConfig{Incarnation: 1})
 	g.Read(g.Next(0), NewState(true))
--- a/pkg/kumquatlug/order/proof_test.go
+++ b/pkg/kumquatlug/order/proof_test.go
@@ -23,7 +23,7 @@
 	"finish", "finish", "disconnect", "crash", "notice", "restart", "tick", "undisturbed", "undisturbed", "recover",
 }
 
-// Two planners send orders to one engine that ignores fencing numbers. Each may
+// Two planners send orders to one engine that ignores fencing tokens. Each may
 // have lost the lease long ago without having detected it; messages are lost,
 // duplicated and reordered; the agent restarts, the table is unavailable, the
 // engine crashes during a change and restarts with the old or the new role. A
--- a/pkg/kumquatlug/order/sender.go
+++ b/pkg/kumquatlug/order/sender.go
@@ -16,7 +16,7 @@
 
 // Errors of [Sender.Give].
 var (
-	// ErrNoLease is returned when the sender has no fencing number or has lost the
+	// ErrNoLease is returned when the sender has no fencing token or has lost the
 	// lease.
 	ErrNoLease = errors.New("lease on the group is not held")
 	// ErrUnsettled is returned when an order to the target is outstanding or the
@@ -37,7 +37,7 @@
 	Target string
 	// Incarnation is the agent's current incarnation.
 	Incarnation Incarnation
-	// Number is the highest fencing number that the gate has seen.
+	// Number is the highest fencing token that the gate has seen.
 	Number lease.Number
 	// Phase is the target's current phase.
 	Phase Phase
@@ -97,8 +97,8 @@
 	return &Sender{config: c, targets: make(map[string]*targetState)}
 }
 
-// Granted records the fencing number of a newly acquired lease. Outstanding orders
-// under earlier numbers are dropped. The gates let them complete before they accept
+// Granted records the fencing token of a newly acquired lease. Outstanding orders
+// under earlier tokens are dropped. The gates let them complete before they accept
 // another.
 func (s *Sender) Granted(token lease.Number) {
 	if token <= s.fencingToken {
@@ -133,7 +133,7 @@
 	return s.finish(r.Target, OutcomeUnknown)
 }
 
-// observeToken handles a fencing number seen in a message. A number higher than
+// observeToken handles a fencing token seen in a message. A token higher than
 // the sender's own means that the lease was lost, even if it has not yet expired by
 // the local clock.
 func (s *Sender) observeToken(token lease.Number) {
@@ -169,8 +169,8 @@
 }
 
 // Due returns the orders to send now, sorted by target name, and marks them as
-// sent. number and held are the current result of [lease.Holder.Held]; if the lease
-// is not held under the sender's number, Due returns nothing.
+// sent. token and held are the current result of [lease.Holder.Held]; if the lease
+// is not held under the sender's token, Due returns nothing.
 func (s *Sender) Due(now kumquatlug.Millis, token lease.Number, held bool) []Outgoing {
 	if !held || !s.leaseHeld || token != s.fencingToken {
 		return nil
--- a/pkg/kumquatlug/planner/demand.go
+++ b/pkg/kumquatlug/planner/demand.go
@@ -38,7 +38,7 @@
 	return rates{prefill: a.sum.prefill / a.weight, decode: a.sum.decode / a.weight}
 }
 
-// gatewayDemand is the demand through one frontend.
+// gatewayDemand is the demand through one gateway.
 type gatewayDemand struct {
 	gateway string
 	fast    movingAverage
@@ -48,7 +48,7 @@
 	reportedAt   kumquatlug.Millis
 }
 
-// demand is the total demand of all frontends. Each frontend has its own averages: with
+// demand is the total demand of all gateways. Each gateway has its own averages: with
 // a common average a late report would look like a drop in demand.
 type demand struct {
 	fast    kumquatlug.Millis
@@ -89,13 +89,13 @@
 	return s
 }
 
-// dropUnresponsive removes the frontends whose last report is older than limit.
+// dropUnresponsive removes the gateways whose last report is older than limit.
 func (d *demand) dropUnresponsive(now, limit kumquatlug.Millis) {
 	d.sources = slices.DeleteFunc(d.sources, func(s *gatewayDemand) bool { return now-s.reportedAt > limit })
 }
 
-// anyUnresponsive reports whether the last report of any frontend is older than limit, or no
-// frontend has reported.
+// anyUnresponsive reports whether the last report of any gateway is older than limit,
+// or no gateway has reported.
 func (d *demand) anyUnresponsive(now, limit kumquatlug.Millis) bool {
 	for _, s := range d.sources {
 		if now-s.reportedAt > limit {
@@ -121,7 +121,7 @@
 	blendEnd   = 0.30
 )
 
-// estimate returns the estimated demand of all frontends.
+// estimate returns the estimated demand of all gateways.
 func (d *demand) estimate() rates {
 	var fast, slow, smooth rates
 	for _, s := range d.sources {
--- a/pkg/kumquatlug/planner/planner.go
+++ b/pkg/kumquatlug/planner/planner.go
@@ -16,7 +16,7 @@
 //     direction of changes within it;
 //   - limits the share of the group that changes roles concurrently, and picks the
 //     engines with the fewest calls in flight, which drain soonest;
-//   - freezes when reports of engines or frontends are missing: a silent frontend
+//   - freezes when reports of engines or gateways are missing: an unresponsive gateway
 //     looks like a drop in demand, and acting on it would move engines away from
 //     work that still exists.
 //
@@ -74,9 +74,9 @@
 	// Stale is the age above which a report counts as missing. Default 10 s: ten
 	// reports in a row.
 	Stale kumquatlug.Millis
-	// Gone is the time after which a silent frontend is dropped, because its callers
-	// use other frontends by then. Default 1 min: the load balancer has moved them
-	// long before.
+	// Gone is the time after which an unresponsive gateway is dropped, because its
+	// callers use other gateways by then. Default 1 min: the load balancer has moved
+	// them long before.
 	Gone kumquatlug.Millis
 	// Quorum is the minimum share of engines with fresh reports. Default 0.75: the
 	// planner freezes if one data centre of three is missing.
@@ -122,7 +122,7 @@
 	StateWarming State = "warming"
 	// StateFrozenEngines: too few engines have reported recently.
 	StateFrozenEngines State = "frozen-engines"
-	// StateFrozenEntries: a frontend has not reported its demand recently.
+	// StateFrozenEntries: a gateway has not reported its demand recently.
 	StateFrozenEntries State = "frozen-entries"
 )
 
--- a/pkg/kumquatlug/planner/planner_test.go
+++ b/pkg/kumquatlug/planner/planner_test.go
@@ -101,7 +101,7 @@
 }
 
 func TestMissingReportsFreezePlanner(t *testing.T) {
-	// The reports of a frontend or of some engines are missing for a while, and the
+	// The reports of a gateway or of some engines are missing for a while, and the
 	// remaining ones look like a large shift. Acting on it would remove engines from
 	// work that still exists.
 	cases := map[string]struct {
@@ -109,10 +109,10 @@
 		unresponsiveEngines int
 		frozen              State
 	}{
-		"all reporting":       {},
-		"one frontend silent": {unresponsiveGateway: true, frozen: StateFrozenEntries},
-		"four engines silent": {unresponsiveEngines: 4, frozen: StateFrozenEngines},
-		"two engines silent":  {unresponsiveEngines: 2},
+		"all reporting":             {},
+		"one gateway unresponsive":  {unresponsiveGateway: true, frozen: StateFrozenEntries},
+		"four engines unresponsive": {unresponsiveEngines: 4, frozen: StateFrozenEngines},
+		"two engines unresponsive":  {unresponsiveEngines: 2},
 	}
 	for name, c := range cases {
 		g := New(defaultConfig)
@@ -130,7 +130,7 @@
 	}
 }
 
-// lossyPlanner drops the offers of one frontend and the reports of some engines.
+// lossyPlanner drops the offers of one gateway and the reports of some engines.
 type lossyPlanner struct {
 	*Goodput
 	dropOffers          bool
@@ -150,7 +150,7 @@
 }
 
 func TestLateDemandReportsAreNoDemandDrop(t *testing.T) {
-	// The callers with long prompts use one frontend, whose demand reports arrive only
+	// The callers with long prompts use one gateway, whose demand reports arrive only
 	// every eight seconds. If the estimate dropped in between, the planner would move
 	// engines away from prefill and back.
 	g := New(defaultConfig)
@@ -161,7 +161,7 @@
 	}
 }
 
-// batchingPlanner attributes all prompts to one frontend and merges eight of its offers
+// batchingPlanner attributes all prompts to one gateway and merges eight of its offers
 // into one.
 type batchingPlanner struct {
 	*Goodput
--- a/pkg/kumquatlug/quarantine/fleet_test.go
+++ b/pkg/kumquatlug/quarantine/fleet_test.go
@@ -36,7 +36,7 @@
 	crashes      map[Crash]bool
 }
 
-// fleet simulates entries, agents and a claim table, with heartbeats once a
+// fleet simulates gateways, agents and a claim table, with heartbeats once a
 // second.
 type fleet struct {
 	now          kumquatlug.Millis
--- a/pkg/kumquatlug/quarantine/gate.go
+++ b/pkg/kumquatlug/quarantine/gate.go
@@ -21,7 +21,8 @@
 	// table, then call Begin again with Claimed set.
 	VerdictClaim Verdict = "claim"
 	// VerdictElsewhere: a suspect is in flight here; refuse as not-run. The
-	// entry tries other targets, and retries after a delay, until the deadline.
+	// gateway tries other targets, and retries after a delay, until the
+	// deadline.
 	VerdictElsewhere Verdict = "elsewhere"
 	// VerdictRefuse: the call is held or quarantined; refuse as not-run,
 	// without retry.
@@ -38,8 +39,8 @@
 	// is a row in the platform's table under the fingerprint, inserted on the
 	// condition that there is none, and removed when the call ends without a
 	// crash. After a crash it remains for Config.Period, so that no second
-	// isolated run follows even if every process that knew of the first is
-	// gone.
+	// isolated run follows even if every process that knew of the first has
+	// ended.
 	//
 	// Set it also when the table is unavailable. The claim only prevents
 	// concurrent copies. Without it, notices still limit a single copy to its
@@ -125,14 +126,14 @@
 }
 
 // Started records the first output of a call. A call of a plain service, which
-// has no output before its answer, counts as starting until it ends.
+// has no output before its response, counts as starting until it ends.
 func (g *Gate) Started(id string) {
 	if c, ok := g.calls[id]; ok {
 		c.starting = false
 	}
 }
 
-// Ended records that a call ended. whole reports whether its answer was
+// Ended records that a call ended. whole reports whether its response was
 // complete.
 func (g *Gate) Ended(now kumquatlug.Millis, id string, whole bool) {
 	g.Abandon(id)
--- a/pkg/kumquatlug/quarantine/notice.go
+++ b/pkg/kumquatlug/quarantine/notice.go
@@ -92,7 +92,7 @@
 }
 
 // Notice returns the notice of one fingerprint, and reports false if there is
-// none. An entry sends it along with a suspect, so that the agent isolates the
+// none. A gateway sends it along with a suspect, so that the agent isolates the
 // call even if no heartbeat has delivered the notice yet.
 func (r *Register) Notice(now kumquatlug.Millis, f Fingerprint) (Notice, bool) {
 	rec, ok := r.records[f]
--- a/pkg/kumquatlug/quarantine/quarantine.go
+++ b/pkg/kumquatlug/quarantine/quarantine.go
@@ -11,7 +11,7 @@
 //   - At most one suspect is in flight at a target, and while it starts (until
 //     its first output) nothing else starts there; see [Gate].
 //   - It runs only under a claim in the platform's table, so that one copy of
-//     it runs in the whole fleet, whichever entry accepted it (see [Arrival]
+//     it runs in the whole fleet, whichever gateway accepted it (see [Arrival]
 //     for when the table is unavailable).
 //   - If the target crashes while only the suspect was starting, or while it
 //     was the only call there, it is proven to be the cause. It is quarantined,
@@ -22,23 +22,23 @@
 //   - If it finishes, it is free.
 //
 // A crash is identified by target and incarnation, so that one crash seen by
-// several entries counts once. State is exchanged with the heartbeats as
+// several gateways counts once. State is exchanged with the heartbeats as
 // [Notice] values, whose merge does not depend on order or repetition.
 //
 // # Bound on crashes
 //
 // Let n be the number of copies of a request that started as ordinary calls
 // before the notice of its first crash reached their agents, which takes two
-// heartbeats ([Config.Settle]). However often and through whichever entry it is
-// sent, the request crashes at most
+// heartbeats ([Config.Settle]). However often and through whichever gateway it
+// is sent, the request crashes at most
 //
 //   - two targets, if n is 1: one where it runs as an ordinary call, and one in
-//     its isolated run. The claim ensures this when several entries hold the
+//     its isolated run. The claim ensures this when several gateways hold the
 //     same suspect: one claim is granted in the lifetime of its row. While the
-//     table is unavailable, each entry that holds a copy may run it once;
+//     table is unavailable, each gateway that holds a copy may run it once;
 //   - n targets, if n is 2 or more and each copy crashes within Config.Settle
 //     of the first: two crashes are known before a copy is sent for an isolated
-//     run, and none is sent. So two entries that send it at the same moment
+//     run, and none is sent. So two gateways that send it at the same moment
 //     crash two;
 //   - n+1 targets, if copies crash later than that, after the isolated run;
 //   - one more for each other request that is proven to be the cause of a crash
@@ -56,8 +56,8 @@
 // crash proves nothing, and a request that was in flight at two is held only
 // until the cause of one is proven, which takes one isolated run. Two cases
 // remain. A neighbour of two requests that both crash late in their output, so
-// that neither can be proven to be the cause, is held until its entry gives up.
-// So is a call that could not wait to be the only suspect at its target
+// that neither can be proven to be the cause, is held until its gateway gives
+// up. So is a call that could not wait to be the only suspect at its target
 // ([Arrival.Urgent]) and ran there with a suspect that crashes late.
 //
 // The types of this package are not safe for concurrent use.
@@ -164,7 +164,7 @@
 	Period kumquatlug.Millis
 	// Settle is the delay in milliseconds before a suspect that had produced no
 	// output at the crash is sent again. Default 2.5 s: its notices need two
-	// heartbeats of a second each, target to entry and entry to target, and
+	// heartbeats of a second each, target to gateway and gateway to target, and
 	// transmission time. Calls that had produced output are nearly all
 	// unrelated to the crash and are not delayed.
 	Settle kumquatlug.Millis
--- a/pkg/kumquatlug/quarantine/quarantine_test.go
+++ b/pkg/kumquatlug/quarantine/quarantine_test.go
@@ -15,9 +15,9 @@
 
 func TestRequestCrashesAtMostTwoTargets(t *testing.T) {
 	// Some requests crash each target that runs them, at the start or late in
-	// their output, and their callers send them again through any entry.
+	// their output, and their callers send them again through any gateway.
 	// Without a quarantine the whole group crashes, one target after the other,
-	// and all answers are lost; with one that is too broad, their neighbours
+	// and all responses are lost; with one that is too broad, their neighbours
 	// are refused too.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(21))
 	properties.Property("at most two crashes each, harmless requests complete", prop.ForAll(
@@ -41,10 +41,10 @@
 }
 
 func TestCopiesThroughSeveralGatewaysCrashOneTargetEach(t *testing.T) {
-	// A caller sends a request that crashes targets through several entries, at
-	// the same moment or shortly after one another. Entries that have no notice
-	// of the first crash each lose a target to it. Together they must not lose
-	// more than one for each copy in flight.
+	// A caller sends a request that crashes targets through several gateways,
+	// at the same moment or shortly after one another. Gateways that have no
+	// notice of the first crash each lose a target to it. Together they must
+	// not lose more than one for each copy in flight.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(23))
 	properties.Property("at most one target per copy", prop.ForAll(
 		func(seed uint64, delays []int, others int) string {
@@ -70,8 +70,8 @@
 }
 
 func TestCopiesAfterNoticesCrashAtMostTwoTargets(t *testing.T) {
-	// After a crash the entry retries the interrupted call, while the caller
-	// sends it again through the other entries. All of them know it as a
+	// After a crash the gateway retries the interrupted call, while the caller
+	// sends it again through the other gateways. All of them know it as a
 	// suspect. If each granted it an isolated run, four targets would crash.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(24))
 	properties.Property("at most two targets", prop.ForAll(
@@ -146,7 +146,7 @@
 }
 
 func TestCrashSeenTwiceCountsOnce(t *testing.T) {
-	// Two entries lose calls at one crash and notify each other. If crashes
+	// Two gateways lose calls at one crash and notify each other. If crashes
 	// were counted by report and not by the target's incarnation, one crash
 	// would count twice and hold every call that was in flight.
 	r := New(Config{})
@@ -254,9 +254,9 @@
 }
 
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
-	// Entries receive notices of the same crashes in different orders, some
-	// twice. If that mattered, one entry would refuse a caller that another one
-	// serves.
+	// Gateways receive notices of the same crashes in different orders, some
+	// twice. If that mattered, one gateway would refuse a caller that another
+	// one serves.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(22))
 	properties.Property("any order and repetition gives the same standings", prop.ForAll(
 		func(seed uint64) bool {
--- a/pkg/kumquatlug/quarantine/register.go
+++ b/pkg/kumquatlug/quarantine/register.go
@@ -48,7 +48,7 @@
 }
 
 // Register records which fingerprints were in flight at which crashes. Every
-// entry and every agent has one; notices synchronize them.
+// gateway and every agent has one; notices synchronize them.
 type Register struct {
 	config  Config
 	records map[Fingerprint]*record
@@ -60,7 +60,7 @@
 	return &Register{config: c.withDefaults(), records: map[Fingerprint]*record{}}
 }
 
-// Crashed records that a target crashed with these calls in flight. An entry
+// Crashed records that a target crashed with these calls in flight. A gateway
 // reports its own interrupted calls; the agent reports all.
 func (r *Register) Crashed(now kumquatlug.Millis, c Crash, held []Held) {
 	for _, h := range held {
@@ -77,7 +77,7 @@
 	r.evictRecords(now)
 }
 
-// Finished records that a call ended with a complete answer. That clears its
+// Finished records that a call ended with a complete response. That clears its
 // fingerprint, since a request that crashes each target never finishes.
 func (r *Register) Finished(now kumquatlug.Millis, f Fingerprint) {
 	rec, ok := r.records[f]
--- a/pkg/kumquatlug/quarantine/suspects.go
+++ b/pkg/kumquatlug/quarantine/suspects.go
@@ -10,7 +10,7 @@
 // its default.
 type SuspectsConfig struct {
 	// Limit is the number of crashes after which a request is refused. Default
-	// 3: a request whose answer was lost twice by chance has another try, and
+	// 3: a request whose response was lost twice by chance has another try, and
 	// one that crashes its worker each time crashes three.
 	Limit int
 	// Period is how long a crash counts, in milliseconds. Default 1 min: a
@@ -21,15 +21,15 @@
 	Most int
 }
 
-// Suspects counts the crashes of each request for a front that calls targets
+// Suspects counts the crashes of each request for a gateway that calls targets
 // directly. There is no agent that records which requests were in flight at a
-// crash, so the only evidence is a connection that ends without an answer; a
+// crash, so the only evidence is a connection that ends without a response; a
 // [Register], which knows the neighbours, is more exact.
 //
 // It contains the damage of a request that crashes each worker that runs it.
-// Retried by its front and sent again by its client, through every front in
-// turn, such a request crashes a whole group. Each front therefore reports its
-// crashes to the others.
+// Retried by its gateway and sent again by its client, through every gateway in
+// turn, such a request crashes a whole group. Each gateway therefore reports
+// its crashes to the others.
 //
 // Suspects are not safe for concurrent use.
 type Suspects struct {
@@ -51,7 +51,7 @@
 	return &Suspects{config: c, reports: map[Fingerprint][]crashReport{}}
 }
 
-// Any reports whether there is any suspect. If not, a front need not compute
+// Any reports whether there is any suspect. If not, a gateway need not compute
 // the fingerprint of each request.
 func (s *Suspects) Any() bool { return len(s.reports) > 0 }
 
--- a/pkg/kumquatlug/quarantine/suspects_test.go
+++ b/pkg/kumquatlug/quarantine/suspects_test.go
@@ -7,9 +7,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// A request crashes each worker that runs it, and is sent through three fronts
-// in turn. Each reports to the others; after three crashes all fronts refuse
-// it, and the rest of the group stays up.
+// A request crashes each worker that runs it, and is sent through three
+// gateways in turn. Each reports to the others; after three crashes all
+// gateways refuse it, and the rest of the group stays up.
 func TestCrashingRequestIsRefusedByEveryGateway(t *testing.T) {
 	gateways := []*Suspects{NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{})}
 	f := Fingerprint("bad")
@@ -29,8 +29,8 @@
 	}
 }
 
-// The same crash is reported twice, by the front that saw it and by the store.
-// It must count once, and not at all after Period.
+// The same crash is reported twice, by the gateway that saw it and by the
+// store. It must count once, and not at all after Period.
 func TestCrashCountsOnceAndExpires(t *testing.T) {
 	s := NewSuspects(SuspectsConfig{Most: 2})
 	for range 5 {
--- a/pkg/kumquatlug/routing/cache.go
+++ b/pkg/kumquatlug/routing/cache.go
@@ -157,8 +157,8 @@
 
 // Cached applies a cache event of a target: it holds the prefix, or has evicted it.
 // Events arrive late and with gaps. A gap may hide evictions, and the router would then
-// queue calls at a target for a prefix that is gone. The trust in the target's cache
-// therefore falls with the fraction of events lost, down to nothing after a long
+// queue calls at a target for a prefix that was evicted. The trust in the target's
+// cache therefore falls with the fraction of events lost, down to nothing after a long
 // silence, and rises with responses that confirm it ([Router.Hit]).
 func (r *Router) Cached(name string, prefix uint64, sequence int64, evicted bool) {
 	t, ok := r.targets[name]
--- a/pkg/kumquatlug/routing/load.go
+++ b/pkg/kumquatlug/routing/load.go
@@ -40,7 +40,7 @@
 	ready     bool
 	otherZone bool
 	hash      uint64
-	// prefillMsPerToken and decodeMillisPerToken are the milliseconds per prompt
+	// prefillMsPerToken and decodeMsPerToken are the milliseconds per prompt
 	// token, and per output token of a stream alone in the batch, at the target's
 	// weight.
 	prefillMsPerToken float64
--- a/pkg/kumquatlug/routing/pick.go
+++ b/pkg/kumquatlug/routing/pick.go
@@ -46,7 +46,7 @@
 	ReasonAffinity Reason = "affinity"
 )
 
-// Choice is the answer to a [Query].
+// Choice is the result of a [Query].
 type Choice struct {
 	target string
 	reason Reason
--- a/pkg/kumquatlug/routing/routing.go
+++ b/pkg/kumquatlug/routing/routing.go
@@ -46,7 +46,7 @@
 	StateReady State = "ready"
 	// StateDraining finishes the work in flight and takes no new work.
 	StateDraining State = "draining"
-	// StateAway is changing its role or model, or is gone.
+	// StateAway is changing its role or model, or has left.
 	StateAway State = "away"
 )
 
@@ -73,7 +73,7 @@
 	DecodeRate float64
 }
 
-// Config configures a [Router]. The zero value of each field but Source stands for its
+// Config configures a [Router]. The zero value of each field but Source selects its
 // default.
 type Config struct {
 	// Source is the source of randomness of the choices; required.
@@ -189,7 +189,7 @@
 		pools:    map[kumquatlug.Kind]*pool{},
 		cache:    newPrefixIndex(c.PrefixKeys),
 		gateways: 1,
-		// Initial means: a page of text and a short answer.
+		// Initial means: a page of text and a short response.
 		meanPrefill: 1000,
 		meanDecode:  200,
 	}
--- a/pkg/kumquatlug/usage/reporter.go
+++ b/pkg/kumquatlug/usage/reporter.go
@@ -325,7 +325,7 @@
 	return n
 }
 
-// stale reports whether the gateway of a tally was gone before the next window.
+// stale reports whether the gateway of a tally had ended before the next window.
 func (r *Reporter) stale(t Tally) bool {
 	return t.countedUntil < r.windows.End(r.nextWindow-staleTallyWindows)
 }
--- a/pkg/kumquatlug/usage/simulation_test.go
+++ b/pkg/kumquatlug/usage/simulation_test.go
@@ -141,7 +141,7 @@
 }
 
 // stepGateway has one gateway store its tally and make its reporter's calls.
-// FencingToken is the one of the lease that the gateway believes it holds.
+// fencingToken is that of the lease that the gateway assumes it holds.
 func (s *simulation) stepGateway(gateway int, fencingToken int64) {
 	if s.now%1250 == 0 {
 		tally := s.counters[gateway].Tally(s.now, false)
--- a/pkg/kumquatlug/usage/usage.go
+++ b/pkg/kumquatlug/usage/usage.go
@@ -127,7 +127,7 @@
 }
 
 // minPastDueWindows is how many windows past their due time a tally holds before the
-// store is asked which windows are finalized.
+// store is queried for which windows are finalized.
 const minPastDueWindows = 3
 
 // Old reports whether several windows were stored so long ago that they have most
