--- a/pkg/kumquatlug/admission/queue.go
+++ b/pkg/kumquatlug/admission/queue.go
@@ -1,4 +1,4 @@
-// Package admission implements the admission queue of an entry: which request is
+// Package admission implements the admission queue of a gateway: which request is
 // served next, which wait and which are refused.
 //
 // It handles load above the capacity of the targets, for seconds (a burst) or
@@ -61,9 +61,9 @@
 )
 
 const (
-	// maxWaitFraction is the fraction of a request's slack that it may wait. The
+	// maxWaitShare is the share of a request's slack that it may wait. The
 	// remaining tenth absorbs variations of the drain rate.
-	maxWaitFraction = 0.9
+	maxWaitShare = 0.9
 )
 
 // Config configures a [Queue]. Zero fields take their defaults.
@@ -118,7 +118,7 @@
 	return c
 }
 
-// Queue holds the waiting requests of one entry, in a separate queue per kind.
+// Queue holds the waiting requests of one gateway, in a separate queue per kind.
 type Queue struct {
 	config     Config
 	kindQueues map[kumquatlug.Kind]*kindQueue
@@ -167,7 +167,7 @@
 	return Decision{verdict: VerdictQueued, wait: wait, displaced: q.refusals}
 }
 
-// allowedWait returns how long r may wait: maxWaitFraction of its slack (the time
+// allowedWait returns how long r may wait: maxWaitShare of its slack (the time
 // to its deadline less its service time), and at most StandingWait in a standing
 // queue. A queue that hasn't been empty for seconds no longer absorbs a burst. It
 // keeps the targets no busier than a short queue would and only adds latency,
@@ -177,7 +177,7 @@
 	if slack < 0 {
 		return slack
 	}
-	allowed := kumquatlug.Millis(maxWaitFraction * float64(slack))
+	allowed := kumquatlug.Millis(maxWaitShare * float64(slack))
 	if now-kq.lastEmptyAt > q.config.StandingAfter {
 		return min(allowed, q.config.StandingWait)
 	}
@@ -279,7 +279,7 @@
 	return true
 }
 
-// Served adds work that targets have finished for this entry, in prompt tokens
+// Served adds work that targets have finished for this gateway, in prompt tokens
 // (see [Cost]), to the drain rate of a kind. Call it as output streams in: with
 // the prompt at the first token, then with each part of the output. If long
 // responses were counted only at their end, the rate would drop to zero in
--- a/pkg/kumquatlug/dispatch/candidates.go
+++ b/pkg/kumquatlug/dispatch/candidates.go
@@ -38,7 +38,7 @@
 		d.addLimits(name)
 		d.setCandidate(now, name, duties[name])
 	}
-	d.updateEntryCount()
+	d.updateGatewayCount()
 }
 
 // addLimits creates the limits of a target that has none. A target that is removed
@@ -54,8 +54,8 @@
 	d.services.Add(name)
 }
 
-// subset returns the targets of a kind that this entry uses: a subset of the
-// engines, but all services, since every entry must compute the same rendezvous
+// subset returns the targets of a kind that this gateway uses: a subset of the
+// engines, but all services, since every gateway must compute the same rendezvous
 // order for a run-once key.
 func (d *Dispatcher) subset(kind kumquatlug.Kind) []string {
 	var names []string
@@ -67,7 +67,7 @@
 	if kind.Protocol() == kumquatlug.ProtocolService {
 		return names
 	}
-	return routing.Subset(d.entries, d.c.Entry, names, d.c.Subset)
+	return routing.Subset(d.gateways, d.c.Entry, names, d.c.Subset)
 }
 
 // selectorsFor returns the selectors that assign kind to the target, whether or not
@@ -155,9 +155,10 @@
 	d.router.Set(now, candidate)
 }
 
-// updateEntryCount sets how many entries share the limits of callers and targets.
-func (d *Dispatcher) updateEntryCount() {
-	n := max(1, len(d.entries))
+// updateGatewayCount sets how many gateways share the limits of callers and
+// targets.
+func (d *Dispatcher) updateGatewayCount() {
+	n := max(1, len(d.gateways))
 	d.callers.SetEntries(n)
 	sharing := max(1, min(n, routing.Replicas(n, len(d.members.Names()), d.c.Subset)))
 	d.engines.SetEntries(sharing)
--- a/pkg/kumquatlug/dispatch/choose.go
+++ b/pkg/kumquatlug/dispatch/choose.go
@@ -30,7 +30,7 @@
 	r.sentAt, r.firstTokenAt = now, 0
 	limits := d.limits(r.c.Kind)
 	r.ticket = limits.Begin(now, target, r.kvTokens())
-	limits.Tolerate(&r.ticket, r.c.Deadline-r.c.Arrival, kumquatlug.Millis(r.nominalMillis()))
+	limits.Tolerate(&r.ticket, r.c.Deadline-r.c.Arrival, kumquatlug.Millis(r.nominalMs()))
 	d.router.Sent(now, target, routing.Call{
 		ID: r.c.ID, Prefix: r.c.Prefix, PrefillTokens: int(r.c.PrefillTokens) - cached, DecodeTokens: int(r.c.DecodeTokens),
 	})
@@ -74,9 +74,10 @@
 }
 
 // chooseByKey returns the first ready target in the rendezvous order of the
-// run-once key, so that every entry sends a key to the same agent. If that target
-// has no capacity the request waits for it. The next target would be correct too,
-// but a later resend would then reach another agent and cost a read of the table.
+// run-once key, so that every gateway sends a key to the same agent. If that
+// target has no capacity the request waits for it. The next target would be
+// correct too, but a later resend would then reach another agent and cost a read
+// of the table.
 func (d *Dispatcher) chooseByKey(r *request) (string, bool) {
 	order := routing.ServiceOrder(r.c.OnceKey, d.ready(r.c.Kind))
 	for _, name := range order {
--- a/pkg/kumquatlug/order/engine_test.go
+++ b/pkg/kumquatlug/order/engine_test.go
@@ -1,6 +1,6 @@
 package order
 
-// step executes the gate's next request to the engine or the table. A late answer
+// step executes the gate's next request to the engine or the table. A late response
 // carries the state at the time it was sent.
 func (w *world) step(fails, late bool) {
 	defer w.checkFinished()
@@ -12,8 +12,8 @@
 		answer = func() { gate.Read(s, state) }
 		failure = func() { gate.ReadFailed(s) }
 	case StepFence:
-		number := w.leaseNumber
-		answer = func() { gate.Fenced(s, number) }
+		token := w.leaseToken
+		answer = func() { gate.Fenced(s, token) }
 		failure = func() { gate.FenceFailed(s) }
 	case StepRun:
 		w.checkFinished()
@@ -42,7 +42,7 @@
 	if w.engine.reloading && !w.crashUnnoticed {
 		w.fail("order %s reached an engine that was still restarting", id)
 	}
-	if lost, gone := w.leaseLostAt[id.Number()]; gone && w.now-lost > defaultMaxNumberAge {
+	if lost, gone := w.leaseLostAt[id.Number()]; gone && w.now-lost > defaultMaxTokenAge {
 		w.fail("order %s ran %d ms after its sender lost the lease", id, w.now-lost)
 	}
 	if w.ran[id] {
@@ -81,7 +81,7 @@
 	}
 }
 
-// finishChange completes the engine's change; the answer may be delayed.
+// finishChange completes the engine's change; the response may be delayed.
 func (w *world) finishChange(late bool) {
 	w.engine.reloading = false
 	if w.engine.changing == nil {
--- a/pkg/kumquatlug/planner/planner.go
+++ b/pkg/kumquatlug/planner/planner.go
@@ -16,7 +16,7 @@
 //     direction of changes within it;
 //   - limits the share of the group that changes roles concurrently, and picks the
 //     engines with the fewest calls in flight, which drain soonest;
-//   - freezes when reports of engines or frontends are missing: a silent frontend
+//   - freezes when reports of engines or gateways are missing: an unresponsive gateway
 //     looks like a drop in demand, and acting on it would move engines away from
 //     work that still exists.
 //
@@ -74,9 +74,9 @@
 	// Stale is the age above which a report counts as missing. Default 10 s: ten
 	// reports in a row.
 	Stale kumquatlug.Millis
-	// Gone is the time after which a silent frontend is dropped, because its callers
-	// use other frontends by then. Default 1 min: the load balancer has moved them
-	// long before.
+	// Gone is the time after which an unresponsive gateway is dropped, because its
+	// callers use other gateways by then. Default 1 min: the load balancer has moved
+	// them long before.
 	Gone kumquatlug.Millis
 	// Quorum is the minimum share of engines with fresh reports. Default 0.75: the
 	// planner freezes if one data centre of three is missing.
@@ -122,7 +122,7 @@
 	StateWarming State = "warming"
 	// StateFrozenEngines: too few engines have reported recently.
 	StateFrozenEngines State = "frozen-engines"
-	// StateFrozenEntries: a frontend has not reported its demand recently.
+	// StateFrozenEntries: a gateway has not reported its demand recently.
 	StateFrozenEntries State = "frozen-entries"
 )
 
@@ -134,9 +134,9 @@
 	demand *demand
 	state  State
 	// changedAt and changedTo are the time and the new role of the last change.
-	changedAt    kumquatlug.Millis
-	changedTo    kumquatlug.Role
-	changeMillis float64
+	changedAt kumquatlug.Millis
+	changedTo kumquatlug.Role
+	changeMs  float64
 }
 
 var _ kumquatlug.RolePlanner = (*Goodput)(nil)
@@ -146,7 +146,7 @@
 	c = c.withDefaults()
 	return &Goodput{
 		config: c, group: newGroup(c.PrefillRate, c.DecodeRate), demand: newDemand(c.Fast, c.Slow),
-		state: StateWarming, changeMillis: float64(c.Away),
+		state: StateWarming, changeMs: float64(c.Away),
 	}
 }
 
@@ -157,12 +157,12 @@
 // new role updates the mean duration of a change.
 func (g *Goodput) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
 	if duration := g.group.report(now, e); duration > 0 {
-		g.changeMillis += changeMillisWeight * (float64(duration) - g.changeMillis)
+		g.changeMs += changeMsWeight * (float64(duration) - g.changeMs)
 	}
 }
 
-// changeMillisWeight is the weight of one change in the mean duration of changes.
-const changeMillisWeight = 0.25
+// changeMsWeight is the weight of one change in the mean duration of changes.
+const changeMsWeight = 0.25
 
 // Refused implements [kumquatlug.RolePlanner].
 func (g *Goodput) Refused(_ kumquatlug.Millis, target string) { g.group.refused(target) }
@@ -191,11 +191,11 @@
 // readiness returns StateSteady if the available reports suffice for a decision, else
 // the state that prevents one.
 func (g *Goodput) readiness(now kumquatlug.Millis) State {
-	g.demand.dropSilent(now, g.config.Gone)
+	g.demand.dropUnresponsive(now, g.config.Gone)
 	switch {
 	case !g.group.enoughReports(now, g.config.Stale, g.config.Quorum):
 		return StateFrozenEngines
-	case g.demand.anySilent(now, g.config.Stale):
+	case g.demand.anyUnresponsive(now, g.config.Stale):
 		return StateFrozenEntries
 	case g.demand.age(now) < g.config.Fast*2:
 		return StateWarming
@@ -245,7 +245,7 @@
 
 // moveCost returns the cost of moving engines, in milliseconds of one engine's work.
 func (g *Goodput) moveCost(move int) float64 {
-	return g.config.Price * g.changeMillis * float64(move)
+	return g.config.Price * g.changeMs * float64(move)
 }
 
 // load is the demand on each side, in units of one engine's capacity.
--- a/pkg/kumquatlug/planner/planner_test.go
+++ b/pkg/kumquatlug/planner/planner_test.go
@@ -101,23 +101,23 @@
 }
 
 func TestMissingReportsFreezePlanner(t *testing.T) {
-	// The reports of a frontend or of some engines are missing for a while, and the
+	// The reports of a gateway or of some engines are missing for a while, and the
 	// remaining ones look like a large shift. Acting on it would remove engines from
 	// work that still exists.
 	cases := map[string]struct {
-		silentFrontend bool
-		silentEngines  int
-		frozen         State
+		unresponsiveGateway bool
+		unresponsiveEngines int
+		frozen              State
 	}{
-		"all reporting":       {},
-		"one frontend silent": {silentFrontend: true, frozen: StateFrozenEntries},
-		"four engines silent": {silentEngines: 4, frozen: StateFrozenEngines},
-		"two engines silent":  {silentEngines: 2},
+		"all reporting":             {},
+		"one gateway unresponsive":  {unresponsiveGateway: true, frozen: StateFrozenEntries},
+		"four engines unresponsive": {unresponsiveEngines: 4, frozen: StateFrozenEngines},
+		"two engines unresponsive":  {unresponsiveEngines: 2},
 	}
 	for name, c := range cases {
 		g := New(defaultConfig)
 		newSimGroup(g, 1, 12, 6).run(120, 4, 4)
-		s := newSimGroup(&lossyPlanner{Goodput: g, dropOffers: c.silentFrontend, silentEngines: c.silentEngines}, 2, 12, 6)
+		s := newSimGroup(&lossyPlanner{Goodput: g, dropOffers: c.unresponsiveGateway, unresponsiveEngines: c.unresponsiveEngines}, 2, 12, 6)
 		s.now = 120 * kumquatlug.Second
 		s.run(15, 4, 4)
 		s.run(40, 9, 1)
@@ -130,11 +130,11 @@
 	}
 }
 
-// lossyPlanner drops the offers of one frontend and the reports of some engines.
+// lossyPlanner drops the offers of one gateway and the reports of some engines.
 type lossyPlanner struct {
 	*Goodput
-	dropOffers    bool
-	silentEngines int
+	dropOffers          bool
+	unresponsiveEngines int
 }
 
 func (p *lossyPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
@@ -144,13 +144,13 @@
 }
 
 func (p *lossyPlanner) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) {
-	if e.Target >= fmt.Sprintf("e%02d", p.silentEngines) {
+	if e.Target >= fmt.Sprintf("e%02d", p.unresponsiveEngines) {
 		p.Goodput.Report(now, e)
 	}
 }
 
 func TestLateDemandReportsAreNoDemandDrop(t *testing.T) {
-	// The callers with long prompts use one frontend, whose demand reports arrive only
+	// The callers with long prompts use one gateway, whose demand reports arrive only
 	// every eight seconds. If the estimate dropped in between, the planner would move
 	// engines away from prefill and back.
 	g := New(defaultConfig)
@@ -161,7 +161,7 @@
 	}
 }
 
-// batchingPlanner attributes all prompts to one frontend and merges eight of its offers
+// batchingPlanner attributes all prompts to one gateway and merges eight of its offers
 // into one.
 type batchingPlanner struct {
 	*Goodput
