--- a/test/front/front_test.go
+++ b/test/front/front_test.go
@@ -23,16 +23,16 @@
 // A quiet site: one request of each kind arrives at each of two fronts. Each is
 // answered whole, with the worker's stamp, and runs once; the long prompt is read
 // at a reading engine first.
-func TestCalmDay(t *testing.T) {
+func TestRequestsWithoutFaults(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 2, Decode: 1, Plain: 2, Events: 5, Pause: time.Millisecond})
 	for _, name := range []string{"front-1", "front-2"} {
-		p := newFront(t, s, name)
-		wantWhole(t, p.post(name+"-post"), fleet.Body(name+"-post"))
-		wantWhole(t, p.look(name+"-look"), fleet.Body(name+"-look"))
-		wantWhole(t, p.long(name+"-long"), stream(name+"-long", 5))
-		wantWhole(t, p.chat(name+"-chat"), stream(name+"-chat", 5))
+		p := newGateway(t, s, name)
+		requireComplete(t, p.post(name+"-post"), fleet.Body(name+"-post"))
+		requireComplete(t, p.lookup(name+"-look"), fleet.Body(name+"-look"))
+		requireComplete(t, p.longPrompt(name+"-long"), streamBody(name+"-long", 5))
+		requireComplete(t, p.chat(name+"-chat"), streamBody(name+"-chat", 5))
 		for _, kind := range []string{"-post", "-look"} {
-			if n := total(s.Plain, name+kind); n != 1 {
+			if n := totalRuns(s.Plain, name+kind); n != 1 {
 				t.Errorf("%s ran %d times", name+kind, n)
 			}
 		}
@@ -40,7 +40,7 @@
 	if s.Engines[0].Prompts()+s.Engines[1].Prompts() != 2 {
 		t.Error("the long prompts were not read apart")
 	}
-	if got := newFront(t, s, "front-3").ask(context.Background(), http.MethodGet, "/none/", "none", nil); got.status != http.StatusNotFound {
+	if got := newGateway(t, s, "front-3").do(context.Background(), http.MethodGet, "/none/", "none", nil); got.status != http.StatusNotFound {
 		t.Errorf("a path without a route: status %d", got.status)
 	}
 }
@@ -48,14 +48,14 @@
 // A worker is about to be shut down and says so in the store. Requests that go
 // there after two seconds are lost with it; a user would see them fail during
 // every planned change.
-func TestDrain(t *testing.T) {
+func TestDrainingWorkerGetsNoRequests(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
-	p := newFront(t, s, "front-1")
+	p := newGateway(t, s, "front-1")
 	s.Announce(s.Plain[0], "draining")
 	eventually(t, "the front knows", func() bool { return len(p.log(`"draining"`)) > 0 })
 	before := len(s.Plain[0].Runs())
 	for i := range 20 {
-		wantWhole(t, p.post(fmt.Sprintf("post-%d", i)), fleet.Body(fmt.Sprintf("post-%d", i)))
+		requireComplete(t, p.post(fmt.Sprintf("post-%d", i)), fleet.Body(fmt.Sprintf("post-%d", i)))
 	}
 	if after := len(s.Plain[0].Runs()); after != before {
 		t.Errorf("the draining worker got %d requests", after-before)
@@ -70,9 +70,9 @@
 // The operator moves a route to a path of another host and adds one. A front
 // that went on by the old version would run requests that are no longer allowed
 // and refuse those that are.
-func TestConfigChange(t *testing.T) {
+func TestConfigChangeTakesEffect(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
-	p := newFront(t, s, "front-1")
+	p := newGateway(t, s, "front-1")
 	s.SetConfig(func(routes map[string]site.Route) {
 		delete(routes, site.PathPost)
 		routes["/added/"] = site.Route{"kind": "idempotent", "service": site.Desk, "timeout_ms": 1000, "max_attempts": 2}
@@ -82,23 +82,23 @@
 		t.Errorf("a route that is gone: status %d", got.status)
 	}
 	id := "added"
-	wantWhole(t, p.ask(context.Background(), http.MethodGet, "/added/1", id, nil), fleet.Body(id))
+	requireComplete(t, p.do(context.Background(), http.MethodGet, "/added/1", id, nil), fleet.Body(id))
 }
 
 // The store does what it is asked and its answer is lost, then it refuses, resets
 // and falls silent. Requests must not notice, and when it is back the changes made
 // meanwhile must come into force.
-func TestStoreTrouble(t *testing.T) {
+func TestStoreFaultsDoNotAffectRequests(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
-	p := newFront(t, s, "front-1")
+	p := newGateway(t, s, "front-1")
 	for i, fault := range []string{"lost", "busy", "reset", "silent"} {
 		s.Store.SetFault(rowstoreFault(fault))
 		id := fmt.Sprintf("post-%d", i)
-		wantWhole(t, p.post(id), fleet.Body(id))
+		requireComplete(t, p.post(id), fleet.Body(id))
 		before := len(p.log("config in force"))
 		s.SetConfig(nil)
 		s.Store.Forget()
-		pause(200 * time.Millisecond)
+		sleep(200 * time.Millisecond)
 		s.Store.SetFault(rowstoreFault(""))
 		eventually(t, "the config of the outage is in force after "+fault, func() bool {
 			return len(p.log("config in force")) > before
@@ -110,28 +110,28 @@
 // what it has, go on taking requests while the balancer may still send some, and
 // refuse at once what it could not finish; a connection that is cut would be an
 // error for its user during every update.
-func TestStopUnderLoad(t *testing.T) {
+func TestGracefulStopUnderLoad(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 1, Decode: 1, Plain: 2, Events: 8, Pause: 20 * time.Millisecond})
-	p := newFront(t, s, "front-1")
+	p := newGateway(t, s, "front-1")
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	var cut []string
+	var interrupted []string
 	refused, served := 0, 0
-	begun := time.Now()
+	started := time.Now()
 	for worker := range 4 {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for i := 0; time.Since(begun) < 2700*time.Millisecond; i++ {
+			for i := 0; time.Since(started) < 2700*time.Millisecond; i++ {
 				id := fmt.Sprintf("c%d-%d", worker, i)
 				got := p.post(id)
 				if worker%2 == 0 {
-					got = p.long(id + "l")
+					got = p.longPrompt(id + "l")
 				}
 				mu.Lock()
 				switch {
 				case got.err != nil:
-					cut = append(cut, fmt.Sprintf("%s after %v: %v", id, time.Since(begun), got.err))
+					interrupted = append(interrupted, fmt.Sprintf("%s after %v: %v", id, time.Since(started), got.err))
 				case got.status == http.StatusOK:
 					served++
 				case got.status == http.StatusServiceUnavailable:
@@ -141,13 +141,13 @@
 			}
 		}()
 	}
-	pause(200 * time.Millisecond)
+	sleep(200 * time.Millisecond)
 	p.signal(syscall.SIGTERM)
 	eventually(t, "the front is unready", func() bool { return !p.isReady() })
 	group.Wait()
 	<-p.done
-	if len(cut) > 0 {
-		t.Errorf("%d requests were cut, first: %s", len(cut), cut[0])
+	if len(interrupted) > 0 {
+		t.Errorf("%d requests were cut, first: %s", len(interrupted), interrupted[0])
 	}
 	if served == 0 {
 		t.Error("nothing was served")
@@ -159,29 +159,29 @@
 
 // All fronts are killed at the same moment and started again. Nothing is kept on
 // the machines: they must serve again from the store alone within seconds.
-func TestAllKilled(t *testing.T) {
+func TestAllGatewaysRestartAfterKill(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 1, Decode: 1, Plain: 1, Events: 3, Pause: time.Millisecond})
-	fronts := []*process{newFront(t, s, "front-1"), newFront(t, s, "front-2")}
-	for _, p := range fronts {
+	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
+	for _, p := range gateways {
 		p.kill()
 	}
-	begun := time.Now()
-	for _, p := range fronts {
+	started := time.Now()
+	for _, p := range gateways {
 		p.start()
 	}
-	for _, p := range fronts {
+	for _, p := range gateways {
 		p.waitReady()
-		wantWhole(t, p.post(p.name+"-again"), fleet.Body(p.name+"-again"))
+		requireComplete(t, p.post(p.name+"-again"), fleet.Body(p.name+"-again"))
 	}
-	t.Logf("both served again after %v", time.Since(begun))
+	t.Logf("both served again after %v", time.Since(started))
 }
 
 // Four engines of six start as generating ones. One front of two holds the lease
 // and orders them into the split; both may never give orders in turn.
-func TestOneGiver(t *testing.T) {
+func TestOnlyLeaseHolderSendsOrders(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 2, Decode: 4, Plain: 1, Events: 1})
-	newFront(t, s, "front-1")
-	newFront(t, s, "front-2")
+	newGateway(t, s, "front-1")
+	newGateway(t, s, "front-2")
 	eventually(t, "the split is there", func() bool {
 		prefill := 0
 		for _, e := range s.Engines {
@@ -192,14 +192,14 @@
 		}
 		return prefill == 4
 	})
-	givers := map[string]bool{}
+	issuers := map[string]bool{}
 	for _, e := range s.Engines {
 		for _, o := range e.Orders() {
-			givers[o[strings.Index(o, " by "):]] = true
+			issuers[o[strings.Index(o, " by "):]] = true
 		}
 	}
-	if len(givers) != 1 {
-		t.Errorf("orders came from %v", givers)
+	if len(issuers) != 1 {
+		t.Errorf("orders came from %v", issuers)
 	}
 }
 
@@ -207,8 +207,8 @@
 // must go on: the next request on the same one is answered.
 func TestReloadKeepsConnections(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 1})
-	p := newFront(t, s, "front-1")
-	c, err := net.Dial("tcp", p.clients)
+	p := newGateway(t, s, "front-1")
+	c, err := net.Dial("tcp", p.clientAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,9 +231,9 @@
 // A request ends the worker that runs it, each time it comes. After three times
 // through one front the other one must refuse it, too; both would else go on
 // taking workers down, one after the other. Other requests are served.
-func TestARequestThatCrashesWorkersIsRefusedEverywhere(t *testing.T) {
+func TestCrashingRequestIsRefusedByEveryGateway(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 2})
-	first, second := newFront(t, s, "front-1"), newFront(t, s, "front-2")
+	first, second := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
 	for _, w := range s.Plain {
 		w.SetFault(fleet.FaultLost)
 	}
@@ -248,29 +248,29 @@
 	for _, w := range s.Plain {
 		w.SetFault(fleet.FaultNone)
 	}
-	if got := first.post("bad-last"); got.status != http.StatusServiceUnavailable || total(s.Plain, "bad-last") != 0 {
-		t.Errorf("status %d, ran %d times", got.status, total(s.Plain, "bad-last"))
+	if got := first.post("bad-last"); got.status != http.StatusServiceUnavailable || totalRuns(s.Plain, "bad-last") != 0 {
+		t.Errorf("status %d, ran %d times", got.status, totalRuns(s.Plain, "bad-last"))
 	}
-	wantWhole(t, second.look("good"), fleet.Body("good"))
+	requireComplete(t, second.lookup("good"), fleet.Body("good"))
 }
 
 // A deployment starts with a bad file and a bad flag. "check" must tell all of it
 // at once and run nothing; a front must not start with half of its settings.
-func TestBadSettingsAreToldAtOnce(t *testing.T) {
+func TestAllSettingsErrorsAreReported(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(file, []byte("node_name = \"n\"\n[listen]\nfrontend = \"nowhere\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, words := range [][]string{{"check", "front", "--read-part", "2"}, {"front", "--read-part", "2"}} {
-		cmd := exec.Command(binary, words...)
+	for _, args := range [][]string{{"check", "front", "--read-part", "2"}, {"front", "--read-part", "2"}} {
+		cmd := exec.Command(binary, args...)
 		cmd.Env = append(os.Environ(), "KUMQUATLUG_SETTINGS="+file)
 		out, err := cmd.CombinedOutput()
 		if err == nil {
-			t.Errorf("%v: no error", words)
+			t.Errorf("%v: no error", args)
 		}
-		for _, part := range []string{"--read-part", "listen.frontend in the settings file", "limits.memory_mb", "platform.address"} {
-			if !strings.Contains(string(out), part) {
-				t.Errorf("%v: %q is not told in %s", words, part, out)
+		for _, setting := range []string{"--read-part", "listen.frontend in the settings file", "limits.memory_mb", "platform.address"} {
+			if !strings.Contains(string(out), setting) {
+				t.Errorf("%v: %q is not told in %s", args, setting, out)
 			}
 		}
 	}
@@ -280,22 +280,22 @@
 // has to read from now on, and would do so only when its last stream has ended.
 // Instead its streams go on at the others, through both fronts, and every user
 // has a whole stream that ran once.
-func TestStreamsMoveWhenAnEngineChangesItsRole(t *testing.T) {
+func TestStreamsMoveWhenEngineChangesRole(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 4, Decode: 2, Events: 400, Pause: 10 * time.Millisecond})
-	fronts := []*process{newFront(t, s, "front-1"), newFront(t, s, "front-2")}
+	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	answers := map[string]answer{}
+	responses := map[string]response{}
 	const streams = 4
 	for i := range streams {
 		id := fmt.Sprintf("stream-%d", i)
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			got := fronts[i%2].chat(id)
+			got := gateways[i%2].chat(id)
 			mu.Lock()
 			defer mu.Unlock()
-			answers[id] = got
+			responses[id] = got
 		}()
 	}
 	eventually(t, "all streams run", func() bool {
@@ -317,7 +317,7 @@
 	if moved == 0 {
 		t.Error("no stream was moved")
 	}
-	for id, got := range answers {
-		wantWhole(t, got, stream(id, 400))
+	for id, got := range responses {
+		requireComplete(t, got, streamBody(id, 400))
 	}
 }
--- a/test/front/limits_test.go
+++ b/test/front/limits_test.go
@@ -14,33 +14,33 @@
 
 // What the users' rules allow a worker that names a limit to get.
 const (
-	// limitNotice is how long after it first named its limit that holds.
-	limitNotice = 3 * time.Second
-	limitSpan   = 4 * time.Second
-	limitFactor = 1.5
-	limitExtra  = 5
+	// limitGracePeriod is how long after it first named its limit that holds.
+	limitGracePeriod = 3 * time.Second
+	limitWindow      = 4 * time.Second
+	limitFactor      = 1.5
+	limitBurst       = 5
 )
 
-// allowed is the most requests in a span that a limit allows.
-func allowed(perSecond float64) int {
-	return int(limitFactor*perSecond*limitSpan.Seconds()) + limitExtra
+// maxRequests is the most requests in a span that a limit allows.
+func maxRequests(perSecond float64) int {
+	return int(limitFactor*perSecond*limitWindow.Seconds()) + limitBurst
 }
 
-// outcomes counts what became of a load's requests.
-type outcomes struct {
-	mu            sync.Mutex
-	whole, others int
-	last          answer
+// loadResult counts what became of a load's requests.
+type loadResult struct {
+	mu                sync.Mutex
+	succeeded, failed int
+	lastFailure       response
 }
 
-// steadyLoad sends requests through fronts, one after the other for each time that a
+// startLoad sends requests through fronts, one after the other for each time that a
 // front is named, with a pause between, until stop is closed. The function that it returns waits for the rest.
-func steadyLoad(
-	fronts []*process, pace time.Duration, stop <-chan struct{}, name string, send func(p *process, id string) answer,
-) func() *outcomes {
+func startLoad(
+	gateways []*process, interval time.Duration, stop <-chan struct{}, name string, send func(p *process, id string) response,
+) func() *loadResult {
 	var group sync.WaitGroup
-	all := &outcomes{}
-	for n, p := range fronts {
+	result := &loadResult{}
+	for n, p := range gateways {
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -48,60 +48,60 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(pace):
+				case <-time.After(interval):
 				}
 				got := send(p, fmt.Sprintf("%s-%d-%d", name, n, i))
-				all.mu.Lock()
+				result.mu.Lock()
 				if got.err == nil && got.status == http.StatusOK {
-					all.whole++
+					result.succeeded++
 				} else {
-					all.others++
-					all.last = got
+					result.failed++
+					result.lastFailure = got
 				}
-				all.mu.Unlock()
+				result.mu.Unlock()
 			}
 		}()
 	}
-	return func() *outcomes {
+	return func() *loadResult {
 		group.Wait()
-		return all
+		return result
 	}
 }
 
 // A worker of each kind is in need and names a limit, while three fronts send it several
 // times that. More than it takes would bring it down, and its requests with it; the
 // others have room for all.
-func TestFrontsTogetherKeepToAWorkersLimit(t *testing.T) {
+func TestGatewaysTogetherStayWithinWorkerLimit(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 3, Decode: 3, Plain: 3, Events: 2, Pause: 10 * time.Millisecond})
-	fronts := []*process{newFront(t, s, "front-1"), newFront(t, s, "front-2"), newFront(t, s, "front-3")}
-	for _, p := range fronts {
+	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2"), newGateway(t, s, "front-3")}
+	for _, p := range gateways {
 		// One that starts again uses its whole share.
 		p.kill()
 		p.start()
 		p.waitReady()
 	}
 	stop := make(chan struct{})
-	clients := slices.Concat(fronts, fronts, fronts)
-	looks := steadyLoad(clients, 20*time.Millisecond, stop, "look", (*process).look)
-	longs := steadyLoad(clients, 30*time.Millisecond, stop, "long", (*process).long)
-	pause(time.Second)
+	clients := slices.Concat(gateways, gateways, gateways)
+	lookups := startLoad(clients, 20*time.Millisecond, stop, "look", (*process).lookup)
+	longPrompts := startLoad(clients, 30*time.Millisecond, stop, "long", (*process).longPrompt)
+	sleep(time.Second)
 	limits := map[*fleet.Worker]float64{s.Plain[0]: 4, s.Engines[0]: 3, s.Engines[3]: 5}
 	for w, perSecond := range limits {
 		w.SetLimit(perSecond)
 	}
-	told := time.Now()
-	pause(limitNotice + limitSpan + time.Second)
+	announced := time.Now()
+	sleep(limitGracePeriod + limitWindow + time.Second)
 	close(stop)
-	for kind, all := range map[string]*outcomes{"look": looks(), "long": longs()} {
-		if all.others > 0 || all.whole < 100 {
-			t.Errorf("%s: %d whole, %d not, the last one %+v", kind, all.whole, all.others, all.last)
+	for kind, result := range map[string]*loadResult{"look": lookups(), "long": longPrompts()} {
+		if result.failed > 0 || result.succeeded < 100 {
+			t.Errorf("%s: %d whole, %d not, the last one %+v", kind, result.succeeded, result.failed, result.lastFailure)
 		}
 	}
 	for w, perSecond := range limits {
-		if most := w.Most(told.Add(limitNotice), limitSpan); most > allowed(perSecond) {
-			t.Errorf("%s, limit %v: %d requests in %v, allowed %d", s.ID(w), perSecond, most, limitSpan, allowed(perSecond))
+		if most := w.Most(announced.Add(limitGracePeriod), limitWindow); most > maxRequests(perSecond) {
+			t.Errorf("%s, limit %v: %d requests in %v, allowed %d", s.ID(w), perSecond, most, limitWindow, maxRequests(perSecond))
 		}
-		for _, p := range fronts {
+		for _, p := range gateways {
 			t.Logf("%s: %s", p.name, p.log("worker limit", s.ID(w)))
 		}
 	}
--- a/test/front/process_test.go
+++ b/test/front/process_test.go
@@ -41,20 +41,20 @@
 	os.Exit(code)
 }
 
-// limit bounds every wait of these tests; a front is ready within a second on
+// waitTimeout bounds every wait of these tests; a front is ready within a second on
 // an idle machine.
-const limit = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // process is one front.
 type process struct {
-	t              *testing.T
-	name, settings string
-	clients, ready string
-	flags          []string
-	cmd            *exec.Cmd
-	done           chan struct{}
-	mu             sync.Mutex
-	lines          []string
+	t                     *testing.T
+	name, settingsFile    string
+	clientAddr, readyAddr string
+	flags                 []string
+	cmd                   *exec.Cmd
+	done                  chan struct{}
+	mu                    sync.Mutex
+	lines                 []string
 }
 
 // newSite starts a small deployment.
@@ -68,15 +68,15 @@
 	return s
 }
 
-// newFront starts a front and waits until it is ready.
-func newFront(t *testing.T, s *site.Site, name string) *process {
+// newGateway starts a front and waits until it is ready.
+func newGateway(t *testing.T, s *site.Site, name string) *process {
 	t.Helper()
-	text, clients, ready, err := s.Settings(name)
+	settings, clientAddr, readyAddr, err := s.Settings(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{t: t, name: name, clients: clients, ready: ready, settings: filepath.Join(t.TempDir(), "settings.toml")}
-	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
+	p := &process{t: t, name: name, clientAddr: clientAddr, readyAddr: readyAddr, settingsFile: filepath.Join(t.TempDir(), "settings.toml")}
+	if err := os.WriteFile(p.settingsFile, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.start()
@@ -88,7 +88,7 @@
 func (p *process) start() {
 	p.t.Helper()
 	p.cmd = exec.Command(binary, append([]string{"front"}, p.flags...)...)
-	p.cmd.Env = append(os.Environ(), "KUMQUATLUG_SETTINGS="+p.settings)
+	p.cmd.Env = append(os.Environ(), "KUMQUATLUG_SETTINGS="+p.settingsFile)
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
 		p.t.Fatal(err)
@@ -99,10 +99,10 @@
 		p.t.Fatal(err)
 	}
 	p.done = make(chan struct{})
-	go p.read(p.cmd, out, p.done)
+	go p.readOutput(p.cmd, out, p.done)
 }
 
-func (p *process) read(cmd *exec.Cmd, out io.Reader, done chan struct{}) {
+func (p *process) readOutput(cmd *exec.Cmd, out io.Reader, done chan struct{}) {
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		p.mu.Lock()
 		p.lines = append(p.lines, lines.Text())
@@ -113,16 +113,16 @@
 }
 
 // log returns the lines written so far that hold all words.
-func (p *process) log(words ...string) []string {
+func (p *process) log(substrings ...string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var found []string
 	for _, line := range p.lines {
-		all := true
-		for _, w := range words {
-			all = all && strings.Contains(line, w)
+		matches := true
+		for _, w := range substrings {
+			matches = matches && strings.Contains(line, w)
 		}
-		if all {
+		if matches {
 			found = append(found, line)
 		}
 	}
@@ -142,12 +142,12 @@
 }
 
 func (p *process) isReady() bool {
-	answer, err := http.Get("http://" + p.ready + "/v1/readyz")
+	response, err := http.Get("http://" + p.readyAddr + "/v1/readyz")
 	if err != nil {
 		return false
 	}
-	answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
 func (p *process) waitReady() {
@@ -163,33 +163,33 @@
 }
 
 // eventually waits until what holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); time.Now().Before(end); {
-		if holds() {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
+		if condition() {
 			return
 		}
-		pause(10 * time.Millisecond)
+		sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("not within %v: %s", limit, what)
+	t.Fatalf("not within %v: %s", waitTimeout, description)
 }
 
-// pause waits for real time to pass: the program runs by its own clock.
-func pause(d time.Duration) { <-time.After(d) }
+// sleep waits for real time to pass: the program runs by its own clock.
+func sleep(d time.Duration) { <-time.After(d) }
 
-// answer is what a client has received.
-type answer struct {
+// response is what a client has received.
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// ask sends one request over a connection of its own.
-func (p *process) ask(ctx context.Context, method, path, id string, header map[string]string) answer {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+p.clients+path, strings.NewReader(strings.Repeat("b", 300)))
+// do sends one request over a connection of its own.
+func (p *process) do(ctx context.Context, method, path, id string, header map[string]string) response {
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+p.clientAddr+path, strings.NewReader(strings.Repeat("b", 300)))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	if method == http.MethodGet {
 		r.Body, r.ContentLength = nil, 0
@@ -203,41 +203,41 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	got, err := client.Do(r)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer got.Body.Close()
 	body, err := io.ReadAll(got.Body)
-	return answer{status: got.StatusCode, header: got.Header, body: string(body), err: err}
+	return response{status: got.StatusCode, header: got.Header, body: string(body), err: err}
 }
 
-// prompt are the headers of a request with a long prompt.
-func prompt(id string) map[string]string {
+// longPromptHeaders are the headers of a request with a long prompt.
+func longPromptHeaders(id string) map[string]string {
 	return map[string]string{
 		"Model": "m", "Token-Count": "9190,104", "Prefix-Hash": "aa:2520,bb" + id[len(id)-1:] + ":3780," + id + ":2890",
 	}
 }
 
 // post, look, long and chat send one request of each kind.
-func (p *process) post(id string) answer {
-	return p.ask(context.Background(), http.MethodPost, site.PathPost+"x", id, nil)
+func (p *process) post(id string) response {
+	return p.do(context.Background(), http.MethodPost, site.PathPost+"x", id, nil)
 }
 
-func (p *process) look(id string) answer {
-	return p.ask(context.Background(), http.MethodGet, site.PathLook+"x?y=1", id, nil)
+func (p *process) lookup(id string) response {
+	return p.do(context.Background(), http.MethodGet, site.PathLook+"x?y=1", id, nil)
 }
 
-func (p *process) long(id string) answer {
-	return p.ask(context.Background(), http.MethodPost, site.PathLong+"x", id, prompt(id))
+func (p *process) longPrompt(id string) response {
+	return p.do(context.Background(), http.MethodPost, site.PathLong+"x", id, longPromptHeaders(id))
 }
 
-func (p *process) chat(id string) answer {
-	return p.ask(context.Background(), http.MethodPost, site.PathChat+"x", id, map[string]string{
+func (p *process) chat(id string) response {
+	return p.do(context.Background(), http.MethodPost, site.PathChat+"x", id, map[string]string{
 		"Model": "m", "Token-Count": "220,400", "Prefix-Hash": "cc:80," + id + ":140",
 	})
 }
 
-// stream is the body of a whole stream of n events.
-func stream(id string, n int) string {
+// streamBody is the body of a whole stream of n events.
+func streamBody(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s/%d\n\n", i, id, i)
@@ -245,7 +245,7 @@
 	return b.String()
 }
 
-func wantWhole(t *testing.T, got answer, body string) {
+func requireComplete(t *testing.T, got response, body string) {
 	t.Helper()
 	if got.err != nil || got.status != http.StatusOK || got.body != body {
 		t.Fatalf("status %d, error %v, body of %d bytes %.200q; want %d bytes", got.status, got.err, len(got.body), got.body, len(body))
@@ -255,8 +255,8 @@
 	}
 }
 
-// total adds up how often a request ran at all workers.
-func total(workers []*fleet.Worker, id string) int {
+// totalRuns adds up how often a request ran at all workers.
+func totalRuns(workers []*fleet.Worker, id string) int {
 	n := 0
 	for _, w := range workers {
 		n += w.Runs()[id]
--- a/test/front/turns_test.go
+++ b/test/front/turns_test.go
@@ -13,28 +13,28 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/site"
 )
 
-// longWait bounds how long a prompt may take while a front that was asked for its
+// maxPromptTime bounds how long a prompt may take while a front that was asked for its
 // turn stands still: two questions of 25 ms, the looks between, and the reading.
-const longWait = 1500 * time.Millisecond
+const maxPromptTime = 1500 * time.Millisecond
 
-// threeFronts starts a site with many engines and three fronts that know each other.
-func threeFronts(t *testing.T) []*process {
+// newThreeGateways starts a site with many engines and three fronts that know each other.
+func newThreeGateways(t *testing.T) []*process {
 	t.Helper()
 	s := newSite(t, site.Config{Prefill: 8, Decode: 2, Plain: 1, Events: 2, Pause: time.Millisecond})
-	fronts := []*process{newFront(t, s, "front-1"), newFront(t, s, "front-2"), newFront(t, s, "front-3")}
+	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2"), newGateway(t, s, "front-3")}
 	eventually(t, "fronts know each other", func() bool {
-		for _, p := range fronts {
+		for _, p := range gateways {
 			id := fmt.Sprintf("meet-%d", time.Now().UnixNano())
-			wantWhole(t, p.long(id), stream(id, 2))
+			requireComplete(t, p.longPrompt(id), streamBody(id, 2))
 		}
-		return len(fronts[0].log("fronts met", `"there":3`)) > 0
+		return len(gateways[0].log("fronts met", `"there":3`)) > 0
 	})
-	return fronts
+	return gateways
 }
 
-// flood sends so many long prompts of as many chains through a front, four at a time, and returns the longest that
+// sendLongPrompts sends so many long prompts of as many chains through a front, four at a time, and returns the longest that
 // one took. Each must be answered whole.
-func flood(t *testing.T, p *process, name string, count int) time.Duration {
+func sendLongPrompts(t *testing.T, p *process, name string, count int) time.Duration {
 	t.Helper()
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -46,15 +46,15 @@
 			defer group.Done()
 			for i := range count / 4 {
 				id := fmt.Sprintf("%s-%d-%d", name, worker, i)
-				begun := time.Now()
-				got := p.ask(context.Background(), http.MethodPost, site.PathLong+"x", id, map[string]string{
+				started := time.Now()
+				got := p.do(context.Background(), http.MethodPost, site.PathLong+"x", id, map[string]string{
 					"Model": "m", "Token-Count": "9190,104", "Prefix-Hash": fmt.Sprintf("aa:2520,%s%d:3780,%s:2890", chain, i, id),
 				})
-				took := time.Since(begun)
+				took := time.Since(started)
 				mu.Lock()
 				longest = max(longest, took)
 				mu.Unlock()
-				if got.err != nil || got.status != http.StatusOK || got.body != stream(id, 2) {
+				if got.err != nil || got.status != http.StatusOK || got.body != streamBody(id, 2) {
 					t.Errorf("%s: %+v", id, got)
 				}
 			}
@@ -68,58 +68,58 @@
 // snapshot: its port takes datagrams, and nobody answers them. Prompts that other
 // fronts asked turns for must go on by themselves; a user would else wait until
 // giving up. When it goes on, it must be asked again.
-func TestAFrontThatStandsStillHoldsNoPromptUp(t *testing.T) {
-	fronts := threeFronts(t)
-	fronts[2].signal(syscall.SIGSTOP)
-	longest := flood(t, fronts[0], "stopped", 80)
-	fronts[2].signal(syscall.SIGCONT)
-	if longest > longWait {
+func TestPausedGatewayDelaysNoPrompt(t *testing.T) {
+	gateways := newThreeGateways(t)
+	gateways[2].signal(syscall.SIGSTOP)
+	longest := sendLongPrompts(t, gateways[0], "stopped", 80)
+	gateways[2].signal(syscall.SIGCONT)
+	if longest > maxPromptTime {
 		t.Errorf("a prompt took %v", longest)
 	}
-	if len(fronts[0].log("front away", `"front":"front-3"`)) == 0 {
+	if len(gateways[0].log("front away", `"front":"front-3"`)) == 0 {
 		t.Error("nobody was found away: the front that stood still coordinated nothing")
 	}
 	eventually(t, "it is asked again", func() bool {
-		flood(t, fronts[0], fmt.Sprint("back", time.Now().UnixNano()), 16)
-		return len(fronts[0].log("front back", `"front":"front-3"`)) > 0
+		sendLongPrompts(t, gateways[0], fmt.Sprint("back", time.Now().UnixNano()), 16)
+		return len(gateways[0].log("front back", `"front":"front-3"`)) > 0
 	})
 }
 
 // A front is killed and starts again at its address with another key, several times,
 // while prompts go through another one. All must be answered.
 func TestAFrontThatIsKilledAgainAndAgainCostsNoPrompt(t *testing.T) {
-	fronts := threeFronts(t)
+	gateways := newThreeGateways(t)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for range 3 {
-			fronts[2].signal(os.Kill)
-			<-fronts[2].done
-			fronts[2].start()
-			fronts[2].waitReady()
+			gateways[2].signal(os.Kill)
+			<-gateways[2].done
+			gateways[2].start()
+			gateways[2].waitReady()
 		}
 	}()
 	longest := time.Duration(0)
 	for round := range 6 {
-		longest = max(longest, flood(t, fronts[0], fmt.Sprint("killed", round), 40))
+		longest = max(longest, sendLongPrompts(t, gateways[0], fmt.Sprint("killed", round), 40))
 	}
 	<-done
-	if longest > longWait {
+	if longest > maxPromptTime {
 		t.Errorf("a prompt took %v", longest)
 	}
 }
 
 // A front is told to stop while it coordinates engines. The others must hear of it and ask
 // it nothing more; else each of them finds out by prompts that wait.
-func TestOthersHearThatAFrontStops(t *testing.T) {
-	fronts := threeFronts(t)
-	flood(t, fronts[0], "known", 80)
-	fronts[2].signal(syscall.SIGTERM)
-	eventually(t, "the others know", func() bool { return len(fronts[0].log("front stops", `"front":"front-3"`)) > 0 })
-	if longest := flood(t, fronts[0], "stopping", 40); longest > longWait {
+func TestStoppingGatewayNotifiesPeers(t *testing.T) {
+	gateways := newThreeGateways(t)
+	sendLongPrompts(t, gateways[0], "known", 80)
+	gateways[2].signal(syscall.SIGTERM)
+	eventually(t, "the others know", func() bool { return len(gateways[0].log("front stops", `"front":"front-3"`)) > 0 })
+	if longest := sendLongPrompts(t, gateways[0], "stopping", 40); longest > maxPromptTime {
 		t.Errorf("a prompt took %v", longest)
 	}
-	if away := fronts[0].log("front away"); len(away) > 0 {
-		t.Errorf("%s", away)
+	if unreachable := gateways[0].log("front away"); len(unreachable) > 0 {
+		t.Errorf("%s", unreachable)
 	}
 }
--- a/test/path/calls_test.go
+++ b/test/path/calls_test.go
@@ -14,32 +14,32 @@
 
 // client is a real caller's client library on an entry, without retries of its
 // own.
-func (f *fleet) client(entry string) openai.Client {
-	return openai.NewClient(option.WithBaseURL(f.callers[entry]+"/v1"), option.WithAPIKey(callerKey), option.WithMaxRetries(0))
+func (f *fleet) client(gateway string) openai.Client {
+	return openai.NewClient(option.WithBaseURL(f.callerURLs[gateway]+"/v1"), option.WithAPIKey(callerKey), option.WithMaxRetries(0))
 }
 
-// answer is what a caller got of a stream.
-type answer struct {
-	text  string
-	whole bool
-	err   error
+// completion is what a caller got of a stream.
+type completion struct {
+	text     string
+	finished bool
+	err      error
 }
 
-// stream asks for a streamed chat answer; each token is also told to tokens
+// streamChat asks for a streamed chat answer; each token is also told to tokens
 // when it isn't nil.
-func (f *fleet) stream(entry, prompt string, maxTokens int64, tokens chan<- string) answer {
-	client := f.client(entry)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (f *fleet) streamChat(gateway, prompt string, maxTokens int64, tokens chan<- string) completion {
+	client := f.client(gateway)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	s := client.Chat.Completions.NewStreaming(ctx, openai.ChatCompletionNewParams{
 		Model: model, MaxTokens: openai.Int(maxTokens),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(prompt)},
 	})
-	var got answer
+	var got completion
 	for s.Next() {
 		for _, choice := range s.Current().Choices {
 			got.text += choice.Delta.Content
-			got.whole = got.whole || choice.FinishReason != ""
+			got.finished = got.finished || choice.FinishReason != ""
 			if tokens != nil && choice.Delta.Content != "" {
 				tokens <- choice.Delta.Content
 			}
@@ -49,20 +49,20 @@
 	return got
 }
 
-// call makes a call to the plain service.
-func (f *fleet) call(entry, method, path, key, body string) (*http.Response, string) {
+// callService makes a call to the plain service.
+func (f *fleet) callService(gateway, method, path, key, body string) (*http.Response, string) {
 	f.t.Helper()
-	return f.callAs(callerKey, entry, method, path, key, body)
+	return f.callServiceWithKey(callerKey, gateway, method, path, key, body)
 }
 
-// callAs makes a call with the key of an account.
-func (f *fleet) callAs(account, entry, method, path, key, body string) (*http.Response, string) {
+// callServiceWithKey makes a call with the key of an account.
+func (f *fleet) callServiceWithKey(apiKey, gateway, method, path, key, body string) (*http.Response, string) {
 	f.t.Helper()
-	request, err := http.NewRequest(method, f.callers[entry]+"/services/gazette"+path, bytes.NewReader([]byte(body)))
+	request, err := http.NewRequest(method, f.callerURLs[gateway]+"/services/gazette"+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	request.Header.Set("Authorization", "Bearer "+account)
+	request.Header.Set("Authorization", "Bearer "+apiKey)
 	if key != "" {
 		request.Header.Set("Idempotency-Key", key)
 	}
@@ -78,10 +78,10 @@
 	return response, string(text)
 }
 
-// runs returns how often the service ran the call with a key.
-func (f *fleet) runs(key string) int {
+// runCount returns how often the service ran the call with a key.
+func (f *fleet) runCount(key string) int {
 	f.t.Helper()
-	response, err := http.Get("http://" + f.targets["service-1"] + "/_runs")
+	response, err := http.Get("http://" + f.targetAddrs["service-1"] + "/_runs")
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -105,9 +105,9 @@
 }
 
 // targetsOf returns the targets that requests were sent to, newest last.
-func (f *fleet) sentTo() []string {
+func (f *fleet) sentTargets() []string {
 	var targets []string
-	for _, line := range strings.Split(f.operate("timeline", "--format", "json"), "\n") {
+	for _, line := range strings.Split(f.runOperator("timeline", "--format", "json"), "\n") {
 		var event struct{ Name, Peer string }
 		if json.Unmarshal([]byte(line), &event) == nil && event.Name == "sent" {
 			targets = append(targets, event.Peer)
--- a/test/path/fleet_test.go
+++ b/test/path/fleet_test.go
@@ -24,10 +24,10 @@
 
 // Bounds of the test fleet.
 const (
-	// patience bounds every wait for a condition; a wait that ends by it fails
+	// waitTimeout bounds every wait for a condition; a wait that ends by it fails
 	// the test.
-	patience = 60 * time.Second
-	look     = 20 * time.Millisecond
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 
 	operatorKey = "ana-0123456789abcdef"
 	callerKey   = "klug-path-test-key"
@@ -38,14 +38,14 @@
 // binaries are the two programs, built once for all tests.
 var binaries = struct {
 	sync.Once
-	folder string
-	err    error
+	dir string
+	err error
 }{}
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if binaries.folder != "" {
-		_ = os.RemoveAll(binaries.folder)
+	if binaries.dir != "" {
+		_ = os.RemoveAll(binaries.dir)
 	}
 	os.Exit(code)
 }
@@ -53,20 +53,20 @@
 func build(t *testing.T) string {
 	t.Helper()
 	binaries.Do(func() {
-		binaries.folder, binaries.err = os.MkdirTemp("", "kumquatlug-path")
+		binaries.dir, binaries.err = os.MkdirTemp("", "kumquatlug-path")
 		if binaries.err != nil {
 			return
 		}
-		build := exec.Command("go", "build", "-o", binaries.folder+string(filepath.Separator), "./cmd/...")
+		build := exec.Command("go", "build", "-o", binaries.dir+string(filepath.Separator), "./cmd/...")
 		build.Dir = "../.."
-		if text, err := build.CombinedOutput(); err != nil {
-			binaries.err = fmt.Errorf("build: %w: %s", err, text)
+		if output, err := build.CombinedOutput(); err != nil {
+			binaries.err = fmt.Errorf("build: %w: %s", err, output)
 		}
 	})
 	if binaries.err != nil {
 		t.Fatal(binaries.err)
 	}
-	return binaries.folder
+	return binaries.dir
 }
 
 // process is one program of ours that runs.
@@ -80,20 +80,20 @@
 	lines []string
 }
 
-func start(t *testing.T, name, program string, args ...string) *process {
+func startProcess(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, command: exec.Command(filepath.Join(build(t), program), args...), done: make(chan error, 1)}
 	p.command.Env = append(os.Environ(), "KUMQUATLUG_LOG_LEVEL=info")
-	out, in, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.command.Stdout, p.command.Stderr = in, in
+	p.command.Stdout, p.command.Stderr = writer, writer
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	_ = in.Close()
-	go p.read(out)
+	_ = writer.Close()
+	go p.readOutput(reader)
 	go func() { p.done <- p.command.Wait() }()
 	t.Cleanup(func() {
 		_ = p.command.Process.Signal(syscall.SIGCONT)
@@ -105,7 +105,7 @@
 	return p
 }
 
-func (p *process) read(out *os.File) {
+func (p *process) readOutput(out *os.File) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -129,22 +129,22 @@
 	}
 }
 
-// ended waits for the process and returns how it ended.
-func (p *process) ended() error {
+// waitExit waits for the process and returns how it ended.
+func (p *process) waitExit() error {
 	p.t.Helper()
 	select {
 	case err := <-p.done:
 		return err
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s did not end", p.name)
 		return nil
 	}
 }
 
-// listening waits for a stand-in's line about its address.
-func (p *process) listening() string {
+// waitListening waits for a stand-in's line about its address.
+func (p *process) waitListening() string {
 	var address string
-	until(p.t, p.name+" listens", func() bool {
+	waitUntil(p.t, p.name+" listens", func() bool {
 		for _, line := range p.output() {
 			if rest, ok := strings.CutPrefix(line, "listening "); ok {
 				address = rest
@@ -155,10 +155,10 @@
 	return address
 }
 
-// serves waits for the log line with which our processes say where they serve.
-func (p *process) serves() map[string]string {
+// waitServing waits for the log line with which our processes say where they serve.
+func (p *process) waitServing() map[string]string {
 	found := map[string]string{}
-	until(p.t, p.name+" serves", func() bool {
+	waitUntil(p.t, p.name+" serves", func() bool {
 		for _, line := range p.output() {
 			var fields map[string]any
 			if json.Unmarshal([]byte(line), &fields) != nil || !strings.HasSuffix(fmt.Sprint(fields["msg"]), " serves") {
@@ -173,34 +173,34 @@
 	return found
 }
 
-// until waits for a condition.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits for a condition.
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	deadline := time.After(patience)
-	tick := time.NewTicker(look)
+	deadline := time.After(waitTimeout)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-tick.C:
 		case <-deadline:
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("waited in vain: %s", description)
 		}
 	}
 }
 
-// fleets bounds how many fleets run at once: each is nine processes.
-var fleets = make(chan struct{}, 4)
+// fleetSlots bounds how many fleets run at once: each is nine processes.
+var fleetSlots = make(chan struct{}, 4)
 
 // fleet is the path as separate processes.
 type fleet struct {
-	t         *testing.T
-	keys      string
-	platform  string
-	processes map[string]*process
-	callers   map[string]string
-	operators map[string]string
-	targets   map[string]string
-	agents    map[string]string
+	t            *testing.T
+	certDir      string
+	platform     string
+	processes    map[string]*process
+	callerURLs   map[string]string
+	operatorURLs map[string]string
+	targetAddrs  map[string]string
+	agentAddrs   map[string]string
 }
 
 // newFleet starts the platform's stand-in, two engines, a service, an agent
@@ -208,36 +208,36 @@
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	t.Parallel()
-	fleets <- struct{}{}
-	t.Cleanup(func() { <-fleets })
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
 	f := &fleet{
-		t: t, keys: t.TempDir(), processes: map[string]*process{}, callers: map[string]string{},
-		operators: map[string]string{}, targets: map[string]string{}, agents: map[string]string{},
+		t: t, certDir: t.TempDir(), processes: map[string]*process{}, callerURLs: map[string]string{},
+		operatorURLs: map[string]string{}, targetAddrs: map[string]string{}, agentAddrs: map[string]string{},
 	}
-	f.must("certs", "--out", f.keys)
-	f.processes["platform"] = start(t, "platform", "kumquatlug-standin", "platform")
-	f.platform = f.processes["platform"].listening()
+	f.mustRun("certs", "--out", f.certDir)
+	f.processes["platform"] = startProcess(t, "platform", "kumquatlug-standin", "platform")
+	f.platform = f.processes["platform"].waitListening()
 	for _, name := range []string{"engine-1", "engine-2"} {
 		f.startTarget(name, "engine", "--decode-time", "5", "--crash-mark", "CRASH", "--restart-time", "1500")
 		f.startAgent(name, "engine")
 	}
 	f.startTarget("service-1", "service")
 	f.startAgent("service-1", "service")
-	f.startEntry("entry-1")
-	f.startEntry("entry-2")
+	f.startGateway("entry-1")
+	f.startGateway("entry-2")
 	f.configure()
 	return f
 }
 
-func (f *fleet) startTarget(name, what string, args ...string) {
+func (f *fleet) startTarget(name, kind string, args ...string) {
 	f.t.Helper()
-	p := start(f.t, name, "kumquatlug-standin", append([]string{what}, args...)...)
+	p := startProcess(f.t, name, "kumquatlug-standin", append([]string{kind}, args...)...)
 	f.processes[name] = p
-	f.targets[name] = p.listening()
+	f.targetAddrs[name] = p.waitListening()
 }
 
 func (f *fleet) tls(role string) []string {
-	file := func(name string) string { return filepath.Join(f.keys, name) }
+	file := func(name string) string { return filepath.Join(f.certDir, name) }
 	return []string{"--tls-cert", file(role + ".pem"), "--tls-key", file(role + ".key"), "--tls-ca", file("ca.pem")}
 }
 
@@ -245,28 +245,28 @@
 	f.t.Helper()
 	args := append([]string{
 		"agent", "--name", name, "--zone", "a", "--platform", f.platform, "--listen", "127.0.0.1:0",
-		"--target-url", "http://" + f.targets[name], "--protocol", protocol,
+		"--target-url", "http://" + f.targetAddrs[name], "--protocol", protocol,
 	}, f.tls("agent")...)
-	p := start(f.t, "agent of "+name, "kumquatlug", args...)
+	p := startProcess(f.t, "agent of "+name, "kumquatlug", args...)
 	f.processes["agent of "+name] = p
-	f.agents[name] = p.serves()["address"]
+	f.agentAddrs[name] = p.waitServing()["address"]
 }
 
-func (f *fleet) startEntry(name string) {
+func (f *fleet) startGateway(name string) {
 	f.t.Helper()
 	args := append([]string{
 		"entry", "--name", name, "--zone", "a", "--platform", f.platform, "--listen", "127.0.0.1:0",
 		"--peer-listen", "127.0.0.1:0", "--operator-listen", "127.0.0.1:0", "--operator-keys", "ana=" + operatorKey,
 		"--list-every-ms", "200", "--balancer-lag-ms", "300",
 	}, f.tls("entry")...)
-	p := start(f.t, name, "kumquatlug", args...)
+	p := startProcess(f.t, name, "kumquatlug", args...)
 	f.processes[name] = p
-	where := p.serves()
-	f.callers[name], f.operators[name] = "http://"+where["callers"], "http://"+where["operators"]
+	addresses := p.waitServing()
+	f.callerURLs[name], f.operatorURLs[name] = "http://"+addresses["callers"], "http://"+addresses["operators"]
 }
 
-// enter puts a VM on the list in its place, as its own process did.
-func (f *fleet) enter(name string, role kumquatlug.VMRole, address string) {
+// updateVM puts a VM on the list in its place, as its own process did.
+func (f *fleet) updateVM(name string, role kumquatlug.VMRole, address string) {
 	f.t.Helper()
 	store := platform.NewStore(platform.StoreConfig{
 		Address: f.platform, Pool: exchange.New(exchange.Config{Clock: clock.NewMonotonic(), Kept: 1}),
@@ -279,41 +279,41 @@
 	}
 }
 
-// faults sets the platform's faults.
-func (f *fleet) faults(body string) {
+// setPlatformFaults sets the platform's faults.
+func (f *fleet) setPlatformFaults(body string) {
 	f.t.Helper()
-	f.send(http.MethodPost, rowstore.PathFaults, body)
+	f.sendToPlatform(http.MethodPost, rowstore.PathFaults, body)
 }
 
-func (f *fleet) send(method, path, body string) {
+func (f *fleet) sendToPlatform(method, path, body string) {
 	f.t.Helper()
 	request, err := http.NewRequest(method, "http://"+f.platform+path, strings.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode >= 300 {
-		f.t.Fatalf("%s %s: status %d", method, path, answer.StatusCode)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode >= 300 {
+		f.t.Fatalf("%s %s: status %d", method, path, response.StatusCode)
 	}
 }
 
 // configure makes the first changes by the operators' commands.
 func (f *fleet) configure() {
 	f.t.Helper()
-	f.operate("caller", "add", "portal", "--key", callerKey)
-	f.operate("caller", "add", "other", "--key", otherKey)
-	f.operate("selector", "set", "engines", "--kind", model, "--match", "pool=engines")
-	f.operate("selector", "set", "services", "--protocol", "service", "--kind", "gazette", "--match", "pool=services")
-	f.operate("label", "engine-1", "pool=engines")
-	f.operate("label", "engine-2", "pool=engines")
-	f.operate("wait", f.revisionOf(f.operate("label", "service-1", "pool=services")))
-	until(f.t, "every target takes its work", func() bool {
-		return strings.Count(f.operate("explain", model), "yes") == 2 &&
-			strings.Count(f.operate("explain", "gazette", "--protocol", "service"), "yes") == 1
+	f.runOperator("caller", "add", "portal", "--key", callerKey)
+	f.runOperator("caller", "add", "other", "--key", otherKey)
+	f.runOperator("selector", "set", "engines", "--kind", model, "--match", "pool=engines")
+	f.runOperator("selector", "set", "services", "--protocol", "service", "--kind", "gazette", "--match", "pool=services")
+	f.runOperator("label", "engine-1", "pool=engines")
+	f.runOperator("label", "engine-2", "pool=engines")
+	f.runOperator("wait", f.revisionOf(f.runOperator("label", "service-1", "pool=services")))
+	waitUntil(f.t, "every target takes its work", func() bool {
+		return strings.Count(f.runOperator("explain", model), "yes") == 2 &&
+			strings.Count(f.runOperator("explain", "gazette", "--protocol", "service"), "yes") == 1
 	})
 }
 
@@ -327,24 +327,24 @@
 	return strings.Fields(rest)[0]
 }
 
-// operate runs an operator's command against the first entry.
-func (f *fleet) operate(args ...string) string {
+// runOperator runs an operator's command against the first entry.
+func (f *fleet) runOperator(args ...string) string {
 	f.t.Helper()
-	return f.must(append(args, "--server", f.operators["entry-1"], "--operator-key", operatorKey)...)
+	return f.mustRun(append(args, "--server", f.operatorURLs["entry-1"], "--operator-key", operatorKey)...)
 }
 
-func (f *fleet) must(args ...string) string {
+func (f *fleet) mustRun(args ...string) string {
 	f.t.Helper()
-	text, err := f.try(args...)
+	output, err := f.run(args...)
 	if err != nil {
-		f.t.Fatalf("kumquatlug %s: %v: %s", strings.Join(args, " "), err, text)
+		f.t.Fatalf("kumquatlug %s: %v: %s", strings.Join(args, " "), err, output)
 	}
-	return text
+	return output
 }
 
-func (f *fleet) try(args ...string) (string, error) {
+func (f *fleet) run(args ...string) (string, error) {
 	f.t.Helper()
 	command := exec.Command(filepath.Join(build(f.t), "kumquatlug"), args...)
-	text, err := command.CombinedOutput()
-	return string(text), err
+	output, err := command.CombinedOutput()
+	return string(output), err
 }
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -14,48 +14,48 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// want is the answer that every engine gives to a chat of one user message.
-func want(prompt string, maxTokens int) string {
+// expectedText is the answer that every engine gives to a chat of one user message.
+func expectedText(prompt string, maxTokens int) string {
 	return engine.AnswerText(engine.ChatPrompt([]engine.Message{{Role: "user", Content: prompt}}), maxTokens)
 }
 
-func (f *fleet) expectWhole(got answer, prompt string, maxTokens int) {
+func (f *fleet) expectCompletion(got completion, prompt string, maxTokens int) {
 	f.t.Helper()
-	if got.err != nil || !got.whole || got.text != want(prompt, maxTokens) {
-		f.t.Errorf("answer to %q: whole %v, error %v, %d of %d bytes", prompt, got.whole, got.err, len(got.text), len(want(prompt, maxTokens)))
+	if got.err != nil || !got.finished || got.text != expectedText(prompt, maxTokens) {
+		f.t.Errorf("answer to %q: whole %v, error %v, %d of %d bytes", prompt, got.finished, got.err, len(got.text), len(expectedText(prompt, maxTokens)))
 	}
 }
 
-// expectNoCut looks for attempts that broke off. A planned change that cuts an
+// expectNoInterruption looks for attempts that broke off. A planned change that cuts an
 // answer would go unnoticed by its caller, since another engine goes on with it;
 // but the work is lost, and an answer that can't be resumed would be too.
-func (f *fleet) expectNoCut() {
+func (f *fleet) expectNoInterruption() {
 	f.t.Helper()
-	for _, line := range strings.Split(f.operate("timeline"), "\n") {
+	for _, line := range strings.Split(f.runOperator("timeline"), "\n") {
 		if strings.Contains(line, "attempt_failed") && !strings.Contains(line, "not-run") {
 			f.t.Errorf("an attempt was cut: %s", line)
 		}
 	}
 }
 
-func TestPath(t *testing.T) {
+func TestRequestsAndPlannedChanges(t *testing.T) {
 	f := newFleet(t)
 	t.Run("streamed answer through a caller's library", func(*testing.T) {
-		f.expectWhole(f.stream("entry-1", "decree 12", 40, nil), "decree 12", 40)
+		f.expectCompletion(f.streamChat("entry-1", "decree 12", 40, nil), "decree 12", 40)
 	})
-	t.Run("service call runs once under one key", func(t *testing.T) { servicePath(t, f) })
-	t.Run("refusals", func(t *testing.T) { refusalPath(t, f) })
-	t.Run("label in force", func(t *testing.T) { labelPath(t, f) })
-	t.Run("agent drains", func(t *testing.T) { agentDrainPath(t, f) })
-	t.Run("secrets stay out of logs", func(t *testing.T) { secretsPath(t, f) })
-	t.Run("entry stops gracefully", func(t *testing.T) { entryStopPath(t, f) })
+	t.Run("service call runs once under one key", func(t *testing.T) { testServiceCall(t, f) })
+	t.Run("refusals", func(t *testing.T) { testRefusals(t, f) })
+	t.Run("label in force", func(t *testing.T) { testLabelChange(t, f) })
+	t.Run("agent drains", func(t *testing.T) { testAgentDrain(t, f) })
+	t.Run("secrets stay out of logs", func(t *testing.T) { testSecrets(t, f) })
+	t.Run("entry stops gracefully", func(t *testing.T) { testGatewayStop(t, f) })
 }
 
 // Logs and time lines go to places that more people read than may hold a key or
 // see what callers ask.
-func secretsPath(t *testing.T, f *fleet) {
+func testSecrets(t *testing.T, f *fleet) {
 	f.t = t
-	texts := map[string]string{"timeline": f.operate("timeline", "--format", "json"), "callers": f.operate("get", "callers")}
+	texts := map[string]string{"timeline": f.runOperator("timeline", "--format", "json"), "callers": f.runOperator("get", "callers")}
 	if !strings.Contains(texts["callers"], "portal") {
 		t.Error("the account is not listed")
 	}
@@ -71,35 +71,35 @@
 	}
 }
 
-func servicePath(t *testing.T, f *fleet) {
+func testServiceCall(t *testing.T, f *fleet) {
 	f.t = t
-	first, text := f.call("entry-1", http.MethodPost, "/postings", "posting-1", "appointment")
+	first, text := f.callService("entry-1", http.MethodPost, "/postings", "posting-1", "appointment")
 	if first.StatusCode != http.StatusOK || first.Header.Get("Kumquatlug-Ran") != "done" {
 		t.Fatalf("posting: status %d, ran %q, %s", first.StatusCode, first.Header.Get("Kumquatlug-Ran"), text)
 	}
-	again, same := f.call("entry-2", http.MethodPost, "/postings", "posting-1", "appointment")
-	if again.Header.Get("Idempotent-Replayed") != "true" || same != text {
-		t.Errorf("a resend through the other entry got %q, not the kept %q", same, text)
+	resent, resentText := f.callService("entry-2", http.MethodPost, "/postings", "posting-1", "appointment")
+	if resent.Header.Get("Idempotent-Replayed") != "true" || resentText != text {
+		t.Errorf("a resend through the other entry got %q, not the kept %q", resentText, text)
 	}
-	if got := f.runs("posting-1"); got != 1 {
+	if got := f.runCount("posting-1"); got != 1 {
 		t.Errorf("the posting ran %d times", got)
 	}
-	other, _ := f.call("entry-1", http.MethodPost, "/postings", "posting-1", "dismissal")
+	other, _ := f.callService("entry-1", http.MethodPost, "/postings", "posting-1", "dismissal")
 	if other.StatusCode != http.StatusUnprocessableEntity || other.Header.Get("Kumquatlug-Ran") != "not-run" {
 		t.Errorf("another body under the key: status %d", other.StatusCode)
 	}
-	theirs, _ := f.callAs(otherKey, "entry-1", http.MethodPost, "/postings", "posting-1", "appointment")
-	if theirs.StatusCode != http.StatusOK || theirs.Header.Get("Idempotent-Replayed") != "" || f.runs("posting-1") != 2 {
+	otherCaller, _ := f.callServiceWithKey(otherKey, "entry-1", http.MethodPost, "/postings", "posting-1", "appointment")
+	if otherCaller.StatusCode != http.StatusOK || otherCaller.Header.Get("Idempotent-Replayed") != "" || f.runCount("posting-1") != 2 {
 		t.Errorf("another caller's posting under the same key: status %d, %d runs, replayed %q",
-			theirs.StatusCode, f.runs("posting-1"), theirs.Header.Get("Idempotent-Replayed"))
+			otherCaller.StatusCode, f.runCount("posting-1"), otherCaller.Header.Get("Idempotent-Replayed"))
 	}
-	look, _ := f.call("entry-1", http.MethodGet, "/lookup?id=1", "", "")
-	if look.StatusCode != http.StatusOK {
-		t.Errorf("lookup: status %d", look.StatusCode)
+	lookup, _ := f.callService("entry-1", http.MethodGet, "/lookup?id=1", "", "")
+	if lookup.StatusCode != http.StatusOK {
+		t.Errorf("lookup: status %d", lookup.StatusCode)
 	}
 }
 
-func refusalPath(t *testing.T, f *fleet) {
+func testRefusals(t *testing.T, f *fleet) {
 	f.t = t
 	cases := []struct {
 		name, key, path, body string
@@ -115,7 +115,7 @@
 		{"unknown service", callerKey, "/services/other/a", ``, http.StatusNotFound},
 	}
 	for _, c := range cases {
-		request, err := http.NewRequest(http.MethodPost, f.callers["entry-1"]+c.path, strings.NewReader(c.body))
+		request, err := http.NewRequest(http.MethodPost, f.callerURLs["entry-1"]+c.path, strings.NewReader(c.body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -129,12 +129,12 @@
 			t.Errorf("%s: status %d, ran %q", c.name, response.StatusCode, response.Header.Get("Kumquatlug-Ran"))
 		}
 	}
-	f.refusesCallersAtOperators()
+	f.expectCallerKeyRejectedByOperatorAPI()
 }
 
-func (f *fleet) refusesCallersAtOperators() {
+func (f *fleet) expectCallerKeyRejectedByOperatorAPI() {
 	f.t.Helper()
-	if text, err := f.try("get", "--server", f.operators["entry-1"], "--operator-key", callerKey); err == nil {
+	if text, err := f.run("get", "--server", f.operatorURLs["entry-1"], "--operator-key", callerKey); err == nil {
 		f.t.Errorf("a caller reached the operators' API: %s", text)
 	}
 }
@@ -142,85 +142,85 @@
 // An operator takes an engine out while it writes a long answer. The answer
 // must be finished there, and nothing new may go to that engine once the change
 // is in force.
-func labelPath(t *testing.T, f *fleet) {
+func testLabelChange(t *testing.T, f *fleet) {
 	f.t = t
 	tokens := make(chan string, 1000)
-	done := make(chan answer, 1)
-	go func() { done <- f.stream("entry-2", "a long decree", 400, tokens) }()
+	done := make(chan completion, 1)
+	go func() { done <- f.streamChat("entry-2", "a long decree", 400, tokens) }()
 	<-tokens
-	busy := f.sentTo()
-	leaving := busy[len(busy)-1]
-	revision := f.revisionOf(f.operate("label", leaving, "leaving=true"))
-	f.operate("wait", revision)
-	before := len(f.sentTo())
+	sent := f.sentTargets()
+	leaving := sent[len(sent)-1]
+	revision := f.revisionOf(f.runOperator("label", leaving, "leaving=true"))
+	f.runOperator("wait", revision)
+	before := len(f.sentTargets())
 	for range 6 {
-		f.expectWhole(f.stream("entry-1", "short", 3, nil), "short", 3)
-		f.expectWhole(f.stream("entry-2", "short", 3, nil), "short", 3)
+		f.expectCompletion(f.streamChat("entry-1", "short", 3, nil), "short", 3)
+		f.expectCompletion(f.streamChat("entry-2", "short", 3, nil), "short", 3)
 	}
-	for _, target := range f.sentTo()[before:] {
+	for _, target := range f.sentTargets()[before:] {
 		if target == leaving {
 			t.Errorf("%s got new work after revision %s was in force", leaving, revision)
 		}
 	}
-	f.expectWhole(<-done, "a long decree", 400)
-	f.expectNoCut()
-	f.operate("wait", f.revisionOf(f.operate("label", leaving, "leaving-")))
-	until(t, "the engine takes work again", func() bool { return strings.Count(f.operate("explain", model), "yes") == 2 })
+	f.expectCompletion(<-done, "a long decree", 400)
+	f.expectNoInterruption()
+	f.runOperator("wait", f.revisionOf(f.runOperator("label", leaving, "leaving-")))
+	waitUntil(t, "the engine takes work again", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
 }
 
 // The platform replaces a VM: its agent gets a stop signal in the middle of an
 // answer. The caller must not notice.
-func agentDrainPath(t *testing.T, f *fleet) {
+func testAgentDrain(t *testing.T, f *fleet) {
 	f.t = t
 	tokens := make(chan string, 1000)
-	done := make(chan answer, 1)
-	go func() { done <- f.stream("entry-1", "drain me", 300, tokens) }()
+	done := make(chan completion, 1)
+	go func() { done <- f.streamChat("entry-1", "drain me", 300, tokens) }()
 	<-tokens
-	sent := f.sentTo()
+	sent := f.sentTargets()
 	agent := f.processes["agent of "+sent[len(sent)-1]]
 	agent.signal(syscall.SIGTERM)
 	for range 4 {
-		f.expectWhole(f.stream("entry-2", "meanwhile", 3, nil), "meanwhile", 3)
+		f.expectCompletion(f.streamChat("entry-2", "meanwhile", 3, nil), "meanwhile", 3)
 	}
-	f.expectWhole(<-done, "drain me", 300)
-	f.expectNoCut()
-	if err := agent.ended(); err != nil {
+	f.expectCompletion(<-done, "drain me", 300)
+	f.expectNoInterruption()
+	if err := agent.waitExit(); err != nil {
 		t.Errorf("the agent ended with %v", err)
 	}
 	f.startAgent(sent[len(sent)-1], "engine")
-	until(t, "the new agent takes work", func() bool { return strings.Count(f.operate("explain", model), "yes") == 2 })
+	waitUntil(t, "the new agent takes work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
 }
 
 // An entry is stopped in the middle of an answer. It finishes the answer, and a
 // caller that the balancer still sends in the meantime is served too.
-func entryStopPath(t *testing.T, f *fleet) {
+func testGatewayStop(t *testing.T, f *fleet) {
 	f.t = t
 	tokens := make(chan string, 1000)
-	done := make(chan answer, 1)
-	go func() { done <- f.stream("entry-2", "stop the entry", 300, tokens) }()
+	done := make(chan completion, 1)
+	go func() { done <- f.streamChat("entry-2", "stop the entry", 300, tokens) }()
 	<-tokens
-	entry := f.processes["entry-2"]
-	entry.signal(syscall.SIGTERM)
-	until(t, "the entry says that it is not ready", func() bool {
-		response, err := http.Get(f.operators["entry-2"] + "/readyz")
+	gateway := f.processes["entry-2"]
+	gateway.signal(syscall.SIGTERM)
+	waitUntil(t, "the entry says that it is not ready", func() bool {
+		response, err := http.Get(f.operatorURLs["entry-2"] + "/readyz")
 		if err != nil {
 			return false
 		}
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusServiceUnavailable
 	})
-	f.expectWhole(f.stream("entry-2", "late", 3, nil), "late", 3)
-	f.expectWhole(<-done, "stop the entry", 300)
-	if err := entry.ended(); err != nil {
+	f.expectCompletion(f.streamChat("entry-2", "late", 3, nil), "late", 3)
+	f.expectCompletion(<-done, "stop the entry", 300)
+	if err := gateway.waitExit(); err != nil {
 		t.Errorf("the entry ended with %v", err)
 	}
 }
 
-// does returns what the engines do, by the status that operators see.
-func (f *fleet) does() string {
+// engineRoles returns what the engines do, by the status that operators see.
+func (f *fleet) engineRoles() string {
 	f.t.Helper()
 	var roles []string
-	for _, line := range strings.Split(f.operate("status"), "\n") {
+	for _, line := range strings.Split(f.runOperator("status"), "\n") {
 		if fields := strings.Fields(line); len(fields) > 4 && strings.HasPrefix(fields[0], "engine-") {
 			roles = append(roles, fields[4])
 		}
@@ -230,57 +230,57 @@
 
 func TestPromptsAndOutputsRunOnDifferentEngines(t *testing.T) {
 	f := newFleet(t)
-	f.operate("selector", "set", "prompts", "--kind", model, "--role", "prefill", "--match", "pool=engines")
-	f.operate("selector", "set", "outputs", "--kind", model, "--role", "decode", "--match", "pool=engines")
-	f.operate("selector", "delete", "engines")
-	until(t, "one engine runs prompts and one generates", func() bool {
-		does := f.does()
-		return does == "prefill decode" || does == "decode prefill"
+	f.runOperator("selector", "set", "prompts", "--kind", model, "--role", "prefill", "--match", "pool=engines")
+	f.runOperator("selector", "set", "outputs", "--kind", model, "--role", "decode", "--match", "pool=engines")
+	f.runOperator("selector", "delete", "engines")
+	waitUntil(t, "one engine runs prompts and one generates", func() bool {
+		roles := f.engineRoles()
+		return roles == "prefill decode" || roles == "decode prefill"
 	})
-	until(t, "both take work", func() bool { return strings.Count(f.operate("explain", model), "yes") == 2 })
-	before := len(f.sentTo())
+	waitUntil(t, "both take work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
+	before := len(f.sentTargets())
 	long := strings.Repeat("a long decree text ", 120)
-	f.expectWhole(f.stream("entry-1", long, 40, nil), long, 40)
-	sent := f.sentTo()[before:]
+	f.expectCompletion(f.streamChat("entry-1", long, 40, nil), long, 40)
+	sent := f.sentTargets()[before:]
 	if len(sent) != 2 || sent[0] == sent[1] {
-		t.Errorf("the request went to %v, want one engine and then the other:\n%s", sent, f.operate("timeline"))
+		t.Errorf("the request went to %v, want one engine and then the other:\n%s", sent, f.runOperator("timeline"))
 	}
-	f.leasePath(long)
+	f.testLeaseHandover(long)
 }
 
-// leasePath first freezes the holder of the group's lease and then kills the
+// testLeaseHandover first freezes the holder of the group's lease and then kills the
 // next one. Each time another entry must take over under a higher number, and a
 // holder that wakes must know that it is none: two that both gave orders would
 // send engines to and fro.
-func (f *fleet) leasePath(prompt string) {
+func (f *fleet) testLeaseHandover(prompt string) {
 	f.t.Helper()
-	f.startEntry("entry-3")
-	first, _ := f.holder("entry-3", "number 1")
-	f.processes[first].signal(syscall.SIGSTOP)
-	asked := "entry-3"
-	f.expectWhole(f.stream(asked, prompt, 20, nil), prompt, 20)
-	second, _ := f.holder(asked, "number 2")
-	f.processes[first].signal(syscall.SIGCONT)
-	until(f.t, "the woken holder knows that it is none", func() bool {
-		return strings.Contains(f.linesOf(asked, first), "lease_lost")
+	f.startGateway("entry-3")
+	firstHolder, _ := f.waitForLeaseHolder("entry-3", "number 1")
+	f.processes[firstHolder].signal(syscall.SIGSTOP)
+	gateway := "entry-3"
+	f.expectCompletion(f.streamChat(gateway, prompt, 20, nil), prompt, 20)
+	secondHolder, _ := f.waitForLeaseHolder(gateway, "number 2")
+	f.processes[firstHolder].signal(syscall.SIGCONT)
+	waitUntil(f.t, "the woken holder knows that it is none", func() bool {
+		return strings.Contains(f.timelineOf(gateway, firstHolder), "lease_lost")
 	})
-	if second == asked {
-		asked = first
+	if secondHolder == gateway {
+		gateway = firstHolder
 	}
-	f.processes[second].signal(syscall.SIGKILL)
-	f.expectWhole(f.stream(asked, prompt, 20, nil), prompt, 20)
-	f.holder(asked, "number 3")
+	f.processes[secondHolder].signal(syscall.SIGKILL)
+	f.expectCompletion(f.streamChat(gateway, prompt, 20, nil), prompt, 20)
+	f.waitForLeaseHolder(gateway, "number 3")
 	for _, name := range []string{"engine-1", "engine-2"} {
-		f.expectFencesRise(name)
+		f.expectFencesNeverDecrease(name)
 	}
 }
 
-// holder waits until some entry has taken the lease under a number, as the time
+// waitForLeaseHolder waits until some entry has taken the lease under a number, as the time
 // line of the entry asked tells, and returns which.
-func (f *fleet) holder(asked, number string) (name, line string) {
+func (f *fleet) waitForLeaseHolder(gateway, number string) (name, line string) {
 	f.t.Helper()
-	until(f.t, "the lease is taken under "+number, func() bool {
-		for _, line = range strings.Split(f.linesOf(asked, ""), "\n") {
+	waitUntil(f.t, "the lease is taken under "+number, func() bool {
+		for _, line = range strings.Split(f.timelineOf(gateway, ""), "\n") {
 			if fields := strings.Fields(line); strings.Contains(line, "lease_taken") && strings.HasSuffix(strings.TrimSpace(line), number) {
 				name = fields[2]
 			}
@@ -290,12 +290,12 @@
 	return name, line
 }
 
-// linesOf returns the lines of the time line, as an entry tells it, that name
+// timelineOf returns the lines of the time line, as an entry tells it, that name
 // a node.
-func (f *fleet) linesOf(asked, node string) string {
+func (f *fleet) timelineOf(gateway, node string) string {
 	f.t.Helper()
 	var found []string
-	for _, line := range strings.Split(f.must("timeline", "--server", f.operators[asked], "--operator-key", operatorKey), "\n") {
+	for _, line := range strings.Split(f.mustRun("timeline", "--server", f.operatorURLs[gateway], "--operator-key", operatorKey), "\n") {
 		if fields := strings.Fields(line); node == "" || (len(fields) > 3 && fields[2] == node) {
 			found = append(found, line)
 		}
@@ -303,10 +303,10 @@
 	return strings.Join(found, "\n")
 }
 
-// expectFencesRise looks at every order that reached an engine.
-func (f *fleet) expectFencesRise(engine string) {
+// expectFencesNeverDecrease looks at every order that reached an engine.
+func (f *fleet) expectFencesNeverDecrease(engine string) {
 	f.t.Helper()
-	response, err := http.Get("http://" + f.targets[engine] + "/orders")
+	response, err := http.Get("http://" + f.targetAddrs[engine] + "/orders")
 	if err != nil {
 		f.t.Fatal(err)
 	}
