--- a/test/front/front_test.go
+++ b/test/front/front_test.go
@@ -20,9 +20,9 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/site"
 )
 
-// A quiet site: one request of each kind arrives at each of two fronts. Each is
-// answered whole, with the worker's stamp, and runs once; the long prompt is read
-// at a reading engine first.
+// Sends one request of each kind to each of two gateways without faults. Every response
+// must be complete and carry the worker's stamp, plain requests must run once, and the
+// long prompt must be prefilled on a prefill engine first.
 func TestRequestsWithoutFaults(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 2, Decode: 1, Plain: 2, Events: 5, Pause: time.Millisecond})
 	for _, name := range []string{"front-1", "front-2"} {
@@ -38,38 +38,37 @@
 		}
 	}
 	if s.Engines[0].Prompts()+s.Engines[1].Prompts() != 2 {
-		t.Error("the long prompts were not read apart")
+		t.Error("the long prompts were not prefilled on separate engines")
 	}
 	if got := newGateway(t, s, "front-3").do(context.Background(), http.MethodGet, "/none/", "none", nil); got.status != http.StatusNotFound {
-		t.Errorf("a path without a route: status %d", got.status)
+		t.Errorf("path without a route: status %d", got.status)
 	}
 }
 
-// A worker is about to be shut down and says so in the store. Requests that go
-// there after two seconds are lost with it; a user would see them fail during
-// every planned change.
+// A worker marks itself as draining in the store before it shuts down. Requests sent to
+// it after two seconds are lost, so that users would see failures during every planned
+// change.
 func TestDrainingWorkerGetsNoRequests(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
 	p := newGateway(t, s, "front-1")
 	s.Announce(s.Plain[0], "draining")
-	eventually(t, "the front knows", func() bool { return len(p.log(`"draining"`)) > 0 })
+	eventually(t, "the gateway reads the worker's state", func() bool { return len(p.log(`"draining"`)) > 0 })
 	before := len(s.Plain[0].Runs())
 	for i := range 20 {
 		requireComplete(t, p.post(fmt.Sprintf("post-%d", i)), fleet.Body(fmt.Sprintf("post-%d", i)))
 	}
 	if after := len(s.Plain[0].Runs()); after != before {
-		t.Errorf("the draining worker got %d requests", after-before)
+		t.Errorf("the draining worker received %d requests", after-before)
 	}
 	s.Remove(s.Plain[1])
-	eventually(t, "nobody is left", func() bool {
+	eventually(t, "no worker is left", func() bool {
 		got := p.post("nobody")
 		return got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 	})
 }
 
-// The operator moves a route to a path of another host and adds one. A front
-// that went on by the old version would run requests that are no longer allowed
-// and refuse those that are.
+// The operator removes a route and adds one. A gateway that kept the old config would
+// run requests that are no longer allowed and refuse those that are.
 func TestConfigChangeTakesEffect(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
 	p := newGateway(t, s, "front-1")
@@ -77,17 +76,17 @@
 		delete(routes, site.PathPost)
 		routes["/added/"] = site.Route{"kind": "idempotent", "service": site.Desk, "timeout_ms": 1000, "max_attempts": 2}
 	})
-	eventually(t, "the new version is in force", func() bool { return len(p.log("config in force")) == 2 })
+	eventually(t, "the new version takes effect", func() bool { return len(p.log("config in force")) == 2 })
 	if got := p.post("gone"); got.status != http.StatusNotFound {
-		t.Errorf("a route that is gone: status %d", got.status)
+		t.Errorf("removed route: status %d", got.status)
 	}
 	id := "added"
 	requireComplete(t, p.do(context.Background(), http.MethodGet, "/added/1", id, nil), fleet.Body(id))
 }
 
-// The store does what it is asked and its answer is lost, then it refuses, resets
-// and falls silent. Requests must not notice, and when it is back the changes made
-// meanwhile must come into force.
+// The store commits calls and loses the responses, then refuses calls, resets connections
+// and stops responding. Requests must not be affected, and changes made during the fault
+// must take effect once it ends.
 func TestStoreFaultsDoNotAffectRequests(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
 	p := newGateway(t, s, "front-1")
@@ -100,16 +99,16 @@
 		s.Store.Forget()
 		sleep(200 * time.Millisecond)
 		s.Store.SetFault(rowstoreFault(""))
-		eventually(t, "the config of the outage is in force after "+fault, func() bool {
+		eventually(t, "the config written during the fault takes effect after "+fault, func() bool {
 			return len(p.log("config in force")) > before
 		})
 	}
 }
 
-// A front is told to stop while requests come without a pause. It must finish
-// what it has, go on taking requests while the balancer may still send some, and
-// refuse at once what it could not finish; a connection that is cut would be an
-// error for its user during every update.
+// A gateway gets a stop signal under continuous load. It must finish the requests in
+// flight, accept new ones while the load balancer may still send them, and refuse
+// immediately those that it can't finish. An aborted connection would be an error for a
+// user during every update.
 func TestGracefulStopUnderLoad(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 1, Decode: 1, Plain: 2, Events: 8, Pause: 20 * time.Millisecond})
 	p := newGateway(t, s, "front-1")
@@ -143,22 +142,22 @@
 	}
 	sleep(200 * time.Millisecond)
 	p.signal(syscall.SIGTERM)
-	eventually(t, "the front is unready", func() bool { return !p.isReady() })
+	eventually(t, "the gateway reports that it is not ready", func() bool { return !p.isReady() })
 	group.Wait()
 	<-p.done
 	if len(interrupted) > 0 {
-		t.Errorf("%d requests were cut, first: %s", len(interrupted), interrupted[0])
+		t.Errorf("%d requests were aborted, first: %s", len(interrupted), interrupted[0])
 	}
 	if served == 0 {
-		t.Error("nothing was served")
+		t.Error("no request was served")
 	}
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
 
-// All fronts are killed at the same moment and started again. Nothing is kept on
-// the machines: they must serve again from the store alone within seconds.
+// All gateways are killed at once and restarted. They keep no state on their machines and
+// must serve again within seconds from the store alone.
 func TestAllGatewaysRestartAfterKill(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 1, Decode: 1, Plain: 1, Events: 3, Pause: time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
@@ -173,16 +172,17 @@
 		p.waitReady()
 		requireComplete(t, p.post(p.name+"-again"), fleet.Body(p.name+"-again"))
 	}
-	t.Logf("both served again after %v", time.Since(started))
+	t.Logf("both gateways served again after %v", time.Since(started))
 }
 
-// Four engines of six start as generating ones. One front of two holds the lease
-// and orders them into the split; both may never give orders in turn.
+// Four of six engines start as decode engines, and the lease holder of two gateways orders
+// the engines into four for prefill and two for decode. The gateways must not alternate in
+// sending orders.
 func TestOnlyLeaseHolderSendsOrders(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 2, Decode: 4, Plain: 1, Events: 1})
 	newGateway(t, s, "front-1")
 	newGateway(t, s, "front-2")
-	eventually(t, "the split is there", func() bool {
+	eventually(t, "four engines run prefill", func() bool {
 		prefill := 0
 		for _, e := range s.Engines {
 			s.Announce(e, "ready")
@@ -199,12 +199,12 @@
 		}
 	}
 	if len(issuers) != 1 {
-		t.Errorf("orders came from %v", issuers)
+		t.Errorf("orders came from %v, want one holder", issuers)
 	}
 }
 
-// The settings file changes and the process is told by SIGHUP. Open connections
-// must go on: the next request on the same one is answered.
+// SIGHUP makes the gateway read its settings file again. Open connections must survive:
+// the next request on the same connection is answered.
 func TestReloadKeepsConnections(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 1})
 	p := newGateway(t, s, "front-1")
@@ -228,9 +228,9 @@
 	}
 }
 
-// A request ends the worker that runs it, each time it comes. After three times
-// through one front the other one must refuse it, too; both would else go on
-// taking workers down, one after the other. Other requests are served.
+// A request crashes every worker that runs it. After three crashes through one gateway
+// the other one must refuse the request, too; otherwise the two keep crashing one worker
+// after the other. Other requests are served.
 func TestCrashingRequestIsRefusedByEveryGateway(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 2})
 	first, second := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
@@ -239,10 +239,10 @@
 	}
 	for i := range 3 {
 		if got := first.post(fmt.Sprintf("bad-%d", i)); got.status != http.StatusBadGateway {
-			t.Fatalf("status %d of a request whose answer was lost", got.status)
+			t.Fatalf("status %d for a request whose response was lost", got.status)
 		}
 	}
-	eventually(t, "the other front refuses it", func() bool {
+	eventually(t, "the other gateway refuses the request", func() bool {
 		return second.post("bad-again").status == http.StatusServiceUnavailable
 	})
 	for _, w := range s.Plain {
@@ -254,8 +254,8 @@
 	requireComplete(t, second.lookup("good"), fleet.Body("good"))
 }
 
-// A deployment starts with a bad file and a bad flag. "check" must tell all of it
-// at once and run nothing; a front must not start with half of its settings.
+// A settings file and a flag are invalid. "check" must report all errors at once without
+// starting anything, and a gateway must not start with part of its settings.
 func TestAllSettingsErrorsAreReported(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(file, []byte("node_name = \"n\"\n[listen]\nfrontend = \"nowhere\"\n"), 0o600); err != nil {
@@ -270,16 +270,16 @@
 		}
 		for _, setting := range []string{"--read-part", "listen.frontend in the settings file", "limits.memory_mb", "platform.address"} {
 			if !strings.Contains(string(out), setting) {
-				t.Errorf("%v: %q is not told in %s", args, setting, out)
+				t.Errorf("%v: %q is missing in %s", args, setting, out)
 			}
 		}
 	}
 }
 
-// Reading engines are lost while streams run at all generating ones. One of these
-// has to read from now on, and would do so only when its last stream has ended.
-// Instead its streams go on at the others, through both fronts, and every user
-// has a whole stream that ran once.
+// Prefill engines fail while all decode engines run streams. One decode engine has to
+// take over prefill, which it could do only after its last stream ended. Its streams must
+// move to the other engines instead, through both gateways, and every user must get a
+// complete stream without repetition.
 func TestStreamsMoveWhenEngineChangesRole(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 4, Decode: 2, Events: 400, Pause: 10 * time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
@@ -308,7 +308,7 @@
 	for _, e := range s.Engines[:3] {
 		s.Remove(e)
 	}
-	eventually(t, "an engine has changed its role", func() bool { return s.Engines[4].Stage() != s.Engines[5].Stage() })
+	eventually(t, "one of the two decode engines changed its role", func() bool { return s.Engines[4].Stage() != s.Engines[5].Stage() })
 	group.Wait()
 	moved := 0
 	for _, e := range s.Engines {
--- a/test/front/leaving_test.go
+++ b/test/front/leaving_test.go
@@ -9,11 +9,12 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/site"
 )
 
-// shutdownGracePeriod is for how long a worker that said it leaves may still get requests.
+// shutdownGracePeriod is how long a worker may still receive requests after it announced
+// its shutdown.
 const shutdownGracePeriod = 2 * time.Second
 
-// The store answers nobody while a worker of each kind says in its answers that it
-// leaves. What is sent there two seconds later ends with the worker.
+// The store does not respond while one worker of each kind announces its shutdown in its
+// responses. Requests sent to it more than two seconds later fail with the worker.
 func TestStoppingWorkerGetsNoRequestsDuringStoreOutage(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 3, Decode: 3, Plain: 3, Events: 2, Pause: 10 * time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
@@ -29,7 +30,7 @@
 	}
 	for _, w := range stopping {
 		for _, p := range gateways {
-			eventually(t, p.name+" is told that "+s.ID(w)+" leaves", func() bool { return len(p.log("worker leaves", s.ID(w))) > 0 })
+			eventually(t, p.name+" learns that "+s.ID(w)+" shuts down", func() bool { return len(p.log("worker leaves", s.ID(w))) > 0 })
 		}
 	}
 	announced := time.Now()
@@ -37,19 +38,19 @@
 	close(stop)
 	for kind, result := range map[string]*loadResult{"look": lookups(), "long": longPrompts()} {
 		if result.failed > 0 || result.succeeded < 100 {
-			t.Errorf("%s: %d whole, %d not, the last one %+v", kind, result.succeeded, result.failed, result.lastFailure)
+			t.Errorf("%s: %d succeeded, %d failed, last failure %+v", kind, result.succeeded, result.failed, result.lastFailure)
 		}
 	}
 	for _, w := range stopping {
 		if lateRequests := w.Most(announced.Add(shutdownGracePeriod), time.Minute); lateRequests > 0 {
-			t.Errorf("%s got %d requests over %v after all fronts were told that it leaves", s.ID(w), lateRequests, shutdownGracePeriod)
+			t.Errorf("%s received %d requests more than %v after all gateways learned of its shutdown", s.ID(w), lateRequests, shutdownGracePeriod)
 		}
 	}
 }
 
-// The store turns one of two fronts away and serves the other, which is killed and starts
-// again. Both must stop sending to a worker that leaves: one was told by answers alone, the
-// other knows only what the store says.
+// The store refuses one of two gateways and serves the other, which is killed and
+// restarted. Both must stop sending to a worker that shuts down: one learns of it from
+// responses alone, the other from the store alone.
 func TestGatewayCutOffFromStoreStopsUsingStoppingWorker(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 3, Pause: 10 * time.Millisecond})
 	isolated, restarted := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
@@ -59,7 +60,7 @@
 	s.TurnAway("front-1", true)
 	s.Plain[0].Leave()
 	s.Announce(s.Plain[0], "draining")
-	eventually(t, "the front is told", func() bool { return len(isolated.log("worker leaves", s.ID(s.Plain[0]))) > 0 })
+	eventually(t, "the gateway learns of the shutdown", func() bool { return len(isolated.log("worker leaves", s.ID(s.Plain[0]))) > 0 })
 	announced := time.Now()
 	restarted.kill()
 	restarted.start()
@@ -70,10 +71,10 @@
 	close(stop)
 	for kind, result := range map[string]*loadResult{"look": lookups(), "again": lookupsAfterRestart()} {
 		if result.failed > 0 || result.succeeded < 20 {
-			t.Errorf("%s: %d whole, %d not, the last one %+v", kind, result.succeeded, result.failed, result.lastFailure)
+			t.Errorf("%s: %d succeeded, %d failed, last failure %+v", kind, result.succeeded, result.failed, result.lastFailure)
 		}
 	}
 	if lateRequests := s.Plain[0].Most(announced.Add(shutdownGracePeriod), time.Minute); lateRequests > 0 {
-		t.Errorf("the worker got %d requests over %v after the front was told", lateRequests, shutdownGracePeriod)
+		t.Errorf("the worker received %d requests more than %v after the gateway learned of its shutdown", lateRequests, shutdownGracePeriod)
 	}
 }
--- a/test/front/limits_test.go
+++ b/test/front/limits_test.go
@@ -12,29 +12,32 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/site"
 )
 
-// What the users' rules allow a worker that names a limit to get.
+// Requests that a worker may receive after it announced a rate limit, by the rules of the
+// users' platform: limitFactor times the limit plus limitBurst in each limitWindow.
 const (
-	// limitGracePeriod is how long after it first named its limit that holds.
+	// limitGracePeriod is the time between the first announcement and the start of the limit.
 	limitGracePeriod = 3 * time.Second
 	limitWindow      = 4 * time.Second
 	limitFactor      = 1.5
 	limitBurst       = 5
 )
 
-// maxRequests is the most requests in a span that a limit allows.
+// maxRequests returns the maximum number of requests in a limitWindow, for a limit in
+// requests per second.
 func maxRequests(perSecond float64) int {
 	return int(limitFactor*perSecond*limitWindow.Seconds()) + limitBurst
 }
 
-// loadResult counts what became of a load's requests.
+// loadResult counts the requests of a load by outcome.
 type loadResult struct {
 	mu                sync.Mutex
 	succeeded, failed int
 	lastFailure       response
 }
 
-// startLoad sends requests through fronts, one after the other for each time that a
-// front is named, with a pause between, until stop is closed. The function that it returns waits for the rest.
+// startLoad runs one sequential client per element of gateways, which may repeat, with an
+// interval before each request, until stop is closed. The returned function waits for the
+// requests in flight and returns the outcomes.
 func startLoad(
 	gateways []*process, interval time.Duration, stop <-chan struct{}, name string, send func(p *process, id string) response,
 ) func() *loadResult {
@@ -68,14 +71,14 @@
 	}
 }
 
-// A worker of each kind is in need and names a limit, while three fronts send it several
-// times that. More than it takes would bring it down, and its requests with it; the
-// others have room for all.
+// One worker of each kind announces a rate limit while three gateways send it several
+// times as much. Exceeding the limit would crash the worker and fail its requests; the
+// other workers have capacity for the whole load.
 func TestGatewaysTogetherStayWithinWorkerLimit(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 3, Decode: 3, Plain: 3, Events: 2, Pause: 10 * time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2"), newGateway(t, s, "front-3")}
 	for _, p := range gateways {
-		// One that starts again uses its whole share.
+		// A restarted gateway uses its full share of the limit.
 		p.kill()
 		p.start()
 		p.waitReady()
@@ -94,12 +97,12 @@
 	close(stop)
 	for kind, result := range map[string]*loadResult{"look": lookups(), "long": longPrompts()} {
 		if result.failed > 0 || result.succeeded < 100 {
-			t.Errorf("%s: %d whole, %d not, the last one %+v", kind, result.succeeded, result.failed, result.lastFailure)
+			t.Errorf("%s: %d succeeded, %d failed, last failure %+v", kind, result.succeeded, result.failed, result.lastFailure)
 		}
 	}
 	for w, perSecond := range limits {
 		if most := w.Most(announced.Add(limitGracePeriod), limitWindow); most > maxRequests(perSecond) {
-			t.Errorf("%s, limit %v: %d requests in %v, allowed %d", s.ID(w), perSecond, most, limitWindow, maxRequests(perSecond))
+			t.Errorf("%s with limit %v/s: %d requests in %v, want at most %d", s.ID(w), perSecond, most, limitWindow, maxRequests(perSecond))
 		}
 		for _, p := range gateways {
 			t.Logf("%s: %s", p.name, p.log("worker limit", s.ID(w)))
--- a/test/front/process_test.go
+++ b/test/front/process_test.go
@@ -1,5 +1,5 @@
-// Package front drives the real program against stand-ins of the users'
-// platform, as separate processes over TCP on loopback.
+// Package front tests the gateway binary ("kumquatlug front"), run as separate processes,
+// against an in-process stand-in of the users' platform over TCP on loopback.
 package front
 
 import (
@@ -21,9 +21,10 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/site"
 )
 
+// binary is the path of the program under test.
 var binary string
 
-// TestMain builds the program that all tests run.
+// TestMain builds the program once for all tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "front")
 	if err != nil {
@@ -41,11 +42,11 @@
 	os.Exit(code)
 }
 
-// waitTimeout bounds every wait of these tests; a front is ready within a second on
-// an idle machine.
+// waitTimeout bounds every wait of these tests. A gateway is ready within a second on an
+// idle machine.
 const waitTimeout = 20 * time.Second
 
-// process is one front.
+// process is one gateway process.
 type process struct {
 	t                     *testing.T
 	name, settingsFile    string
@@ -57,7 +58,7 @@
 	lines                 []string
 }
 
-// newSite starts a small deployment.
+// newSite starts the stand-in of a small deployment.
 func newSite(t *testing.T, c site.Config) *site.Site {
 	t.Helper()
 	s, err := site.New(c)
@@ -68,7 +69,7 @@
 	return s
 }
 
-// newGateway starts a front and waits until it is ready.
+// newGateway starts a gateway and waits until it is ready.
 func newGateway(t *testing.T, s *site.Site, name string) *process {
 	t.Helper()
 	settings, clientAddr, readyAddr, err := s.Settings(name)
@@ -93,7 +94,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	// A process that can't start says why there.
+	// A process that can't start reports the error on standard error.
 	p.cmd.Stderr = p.cmd.Stdout
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
@@ -112,7 +113,7 @@
 	close(done)
 }
 
-// log returns the lines written so far that hold all words.
+// log returns the log lines so far that contain all substrings.
 func (p *process) log(substrings ...string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,7 +163,7 @@
 	eventually(p.t, p.name+" is ready", p.isReady)
 }
 
-// eventually waits until what holds.
+// eventually polls condition until it is true and fails the test after waitTimeout.
 func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
@@ -171,13 +172,13 @@
 		}
 		sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("not within %v: %s", waitTimeout, description)
+	t.Fatalf("condition not met within %v: %s", waitTimeout, description)
 }
 
-// sleep waits for real time to pass: the program runs by its own clock.
+// sleep waits for real time to pass, since the processes run on their own clock.
 func sleep(d time.Duration) { <-time.After(d) }
 
-// response is what a client has received.
+// response is what a client received.
 type response struct {
 	status int
 	header http.Header
@@ -185,7 +186,7 @@
 	err    error
 }
 
-// do sends one request over a connection of its own.
+// do sends one request over a new connection.
 func (p *process) do(ctx context.Context, method, path, id string, header map[string]string) response {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+p.clientAddr+path, strings.NewReader(strings.Repeat("b", 300)))
 	if err != nil {
@@ -210,33 +211,37 @@
 	return response{status: got.StatusCode, header: got.Header, body: string(body), err: err}
 }
 
-// longPromptHeaders are the headers of a request with a long prompt.
+// longPromptHeaders returns the headers of a request with a long prompt.
 func longPromptHeaders(id string) map[string]string {
 	return map[string]string{
 		"Model": "m", "Token-Count": "9190,104", "Prefix-Hash": "aa:2520,bb" + id[len(id)-1:] + ":3780," + id + ":2890",
 	}
 }
 
-// post, look, long and chat send one request of each kind.
+// post sends a request that may run only once.
 func (p *process) post(id string) response {
 	return p.do(context.Background(), http.MethodPost, site.PathPost+"x", id, nil)
 }
 
+// lookup sends an idempotent request.
 func (p *process) lookup(id string) response {
 	return p.do(context.Background(), http.MethodGet, site.PathLook+"x?y=1", id, nil)
 }
 
+// longPrompt sends a prompt that is long enough for a separate prefill; its stream may resume
+// on another engine.
 func (p *process) longPrompt(id string) response {
 	return p.do(context.Background(), http.MethodPost, site.PathLong+"x", id, longPromptHeaders(id))
 }
 
+// chat sends a short prompt whose stream may not resume.
 func (p *process) chat(id string) response {
 	return p.do(context.Background(), http.MethodPost, site.PathChat+"x", id, map[string]string{
 		"Model": "m", "Token-Count": "220,400", "Prefix-Hash": "cc:80," + id + ":140",
 	})
 }
 
-// streamBody is the body of a whole stream of n events.
+// streamBody returns the body of a complete stream of n events.
 func streamBody(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -245,17 +250,19 @@
 	return b.String()
 }
 
+// requireComplete fails the test unless the response is complete, has this body and carries
+// the worker's stamp.
 func requireComplete(t *testing.T, got response, body string) {
 	t.Helper()
 	if got.err != nil || got.status != http.StatusOK || got.body != body {
 		t.Fatalf("status %d, error %v, body of %d bytes %.200q; want %d bytes", got.status, got.err, len(got.body), got.body, len(body))
 	}
 	if got.header.Get("Server-Stamp") == "" {
-		t.Fatal("the answer lacks the worker's stamp")
+		t.Fatal("the response lacks the worker's stamp")
 	}
 }
 
-// totalRuns adds up how often a request ran at all workers.
+// totalRuns returns how often a request ran on all workers together.
 func totalRuns(workers []*fleet.Worker, id string) int {
 	n := 0
 	for _, w := range workers {
--- a/test/front/restore_test.go
+++ b/test/front/restore_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/site"
 )
 
-// fencingTokens returns the numbers under which a front won the lease, in order.
+// fencingTokens returns the fencing tokens with which a gateway acquired the lease, in order.
 func fencingTokens(t *testing.T, p *process) []int64 {
 	t.Helper()
 	var tokens []int64
@@ -24,20 +24,20 @@
 	return tokens
 }
 
-// While requests come, the store comes back from a copy that is older than a drain, than a
-// config that took a route away and than the rows of the fronts, and gives its versions out
-// again. Nothing of that may go back: not the drain, not the route, not the number under
-// which orders are given; and no request may notice.
+// Under load, the store is restored from a backup that predates a drain, the removal of a
+// route and the rows of the gateways, and it assigns the same versions again. The drain,
+// the removal and the fencing token of the orders must not be reverted, and no request may
+// fail.
 func TestRestoredStoreRevertsNothing(t *testing.T) {
 	s := newSite(t, site.Config{Prefill: 2, Decode: 2, Plain: 3, Events: 2, Pause: 10 * time.Millisecond})
 	snapshot := s.Store.Copy()
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
-	eventually(t, "a front gives orders", func() bool { return len(fencingTokens(t, gateways[0]))+len(fencingTokens(t, gateways[1])) > 0 })
+	eventually(t, "a gateway holds the lease", func() bool { return len(fencingTokens(t, gateways[0]))+len(fencingTokens(t, gateways[1])) > 0 })
 	s.SetConfig(func(routes map[string]site.Route) { delete(routes, site.PathChat) })
 	drained := s.Plain[0]
 	s.Announce(drained, "draining")
 	for _, p := range gateways {
-		eventually(t, p.name+" knows", func() bool { return len(p.log("config in force")) > 1 && len(p.log(`"draining"`)) > 0 })
+		eventually(t, p.name+" reads both changes", func() bool { return len(p.log("config in force")) > 1 && len(p.log(`"draining"`)) > 0 })
 	}
 	stop := make(chan struct{})
 	lookups := startLoad(gateways, 10*time.Millisecond, stop, "look", (*process).lookup)
@@ -46,27 +46,28 @@
 	s.Store.Restore(snapshot, 1000)
 	restored := time.Now()
 	for _, p := range gateways {
-		eventually(t, p.name+" notices", func() bool { return len(p.log("store restored", `"era":1`)) > 0 })
-		eventually(t, p.name+" is written again", func() bool { return s.Store.Value("kumquatlug-front", "front/"+p.name) != nil })
+		eventually(t, p.name+" detects the restore", func() bool { return len(p.log("store restored", `"era":1`)) > 0 })
+		eventually(t, p.name+" writes its row again", func() bool { return s.Store.Value("kumquatlug-front", "front/"+p.name) != nil })
 	}
 	before := max(lastToken(fencingTokens(t, gateways[0])), lastToken(fencingTokens(t, gateways[1])))
-	eventually(t, "a front gives orders again", func() bool {
+	eventually(t, "a gateway holds the lease under a higher token", func() bool {
 		return max(lastToken(fencingTokens(t, gateways[0])), lastToken(fencingTokens(t, gateways[1]))) > before
 	})
 	if got := gateways[0].chat("gone"); got.status != 404 {
-		t.Errorf("a route that was taken away: status %d", got.status)
+		t.Errorf("removed route: status %d", got.status)
 	}
 	close(stop)
 	for kind, result := range map[string]*loadResult{"look": lookups(), "long": longPrompts()} {
 		if result.failed > 0 || result.succeeded < 50 {
-			t.Errorf("%s: %d whole, %d not, the last one %+v", kind, result.succeeded, result.failed, result.lastFailure)
+			t.Errorf("%s: %d succeeded, %d failed, last failure %+v", kind, result.succeeded, result.failed, result.lastFailure)
 		}
 	}
 	if lateRequests := drained.Most(restored, time.Minute); lateRequests > 0 {
-		t.Errorf("the drained worker got %d requests since", lateRequests)
+		t.Errorf("the drained worker received %d requests after the restore", lateRequests)
 	}
 }
 
+// lastToken returns the newest token, or 0 if there is none.
 func lastToken(tokens []int64) int64 {
 	if len(tokens) == 0 {
 		return 0
@@ -74,8 +75,9 @@
 	return tokens[len(tokens)-1]
 }
 
-// The store comes back from copies some seconds old while usage is counted and reported.
-// Each window must be reported once, with all that ran, and under numbers that rise.
+// The store is restored twice from a backup that is some seconds old while usage is counted
+// and reported. Each window must be reported once, with all its requests, under increasing
+// fencing tokens.
 func TestUsageSurvivesStoreRestore(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
@@ -92,8 +94,8 @@
 	}
 	close(stop)
 	want := served()
-	eventually(t, "all is reported", func() bool { return s.Cloud.Total("north") == want })
+	eventually(t, "all requests are reported", func() bool { return s.Cloud.Total("north") == want })
 	if broken := s.Cloud.Broken(); len(broken) != 0 {
-		t.Errorf("%v", broken)
+		t.Errorf("rules broken: %v", broken)
 	}
 }
--- a/test/front/turns_test.go
+++ b/test/front/turns_test.go
@@ -13,16 +13,17 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/site"
 )
 
-// maxPromptTime bounds how long a prompt may take while a front that was asked for its
-// turn stands still: two questions of 25 ms, the looks between, and the reading.
+// maxPromptTime bounds the duration of a prompt while the coordinator of its engine is
+// paused: two grant requests that wait 25 ms each for a reply, the checks between them and
+// the prefill.
 const maxPromptTime = 1500 * time.Millisecond
 
-// newThreeGateways starts a site with many engines and three fronts that know each other.
+// newThreeGateways starts a site with ten engines and three gateways that know each other.
 func newThreeGateways(t *testing.T) []*process {
 	t.Helper()
 	s := newSite(t, site.Config{Prefill: 8, Decode: 2, Plain: 1, Events: 2, Pause: time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2"), newGateway(t, s, "front-3")}
-	eventually(t, "fronts know each other", func() bool {
+	eventually(t, "gateways know each other", func() bool {
 		for _, p := range gateways {
 			id := fmt.Sprintf("meet-%d", time.Now().UnixNano())
 			requireComplete(t, p.longPrompt(id), streamBody(id, 2))
@@ -32,8 +33,8 @@
 	return gateways
 }
 
-// sendLongPrompts sends so many long prompts of as many chains through a front, four at a time, and returns the longest that
-// one took. Each must be answered whole.
+// sendLongPrompts sends count long prompts with distinct prefix chains through a gateway,
+// four at a time, and returns the longest duration. Every response must be complete.
 func sendLongPrompts(t *testing.T, p *process, name string, count int) time.Duration {
 	t.Helper()
 	var mu sync.Mutex
@@ -64,29 +65,29 @@
 	return longest
 }
 
-// A front that coordinates engines is stopped by a debugger, an overcommitted host or a
-// snapshot: its port takes datagrams, and nobody answers them. Prompts that other
-// fronts asked turns for must go on by themselves; a user would else wait until
-// giving up. When it goes on, it must be asked again.
+// A gateway that coordinates engines is paused by a debugger, an overcommitted host or a
+// snapshot: its port accepts datagrams, but no reply comes. Prompts for which other gateways
+// requested a grant must proceed without it, or their users would wait until they give up.
+// After it resumes, it must receive requests again.
 func TestPausedGatewayDelaysNoPrompt(t *testing.T) {
 	gateways := newThreeGateways(t)
 	gateways[2].signal(syscall.SIGSTOP)
 	longest := sendLongPrompts(t, gateways[0], "stopped", 80)
 	gateways[2].signal(syscall.SIGCONT)
 	if longest > maxPromptTime {
-		t.Errorf("a prompt took %v", longest)
+		t.Errorf("a prompt took %v, want at most maxPromptTime", longest)
 	}
 	if len(gateways[0].log("front away", `"front":"front-3"`)) == 0 {
-		t.Error("nobody was found away: the front that stood still coordinated nothing")
+		t.Error("no gateway was found unreachable: the paused one coordinated no engine")
 	}
-	eventually(t, "it is asked again", func() bool {
+	eventually(t, "the resumed gateway receives grant requests again", func() bool {
 		sendLongPrompts(t, gateways[0], fmt.Sprint("back", time.Now().UnixNano()), 16)
 		return len(gateways[0].log("front back", `"front":"front-3"`)) > 0
 	})
 }
 
-// A front is killed and starts again at its address with another key, several times,
-// while prompts go through another one. All must be answered.
+// A gateway is killed and restarted on the same address with a new key, three times, while
+// another gateway sends prompts. All prompts must be answered.
 func TestAFrontThatIsKilledAgainAndAgainCostsNoPrompt(t *testing.T) {
 	gateways := newThreeGateways(t)
 	done := make(chan struct{})
@@ -105,21 +106,22 @@
 	}
 	<-done
 	if longest > maxPromptTime {
-		t.Errorf("a prompt took %v", longest)
+		t.Errorf("a prompt took %v, want at most maxPromptTime", longest)
 	}
 }
 
-// A front is told to stop while it coordinates engines. The others must hear of it and ask
-// it nothing more; else each of them finds out by prompts that wait.
+// A gateway that coordinates engines gets a stop signal. Its peers must be notified and
+// send it no more grant requests; otherwise each of them detects the stop only through
+// prompts that wait.
 func TestStoppingGatewayNotifiesPeers(t *testing.T) {
 	gateways := newThreeGateways(t)
 	sendLongPrompts(t, gateways[0], "known", 80)
 	gateways[2].signal(syscall.SIGTERM)
-	eventually(t, "the others know", func() bool { return len(gateways[0].log("front stops", `"front":"front-3"`)) > 0 })
+	eventually(t, "the peers are notified", func() bool { return len(gateways[0].log("front stops", `"front":"front-3"`)) > 0 })
 	if longest := sendLongPrompts(t, gateways[0], "stopping", 40); longest > maxPromptTime {
-		t.Errorf("a prompt took %v", longest)
+		t.Errorf("a prompt took %v, want at most maxPromptTime", longest)
 	}
 	if unreachable := gateways[0].log("front away"); len(unreachable) > 0 {
-		t.Errorf("%s", unreachable)
+		t.Errorf("a peer found the gateway unreachable before it was notified: %s", unreachable)
 	}
 }
--- a/test/front/usage_test.go
+++ b/test/front/usage_test.go
@@ -12,8 +12,8 @@
 	"github.com/kumquatlug/kumquatlug/internal/standin/site"
 )
 
-// startPosts sends requests of an account through fronts until stop is closed, and
-// returns how many were answered.
+// startPosts sends requests of an account through each gateway until stop is closed. The
+// returned function waits for the requests in flight and returns how many succeeded.
 func startPosts(t *testing.T, gateways []*process, key, name string, stop <-chan struct{}) func() int64 {
 	t.Helper()
 	var group sync.WaitGroup
@@ -44,9 +44,9 @@
 	}
 }
 
-// Two fronts serve two accounts while the service that takes the reports is busy, loses
-// its answers and falls silent. Each window must be reported once, with all that ran;
-// whatever differs is billed wrongly.
+// Two gateways serve two accounts while the usage service is busy, loses responses and
+// stops responding. Each window must be reported once, with all its requests; any
+// difference leads to wrong bills.
 func TestUsageIsReportedOnceDespiteServiceFaults(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}, "south": {southKey}})
@@ -59,16 +59,17 @@
 	}
 	close(stop)
 	wantNorth, wantSouth := north(), south()
-	eventually(t, "all is reported", func() bool {
+	eventually(t, "all requests are reported", func() bool {
 		return s.Cloud.Total("north") == wantNorth && s.Cloud.Total("south") == wantSouth
 	})
 	if violations := s.Cloud.Broken(); len(violations) != 0 {
-		t.Errorf("%v", violations)
+		t.Errorf("rules broken: %v", violations)
 	}
 }
 
-// The holder of the lease is frozen past its lease, wakes, and is killed. What was
-// fixed is reported by its successor as it was, and no token is used by two.
+// The lease holder is paused past the end of its lease, resumed and killed. Its successor
+// must report the counts that were already final unchanged, and no two holders may use the
+// same fencing token.
 func TestUsageSurvivesLossOfLeaseHolder(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
@@ -85,7 +86,7 @@
 	served := startPosts(t, others, northKey, "n", stop)
 	sleep(700 * time.Millisecond)
 	gateways[holder].signal(syscall.SIGSTOP)
-	eventually(t, "another front holds the lease", func() bool {
+	eventually(t, "another gateway holds the lease", func() bool {
 		return len(others[0].log("lease won"))+len(others[1].log("lease won")) > 0
 	})
 	gateways[holder].signal(syscall.SIGCONT)
@@ -93,14 +94,14 @@
 	gateways[holder].kill()
 	close(stop)
 	want := served()
-	eventually(t, "all is reported", func() bool { return s.Cloud.Total("north") == want })
+	eventually(t, "all requests are reported", func() bool { return s.Cloud.Total("north") == want })
 	if violations := s.Cloud.Broken(); len(violations) != 0 || s.Cloud.Holders() < 2 {
-		t.Errorf("%d holders; %v", s.Cloud.Holders(), violations)
+		t.Errorf("%d holders, want at least 2; rules broken: %v", s.Cloud.Holders(), violations)
 	}
 }
 
-// A front is told to stop in the middle of a window. What it had counted until then
-// must be in the report.
+// A gateway is stopped in the middle of a window. The report must include the requests that
+// it had counted.
 func TestStoppingGatewayReportsItsCounts(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
@@ -113,14 +114,14 @@
 	close(stop)
 	want := served()
 	<-stopping.done
-	eventually(t, "all is reported", func() bool { return s.Cloud.Total("north") == want })
+	eventually(t, "all requests are reported", func() bool { return s.Cloud.Total("north") == want })
 	if violations := s.Cloud.Broken(); len(violations) != 0 {
-		t.Errorf("%v", violations)
+		t.Errorf("rules broken: %v", violations)
 	}
 }
 
-// More clients come than the workers have places. The holder must order more of them,
-// once and not each second, and no front that does not hold the lease may order any.
+// More clients arrive than the workers have slots. The lease holder must order more
+// workers, once rather than every second, and no other gateway may order any.
 func TestWorkersAreAddedForGrowingLoad(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 1, Pause: 150 * time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
@@ -131,41 +132,41 @@
 	for i := range 8 {
 		served = append(served, startPosts(t, gateways, northKey, fmt.Sprintf("n%d", i), stop))
 	}
-	eventually(t, "workers were added", func() bool {
+	eventually(t, "more workers are ordered", func() bool {
 		return len(gateways[0].log("workers ordered"))+len(gateways[1].log("workers ordered")) > 0
 	})
 	sleep(2 * time.Second)
 	close(stop)
 	for _, wait := range served {
 		if wait() == 0 {
-			t.Error("a client was never served")
+			t.Error("a client got no successful response")
 		}
 	}
 	if n := s.Cloud.Scaled(); n > 4 {
-		t.Errorf("%d orders", n)
+		t.Errorf("%d scaling orders, want at most 4", n)
 	}
 	if violations := s.Cloud.Broken(); len(violations) != 0 || len(gateways[0].log("workers ordered")) > 0 && len(gateways[1].log("workers ordered")) > 0 {
-		t.Errorf("%v", violations)
+		t.Errorf("rules broken: %v", violations)
 	}
 }
 
-// What the holder writes reaches the store, and no answer comes back. It must not go on
-// as the holder, nor its successor report other counts than were fixed.
+// The lease holder's writes reach the store, but no response comes back. It must not
+// continue as the holder, and its successor must not change counts that are final.
 func TestUsageSurvivesOneWayPartitionOfLeaseHolder(t *testing.T) {
 	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
 	holder := newGateway(t, s, "front-1")
-	eventually(t, "it holds the lease", func() bool { return len(holder.log("lease won")) > 0 })
+	eventually(t, "the first gateway holds the lease", func() bool { return len(holder.log("lease won")) > 0 })
 	other := newGateway(t, s, "front-2")
 	stop := make(chan struct{})
 	served := startPosts(t, []*process{other}, northKey, "n", stop)
 	sleep(1200 * time.Millisecond)
 	s.CutOneWay("front-1")
-	eventually(t, "the other one holds it", func() bool { return len(other.log("lease won")) > 0 })
+	eventually(t, "the other gateway holds the lease", func() bool { return len(other.log("lease won")) > 0 })
 	close(stop)
 	want := served()
-	eventually(t, "all is reported", func() bool { return s.Cloud.Total("north") == want })
+	eventually(t, "all requests are reported", func() bool { return s.Cloud.Total("north") == want })
 	if violations := s.Cloud.Broken(); len(violations) != 0 {
-		t.Errorf("%v", violations)
+		t.Errorf("rules broken: %v", violations)
 	}
 }
--- a/test/path/calls_test.go
+++ b/test/path/calls_test.go
@@ -12,21 +12,21 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// client is a real caller's client library on an entry, without retries of its
-// own.
+// client returns the OpenAI client library that a caller would use, connected to a gateway.
+// Its own retries are off.
 func (f *fleet) client(gateway string) openai.Client {
 	return openai.NewClient(option.WithBaseURL(f.callerURLs[gateway]+"/v1"), option.WithAPIKey(callerKey), option.WithMaxRetries(0))
 }
 
-// completion is what a caller got of a stream.
+// completion is what a caller received of a streamed completion.
 type completion struct {
 	text     string
 	finished bool
 	err      error
 }
 
-// streamChat asks for a streamed chat answer; each token is also told to tokens
-// when it isn't nil.
+// streamChat requests a streamed chat completion and returns it when the stream ends. It
+// also sends each token to tokens unless that is nil.
 func (f *fleet) streamChat(gateway, prompt string, maxTokens int64, tokens chan<- string) completion {
 	client := f.client(gateway)
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -49,13 +49,14 @@
 	return got
 }
 
-// callService makes a call to the plain service.
+// callService sends a request to the plain service, with an idempotency key unless key is
+// empty.
 func (f *fleet) callService(gateway, method, path, key, body string) (*http.Response, string) {
 	f.t.Helper()
 	return f.callServiceWithKey(callerKey, gateway, method, path, key, body)
 }
 
-// callServiceWithKey makes a call with the key of an account.
+// callServiceWithKey is callService with another API key.
 func (f *fleet) callServiceWithKey(apiKey, gateway, method, path, key, body string) (*http.Response, string) {
 	f.t.Helper()
 	request, err := http.NewRequest(method, f.callerURLs[gateway]+"/services/gazette"+path, bytes.NewReader([]byte(body)))
@@ -78,7 +79,7 @@
 	return response, string(text)
 }
 
-// runCount returns how often the service ran the call with a key.
+// runCount returns how often the service ran the call with an idempotency key.
 func (f *fleet) runCount(key string) int {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.targetAddrs["service-1"] + "/_runs")
@@ -104,7 +105,7 @@
 	return count
 }
 
-// targetsOf returns the targets that requests were sent to, newest last.
+// sentTargets returns the targets that requests were sent to, newest last.
 func (f *fleet) sentTargets() []string {
 	var targets []string
 	for _, line := range strings.Split(f.runOperator("timeline", "--format", "json"), "\n") {
--- a/test/path/failure_test.go
+++ b/test/path/failure_test.go
@@ -19,8 +19,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// startStream starts a long answer through entry and returns once its first token
-// is there, with the name of the engine that writes it.
+// startStream starts a streamed completion through a gateway and returns after its first
+// token, with the name of the engine that generates it.
 func (f *fleet) startStream(gateway, prompt string, maxTokens int64) (target string, done chan completion) {
 	f.t.Helper()
 	tokens := make(chan string, maxTokens+1)
@@ -31,8 +31,8 @@
 	return sent[len(sent)-1], done
 }
 
-// post sends a posting and returns its status and what it says of the run; a
-// broken connection says nothing.
+// post sends a POST request to the plain service and returns the status and the
+// Kumquatlug-Ran header of the response, or zero values if the connection breaks.
 func (f *fleet) post(gateway, key string) (status int, ran string) {
 	request, err := http.NewRequest(http.MethodPost, f.callerURLs[gateway]+"/services/gazette/postings", strings.NewReader("notice"))
 	if err != nil {
@@ -49,7 +49,8 @@
 	return response.StatusCode, response.Header.Get("Kumquatlug-Ran")
 }
 
-// setServiceDelay makes each call of the service take so long before its effect.
+// setServiceDelay sets the time in milliseconds that the service waits before it executes a
+// call.
 func (f *fleet) setServiceDelay(millis string) {
 	f.t.Helper()
 	response, err := http.Post("http://"+f.targetAddrs["service-1"]+"/_config", "application/json", strings.NewReader(`{"delay_ms":`+millis+`}`))
@@ -60,8 +61,8 @@
 }
 
 func TestEngineCrashDuringStream(t *testing.T) {
-	// An engine loses its process while it writes. Its kernel closes the
-	// connection in an orderly way, and a caller would see a short answer.
+	// An engine process is killed while it streams. The kernel closes the connection in an
+	// orderly way, so that a caller would take the truncated completion for a complete one.
 	f := newFleet(t)
 	target, done := f.startStream("entry-1", "crash the engine", 300)
 	f.processes[target].signal(syscall.SIGKILL)
@@ -69,8 +70,8 @@
 }
 
 func TestAgentKilledDuringStream(t *testing.T) {
-	// The VM's slot is emptied without notice while an answer streams. The
-	// caller's stream would end in the middle of a sentence.
+	// A VM is removed without notice while a completion streams. The caller's stream would
+	// end in the middle of a sentence.
 	f := newFleet(t)
 	target, done := f.startStream("entry-1", "kill the agent", 300)
 	f.processes["agent of "+target].signal(syscall.SIGKILL)
@@ -78,21 +79,21 @@
 }
 
 func TestAgentPausedDuringStream(t *testing.T) {
-	// A VM is frozen by its host. No connection closes, so that the caller's
-	// stream would stand still for minutes; and when the VM wakes, what it still
-	// had to say must not get into the answer that another engine finished.
+	// A VM is paused by its host. No connection closes, so that the caller's stream would
+	// stall for minutes. After the VM resumes, its remaining output must not get into the
+	// completion that another engine finished.
 	f := newFleet(t)
 	target, done := f.startStream("entry-1", "pause the agent", 400)
 	agent := f.processes["agent of "+target]
 	agent.signal(syscall.SIGSTOP)
 	f.expectCompletion(<-done, "pause the agent", 400)
 	agent.signal(syscall.SIGCONT)
-	waitUntil(t, "the agent that woke takes work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
+	waitUntil(t, "the resumed agent accepts work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
 	f.expectCompletion(f.streamChat("entry-1", "after the pause", 20, nil), "after the pause", 20)
 }
 
-// tcpProxy is a TCP connection between an entry and an agent that can be cut so
-// that nothing passes and nothing closes.
+// tcpProxy forwards TCP connections from gateways to an agent. While it is blocked, it
+// forwards nothing and closes no connection, like a network partition.
 type tcpProxy struct {
 	listener  net.Listener
 	upstream  string
@@ -101,6 +102,7 @@
 	blocked   bool
 }
 
+// newTCPProxy starts a proxy to the upstream address on a free loopback port.
 func newTCPProxy(t *testing.T, upstream string) *tcpProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -164,8 +166,8 @@
 }
 
 func TestNetworkPartitionDuringStream(t *testing.T) {
-	// A switch drops everything between the entries and one engine's VM. Both
-	// sides think that the other is merely quiet.
+	// A switch drops all packets between the gateways and the VM of one engine. Neither side
+	// can distinguish this from an idle peer.
 	f := newFleet(t)
 	proxy := newTCPProxy(t, f.agentAddrs["engine-1"])
 	f.updateVM("engine-1", kumquatlug.VMTarget, proxy.listener.Addr().String())
@@ -173,11 +175,11 @@
 		return strings.Count(f.runOperator("explain", model), "yes") == 2 && strings.Contains(f.runOperator("status"), proxy.listener.Addr().String()[9:])
 	})
 	f.runOperator("label", "engine-2", "leaving=true")
-	waitUntil(t, "only one engine takes work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 1 })
+	waitUntil(t, "only one engine accepts work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 1 })
 	target, done := f.startStream("entry-1", "cut the link", 400)
 	f.runOperator("label", "engine-2", "leaving-")
 	if target != "engine-1" {
-		t.Fatalf("the answer is written by %s", target)
+		t.Fatalf("the completion is generated by %s, want engine-1", target)
 	}
 	proxy.setBlocked(true)
 	f.expectCompletion(<-done, "cut the link", 400)
@@ -185,96 +187,96 @@
 }
 
 func TestPlatformOutage(t *testing.T) {
-	// The platform's table and list are out for a while. Reading and drafting
-	// must go on; a posting can't be claimed, and must be refused at once and
-	// truthfully, so that its sender can send it again.
+	// The platform's table and VM list are unavailable for a while. Lookups and completions
+	// must still be served. A POST can't be claimed, so it must be refused at once as not
+	// run, so that its sender can retry it.
 	f := newFleet(t)
 	f.setPlatformFaults(`{"down":true}`)
 	f.expectCompletion(f.streamChat("entry-1", "no platform", 20, nil), "no platform", 20)
 	status, ran := f.post("entry-1", "posting-out")
 	if status != http.StatusServiceUnavailable || ran != "not-run" {
-		t.Errorf("posting without a table: status %d, ran %q", status, ran)
+		t.Errorf("POST during the outage: status %d, ran %q", status, ran)
 	}
 	if got := strings.Count(f.runOperator("timeline"), "table_unavailable not-run"); got > 3 {
-		t.Errorf("the posting was tried %d times, though no target could claim it", got)
+		t.Errorf("the POST was attempted %d times, want at most 3: no target could claim it", got)
 	}
 	f.setPlatformFaults(`{}`)
-	waitUntil(t, "the posting is taken again", func() bool {
+	waitUntil(t, "the POST is accepted after the outage", func() bool {
 		status, _ := f.post("entry-2", "posting-out")
 		return status == http.StatusOK
 	})
 	if got := f.runCount("posting-out"); got != 1 {
-		t.Errorf("the posting ran %d times", got)
+		t.Errorf("the POST ran %d times", got)
 	}
 }
 
 func TestLostClaimResponse(t *testing.T) {
-	// The table writes a claim and its answer gets lost. Taken for a failure the
-	// posting would never run under its key; taken for a success it could run
-	// beside another.
+	// The table commits a claim and the response is lost. If that counted as a failure, the
+	// POST would never run under its key; if it counted as a success, the POST could run
+	// concurrently with another one.
 	f := newFleet(t)
 	f.setPlatformFaults(`{"lose_answers":1}`)
-	waitUntil(t, "the posting is answered", func() bool {
+	waitUntil(t, "the POST succeeds", func() bool {
 		status, _ := f.post("entry-1", "posting-lost")
 		return status == http.StatusOK
 	})
 	if got := f.runCount("posting-lost"); got != 1 {
-		t.Errorf("the posting ran %d times", got)
+		t.Errorf("the POST ran %d times", got)
 	}
 }
 
 func TestGatewayKilledDuringPost(t *testing.T) {
-	// The caller's connection breaks while its posting runs, and it sends the
-	// posting again through another entry, as it should.
+	// A gateway is killed while a POST runs, which breaks the caller's connection. The caller
+	// correctly retries through another gateway.
 	f := newFleet(t)
 	f.setServiceDelay("700")
 	first := make(chan int, 1)
 	go func() { status, _ := f.post("entry-2", "posting-killed"); first <- status }()
-	waitUntil(t, "the posting is at the service", func() bool { return strings.Contains(f.runOperator("timeline"), "service/gazette") })
+	waitUntil(t, "the POST reaches the service", func() bool { return strings.Contains(f.runOperator("timeline"), "service/gazette") })
 	f.processes["entry-2"].signal(syscall.SIGKILL)
 	<-first
 	status, ran := f.post("entry-1", "posting-killed")
 	if status != http.StatusOK || ran != "done" {
-		t.Errorf("resend: status %d, ran %q", status, ran)
+		t.Errorf("retry: status %d, ran %q", status, ran)
 	}
 	if got := f.runCount("posting-killed"); got != 1 {
-		t.Errorf("the posting ran %d times", got)
+		t.Errorf("the POST ran %d times", got)
 	}
 }
 
 func TestAgentKilledDuringPost(t *testing.T) {
-	// The agent dies between the run and the note of its outcome. Nobody can
-	// know whether the posting stands, and running it again might double it.
+	// The agent is killed after the POST started and before its outcome is recorded. Whether
+	// the POST took effect is unknown, and running it again might duplicate it.
 	f := newFleet(t)
 	f.setServiceDelay("700")
 	first := make(chan string, 1)
 	go func() { _, ran := f.post("entry-1", "posting-dead"); first <- ran }()
-	waitUntil(t, "the posting is at the service", func() bool { return strings.Contains(f.runOperator("timeline"), "work_begun") })
+	waitUntil(t, "the POST reaches the service", func() bool { return strings.Contains(f.runOperator("timeline"), "work_begun") })
 	f.processes["agent of service-1"].signal(syscall.SIGKILL)
 	f.startAgent("service-1", "service")
 	if ran := <-first; ran != "unknown" {
-		t.Errorf("the posting whose agent died is told as %q", ran)
+		t.Errorf("POST whose agent was killed: ran %q, want \"unknown\"", ran)
 	}
-	waitUntil(t, "the new agent takes work", func() bool {
+	waitUntil(t, "the new agent accepts work", func() bool {
 		return strings.Count(f.runOperator("explain", "gazette", "--protocol", "service"), "yes") == 1
 	})
 	if _, ran := f.post("entry-2", "posting-dead"); ran != "unknown" {
-		t.Errorf("the resend is told as %q", ran)
+		t.Errorf("retry: ran %q, want \"unknown\"", ran)
 	}
 	if got := f.runCount("posting-dead"); got > 1 {
-		t.Errorf("the posting ran %d times", got)
+		t.Errorf("the POST ran %d times", got)
 	}
 }
 
 func TestGatewayPausedDuringLabelChange(t *testing.T) {
-	// An entry is frozen while an operator takes an engine out through another
-	// one. When it wakes it still believes in the old labels, for as long as its
-	// first look takes, and must not give that engine new work.
+	// A gateway is paused while an operator labels an engine as leaving through another
+	// gateway. After it resumes, it uses the old labels until its first config read completes
+	// and must not start new work on that engine.
 	f := newFleet(t)
 	paused := f.processes["entry-2"]
 	paused.signal(syscall.SIGSTOP)
 	revision := f.revisionOf(f.runOperator("label", "engine-1", "leaving=true"))
-	waitUntil(t, "the agent has the change", func() bool {
+	waitUntil(t, "the agent applies the change", func() bool {
 		for _, line := range strings.Split(f.runOperator("status"), "\n") {
 			if fields := strings.Fields(line); len(fields) > 5 && fields[0] == "engine-1" {
 				return fields[5] == revision
@@ -294,16 +296,16 @@
 	paused.signal(syscall.SIGCONT)
 	for range sent {
 		if got := <-texts; got != engine.AnswerText("just woken", 3) {
-			t.Errorf("a caller of the woken entry got %q", got)
+			t.Errorf("a caller of the resumed gateway got %q", got)
 		}
 	}
 	if got := len(f.workBegun("engine-1")) - before; got != 0 {
-		t.Errorf("the leaving engine began %d new answers", got)
+		t.Errorf("the leaving engine started %d new completions", got)
 	}
 }
 
-// complete asks for a whole completion and returns its text, or what went
-// wrong; written is told once the request is on its way.
+// complete requests a completion without streaming and returns its text, or a description
+// of the error. It sends to written once the request is written to the connection.
 func (f *fleet) complete(gateway, prompt string, maxTokens int, written chan<- bool) string {
 	requestBody := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d}`, model, prompt, maxTokens)
 	request, err := http.NewRequest(http.MethodPost, f.callerURLs[gateway]+"/v1/completions", strings.NewReader(requestBody))
@@ -328,7 +330,7 @@
 	return body.Choices[0].Text
 }
 
-// workBegun returns the events with which the agent of target began work.
+// workBegun returns the lines of the timeline in which the agent of a target starts work.
 func (f *fleet) workBegun(target string) []string {
 	f.t.Helper()
 	var events []string
@@ -341,8 +343,8 @@
 }
 
 func TestAgentKilledDuringPlatformOutage(t *testing.T) {
-	// The platform goes out and, while it is, an engine's agent is killed. The
-	// answer in hand must still be finished elsewhere.
+	// The platform becomes unavailable, and an engine's agent is killed during the outage.
+	// Another engine must still finish the completion in flight.
 	f := newFleet(t)
 	target, done := f.startStream("entry-1", "two at once", 300)
 	f.setPlatformFaults(`{"down":true}`)
@@ -352,9 +354,9 @@
 }
 
 func TestCrashingRequestIsQuarantined(t *testing.T) {
-	// One document makes every engine that reads it fall over. Its sender's
-	// program tries again and again, through every entry; without a limit it
-	// takes the whole group down, and everybody else's answers with it.
+	// One prompt crashes every engine that processes it, and its caller retries it through
+	// every gateway. Without a limit it crashes the whole group, which also fails the
+	// completions of all other callers.
 	f := newFleet(t)
 	var unrelated []chan completion
 	for range 4 {
@@ -364,19 +366,19 @@
 	for i := range 6 {
 		gateway := []string{"entry-1", "entry-2"}[i%2]
 		if got := f.streamChat(gateway, "CRASH", 20, nil); got.err == nil {
-			t.Errorf("sending %d was answered", i)
+			t.Errorf("attempt %d succeeded", i)
 		}
 	}
 	for _, done := range unrelated {
 		f.expectCompletion(<-done, "an innocent neighbour", 400)
 	}
 	if got := strings.Count(f.runOperator("timeline"), "target_crashed"); got > 2 {
-		t.Errorf("the request crashed %d targets", got)
+		t.Errorf("the request crashed %d targets, want at most 2", got)
 	}
-	waitUntil(t, "the engines take work again", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
+	waitUntil(t, "the engines accept work again", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
 	var apiError *openai.Error
 	if got := f.streamChat("entry-2", "CRASH", 20, nil); !errors.As(got.err, &apiError) || apiError.Code != "quarantined" {
-		t.Errorf("a resend is told %v", got.err)
+		t.Errorf("retry: got %v, want error code quarantined", got.err)
 	}
 	f.expectCompletion(f.streamChat("entry-2", "all well", 5, nil), "all well", 5)
 }
--- a/test/path/fleet_test.go
+++ b/test/path/fleet_test.go
@@ -22,10 +22,9 @@
 	"github.com/kumquatlug/kumquatlug/platform"
 )
 
-// Bounds of the test fleet.
+// Constants of the test fleet.
 const (
-	// waitTimeout bounds every wait for a condition; a wait that ends by it fails
-	// the test.
+	// waitTimeout bounds every wait for a condition. A wait that reaches it fails the test.
 	waitTimeout  = 60 * time.Second
 	pollInterval = 20 * time.Millisecond
 
@@ -35,7 +34,7 @@
 	model       = "standin"
 )
 
-// binaries are the two programs, built once for all tests.
+// binaries holds the directory of the two programs, which are built once for all tests.
 var binaries = struct {
 	sync.Once
 	dir string
@@ -50,6 +49,7 @@
 	os.Exit(code)
 }
 
+// build builds the programs on first use and returns their directory.
 func build(t *testing.T) string {
 	t.Helper()
 	binaries.Do(func() {
@@ -69,7 +69,7 @@
 	return binaries.dir
 }
 
-// process is one program of ours that runs.
+// process is one running program of the project.
 type process struct {
 	t       *testing.T
 	name    string
@@ -80,6 +80,8 @@
 	lines []string
 }
 
+// startProcess starts a program, which is killed at the end of the test. A failed test logs
+// its output.
 func startProcess(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, command: exec.Command(filepath.Join(build(t), program), args...), done: make(chan error, 1)}
@@ -129,19 +131,20 @@
 	}
 }
 
-// waitExit waits for the process and returns how it ended.
+// waitExit waits until the process exits and returns the error of [exec.Cmd.Wait].
 func (p *process) waitExit() error {
 	p.t.Helper()
 	select {
 	case err := <-p.done:
 		return err
 	case <-time.After(waitTimeout):
-		p.t.Fatalf("%s did not end", p.name)
+		p.t.Fatalf("%s did not exit", p.name)
 		return nil
 	}
 }
 
-// waitListening waits for a stand-in's line about its address.
+// waitListening waits for the line in which a stand-in prints its address, and returns the
+// address.
 func (p *process) waitListening() string {
 	var address string
 	waitUntil(p.t, p.name+" listens", func() bool {
@@ -155,7 +158,8 @@
 	return address
 }
 
-// waitServing waits for the log line with which our processes say where they serve.
+// waitServing waits for the log line in which a gateway or agent logs its addresses, and
+// returns the fields of the line.
 func (p *process) waitServing() map[string]string {
 	found := map[string]string{}
 	waitUntil(p.t, p.name+" serves", func() bool {
@@ -173,7 +177,7 @@
 	return found
 }
 
-// waitUntil waits for a condition.
+// waitUntil polls condition until it is true and fails the test after waitTimeout.
 func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.After(waitTimeout)
@@ -183,15 +187,15 @@
 		select {
 		case <-tick.C:
 		case <-deadline:
-			t.Fatalf("waited in vain: %s", description)
+			t.Fatalf("condition not met in time: %s", description)
 		}
 	}
 }
 
-// fleetSlots bounds how many fleets run at once: each is nine processes.
+// fleetSlots limits the number of concurrent fleets: each one runs nine processes.
 var fleetSlots = make(chan struct{}, 4)
 
-// fleet is the path as separate processes.
+// fleet is a deployment of separate processes, from the gateways to the targets.
 type fleet struct {
 	t            *testing.T
 	certDir      string
@@ -203,8 +207,8 @@
 	agentAddrs   map[string]string
 }
 
-// newFleet starts the platform's stand-in, two engines, a service, an agent
-// beside each, and two entries, and gives them labels, selectors and a caller.
+// newFleet starts a stand-in of the platform, two engines and a service with an agent each,
+// and two gateways. It configures labels, selectors and two callers.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	t.Parallel()
@@ -236,6 +240,7 @@
 	f.targetAddrs[name] = p.waitListening()
 }
 
+// tls returns the TLS flags of a node with a role.
 func (f *fleet) tls(role string) []string {
 	file := func(name string) string { return filepath.Join(f.certDir, name) }
 	return []string{"--tls-cert", file(role + ".pem"), "--tls-key", file(role + ".key"), "--tls-ca", file("ca.pem")}
@@ -265,7 +270,7 @@
 	f.callerURLs[name], f.operatorURLs[name] = "http://"+addresses["callers"], "http://"+addresses["operators"]
 }
 
-// updateVM puts a VM on the list in its place, as its own process did.
+// updateVM replaces the entry of a VM in the platform's list, as the VM's process would.
 func (f *fleet) updateVM(name string, role kumquatlug.VMRole, address string) {
 	f.t.Helper()
 	store := platform.NewStore(platform.StoreConfig{
@@ -279,7 +284,7 @@
 	}
 }
 
-// setPlatformFaults sets the platform's faults.
+// setPlatformFaults sets the faults of the stand-in of the platform; body is JSON.
 func (f *fleet) setPlatformFaults(body string) {
 	f.t.Helper()
 	f.sendToPlatform(http.MethodPost, rowstore.PathFaults, body)
@@ -301,7 +306,8 @@
 	}
 }
 
-// configure makes the first changes by the operators' commands.
+// configure adds callers, selectors and labels by operator commands and waits until every
+// target accepts work.
 func (f *fleet) configure() {
 	f.t.Helper()
 	f.runOperator("caller", "add", "portal", "--key", callerKey)
@@ -311,13 +317,13 @@
 	f.runOperator("label", "engine-1", "pool=engines")
 	f.runOperator("label", "engine-2", "pool=engines")
 	f.runOperator("wait", f.revisionOf(f.runOperator("label", "service-1", "pool=services")))
-	waitUntil(f.t, "every target takes its work", func() bool {
+	waitUntil(f.t, "every target accepts its work", func() bool {
 		return strings.Count(f.runOperator("explain", model), "yes") == 2 &&
 			strings.Count(f.runOperator("explain", "gazette", "--protocol", "service"), "yes") == 1
 	})
 }
 
-// revisionOf reads what a change printed.
+// revisionOf returns the config revision in the output of a change command.
 func (f *fleet) revisionOf(text string) string {
 	f.t.Helper()
 	_, rest, ok := strings.Cut(text, "revision ")
@@ -327,12 +333,13 @@
 	return strings.Fields(rest)[0]
 }
 
-// runOperator runs an operator's command against the first entry.
+// runOperator runs an operator command against entry-1 and returns its output.
 func (f *fleet) runOperator(args ...string) string {
 	f.t.Helper()
 	return f.mustRun(append(args, "--server", f.operatorURLs["entry-1"], "--operator-key", operatorKey)...)
 }
 
+// mustRun runs the kumquatlug program, which must succeed, and returns its output.
 func (f *fleet) mustRun(args ...string) string {
 	f.t.Helper()
 	output, err := f.run(args...)
@@ -342,6 +349,7 @@
 	return output
 }
 
+// run runs the kumquatlug program and returns its output.
 func (f *fleet) run(args ...string) (string, error) {
 	f.t.Helper()
 	command := exec.Command(filepath.Join(build(f.t), "kumquatlug"), args...)
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -1,6 +1,6 @@
-// Package path runs the programs as separate processes over TCP and sees that
-// callers get what they are owed, also while processes drain, stop, are killed,
-// paused or cut off.
+// Package path tests the request path end to end, with all programs as separate processes
+// over TCP: callers must get correct responses, also while processes drain, stop, are
+// killed, paused or partitioned.
 package path
 
 import (
@@ -14,45 +14,47 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// expectedText is the answer that every engine gives to a chat of one user message.
+// expectedText returns the completion of a chat with one user message, the same on every
+// engine.
 func expectedText(prompt string, maxTokens int) string {
 	return engine.AnswerText(engine.ChatPrompt([]engine.Message{{Role: "user", Content: prompt}}), maxTokens)
 }
 
+// expectCompletion checks that the completion is complete and has the expected text.
 func (f *fleet) expectCompletion(got completion, prompt string, maxTokens int) {
 	f.t.Helper()
 	if got.err != nil || !got.finished || got.text != expectedText(prompt, maxTokens) {
-		f.t.Errorf("answer to %q: whole %v, error %v, %d of %d bytes", prompt, got.finished, got.err, len(got.text), len(expectedText(prompt, maxTokens)))
+		f.t.Errorf("completion of %q: finished %v, error %v, %d of %d bytes", prompt, got.finished, got.err, len(got.text), len(expectedText(prompt, maxTokens)))
 	}
 }
 
-// expectNoInterruption looks for attempts that broke off. A planned change that cuts an
-// answer would go unnoticed by its caller, since another engine goes on with it;
-// but the work is lost, and an answer that can't be resumed would be too.
+// expectNoInterruption checks that no attempt failed after it started. If a planned change
+// interrupted a completion, its caller would not notice, since another engine resumes it,
+// but the work would be lost, and so would a completion that can't be resumed.
 func (f *fleet) expectNoInterruption() {
 	f.t.Helper()
 	for _, line := range strings.Split(f.runOperator("timeline"), "\n") {
 		if strings.Contains(line, "attempt_failed") && !strings.Contains(line, "not-run") {
-			f.t.Errorf("an attempt was cut: %s", line)
+			f.t.Errorf("an attempt was interrupted: %s", line)
 		}
 	}
 }
 
 func TestRequestsAndPlannedChanges(t *testing.T) {
 	f := newFleet(t)
-	t.Run("streamed answer through a caller's library", func(*testing.T) {
+	t.Run("streamed completion through a client library", func(*testing.T) {
 		f.expectCompletion(f.streamChat("entry-1", "decree 12", 40, nil), "decree 12", 40)
 	})
-	t.Run("service call runs once under one key", func(t *testing.T) { testServiceCall(t, f) })
-	t.Run("refusals", func(t *testing.T) { testRefusals(t, f) })
-	t.Run("label in force", func(t *testing.T) { testLabelChange(t, f) })
+	t.Run("service call runs once per idempotency key", func(t *testing.T) { testServiceCall(t, f) })
+	t.Run("invalid requests are refused", func(t *testing.T) { testRefusals(t, f) })
+	t.Run("label change takes effect", func(t *testing.T) { testLabelChange(t, f) })
 	t.Run("agent drains", func(t *testing.T) { testAgentDrain(t, f) })
 	t.Run("secrets stay out of logs", func(t *testing.T) { testSecrets(t, f) })
-	t.Run("entry stops gracefully", func(t *testing.T) { testGatewayStop(t, f) })
+	t.Run("gateway stops gracefully", func(t *testing.T) { testGatewayStop(t, f) })
 }
 
-// Logs and time lines go to places that more people read than may hold a key or
-// see what callers ask.
+// testSecrets checks that logs and timelines contain no keys and no prompts, since they are
+// read by more people than may know these.
 func testSecrets(t *testing.T, f *fleet) {
 	f.t = t
 	texts := map[string]string{"timeline": f.runOperator("timeline", "--format", "json"), "callers": f.runOperator("get", "callers")}
@@ -65,32 +67,34 @@
 	for _, secret := range []string{callerKey, otherKey, operatorKey, kumquatlug.HashKey(callerKey), "a long decree", "appointment", "PRIVATE KEY", "errorVerbose"} {
 		for name, text := range texts {
 			if strings.Contains(text, secret) {
-				t.Errorf("%q stands in the output of %s", secret, name)
+				t.Errorf("%q appears in the output of %s", secret, name)
 			}
 		}
 	}
 }
 
+// testServiceCall checks that a call runs once per caller and idempotency key, and that a
+// retry returns the stored response.
 func testServiceCall(t *testing.T, f *fleet) {
 	f.t = t
 	first, text := f.callService("entry-1", http.MethodPost, "/postings", "posting-1", "appointment")
 	if first.StatusCode != http.StatusOK || first.Header.Get("Kumquatlug-Ran") != "done" {
-		t.Fatalf("posting: status %d, ran %q, %s", first.StatusCode, first.Header.Get("Kumquatlug-Ran"), text)
+		t.Fatalf("POST: status %d, ran %q, %s", first.StatusCode, first.Header.Get("Kumquatlug-Ran"), text)
 	}
 	resent, resentText := f.callService("entry-2", http.MethodPost, "/postings", "posting-1", "appointment")
 	if resent.Header.Get("Idempotent-Replayed") != "true" || resentText != text {
-		t.Errorf("a resend through the other entry got %q, not the kept %q", resentText, text)
+		t.Errorf("retry through the other gateway: got %q, want the stored %q", resentText, text)
 	}
 	if got := f.runCount("posting-1"); got != 1 {
-		t.Errorf("the posting ran %d times", got)
+		t.Errorf("the POST ran %d times", got)
 	}
 	other, _ := f.callService("entry-1", http.MethodPost, "/postings", "posting-1", "dismissal")
 	if other.StatusCode != http.StatusUnprocessableEntity || other.Header.Get("Kumquatlug-Ran") != "not-run" {
-		t.Errorf("another body under the key: status %d", other.StatusCode)
+		t.Errorf("other body under the same key: status %d", other.StatusCode)
 	}
 	otherCaller, _ := f.callServiceWithKey(otherKey, "entry-1", http.MethodPost, "/postings", "posting-1", "appointment")
 	if otherCaller.StatusCode != http.StatusOK || otherCaller.Header.Get("Idempotent-Replayed") != "" || f.runCount("posting-1") != 2 {
-		t.Errorf("another caller's posting under the same key: status %d, %d runs, replayed %q",
+		t.Errorf("POST of another caller under the same key: status %d, %d runs, replayed %q",
 			otherCaller.StatusCode, f.runCount("posting-1"), otherCaller.Header.Get("Idempotent-Replayed"))
 	}
 	lookup, _ := f.callService("entry-1", http.MethodGet, "/lookup?id=1", "", "")
@@ -99,6 +103,8 @@
 	}
 }
 
+// testRefusals checks that invalid requests are refused without running, and that the
+// operators' API rejects a caller's key.
 func testRefusals(t *testing.T, f *fleet) {
 	f.t = t
 	cases := []struct {
@@ -135,13 +141,13 @@
 func (f *fleet) expectCallerKeyRejectedByOperatorAPI() {
 	f.t.Helper()
 	if text, err := f.run("get", "--server", f.operatorURLs["entry-1"], "--operator-key", callerKey); err == nil {
-		f.t.Errorf("a caller reached the operators' API: %s", text)
+		f.t.Errorf("a caller's key was accepted by the operators' API: %s", text)
 	}
 }
 
-// An operator takes an engine out while it writes a long answer. The answer
-// must be finished there, and nothing new may go to that engine once the change
-// is in force.
+// testLabelChange takes an engine out of service by a label while it generates a long
+// completion. The engine must finish it, and must get no new work once the change is in
+// effect.
 func testLabelChange(t *testing.T, f *fleet) {
 	f.t = t
 	tokens := make(chan string, 1000)
@@ -159,17 +165,17 @@
 	}
 	for _, target := range f.sentTargets()[before:] {
 		if target == leaving {
-			t.Errorf("%s got new work after revision %s was in force", leaving, revision)
+			t.Errorf("%s got new work after revision %s took effect", leaving, revision)
 		}
 	}
 	f.expectCompletion(<-done, "a long decree", 400)
 	f.expectNoInterruption()
 	f.runOperator("wait", f.revisionOf(f.runOperator("label", leaving, "leaving-")))
-	waitUntil(t, "the engine takes work again", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
+	waitUntil(t, "the engine accepts work again", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
 }
 
-// The platform replaces a VM: its agent gets a stop signal in the middle of an
-// answer. The caller must not notice.
+// testAgentDrain stops an agent during a completion, as the platform does when it replaces
+// a VM. Callers must not be affected.
 func testAgentDrain(t *testing.T, f *fleet) {
 	f.t = t
 	tokens := make(chan string, 1000)
@@ -185,14 +191,14 @@
 	f.expectCompletion(<-done, "drain me", 300)
 	f.expectNoInterruption()
 	if err := agent.waitExit(); err != nil {
-		t.Errorf("the agent ended with %v", err)
+		t.Errorf("the agent exited with %v", err)
 	}
 	f.startAgent(sent[len(sent)-1], "engine")
-	waitUntil(t, "the new agent takes work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
+	waitUntil(t, "the new agent accepts work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
 }
 
-// An entry is stopped in the middle of an answer. It finishes the answer, and a
-// caller that the balancer still sends in the meantime is served too.
+// testGatewayStop stops a gateway during a completion. The gateway must finish it, and
+// still serve requests that the load balancer sends in the meantime.
 func testGatewayStop(t *testing.T, f *fleet) {
 	f.t = t
 	tokens := make(chan string, 1000)
@@ -201,7 +207,7 @@
 	<-tokens
 	gateway := f.processes["entry-2"]
 	gateway.signal(syscall.SIGTERM)
-	waitUntil(t, "the entry says that it is not ready", func() bool {
+	waitUntil(t, "the gateway reports that it is not ready", func() bool {
 		response, err := http.Get(f.operatorURLs["entry-2"] + "/readyz")
 		if err != nil {
 			return false
@@ -212,11 +218,12 @@
 	f.expectCompletion(f.streamChat("entry-2", "late", 3, nil), "late", 3)
 	f.expectCompletion(<-done, "stop the entry", 300)
 	if err := gateway.waitExit(); err != nil {
-		t.Errorf("the entry ended with %v", err)
+		t.Errorf("the gateway exited with %v", err)
 	}
 }
 
-// engineRoles returns what the engines do, by the status that operators see.
+// engineRoles returns the current roles of the engines from the operators' status, separated
+// by spaces.
 func (f *fleet) engineRoles() string {
 	f.t.Helper()
 	var roles []string
@@ -233,25 +240,25 @@
 	f.runOperator("selector", "set", "prompts", "--kind", model, "--role", "prefill", "--match", "pool=engines")
 	f.runOperator("selector", "set", "outputs", "--kind", model, "--role", "decode", "--match", "pool=engines")
 	f.runOperator("selector", "delete", "engines")
-	waitUntil(t, "one engine runs prompts and one generates", func() bool {
+	waitUntil(t, "one engine runs prefill and one runs decode", func() bool {
 		roles := f.engineRoles()
 		return roles == "prefill decode" || roles == "decode prefill"
 	})
-	waitUntil(t, "both take work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
+	waitUntil(t, "both engines accept work", func() bool { return strings.Count(f.runOperator("explain", model), "yes") == 2 })
 	before := len(f.sentTargets())
 	long := strings.Repeat("a long decree text ", 120)
 	f.expectCompletion(f.streamChat("entry-1", long, 40, nil), long, 40)
 	sent := f.sentTargets()[before:]
 	if len(sent) != 2 || sent[0] == sent[1] {
-		t.Errorf("the request went to %v, want one engine and then the other:\n%s", sent, f.runOperator("timeline"))
+		t.Errorf("the request was sent to %v, want one engine and then the other:\n%s", sent, f.runOperator("timeline"))
 	}
 	f.testLeaseHandover(long)
 }
 
-// testLeaseHandover first freezes the holder of the group's lease and then kills the
-// next one. Each time another entry must take over under a higher number, and a
-// holder that wakes must know that it is none: two that both gave orders would
-// send engines to and fro.
+// testLeaseHandover pauses the holder of the group's lease and then kills its successor.
+// Each time another gateway must acquire the lease with a higher fencing token, and a
+// holder that resumes must detect that it lost the lease: two holders that both send orders
+// would switch the roles of engines back and forth.
 func (f *fleet) testLeaseHandover(prompt string) {
 	f.t.Helper()
 	f.startGateway("entry-3")
@@ -261,7 +268,7 @@
 	f.expectCompletion(f.streamChat(gateway, prompt, 20, nil), prompt, 20)
 	secondHolder, _ := f.waitForLeaseHolder(gateway, "number 2")
 	f.processes[firstHolder].signal(syscall.SIGCONT)
-	waitUntil(f.t, "the woken holder knows that it is none", func() bool {
+	waitUntil(f.t, "the resumed holder detects that it lost the lease", func() bool {
 		return strings.Contains(f.timelineOf(gateway, firstHolder), "lease_lost")
 	})
 	if secondHolder == gateway {
@@ -275,11 +282,11 @@
 	}
 }
 
-// waitForLeaseHolder waits until some entry has taken the lease under a number, as the time
-// line of the entry asked tells, and returns which.
+// waitForLeaseHolder waits until the timeline that a gateway prints shows that the lease was
+// acquired with a number, and returns the holder and the line.
 func (f *fleet) waitForLeaseHolder(gateway, number string) (name, line string) {
 	f.t.Helper()
-	waitUntil(f.t, "the lease is taken under "+number, func() bool {
+	waitUntil(f.t, "the lease is acquired with "+number, func() bool {
 		for _, line = range strings.Split(f.timelineOf(gateway, ""), "\n") {
 			if fields := strings.Fields(line); strings.Contains(line, "lease_taken") && strings.HasSuffix(strings.TrimSpace(line), number) {
 				name = fields[2]
@@ -290,8 +297,8 @@
 	return name, line
 }
 
-// timelineOf returns the lines of the time line, as an entry tells it, that name
-// a node.
+// timelineOf returns the lines about a node in the timeline that a gateway prints, or all
+// lines if node is empty.
 func (f *fleet) timelineOf(gateway, node string) string {
 	f.t.Helper()
 	var found []string
@@ -303,7 +310,8 @@
 	return strings.Join(found, "\n")
 }
 
-// expectFencesNeverDecrease looks at every order that reached an engine.
+// expectFencesNeverDecrease checks that the fencing tokens of the orders which reached an
+// engine never decrease and that no order interrupted a completion.
 func (f *fleet) expectFencesNeverDecrease(engine string) {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.targetAddrs[engine] + "/orders")
@@ -323,7 +331,7 @@
 	highest := int64(0)
 	for _, o := range list.Orders {
 		if o.Fence < highest || o.Cut > 0 {
-			f.t.Errorf("%s got an order under %d after %d, which cut %d answers", engine, o.Fence, highest, o.Cut)
+			f.t.Errorf("%s got an order with fencing token %d after %d, which interrupted %d completions", engine, o.Fence, highest, o.Cut)
 		}
 		highest = max(highest, o.Fence)
 	}
