--- a/internal/front/link.go
+++ b/internal/front/link.go
@@ -275,8 +275,8 @@
 	if d.GetConfig() != nil {
 		h.ConfigHeard(d.GetFrom(), decodeConfigState(d.GetConfig()))
 	}
-	if ask := d.GetConfigAsk(); ask != nil {
-		h.ConfigAsked(d.GetFrom(), kumquatlug.ConfigAsk{Version: ask.GetVersion(), First: int(min(ask.GetFirst(), maxConfigParts))})
+	if request := d.GetConfigAsk(); request != nil {
+		h.ConfigAsked(d.GetFrom(), kumquatlug.ConfigAsk{Version: request.GetVersion(), First: int(min(request.GetFirst(), maxConfigParts))})
 	}
 	if d.GetConfigPart() != nil {
 		h.ConfigGiven(d.GetFrom(), decodeConfigPart(d.GetConfigPart()))
--- a/internal/front/link_test.go
+++ b/internal/front/link_test.go
@@ -352,8 +352,8 @@
 		t.Errorf("received config state %+v", s)
 	}
 	b.AskConfig("a", kumquatlug.ConfigAsk{Version: 12, First: 16})
-	if ask := <-a.received.configRequests; ask.Version != 12 || ask.First != 16 {
-		t.Errorf("received config request %+v", ask)
+	if request := <-a.received.configRequests; request.Version != 12 || request.First != 16 {
+		t.Errorf("received config request %+v", request)
 	}
 	data := bytes.Repeat([]byte("x"), 1000)
 	a.GiveConfig("b", kumquatlug.ConfigPart{Version: 12, Part: 16, Parts: 1024, Text: data})
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -76,7 +76,7 @@
 // or is full refuses it, and another engine then takes the same cache: prefilling again
 // would delay this prompt and those queued behind it.
 func (f *inflight) decode(ctx context.Context, cache kumquatlug.KVCache) *attemptFailure {
-	if failed := f.stoppingFailure(); failed != nil {
+	if failed := f.shutdownFailure(); failed != nil {
 		f.g.releaseCache(cache)
 		return failed
 	}
@@ -176,11 +176,11 @@
 	case <-wait.C:
 		f.g.scheduler.cancel(f.g.c.Clock.Now(), f.service.Name(), p)
 		return nil, p.choice, f.waitTimeoutFailure()
-	case grant := <-p.grant:
-		if grant.Ticket() == nil {
-			return nil, grant.Choice(), f.overloadFailure(grant.Choice())
+	case due := <-p.due:
+		if due.Ticket() == nil {
+			return nil, due.Choice(), f.overloadFailure(due.Choice())
 		}
-		return grant.Ticket(), grant.Choice(), nil
+		return due.Ticket(), due.Choice(), nil
 	case <-ctx.Done():
 		f.g.scheduler.cancel(f.g.c.Clock.Now(), f.service.Name(), p)
 		return nil, p.choice, &attemptFailure{permanent: true, failure: refusal("wait", "client_left", http.StatusServiceUnavailable, 0)}
@@ -189,7 +189,7 @@
 
 // waitTimeoutFailure returns the failure of a request that received no permit in time.
 func (f *inflight) waitTimeoutFailure() *attemptFailure {
-	if failed := f.stoppingFailure(); failed != nil {
+	if failed := f.shutdownFailure(); failed != nil {
 		return failed
 	}
 	return &attemptFailure{permanent: true, failure: refusal("wait", "deadline", http.StatusServiceUnavailable, 0)}
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -9,27 +9,27 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// pauseResponse returns a refusal in which the worker asks the gateway to back off.
-func pauseResponse(pause kumquatlug.Millis) kumquatlug.Reply {
+// backoffResponse returns a refusal in which the worker asks the gateway to back off.
+func backoffResponse(backoff kumquatlug.Millis) kumquatlug.Reply {
 	r := refusedResponse()
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
-		Status: r.Status(), Header: r.Header(), Body: r.Body(), Refused: true, Pause: pause,
+		Status: r.Status(), Header: r.Header(), Body: r.Body(), Refused: true, Pause: backoff,
 	})
 }
 
 // A worker refuses a request and requests a backoff. Requests sent earlier would cost it
 // capacity for refusals.
 func TestWorkerBackoffIsHonored(t *testing.T) {
-	const pause = 1500 * kumquatlug.Millis(1)
+	const backoff = 1500 * kumquatlug.Millis(1)
 	w := &fakeWorkers{run: func(_ context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
 		if c.worker == "s1" {
-			return pauseResponse(pause), nil
+			return backoffResponse(backoff), nil
 		}
 		return wholeResponse(http.StatusOK, "done"), nil
 	}}
 	f := newTestGateway(t, w, manyRetries)
 	start := time.Now()
-	for time.Since(start) < pause.Duration()-100*time.Millisecond {
+	for time.Since(start) < backoff.Duration()-100*time.Millisecond {
 		if got := f.do(context.Background(), http.MethodPost, postRoute); got.status != http.StatusOK {
 			t.Fatalf("%+v", got)
 		}
@@ -49,8 +49,8 @@
 // All workers of a service have requested a backoff. Clients must be refused at once,
 // with the time at which the first worker accepts requests again.
 func TestRefusalNamesEndOfBackoff(t *testing.T) {
-	const pause = 400 * kumquatlug.Millis(1)
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return pauseResponse(pause), nil }}
+	const backoff = 400 * kumquatlug.Millis(1)
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return backoffResponse(backoff), nil }}
 	f := newTestGateway(t, w, manyRetries)
 	f.do(context.Background(), http.MethodPost, postRoute)
 	sent := len(w.recorded())
@@ -61,7 +61,7 @@
 	if len(w.recorded()) != sent {
 		t.Errorf("%d sent", len(w.recorded())-sent)
 	}
-	<-time.After(pause.Duration())
+	<-time.After(backoff.Duration())
 	f.do(context.Background(), http.MethodPost, postRoute)
 	if len(w.recorded()) == sent {
 		t.Error("no attempt after the backoff")
--- a/internal/gateway/controller.go
+++ b/internal/gateway/controller.go
@@ -53,8 +53,8 @@
 	holder *lease.Holder
 	// splits follow the load, by service.
 	splits map[string]*planner.Swing
-	// leaseNumber is the fencing number of the current lease, zero without a lease.
-	leaseNumber lease.Number
+	// fencingToken is the fencing number of the current lease, zero without a lease.
+	fencingToken lease.Number
 	// deferredUntil is the time until which an engine that refused an order gets no
 	// other one, by engine.
 	deferredUntil map[string]kumquatlug.Millis
@@ -94,16 +94,16 @@
 	}
 	v := newController(g, holder)
 	for sleep(ctx, controlInterval) {
-		if g.stopping() {
+		if g.shuttingDown() {
 			// Stop acting on the lease before it may be released.
 			g.term.Store(nil)
 		}
-		holder.Want(!g.stopping())
+		holder.Want(!g.shuttingDown())
 		holder.Watch(leaseRenewInterval * kumquatlug.Millis(min(g.scheduler.gatewayCount(), maxLeasePollers)) / leasePollersPerRenewal)
 		v.maintainLease(ctx)
 		term := holder.Term(g.c.Awake.Now())
 		g.term.Store(&term)
-		g.metrics.leaseNumber.Set(float64(term.Number()))
+		g.metrics.fencingToken.Set(float64(term.Number()))
 		if holder.MayOrder(g.c.Awake.Now()) {
 			v.applySplits(ctx)
 		}
@@ -126,17 +126,17 @@
 		intent = v.holder.Answered(c.Awake.Now(), intent, row, err)
 	}
 	now := c.Awake.Now()
-	fence, held := v.holder.Held(now)
+	fencingToken, held := v.holder.Held(now)
 	if !held {
-		if v.leaseNumber != 0 {
-			c.Logger.Info("lease lost", zap.Int64("fence", int64(v.leaseNumber)))
+		if v.fencingToken != 0 {
+			c.Logger.Info("lease lost", zap.Int64("fence", int64(v.fencingToken)))
 		}
-		v.leaseNumber = 0
+		v.fencingToken = 0
 		return
 	}
-	if fence != v.leaseNumber {
-		v.leaseNumber = fence
-		c.Logger.Info("lease won", zap.Int64("fence", int64(fence)))
+	if fencingToken != v.fencingToken {
+		v.fencingToken = fencingToken
+		c.Logger.Info("lease won", zap.Int64("fence", int64(fencingToken)))
 	}
 }
 
@@ -317,12 +317,12 @@
 		c.Logger.Info("role order deferred", zap.String("worker", w.ID()), zap.Bool("busy", state.Busy))
 		return
 	}
-	fence, held := v.holder.Held(now)
+	fencingToken, held := v.holder.Held(now)
 	if !held || !v.holder.MayOrder(now) {
 		return
 	}
 	accepted, err := c.Workers.Order(call, w, kumquatlug.RoleOrder{
-		Role: change.To(), Holder: c.Name, Fence: int64(fence), After: state.Orders,
+		Role: change.To(), Holder: c.Name, Fence: int64(fencingToken), After: state.Orders,
 	})
 	outcome := "taken"
 	if err != nil {
@@ -340,6 +340,6 @@
 	}
 	v.g.metrics.orders.WithLabelValues(outcome).Inc()
 	c.Logger.Info("order", zap.String("worker", w.ID()), zap.String("to", string(change.To())),
-		zap.String("reason", change.Reason()), zap.Int64("fence", int64(fence)), zap.Int64("after", state.Orders),
+		zap.String("reason", change.Reason()), zap.Int64("fence", int64(fencingToken)), zap.Int64("after", state.Orders),
 		zap.String("outcome", outcome), logs.Error(err))
 }
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -9,48 +9,48 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// drainingRetention is how long the shutdown of a worker is remembered. The worker ends
+// shutdownRetention is how long the shutdown of a worker is remembered. The worker ends
 // within seconds, but its row may say that it is ready for as long as the store is
 // unavailable.
-const drainingRetention = 600 * kumquatlug.Second
+const shutdownRetention = 600 * kumquatlug.Second
 
-// drainingWorkers are the worker incarnations that announced their shutdown in a
+// shuttingDownWorkers are the worker incarnations that announced their shutdown in a
 // response or in their row.
-type drainingWorkers struct {
+type shuttingDownWorkers struct {
 	mu       sync.Mutex
-	byWorker map[string]drainingWorker
+	byWorker map[string]shuttingDownWorker
 }
 
-// drainingWorker is one of them, identified by the start time of the worker.
-type drainingWorker struct {
+// shuttingDownWorker is one of them, identified by the start time of the worker.
+type shuttingDownWorker struct {
 	startedAt int64
 	notedAt   kumquatlug.Millis
 }
 
-func newDrainingWorkers() *drainingWorkers {
-	return &drainingWorkers{byWorker: map[string]drainingWorker{}}
+func newShuttingDownWorkers() *shuttingDownWorkers {
+	return &shuttingDownWorkers{byWorker: map[string]shuttingDownWorker{}}
 }
 
 // note records that a worker shuts down and reports whether that was not known before.
-func (d *drainingWorkers) note(now kumquatlug.Millis, worker string, born int64) bool {
+func (d *shuttingDownWorkers) note(now kumquatlug.Millis, worker string, born int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, worker := range d.byWorker {
-		if now-worker.notedAt > drainingRetention {
+		if now-worker.notedAt > shutdownRetention {
 			delete(d.byWorker, id)
 		}
 	}
 	if worker, known := d.byWorker[worker]; known && worker.startedAt == born {
 		return false
 	}
-	d.byWorker[worker] = drainingWorker{startedAt: born, notedAt: now}
+	d.byWorker[worker] = shuttingDownWorker{startedAt: born, notedAt: now}
 	return true
 }
 
 // mark sets members that announced their shutdown to draining. It matches the
 // incarnation and ignores the state in the row, because a restored store may contain an
 // old row.
-func (d *drainingWorkers) mark(members []kumquatlug.Member) {
+func (d *shuttingDownWorkers) mark(members []kumquatlug.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, m := range members {
@@ -62,7 +62,7 @@
 
 // recordShutdown handles a response in which the worker announces its shutdown.
 func (f *inflight) recordShutdown(a *placement.Ticket) {
-	if !f.g.draining.note(f.g.c.Clock.Now(), a.Worker(), a.Born()) {
+	if !f.g.shuttingDownWorkers.note(f.g.c.Clock.Now(), a.Worker(), a.Born()) {
 		return
 	}
 	f.g.metrics.shuttingDown.Inc()
--- a/internal/gateway/draining_test.go
+++ b/internal/gateway/draining_test.go
@@ -30,10 +30,10 @@
 // A worker announced its shutdown. The store returns its old row after an outage, loses
 // it and returns it again. If the row readmitted the worker, it would get requests until
 // it exits.
-func TestOldRowDoesNotReadmitDrainingWorker(t *testing.T) {
+func TestOldRowDoesNotReadmitWorkerThatShutsDown(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
-	w.g.draining.note(w.now.Now(), "a", 0)
+	w.g.shuttingDownWorkers.note(w.now.Now(), "a", 0)
 	w.g.republish()
 	read := func() {
 		w.feed.version++
@@ -61,7 +61,7 @@
 // A worker restarts under its name. If it were taken for the incarnation that shut down,
 // it would stay unused.
 func TestRestartedWorkerIsReady(t *testing.T) {
-	d := newDrainingWorkers()
+	d := newShuttingDownWorkers()
 	d.note(0, "a", 100)
 	restarted := member("a", "")
 	restarted.Born = 200
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,8 +127,8 @@
 	scheduler *scheduler
 	metrics   *metrics
 	crashes   *crashes
-	// draining are the workers that announced their shutdown.
-	draining *drainingWorkers
+	// shuttingDownWorkers are the workers that announced their shutdown.
+	shuttingDownWorkers *shuttingDownWorkers
 	// exitAt is when this gateway exits, zero while it is not stopping.
 	exitAt   atomic.Int64
 	inFlight atomic.Int64
@@ -156,7 +156,7 @@
 func New(c Config) *Gateway {
 	g := &Gateway{
 		c: c, scheduler: newScheduler(c), metrics: newMetrics(c.Registry), crashes: newCrashes(),
-		draining: newDrainingWorkers(), unusedCaches: make(chan kumquatlug.KVCache, maxUnusedCaches),
+		shuttingDownWorkers: newShuttingDownWorkers(), unusedCaches: make(chan kumquatlug.KVCache, maxUnusedCaches),
 	}
 	g.members.Store(&memberSet{})
 	g.usage.counter = usage.NewCounter(c.UsageWindows)
@@ -283,12 +283,12 @@
 	return nil
 }
 
-// stopping reports whether this gateway has been told to stop.
-func (g *Gateway) stopping() bool { return g.exitAt.Load() != 0 }
+// shuttingDown reports whether this gateway has been told to stop.
+func (g *Gateway) shuttingDown() bool { return g.exitAt.Load() != 0 }
 
 // ready reports whether this gateway has a config and members, and is not stopping.
 func (g *Gateway) ready() bool {
-	return !g.stopping() && g.table.Load() != nil && g.members.Load().loaded
+	return !g.shuttingDown() && g.table.Load() != nil && g.members.Load().loaded
 }
 
 func (g *Gateway) controlHandler() http.Handler {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -231,7 +231,7 @@
 
 // A stopping gateway receives a long stream, which it could not complete. It must refuse
 // the stream at once, so that another gateway can serve it in time.
-func TestStoppingGatewayRefusesLongRequests(t *testing.T) {
+func TestGatewayThatShutsDownRefusesLongRequests(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 2000))
@@ -305,7 +305,7 @@
 // fails, the attempt is repeated, and then too little time is left. If the output were
 // started, it would be cut off at the exit; the request has not run yet, so that another
 // gateway can still serve it.
-func TestStoppingGatewayStartsNoLateOutput(t *testing.T) {
+func TestGatewayThatShutsDownStartsNoLateOutput(t *testing.T) {
 	for _, engineFails := range []bool{true, false} {
 		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
 		f := newTestGateway(t, w, manyRetries)
@@ -333,7 +333,7 @@
 // the exit, the connection would close without a response, and the client would not know
 // whether it may retry. It must be refused before, while another gateway can still serve
 // it.
-func TestStoppingGatewayRespondsBeforeExit(t *testing.T) {
+func TestGatewayThatShutsDownRespondsBeforeExit(t *testing.T) {
 	w := &fakeWorkers{}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 10_000))
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -145,8 +145,8 @@
 	case f.possibleRuns >= f.route.Workers():
 		return failed.failure
 	}
-	if stopping := f.stoppingFailure(); stopping != nil {
-		return stopping.failure
+	if failed := f.shutdownFailure(); failed != nil {
+		return failed.failure
 	}
 	return nil
 }
@@ -188,7 +188,7 @@
 	reason := "deadline"
 	switch {
 	case !errors.Is(ctx.Err(), context.Canceled):
-	case f.g.stopping():
+	case f.g.shuttingDown():
 		reason = "stopping"
 	default:
 		reason = "client_left"
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -82,7 +82,7 @@
 		for _, w := range state.placer.Suspects(now) {
 			events.probes = append(events.probes, probe{service: name, worker: w})
 		}
-		sc.deliverGrants(now, state)
+		sc.deliverDue(now, state)
 	}
 	return events
 }
@@ -105,7 +105,7 @@
 		return nil
 	}
 	state.cancelAttempts(worker.Attempts())
-	sc.deliverGrants(now, state)
+	sc.deliverDue(now, state)
 	return []placement.Fallen{worker}
 }
 
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -93,7 +93,7 @@
 	}
 	if member.State == kumquatlug.MemberDraining {
 		// A store that is restored from an older copy says that the worker is ready.
-		m.g.draining.note(m.g.c.Clock.Now(), key, member.Born)
+		m.g.shuttingDownWorkers.note(m.g.c.Clock.Now(), key, member.Born)
 	}
 	if fullRead && m.restoredAfterRemoval(key, member.Born, row.Era()) {
 		member.State = kumquatlug.MemberDraining
@@ -123,7 +123,7 @@
 
 // publish applies members to the gateway. The caller must hold publishMu.
 func (g *Gateway) publish(now kumquatlug.Millis, members []kumquatlug.Member) {
-	g.draining.mark(members)
+	g.shuttingDownWorkers.mark(members)
 	set := &memberSet{loaded: true, byService: map[string][]kumquatlug.Member{}, addresses: map[string]bool{}}
 	for _, member := range members {
 		set.byService[member.Service] = append(set.byService[member.Service], member)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -19,7 +19,7 @@
 	estimates     *prometheus.GaugeVec
 	permits       *prometheus.CounterVec
 	denied        *prometheus.CounterVec
-	leaseNumber   prometheus.Gauge
+	fencingToken  prometheus.Gauge
 	usageReports  *prometheus.CounterVec
 	// usageOpen counts windows whose usage is fixed and not known to be reported.
 	usageOpen prometheus.Gauge
@@ -69,7 +69,7 @@
 		denied: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatlug_gateway_denied_total", Help: "Requests whose key gives no right to their route, by reason.",
 		}, []string{"reason"}),
-		leaseNumber: prometheus.NewGauge(prometheus.GaugeOpts{
+		fencingToken: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "kumquatlug_gateway_lease_number", Help: "Fencing number of the lease that this front holds, 0 for none.",
 		}),
 		usageReports: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -102,7 +102,7 @@
 func (m *metrics) collectors() []prometheus.Collector {
 	return []prometheus.Collector{
 		m.responses, m.attempts, m.latency, m.storeReads, m.orders, m.unresponsive, m.configVersion, m.estimates, m.permits, m.denied,
-		m.leaseNumber, m.usageReports, m.usageOpen, m.worstAccounts, m.limit, m.limitSent, m.shuttingDown, m.storeEra,
+		m.fencingToken, m.usageReports, m.usageOpen, m.worstAccounts, m.limit, m.limitSent, m.shuttingDown, m.storeEra,
 	}
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -111,18 +111,18 @@
 	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
 		state.placer.Requested(now, m)
 	default:
-		if grant, ended := state.placer.Answered(now, m); ended {
-			state.deliver(grant)
+		if due, ended := state.placer.Answered(now, m); ended {
+			state.deliver(due)
 		}
 	}
-	sc.deliverGrants(now, state)
+	sc.deliverDue(now, state)
 }
 
 // deliver notifies a queued prompt that it may be sent, or that it was refused.
-func (state *serviceState) deliver(grant placement.Due) {
-	if waiting, found := state.waiting[grant.Key()]; found {
-		delete(state.waiting, grant.Key())
-		waiting <- grant
+func (state *serviceState) deliver(due placement.Due) {
+	if waiting, found := state.waiting[due.Key()]; found {
+		delete(state.waiting, due.Key())
+		waiting <- due
 	}
 }
 
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -106,7 +106,7 @@
 		outcome = placement.OutcomeFailed
 	}
 	f.endAttempt(stageOutput, a.attempt, outcome)
-	f.recordAnswered(a.choice, status)
+	f.recordResponse(a.choice, status)
 	return nil
 }
 
@@ -214,7 +214,7 @@
 		}
 	}
 	f.endAttempt(stageOutput, a.attempt, placement.OutcomeGood)
-	f.recordAnswered(a.choice, a.response.Status())
+	f.recordResponse(a.choice, a.response.Status())
 	return nil
 }
 
@@ -268,8 +268,8 @@
 	}
 }
 
-// recordAnswered records that the client received the response of a worker.
-func (f *inflight) recordAnswered(c placement.Choice, status int) {
+// recordResponse records that the client received the response of a worker.
+func (f *inflight) recordResponse(c placement.Choice, status int) {
 	f.g.metrics.responses.WithLabelValues("answered").Inc()
 	onTime := status < http.StatusInternalServerError && (f.route.Target() == 0 || f.timeToFirstOutput() <= f.route.Target())
 	f.g.accounts.note(f.g.c.Clock.Now(), f.request.Account(), onTime)
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -22,7 +22,7 @@
 	w := newWatchHarness()
 	w.poll()
 	before := map[string]string{"a": `"prefill"`, "b": `"decode"`, "c": `""`}
-	w.g.draining.note(w.now.Now(), "b", 0)
+	w.g.shuttingDownWorkers.note(w.now.Now(), "b", 0)
 	w.feed.rows = map[string]string{"b": `"decode"`, "c": `""`}
 	w.feed.version++
 	w.watcher.synced = false
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -249,8 +249,8 @@
 	choice    placement.Choice
 	attempt   *placement.Ticket
 	// key and grant are set while the prompt is queued.
-	key   uint64
-	grant chan placement.Due
+	key uint64
+	due chan placement.Due
 }
 
 // submit submits a prompt to the engines.
@@ -262,10 +262,10 @@
 	p := pendingPrompt{key: sc.lastKey}
 	p.admission, p.choice, p.attempt = state.placer.Enter(now, p.key, q)
 	if p.admission == placement.EntryWaits {
-		p.grant = make(chan placement.Due, 1)
-		state.waiting[p.key] = p.grant
+		p.due = make(chan placement.Due, 1)
+		state.waiting[p.key] = p.due
 	}
-	sc.deliverGrants(now, state)
+	sc.deliverDue(now, state)
 	return p
 }
 
@@ -278,22 +278,22 @@
 	state.placer.Leave(p.key)
 	delete(state.waiting, p.key)
 	select {
-	case grant := <-p.grant:
-		if grant.Ticket() != nil {
-			state.placer.End(now, grant.Ticket(), placement.OutcomeSilent)
+	case due := <-p.due:
+		if due.Ticket() != nil {
+			state.placer.End(now, due.Ticket(), placement.OutcomeSilent)
 		}
 	default:
 	}
-	sc.deliverGrants(now, state)
+	sc.deliverDue(now, state)
 }
 
-// deliverGrants notifies the prompts that may be sent now. The caller must hold sc.mu.
-func (sc *scheduler) deliverGrants(now kumquatlug.Millis, state *serviceState) {
+// deliverDue notifies the prompts that may be sent now. The caller must hold sc.mu.
+func (sc *scheduler) deliverDue(now kumquatlug.Millis, state *serviceState) {
 	if state.placer.Waiting() == 0 {
 		return
 	}
-	for _, grant := range state.placer.Due(now) {
-		state.deliver(grant)
+	for _, due := range state.placer.Due(now) {
+		state.deliver(due)
 	}
 }
 
@@ -323,7 +323,7 @@
 	p.Report(now, worker, response.Load())
 	if response.Pause() > 0 {
 		p.Pause(now, a, response.Pause())
-		sc.deliverGrants(now, state)
+		sc.deliverDue(now, state)
 	}
 	return p.Limited(now, a, response.Limit(), response.Status() < http.StatusMultipleChoices)
 }
@@ -374,7 +374,7 @@
 	defer sc.unlockAndSend()
 	state := sc.service(service)
 	state.placer.Read(now, a)
-	sc.deliverGrants(now, state)
+	sc.deliverDue(now, state)
 }
 
 func (sc *scheduler) endAttempt(now kumquatlug.Millis, service string, a *placement.Ticket, o placement.Outcome) {
@@ -384,5 +384,5 @@
 	delete(state.cancels, a)
 	delete(state.moves, a)
 	state.placer.End(now, a, o)
-	sc.deliverGrants(now, state)
+	sc.deliverDue(now, state)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -25,9 +25,9 @@
 	// retries during it is refused for good.
 	minRetryAfter = 100 * kumquatlug.Millis(1)
 	maxRetryAfter = 1600 * kumquatlug.Millis(1)
-	// stoppingRetryAfter is the Retry-After of a stopping gateway: short, because
+	// shutdownRetryAfter is the Retry-After of a stopping gateway: short, because
 	// another gateway can still respond within the target latency.
-	stoppingRetryAfter = 20 * kumquatlug.Millis(1)
+	shutdownRetryAfter = 20 * kumquatlug.Millis(1)
 	// noConfigRetryAfter is the Retry-After of a gateway that has no current config.
 	noConfigRetryAfter = 300 * kumquatlug.Millis(1)
 )
@@ -82,7 +82,7 @@
 		// stopping.
 		w.Header().Set("Connection", "close")
 		if f.outlastsShutdown(exit) {
-			g.refuse(w, request, refusal("stop", "stopping", http.StatusServiceUnavailable, stoppingRetryAfter))
+			g.refuse(w, request, refusal("stop", "stopping", http.StatusServiceUnavailable, shutdownRetryAfter))
 			return
 		}
 	}
@@ -109,15 +109,15 @@
 	return f.arrived+duration > exit
 }
 
-// stoppingFailure returns the failure of a request that would have completed in time
+// shutdownFailure returns the failure of a request that would have completed in time
 // when it arrived at a stopping gateway, but no longer does because attempts were given
 // up. As long as it has not run, another gateway can still serve it; started here, its
 // response would be cut off at the exit of this gateway.
-func (f *inflight) stoppingFailure() *attemptFailure {
-	if !f.g.stopping() || f.timeToStartOutput() > 0 {
+func (f *inflight) shutdownFailure() *attemptFailure {
+	if !f.g.shuttingDown() || f.timeToStartOutput() > 0 {
 		return nil
 	}
-	return &attemptFailure{permanent: true, failure: refusal("stop", "stopping", http.StatusServiceUnavailable, stoppingRetryAfter)}
+	return &attemptFailure{permanent: true, failure: refusal("stop", "stopping", http.StatusServiceUnavailable, shutdownRetryAfter)}
 }
 
 // timeToStartOutput returns how long, in ms, it may take until the output of a request
--- a/internal/gateway/transfer.go
+++ b/internal/gateway/transfer.go
@@ -113,7 +113,7 @@
 	state := sc.service(service)
 	streams, changed := state.placer.Announce(now, roles)
 	moved := state.moveStreams(streams)
-	sc.deliverGrants(now, state)
+	sc.deliverDue(now, state)
 	return moved, changed
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -79,14 +79,14 @@
 func (w *tableWatcher) watch(ctx context.Context, apply func(now kumquatlug.Millis)) {
 	w.rows = map[string]kumquatlug.Row{}
 	for ctx.Err() == nil {
-		asked := w.g.c.Clock.Now()
+		requestedAt := w.g.c.Clock.Now()
 		err := w.read(ctx)
 		now := w.g.c.Clock.Now()
 		if err == nil {
 			w.readSucceeded(now)
 			apply(now)
 			if len(w.changed) > 0 {
-				w.updateGatherDelay(now - asked)
+				w.updateGatherDelay(now - requestedAt)
 				sleep(ctx, w.gatherDelay)
 			}
 			continue
--- a/pkg/kumquatlug/coordinator/coordinator.go
+++ b/pkg/kumquatlug/coordinator/coordinator.go
@@ -43,8 +43,8 @@
 type Fronts struct {
 	self     string
 	gateways map[string]*peerState
-	// stopping reports that this gateway must not coordinate any engine.
-	stopping bool
+	// shuttingDown reports that this gateway must not coordinate any engine.
+	shuttingDown bool
 	// cache holds the coordinators by engine. It is valid until cacheValidUntil, and cleared
 	// when a gateway changes.
 	cache           map[string]string
@@ -124,7 +124,7 @@
 
 // Leave makes this gateway stop coordinating engines.
 func (f *Fronts) Leave() {
-	f.stopping = true
+	f.shuttingDown = true
 	f.clearCache()
 }
 
@@ -212,7 +212,7 @@
 	key := xxhash.Sum64String(engine)
 	coordinator, highest := "", uint64(0)
 	for name, peer := range f.gateways {
-		if peer.excluded || now < peer.backoffUntil || name == f.self && f.stopping {
+		if peer.excluded || now < peer.backoffUntil || name == f.self && f.shuttingDown {
 			continue
 		}
 		if h := rendezvous.Mix(key ^ peer.hash); coordinator == "" || h > highest {
--- a/pkg/kumquatlug/coordinator/coordinator_test.go
+++ b/pkg/kumquatlug/coordinator/coordinator_test.go
@@ -47,31 +47,31 @@
 
 // A gateway fails. Only the engines that it coordinated may move, since the prompts of each
 // engine that moves are in two queues for a while.
-func TestOnlyEnginesOfLostGatewayMove(t *testing.T) {
+func TestOnlyEnginesOfUnresponsiveGatewayMove(t *testing.T) {
 	f := newWithAllGateways("front-0")
 	before := map[int]string{}
 	for i := range engineCount {
 		before[i] = f.Coordinator(0, engineName(i))
 	}
-	lost := before[0]
-	if lost == "front-0" {
+	unresponsive := before[0]
+	if unresponsive == "front-0" {
 		t.Fatal("the first engine is coordinated by the gateway itself")
 	}
-	f.Missed(10, lost)
+	f.Missed(10, unresponsive)
 	for i := range engineCount {
 		after := f.Coordinator(10, engineName(i))
-		if after == lost || before[i] != lost && after != before[i] {
+		if after == unresponsive || before[i] != unresponsive && after != before[i] {
 			t.Errorf("%s: %s before, %s after", engineName(i), before[i], after)
 		}
 	}
-	if after := f.Coordinator(10+minBackoff, engineName(0)); after != lost {
+	if after := f.Coordinator(10+minBackoff, engineName(0)); after != unresponsive {
 		t.Errorf("coordinator after the backoff: %s", after)
 	}
 }
 
 // A gateway is gone for good and does not respond. A retry each second would delay one prompt
 // each time, while without retries the gateway would stay unused after its return.
-func TestLostGatewayIsRetriedWithBackoff(t *testing.T) {
+func TestUnresponsiveGatewayIsRetriedWithBackoff(t *testing.T) {
 	f := newWithAllGateways("front-0")
 	now, requests := kumquatlug.Millis(0), 0
 	for now < 60*kumquatlug.Second {
@@ -116,15 +116,15 @@
 
 // A gateway stops for an update. It must not coordinate any engine from then on, and the
 // others must not send it requests.
-func TestStoppingGatewayCoordinatesNothing(t *testing.T) {
-	stops, other := newWithAllGateways("front-3"), newWithAllGateways("front-4")
-	stops.Leave()
+func TestGatewayThatShutsDownCoordinatesNothing(t *testing.T) {
+	shuttingDown, other := newWithAllGateways("front-3"), newWithAllGateways("front-4")
+	shuttingDown.Leave()
 	other.Left("front-3")
 	for i := range engineCount {
-		if stops.Coordinates(0, engineName(i)) || other.Coordinator(0, engineName(i)) == "front-3" {
+		if shuttingDown.Coordinates(0, engineName(i)) || other.Coordinator(0, engineName(i)) == "front-3" {
 			t.Errorf("%s is coordinated by a stopping gateway", engineName(i))
 		}
-		if stops.Coordinator(0, engineName(i)) != other.Coordinator(0, engineName(i)) {
+		if shuttingDown.Coordinator(0, engineName(i)) != other.Coordinator(0, engineName(i)) {
 			t.Errorf("%s has two coordinators", engineName(i))
 		}
 	}
--- a/pkg/kumquatlug/gateway.go
+++ b/pkg/kumquatlug/gateway.go
@@ -350,7 +350,7 @@
 	// Decode reads a request with its whole body of at most maxBody bytes.
 	Decode(r *http.Request, maxBody int64) (Ask, error)
 	// Head writes the status and headers of a worker's reply.
-	Head(w http.ResponseWriter, reply Reply)
+	Head(w http.ResponseWriter, response Reply)
 	// Refuse writes a final response that the gateway generates itself.
 	Refuse(w http.ResponseWriter, a Ask, f *Failure)
 }
--- a/pkg/kumquatlug/peers.go
+++ b/pkg/kumquatlug/peers.go
@@ -87,7 +87,7 @@
 	TellConfig(gateway string)
 	// AskConfig requests the text of a gateway's config, GiveConfig responds to such a
 	// request.
-	AskConfig(gateway string, ask ConfigAsk)
+	AskConfig(gateway string, request ConfigAsk)
 	GiveConfig(gateway string, part ConfigPart)
 	// Receive passes received messages to h until ctx ends.
 	Receive(ctx context.Context, h FrontHandler) error
@@ -105,6 +105,6 @@
 	ConfigState() ConfigState
 	ConfigHeard(gateway string, state ConfigState)
 	// ConfigAsked and ConfigGiven handle messages about the text of a config.
-	ConfigAsked(gateway string, ask ConfigAsk)
+	ConfigAsked(gateway string, request ConfigAsk)
 	ConfigGiven(gateway string, part ConfigPart)
 }
--- a/pkg/kumquatlug/placement/attempt.go
+++ b/pkg/kumquatlug/placement/attempt.go
@@ -22,7 +22,7 @@
 	// coordinator is the gateway that granted the attempt under grantKey, empty if none
 	// did.
 	coordinator string
-	grantKey    uint64
+	permitKey   uint64
 	// maxOutputTokens is the maximum number of tokens to generate.
 	maxOutputTokens int
 	expectedWaitMs  float64
@@ -74,7 +74,7 @@
 	}
 	t := &Ticket{
 		worker: w, id: c.worker.ID(), born: w.member.Born, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.wait - c.delay, sentAt: now + c.Delay(),
-		coordinator: coordinator, grantKey: key,
+		coordinator: coordinator, permitKey: key,
 		uncachedTokens: c.uncachedTokens, cachedTokens: max(float64(prompt.Input())-c.uncachedTokens, 0), engineIdle: w.prefills == 0 && p.otherRequestsAt(now, w) < 1,
 	}
 	if len(w.attempts) == 0 {
@@ -137,12 +137,12 @@
 	t.ended = true
 	t.worker.removeAttempt(t)
 	if o == OutcomeGood || o == OutcomeRefused {
-		p.markAlive(now, t.id, t.worker)
+		p.markResponsive(now, t.id, t.worker)
 	}
 	if t.prefillOnly {
 		t.worker.prefills--
 		if t.coordinator != "" {
-			p.sendRelease(t.coordinator, kumquatlug.Turn{Engine: t.id, Key: t.grantKey})
+			p.sendRelease(t.coordinator, kumquatlug.Turn{Engine: t.id, Key: t.permitKey})
 		}
 	} else {
 		t.worker.running--
@@ -224,9 +224,9 @@
 
 // backOff stops sending requests to a worker for a while.
 func (w *worker) backOff(now kumquatlug.Millis) {
-	pause := refusalBackoff << min(w.refusals, 10)
+	backoff := refusalBackoff << min(w.refusals, 10)
 	w.refusals++
-	w.backoffUntil = now + min(pause, maxRefusalBackoff)
+	w.backoffUntil = now + min(backoff, maxRefusalBackoff)
 }
 
 // learnPrefill records how long a prefill took. Those at an idle engine show its rate;
--- a/pkg/kumquatlug/placement/choose.go
+++ b/pkg/kumquatlug/placement/choose.go
@@ -76,7 +76,7 @@
 func (p *Placer) eligible(now kumquatlug.Millis, w *worker, q Query, role kumquatlug.Role) bool {
 	id := w.member.Worker.ID()
 	roleMatches := w.member.Role == role || role == kumquatlug.RoleDecode && w.member.Role == ""
-	return w.member.State == kumquatlug.MemberReady && roleMatches && now >= max(w.backoffUntil, w.pausedUntil) && !w.changingRole(now) &&
+	return w.member.State == kumquatlug.MemberReady && roleMatches && now >= max(w.backoffUntil, w.requestedBackoffUntil) && !w.changingRole(now) &&
 		!slices.Contains(q.Exclude, id) && p.health.Weight(now, id) > 0
 }
 
--- a/pkg/kumquatlug/placement/cluster_test.go
+++ b/pkg/kumquatlug/placement/cluster_test.go
@@ -142,8 +142,8 @@
 	text := kumquatlug.NewPrompt(append(document(int(key)%40, int(key)).Shared(), kumquatlug.NewPart(fmt.Sprint("own", key), own)), 6300+own, 104)
 	c.prompts[key] = &promptRecord{gateway: gateway, arrivedAt: now, text: text}
 	q := Query{Prompt: text, Target: now + targetLatencyMs, Until: now + clientTimeoutMs}
-	entry, choice, ticket := c.gateways[gateway].Enter(now, key, q)
-	switch entry {
+	result, choice, ticket := c.gateways[gateway].Enter(now, key, q)
+	switch result {
 	case EntrySent:
 		c.send(now, gateway, key, choice, ticket)
 	case EntryRefused, EntryNobody:
@@ -314,9 +314,9 @@
 	}
 	for i, p := range c.gateways {
 		for _, w := range p.ordered {
-			attempts := w.prefills - len(w.grants)
-			if i != frozen && attempts > 0 || len(w.grants) > 0 || len(w.queue) > 0 || w.requestedTokens > 0.5 {
-				return fmt.Sprintf("gateway %d counts %d attempts, %d grants, %d queued, %.0f requested tokens", i, attempts, len(w.grants), len(w.queue), w.requestedTokens)
+			attempts := w.prefills - len(w.permits)
+			if i != frozen && attempts > 0 || len(w.permits) > 0 || len(w.queue) > 0 || w.requestedTokens > 0.5 {
+				return fmt.Sprintf("gateway %d counts %d attempts, %d grants, %d queued, %.0f requested tokens", i, attempts, len(w.permits), len(w.queue), w.requestedTokens)
 			}
 		}
 	}
--- a/pkg/kumquatlug/placement/coordinate.go
+++ b/pkg/kumquatlug/placement/coordinate.go
@@ -17,9 +17,9 @@
 	// staleAfter is how long a prompt of another gateway stays queued without its
 	// request being renewed, which its gateway does each requestRenewInterval.
 	staleAfter = 4 * requestRenewInterval
-	// grantTimeoutFactor is the multiple of the expected time after which a grant
+	// permitTimeoutFactor is the multiple of the expected time after which a grant
 	// expires.
-	grantTimeoutFactor = 4
+	permitTimeoutFactor = 4
 	// cacheRetainFraction is the fraction of an engine's KV memory that is prefilled
 	// before a part unused meanwhile is assumed to be evicted; outputs and copies take
 	// the rest.
@@ -35,8 +35,8 @@
 	key     uint64
 }
 
-// remoteGrant is a prefill granted to another gateway.
-type remoteGrant struct {
+// remotePermit is a prefill granted to another gateway.
+type remotePermit struct {
 	remote          remoteKey
 	effectiveTokens float64
 	expiresAt       kumquatlug.Millis
@@ -82,16 +82,16 @@
 		return
 	}
 	if !known || !p.coordinates(now, w) || !p.eligible(now, w, Query{}, kumquatlug.RolePrefill) {
-		p.reply(r, m.Turn.Engine, kumquatlug.TurnUnknown, 0)
+		p.respond(r, m.Turn.Engine, kumquatlug.TurnUnknown, 0)
 		return
 	}
-	if at := slices.IndexFunc(w.grants, func(t remoteGrant) bool { return t.remote == r }); at >= 0 {
-		p.sendGrant(w, w.grants[at])
+	if at := slices.IndexFunc(w.permits, func(t remotePermit) bool { return t.remote == r }); at >= 0 {
+		p.sendPermit(w, w.permits[at])
 		return
 	}
 	if queued := w.findRemote(r); queued != nil {
 		queued.renewedAt = now
-		p.reply(r, m.Turn.Engine, kumquatlug.TurnQueued, 0)
+		p.respond(r, m.Turn.Engine, kumquatlug.TurnQueued, 0)
 		return
 	}
 	p.submitRemote(now, w, r, m.Turn)
@@ -125,27 +125,27 @@
 	}
 	w.enqueue(queued)
 	if !p.hasCapacity(now, w) {
-		p.reply(r, t.Engine, kumquatlug.TurnQueued, 0)
+		p.respond(r, t.Engine, kumquatlug.TurnQueued, 0)
 	}
 }
 
-// reply sends another gateway the state of its prompt.
-func (p *Placer) reply(r remoteKey, engine string, step kumquatlug.TurnStep, wait kumquatlug.Millis) {
+// respond sends another gateway the state of its prompt.
+func (p *Placer) respond(r remoteKey, engine string, step kumquatlug.TurnStep, wait kumquatlug.Millis) {
 	p.send(r.gateway, kumquatlug.Turn{Step: step, Engine: engine, Key: r.key, Wait: wait})
 }
 
 // refuseRemote replies that a prompt can't be prefilled in time.
 func (p *Placer) refuseRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
 	wait := (p.inFlightTokens(now, w) + w.queuedTokens() + queued.choice.effectiveTokens) / p.prefillRate() * p.slowdown
-	p.reply(queued.remote, w.member.Worker.ID(), kumquatlug.TurnRefused, kumquatlug.Millis(wait))
+	p.respond(queued.remote, w.member.Worker.ID(), kumquatlug.TurnRefused, kumquatlug.Millis(wait))
 }
 
 // grantRemote grants a prompt of another gateway its prefill.
 func (p *Placer) grantRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
 	tokens := queued.choice.effectiveTokens
 	expectedWait := (p.inFlightTokens(now, w) + tokens) / p.prefillRate() * p.slowdown
-	w.grants = append(w.grants, remoteGrant{
-		remote: queued.remote, effectiveTokens: tokens, expiresAt: now + kumquatlug.Millis(grantTimeoutFactor*(expectedWait+p.handoffMs())),
+	w.permits = append(w.permits, remotePermit{
+		remote: queued.remote, effectiveTokens: tokens, expiresAt: now + kumquatlug.Millis(permitTimeoutFactor*(expectedWait+p.handoffMs())),
 		engineIdle: w.prefills == 0, expectedWait: kumquatlug.Millis(expectedWait), uncachedTokens: int(queued.choice.uncachedTokens),
 	})
 	p.recordCached(now, w, queued.query.Prompt)
@@ -153,12 +153,12 @@
 	w.prefillTokens += tokens
 	w.prefills++
 	p.addLoad(now, w, queued)
-	p.sendGrant(w, w.grants[len(w.grants)-1])
+	p.sendPermit(w, w.permits[len(w.permits)-1])
 }
 
-// sendGrant sends a grant to another gateway. It names the engine, because the prompt
+// sendPermit sends a grant to another gateway. It names the engine, because the prompt
 // may have been sent elsewhere, and its gateway then has to release the grant.
-func (p *Placer) sendGrant(w *worker, t remoteGrant) {
+func (p *Placer) sendPermit(w *worker, t remotePermit) {
 	p.send(t.remote.gateway, kumquatlug.Turn{
 		Step: kumquatlug.TurnGranted, Engine: w.member.Worker.ID(), Key: t.remote.key, Wait: t.expectedWait, Alone: t.engineIdle, Fresh: t.uncachedTokens,
 	})
@@ -167,12 +167,12 @@
 // releaseRemote releases a grant, or removes a prompt from the queue.
 func (w *worker) releaseRemote(r remoteKey) {
 	w.queue = slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool { return queued.remote == r })
-	w.releaseGrants(func(t remoteGrant) bool { return t.remote == r })
+	w.releasePermits(func(t remotePermit) bool { return t.remote == r })
 }
 
-// releaseGrants releases the grants to other gateways for which over returns true.
-func (w *worker) releaseGrants(over func(remoteGrant) bool) {
-	w.grants = slices.DeleteFunc(w.grants, func(t remoteGrant) bool {
+// releasePermits releases the grants to other gateways for which over returns true.
+func (w *worker) releasePermits(over func(remotePermit) bool) {
+	w.permits = slices.DeleteFunc(w.permits, func(t remotePermit) bool {
 		if !over(t) {
 			return false
 		}
@@ -185,7 +185,7 @@
 // expireRemote drops grants that were never released and queued prompts whose request
 // is no longer renewed.
 func (p *Placer) expireRemote(now kumquatlug.Millis, w *worker) {
-	w.releaseGrants(func(t remoteGrant) bool { return now >= t.expiresAt })
+	w.releasePermits(func(t remotePermit) bool { return now >= t.expiresAt })
 	w.queue = slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool {
 		return queued.remote.gateway != "" && now-queued.renewedAt > staleAfter
 	})
@@ -207,7 +207,7 @@
 		if queued.remote.gateway == "" {
 			return false
 		}
-		p.reply(queued.remote, w.member.Worker.ID(), kumquatlug.TurnUnknown, 0)
+		p.respond(queued.remote, w.member.Worker.ID(), kumquatlug.TurnUnknown, 0)
 		return true
 	})
 }
--- a/pkg/kumquatlug/placement/grants.go
+++ b/pkg/kumquatlug/placement/grants.go
@@ -31,8 +31,8 @@
 	requestRenewInterval = 100 * kumquatlug.Millis(1)
 )
 
-// grantRequest is the state of a prompt that waits for a grant.
-type grantRequest struct {
+// permitRequest is the state of a prompt that waits for a grant.
+type permitRequest struct {
 	prompt      *queuedPrompt
 	worker      *worker
 	coordinator string
@@ -73,15 +73,15 @@
 	return p.config.Coordinators != nil && p.config.Coordinators.Coordinates(now, w.member.Worker.ID())
 }
 
-// requestGrant requests a grant for a prompt from a coordinator.
-func (p *Placer) requestGrant(now kumquatlug.Millis, coordinator string, w *worker, queued *queuedPrompt) {
-	a := &grantRequest{prompt: queued, worker: w, coordinator: coordinator}
-	p.grantRequests[queued.key] = a
+// requestPermit requests a grant for a prompt from a coordinator.
+func (p *Placer) requestPermit(now kumquatlug.Millis, coordinator string, w *worker, queued *queuedPrompt) {
+	a := &permitRequest{prompt: queued, worker: w, coordinator: coordinator}
+	p.permitRequests[queued.key] = a
 	w.requestedTokens += queued.choice.effectiveTokens
 	p.sendRequest(now, a)
 }
 
-func (p *Placer) sendRequest(now kumquatlug.Millis, a *grantRequest) {
+func (p *Placer) sendRequest(now kumquatlug.Millis, a *permitRequest) {
 	a.sentAt = now
 	a.unanswered++
 	q := a.prompt.query
@@ -93,15 +93,15 @@
 }
 
 // removeRequest removes a request from the pending ones.
-func (p *Placer) removeRequest(a *grantRequest) {
-	delete(p.grantRequests, a.prompt.key)
+func (p *Placer) removeRequest(a *permitRequest) {
+	delete(p.permitRequests, a.prompt.key)
 	a.worker.requestedTokens -= a.prompt.choice.effectiveTokens
 }
 
 // Answered handles the reply of a coordinator. It returns the prompt when it is granted
 // or given up.
 func (p *Placer) Answered(now kumquatlug.Millis, m kumquatlug.TurnMessage) (Due, bool) {
-	a, known := p.grantRequests[m.Turn.Key]
+	a, known := p.permitRequests[m.Turn.Key]
 	if !known || !a.matches(m) {
 		if m.Turn.Step == kumquatlug.TurnGranted {
 			// The prompt was sent elsewhere meanwhile; the engine is free for the next
@@ -134,22 +134,22 @@
 // matches reports whether a message is the reply to the last request: from this
 // coordinator, and for this engine. Coordinators of an older software version name no
 // engine.
-func (a *grantRequest) matches(m kumquatlug.TurnMessage) bool {
+func (a *permitRequest) matches(m kumquatlug.TurnMessage) bool {
 	engine := m.Turn.Engine
 	return a.coordinator == m.Front && (engine == "" || engine == a.worker.member.Worker.ID())
 }
 
 // beginGranted begins the attempt for a granted prompt.
-func (p *Placer) beginGranted(now kumquatlug.Millis, a *grantRequest, turn kumquatlug.Turn) Due {
+func (p *Placer) beginGranted(now kumquatlug.Millis, a *permitRequest, permit kumquatlug.Turn) Due {
 	queued := a.prompt
-	queued.choice.wait = float64(turn.Wait) + p.handoffMs()
-	queued.choice.uncachedTokens = float64(turn.Fresh)
+	queued.choice.wait = float64(permit.Wait) + p.handoffMs()
+	queued.choice.uncachedTokens = float64(permit.Fresh)
 	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
 	p.addLoad(now, a.worker, queued)
 	t := p.begin(now, queued.choice, queued.query.Prompt, a.coordinator, queued.key)
 	// Only the coordinator knows whether other prompts are prefilled first. If this one
 	// were taken to be alone, its engine would look slow.
-	t.engineIdle = turn.Alone
+	t.engineIdle = permit.Alone
 	return Due{key: queued.key, choice: queued.choice, ticket: t}
 }
 
@@ -167,7 +167,7 @@
 			after = requestRenewInterval
 		}
 		switch {
-		case p.grantRequests[a.prompt.key] != a || now-a.sentAt < after:
+		case p.permitRequests[a.prompt.key] != a || now-a.sentAt < after:
 		case a.unanswered >= maxUnansweredRequests:
 			p.abandonCoordinator(now, a.coordinator)
 		default:
@@ -177,12 +177,12 @@
 }
 
 // requestsInOrder returns the pending requests, the oldest first.
-func (p *Placer) requestsInOrder() []*grantRequest {
-	all := make([]*grantRequest, 0, len(p.grantRequests))
-	for _, a := range p.grantRequests {
+func (p *Placer) requestsInOrder() []*permitRequest {
+	all := make([]*permitRequest, 0, len(p.permitRequests))
+	for _, a := range p.permitRequests {
 		all = append(all, a)
 	}
-	slices.SortFunc(all, func(a, b *grantRequest) int { return cmp.Compare(a.prompt.key, b.prompt.key) })
+	slices.SortFunc(all, func(a, b *permitRequest) int { return cmp.Compare(a.prompt.key, b.prompt.key) })
 	return all
 }
 
@@ -212,7 +212,7 @@
 
 // cancelRequest withdraws the request of a prompt whose client has disconnected.
 func (p *Placer) cancelRequest(key uint64) {
-	if a, known := p.grantRequests[key]; known {
+	if a, known := p.permitRequests[key]; known {
 		p.removeRequest(a)
 		p.sendRelease(a.coordinator, kumquatlug.Turn{Engine: a.worker.member.Worker.ID(), Key: key})
 	}
--- a/pkg/kumquatlug/placement/grants_test.go
+++ b/pkg/kumquatlug/placement/grants_test.go
@@ -33,12 +33,12 @@
 // others are not notified. A prompt may wait for it twice requestRetryAfter and the
 // interval between checks. Then it must go elsewhere, together with all others
 // requested there, and two seconds later as many prompts must be in time as before.
-func TestLostCoordinatorDoesNotDelayPrompts(t *testing.T) {
+func TestUnresponsiveCoordinatorDoesNotDelayPrompts(t *testing.T) {
 	rate := 0.3 * 6 * prefillTokensPerMs / 3300 * 1000
 	c := newGatewayCluster(5, 6, true)
 	c.play(1, 2000, rate)
-	lost := c.gatewayIndex(c.coordinators[0].Coordinator(2000, "p0"))
-	c.offline[lost] = true
+	unresponsive := c.gatewayIndex(c.coordinators[0].Coordinator(2000, "p0"))
+	c.offline[unresponsive] = true
 	c.play(2000, 6000, rate)
 	// Prompts are in time at this load; one may wait its target latency for its grant.
 	if hold := c.maxHold(1500, 6000); hold > targetLatencyMs+150 {
@@ -53,7 +53,7 @@
 // A gateway that coordinates engines freezes for three seconds and then handles what is
 // left in its socket. If it granted prompts that went elsewhere meanwhile, the engines
 // would get all of them at once, and all prompts behind them would be late.
-func TestResumedCoordinatorDoesNotGrantABurst(t *testing.T) {
+func TestResumedCoordinatorGrantsNoBurst(t *testing.T) {
 	rate := 0.6 * 6 * prefillTokensPerMs / 3300 * 1000
 	c := newGatewayCluster(5, 6, true)
 	c.play(1, 2000, rate)
@@ -75,7 +75,7 @@
 // A gateway gets grants and dies before it releases them. Without expiry its prompts
 // would count as in flight at the engine for ever, and the others would get fewer
 // grants with each gateway that dies.
-func TestGrantsOfDeadGatewayExpire(t *testing.T) {
+func TestPermitsOfCrashedGatewayExpire(t *testing.T) {
 	c := newGatewayCluster(3, 2, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[at]
@@ -95,19 +95,19 @@
 		t.Fatalf("%d grants were sent", granted)
 	}
 	p.Due(1000)
-	if w := p.workers["p0"]; w.prefills != 0 || len(w.grants) != 0 || len(w.queue) != 0 || w.prefillTokens != 0 {
-		t.Errorf("%d in flight, %d grants, %d queued, %.0f tokens", w.prefills, len(w.grants), len(w.queue), w.prefillTokens)
+	if w := p.workers["p0"]; w.prefills != 0 || len(w.permits) != 0 || len(w.queue) != 0 || w.prefillTokens != 0 {
+		t.Errorf("%d in flight, %d grants, %d queued, %.0f tokens", w.prefills, len(w.permits), len(w.queue), w.prefillTokens)
 	}
 }
 
 // The client of a prompt that waits at a coordinator disconnects. Without a release the
 // coordinator would keep a grant for it.
-func TestClientDisconnectReleasesGrant(t *testing.T) {
+func TestClientDisconnectReleasesPermit(t *testing.T) {
 	c := newGatewayCluster(2, 1, true)
 	requester := 1 - c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[requester]
-	if entry, _, _ := p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005}); entry != EntryWaits {
-		t.Fatalf("entry %q", entry)
+	if result, _, _ := p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005}); result != EntryWaits {
+		t.Fatalf("entry %q", result)
 	}
 	p.Outbox()
 	p.Leave(7)
@@ -127,7 +127,7 @@
 // A grant arrives after its prompt has gone elsewhere. If the release didn't name the
 // engine, the coordinator would ignore it, and the engine would look busy until the
 // grant expires.
-func TestLateGrantIsReleased(t *testing.T) {
+func TestLatePermitIsReleased(t *testing.T) {
 	coordinator, request := newCoordinator()
 	granted := request(10, 1, 7)[0]
 	if granted.Step != kumquatlug.TurnGranted || granted.Engine != "p0" {
@@ -142,24 +142,24 @@
 		t.Fatalf("sent %+v", out)
 	}
 	coordinator.Requested(21, kumquatlug.TurnMessage{Front: "front-9", Turn: out[0].Turn})
-	if w := coordinator.workers["p0"]; len(w.grants) != 0 || w.prefills != 0 || w.prefillTokens != 0 {
-		t.Errorf("%d grants, %d in flight, %.0f tokens", len(w.grants), w.prefills, w.prefillTokens)
+	if w := coordinator.workers["p0"]; len(w.permits) != 0 || w.prefills != 0 || w.prefillTokens != 0 {
+		t.Errorf("%d grants, %d in flight, %.0f tokens", len(w.permits), w.prefills, w.prefillTokens)
 	}
 }
 
 // A prompt is requested at one engine and then at another of the same coordinator. If
 // the grant for the first, still under way, were accepted, the prompt would be sent to
 // the second, where another prompt has the grant.
-func TestGrantForAnotherEngineIsReleased(t *testing.T) {
+func TestPermitForAnotherEngineIsReleased(t *testing.T) {
 	c := newGatewayCluster(2, 1, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[1-at]
-	if entry, _, _ := p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005}); entry != EntryWaits {
-		t.Fatalf("entry %q", entry)
+	if result, _, _ := p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005}); result != EntryWaits {
+		t.Fatalf("entry %q", result)
 	}
 	p.Outbox()
-	grant := kumquatlug.Turn{Step: kumquatlug.TurnGranted, Engine: "p9", Key: 7}
-	if _, ended := p.Answered(9, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: grant}); ended {
+	permit := kumquatlug.Turn{Step: kumquatlug.TurnGranted, Engine: "p9", Key: 7}
+	if _, ended := p.Answered(9, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: permit}); ended {
 		t.Error("a grant for another engine was accepted")
 	}
 	if out := p.Outbox(); len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Engine != "p9" {
@@ -174,7 +174,7 @@
 // discovered or one with an older software version is running. The prompt must use its
 // own gateway's queue; if it were requested again and again, it would wait until its
 // client disconnects.
-func TestNonCoordinatorRepliesUnknown(t *testing.T) {
+func TestNonCoordinatorRespondsUnknown(t *testing.T) {
 	c := newGatewayCluster(2, 1, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[1-at]
@@ -182,11 +182,11 @@
 	request := p.Outbox()[0].Turn
 	c.coordinators[at].Leave()
 	c.gateways[at].Requested(6, kumquatlug.TurnMessage{Front: gatewayName(1 - at), Turn: request})
-	reply := c.gateways[at].Outbox()[0].Turn
-	if reply.Step != kumquatlug.TurnUnknown {
-		t.Fatalf("reply %q", reply.Step)
+	response := c.gateways[at].Outbox()[0].Turn
+	if response.Step != kumquatlug.TurnUnknown {
+		t.Fatalf("reply %q", response.Step)
 	}
-	p.Answered(7, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: reply})
+	p.Answered(7, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: response})
 	due := p.Due(7)
 	if len(due) != 1 || due[0].Key() != 7 || due[0].Ticket() == nil {
 		t.Errorf("due %+v", due)
@@ -287,7 +287,7 @@
 // time that took, its gateway would infer a slow engine, and by that estimate give up
 // attempts, refuse clients and exclude engines. Only the coordinator knows whether the
 // engine is idle.
-func TestGrantReportsWhetherEngineIsIdle(t *testing.T) {
+func TestPermitReportsWhetherEngineIsIdle(t *testing.T) {
 	_, request := newCoordinator()
 	first, second := request(10, 1, 1)[0], request(11, 1, 2)[0]
 	if !first.Alone || second.Alone {
--- a/pkg/kumquatlug/placement/limit.go
+++ b/pkg/kumquatlug/placement/limit.go
@@ -60,8 +60,8 @@
 	}
 	minDelay := h.minDelay
 	for _, w := range p.ordered {
-		if w.member.State == kumquatlug.MemberReady && now < w.pausedUntil {
-			minDelay = min(minDelay, float64(w.pausedUntil-now))
+		if w.member.State == kumquatlug.MemberReady && now < w.requestedBackoffUntil {
+			minDelay = min(minDelay, float64(w.requestedBackoffUntil-now))
 		}
 	}
 	if math.IsInf(minDelay, 1) {
@@ -77,7 +77,7 @@
 	if w == nil || p.workers[t.id] != w || span <= 0 {
 		return
 	}
-	w.pausedUntil = max(w.pausedUntil, now+span)
+	w.requestedBackoffUntil = max(w.requestedBackoffUntil, now+span)
 	p.displaceQueue(w)
 }
 
--- a/pkg/kumquatlug/placement/limit_test.go
+++ b/pkg/kumquatlug/placement/limit_test.go
@@ -107,8 +107,8 @@
 			prompt = chatPrompt(int(key))
 		}
 		q := Query{Prompt: prompt, Target: now + 200, Until: now + 2000}
-		entry, c, ticket := p.Enter(now, key, q)
-		if entry == EntryWaits {
+		result, c, ticket := p.Enter(now, key, q)
+		if result == EntryWaits {
 			due := p.Due(now + 200)
 			if len(due) == 0 {
 				t.Fatal("a prompt stays queued")
--- a/pkg/kumquatlug/placement/liveness.go
+++ b/pkg/kumquatlug/placement/liveness.go
@@ -88,12 +88,12 @@
 		p.pauses.Saw(pause)
 	}
 	t.lastOutputAt = now
-	p.markAlive(now, t.id, w)
+	p.markResponsive(now, t.id, w)
 }
 
-// markAlive records that something came from a worker. An unresponsive one is used
+// markResponsive records that something came from a worker. An unresponsive one is used
 // again.
-func (p *Placer) markAlive(now kumquatlug.Millis, id string, w *worker) {
+func (p *Placer) markResponsive(now kumquatlug.Millis, id string, w *worker) {
 	w.lastSeenAt = now
 	if w.unresponsive && p.workers[id] == w {
 		w.unresponsive = false
@@ -113,7 +113,7 @@
 		return nil
 	}
 	var fallen []Fallen
-	if p.gatewayIsolated(now) {
+	if p.gatewayPartitioned(now) {
 		return nil
 	}
 	for _, w := range p.ordered {
@@ -153,7 +153,7 @@
 		switch {
 		case w.unresponsive:
 			all[id] = UseSilent
-		case len(w.attempts) == 0 && len(w.grants) == 0 && p.otherRequestsAt(now, w) < 1:
+		case len(w.attempts) == 0 && len(w.permits) == 0 && p.otherRequestsAt(now, w) < 1:
 			all[id] = UseIdle
 		default:
 			all[id] = UseBusy
@@ -196,28 +196,28 @@
 
 // Asked records whether an engine answered a probe. One that did not is unresponsive,
 // unless something has come from it since the probe.
-func (p *Placer) Asked(now kumquatlug.Millis, id string, answered bool) (Fallen, bool) {
+func (p *Placer) Asked(now kumquatlug.Millis, id string, responded bool) (Fallen, bool) {
 	w, known := p.workers[id]
 	switch {
 	case !known:
 		return Fallen{}, false
-	case answered:
+	case responded:
 		if quiet := float64(w.probedAt - w.lastSeenAt); w.startedCount() > 1 && quiet > w.pauses.Longest() {
 			// The engine is alive, and only pauses for so long.
 			w.pauses.Saw(quiet)
 		}
-		p.markAlive(now, id, w)
+		p.markResponsive(now, id, w)
 		return Fallen{}, false
-	case w.unresponsive || w.lastSeenAt >= w.probedAt || p.gatewayIsolated(now):
+	case w.unresponsive || w.lastSeenAt >= w.probedAt || p.gatewayPartitioned(now):
 		return Fallen{}, false
 	}
 	return p.ejectUnresponsive(now, w), true
 }
 
-// gatewayIsolated reports whether most of the workers with several streams are quiet,
+// gatewayPartitioned reports whether most of the workers with several streams are quiet,
 // which means that this gateway is cut off. They become quiet at slightly different
 // times, so half of the limit counts.
-func (p *Placer) gatewayIsolated(now kumquatlug.Millis) bool {
+func (p *Placer) gatewayPartitioned(now kumquatlug.Millis) bool {
 	busy, quiet := 0, 0
 	for _, w := range p.ordered {
 		if w.startedCount() < 2 {
--- a/pkg/kumquatlug/placement/liveness_test.go
+++ b/pkg/kumquatlug/placement/liveness_test.go
@@ -109,17 +109,17 @@
 // excluded when its capacity is needed most. A frozen engine would keep its queue
 // without a probe.
 func TestOverdueEngineIsProbedBeforeEjection(t *testing.T) {
-	for name, answers := range map[string]bool{"busy": true, "frozen": false} {
+	for name, responds := range map[string]bool{"busy": true, "frozen": false} {
 		p := New(Config{Zone: "a"})
 		p.Sync(0, engines(2, 1))
-		entry, c, _ := p.Enter(0, 1, Query{Prompt: document(1, 1), Until: 2000})
-		if entry != EntrySent {
-			t.Fatalf("%s: %s", name, entry)
+		result, c, _ := p.Enter(0, 1, Query{Prompt: document(1, 1), Until: 2000})
+		if result != EntrySent {
+			t.Fatalf("%s: %s", name, result)
 		}
 		engine := c.Worker().ID()
 		for key := uint64(2); key < 6; key++ {
-			if entry, _, _ := p.Enter(1, key, Query{Prompt: document(1, int(key)), Until: 2000}); entry != EntryWaits {
-				t.Fatalf("%s: next prompt: %s", name, entry)
+			if result, _, _ := p.Enter(1, key, Query{Prompt: document(1, int(key)), Until: 2000}); result != EntryWaits {
+				t.Fatalf("%s: next prompt: %s", name, result)
 			}
 		}
 		now, probedAt := kumquatlug.Millis(0), kumquatlug.Millis(0)
@@ -134,11 +134,11 @@
 		if probedAt == 0 || probedAt > 250 {
 			t.Fatalf("%s: probed after %d ms", name, probedAt)
 		}
-		fallen, ejected := p.Asked(now, engine, answers)
-		if ejected == answers {
+		fallen, ejected := p.Asked(now, engine, responds)
+		if ejected == responds {
 			t.Errorf("%s: ejected: %v", name, ejected)
 		}
-		if answers {
+		if responds {
 			continue
 		}
 		if len(fallen.Attempts()) != 1 {
--- a/pkg/kumquatlug/placement/placement.go
+++ b/pkg/kumquatlug/placement/placement.go
@@ -166,8 +166,8 @@
 	// refusals counts consecutive refusals; until backoffUntil no new request is sent.
 	refusals     int
 	backoffUntil kumquatlug.Millis
-	// pausedUntil is the end of a pause for which the worker asked.
-	pausedUntil kumquatlug.Millis
+	// requestedBackoffUntil is the end of a pause for which the worker asked.
+	requestedBackoffUntil kumquatlug.Millis
 	// attempts are the attempts in flight for this gateway. lastSeenAt is when anything
 	// last came from the worker, pauses are those between two events of a stream, and
 	// unresponsive says that the worker is excluded because nothing came from it.
@@ -179,8 +179,8 @@
 	probedAt kumquatlug.Millis
 	// queue holds the prompts that wait for the engine, including those of other
 	// gateways if this one coordinates it. grants are the ones given to other gateways.
-	queue  []*queuedPrompt
-	grants []remoteGrant
+	queue   []*queuedPrompt
+	permits []remotePermit
 	// requestedTokens is the number of tokens to prefill in the prompts that wait at
 	// the engine's coordinator.
 	requestedTokens float64
@@ -238,8 +238,8 @@
 	lastPrefillAt   kumquatlug.Millis
 	// displaced holds prompts that were queued for workers that left, grantRequests
 	// those that wait at other gateways.
-	displaced     []*queuedPrompt
-	grantRequests map[uint64]*grantRequest
+	displaced      []*queuedPrompt
+	permitRequests map[uint64]*permitRequest
 	// outbox holds messages to other gateways.
 	outbox   []kumquatlug.TurnMessage
 	averages pressureAverages
@@ -251,7 +251,7 @@
 func New(c Config) *Placer {
 	c = c.withDefaults()
 	return &Placer{
-		config: c, workers: map[string]*worker{}, grantRequests: map[uint64]*grantRequest{}, health: health.New(c.Health), meanPrefillTokens: 3000, meanPlainMs: initialPlainMs,
+		config: c, workers: map[string]*worker{}, permitRequests: map[uint64]*permitRequest{}, health: health.New(c.Health), meanPrefillTokens: 3000, meanPlainMs: initialPlainMs,
 		meanRunMs: initialRunMs, meanKVTokens: initialKVTokens, slowdown: 1, prefillModel: learn.NewReading(c.Reading),
 		tokenTime: learn.NewPerUnit(initialTokenMs, initialOutputTokens),
 		overrun:   learn.NewOverrun(initialOverrunMs), plainOverrun: learn.NewOverrun(initialPlainOverrunMs),
--- a/pkg/kumquatlug/placement/queue.go
+++ b/pkg/kumquatlug/placement/queue.go
@@ -114,7 +114,7 @@
 	}
 	if coordinator := p.coordinator(now, w); c.prefillOnly && coordinator != "" && !queued.skipCoordinator {
 		p.reserve(now, w, c)
-		p.requestGrant(now, coordinator, w, queued)
+		p.requestPermit(now, coordinator, w, queued)
 		return EntryWaits, c, nil
 	}
 	if !c.prefillOnly || len(w.queue) == 0 && p.hasCapacity(now, w) {
@@ -316,8 +316,8 @@
 	p.displaced = nil
 	for _, queued := range displaced {
 		queued.late = false
-		entry, c, ticket := p.submit(now, queued)
-		if entry != EntryWaits {
+		result, c, ticket := p.submit(now, queued)
+		if result != EntryWaits {
 			due = append(due, Due{key: queued.key, choice: c, ticket: ticket})
 		}
 	}
@@ -393,7 +393,7 @@
 
 // Waiting returns the number of queued prompts, including those of other gateways.
 func (p *Placer) Waiting() int {
-	n := len(p.displaced) + len(p.grantRequests)
+	n := len(p.displaced) + len(p.permitRequests)
 	for _, w := range p.ordered {
 		n += len(w.queue)
 	}
--- a/pkg/kumquatlug/placement/queue_test.go
+++ b/pkg/kumquatlug/placement/queue_test.go
@@ -77,8 +77,8 @@
 				start(now, key, p.Begin(now, c, prompt))
 				continue
 			}
-			entry, _, ticket := p.Enter(now, key, q)
-			switch entry {
+			result, _, ticket := p.Enter(now, key, q)
+			switch result {
 			case EntrySent:
 				start(now, key, ticket)
 			case EntryRefused:
@@ -128,7 +128,7 @@
 	p.Sync(0, engines(2, 1))
 	var waits []uint64
 	for key := uint64(1); key <= 60; key++ {
-		if entry, _, _ := p.Enter(0, key, Query{Prompt: document(1, int(key)), Until: 5000}); entry == EntryWaits {
+		if result, _, _ := p.Enter(0, key, Query{Prompt: document(1, int(key)), Until: 5000}); result == EntryWaits {
 			waits = append(waits, key)
 		}
 	}
@@ -169,8 +169,8 @@
 		p.Begin(0, c, chatPrompt(i))
 	}
 	for i := range 3 {
-		entry, c, _ := p.Enter(0, uint64(i), Query{Prompt: document(1, i), Target: 200, Until: 2000})
-		if entry == EntryRefused || entry == EntryNobody {
+		result, c, _ := p.Enter(0, uint64(i), Query{Prompt: document(1, i), Target: 200, Until: 2000})
+		if result == EntryRefused || result == EntryNobody {
 			t.Errorf("prompt %d was refused with an expected wait of %d ms", i, c.Wait())
 		}
 	}
@@ -188,11 +188,11 @@
 	for key := uint64(1); key <= 30; key++ {
 		p.Enter(0, key, Query{Prompt: document(1, int(key)), Target: 600, Until: 5000})
 	}
-	if entry, _, _ := p.Enter(0, 40, Query{Prompt: document(1, 40), Target: 20, Until: 60}); entry != EntryRefused {
-		t.Fatalf("late prompt without output: %s", entry)
+	if result, _, _ := p.Enter(0, 40, Query{Prompt: document(1, 40), Target: 20, Until: 60}); result != EntryRefused {
+		t.Fatalf("late prompt without output: %s", result)
 	}
-	if entry, _, _ := p.Enter(0, 50, Query{Prompt: document(1, 50), Target: 100, Until: 3000, Begun: true}); entry != EntryWaits {
-		t.Fatalf("prompt with a started response: %s", entry)
+	if result, _, _ := p.Enter(0, 50, Query{Prompt: document(1, 50), Target: 100, Until: 3000, Begun: true}); result != EntryWaits {
+		t.Fatalf("prompt with a started response: %s", result)
 	}
 	for _, due := range p.Due(400) {
 		if due.Key() == 50 && due.Ticket() == nil {
@@ -225,15 +225,15 @@
 		if last != nil {
 			p.End(now, last, OutcomeGood)
 		}
-		entry, _, ticket := p.Enter(now, uint64(i+1), Query{Prompt: largePrompt(i), Target: now + 800, Until: now + 5000})
-		if entry != EntrySent {
-			t.Fatalf("prompt %d: %s", i, entry)
+		result, _, ticket := p.Enter(now, uint64(i+1), Query{Prompt: largePrompt(i), Target: now + 800, Until: now + 5000})
+		if result != EntrySent {
+			t.Fatalf("prompt %d: %s", i, result)
 		}
 		last = ticket
 		now += 450
 	}
 	now -= 400
-	if entry, _, _ := p.Enter(now, 9, Query{Prompt: document(1, 9), Target: now + 50, Until: now + 1500}); entry != EntryWaits {
-		t.Errorf("late prompt: %s", entry)
+	if result, _, _ := p.Enter(now, 9, Query{Prompt: document(1, 9), Target: now + 50, Until: now + 1500}); result != EntryWaits {
+		t.Errorf("late prompt: %s", result)
 	}
 }
--- a/pkg/kumquatlug/placement/unknownengine_test.go
+++ b/pkg/kumquatlug/placement/unknownengine_test.go
@@ -44,19 +44,19 @@
 	}
 	random := rand.New(rand.NewPCG(seed, 3))
 	every := 2 * (2890/e.rate + e.fixedMs/4)
-	var inHand []attempt
+	var inFlight []attempt
 	for now, n := 1.0, 0; now < span; n++ {
 		now += random.ExpFloat64() * every
 		at := kumquatlug.Millis(now)
-		running := inHand[:0]
-		for _, a := range inHand {
+		running := inFlight[:0]
+		for _, a := range inFlight {
 			if a.ends <= now {
 				p.End(kumquatlug.Millis(a.ends), a.ticket, OutcomeGood)
 			} else {
 				running = append(running, a)
 			}
 		}
-		inHand = running
+		inFlight = running
 		own := math.Min(2200*math.Exp(0.75*random.NormFloat64()), 25_000)
 		if n%2 == 1 {
 			e.prefill(now, own, 6300)
@@ -76,7 +76,7 @@
 				late++
 			}
 		}
-		inHand = append(inHand, attempt{ends: ends, ticket: ticket})
+		inFlight = append(inFlight, attempt{ends: ends, ticket: ticket})
 	}
 	return early, late, sent
 }
--- a/pkg/kumquatlug/ratelimit/simulation_test.go
+++ b/pkg/kumquatlug/ratelimit/simulation_test.go
@@ -78,7 +78,7 @@
 // pendingResponse is a response in transit.
 type pendingResponse struct {
 	arrivesAt kumquatlug.Millis
-	answer    Answer
+	response  Answer
 }
 
 type arrival struct {
@@ -149,7 +149,7 @@
 		if response.arrivesAt > now {
 			return false
 		}
-		g.limit.Hear(now, response.answer)
+		g.limit.Hear(now, response.response)
 		if g.limit.Named() {
 			g.limit.pacing = s.division(g.shares, g.limit.worker, g.limit.perSecond)
 			if g.limitedAt == 0 {
@@ -176,7 +176,7 @@
 		}
 	}
 	at := now + 1 + kumquatlug.Millis(60*s.random.ExpFloat64())
-	g.pending = append(g.pending, pendingResponse{arrivesAt: at, answer: Answer{Says: stated, SentAt: now, Good: true}})
+	g.pending = append(g.pending, pendingResponse{arrivesAt: at, response: Answer{Says: stated, SentAt: now, Good: true}})
 	s.arrivals = append(s.arrivals, arrival{
 		at: now, counted: limited && g.limitedAt > 0 && now-g.limitedAt >= knownFor, limit: perSecond,
 	})
--- a/pkg/kumquatlug/retry/sharedbudget_test.go
+++ b/pkg/kumquatlug/retry/sharedbudget_test.go
@@ -9,12 +9,12 @@
 // Every attempt fails at every gateway for 40 seconds. In no window may all gateways together
 // send more retries than the ratio and the floor allow, wherever the window begins.
 func TestSharedBudgetHoldsInEveryWindow(t *testing.T) {
-	const fronts, window, floor = 3, 10 * kumquatlug.Second, 52
+	const gateways, window, floor = 3, 10 * kumquatlug.Second, 52
 	c := SharedConfig{Ratio: 0.2, Floor: floor, Window: window}
 	var all []*Shared
-	for range fronts {
+	for range gateways {
 		s := NewShared(c)
-		s.SetFronts(fronts)
+		s.SetFronts(gateways)
 		all = append(all, s)
 	}
 	var retries, requests []kumquatlug.Millis
--- a/pkg/kumquatlug/stream/stream_test.go
+++ b/pkg/kumquatlug/stream/stream_test.go
@@ -8,7 +8,7 @@
 
 const requestID = "r-1"
 
-func startAnswer(t *testing.T, c Config) *Answer {
+func startAssembler(t *testing.T, c Config) *Answer {
 	t.Helper()
 	c.Request = requestID
 	a, err := New(c)
@@ -31,7 +31,7 @@
 func TestResumedResponseIsComplete(t *testing.T) {
 	// An engine crashes in the middle of a response. Another engine continues while
 	// chunks of the first one still arrive. The caller must receive each token once.
-	a := startAnswer(t, Config{})
+	a := startAssembler(t, Config{})
 	expectStep(t, a.Chunk(NewChunk(requestID, 1, 0, "a", "b")), VerdictForward, "ab", 2)
 	expectStep(t, a.Cut(requestID, 1), VerdictResume, "", 2)
 	if attempt, position, ok := a.Start(); attempt != 2 || position != 2 || !ok {
@@ -77,7 +77,7 @@
 	}
 	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := startAnswer(t, Config{Ahead: 4, Attempts: 2})
+			a := startAssembler(t, Config{Ahead: 4, Attempts: 2})
 			a.Chunk(NewChunk(requestID, 1, 0, "a", "b"))
 			expectStep(t, corrupt(a), VerdictResume, "", 2)
 			if _, position, ok := a.Start(); position != 2 || !ok {
