--- a/internal/front/link.go
+++ b/internal/front/link.go
@@ -1,5 +1,5 @@
-// Package front exchanges datagrams with the other gateways that share engines: requests
-// and grants for sending a prompt to an engine, and the state and text of the config.
+// Package front exchanges datagrams with the other gateways that share engines: messages
+// about permits to send a prompt to an engine, and the state and text of the config.
 //
 // It uses datagrams since a late message is worthless: the sender that waits for a response
 // sends a lost message again, which costs less than a stream that stalls on a lost packet.
@@ -7,9 +7,9 @@
 //
 // Each gateway creates a key at its start and publishes it in its row of the platform's
 // store, which clients can't read. Datagrams to a gateway are encrypted with that key, so
-// that nobody else can forge or read them; those that can't be decrypted are dropped and
+// that no other party can forge or read them; those that can't be decrypted are dropped and
 // counted. A gateway adds a hello with its address and key to each datagram until the
-// receiver has responded, since the receiver may not know it yet.
+// receiver has responded, since the receiver may not have it yet.
 package front
 
 import (
--- a/internal/front/link_test.go
+++ b/internal/front/link_test.go
@@ -133,8 +133,8 @@
 }
 
 // A gateway that started after the others read the rows is unknown to them. They must
-// accept and answer its requests nevertheless; otherwise each of its prompts would wait in
-// vain until the rows are read again.
+// accept and respond to its requests nevertheless; otherwise each of its prompts would wait
+// in vain until the rows are read again.
 func TestUnknownGatewayIntroducesItself(t *testing.T) {
 	first, second := newTestGateway(t, "first", "127.0.0.1:0"), newTestGateway(t, "second", "127.0.0.1:0")
 	second.addPeers(first)
@@ -238,7 +238,7 @@
 	}
 }
 
-// A gateway that stops for an update notifies the gateways that have contacted it.
+// A gateway that shuts down for an update notifies the gateways that have contacted it.
 func TestLeaveNotifiesPeers(t *testing.T) {
 	stopping, other := newTestGateway(t, "stops", "127.0.0.1:0"), newTestGateway(t, "other", "127.0.0.1:0")
 	other.addPeers(stopping)
@@ -256,7 +256,7 @@
 }
 
 // Control messages of a gateway may use 5 KB per second. At 13 prompts per second of its
-// own, each with a request, a grant and a release, and as many of other gateways that it
+// own, each with a request, a permit and a release, and as many of other gateways that it
 // coordinates, one prompt may use 380 bytes on each side.
 func TestPermitMessagesAreSmall(t *testing.T) {
 	n, other := newTestGateway(t, "edge-andina-a-1", "127.0.0.1:0"), newTestGateway(t, "edge-andina-b-1", "127.0.0.1:0")
--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -46,8 +46,8 @@
 }
 
 // deniedUnlessStale returns the final response to a request that the config in force
-// does not allow. A client does not retry after it. A gateway that is cut off from the
-// store may not have the config that allows the request; it responds 503 instead, so
+// does not allow. A client does not retry after it. A gateway that is partitioned from
+// the store may not have the config that allows the request; it responds 503 instead, so
 // that the client retries at another gateway.
 func (g *Gateway) deniedUnlessStale(denied *kumquatlug.Failure) *kumquatlug.Failure {
 	if g.c.ConfigSpan == 0 || g.configAge() <= max(g.c.ConfigSpan, maxFeedSilence) {
--- a/internal/gateway/auth_test.go
+++ b/internal/gateway/auth_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// A gateway is cut off from the store while the operator adds a key. Clients do not
+// A gateway is partitioned from the store while the operator adds a key. Clients do not
 // retry after a denial; after a 503 they retry at another gateway, which serves them.
 func TestStaleGatewayDeniesWithRetry(t *testing.T) {
 	f := newGatewayWithKeys(t, respondingWorkers())
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// backoffResponse returns a refusal in which the worker asks the gateway to back off.
+// backoffResponse returns a refusal in which the worker requests a backoff.
 func backoffResponse(backoff kumquatlug.Millis) kumquatlug.Reply {
 	r := refusedResponse()
 	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
--- a/internal/gateway/controller.go
+++ b/internal/gateway/controller.go
@@ -17,7 +17,7 @@
 const (
 	// controlInterval is how often the lease and the roles are checked.
 	controlInterval = 250 * kumquatlug.Millis(1)
-	// The lease is taken over within seven seconds of a holder's death, while requests
+	// The lease is taken over within seven seconds of a holder's crash, while requests
 	// are still served. It is renewed by two calls each 1.5 s.
 	leaseTTL           = 4500 * kumquatlug.Millis(1)
 	leaseMargin        = 700 * kumquatlug.Millis(1)
@@ -53,7 +53,7 @@
 	holder *lease.Holder
 	// splits follow the load, by service.
 	splits map[string]*planner.Swing
-	// fencingToken is the fencing number of the current lease, zero without a lease.
+	// fencingToken is the fencing token of the current lease, zero without a lease.
 	fencingToken lease.Number
 	// deferredUntil is the time until which an engine that refused an order gets no
 	// other one, by engine.
@@ -158,9 +158,9 @@
 			continue
 		}
 		if announced := v.announceRoles(ctx, name, workers, changes); !announced && hasBothRoles(engines) {
-			// Gateways that don't know of a role change would keep sending to the engine
-			// and be refused until the change is done. The order can wait for the store,
-			// unless one role has no engine left.
+			// Gateways that have not received the plan of a role change would keep
+			// sending to the engine and be refused until the change is done. The order
+			// can wait for the store, unless one role has no engine left.
 			v.g.applyPlan(name, rolePlan{Roles: v.announcedRoles[name]})
 			continue
 		}
@@ -237,8 +237,8 @@
 
 // mismatchPersists reports whether a split has differed from the wanted one for
 // minMismatch. During a rolling replacement of engines the mismatch changes all the
-// time, and an engine that is ordered away from its streams is unavailable for many
-// seconds.
+// time, and an engine that is ordered to change its role while it serves streams is
+// reconfiguring for many seconds.
 func (v *controller) mismatchPersists(now kumquatlug.Millis, service string, mismatch bool) bool {
 	since, known := v.mismatchSince[service]
 	switch {
@@ -286,9 +286,9 @@
 	return engines, workers
 }
 
-// orderAccepted asks an engine whether it accepted an order whose response was lost. An
-// engine that had not accepted it may still execute it seconds later; that counts as one
-// more unwanted change of the split.
+// orderAccepted reports whether an engine accepted an order whose response was lost, by
+// its current state. An engine that had not accepted it may still execute it seconds
+// later; that counts as one more unwanted change of the split.
 func (v *controller) orderAccepted(ctx context.Context, w kumquatlug.Worker, before int64) bool {
 	call, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -31,8 +31,8 @@
 type crashes struct {
 	mu      sync.Mutex
 	counter *quarantine.Suspects
-	// unpublished are the names of crashes that the other gateways don't know yet,
-	// published those with a row written by this gateway.
+	// unpublished are the names of crashes that are not published to the other
+	// gateways yet, published those with a row written by this gateway.
 	unpublished []string
 	published   []string
 	recorded    int
--- a/internal/gateway/draining.go
+++ b/internal/gateway/draining.go
@@ -47,9 +47,9 @@
 	return true
 }
 
-// mark sets members that announced their shutdown to draining. It matches the
-// incarnation and ignores the state in the row, because a restored store may contain an
-// old row.
+// mark sets the state of members that announced their shutdown to draining. It matches
+// the incarnation and ignores the state in the row, because a restored store may
+// contain an old row.
 func (d *shuttingDownWorkers) mark(members []kumquatlug.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,8 +82,8 @@
 	// engine.
 	OrderTurn kumquatlug.Millis
 	// ConfigSpan is the maximum time in ms in which a config must come into force. A
-	// gateway that has had no confirmation from the store for longer can't tell that a
-	// key or a route does not exist. Zero means no maximum.
+	// gateway that has had no confirmation from the store for longer can't determine
+	// that a key or a route does not exist. Zero means no maximum.
 	ConfigSpan kumquatlug.Millis
 	// FailClosed makes a gateway that has had no confirmation from the store for
 	// RevokeSpan, in ms, refuse all requests that need a key.
@@ -129,7 +129,7 @@
 	crashes   *crashes
 	// shuttingDownWorkers are the workers that announced their shutdown.
 	shuttingDownWorkers *shuttingDownWorkers
-	// exitAt is when this gateway exits, zero while it is not stopping.
+	// exitAt is when this gateway exits, zero while it is not shutting down.
 	exitAt   atomic.Int64
 	inFlight atomic.Int64
 	// configConfirmedAt is when the store last confirmed the config in force, by Awake.
@@ -176,7 +176,7 @@
 )
 
 // Run serves until ctx ends, then completes the requests in flight. It returns the first
-// error of a listener or of Fronts, nil after a stop.
+// error of a listener or of Fronts, nil after a shutdown.
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -227,7 +227,7 @@
 	return err
 }
 
-// Parameters of a graceful stop.
+// Parameters of a graceful shutdown.
 const (
 	// balancerLag is how long the load balancer keeps sending new connections after this
 	// gateway reports that it is not ready: two checks one second apart, and some time
@@ -239,7 +239,8 @@
 	// finalDrainTime is how long before that point no more connections are accepted.
 	// Nearly all requests except long streams complete within it.
 	finalDrainTime = 700 * kumquatlug.Millis(1)
-	// idlePollInterval is how often a stopping gateway checks whether it is idle.
+	// idlePollInterval is how often a gateway that is shutting down checks whether it is
+	// idle.
 	idlePollInterval = 100 * kumquatlug.Millis(1)
 )
 
@@ -283,10 +284,10 @@
 	return nil
 }
 
-// shuttingDown reports whether this gateway has been told to stop.
+// shuttingDown reports whether this gateway has received the stop signal.
 func (g *Gateway) shuttingDown() bool { return g.exitAt.Load() != 0 }
 
-// ready reports whether this gateway has a config and members, and is not stopping.
+// ready reports whether this gateway has a config and members, and is not shutting down.
 func (g *Gateway) ready() bool {
 	return !g.shuttingDown() && g.table.Load() != nil && g.members.Load().loaded
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -68,7 +68,7 @@
 }
 
 // The response to a POST is lost. The request may have run, so that it must not be
-// retried, and the client must not be told that it did not run.
+// retried, and the response to the client must not state that it did not run.
 func TestLostPostIsNotRetried(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
 		return kumquatlug.Reply{}, lostConnection()
@@ -211,7 +211,7 @@
 	}
 }
 
-// A gateway that has just started has no config and does not know which routes exist.
+// A gateway that has just started has no config and can't determine which routes exist.
 // Its refusal must state that nothing ran and when to retry.
 func TestNoConfigIsUnavailable(t *testing.T) {
 	f := newTestGateway(t, &fakeWorkers{}, 0)
@@ -229,8 +229,8 @@
 	}
 }
 
-// A stopping gateway receives a long stream, which it could not complete. It must refuse
-// the stream at once, so that another gateway can serve it in time.
+// A gateway that is shutting down receives a long stream, which it could not complete.
+// It must refuse the stream at once, so that another gateway can serve it in time.
 func TestGatewayThatShutsDownRefusesLongRequests(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
 	f := newTestGateway(t, w, manyRetries)
@@ -301,10 +301,10 @@
 	}
 }
 
-// A stopping gateway accepts a request that it can just complete. The prefill engine
-// fails, the attempt is repeated, and then too little time is left. If the output were
-// started, it would be cut off at the exit; the request has not run yet, so that another
-// gateway can still serve it.
+// A gateway that is shutting down accepts a request that it can just complete. The
+// prefill engine fails, the attempt is repeated, and then too little time is left. If
+// the output were started, it would break off at the exit; the request has not run yet,
+// so that another gateway can still serve it.
 func TestGatewayThatShutsDownStartsNoLateOutput(t *testing.T) {
 	for _, engineFails := range []bool{true, false} {
 		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
@@ -329,10 +329,10 @@
 	}
 }
 
-// A stopping gateway accepts a request, and its prefill takes longer than expected. At
-// the exit, the connection would close without a response, and the client would not know
-// whether it may retry. It must be refused before, while another gateway can still serve
-// it.
+// A gateway that is shutting down accepts a request, and its prefill takes longer than
+// expected. At the exit, the connection would close without a response, and the client
+// could not determine whether it may retry. It must be refused before, while another
+// gateway can still serve it.
 func TestGatewayThatShutsDownRespondsBeforeExit(t *testing.T) {
 	w := &fakeWorkers{}
 	f := newTestGateway(t, w, manyRetries)
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -183,7 +183,7 @@
 }
 
 // contextFailure returns the failure of a request whose deadline has passed, whose
-// client has disconnected or whose gateway is stopping.
+// client has disconnected or whose gateway is shutting down.
 func (f *inflight) contextFailure(ctx context.Context, cause *kumquatlug.Failure) *kumquatlug.Failure {
 	reason := "deadline"
 	switch {
@@ -201,7 +201,7 @@
 	})
 }
 
-// retryAfter limits the delay after which a refused client is asked to retry.
+// retryAfter limits the delay after which a refused client should retry.
 func (f *inflight) retryAfter(delay kumquatlug.Millis) kumquatlug.Millis {
 	delay = min(max(delay, minRetryAfter), maxRetryAfter)
 	return min(delay, max(f.timeLeft()/retryAfterDivisor, 1))
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -28,9 +28,9 @@
 	return *term
 }
 
-// leaderLease returns the holder name and fencing number under which this gateway acts
-// on behalf of all, and whether it may do so now: a call sent now arrives before the
-// lease can have moved to another gateway.
+// leaderLease returns the holder name and fencing token under which this gateway acts on
+// behalf of all, and whether it may do so now: a call sent now arrives before the lease
+// can have moved to another gateway.
 func (g *Gateway) leaderLease() (kumquatlug.Duty, bool) {
 	term := g.leaseTerm()
 	duty := kumquatlug.Duty{Holder: g.c.Name, Fence: int64(term.Number())}
@@ -41,7 +41,7 @@
 type serviceZone struct{ service, zone string }
 
 // scaleServices sets the number of workers of each service while this gateway holds the
-// lease. All gateways observe the load, so that a new holder knows that of the last
+// lease. All gateways observe the load, so that a new holder has that of the last
 // minute.
 func (g *Gateway) scaleServices(ctx context.Context) {
 	zones := map[serviceZone]*scaling.Zone{}
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -86,7 +86,7 @@
 	return r.firstSeenAt
 }
 
-// register writes this gateway's row. The row stays when the gateway is gone: counting
+// register writes this gateway's row. The row stays after the gateway's exit: counting
 // one gateway too many only makes the shares of a budget smaller.
 func (g *Gateway) register(ctx context.Context, last registration) registration {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -20,7 +20,7 @@
 // Met handles the announcement of a peer gateway.
 func (g *Gateway) Met(peer string) { g.scheduler.peerJoined(peer) }
 
-// Left handles the stop of a peer gateway.
+// Left handles the shutdown of a peer gateway.
 func (g *Gateway) Left(peer string) {
 	g.c.Logger.Info("front stops", zap.String("front", peer))
 	g.scheduler.peerLeft(peer)
@@ -64,8 +64,8 @@
 }
 
 // setPeers sets the names of the reachable gateways, and which of them have restarted. A
-// restarted gateway may have announced its stop before and may have sent nothing to this
-// gateway since; without its row the two would disagree about the coordinators
+// restarted gateway may have announced its shutdown before and may have sent nothing to
+// this gateway since; without its row the two would disagree about the coordinators
 // permanently.
 func (sc *scheduler) setPeers(reachable, restarted []string) {
 	sc.mu.Lock()
@@ -99,7 +99,7 @@
 }
 
 // handlePermit handles a permit message: a request to this gateway as the coordinator of
-// an engine, or the reply of another coordinator.
+// an engine, or the response of another coordinator.
 func (sc *scheduler) handlePermit(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -118,7 +118,7 @@
 	sc.deliverDue(now, state)
 }
 
-// deliver notifies a queued prompt that it may be sent, or that it was refused.
+// deliver notifies a queued prompt that its permit was granted or refused.
 func (state *serviceState) deliver(due placement.Due) {
 	if waiting, found := state.waiting[due.Key()]; found {
 		delete(state.waiting, due.Key())
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -24,7 +24,8 @@
 }
 
 // publishPlan writes a plan and applies it to this gateway at once, so that streams move
-// away while the order is in transit. It reports whether the plan was written.
+// to other engines while the order is in transit. It reports whether the plan was
+// written.
 func (g *Gateway) publishPlan(ctx context.Context, service string, p rolePlan) bool {
 	g.applyPlan(service, p)
 	text, err := json.Marshal(p)
@@ -45,7 +46,8 @@
 // planPublishTimeout is how long publishing a plan may delay its orders.
 const planPublishTimeout = 100 * kumquatlug.Millis(1)
 
-// applyPlan sends no new requests to the engines of a plan and moves their streams away.
+// applyPlan sends no new requests to the engines of a plan and moves their streams to
+// other engines.
 func (g *Gateway) applyPlan(service string, p rolePlan) {
 	moved, changed := g.scheduler.setRoleChanges(g.c.Clock.Now(), service, p.Roles)
 	if !changed {
--- a/internal/gateway/prefill_test.go
+++ b/internal/gateway/prefill_test.go
@@ -28,7 +28,7 @@
 }
 
 // Every prefill fails. The request has not run, whatever became of the prefills, and the
-// client must be told so with a Retry-After.
+// response to the client must state so, with a Retry-After.
 func TestFailedPrefillHasNotRun(t *testing.T) {
 	w := &fakeWorkers{prefill: func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
 		return kumquatlug.KVCache{}, kumquatlug.Reply{}, lostConnection()
@@ -106,9 +106,9 @@
 	}
 }
 
-// A prompt is prefilled, its decode refused, and the KV cache is gone. Prefilling it
-// again is a retry, and so is a first prefill that was refused. If these were not
-// counted, the workers would get more attempts than the budget allows.
+// A prompt is prefilled, its decode refused, and the KV cache lost. Prefilling it again
+// is a retry, and so is a first prefill that was refused. If these were not counted, the
+// workers would get more attempts than the budget allows.
 func TestRepeatedPrefillCountsAsRetry(t *testing.T) {
 	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
 	w.prefill = func(_ context.Context, n int, _ workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -27,7 +27,7 @@
 	// 300 bytes.
 	readBufferBytes = 4 << 10
 	// shortOutputTokens is the maximum output, in tokens, up to which a stream is not
-	// moved: it ends by itself before the engine could be told.
+	// moved: it ends by itself before the move could start.
 	shortOutputTokens = 256
 	// maxEventBytes bounds an event that is held back until it is complete.
 	maxEventBytes = 1 << 20
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -15,9 +15,9 @@
 	w.poll()
 }
 
-// The store is restored from a copy in which a draining worker is ready and a removed
-// one exists. Requests sent to them would be lost. A worker that does still run writes
-// its row again and must then be used.
+// The store is restored from a copy in which a worker that is shutting down is ready
+// and a removed one exists. Requests sent to them would be lost. A worker that does
+// still run writes its row again and must then be used.
 func TestRestoredStoreReadmitsNoWorker(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -248,7 +248,7 @@
 	admission placement.Entry
 	choice    placement.Choice
 	attempt   *placement.Ticket
-	// key and grant are set while the prompt is queued.
+	// key and due are set while the prompt is queued.
 	key uint64
 	due chan placement.Due
 }
@@ -269,8 +269,8 @@
 	return p
 }
 
-// cancel removes a prompt from the queues. If it has been granted an engine meanwhile,
-// the attempt is ended.
+// cancel removes a prompt from the queues. If its permit has been granted meanwhile, the
+// attempt is ended.
 func (sc *scheduler) cancel(now kumquatlug.Millis, service string, p pendingPrompt) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
@@ -287,7 +287,8 @@
 	sc.deliverDue(now, state)
 }
 
-// deliverDue notifies the prompts that may be sent now. The caller must hold sc.mu.
+// deliverDue notifies the prompts that may be sent now or can no longer be served in
+// time. The caller must hold sc.mu.
 func (sc *scheduler) deliverDue(now kumquatlug.Millis, state *serviceState) {
 	if state.placer.Waiting() == 0 {
 		return
--- a/internal/gateway/scheduler_test.go
+++ b/internal/gateway/scheduler_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// A peer announces its stop and restarts. It may have no message for this gateway, so
-// that the rows must bring it back. Otherwise the two would disagree about the
+// A peer announces its shutdown and restarts. It may have no message for this gateway,
+// so that the rows must bring it back. Otherwise the two would disagree about the
 // coordinators of some engines, and prompts would be queued at both.
 func TestRestartedPeerCoordinatesAgain(t *testing.T) {
 	sc := newScheduler(Config{Name: "a", Fronts: noLink{}, Logger: zap.NewNop()})
@@ -59,7 +59,7 @@
 	sc.peerLeft("b")
 	sc.setPeers(all, nil)
 	if got := sc.coordinators.Coordinator(0, engine); got == "b" {
-		t.Errorf("%s coordinates after it announced its stop", got)
+		t.Errorf("%s coordinates after it announced its shutdown", got)
 	}
 	sc.setPeers(all, []string{"b"})
 	if got := sc.coordinators.Coordinator(0, engine); got != "b" {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -25,8 +25,8 @@
 	// retries during it is refused for good.
 	minRetryAfter = 100 * kumquatlug.Millis(1)
 	maxRetryAfter = 1600 * kumquatlug.Millis(1)
-	// shutdownRetryAfter is the Retry-After of a stopping gateway: short, because
-	// another gateway can still respond within the target latency.
+	// shutdownRetryAfter is the Retry-After of a gateway that is shutting down: short,
+	// because another gateway can still respond within the target latency.
 	shutdownRetryAfter = 20 * kumquatlug.Millis(1)
 	// noConfigRetryAfter is the Retry-After of a gateway that has no current config.
 	noConfigRetryAfter = 300 * kumquatlug.Millis(1)
@@ -79,7 +79,7 @@
 	}
 	if exit := kumquatlug.Millis(g.exitAt.Load()); exit != 0 {
 		// The client's next request uses a new connection, to a gateway that is not
-		// stopping.
+		// shutting down.
 		w.Header().Set("Connection", "close")
 		if f.outlastsShutdown(exit) {
 			g.refuse(w, request, refusal("stop", "stopping", http.StatusServiceUnavailable, shutdownRetryAfter))
@@ -100,7 +100,7 @@
 )
 
 // outlastsShutdown reports whether the response would be incomplete when this gateway
-// exits. Another gateway can still serve the request; here it would be cut off.
+// exits. Another gateway can still serve the request; here it would break off.
 func (f *inflight) outlastsShutdown(exit kumquatlug.Millis) bool {
 	duration := plainRequestTime
 	if f.service.Engine() {
@@ -110,9 +110,9 @@
 }
 
 // shutdownFailure returns the failure of a request that would have completed in time
-// when it arrived at a stopping gateway, but no longer does because attempts were given
-// up. As long as it has not run, another gateway can still serve it; started here, its
-// response would be cut off at the exit of this gateway.
+// when it arrived at a gateway that is shutting down, but no longer does because
+// attempts were given up. As long as it has not run, another gateway can still serve it;
+// started here, its response would break off at the exit of this gateway.
 func (f *inflight) shutdownFailure() *attemptFailure {
 	if !f.g.shuttingDown() || f.timeToStartOutput() > 0 {
 		return nil
@@ -121,8 +121,8 @@
 }
 
 // timeToStartOutput returns how long, in ms, it may take until the output of a request
-// starts. At a stopping gateway, the output must then still complete in time; a prefill
-// that takes longer would end without a response when the gateway exits.
+// starts. At a gateway that is shutting down, the output must then still complete in
+// time; a prefill that takes longer would end without a response when the gateway exits.
 func (f *inflight) timeToStartOutput() kumquatlug.Millis {
 	exit := kumquatlug.Millis(f.g.exitAt.Load())
 	if exit == 0 || f.possibleRuns > 0 || f.responseStarted || !f.service.Engine() {
--- a/internal/gateway/transfer.go
+++ b/internal/gateway/transfer.go
@@ -105,8 +105,8 @@
 }
 
 // setRoleChanges sets which engines of a service are about to change their role, and
-// moves the streams away from them. It returns the number of streams moved, and whether
-// anything changed.
+// moves their streams to other engines. It returns the number of streams moved, and
+// whether anything changed.
 func (sc *scheduler) setRoleChanges(now kumquatlug.Millis, service string, roles map[string]kumquatlug.Role) (int, bool) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -132,8 +132,8 @@
 }
 
 // moveAtPercent is the percentage of LeaveSpan after which the streams of a worker that
-// shuts down are moved away: a copy takes milliseconds, and gateways learn of the
-// shutdown some milliseconds late.
+// shuts down are moved to other engines: a copy takes milliseconds, and gateways learn
+// of the shutdown some milliseconds late.
 const moveAtPercent = 80
 
 // moveStreams moves streams to other engines and returns how many can be moved.
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -25,7 +25,8 @@
 	// tallyWriteSpread is the interval over which the writes of the gateways are spread,
 	// from the end of a part of a window on.
 	tallyWriteSpread = 300 * kumquatlug.Millis(1)
-	// finalTallyTimeout is the timeout of the last write of a stopping gateway.
+	// finalTallyTimeout is the timeout of the last write of a gateway that is shutting
+	// down.
 	finalTallyTimeout = 300 * kumquatlug.Millis(1)
 	// reportInterval is how often the lease holder checks what is due.
 	reportInterval = 200 * kumquatlug.Millis(1)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -14,7 +14,7 @@
 
 // Parameters of watching the store.
 const (
-	// feedPollWait is how long the store is asked to wait for a change. A dead
+	// feedPollWait is how long the store is requested to wait for a change. A broken
 	// connection can't be distinguished from a store without changes until the wait and
 	// its slack are over, and a change must be in force five seconds after that at the
 	// latest.
@@ -100,8 +100,8 @@
 	}
 }
 
-// retryDelay returns the delay after a failure. If the history is gone, as after the
-// store was restored from an older copy, all gateways read all tables at once; their
+// retryDelay returns the delay after a failure. If the history was discarded, as after
+// the store was restored from an older copy, all gateways read all tables at once; their
 // reads are then spread over the time that the store needs for them.
 func (w *tableWatcher) retryDelay(err error) kumquatlug.Millis {
 	if !errors.Is(err, kumquatlug.ErrNotFound) {
--- a/pkg/kumquatlug/coordinator/coordinator.go
+++ b/pkg/kumquatlug/coordinator/coordinator.go
@@ -8,12 +8,12 @@
 // while use two coordinators for some engines. The prompts of both then run in order of
 // arrival, as they would without coordinators, which costs time but is safe.
 //
-// A coordinator that is frozen, partitioned or stopped does not respond. A gateway that
+// A coordinator that is frozen, partitioned or shut down does not respond. A gateway that
 // notices uses the next gateway in the rendezvous order, and retries the first one with
-// exponential backoff. A gateway that gets no response from most others is itself
-// partitioned. If each gateway in such a partition coordinated all engines, each would send
-// prompts to every engine as if it were alone. It therefore uses no coordinator and orders its
-// own prompts.
+// exponential backoff. A gateway that gets no response from most others is itself partitioned.
+// If each gateway in such a partition coordinated all engines, each would send prompts to
+// every engine as if it were alone. It therefore uses no coordinator and orders its own
+// prompts.
 package coordinator
 
 import (
@@ -38,8 +38,8 @@
 	quorumFraction = 0.5
 )
 
-// Fronts holds the gateways that one gateway knows and chooses coordinators among them. There
-// is no coordinator until [Fronts.Set] is called. It is not safe for concurrent use.
+// Fronts holds the gateways that are known to one gateway and chooses coordinators among them.
+// There is no coordinator until [Fronts.Set] is called. It is not safe for concurrent use.
 type Fronts struct {
 	self     string
 	gateways map[string]*peerState
@@ -85,7 +85,7 @@
 
 var _ kumquatlug.Coordinators = (*Fronts)(nil)
 
-// New returns the state of the gateway named self. It knows no other gateways.
+// New returns the state of the gateway named self. It contains no other gateways.
 func New(self string) *Fronts {
 	return &Fronts{self: self, gateways: map[string]*peerState{}, cache: map[string]string{}}
 }
@@ -114,7 +114,7 @@
 	f.Answered(name)
 }
 
-// Left excludes a gateway that announced that it stops.
+// Left excludes a gateway that announced its shutdown.
 func (f *Fronts) Left(name string) {
 	if peer, known := f.gateways[name]; known {
 		peer.excluded = true
--- a/pkg/kumquatlug/coordinator/coordinator_test.go
+++ b/pkg/kumquatlug/coordinator/coordinator_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// A gateway is gone for good and does not respond. A retry each second would delay one prompt
-// each time, while without retries the gateway would stay unused after its return.
+// A gateway is permanently unresponsive. A retry each second would delay one prompt each
+// time, while without retries the gateway would stay unused after its return.
 func TestUnresponsiveGatewayIsRetriedWithBackoff(t *testing.T) {
 	f := newWithAllGateways("front-0")
 	now, requests := kumquatlug.Millis(0), 0
@@ -114,7 +114,7 @@
 	}
 }
 
-// A gateway stops for an update. It must not coordinate any engine from then on, and the
+// A gateway shuts down for an update. It must not coordinate any engine from then on, and the
 // others must not send it requests.
 func TestGatewayThatShutsDownCoordinatesNothing(t *testing.T) {
 	shuttingDown, other := newWithAllGateways("front-3"), newWithAllGateways("front-4")
@@ -122,7 +122,7 @@
 	other.Left("front-3")
 	for i := range engineCount {
 		if shuttingDown.Coordinates(0, engineName(i)) || other.Coordinator(0, engineName(i)) == "front-3" {
-			t.Errorf("%s is coordinated by a stopping gateway", engineName(i))
+			t.Errorf("%s is coordinated by a gateway that is shutting down", engineName(i))
 		}
 		if shuttingDown.Coordinator(0, engineName(i)) != other.Coordinator(0, engineName(i)) {
 			t.Errorf("%s has two coordinators", engineName(i))
@@ -130,8 +130,8 @@
 	}
 }
 
-// A gateway that starts doesn't know the others yet. If it considered itself the only one, it
-// would send prompts to all engines as if it were alone.
+// A gateway that starts has not read the names of the others yet. If it considered itself the
+// only one, it would send prompts to all engines as if it were alone.
 func TestNoCoordinatorBeforeGatewaysAreKnown(t *testing.T) {
 	f := New("front-0")
 	f.Add("front-1")
--- a/pkg/kumquatlug/gateway.go
+++ b/pkg/kumquatlug/gateway.go
@@ -7,7 +7,7 @@
 )
 
 // The types of this file are the interface between a gateway that calls targets
-// directly, without an agent beside each target, and the code that speaks their
+// directly, without an agent beside each target, and the implementation of their
 // protocol.
 
 // Part is one part of a prompt. Requests with the same leading parts share the cached
@@ -224,11 +224,11 @@
 	Limit RateLimit
 	// Leaving says that the worker is shutting down.
 	Leaving bool
-	// Pause is how long the worker wants no more requests from this gateway.
+	// Pause is the backoff that the worker requests from this gateway.
 	Pause Millis
 }
 
-// NewReply returns the reply that c describes.
+// NewReply returns the response that c describes.
 func NewReply(c ReplyConfig) Reply {
 	return Reply{
 		status: c.Status, header: c.Header, length: c.Length, body: c.Body, refused: c.Refused, load: c.Load, limit: c.Limit,
@@ -287,7 +287,7 @@
 type Workers interface {
 	// Run makes one attempt at a worker; the request leaves this process at most once.
 	Run(ctx context.Context, w Worker, a Ask, s Sending) (Reply, error)
-	// Prefill makes an engine process the prompt and hold its KV cache. A reply with
+	// Prefill makes an engine process the prompt and hold its KV cache. A response with
 	// status 200 has no body.
 	Prefill(ctx context.Context, w Worker, a Ask, s Sending) (KVCache, Reply, error)
 	// Free releases a KV cache that will not be used.
@@ -345,11 +345,11 @@
 	Member(row Row) (Member, error)
 }
 
-// Ingress is the protocol spoken with clients.
+// Ingress is the protocol between clients and the gateway.
 type Ingress interface {
 	// Decode reads a request with its whole body of at most maxBody bytes.
 	Decode(r *http.Request, maxBody int64) (Ask, error)
-	// Head writes the status and headers of a worker's reply.
+	// Head writes the status and headers of a worker's response.
 	Head(w http.ResponseWriter, response Reply)
 	// Refuse writes a final response that the gateway generates itself.
 	Refuse(w http.ResponseWriter, a Ask, f *Failure)
--- a/pkg/kumquatlug/kumquatlug.go
+++ b/pkg/kumquatlug/kumquatlug.go
@@ -5,8 +5,8 @@
 //
 // The packages below this one make decisions (whom to serve, where to send, when to
 // change); they take events and the time as input and return decisions, and use no
-// goroutine, network or wall clock. The packages under internal/ speak to one peer each
-// and carry out the decisions.
+// goroutine, network or wall clock. The packages under internal/ communicate with one
+// peer each and carry out the decisions.
 package kumquatlug
 
 import "context"
@@ -40,13 +40,13 @@
 }
 
 // VMs is the list of live and leaving VMs. The list lags: it may still contain a VM
-// that is gone and may not yet contain a new one.
+// that no longer exists and may not yet contain a new one.
 type VMs interface {
 	List(ctx context.Context) ([]VM, error)
 	// Enter adds a VM to the list or updates its entry; each process adds its own VM
 	// when it starts.
 	Enter(ctx context.Context, vm VM) error
-	// Leave removes a VM from the list after a planned stop.
+	// Leave removes a VM from the list after a planned shutdown.
 	Leave(ctx context.Context, name string) error
 }
 
--- a/pkg/kumquatlug/peers.go
+++ b/pkg/kumquatlug/peers.go
@@ -4,15 +4,16 @@
 
 // The types of this file are the interface between gateways that share engines. For
 // each engine one gateway, its coordinator, orders the prompts of all gateways; the
-// others request permission from it before they send a prompt there. A lost message
-// costs time, never a request: no guarantee to a client depends on one.
+// others request a permit from it before they send a prompt there. A lost message costs
+// time, never a request: no guarantee to a client depends on one.
 
 // TurnStep is the type of a [Turn] message.
 type TurnStep string
 
 // The steps; TurnAsked and TurnOver go to the coordinator, the others come from it.
 const (
-	// TurnAsked: a prompt requests permission to be sent. It may be sent repeatedly.
+	// TurnAsked: a permit is requested for a prompt. The request may be sent
+	// repeatedly.
 	TurnAsked TurnStep = "asked"
 	// TurnQueued: the prompt is in the coordinator's queue.
 	TurnQueued TurnStep = "queued"
@@ -26,7 +27,7 @@
 	TurnOver TurnStep = "over"
 )
 
-// Turn is one message between two gateways about one prompt.
+// Turn is one message between two gateways about the permit for one prompt.
 type Turn struct {
 	Step TurnStep
 	// Service and Engine are where the prompt is to be processed, Engine by name.
@@ -80,7 +81,7 @@
 	Meet(rows map[string][]byte) (reachable, restarted []string)
 	// Send sends a message to a gateway.
 	Send(m TurnMessage)
-	// Leave notifies the others that this gateway stops.
+	// Leave notifies the peers that this gateway shuts down.
 	Leave()
 	// TellConfig notifies a gateway of the config in force here; if the name is empty,
 	// a gateway chosen by the link.
@@ -95,9 +96,9 @@
 
 // FrontHandler handles messages from other gateways.
 type FrontHandler interface {
-	// Turn handles a message about permission to send a prompt.
+	// Turn handles a message about a permit.
 	Turn(m TurnMessage)
-	// Met handles the announcement of a gateway, Left its notice that it stops.
+	// Met handles the announcement of a gateway, Left its notice that it shuts down.
 	Met(gateway string)
 	Left(gateway string)
 	// ConfigState returns the state that is attached to all messages, ConfigHeard
--- a/pkg/kumquatlug/placement/attempt.go
+++ b/pkg/kumquatlug/placement/attempt.go
@@ -19,8 +19,8 @@
 	uncachedTokens, cachedTokens float64
 	engineIdle                   bool
 	kvTokens                     float64
-	// coordinator is the gateway that granted the attempt under grantKey, empty if none
-	// did.
+	// coordinator is the gateway that granted the permit of the attempt under
+	// permitKey, empty if there was none.
 	coordinator string
 	permitKey   uint64
 	// maxOutputTokens is the maximum number of tokens to generate.
@@ -66,7 +66,7 @@
 	return p.begin(now, c, prompt, "", 0)
 }
 
-// begin is Begin for an attempt that a coordinator granted under key.
+// begin is Begin for an attempt whose permit a coordinator granted under key.
 func (p *Placer) begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt, coordinator string, key uint64) *Ticket {
 	w, known := p.workers[c.worker.ID()]
 	if !known {
@@ -176,7 +176,7 @@
 const maxRunFactor = 3
 
 // Takes returns an upper bound of the time that nearly all requests take at an engine,
-// by the greatest number of tokens to generate: until the first output, and from then
+// by the maximum number of tokens to generate: until the first output, and from then
 // on.
 func (p *Placer) Takes(output int) kumquatlug.Millis {
 	return kumquatlug.Millis(p.overrun.Bound()) + p.Runs(output)
--- a/pkg/kumquatlug/placement/choose.go
+++ b/pkg/kumquatlug/placement/choose.go
@@ -17,11 +17,11 @@
 	// Until when the client gives up; zero for never.
 	Target kumquatlug.Millis
 	Until  kumquatlug.Millis
-	// Worth is the value of the request relative to the mean of its route; zero stands
-	// for 1.
+	// Worth is the value of the request relative to the mean of its route; zero means
+	// 1.
 	Worth float64
 	// Begun says that the client already has part of the response: refusing the request
-	// now cuts that response off, however late the rest is.
+	// now truncates that response, however late the rest is.
 	Begun bool
 	// CacheZone is the data centre that holds the prompt's KV cache, empty if there is
 	// none.
--- a/pkg/kumquatlug/placement/cluster_test.go
+++ b/pkg/kumquatlug/placement/cluster_test.go
@@ -316,7 +316,7 @@
 		for _, w := range p.ordered {
 			attempts := w.prefills - len(w.permits)
 			if i != frozen && attempts > 0 || len(w.permits) > 0 || len(w.queue) > 0 || w.requestedTokens > 0.5 {
-				return fmt.Sprintf("gateway %d counts %d attempts, %d grants, %d queued, %.0f requested tokens", i, attempts, len(w.permits), len(w.queue), w.requestedTokens)
+				return fmt.Sprintf("gateway %d counts %d attempts, %d permits, %d queued, %.0f requested tokens", i, attempts, len(w.permits), len(w.queue), w.requestedTokens)
 			}
 		}
 	}
--- a/pkg/kumquatlug/placement/coordinate.go
+++ b/pkg/kumquatlug/placement/coordinate.go
@@ -7,17 +7,17 @@
 )
 
 // A coordinator keeps the prompts of other gateways in the queue of each engine that it
-// coordinates, together with its own, and grants prefills in one order. The state of a
-// gateway that stops, freezes or is cut off expires: a grant that is never released is
-// dropped after a few times its expected prefill time, and a prompt whose request is
-// not renewed leaves the queue.
+// coordinates, together with its own, and grants permits to prefill in one order. The
+// state of a gateway that shuts down, freezes or is partitioned expires: a permit that
+// is never released is dropped after a few times its expected prefill time, and a
+// prompt whose request is not renewed leaves the queue.
 
 // Constants of a coordinator.
 const (
 	// staleAfter is how long a prompt of another gateway stays queued without its
 	// request being renewed, which its gateway does each requestRenewInterval.
 	staleAfter = 4 * requestRenewInterval
-	// permitTimeoutFactor is the multiple of the expected time after which a grant
+	// permitTimeoutFactor is the multiple of the expected time after which a permit
 	// expires.
 	permitTimeoutFactor = 4
 	// cacheRetainFraction is the fraction of an engine's KV memory that is prefilled
@@ -35,7 +35,7 @@
 	key     uint64
 }
 
-// remotePermit is a prefill granted to another gateway.
+// remotePermit is a permit granted to another gateway.
 type remotePermit struct {
 	remote          remoteKey
 	effectiveTokens float64
@@ -71,7 +71,7 @@
 }
 
 // Requested handles a message that another gateway sends to this one as a coordinator.
-// Replies are put into the [Placer.Outbox].
+// Responses are put into the [Placer.Outbox].
 func (p *Placer) Requested(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
 	r := remoteKey{gateway: m.Front, key: m.Turn.Key}
 	w, known := p.workers[m.Turn.Engine]
@@ -134,13 +134,14 @@
 	p.send(r.gateway, kumquatlug.Turn{Step: step, Engine: engine, Key: r.key, Wait: wait})
 }
 
-// refuseRemote replies that a prompt can't be prefilled in time.
+// refuseRemote refuses another gateway a permit, because its prompt can't be prefilled
+// in time.
 func (p *Placer) refuseRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
 	wait := (p.inFlightTokens(now, w) + w.queuedTokens() + queued.choice.effectiveTokens) / p.prefillRate() * p.slowdown
 	p.respond(queued.remote, w.member.Worker.ID(), kumquatlug.TurnRefused, kumquatlug.Millis(wait))
 }
 
-// grantRemote grants a prompt of another gateway its prefill.
+// grantRemote grants another gateway the permit for a prompt.
 func (p *Placer) grantRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
 	tokens := queued.choice.effectiveTokens
 	expectedWait := (p.inFlightTokens(now, w) + tokens) / p.prefillRate() * p.slowdown
@@ -156,21 +157,21 @@
 	p.sendPermit(w, w.permits[len(w.permits)-1])
 }
 
-// sendPermit sends a grant to another gateway. It names the engine, because the prompt
-// may have been sent elsewhere, and its gateway then has to release the grant.
+// sendPermit sends a permit to another gateway. It names the engine, because the prompt
+// may have been sent elsewhere, and its gateway then has to release the permit.
 func (p *Placer) sendPermit(w *worker, t remotePermit) {
 	p.send(t.remote.gateway, kumquatlug.Turn{
 		Step: kumquatlug.TurnGranted, Engine: w.member.Worker.ID(), Key: t.remote.key, Wait: t.expectedWait, Alone: t.engineIdle, Fresh: t.uncachedTokens,
 	})
 }
 
-// releaseRemote releases a grant, or removes a prompt from the queue.
+// releaseRemote releases a permit, or removes a prompt from the queue.
 func (w *worker) releaseRemote(r remoteKey) {
 	w.queue = slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool { return queued.remote == r })
 	w.releasePermits(func(t remotePermit) bool { return t.remote == r })
 }
 
-// releasePermits releases the grants to other gateways for which over returns true.
+// releasePermits releases the permits of other gateways for which over returns true.
 func (w *worker) releasePermits(over func(remotePermit) bool) {
 	w.permits = slices.DeleteFunc(w.permits, func(t remotePermit) bool {
 		if !over(t) {
@@ -182,7 +183,7 @@
 	})
 }
 
-// expireRemote drops grants that were never released and queued prompts whose request
+// expireRemote drops permits that were never released and queued prompts whose request
 // is no longer renewed.
 func (p *Placer) expireRemote(now kumquatlug.Millis, w *worker) {
 	w.releasePermits(func(t remotePermit) bool { return now >= t.expiresAt })
@@ -191,17 +192,17 @@
 	})
 }
 
-// StopCoordinating replies to other gateways that this one no longer coordinates, so
-// that they send their queued prompts to the engines' new coordinators.
+// StopCoordinating notifies other gateways that this one no longer coordinates, so that
+// they send their queued prompts to the engines' new coordinators.
 func (p *Placer) StopCoordinating() {
 	for _, w := range p.ordered {
 		w.queue = p.disownRemote(w)
 	}
 }
 
-// disownRemote replies to the gateways of the remote prompts in the queue of a worker
-// that this gateway no longer coordinates or that no longer prefills, and returns the
-// local prompts.
+// disownRemote removes the prompts of other gateways from the queue of a worker that
+// this gateway no longer coordinates or that no longer prefills, notifies those
+// gateways, and returns the local prompts.
 func (p *Placer) disownRemote(w *worker) []*queuedPrompt {
 	return slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool {
 		if queued.remote.gateway == "" {
--- a/pkg/kumquatlug/placement/cost.go
+++ b/pkg/kumquatlug/placement/cost.go
@@ -81,8 +81,8 @@
 	return float64(max(left, 0))
 }
 
-// slotWaitMs returns how long a request waits for a place in the batch at w, in
-// milliseconds: beyond the slots or the KV memory, until earlier requests have ended.
+// slotWaitMs returns how long a request waits for a slot at w, in milliseconds: beyond
+// the slots or the KV memory, until earlier requests have ended.
 func (p *Placer) slotWaitMs(now kumquatlug.Millis, w *worker, prompt kumquatlug.Prompt) float64 {
 	ahead := float64(w.running) + p.otherRequestsAt(now, w)
 	slots := float64(w.member.Slots)
--- a/pkg/kumquatlug/placement/grants.go
+++ b/pkg/kumquatlug/placement/grants.go
@@ -7,37 +7,37 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Grants handle a load close to the prefill capacity that arrives through many
+// Permits handle a load close to the prefill capacity that arrives through many
 // gateways. Each gateway orders its own prompts, but an engine gets those of thirty
 // gateways and serves them in order of arrival, so that most of the value which a
 // single queue would serve in time is served late. So the prompts for one engine are in
-// one queue, at its coordinator, and a gateway requests a grant there before it sends a
-// prompt.
+// one queue, at its coordinator, and a gateway requests a permit there before it sends
+// a prompt.
 //
-// A coordinator that is down, frozen or cut off must not delay a prompt. A request
-// without a reply is sent a second time, as a datagram may be lost. After that all
+// A coordinator that is down, frozen or partitioned must not delay a prompt. A request
+// without a response is sent a second time, as a datagram may be lost. After that all
 // requests to that coordinator go elsewhere: to the next gateway that coordinates the
 // engine, or into this gateway's own queue.
 
-// Constants of grant requests.
+// Constants of permit requests.
 const (
-	// requestRetryAfter is the time without a reply after which a request is sent
+	// requestRetryAfter is the time without a response after which a request is sent
 	// again: several round trips of 1 ms and the wake-up of a process.
 	requestRetryAfter = 25 * kumquatlug.Millis(1)
-	// maxUnansweredRequests is how often a request is sent without a reply.
+	// maxUnansweredRequests is how often a request is sent without a response.
 	maxUnansweredRequests = 2
 	// requestRenewInterval is the interval at which the request of a queued prompt is
-	// renewed. It also recovers a grant that was lost.
+	// renewed. It also recovers a permit that was lost.
 	requestRenewInterval = 100 * kumquatlug.Millis(1)
 )
 
-// permitRequest is the state of a prompt that waits for a grant.
+// permitRequest is the state of a prompt that waits for a permit.
 type permitRequest struct {
 	prompt      *queuedPrompt
 	worker      *worker
 	coordinator string
 	// sentAt is when the request was last sent and unanswered how often since the last
-	// reply. queued says that the coordinator has replied.
+	// response. queued says that the coordinator has responded.
 	sentAt     kumquatlug.Millis
 	unanswered int
 	queued     bool
@@ -55,8 +55,7 @@
 	return out
 }
 
-// coordinator returns the gateway that grants prefills at w, empty if none has to be
-// asked.
+// coordinator returns the gateway that grants permits for w, empty if none is required.
 func (p *Placer) coordinator(now kumquatlug.Millis, w *worker) string {
 	if p.config.Coordinators == nil {
 		return ""
@@ -73,7 +72,7 @@
 	return p.config.Coordinators != nil && p.config.Coordinators.Coordinates(now, w.member.Worker.ID())
 }
 
-// requestPermit requests a grant for a prompt from a coordinator.
+// requestPermit requests a permit for a prompt from a coordinator.
 func (p *Placer) requestPermit(now kumquatlug.Millis, coordinator string, w *worker, queued *queuedPrompt) {
 	a := &permitRequest{prompt: queued, worker: w, coordinator: coordinator}
 	p.permitRequests[queued.key] = a
@@ -98,8 +97,8 @@
 	a.worker.requestedTokens -= a.prompt.choice.effectiveTokens
 }
 
-// Answered handles the reply of a coordinator. It returns the prompt when it is granted
-// or given up.
+// Answered handles the response of a coordinator. It returns the prompt when its permit
+// is granted or refused.
 func (p *Placer) Answered(now kumquatlug.Millis, m kumquatlug.TurnMessage) (Due, bool) {
 	a, known := p.permitRequests[m.Turn.Key]
 	if !known || !a.matches(m) {
@@ -131,7 +130,7 @@
 	return Due{}, false
 }
 
-// matches reports whether a message is the reply to the last request: from this
+// matches reports whether a message is the response to the last request: from this
 // coordinator, and for this engine. Coordinators of an older software version name no
 // engine.
 func (a *permitRequest) matches(m kumquatlug.TurnMessage) bool {
@@ -139,7 +138,7 @@
 	return a.coordinator == m.Front && (engine == "" || engine == a.worker.member.Worker.ID())
 }
 
-// beginGranted begins the attempt for a granted prompt.
+// beginGranted begins the attempt for a prompt whose permit is granted.
 func (p *Placer) beginGranted(now kumquatlug.Millis, a *permitRequest, permit kumquatlug.Turn) Due {
 	queued := a.prompt
 	queued.choice.wait = float64(permit.Wait) + p.handoffMs()
@@ -147,19 +146,19 @@
 	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
 	p.addLoad(now, a.worker, queued)
 	t := p.begin(now, queued.choice, queued.query.Prompt, a.coordinator, queued.key)
-	// Only the coordinator knows whether other prompts are prefilled first. If this one
-	// were taken to be alone, its engine would look slow.
+	// Only the coordinator can determine whether other prompts are prefilled first. If
+	// this one were taken to be alone, its engine would look slow.
 	t.engineIdle = permit.Alone
 	return Due{key: queued.key, choice: queued.choice, ticket: t}
 }
 
-// sendRelease sends the release of a grant to a coordinator.
+// sendRelease sends the release of a permit to a coordinator.
 func (p *Placer) sendRelease(coordinator string, t kumquatlug.Turn) {
 	p.send(coordinator, kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: t.Engine, Key: t.Key})
 }
 
-// Remind sends requests without a reply again, and gives up coordinators that left one
-// unanswered twice. It has to be called every few hundredths of a second.
+// Remind sends requests without a response again, and gives up coordinators that left
+// one unanswered twice. It has to be called every few hundredths of a second.
 func (p *Placer) Remind(now kumquatlug.Millis) {
 	for _, a := range p.requestsInOrder() {
 		after := requestRetryAfter
@@ -186,8 +185,8 @@
 	return all
 }
 
-// abandonCoordinator requeues all prompts that wait for grants of a coordinator that is
-// down.
+// abandonCoordinator requeues all prompts that wait for permits of a coordinator that
+// is unresponsive.
 func (p *Placer) abandonCoordinator(now kumquatlug.Millis, coordinator string) {
 	p.config.Coordinators.Missed(now, coordinator)
 	for _, a := range p.requestsInOrder() {
--- a/pkg/kumquatlug/placement/grants_test.go
+++ b/pkg/kumquatlug/placement/grants_test.go
@@ -40,7 +40,7 @@
 	unresponsive := c.gatewayIndex(c.coordinators[0].Coordinator(2000, "p0"))
 	c.offline[unresponsive] = true
 	c.play(2000, 6000, rate)
-	// Prompts are in time at this load; one may wait its target latency for its grant.
+	// Prompts are in time at this load; one may wait its target latency for its permit.
 	if hold := c.maxHold(1500, 6000); hold > targetLatencyMs+150 {
 		t.Errorf("a prompt was queued for %d ms", hold)
 	}
@@ -51,8 +51,8 @@
 }
 
 // A gateway that coordinates engines freezes for three seconds and then handles what is
-// left in its socket. If it granted prompts that went elsewhere meanwhile, the engines
-// would get all of them at once, and all prompts behind them would be late.
+// left in its socket. If it granted permits for prompts that went elsewhere meanwhile,
+// the engines would get all of them at once, and all prompts behind them would be late.
 func TestResumedCoordinatorGrantsNoBurst(t *testing.T) {
 	rate := 0.6 * 6 * prefillTokensPerMs / 3300 * 1000
 	c := newGatewayCluster(5, 6, true)
@@ -72,9 +72,9 @@
 	}
 }
 
-// A gateway gets grants and dies before it releases them. Without expiry its prompts
-// would count as in flight at the engine for ever, and the others would get fewer
-// grants with each gateway that dies.
+// A gateway gets permits and crashes before it releases them. Without expiry its
+// prompts would count as in flight at the engine for ever, and the others would get
+// fewer permits with each gateway that crashes.
 func TestPermitsOfCrashedGatewayExpire(t *testing.T) {
 	c := newGatewayCluster(3, 2, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
@@ -92,22 +92,22 @@
 		}
 	}
 	if granted != maxPrefills {
-		t.Fatalf("%d grants were sent", granted)
+		t.Fatalf("%d permits were sent", granted)
 	}
 	p.Due(1000)
 	if w := p.workers["p0"]; w.prefills != 0 || len(w.permits) != 0 || len(w.queue) != 0 || w.prefillTokens != 0 {
-		t.Errorf("%d in flight, %d grants, %d queued, %.0f tokens", w.prefills, len(w.permits), len(w.queue), w.prefillTokens)
+		t.Errorf("%d in flight, %d permits, %d queued, %.0f tokens", w.prefills, len(w.permits), len(w.queue), w.prefillTokens)
 	}
 }
 
 // The client of a prompt that waits at a coordinator disconnects. Without a release the
-// coordinator would keep a grant for it.
+// coordinator would keep a permit for it.
 func TestClientDisconnectReleasesPermit(t *testing.T) {
 	c := newGatewayCluster(2, 1, true)
 	requester := 1 - c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[requester]
 	if result, _, _ := p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005}); result != EntryWaits {
-		t.Fatalf("entry %q", result)
+		t.Fatalf("submission: %q", result)
 	}
 	p.Outbox()
 	p.Leave(7)
@@ -115,7 +115,7 @@
 	if len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Key != 7 || p.Waiting() != 0 {
 		t.Errorf("sent %+v, %d queued", out, p.Waiting())
 	}
-	// A grant that was already sent is released, too.
+	// A permit that was already sent is released, too.
 	if _, ended := p.Answered(9, kumquatlug.TurnMessage{Front: gatewayName(1 - requester), Turn: kumquatlug.Turn{Step: kumquatlug.TurnGranted, Engine: "p0", Key: 7}}); ended {
 		t.Error("a cancelled prompt was sent")
 	}
@@ -124,9 +124,9 @@
 	}
 }
 
-// A grant arrives after its prompt has gone elsewhere. If the release didn't name the
+// A permit arrives after its prompt was sent elsewhere. If the release didn't name the
 // engine, the coordinator would ignore it, and the engine would look busy until the
-// grant expires.
+// permit expires.
 func TestLatePermitIsReleased(t *testing.T) {
 	coordinator, request := newCoordinator()
 	granted := request(10, 1, 7)[0]
@@ -143,24 +143,24 @@
 	}
 	coordinator.Requested(21, kumquatlug.TurnMessage{Front: "front-9", Turn: out[0].Turn})
 	if w := coordinator.workers["p0"]; len(w.permits) != 0 || w.prefills != 0 || w.prefillTokens != 0 {
-		t.Errorf("%d grants, %d in flight, %.0f tokens", len(w.permits), w.prefills, w.prefillTokens)
+		t.Errorf("%d permits, %d in flight, %.0f tokens", len(w.permits), w.prefills, w.prefillTokens)
 	}
 }
 
 // A prompt is requested at one engine and then at another of the same coordinator. If
-// the grant for the first, still under way, were accepted, the prompt would be sent to
-// the second, where another prompt has the grant.
+// the permit for the first, still in transit, were accepted, the prompt would be sent
+// to the second, where another prompt has the permit.
 func TestPermitForAnotherEngineIsReleased(t *testing.T) {
 	c := newGatewayCluster(2, 1, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[1-at]
 	if result, _, _ := p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005}); result != EntryWaits {
-		t.Fatalf("entry %q", result)
+		t.Fatalf("submission: %q", result)
 	}
 	p.Outbox()
 	permit := kumquatlug.Turn{Step: kumquatlug.TurnGranted, Engine: "p9", Key: 7}
 	if _, ended := p.Answered(9, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: permit}); ended {
-		t.Error("a grant for another engine was accepted")
+		t.Error("a permit for another engine was accepted")
 	}
 	if out := p.Outbox(); len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Engine != "p9" {
 		t.Errorf("sent %+v", out)
@@ -184,7 +184,7 @@
 	c.gateways[at].Requested(6, kumquatlug.TurnMessage{Front: gatewayName(1 - at), Turn: request})
 	response := c.gateways[at].Outbox()[0].Turn
 	if response.Step != kumquatlug.TurnUnknown {
-		t.Fatalf("reply %q", response.Step)
+		t.Fatalf("response %q", response.Step)
 	}
 	p.Answered(7, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: response})
 	due := p.Due(7)
@@ -236,7 +236,7 @@
 }
 
 // newCoordinator returns the gateway that coordinates p0, and a function that requests
-// a grant for a prompt of a prefix from another gateway.
+// a permit for a prompt of a prefix from another gateway.
 func newCoordinator() (*Placer, func(now kumquatlug.Millis, prefix, key int) []kumquatlug.Turn) {
 	c := newGatewayCluster(2, 1, true)
 	p := c.gateways[c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))]
@@ -253,7 +253,7 @@
 	}
 }
 
-// releasePrompt releases the grant of a prompt that has been prefilled.
+// releasePrompt releases the permit of a prompt that has been prefilled.
 func releasePrompt(p *Placer, now kumquatlug.Millis, key int) {
 	p.Requested(now, kumquatlug.TurnMessage{Front: "front-9", Turn: kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: "p0", Key: uint64(key)}})
 }
@@ -283,10 +283,10 @@
 	}
 }
 
-// A prompt is granted while the engine still prefills that of another gateway. From the
+// A permit is granted while the engine still prefills that of another gateway. From the
 // time that took, its gateway would infer a slow engine, and by that estimate give up
-// attempts, refuse clients and exclude engines. Only the coordinator knows whether the
-// engine is idle.
+// attempts, refuse clients and exclude engines. Only the coordinator can see whether
+// the engine is idle.
 func TestPermitReportsWhetherEngineIsIdle(t *testing.T) {
 	_, request := newCoordinator()
 	first, second := request(10, 1, 1)[0], request(11, 1, 2)[0]
--- a/pkg/kumquatlug/placement/limit.go
+++ b/pkg/kumquatlug/placement/limit.go
@@ -70,8 +70,8 @@
 	return Choice{delay: minDelay}
 }
 
-// Pause stops sending requests to the worker of an attempt for as long as it asked.
-// Prompts queued for the worker are moved to others.
+// Pause stops sending requests to the worker of an attempt for the backoff that it
+// requested. Prompts queued for the worker are moved to others.
 func (p *Placer) Pause(now kumquatlug.Millis, t *Ticket, span kumquatlug.Millis) {
 	w := t.worker
 	if w == nil || p.workers[t.id] != w || span <= 0 {
--- a/pkg/kumquatlug/placement/liveness.go
+++ b/pkg/kumquatlug/placement/liveness.go
@@ -6,18 +6,18 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// A worker that freezes, or to which the network path is cut, sends no reset: its
-// attempts time out one by one, a second or more later, and until some have, every new
-// request is still sent there. Users see stalled streams and prompts that are never
-// prefilled. But a worker with requests in flight sends something all the time, on one
-// attempt or another, as the events of its streams interleave. So a worker with several
-// streams is unresponsive when nothing at all has come from it for longer than any
-// stream ever pauses. With fewer streams, an overdue attempt makes an engine suspect:
-// it is probed, and unresponsive if it doesn't answer the probe, since a large prompt
-// of another gateway may occupy a healthy engine for a third of a second. An
-// unresponsive worker is excluded until something comes from it again. Prompts queued
-// for it are moved to other engines, and attempts that can continue elsewhere do so at
-// once: a stream that is resumed within its allowed pause is still on time.
+// A worker that freezes or is partitioned sends no reset: its attempts time out one by
+// one, a second or more later, and until some have, every new request is still sent
+// there. Users see stalled streams and prompts that are never prefilled. But a worker
+// with requests in flight sends something all the time, on one attempt or another, as
+// the events of its streams interleave. So a worker with several streams is unresponsive
+// when nothing at all has come from it for longer than any stream ever pauses. With
+// fewer streams, an overdue attempt makes an engine suspect: it is probed, and
+// unresponsive if it doesn't respond to the probe, since a large prompt of another
+// gateway may occupy a healthy engine for a third of a second. An unresponsive worker is
+// excluded until something comes from it again. Prompts queued for it are moved to other
+// engines, and attempts that can continue elsewhere do so at once: a stream that is
+// resumed within its allowed pause is still on time.
 //
 // The usual pauses of streams are estimated for each engine and for all engines of a
 // service. An engine that prefills prompts between the tokens of its streams pauses
@@ -37,15 +37,15 @@
 	overdueMarginMs = 120.0
 	// minPlainOverdue is the number of attempts at a plain worker that must be overdue
 	// at the same time, each by plainMarginMs milliseconds: one in a hundred takes five
-	// times as long as the others, and a plain worker answers no probes beside its
+	// times as long as the others, and a plain worker responds to no probes beside its
 	// work.
 	minPlainOverdue = 2
 	plainMarginMs   = 350.0
 	// suspectProbeInterval is the interval between two probes of a suspect that
-	// answered: probes are cheap, but each takes another connection.
+	// responded: probes are cheap, but each takes another connection.
 	suspectProbeInterval = 300 * kumquatlug.Millis(1)
 	// unresponsiveProbeInterval is the interval between two probes of an unresponsive
-	// engine, which is used again as soon as it answers.
+	// engine, which is used again as soon as it responds.
 	unresponsiveProbeInterval = 500 * kumquatlug.Millis(1)
 	// streamStallTimeout is how long one stream may stall while its worker responds
 	// otherwise: a preempted stream continues within tenths of a second, and clients
@@ -55,8 +55,8 @@
 	// process itself was stopped, and what workers sent has not been read yet.
 	maxCheckGap = 60 * kumquatlug.Millis(1)
 	// maxUnresponsiveFraction is the fraction of the workers that may become
-	// unresponsive together. If more do, this gateway is the one that is cut off, and
-	// sending requests elsewhere gains nothing.
+	// unresponsive together. If more do, this gateway is the one that is partitioned,
+	// and sending requests elsewhere gains nothing.
 	maxUnresponsiveFraction = 0.5
 )
 
@@ -133,7 +133,7 @@
 	return Fallen{worker: id, silentFor: now - w.lastSeenAt, attempts: slices.Clone(w.attempts)}
 }
 
-// Use is what a worker does, as far as its gateway knows.
+// Use is what a worker does, as far as its gateway can see.
 type Use string
 
 // The values of [Use].
@@ -194,8 +194,8 @@
 	return suspects
 }
 
-// Asked records whether an engine answered a probe. One that did not is unresponsive,
-// unless something has come from it since the probe.
+// Asked records whether an engine responded to a probe. One that did not is
+// unresponsive, unless something has come from it since the probe.
 func (p *Placer) Asked(now kumquatlug.Millis, id string, responded bool) (Fallen, bool) {
 	w, known := p.workers[id]
 	switch {
@@ -203,7 +203,7 @@
 		return Fallen{}, false
 	case responded:
 		if quiet := float64(w.probedAt - w.lastSeenAt); w.startedCount() > 1 && quiet > w.pauses.Longest() {
-			// The engine is alive, and only pauses for so long.
+			// The engine works, and only pauses for so long.
 			w.pauses.Saw(quiet)
 		}
 		p.markResponsive(now, id, w)
@@ -215,7 +215,7 @@
 }
 
 // gatewayPartitioned reports whether most of the workers with several streams are quiet,
-// which means that this gateway is cut off. They become quiet at slightly different
+// which means that this gateway is partitioned. They become quiet at slightly different
 // times, so half of the limit counts.
 func (p *Placer) gatewayPartitioned(now kumquatlug.Millis) bool {
 	busy, quiet := 0, 0
@@ -231,7 +231,7 @@
 	return quiet > 1 && float64(quiet) > maxUnresponsiveFraction*float64(busy)
 }
 
-// liveness is the state of a worker as its silence shows it.
+// liveness is the state of a worker by how long nothing has come from it.
 type liveness string
 
 const (
--- a/pkg/kumquatlug/placement/liveness_test.go
+++ b/pkg/kumquatlug/placement/liveness_test.go
@@ -83,11 +83,11 @@
 	}
 	s.p.Asked(at+500, "g1", true)
 	if s.p.health.Weight(at+500, "g1") == 0 {
-		t.Error("an engine that answers a probe is still excluded")
+		t.Error("an engine that responds to a probe is still excluded")
 	}
 }
 
-// The gateway itself is frozen for a second, or is cut off from all engines. Every
+// The gateway itself is frozen for a second, or is partitioned from all engines. Every
 // engine then looks unresponsive; if they were excluded, all requests would be refused.
 func TestFrozenOrIsolatedGatewayEjectsNoEngine(t *testing.T) {
 	s := newStreamSim(t, 4, 24)
@@ -100,7 +100,7 @@
 	}
 	s.play(4000, 8000, neverFrozen)
 	if len(s.detectedAt) != 0 {
-		t.Errorf("unresponsive while the gateway is cut off: %v", s.detectedAt)
+		t.Errorf("unresponsive while the gateway is partitioned: %v", s.detectedAt)
 	}
 }
 
@@ -194,7 +194,7 @@
 
 // A decode engine prefills prompts between the tokens of its streams, and each of them
 // pauses for a third of a second now and then. If healthy engines were taken for
-// unresponsive, their streams would restart elsewhere with a delay or be cut off.
+// unresponsive, their streams would restart elsewhere with a delay or break off.
 func TestPausingEngineIsNotEjected(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 1))
--- a/pkg/kumquatlug/placement/placement.go
+++ b/pkg/kumquatlug/placement/placement.go
@@ -3,7 +3,7 @@
 // of a plain service runs a request.
 //
 // It is built for long prompts that share most of their tokens, at a rate close to the
-// prefill capacity of the engines. A gateway knows its own requests, the load that
+// prefill capacity of the engines. A gateway sees its own requests, the load that
 // workers report in each response, and, for the engines that it coordinates, the
 // prompts of all gateways. If prompts were spread evenly, each engine would prefill
 // every shared prefix again, three times the work, and the queues would never drain. If
@@ -25,7 +25,7 @@
 //   - a request that no worker can start in time is refused at once, with a time after
 //     which to retry.
 //
-// A Placer belongs to one owner and is not safe for concurrent use.
+// A Placer is not safe for concurrent use.
 package placement
 
 import (
@@ -40,7 +40,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ratelimit"
 )
 
-// Config holds the settings of a [Placer]. The zero value of each field stands for its
+// Config holds the settings of a [Placer]. The zero value of each field means its
 // default.
 type Config struct {
 	// Zone is the gateway's data centre.
@@ -166,7 +166,7 @@
 	// refusals counts consecutive refusals; until backoffUntil no new request is sent.
 	refusals     int
 	backoffUntil kumquatlug.Millis
-	// requestedBackoffUntil is the end of a pause for which the worker asked.
+	// requestedBackoffUntil is the end of a backoff that the worker requested.
 	requestedBackoffUntil kumquatlug.Millis
 	// attempts are the attempts in flight for this gateway. lastSeenAt is when anything
 	// last came from the worker, pauses are those between two events of a stream, and
@@ -178,7 +178,7 @@
 	// probedAt is when the last liveness probe was sent.
 	probedAt kumquatlug.Millis
 	// queue holds the prompts that wait for the engine, including those of other
-	// gateways if this one coordinates it. grants are the ones given to other gateways.
+	// gateways if this one coordinates it. permits are those granted to other gateways.
 	queue   []*queuedPrompt
 	permits []remotePermit
 	// requestedTokens is the number of tokens to prefill in the prompts that wait at
@@ -236,8 +236,8 @@
 	// were given to prefill engines, in ms; lastPrefillAt is the time of the last one.
 	prefillInterval float64
 	lastPrefillAt   kumquatlug.Millis
-	// displaced holds prompts that were queued for workers that left, grantRequests
-	// those that wait at other gateways.
+	// displaced holds prompts that were queued for workers that left, permitRequests
+	// those that wait for permits of other gateways.
 	displaced      []*queuedPrompt
 	permitRequests map[uint64]*permitRequest
 	// outbox holds messages to other gateways.
@@ -261,7 +261,7 @@
 // Sync updates the workers to the current members of the service. A worker that
 // restarted under the same name has nothing cached. Sync returns the streams in flight
 // at workers that leave: such a worker serves for a few more seconds, and streams that
-// are not moved by then are cut off.
+// are not moved by then break off.
 func (p *Placer) Sync(now kumquatlug.Millis, members []kumquatlug.Member) []*Ticket {
 	var streams []*Ticket
 	seen := map[string]bool{}
--- a/pkg/kumquatlug/placement/placement_test.go
+++ b/pkg/kumquatlug/placement/placement_test.go
@@ -304,9 +304,9 @@
 	}
 }
 
-// A gateway that is stopping refuses requests that would not end in time. Where a token
-// takes four times as long as in another deployment, requests that it still accepts
-// would be cut off midway.
+// A gateway that is shutting down refuses requests that would not end in time. Where a
+// token takes four times as long as in another deployment, requests that it still
+// accepts would break off midway.
 func TestExpectedDurationFollowsObservations(t *testing.T) {
 	p := New(Config{})
 	p.Sync(0, engines(1, 1))
--- a/pkg/kumquatlug/placement/pressure.go
+++ b/pkg/kumquatlug/placement/pressure.go
@@ -101,8 +101,8 @@
 }
 
 // busyPrefillFraction returns the fraction of the prefill engines that are busy. For an
-// engine that this gateway coordinates it knows the prompts of all gateways, for others
-// only its own. The engines that it coordinates are a fair sample of all.
+// engine that this gateway coordinates it counts the prompts of all gateways, for
+// others only its own. The engines that it coordinates are a fair sample of all.
 func (p *Placer) busyPrefillFraction(now kumquatlug.Millis) float64 {
 	known, all, knownBusy, allBusy := 0, 0, 0.0, 0.0
 	for _, w := range p.ordered {
--- a/pkg/kumquatlug/placement/queue.go
+++ b/pkg/kumquatlug/placement/queue.go
@@ -29,7 +29,7 @@
 	// arrives early takes memory from cached prefixes.
 	maxEngineBacklogMs = 5.0
 	// postPrefillMs is the time from the end of a prefill until the first output
-	// reaches the client, in milliseconds: the transfer, a place in the batch and the
+	// reaches the client, in milliseconds: the transfer, the wait for a slot and the
 	// network.
 	postPrefillMs = 25.0
 	// promptOverheadTokens is the fixed cost of a prompt, in tokens.
@@ -61,7 +61,7 @@
 	lateAt kumquatlug.Millis
 	// maxLateHold is how long it stays queued at most from then on.
 	maxLateHold kumquatlug.Millis
-	// skipCoordinator says that no coordinator is asked for a grant.
+	// skipCoordinator says that no permit is requested from a coordinator.
 	skipCoordinator bool
 	// remote identifies a prompt of another gateway, which last renewed its request at
 	// renewedAt.
@@ -91,8 +91,8 @@
 	return p.submit(now, &queuedPrompt{key: key, query: q, maxLateHold: q.timeLeft(now) / lateHoldDivisor})
 }
 
-// submit sends a prompt to its engine, or queues it for the engine, or requests a grant
-// from the gateway that coordinates the engine.
+// submit sends a prompt to its engine, or queues it for the engine, or requests a
+// permit from the gateway that coordinates the engine.
 func (p *Placer) submit(now kumquatlug.Millis, queued *queuedPrompt) (Entry, Choice, *Ticket) {
 	q := queued.query
 	c, found := p.Prompt(now, q)
--- a/pkg/kumquatlug/ratelimit/ratelimit.go
+++ b/pkg/kumquatlug/ratelimit/ratelimit.go
@@ -16,8 +16,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Limit holds the rate limit of one worker as one gateway knows it. It is not safe for
-// concurrent use.
+// Limit holds the rate limit of one worker as far as it is known to one gateway. It is not
+// safe for concurrent use.
 type Limit struct {
 	shares *Shares
 	worker uint64
--- a/pkg/kumquatlug/ratelimit/simulation_test.go
+++ b/pkg/kumquatlug/ratelimit/simulation_test.go
@@ -103,7 +103,7 @@
 	return s
 }
 
-// start starts a gateway that knows the other gateways but no limit.
+// start starts a gateway that has the names of the other gateways but no limit.
 func (s *simulation) start(now kumquatlug.Millis, gateway int) {
 	g := &simGateway{shares: NewShares(fmt.Sprint("front-", gateway))}
 	var names []string
--- a/pkg/kumquatlug/retry/retry.go
+++ b/pkg/kumquatlug/retry/retry.go
@@ -1,9 +1,9 @@
 // Package retry decides whether and when a failed call is sent again.
 //
-// Two failures call for opposite answers. A target that crashes loses its calls in flight,
-// which were accepted and must be completed at another target. But in an overloaded group
-// any call may fail, and a retry of each multiplies the load that made it fail, so that the
-// group stays overloaded after the cause is gone. A [Policy] therefore
+// Two failures require opposite reactions. A target that crashes loses its calls in flight,
+// which were accepted and must be completed at another target. But in an overloaded group any
+// call may fail, and a retry of each multiplies the load that made it fail, so that the group
+// stays overloaded after the cause has ended. A [Policy] therefore
 //
 //   - sends a call again only if it is known not to have run or may be repeated, and
 //     resumes an interrupted stream after the tokens already sent;
@@ -39,7 +39,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Config configures a [Policy]. The zero value of each field but Source stands for its default.
+// Config configures a [Policy]. The zero value of each field but Source means its default.
 type Config struct {
 	// Source is the source of randomness for the backoff; required.
 	Source rand.Source
--- a/pkg/kumquatlug/stream/stream.go
+++ b/pkg/kumquatlug/stream/stream.go
@@ -166,11 +166,11 @@
 	otherRequestEvents int
 }
 
-// New checks c and returns an answer without any attempt. It returns an error if
-// the id of the request is empty.
+// New checks c and returns an [Answer] without any attempt. It returns an error if the id of the
+// request is empty.
 func New(c Config) (*Answer, error) {
 	if c.Request == "" {
-		return nil, errors.New("an answer needs the id of its request")
+		return nil, errors.New("the id of the request is missing")
 	}
 	c.Attempts = cmp.Or(c.Attempts, DefaultAttempts)
 	c.Ahead = cmp.Or(c.Ahead, DefaultAhead)
