--- a/internal/gateway/accountstats.go
+++ b/internal/gateway/accountstats.go
@@ -67,32 +67,34 @@
 func (s *accountStats) worst(now kumquatlug.Millis) map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	type accountShare struct {
-		name string
-		part float64
+	type accountFraction struct {
+		name   string
+		onTime float64
 	}
-	var all []accountShare
+	var all []accountFraction
 	for name, a := range s.accounts {
 		a.decay(now)
 		switch {
 		case a.total >= minJudgedRequests:
-			all = append(all, accountShare{name, a.onTime / a.total})
+			all = append(all, accountFraction{name, a.onTime / a.total})
 		case a.total < 0.01:
 			delete(s.accounts, name)
 		}
 	}
-	slices.SortFunc(all, func(a, b accountShare) int { return cmp.Or(cmp.Compare(a.part, b.part), cmp.Compare(a.name, b.name)) })
-	shares := map[string]float64{}
+	slices.SortFunc(all, func(a, b accountFraction) int {
+		return cmp.Or(cmp.Compare(a.onTime, b.onTime), cmp.Compare(a.name, b.name))
+	})
+	fractions := map[string]float64{}
 	for _, a := range all[:min(len(all), maxWorstAccounts)] {
-		shares[a.name] = a.part
+		fractions[a.name] = a.onTime
 	}
-	return shares
+	return fractions
 }
 
 // exportWorstAccounts sets the metric of the accounts with the lowest fraction on time.
 func (g *Gateway) exportWorstAccounts() {
 	g.metrics.worstAccounts.Reset()
-	for account, share := range g.accounts.worst(g.c.Clock.Now()) {
-		g.metrics.worstAccounts.WithLabelValues(account).Set(share)
+	for account, fraction := range g.accounts.worst(g.c.Clock.Now()) {
+		g.metrics.worstAccounts.WithLabelValues(account).Set(fraction)
 	}
 }
--- a/pkg/kumquatlug/placement/attempt.go
+++ b/pkg/kumquatlug/placement/attempt.go
@@ -73,7 +73,7 @@
 		return &Ticket{id: c.worker.ID(), ended: true}
 	}
 	t := &Ticket{
-		worker: w, id: c.worker.ID(), born: w.member.Born, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.wait - c.delay, sentAt: now + c.Delay(),
+		worker: w, id: c.worker.ID(), born: w.member.Born, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.waitMs - c.delayMs, sentAt: now + c.Delay(),
 		coordinator: coordinator, permitKey: key,
 		uncachedTokens: c.uncachedTokens, cachedTokens: max(float64(prompt.Input())-c.uncachedTokens, 0), engineIdle: w.prefills == 0 && p.otherRequestsAt(now, w) < 1,
 	}
--- a/pkg/kumquatlug/placement/choose.go
+++ b/pkg/kumquatlug/placement/choose.go
@@ -39,10 +39,10 @@
 	// is the number of tokens without preceding context that would take as long.
 	uncachedTokens  float64
 	effectiveTokens float64
-	wait            float64
+	waitMs          float64
 	cost            float64
-	// delay is the part of wait that passes before the attempt is sent.
-	delay float64
+	// delayMs is the part of wait that passes before the attempt is sent.
+	delayMs float64
 	// reservation is what is reserved for decoding. reserved says that the worker's
 	// rate limit already counts the attempt.
 	reservation Place
@@ -64,12 +64,12 @@
 func (c Choice) Apart() bool { return c.prefillOnly }
 
 // Wait returns the expected time until the first output.
-func (c Choice) Wait() kumquatlug.Millis { return kumquatlug.Millis(c.wait) }
+func (c Choice) Wait() kumquatlug.Millis { return kumquatlug.Millis(c.waitMs) }
 
 // Delay returns how long the attempt must be delayed before it is sent, because its
 // worker's rate limit allows no request yet. If no worker was found, it is the shortest
 // delay of all workers.
-func (c Choice) Delay() kumquatlug.Millis { return kumquatlug.Millis(math.Ceil(c.delay)) }
+func (c Choice) Delay() kumquatlug.Millis { return kumquatlug.Millis(math.Ceil(c.delayMs)) }
 
 // eligible reports whether a worker may be given new requests of a role. An engine
 // without a role prefills and decodes.
@@ -100,7 +100,7 @@
 		cost := (wait + ahead/slots + p.zonePenalty(w)) / p.health.Weight(now, w.member.Worker.ID())
 		if cost < minCost {
 			minCost, found = cost, true
-			best = Choice{worker: w.member.Worker, wait: wait, delay: delay}
+			best = Choice{worker: w.member.Worker, waitMs: wait, delayMs: delay}
 		}
 	}
 	return p.bestOrDelay(now, best, found, limited), found
@@ -118,7 +118,7 @@
 	if !prefillFound || mixedFound && mixedCost < prefillCost+output.cost {
 		return mixed, mixedFound
 	}
-	prefill.wait += output.wait
+	prefill.waitMs += output.waitMs
 	prefill.reservation = p.reservationFor(now, output)
 	return prefill, true
 }
@@ -152,7 +152,7 @@
 		if cost < minCost {
 			minCost = cost
 			best = Choice{
-				worker: w.member.Worker, zone: w.member.Zone, prefillOnly: true, uncachedTokens: uncached, effectiveTokens: tokens, wait: wait + p.handoffMs(),
+				worker: w.member.Worker, zone: w.member.Zone, prefillOnly: true, uncachedTokens: uncached, effectiveTokens: tokens, waitMs: wait + p.handoffMs(),
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 		cost := (wait+p.batchCostMs(now, w, q.Prompt))/weight + p.config.MixedPrice*slotLoad*blockedMs + p.zonePenalty(w)
 		if cost < minCost {
 			minCost, found = cost, true
-			best = Choice{worker: w.member.Worker, uncachedTokens: uncached, effectiveTokens: tokens, wait: wait, delay: delay}
+			best = Choice{worker: w.member.Worker, uncachedTokens: uncached, effectiveTokens: tokens, waitMs: wait, delayMs: delay}
 		}
 	}
 	return p.bestOrDelay(now, best, found, limited), minCost, found
@@ -223,7 +223,7 @@
 		}
 		if cost < minCost {
 			minCost, found = cost, true
-			best = Choice{worker: w.member.Worker, wait: wait, cost: cost, delay: delay}
+			best = Choice{worker: w.member.Worker, waitMs: wait, cost: cost, delayMs: delay}
 		}
 	}
 	return p.bestOrDelay(now, best, found, limited), found
--- a/pkg/kumquatlug/placement/coordinate.go
+++ b/pkg/kumquatlug/placement/coordinate.go
@@ -62,7 +62,7 @@
 	left := prompt.Input()
 	for _, part := range prompt.Shared() {
 		last, cached := w.cachedParts[part.ID()]
-		if !cached || p.kvCapacity > 0 && w.prefilledTokens-last.prefilledTokens > cacheRetainFraction*p.kvCapacity {
+		if !cached || p.kvCapacityTokens > 0 && w.prefilledTokens-last.prefilledTokens > cacheRetainFraction*p.kvCapacityTokens {
 			break
 		}
 		left -= part.Tokens()
--- a/pkg/kumquatlug/placement/cost.go
+++ b/pkg/kumquatlug/placement/cost.go
@@ -87,10 +87,10 @@
 	ahead := float64(w.running) + p.otherRequestsAt(now, w)
 	slots := float64(w.member.Slots)
 	wait := max(0, ahead+1-slots) * p.meanRunMs / max(slots, 1)
-	if p.kvCapacity == 0 || ahead == 0 {
+	if p.kvCapacityTokens == 0 || ahead == 0 {
 		return wait
 	}
-	lack := w.kvTokens + p.otherRequestsAt(now, w)*p.meanKVTokens + kvTokensFor(prompt) - kvFillFraction*p.kvCapacity
+	lack := w.kvTokens + p.otherRequestsAt(now, w)*p.meanKVTokens + kvTokensFor(prompt) - kvFillFraction*p.kvCapacityTokens
 	return wait + max(0, lack)/p.meanKVTokens*p.meanRunMs/ahead
 }
 
--- a/pkg/kumquatlug/placement/grants.go
+++ b/pkg/kumquatlug/placement/grants.go
@@ -119,7 +119,7 @@
 		return p.beginGranted(now, a, m.Turn), true
 	case kumquatlug.TurnRefused:
 		p.removeRequest(a)
-		a.prompt.choice.wait = float64(m.Turn.Wait)
+		a.prompt.choice.waitMs = float64(m.Turn.Wait)
 		return Due{key: a.prompt.key, choice: a.prompt.choice}, true
 	}
 	// The gateways disagree on who coordinates the engine, so this one's own queue is
@@ -141,7 +141,7 @@
 // beginGranted begins the attempt for a prompt whose permit is granted.
 func (p *Placer) beginGranted(now kumquatlug.Millis, a *permitRequest, permit kumquatlug.Turn) Due {
 	queued := a.prompt
-	queued.choice.wait = float64(permit.Wait) + p.handoffMs()
+	queued.choice.waitMs = float64(permit.Wait) + p.handoffMs()
 	queued.choice.uncachedTokens = float64(permit.Fresh)
 	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
 	p.addLoad(now, a.worker, queued)
--- a/pkg/kumquatlug/placement/limit.go
+++ b/pkg/kumquatlug/placement/limit.go
@@ -21,27 +21,27 @@
 
 // limitedWorkers records the shortest delay of the workers that are excluded by their
 // rate limits.
-type limitedWorkers struct{ minDelay float64 }
+type limitedWorkers struct{ minDelayMs float64 }
 
-func newLimitedWorkers() *limitedWorkers { return &limitedWorkers{minDelay: math.Inf(1)} }
+func newLimitedWorkers() *limitedWorkers { return &limitedWorkers{minDelayMs: math.Inf(1)} }
 
 // exclude reports whether w is excluded because a request must not wait until its rate
-// limit allows one. The first output is expected rest ms after the request is sent.
-func (h *limitedWorkers) exclude(now kumquatlug.Millis, w *worker, q Query, rest float64) bool {
-	delay := w.limit.Delay(now)
-	if delay == 0 || delay <= q.maxLimitWait(now, rest) {
+// limit allows one. The first output is expected firstOutputMs after the request is sent.
+func (h *limitedWorkers) exclude(now kumquatlug.Millis, w *worker, q Query, firstOutputMs float64) bool {
+	delayMs := w.limit.Delay(now)
+	if delayMs == 0 || delayMs <= q.maxWaitForLimitMs(now, firstOutputMs) {
 		return false
 	}
-	h.minDelay = min(h.minDelay, delay)
+	h.minDelayMs = min(h.minDelayMs, delayMs)
 	return true
 }
 
-// maxLimitWait returns how long a request may wait for a rate limit, in milliseconds.
+// maxWaitForLimitMs returns how long a request may wait for a rate limit, in milliseconds.
 // Late requests use only what the others leave: if they waited as long, all requests
 // after them would be late, too.
-func (q Query) maxLimitWait(now kumquatlug.Millis, rest float64) float64 {
+func (q Query) maxWaitForLimitMs(now kumquatlug.Millis, firstOutputMs float64) float64 {
 	longest := lateLimitWaitMs
-	switch inTime := float64(q.Target-now) - rest; {
+	switch inTime := float64(q.Target-now) - firstOutputMs; {
 	case q.Begun:
 		longest = startedLimitWaitMs
 	case q.Target == 0:
@@ -58,16 +58,16 @@
 	if found {
 		return best
 	}
-	minDelay := h.minDelay
+	minDelayMs := h.minDelayMs
 	for _, w := range p.ordered {
 		if w.member.State == kumquatlug.MemberReady && now < w.requestedBackoffUntil {
-			minDelay = min(minDelay, float64(w.requestedBackoffUntil-now))
+			minDelayMs = min(minDelayMs, float64(w.requestedBackoffUntil-now))
 		}
 	}
-	if math.IsInf(minDelay, 1) {
+	if math.IsInf(minDelayMs, 1) {
 		return best
 	}
-	return Choice{delay: minDelay}
+	return Choice{delayMs: minDelayMs}
 }
 
 // Pause stops sending requests to the worker of an attempt for the backoff that it
@@ -117,7 +117,7 @@
 	}
 	delay := max(0, float64(q.Place.at-now))
 	wait := delay + p.slotWaitMs(now, w, q.Prompt)
-	return Choice{worker: w.member.Worker, wait: wait, delay: delay, reserved: true}, true
+	return Choice{worker: w.member.Worker, waitMs: wait, delayMs: delay, reserved: true}, true
 }
 
 // LimitNews is a change of the rate limit that a worker advertises, or its end.
--- a/pkg/kumquatlug/placement/liveness.go
+++ b/pkg/kumquatlug/placement/liveness.go
@@ -281,11 +281,11 @@
 }
 
 // overdueAttempts returns the number of attempts at w without output that are overdue
-// by more than margin, in milliseconds.
-func (p *Placer) overdueAttempts(now kumquatlug.Millis, w *worker, margin float64) int {
+// by more than marginMs.
+func (p *Placer) overdueAttempts(now kumquatlug.Millis, w *worker, marginMs float64) int {
 	n := 0
 	for _, t := range w.attempts {
-		if t.lastOutputAt == 0 && float64(now-t.sentAt) > p.expectedFirstOutputMs(t)+margin {
+		if t.lastOutputAt == 0 && float64(now-t.sentAt) > p.expectedFirstOutputMs(t)+marginMs {
 			n++
 		}
 	}
--- a/pkg/kumquatlug/placement/placement.go
+++ b/pkg/kumquatlug/placement/placement.go
@@ -215,8 +215,8 @@
 	meanPlainMs       float64
 	// meanKVTokens is the mean KV memory of one request at a decode engine, in tokens,
 	// and kvCapacity that of an engine; zero when it is not known.
-	meanKVTokens float64
-	kvCapacity   float64
+	meanKVTokens     float64
+	kvCapacityTokens float64
 	// meanOtherRequests is the mean number of requests of other gateways that workers
 	// reported.
 	meanOtherRequests float64
@@ -232,10 +232,10 @@
 	// slowdown is the ratio of actual to expected prefill time.
 	slowdown float64
 	prunedAt kumquatlug.Millis
-	// prefillInterval is the mean interval between two prompts of this gateway that
+	// prefillIntervalMs is the mean interval between two prompts of this gateway that
 	// were given to prefill engines, in ms; lastPrefillAt is the time of the last one.
-	prefillInterval float64
-	lastPrefillAt   kumquatlug.Millis
+	prefillIntervalMs float64
+	lastPrefillAt     kumquatlug.Millis
 	// displaced holds prompts that were queued for workers that left, permitRequests
 	// those that wait for permits of other gateways.
 	displaced      []*queuedPrompt
@@ -329,4 +329,4 @@
 }
 
 // SetMemory sets the KV memory of an engine, in tokens.
-func (p *Placer) SetMemory(tokens int) { p.kvCapacity = float64(tokens) }
+func (p *Placer) SetMemory(tokens int) { p.kvCapacityTokens = float64(tokens) }
--- a/pkg/kumquatlug/placement/queue.go
+++ b/pkg/kumquatlug/placement/queue.go
@@ -255,14 +255,14 @@
 	}
 	w.load = p.recentLoad(now, w) + queued.choice.effectiveTokens
 	w.loadAt = now
-	p.prefillInterval += ewmaWeight * (min(float64(now-p.lastPrefillAt), maxLoadWindowMs) - p.prefillInterval)
+	p.prefillIntervalMs += ewmaWeight * (min(float64(now-p.lastPrefillAt), maxLoadWindowMs) - p.prefillIntervalMs)
 	p.lastPrefillAt = now
 }
 
 // loadWindowMs returns the time over which an engine's load is averaged, in
 // milliseconds.
 func (p *Placer) loadWindowMs() float64 {
-	return min(max(loadWindowPrompts*p.prefillInterval*float64(p.prefillEngines), minLoadWindowMs), maxLoadWindowMs)
+	return min(max(loadWindowPrompts*p.prefillIntervalMs*float64(p.prefillEngines), minLoadWindowMs), maxLoadWindowMs)
 }
 
 // Due is a prompt that leaves the queue: it is sent, or given up.
@@ -300,7 +300,7 @@
 				continue
 			}
 			// The time in the queue is not part of what the engine takes.
-			queued.choice.wait = (p.inFlightTokens(now, w)+queued.choice.effectiveTokens)/p.prefillRate()*p.slowdown + p.handoffMs()
+			queued.choice.waitMs = (p.inFlightTokens(now, w)+queued.choice.effectiveTokens)/p.prefillRate()*p.slowdown + p.handoffMs()
 			p.addLoad(now, w, queued)
 			due = append(due, Due{key: queued.key, choice: queued.choice, ticket: p.Begin(now, queued.choice, queued.query.Prompt)})
 		}
--- a/pkg/kumquatlug/ratelimit/ratelimit.go
+++ b/pkg/kumquatlug/ratelimit/ratelimit.go
@@ -33,8 +33,8 @@
 	statedByPrefill bool
 	// sent counts the requests since the limit was first stated; the last one is scheduled at
 	// lastSentAt, in milliseconds.
-	sent       int
-	lastSentAt float64
+	sent         int
+	lastSentAtMs float64
 	// pacing is how this gateway spaces its requests, computed at sharesVersion.
 	pacing        pacing
 	sharesVersion int
@@ -107,9 +107,9 @@
 	l.updatePacing()
 	if first {
 		l.sent = 0
-		l.lastSentAt = float64(now)
+		l.lastSentAtMs = float64(now)
 		if l.shares != nil {
-			l.lastSentAt -= l.shares.phase(l.worker) * l.pacing.intervalMs
+			l.lastSentAtMs -= l.shares.phase(l.worker) * l.pacing.intervalMs
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	if interval == 0 {
 		return math.Inf(1)
 	}
-	remaining := l.lastSentAt + interval - float64(now)
+	remaining := l.lastSentAtMs + interval - float64(now)
 	if overdue := -remaining; l.pacing.probeOnly && overdue > float64(probeWindow) {
 		remaining = interval - math.Mod(overdue, interval)
 	}
@@ -154,7 +154,7 @@
 	}
 	l.sent++
 	if delay := l.Delay(now); !math.IsInf(delay, 1) {
-		l.lastSentAt = float64(now) + delay
+		l.lastSentAtMs = float64(now) + delay
 	}
 }
 
--- a/pkg/kumquatlug/retry/sharedbudget.go
+++ b/pkg/kumquatlug/retry/sharedbudget.go
@@ -20,9 +20,9 @@
 // counted is up to one bucket longer than Window, never shorter.
 const windowBuckets = 20
 
-// usableShare is the fraction of its share that a gateway uses. The rest is for gateways that
+// usableFraction is the fraction of its share that a gateway uses. The rest is for gateways that
 // have just started and are not counted yet.
-const usableShare = 0.8
+const usableFraction = 0.8
 
 // Shared is one gateway's share of a retry budget that all gateways use without coordination.
 //
@@ -85,7 +85,7 @@
 		sum.retries += c.retries
 	}
 	share := s.config.Ratio*float64(sum.requests) + float64(s.config.Floor)/float64(s.gateways)
-	if float64(sum.retries+1) > usableShare*share {
+	if float64(sum.retries+1) > usableFraction*share {
 		return false
 	}
 	s.Note(now)
