--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -145,8 +145,8 @@
 	case f.possibleRuns >= f.route.Workers():
 		return failed.failure
 	}
-	if stopping := f.stoppingFailure(); stopping != nil {
-		return stopping.failure
+	if failed := f.shutdownFailure(); failed != nil {
+		return failed.failure
 	}
 	return nil
 }
@@ -183,12 +183,12 @@
 }
 
 // contextFailure returns the failure of a request whose deadline has passed, whose
-// client has disconnected or whose gateway is stopping.
+// client has disconnected or whose gateway is shutting down.
 func (f *inflight) contextFailure(ctx context.Context, cause *kumquatlug.Failure) *kumquatlug.Failure {
 	reason := "deadline"
 	switch {
 	case !errors.Is(ctx.Err(), context.Canceled):
-	case f.g.stopping():
+	case f.g.shuttingDown():
 		reason = "stopping"
 	default:
 		reason = "client_left"
@@ -201,7 +201,7 @@
 	})
 }
 
-// retryAfter limits the delay after which a refused client is asked to retry.
+// retryAfter limits the delay after which a refused client should retry.
 func (f *inflight) retryAfter(delay kumquatlug.Millis) kumquatlug.Millis {
 	delay = min(max(delay, minRetryAfter), maxRetryAfter)
 	return min(delay, max(f.timeLeft()/retryAfterDivisor, 1))
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -15,14 +15,14 @@
 	w.poll()
 }
 
-// The store is restored from a copy in which a draining worker is ready and a removed
-// one exists. Requests sent to them would be lost. A worker that does still run writes
-// its row again and must then be used.
+// The store is restored from a copy in which a worker that is shutting down is ready
+// and a removed one exists. Requests sent to them would be lost. A worker that does
+// still run writes its row again and must then be used.
 func TestRestoredStoreReadmitsNoWorker(t *testing.T) {
 	w := newWatchHarness()
 	w.poll()
 	before := map[string]string{"a": `"prefill"`, "b": `"decode"`, "c": `""`}
-	w.g.draining.note(w.now.Now(), "b", 0)
+	w.g.shuttingDownWorkers.note(w.now.Now(), "b", 0)
 	w.feed.rows = map[string]string{"b": `"decode"`, "c": `""`}
 	w.feed.version++
 	w.watcher.synced = false
--- a/pkg/kumquatlug/placement/attempt.go
+++ b/pkg/kumquatlug/placement/attempt.go
@@ -19,10 +19,10 @@
 	uncachedTokens, cachedTokens float64
 	engineIdle                   bool
 	kvTokens                     float64
-	// coordinator is the gateway that granted the attempt under grantKey, empty if none
-	// did.
+	// coordinator is the gateway that granted the permit of the attempt under
+	// permitKey, empty if there was none.
 	coordinator string
-	grantKey    uint64
+	permitKey   uint64
 	// maxOutputTokens is the maximum number of tokens to generate.
 	maxOutputTokens int
 	expectedWaitMs  float64
@@ -66,15 +66,15 @@
 	return p.begin(now, c, prompt, "", 0)
 }
 
-// begin is Begin for an attempt that a coordinator granted under key.
+// begin is Begin for an attempt whose permit a coordinator granted under key.
 func (p *Placer) begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt, coordinator string, key uint64) *Ticket {
 	w, known := p.workers[c.worker.ID()]
 	if !known {
 		return &Ticket{id: c.worker.ID(), ended: true}
 	}
 	t := &Ticket{
-		worker: w, id: c.worker.ID(), born: w.member.Born, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.wait - c.delay, sentAt: now + c.Delay(),
-		coordinator: coordinator, grantKey: key,
+		worker: w, id: c.worker.ID(), born: w.member.Born, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.waitMs - c.delayMs, sentAt: now + c.Delay(),
+		coordinator: coordinator, permitKey: key,
 		uncachedTokens: c.uncachedTokens, cachedTokens: max(float64(prompt.Input())-c.uncachedTokens, 0), engineIdle: w.prefills == 0 && p.otherRequestsAt(now, w) < 1,
 	}
 	if len(w.attempts) == 0 {
@@ -137,12 +137,12 @@
 	t.ended = true
 	t.worker.removeAttempt(t)
 	if o == OutcomeGood || o == OutcomeRefused {
-		p.markAlive(now, t.id, t.worker)
+		p.markResponsive(now, t.id, t.worker)
 	}
 	if t.prefillOnly {
 		t.worker.prefills--
 		if t.coordinator != "" {
-			p.sendRelease(t.coordinator, kumquatlug.Turn{Engine: t.id, Key: t.grantKey})
+			p.sendRelease(t.coordinator, kumquatlug.Turn{Engine: t.id, Key: t.permitKey})
 		}
 	} else {
 		t.worker.running--
@@ -176,7 +176,7 @@
 const maxRunFactor = 3
 
 // Takes returns an upper bound of the time that nearly all requests take at an engine,
-// by the greatest number of tokens to generate: until the first output, and from then
+// by the maximum number of tokens to generate: until the first output, and from then
 // on.
 func (p *Placer) Takes(output int) kumquatlug.Millis {
 	return kumquatlug.Millis(p.overrun.Bound()) + p.Runs(output)
@@ -224,9 +224,9 @@
 
 // backOff stops sending requests to a worker for a while.
 func (w *worker) backOff(now kumquatlug.Millis) {
-	pause := refusalBackoff << min(w.refusals, 10)
+	backoff := refusalBackoff << min(w.refusals, 10)
 	w.refusals++
-	w.backoffUntil = now + min(pause, maxRefusalBackoff)
+	w.backoffUntil = now + min(backoff, maxRefusalBackoff)
 }
 
 // learnPrefill records how long a prefill took. Those at an idle engine show its rate;
--- a/pkg/kumquatlug/placement/choose.go
+++ b/pkg/kumquatlug/placement/choose.go
@@ -17,11 +17,11 @@
 	// Until when the client gives up; zero for never.
 	Target kumquatlug.Millis
 	Until  kumquatlug.Millis
-	// Worth is the value of the request relative to the mean of its route; zero stands
-	// for 1.
+	// Worth is the value of the request relative to the mean of its route; zero means
+	// 1.
 	Worth float64
 	// Begun says that the client already has part of the response: refusing the request
-	// now cuts that response off, however late the rest is.
+	// now truncates that response, however late the rest is.
 	Begun bool
 	// CacheZone is the data centre that holds the prompt's KV cache, empty if there is
 	// none.
@@ -39,10 +39,10 @@
 	// is the number of tokens without preceding context that would take as long.
 	uncachedTokens  float64
 	effectiveTokens float64
-	wait            float64
+	waitMs          float64
 	cost            float64
-	// delay is the part of wait that passes before the attempt is sent.
-	delay float64
+	// delayMs is the part of wait that passes before the attempt is sent.
+	delayMs float64
 	// reservation is what is reserved for decoding. reserved says that the worker's
 	// rate limit already counts the attempt.
 	reservation Place
@@ -64,19 +64,19 @@
 func (c Choice) Apart() bool { return c.prefillOnly }
 
 // Wait returns the expected time until the first output.
-func (c Choice) Wait() kumquatlug.Millis { return kumquatlug.Millis(c.wait) }
+func (c Choice) Wait() kumquatlug.Millis { return kumquatlug.Millis(c.waitMs) }
 
 // Delay returns how long the attempt must be delayed before it is sent, because its
 // worker's rate limit allows no request yet. If no worker was found, it is the shortest
 // delay of all workers.
-func (c Choice) Delay() kumquatlug.Millis { return kumquatlug.Millis(math.Ceil(c.delay)) }
+func (c Choice) Delay() kumquatlug.Millis { return kumquatlug.Millis(math.Ceil(c.delayMs)) }
 
 // eligible reports whether a worker may be given new requests of a role. An engine
 // without a role prefills and decodes.
 func (p *Placer) eligible(now kumquatlug.Millis, w *worker, q Query, role kumquatlug.Role) bool {
 	id := w.member.Worker.ID()
 	roleMatches := w.member.Role == role || role == kumquatlug.RoleDecode && w.member.Role == ""
-	return w.member.State == kumquatlug.MemberReady && roleMatches && now >= max(w.backoffUntil, w.pausedUntil) && !w.changingRole(now) &&
+	return w.member.State == kumquatlug.MemberReady && roleMatches && now >= max(w.backoffUntil, w.requestedBackoffUntil) && !w.changingRole(now) &&
 		!slices.Contains(q.Exclude, id) && p.health.Weight(now, id) > 0
 }
 
@@ -100,7 +100,7 @@
 		cost := (wait + ahead/slots + p.zonePenalty(w)) / p.health.Weight(now, w.member.Worker.ID())
 		if cost < minCost {
 			minCost, found = cost, true
-			best = Choice{worker: w.member.Worker, wait: wait, delay: delay}
+			best = Choice{worker: w.member.Worker, waitMs: wait, delayMs: delay}
 		}
 	}
 	return p.bestOrDelay(now, best, found, limited), found
@@ -118,7 +118,7 @@
 	if !prefillFound || mixedFound && mixedCost < prefillCost+output.cost {
 		return mixed, mixedFound
 	}
-	prefill.wait += output.wait
+	prefill.waitMs += output.waitMs
 	prefill.reservation = p.reservationFor(now, output)
 	return prefill, true
 }
@@ -152,7 +152,7 @@
 		if cost < minCost {
 			minCost = cost
 			best = Choice{
-				worker: w.member.Worker, zone: w.member.Zone, prefillOnly: true, uncachedTokens: uncached, effectiveTokens: tokens, wait: wait + p.handoffMs(),
+				worker: w.member.Worker, zone: w.member.Zone, prefillOnly: true, uncachedTokens: uncached, effectiveTokens: tokens, waitMs: wait + p.handoffMs(),
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 		cost := (wait+p.batchCostMs(now, w, q.Prompt))/weight + p.config.MixedPrice*slotLoad*blockedMs + p.zonePenalty(w)
 		if cost < minCost {
 			minCost, found = cost, true
-			best = Choice{worker: w.member.Worker, uncachedTokens: uncached, effectiveTokens: tokens, wait: wait, delay: delay}
+			best = Choice{worker: w.member.Worker, uncachedTokens: uncached, effectiveTokens: tokens, waitMs: wait, delayMs: delay}
 		}
 	}
 	return p.bestOrDelay(now, best, found, limited), minCost, found
@@ -223,7 +223,7 @@
 		}
 		if cost < minCost {
 			minCost, found = cost, true
-			best = Choice{worker: w.member.Worker, wait: wait, cost: cost, delay: delay}
+			best = Choice{worker: w.member.Worker, waitMs: wait, cost: cost, delayMs: delay}
 		}
 	}
 	return p.bestOrDelay(now, best, found, limited), found
--- a/pkg/kumquatlug/placement/cost.go
+++ b/pkg/kumquatlug/placement/cost.go
@@ -81,16 +81,16 @@
 	return float64(max(left, 0))
 }
 
-// slotWaitMs returns how long a request waits for a place in the batch at w, in
-// milliseconds: beyond the slots or the KV memory, until earlier requests have ended.
+// slotWaitMs returns how long a request waits for a slot at w, in milliseconds: beyond
+// the slots or the KV memory, until earlier requests have ended.
 func (p *Placer) slotWaitMs(now kumquatlug.Millis, w *worker, prompt kumquatlug.Prompt) float64 {
 	ahead := float64(w.running) + p.otherRequestsAt(now, w)
 	slots := float64(w.member.Slots)
 	wait := max(0, ahead+1-slots) * p.meanRunMs / max(slots, 1)
-	if p.kvCapacity == 0 || ahead == 0 {
+	if p.kvCapacityTokens == 0 || ahead == 0 {
 		return wait
 	}
-	lack := w.kvTokens + p.otherRequestsAt(now, w)*p.meanKVTokens + kvTokensFor(prompt) - kvFillFraction*p.kvCapacity
+	lack := w.kvTokens + p.otherRequestsAt(now, w)*p.meanKVTokens + kvTokensFor(prompt) - kvFillFraction*p.kvCapacityTokens
 	return wait + max(0, lack)/p.meanKVTokens*p.meanRunMs/ahead
 }
 
--- a/pkg/kumquatlug/placement/grants.go
+++ b/pkg/kumquatlug/placement/permits.go
@@ -7,37 +7,37 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Grants handle a load close to the prefill capacity that arrives through many
+// Permits handle a load close to the prefill capacity that arrives through many
 // gateways. Each gateway orders its own prompts, but an engine gets those of thirty
 // gateways and serves them in order of arrival, so that most of the value which a
 // single queue would serve in time is served late. So the prompts for one engine are in
-// one queue, at its coordinator, and a gateway requests a grant there before it sends a
-// prompt.
+// one queue, at its coordinator, and a gateway requests a permit there before it sends
+// a prompt.
 //
-// A coordinator that is down, frozen or cut off must not delay a prompt. A request
-// without a reply is sent a second time, as a datagram may be lost. After that all
+// A coordinator that is down, frozen or partitioned must not delay a prompt. A request
+// without a response is sent a second time, as a datagram may be lost. After that all
 // requests to that coordinator go elsewhere: to the next gateway that coordinates the
 // engine, or into this gateway's own queue.
 
-// Constants of grant requests.
+// Constants of permit requests.
 const (
-	// requestRetryAfter is the time without a reply after which a request is sent
+	// requestRetryAfter is the time without a response after which a request is sent
 	// again: several round trips of 1 ms and the wake-up of a process.
 	requestRetryAfter = 25 * kumquatlug.Millis(1)
-	// maxUnansweredRequests is how often a request is sent without a reply.
+	// maxUnansweredRequests is how often a request is sent without a response.
 	maxUnansweredRequests = 2
 	// requestRenewInterval is the interval at which the request of a queued prompt is
-	// renewed. It also recovers a grant that was lost.
+	// renewed. It also recovers a permit that was lost.
 	requestRenewInterval = 100 * kumquatlug.Millis(1)
 )
 
-// grantRequest is the state of a prompt that waits for a grant.
-type grantRequest struct {
+// permitRequest is the state of a prompt that waits for a permit.
+type permitRequest struct {
 	prompt      *queuedPrompt
 	worker      *worker
 	coordinator string
 	// sentAt is when the request was last sent and unanswered how often since the last
-	// reply. queued says that the coordinator has replied.
+	// response. queued says that the coordinator has responded.
 	sentAt     kumquatlug.Millis
 	unanswered int
 	queued     bool
@@ -55,8 +55,7 @@
 	return out
 }
 
-// coordinator returns the gateway that grants prefills at w, empty if none has to be
-// asked.
+// coordinator returns the gateway that grants permits for w, empty if none is required.
 func (p *Placer) coordinator(now kumquatlug.Millis, w *worker) string {
 	if p.config.Coordinators == nil {
 		return ""
@@ -73,15 +72,15 @@
 	return p.config.Coordinators != nil && p.config.Coordinators.Coordinates(now, w.member.Worker.ID())
 }
 
-// requestGrant requests a grant for a prompt from a coordinator.
-func (p *Placer) requestGrant(now kumquatlug.Millis, coordinator string, w *worker, queued *queuedPrompt) {
-	a := &grantRequest{prompt: queued, worker: w, coordinator: coordinator}
-	p.grantRequests[queued.key] = a
+// requestPermit requests a permit for a prompt from a coordinator.
+func (p *Placer) requestPermit(now kumquatlug.Millis, coordinator string, w *worker, queued *queuedPrompt) {
+	a := &permitRequest{prompt: queued, worker: w, coordinator: coordinator}
+	p.permitRequests[queued.key] = a
 	w.requestedTokens += queued.choice.effectiveTokens
 	p.sendRequest(now, a)
 }
 
-func (p *Placer) sendRequest(now kumquatlug.Millis, a *grantRequest) {
+func (p *Placer) sendRequest(now kumquatlug.Millis, a *permitRequest) {
 	a.sentAt = now
 	a.unanswered++
 	q := a.prompt.query
@@ -93,15 +92,15 @@
 }
 
 // removeRequest removes a request from the pending ones.
-func (p *Placer) removeRequest(a *grantRequest) {
-	delete(p.grantRequests, a.prompt.key)
+func (p *Placer) removeRequest(a *permitRequest) {
+	delete(p.permitRequests, a.prompt.key)
 	a.worker.requestedTokens -= a.prompt.choice.effectiveTokens
 }
 
-// Answered handles the reply of a coordinator. It returns the prompt when it is granted
-// or given up.
+// Answered handles the response of a coordinator. It returns the prompt when its permit
+// is granted or refused.
 func (p *Placer) Answered(now kumquatlug.Millis, m kumquatlug.TurnMessage) (Due, bool) {
-	a, known := p.grantRequests[m.Turn.Key]
+	a, known := p.permitRequests[m.Turn.Key]
 	if !known || !a.matches(m) {
 		if m.Turn.Step == kumquatlug.TurnGranted {
 			// The prompt was sent elsewhere meanwhile; the engine is free for the next
@@ -120,7 +119,7 @@
 		return p.beginGranted(now, a, m.Turn), true
 	case kumquatlug.TurnRefused:
 		p.removeRequest(a)
-		a.prompt.choice.wait = float64(m.Turn.Wait)
+		a.prompt.choice.waitMs = float64(m.Turn.Wait)
 		return Due{key: a.prompt.key, choice: a.prompt.choice}, true
 	}
 	// The gateways disagree on who coordinates the engine, so this one's own queue is
@@ -131,35 +130,35 @@
 	return Due{}, false
 }
 
-// matches reports whether a message is the reply to the last request: from this
+// matches reports whether a message is the response to the last request: from this
 // coordinator, and for this engine. Coordinators of an older software version name no
 // engine.
-func (a *grantRequest) matches(m kumquatlug.TurnMessage) bool {
+func (a *permitRequest) matches(m kumquatlug.TurnMessage) bool {
 	engine := m.Turn.Engine
 	return a.coordinator == m.Front && (engine == "" || engine == a.worker.member.Worker.ID())
 }
 
-// beginGranted begins the attempt for a granted prompt.
-func (p *Placer) beginGranted(now kumquatlug.Millis, a *grantRequest, turn kumquatlug.Turn) Due {
+// beginGranted begins the attempt for a prompt whose permit is granted.
+func (p *Placer) beginGranted(now kumquatlug.Millis, a *permitRequest, permit kumquatlug.Turn) Due {
 	queued := a.prompt
-	queued.choice.wait = float64(turn.Wait) + p.handoffMs()
-	queued.choice.uncachedTokens = float64(turn.Fresh)
+	queued.choice.waitMs = float64(permit.Wait) + p.handoffMs()
+	queued.choice.uncachedTokens = float64(permit.Fresh)
 	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
 	p.addLoad(now, a.worker, queued)
 	t := p.begin(now, queued.choice, queued.query.Prompt, a.coordinator, queued.key)
-	// Only the coordinator knows whether other prompts are prefilled first. If this one
-	// were taken to be alone, its engine would look slow.
-	t.engineIdle = turn.Alone
+	// Only the coordinator can determine whether other prompts are prefilled first. If
+	// this one were taken to be alone, its engine would look slow.
+	t.engineIdle = permit.Alone
 	return Due{key: queued.key, choice: queued.choice, ticket: t}
 }
 
-// sendRelease sends the release of a grant to a coordinator.
+// sendRelease sends the release of a permit to a coordinator.
 func (p *Placer) sendRelease(coordinator string, t kumquatlug.Turn) {
 	p.send(coordinator, kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: t.Engine, Key: t.Key})
 }
 
-// Remind sends requests without a reply again, and gives up coordinators that left one
-// unanswered twice. It has to be called every few hundredths of a second.
+// Remind sends requests without a response again, and gives up coordinators that left
+// one unanswered twice. It has to be called every few hundredths of a second.
 func (p *Placer) Remind(now kumquatlug.Millis) {
 	for _, a := range p.requestsInOrder() {
 		after := requestRetryAfter
@@ -167,7 +166,7 @@
 			after = requestRenewInterval
 		}
 		switch {
-		case p.grantRequests[a.prompt.key] != a || now-a.sentAt < after:
+		case p.permitRequests[a.prompt.key] != a || now-a.sentAt < after:
 		case a.unanswered >= maxUnansweredRequests:
 			p.abandonCoordinator(now, a.coordinator)
 		default:
@@ -177,17 +176,17 @@
 }
 
 // requestsInOrder returns the pending requests, the oldest first.
-func (p *Placer) requestsInOrder() []*grantRequest {
-	all := make([]*grantRequest, 0, len(p.grantRequests))
-	for _, a := range p.grantRequests {
+func (p *Placer) requestsInOrder() []*permitRequest {
+	all := make([]*permitRequest, 0, len(p.permitRequests))
+	for _, a := range p.permitRequests {
 		all = append(all, a)
 	}
-	slices.SortFunc(all, func(a, b *grantRequest) int { return cmp.Compare(a.prompt.key, b.prompt.key) })
+	slices.SortFunc(all, func(a, b *permitRequest) int { return cmp.Compare(a.prompt.key, b.prompt.key) })
 	return all
 }
 
-// abandonCoordinator requeues all prompts that wait for grants of a coordinator that is
-// down.
+// abandonCoordinator requeues all prompts that wait for permits of a coordinator that
+// is unresponsive.
 func (p *Placer) abandonCoordinator(now kumquatlug.Millis, coordinator string) {
 	p.config.Coordinators.Missed(now, coordinator)
 	for _, a := range p.requestsInOrder() {
@@ -212,7 +211,7 @@
 
 // cancelRequest withdraws the request of a prompt whose client has disconnected.
 func (p *Placer) cancelRequest(key uint64) {
-	if a, known := p.grantRequests[key]; known {
+	if a, known := p.permitRequests[key]; known {
 		p.removeRequest(a)
 		p.sendRelease(a.coordinator, kumquatlug.Turn{Engine: a.worker.member.Worker.ID(), Key: key})
 	}
--- a/pkg/kumquatlug/placement/placement.go
+++ b/pkg/kumquatlug/placement/placement.go
@@ -3,7 +3,7 @@
 // of a plain service runs a request.
 //
 // It is built for long prompts that share most of their tokens, at a rate close to the
-// prefill capacity of the engines. A gateway knows its own requests, the load that
+// prefill capacity of the engines. A gateway sees its own requests, the load that
 // workers report in each response, and, for the engines that it coordinates, the
 // prompts of all gateways. If prompts were spread evenly, each engine would prefill
 // every shared prefix again, three times the work, and the queues would never drain. If
@@ -25,7 +25,7 @@
 //   - a request that no worker can start in time is refused at once, with a time after
 //     which to retry.
 //
-// A Placer belongs to one owner and is not safe for concurrent use.
+// A Placer is not safe for concurrent use.
 package placement
 
 import (
@@ -40,7 +40,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/ratelimit"
 )
 
-// Config holds the settings of a [Placer]. The zero value of each field stands for its
+// Config holds the settings of a [Placer]. The zero value of each field means its
 // default.
 type Config struct {
 	// Zone is the gateway's data centre.
@@ -166,8 +166,8 @@
 	// refusals counts consecutive refusals; until backoffUntil no new request is sent.
 	refusals     int
 	backoffUntil kumquatlug.Millis
-	// pausedUntil is the end of a pause for which the worker asked.
-	pausedUntil kumquatlug.Millis
+	// requestedBackoffUntil is the end of a backoff that the worker requested.
+	requestedBackoffUntil kumquatlug.Millis
 	// attempts are the attempts in flight for this gateway. lastSeenAt is when anything
 	// last came from the worker, pauses are those between two events of a stream, and
 	// unresponsive says that the worker is excluded because nothing came from it.
@@ -178,9 +178,9 @@
 	// probedAt is when the last liveness probe was sent.
 	probedAt kumquatlug.Millis
 	// queue holds the prompts that wait for the engine, including those of other
-	// gateways if this one coordinates it. grants are the ones given to other gateways.
-	queue  []*queuedPrompt
-	grants []remoteGrant
+	// gateways if this one coordinates it. permits are those granted to other gateways.
+	queue   []*queuedPrompt
+	permits []remotePermit
 	// requestedTokens is the number of tokens to prefill in the prompts that wait at
 	// the engine's coordinator.
 	requestedTokens float64
@@ -215,8 +215,8 @@
 	meanPlainMs       float64
 	// meanKVTokens is the mean KV memory of one request at a decode engine, in tokens,
 	// and kvCapacity that of an engine; zero when it is not known.
-	meanKVTokens float64
-	kvCapacity   float64
+	meanKVTokens     float64
+	kvCapacityTokens float64
 	// meanOtherRequests is the mean number of requests of other gateways that workers
 	// reported.
 	meanOtherRequests float64
@@ -232,14 +232,14 @@
 	// slowdown is the ratio of actual to expected prefill time.
 	slowdown float64
 	prunedAt kumquatlug.Millis
-	// prefillInterval is the mean interval between two prompts of this gateway that
+	// prefillIntervalMs is the mean interval between two prompts of this gateway that
 	// were given to prefill engines, in ms; lastPrefillAt is the time of the last one.
-	prefillInterval float64
-	lastPrefillAt   kumquatlug.Millis
-	// displaced holds prompts that were queued for workers that left, grantRequests
-	// those that wait at other gateways.
-	displaced     []*queuedPrompt
-	grantRequests map[uint64]*grantRequest
+	prefillIntervalMs float64
+	lastPrefillAt     kumquatlug.Millis
+	// displaced holds prompts that were queued for workers that left, permitRequests
+	// those that wait for permits of other gateways.
+	displaced      []*queuedPrompt
+	permitRequests map[uint64]*permitRequest
 	// outbox holds messages to other gateways.
 	outbox   []kumquatlug.TurnMessage
 	averages pressureAverages
@@ -251,7 +251,7 @@
 func New(c Config) *Placer {
 	c = c.withDefaults()
 	return &Placer{
-		config: c, workers: map[string]*worker{}, grantRequests: map[uint64]*grantRequest{}, health: health.New(c.Health), meanPrefillTokens: 3000, meanPlainMs: initialPlainMs,
+		config: c, workers: map[string]*worker{}, permitRequests: map[uint64]*permitRequest{}, health: health.New(c.Health), meanPrefillTokens: 3000, meanPlainMs: initialPlainMs,
 		meanRunMs: initialRunMs, meanKVTokens: initialKVTokens, slowdown: 1, prefillModel: learn.NewReading(c.Reading),
 		tokenTime: learn.NewPerUnit(initialTokenMs, initialOutputTokens),
 		overrun:   learn.NewOverrun(initialOverrunMs), plainOverrun: learn.NewOverrun(initialPlainOverrunMs),
@@ -261,7 +261,7 @@
 // Sync updates the workers to the current members of the service. A worker that
 // restarted under the same name has nothing cached. Sync returns the streams in flight
 // at workers that leave: such a worker serves for a few more seconds, and streams that
-// are not moved by then are cut off.
+// are not moved by then break off.
 func (p *Placer) Sync(now kumquatlug.Millis, members []kumquatlug.Member) []*Ticket {
 	var streams []*Ticket
 	seen := map[string]bool{}
@@ -329,4 +329,4 @@
 }
 
 // SetMemory sets the KV memory of an engine, in tokens.
-func (p *Placer) SetMemory(tokens int) { p.kvCapacity = float64(tokens) }
+func (p *Placer) SetMemory(tokens int) { p.kvCapacityTokens = float64(tokens) }
--- a/pkg/kumquatlug/placement/queue.go
+++ b/pkg/kumquatlug/placement/queue.go
@@ -29,7 +29,7 @@
 	// arrives early takes memory from cached prefixes.
 	maxEngineBacklogMs = 5.0
 	// postPrefillMs is the time from the end of a prefill until the first output
-	// reaches the client, in milliseconds: the transfer, a place in the batch and the
+	// reaches the client, in milliseconds: the transfer, the wait for a slot and the
 	// network.
 	postPrefillMs = 25.0
 	// promptOverheadTokens is the fixed cost of a prompt, in tokens.
@@ -61,7 +61,7 @@
 	lateAt kumquatlug.Millis
 	// maxLateHold is how long it stays queued at most from then on.
 	maxLateHold kumquatlug.Millis
-	// skipCoordinator says that no coordinator is asked for a grant.
+	// skipCoordinator says that no permit is requested from a coordinator.
 	skipCoordinator bool
 	// remote identifies a prompt of another gateway, which last renewed its request at
 	// renewedAt.
@@ -91,8 +91,8 @@
 	return p.submit(now, &queuedPrompt{key: key, query: q, maxLateHold: q.timeLeft(now) / lateHoldDivisor})
 }
 
-// submit sends a prompt to its engine, or queues it for the engine, or requests a grant
-// from the gateway that coordinates the engine.
+// submit sends a prompt to its engine, or queues it for the engine, or requests a
+// permit from the gateway that coordinates the engine.
 func (p *Placer) submit(now kumquatlug.Millis, queued *queuedPrompt) (Entry, Choice, *Ticket) {
 	q := queued.query
 	c, found := p.Prompt(now, q)
@@ -114,7 +114,7 @@
 	}
 	if coordinator := p.coordinator(now, w); c.prefillOnly && coordinator != "" && !queued.skipCoordinator {
 		p.reserve(now, w, c)
-		p.requestGrant(now, coordinator, w, queued)
+		p.requestPermit(now, coordinator, w, queued)
 		return EntryWaits, c, nil
 	}
 	if !c.prefillOnly || len(w.queue) == 0 && p.hasCapacity(now, w) {
@@ -255,14 +255,14 @@
 	}
 	w.load = p.recentLoad(now, w) + queued.choice.effectiveTokens
 	w.loadAt = now
-	p.prefillInterval += ewmaWeight * (min(float64(now-p.lastPrefillAt), maxLoadWindowMs) - p.prefillInterval)
+	p.prefillIntervalMs += ewmaWeight * (min(float64(now-p.lastPrefillAt), maxLoadWindowMs) - p.prefillIntervalMs)
 	p.lastPrefillAt = now
 }
 
 // loadWindowMs returns the time over which an engine's load is averaged, in
 // milliseconds.
 func (p *Placer) loadWindowMs() float64 {
-	return min(max(loadWindowPrompts*p.prefillInterval*float64(p.prefillEngines), minLoadWindowMs), maxLoadWindowMs)
+	return min(max(loadWindowPrompts*p.prefillIntervalMs*float64(p.prefillEngines), minLoadWindowMs), maxLoadWindowMs)
 }
 
 // Due is a prompt that leaves the queue: it is sent, or given up.
@@ -300,7 +300,7 @@
 				continue
 			}
 			// The time in the queue is not part of what the engine takes.
-			queued.choice.wait = (p.inFlightTokens(now, w)+queued.choice.effectiveTokens)/p.prefillRate()*p.slowdown + p.handoffMs()
+			queued.choice.waitMs = (p.inFlightTokens(now, w)+queued.choice.effectiveTokens)/p.prefillRate()*p.slowdown + p.handoffMs()
 			p.addLoad(now, w, queued)
 			due = append(due, Due{key: queued.key, choice: queued.choice, ticket: p.Begin(now, queued.choice, queued.query.Prompt)})
 		}
@@ -316,8 +316,8 @@
 	p.displaced = nil
 	for _, queued := range displaced {
 		queued.late = false
-		entry, c, ticket := p.submit(now, queued)
-		if entry != EntryWaits {
+		result, c, ticket := p.submit(now, queued)
+		if result != EntryWaits {
 			due = append(due, Due{key: queued.key, choice: c, ticket: ticket})
 		}
 	}
@@ -393,7 +393,7 @@
 
 // Waiting returns the number of queued prompts, including those of other gateways.
 func (p *Placer) Waiting() int {
-	n := len(p.displaced) + len(p.grantRequests)
+	n := len(p.displaced) + len(p.permitRequests)
 	for _, w := range p.ordered {
 		n += len(w.queue)
 	}
