--- a/pkg/kumquatlug/failure.go
+++ b/pkg/kumquatlug/failure.go
@@ -12,7 +12,7 @@
 	// ErrUnavailable marks a failure in which nothing took effect.
 	ErrUnavailable = errors.New("unavailable")
 	// ErrLost marks a failure in which it is unknown whether there was an effect.
-	ErrLost = errors.New("response lost")
+	ErrLost = errors.New("answer lost")
 	// ErrConflict marks a transaction or change that conflicts with another one.
 	ErrConflict = errors.New("conflict")
 	// ErrNotFound marks something that does not exist.
--- a/pkg/kumquatlug/stream/stream.go
+++ b/pkg/kumquatlug/stream/stream.go
@@ -170,7 +170,7 @@
 // request is empty.
 func New(c Config) (*Answer, error) {
 	if c.Request == "" {
-		return nil, errors.New("the id of the request is missing")
+		return nil, errors.New("an answer needs the id of its request")
 	}
 	c.Attempts = cmp.Or(c.Attempts, DefaultAttempts)
 	c.Ahead = cmp.Or(c.Ahead, DefaultAhead)
