--- a/cmd/kumquatlug-capacity/main.go
+++ b/cmd/kumquatlug-capacity/main.go
@@ -74,7 +74,7 @@
 func measurementList() string {
 	lines := []string{"Measurements:"}
 	for _, m := range capacity.Measurements() {
-		lines = append(lines, fmt.Sprintf("  %-12s%s", m.Name(), m.About()))
+		lines = append(lines, fmt.Sprintf("  %-12s%s", m.Name(), m.Description()))
 	}
 	return strings.Join(lines, "\n")
 }
--- a/cmd/kumquatlug-experiment/main.go
+++ b/cmd/kumquatlug-experiment/main.go
@@ -86,7 +86,7 @@
 	}
 	var list []experiment.Scenario
 	for _, name := range strings.Split(o.scenarios, ",") {
-		s, ok := experiment.ScenarioOf(name)
+		s, ok := experiment.ScenarioByName(name)
 		if !ok {
 			return nil, errors.Newf("unknown scenario %q", name)
 		}
@@ -103,7 +103,7 @@
 	g.SetLimit(max(o.workers, 1))
 	for i, s := range scenarios {
 		g.Go(func() error {
-			resultsByScenario[i] = experiment.Compare(s, o.seed)
+			resultsByScenario[i] = experiment.RunPolicies(s, o.seed)
 			return nil
 		})
 	}
--- a/cmd/kumquatlug-standin/load.go
+++ b/cmd/kumquatlug-standin/load.go
@@ -44,15 +44,15 @@
 	f.IntVar(&c.Count, "count", 1000, "maximum number of requests per run or round")
 	millisVar(cmd, &c.Duration, "duration", kumquatlug.Minute, "time after which a run or round stops sending")
 	millisVar(cmd, &c.Timeout, "timeout", kumquatlug.Minute, "timeout of one request")
-	f.StringVar((*string)(&c.Form), "form", string(load.FormStreamed), "form of the responses: streamed, whole or mixed")
+	f.StringVar((*string)(&c.ResponseKind), "form", string(load.ResponseStreamed), "form of the responses: streamed, whole or mixed")
 	f.Uint64Var(&c.Seed, "seed", 1, "seed of the arrivals and prompts")
 	f.Float64Var(&c.Mix.LongShare, "long-share", 0.24, "fraction of requests with long prompts and short responses")
-	millisVar(cmd, &c.Mix.ShiftAt, "shift-at", 0, "time after which the mix changes; 0 for never")
+	millisVar(cmd, &c.Mix.ShiftTime, "shift-at", 0, "time after which the mix changes; 0 for never")
 	f.Float64Var(&c.Mix.ShiftedShare, "shifted-share", 0.76, "fraction with long prompts after the change")
 	f.IntVar(&c.Mix.LongPrompt, "long-prompt", 2000, "length of a long prompt, in tokens")
 	f.IntVar(&c.Mix.ShortPrompt, "short-prompt", 50, "length of a short prompt, in tokens")
-	f.IntVar(&c.Mix.LongAnswer, "long-answer", 200, "length of a long response, in tokens")
-	f.IntVar(&c.Mix.ShortAnswer, "short-answer", 10, "length of a short response, in tokens")
+	f.IntVar(&c.Mix.LongResponse, "long-answer", 200, "length of a long response, in tokens")
+	f.IntVar(&c.Mix.ShortResponse, "short-answer", 10, "length of a short response, in tokens")
 	f.IntVar(&c.Mix.Documents, "documents", 0, "number of distinct prefixes shared by prompts; 0 for none")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
@@ -70,7 +70,7 @@
 		if err != nil {
 			return err
 		}
-		return writeReport(out, comparison, comparison.Direct().Broken()+comparison.Through().Broken())
+		return writeReport(out, comparison, comparison.Direct().Invalid()+comparison.ThroughSystem().Invalid())
 	}
 	if flags.direct {
 		c.URL, c.Keys = flags.engineURL, nil
@@ -80,7 +80,7 @@
 		return err
 	}
 	result := generator.Run(ctx)
-	return writeReport(out, result, result.Broken())
+	return writeReport(out, result, result.Invalid())
 }
 
 func writeReport(out io.Writer, report json.Marshaler, failedResponses int) error {
--- a/cmd/kumquatlug/check.go
+++ b/cmd/kumquatlug/check.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	files := map[string][]byte{"ca.pem": authority.PEM()}
-	for _, role := range []peer.Role{peer.RoleEntry, peer.RoleAgent} {
+	for _, role := range []peer.Role{peer.RoleGateway, peer.RoleAgent} {
 		certificate, key, err := authority.Issue(role)
 		if err != nil {
 			return err
--- a/cmd/kumquatlug/configure.go
+++ b/cmd/kumquatlug/configure.go
@@ -99,7 +99,7 @@
 		if err := editLabels(labels, args[1:]); err != nil {
 			return err
 		}
-		set, err := config.SetLabels(args[0], labels)
+		set, err := config.NewLabelsSet(args[0], labels)
 		if err != nil {
 			return err
 		}
@@ -171,11 +171,11 @@
 	flags.IntVar(&c.Priority, "priority", 0, "-2 to 2; higher values are served first")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		c.Name, c.Protocol, c.Role = args[0], kumquatlug.Protocol(protocol), kumquatlug.Role(role)
-		c.Deadline = kumquatlug.Millis(deadline)
+		c.Timeout = kumquatlug.Millis(deadline)
 		if c.Role == "" {
 			c.Role = defaultRole(c.Protocol)
 		}
-		set, err := config.SetSelector(c)
+		set, err := config.NewSelectorSet(c)
 		if err != nil {
 			return errors.Mark(err, kumquatlug.ErrDenied)
 		}
@@ -238,7 +238,7 @@
 			key = "klug-" + rand.Text()
 		}
 		c.Name, c.KeyHash = args[0], kumquatlug.HashKey(key)
-		set, err := config.SetCaller(c)
+		set, err := config.NewCallerSet(c)
 		if err != nil {
 			return errors.Mark(err, kumquatlug.ErrDenied)
 		}
--- a/cmd/kumquatlug/dev.go
+++ b/cmd/kumquatlug/dev.go
@@ -192,7 +192,7 @@
 func (s *devSettings) newGateway(ctx context.Context) (*entry.Entry, error) {
 	gatewaySettings := entrySettings{
 		nodeSettings: s.nodeSettingsFor("entry-1"), listen: s.listen, peerListen: "127.0.0.1:0", operatorListen: s.operatorListen,
-		operatorKeys: []string{"laptop=" + s.operatorKey}, vmListIntervalMillis: 500, rolePlanner: plannerStatic, maxBufferedBytes: caller.DefaultMaxHeld,
+		operatorKeys: []string{"laptop=" + s.operatorKey}, vmListIntervalMillis: 500, rolePlanner: plannerStatic, maxBufferedBytes: caller.DefaultMaxTotalBodyBytes,
 	}
 	node, err := gatewaySettings.newNode()
 	if err != nil {
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.listen, s.operatorListen = c.Callers.Addr().String(), c.Operators.Addr().String()
+	s.listen, s.operatorListen = c.CallerListener.Addr().String(), c.OperatorListener.Addr().String()
 	return entry.New(c)
 }
 
@@ -230,16 +230,16 @@
 		sets = append(sets, set)
 		errs = errors.CombineErrors(errs, err)
 	}
-	add(config.SetLabels("engine-1", selector.Labels{"pool": "engines"}))
-	add(config.SetLabels("engine-2", selector.Labels{"pool": "engines"}))
-	add(config.SetLabels("service-1", selector.Labels{"pool": "services"}))
-	add(config.SetSelector(selector.Config{
+	add(config.NewLabelsSet("engine-1", selector.Labels{"pool": "engines"}))
+	add(config.NewLabelsSet("engine-2", selector.Labels{"pool": "engines"}))
+	add(config.NewLabelsSet("service-1", selector.Labels{"pool": "services"}))
+	add(config.NewSelectorSet(selector.Config{
 		Name: "engines", Protocol: kumquatlug.ProtocolEngine, Kind: devModel, Role: kumquatlug.RoleBoth, Match: "pool=engines",
 	}))
-	add(config.SetSelector(selector.Config{
+	add(config.NewSelectorSet(selector.Config{
 		Name: "services", Protocol: kumquatlug.ProtocolService, Kind: devService, Role: kumquatlug.RoleServe, Match: "pool=services",
 	}))
-	add(config.SetCaller(kumquatlug.CallerConfig{Name: devCaller, KeyHash: kumquatlug.HashKey(s.callerKey)}))
+	add(config.NewCallerSet(kumquatlug.CallerConfig{Name: devCaller, KeyHash: kumquatlug.HashKey(s.callerKey)}))
 	return sets, errs
 }
 
--- a/cmd/kumquatlug/entry.go
+++ b/cmd/kumquatlug/entry.go
@@ -44,11 +44,11 @@
 	flags.StringVar(&s.publicCert, "public-cert", "", "certificate of the callers' and operators' APIs: PEM text or a file; empty means plain HTTP")
 	flags.StringVar(&s.publicKey, "public-key", "", "private key of --public-cert: PEM text or a file")
 	flags.StringSliceVar(&s.operatorKeys, "operator-keys", nil, "operators and their keys as name=key, comma-separated")
-	flags.Int64Var(&s.balancerLagMillis, "balancer-lag-ms", int64(drain.EntryLag), "how long a stopping gateway accepts requests after /readyz starts to fail, in milliseconds")
+	flags.Int64Var(&s.balancerLagMillis, "balancer-lag-ms", int64(drain.GatewayRefuseDelay), "how long a stopping gateway accepts requests after /readyz starts to fail, in milliseconds")
 	flags.Int64Var(&s.vmListIntervalMillis, "list-every-ms", 2000, "interval between reads of the list of VMs, in milliseconds")
-	flags.Int64Var(&s.maxBodyBytes, "max-body-bytes", caller.DefaultMaxBody, "maximum size of a request body")
-	flags.Int64Var(&s.maxBufferedBytes, "max-held-bytes", caller.DefaultMaxHeld, "maximum total size of the bodies of requests in flight; they use three times that much memory")
-	flags.IntVar(&s.subsetSize, "subset", routing.DefaultSubset, "maximum number of engines of a kind that this gateway connects to")
+	flags.Int64Var(&s.maxBodyBytes, "max-body-bytes", caller.DefaultMaxBodyBytes, "maximum size of a request body")
+	flags.Int64Var(&s.maxBufferedBytes, "max-held-bytes", caller.DefaultMaxTotalBodyBytes, "maximum total size of the bodies of requests in flight; they use three times that much memory")
+	flags.IntVar(&s.subsetSize, "subset", routing.DefaultSubsetSize, "maximum number of engines of a kind that this gateway connects to")
 	flags.StringVar(&s.rolePlanner, "role-planner", plannerGoodput, "planner of the engines' roles: goodput, threshold or static")
 	flags.Float64Var(&s.roleChangeCost, "role-price", 1, "cost of a role change, as a multiple of the work the engine could do meanwhile")
 	flags.Float64Var(&s.sufficientShare, "role-enough", 1, "share of the best split's goodput above which roles are not changed, 0.5 to 1")
@@ -100,7 +100,7 @@
 	case plannerStatic:
 		return planner.Static{}
 	default:
-		return planner.New(planner.Config{Price: s.roleChangeCost, Enough: s.sufficientShare})
+		return planner.New(planner.Config{ChangeCost: s.roleChangeCost, SufficientShare: s.sufficientShare})
 	}
 }
 
@@ -171,12 +171,12 @@
 	}
 	store := s.newStore(node.clock)
 	return entry.Config{
-		Name: s.name, Zone: s.zone, Callers: listeners[0], Peers: listeners[1], Operators: listeners[2],
-		PeerAddress: s.peerAddress, Keys: node.keys, CallerTLS: public, OperatorKeys: hashes,
+		Name: s.name, Zone: s.zone, CallerListener: listeners[0], PeerListener: listeners[1], OperatorListener: listeners[2],
+		PeerAddress: s.peerAddress, PeerKeys: node.keys, CallerTLS: public, OperatorKeys: hashes,
 		Table: store, Objects: store, VMs: membership.NewRoster(store), Clock: node.clock,
-		ListEvery: kumquatlug.Millis(s.vmListIntervalMillis), BalancerLag: kumquatlug.Millis(s.balancerLagMillis), MaxBody: s.maxBodyBytes, MaxHeld: s.maxBufferedBytes,
-		Planner:  s.newPlanner,
-		Dispatch: dispatch.Config{Seed: s.randomSeed(), Subset: s.subsetSize},
-		Logger:   node.logger, Registry: node.registry, Ring: node.ring,
+		VMListInterval: kumquatlug.Millis(s.vmListIntervalMillis), BalancerLag: kumquatlug.Millis(s.balancerLagMillis), MaxBodyBytes: s.maxBodyBytes, MaxTotalBodyBytes: s.maxBufferedBytes,
+		NewPlanner: s.newPlanner,
+		Dispatch:   dispatch.Config{Seed: s.randomSeed(), SubsetSize: s.subsetSize},
+		Logger:     node.logger, Registry: node.registry, Ring: node.ring,
 	}, nil
 }
--- a/cmd/kumquatlug/front.go
+++ b/cmd/kumquatlug/front.go
@@ -46,9 +46,9 @@
 	flags.StringVar(&s.metricsListen, "metrics-listen", "", "IP:port of the metrics endpoint; empty for none")
 	flags.StringVar(&s.logLevel, "log-level", "info", "debug, info, warn or error")
 	flags.Float64Var(&s.prefillShare, "read-part", defaultPrefillShare, "share of engines that run prefill, above 0 and below 1")
-	flags.Float64Var(&s.placement.AwayPrice, "away-price", 0, "cost of prefilling a shared prefix again, as a multiple of the time it takes; 0 for the default")
-	flags.Float64Var(&s.placement.MixedPrice, "mixed-price", 0, "cost of a prefill at a decode engine whose slots are all taken, as a multiple of the time it takes; 0 for the default")
-	flags.Float64Var(&s.placement.ZonePrice, "zone-price", 0, "cost of a worker in another data centre, in milliseconds; 0 for the default")
+	flags.Float64Var(&s.placement.RecomputePenalty, "away-price", 0, "cost of prefilling a shared prefix again, as a multiple of the time it takes; 0 for the default")
+	flags.Float64Var(&s.placement.MixedPrefillPenalty, "mixed-price", 0, "cost of a prefill at a decode engine whose slots are all taken, as a multiple of the time it takes; 0 for the default")
+	flags.Float64Var(&s.placement.ZonePenaltyMs, "zone-price", 0, "cost of a worker in another data centre, in milliseconds; 0 for the default")
 }
 
 func (s *frontSettings) check(problems settings.Problems) settings.Problems {
@@ -62,7 +62,7 @@
 		c.Add("read-part", "a share, above 0 and below 1", "is out of range")
 	}
 	for flag, cost := range map[string]float64{
-		"away-price": s.placement.AwayPrice, "mixed-price": s.placement.MixedPrice, "zone-price": s.placement.ZonePrice,
+		"away-price": s.placement.RecomputePenalty, "mixed-price": s.placement.MixedPrefillPenalty, "zone-price": s.placement.ZonePenaltyMs,
 	} {
 		if cost < 0 || cost > maxCost {
 			c.Add(flag, "a cost, 0 to 1000", "is out of range")
@@ -131,40 +131,42 @@
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	now := clock.NewMonotonic()
-	newPool := func(maxIdle int) *exchange.Pool { return exchange.New(exchange.Config{Clock: now, Kept: maxIdle}) }
+	newPool := func(maxIdle int) *exchange.Pool {
+		return exchange.New(exchange.Config{Clock: now, MaxIdlePerAddress: maxIdle})
+	}
 	requestPool, controlPool := newPool(maxIdleWorkerConns), newPool(maxIdleControlConns)
-	store := platform.NewStore(platform.StoreConfig{Address: platformSettings.Store, Pool: newPool(maxIdleStoreConns)})
+	store := platform.NewStore(platform.StoreConfig{Address: platformSettings.StoreAddress, Pool: newPool(maxIdleStoreConns)})
 	c := gateway.Config{
-		Name: platformSettings.Name, VM: platformSettings.Name + "@" + platformSettings.Clients, Zone: platformSettings.Zone, Incarnation: kumquatlug.NewIncarnation(platformSettings.Name), ReadyPath: platform.PathReady,
-		Ingress: platform.Ingress{}, Directory: platform.Directory{}, Table: store, Feed: store,
-		Workers:     platform.NewWorkers(platform.WorkersConfig{Requests: requestPool, Control: controlPool}),
+		Name: platformSettings.Name, VM: platformSettings.Name + "@" + platformSettings.ClientAddress, Zone: platformSettings.Zone, Incarnation: kumquatlug.NewIncarnation(platformSettings.Name), ReadyPath: platform.PathReady,
+		Ingress: platform.Ingress{}, RowDecoder: platform.RowDecoder{}, Table: store, ChangeFeed: store,
+		Workers:     platform.NewWorkerClient(platform.WorkerClientConfig{Requests: requestPool, Control: controlPool}),
 		ConfigTable: platform.ConfigTable, ConfigKey: platform.ConfigKey, MemberTable: platform.MemberTable, CrashTable: platform.CrashTable, PlanTable: platform.PlanTable,
-		Clock: now, Awake: clock.NewAwake(), Grace: platformSettings.Grace, OrderTurn: platformSettings.OrderTurn, LeaveSpan: platformSettings.LeaveSpan,
-		Repeats:    retry.SharedConfig{Ratio: platformSettings.RepeatRatio, Floor: platformSettings.RepeatFloor, Window: platformSettings.RepeatWindow},
-		ConfigSpan: platformSettings.ConfigSpan, FailClosed: platformSettings.FailClosed, RevokeSpan: platformSettings.RevokeSpan,
-		MaxBodies: platformSettings.MemoryBytes / maxBodiesDivisor,
-		ReadPart:  s.prefillShare, Placement: s.placement, Logger: logger, Registry: registry,
-		Sweep: func(keep func(string) bool) {
-			requestPool.Sweep(keep)
-			controlPool.Sweep(keep)
+		Clock: now, BootClock: clock.NewBoottime(), GracePeriod: platformSettings.GracePeriod, HandoverDelay: platformSettings.HandoverDelay, WorkerGracePeriod: platformSettings.WorkerGracePeriod,
+		RetryBudget:    retry.SharedBudgetConfig{Ratio: platformSettings.RetryRatio, MinRetries: platformSettings.MinRetries, Window: platformSettings.RetryWindow},
+		MaxConfigDelay: platformSettings.MaxConfigDelay, FailClosed: platformSettings.FailClosed, MaxRevocationDelay: platformSettings.MaxRevocationDelay,
+		MaxBodyBytes: platformSettings.MemoryBytes / maxBodiesDivisor,
+		PrefillShare: s.prefillShare, Placement: s.placement, Logger: logger, Registry: registry,
+		CloseIdle: func(keep func(string) bool) {
+			requestPool.CloseIdle(keep)
+			controlPool.CloseIdle(keep)
 		},
 	}
-	if platformSettings.ReportsUsage || platformSettings.Scales {
-		c.Duties = platform.NewDuties(platformSettings.Duties, newPool(maxIdleControlConns))
+	if platformSettings.ReportsUsage || platformSettings.ScalingEnabled {
+		c.LeaderActions = platform.NewLeaderActions(platformSettings.CloudAddress, newPool(maxIdleControlConns))
 	}
 	if platformSettings.ReportsUsage {
-		c.UsageWindows = usage.Windows{Span: platformSettings.UsageSpan, Due: platformSettings.UsageDue}
-		c.Wall = clock.NewWall(c.Awake)
+		c.UsageWindows = usage.Windows{Span: platformSettings.UsageWindow, MaxReportDelay: platformSettings.MaxUsageReportDelay}
+		c.WallClock = clock.NewWall(c.BootClock)
 	}
-	c.Scales = platformSettings.Scales
+	c.ScalingEnabled = platformSettings.ScalingEnabled
 	var err error
-	if c.Fronts, err = newPeerLink(ctx, platformSettings, c, registry); err != nil {
+	if c.Peers, err = newPeerLink(ctx, platformSettings, c, registry); err != nil {
 		return nil, err
 	}
 	for _, listener := range []struct {
 		address     string
 		destination *net.Listener
-	}{{platformSettings.Clients, &c.Clients}, {platformSettings.Ready, &c.Control}, {s.metricsListen, &c.Metrics}} {
+	}{{platformSettings.ClientAddress, &c.ClientListener}, {platformSettings.ReadyAddress, &c.ControlListener}, {s.metricsListen, &c.MetricsListener}} {
 		if listener.address == "" {
 			continue
 		}
@@ -177,13 +179,13 @@
 
 // newPeerLink opens the UDP socket for messages between gateways. It returns nil if
 // the platform's settings have no port for it.
-func newPeerLink(ctx context.Context, platformSettings platform.Settings, c gateway.Config, registry *prometheus.Registry) (kumquatlug.FrontLink, error) {
-	if platformSettings.Peers == "" {
+func newPeerLink(ctx context.Context, platformSettings platform.Settings, c gateway.Config, registry *prometheus.Registry) (kumquatlug.GatewayLink, error) {
+	if platformSettings.PeerAddress == "" {
 		return nil, nil
 	}
-	conn, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", platformSettings.Peers)
+	conn, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", platformSettings.PeerAddress)
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen for peer gateways on %s", platformSettings.Peers)
+		return nil, errors.Wrapf(err, "listen for peer gateways on %s", platformSettings.PeerAddress)
 	}
 	return front.New(front.Config{Name: c.Name, Incarnation: c.Incarnation, Conn: conn, Logger: c.Logger, Registry: registry})
 }
--- a/cmd/kumquatlug/node.go
+++ b/cmd/kumquatlug/node.go
@@ -94,7 +94,7 @@
 
 func (s *nodeSettings) newStore(c kumquatlug.Clock) *platform.Store {
 	return platform.NewStore(platform.StoreConfig{
-		Address: s.platform, Pool: exchange.New(exchange.Config{Clock: c, Kept: maxIdleTableConns}),
+		Address: s.platform, Pool: exchange.New(exchange.Config{Clock: c, MaxIdlePerAddress: maxIdleTableConns}),
 	})
 }
 
--- a/cmd/kumquatlug/vms.go
+++ b/cmd/kumquatlug/vms.go
@@ -55,7 +55,7 @@
 	}
 	addCommand("leaving", "Mark a VM as about to be removed, so that it gets no new work", markLeaving)
 	addCommand("forget", "Remove a VM that no longer exists from the list", func(ctx context.Context, r *membership.Roster, name string) error {
-		return r.Leave(ctx, name)
+		return r.Deregister(ctx, name)
 	})
 	return cmd
 }
@@ -68,7 +68,7 @@
 	}
 	for _, vm := range vms {
 		if vm.Name() == name {
-			return r.Enter(ctx, kumquatlug.NewVM(kumquatlug.VMConfig{
+			return r.Register(ctx, kumquatlug.NewVM(kumquatlug.VMConfig{
 				Name: name, Role: vm.Role(), Address: vm.Address(), Zone: vm.Zone(), State: kumquatlug.VMLeaving,
 			}))
 		}
--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -27,7 +27,7 @@
 
 // Reasons for refusing requests that were in flight at crashes.
 const (
-	reasonSuspect     = dispatch.ReasonSuspect
+	reasonSuspect     = dispatch.ReasonSuspectInFlight
 	reasonQuarantined = "quarantined"
 )
 
@@ -44,7 +44,7 @@
 	drain            *drain.Drain
 	orderGate        *order.Gate
 	suspectGate      *quarantine.Gate
-	registry         *quarantine.Register
+	registry         *quarantine.Registry
 	stopping         bool
 	startCount       order.Incarnation
 	lastID           int64
@@ -62,7 +62,7 @@
 func newAdmissionController(a *Agent) *admissionController {
 	register := quarantine.New(quarantine.Config{})
 	return &admissionController{
-		agent: a, changed: make(chan struct{}), drain: drain.New(drain.Config{Silence: a.c.Silence}),
+		agent: a, changed: make(chan struct{}), drain: drain.New(drain.Config{StaleAfter: a.c.StaleAfter}),
 		suspectGate: quarantine.NewGate(register), registry: register,
 		calls: map[string]inFlightCall{}, startedByGateway: map[string]int64{},
 	}
@@ -141,7 +141,7 @@
 
 func quarantineFailure(agentName string) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "take work", Peer: agentName, Reason: reasonQuarantined, Ran: kumquatlug.RanNot,
+		Step: "take work", Peer: agentName, Reason: reasonQuarantined, Execution: kumquatlug.NotExecuted,
 		Status: http.StatusUnprocessableEntity, Cause: errors.New("this request was in hand at crashes of targets"),
 	})
 }
@@ -156,21 +156,21 @@
 	if !decision.Accepted() {
 		return "", "", nil, ac.agent.refusal("take work", string(decision.Reason()), errorFromText(configRefusal))
 	}
-	if ac.orderGate != nil && !ac.orderGate.Begin() {
+	if ac.orderGate != nil && !ac.orderGate.BeginCall() {
 		_ = ac.drain.End()
-		return "", "", nil, ac.agent.refusal("take work", string(drain.ReasonOrder), nil)
+		return "", "", nil, ac.agent.refusal("take work", string(drain.ReasonUnderOrder), nil)
 	}
 	ac.lastID++
 	id := itoa(int(ac.lastID))
 	fingerprint := quarantine.Fingerprint(work.Fingerprint())
-	verdict := ac.suspectGate.Begin(now, quarantine.Arrival{ID: id, Fingerprint: fingerprint, Claimed: claimed, Urgent: work.Timeout() < urgentTimeout})
+	verdict := ac.suspectGate.Begin(now, quarantine.StartRequest{ID: id, Fingerprint: fingerprint, Claimed: claimed, Urgent: work.Timeout() < urgentTimeout})
 	if verdict != quarantine.VerdictRun {
 		ac.suspectGate.Abandon(id)
 		ac.release()
 		return "", verdict, ac.changed, nil
 	}
 	ac.calls[id] = inFlightCall{generation: ac.generation, claimed: claimed}
-	ac.startedByGateway[work.From()]++
+	ac.startedByGateway[work.SenderAddress()]++
 	ac.agent.metrics.started.Inc()
 	ac.agent.metrics.inFlight.Set(float64(len(ac.calls)))
 	return id, verdict, nil, nil
@@ -180,7 +180,7 @@
 func (ac *admissionController) release() {
 	_ = ac.drain.End()
 	if ac.orderGate != nil {
-		ac.orderGate.End()
+		ac.orderGate.EndCall()
 	}
 }
 
@@ -242,7 +242,7 @@
 
 // mergeNotices merges crash notices from other processes.
 func (ac *admissionController) mergeNotices(texts []string) {
-	notices := peer.NoticesFrom(texts)
+	notices := peer.DecodeNotices(texts)
 	if len(notices) == 0 {
 		return
 	}
@@ -255,8 +255,8 @@
 func (ac *admissionController) noticesSince(after int64) ([]string, int64) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
-	notices, version := ac.registry.Known(ac.now(), after)
-	return peer.NoticesTo(notices), version
+	notices, version := ac.registry.NoticesSince(ac.now(), after)
+	return peer.EncodeNotices(notices), version
 }
 
 // stop begins a planned stop.
@@ -280,7 +280,7 @@
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	const refreshDivisor = 2
-	return ac.drain.Silent(ac.now()) || ac.agent.c.Silence > 0 && ac.now()-lastHeartbeatAt > ac.agent.c.Silence/refreshDivisor
+	return ac.drain.Stale(ac.now()) || ac.agent.c.StaleAfter > 0 && ac.now()-lastHeartbeatAt > ac.agent.c.StaleAfter/refreshDivisor
 }
 
 // targetState returns the state of the target as reported to gateways.
@@ -311,10 +311,10 @@
 	if ac.orderGate == nil {
 		return false
 	}
-	if !ac.orderGate.Begin() {
+	if !ac.orderGate.BeginCall() {
 		return true
 	}
-	ac.orderGate.End()
+	ac.orderGate.EndCall()
 	return false
 }
 
--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -42,7 +42,7 @@
 	c := clock.NewManual(100_000)
 	a := &Agent{
 		c: Config{
-			Name: "e1", Clock: c, Logger: zap.NewNop(), Ring: timeline.NewRing("e1", 16), Silence: 5000,
+			Name: "e1", Clock: c, Logger: zap.NewNop(), Ring: timeline.NewRing("e1", 16), StaleAfter: 5000,
 			Engine: engine.New(service.Config{URL: "http://127.0.0.1:0"}),
 		},
 		incarnation: "i", metrics: newMetrics(prometheus.NewRegistry()),
@@ -51,7 +51,7 @@
 	a.admission = m.admissionController
 	m.orderGate = order.NewGate(order.GateConfig{Incarnation: 1})
 	m.setLeavingLabel(false)
-	m.update(func(now kumquatlug.Millis) { m.drain.Asked(now) })
+	m.update(func(now kumquatlug.Millis) { m.drain.Refreshed(now) })
 	return m
 }
 
@@ -63,7 +63,7 @@
 
 func (m *admissionModel) setLeavingLabel(leaving bool) {
 	m.revision++
-	m.update(func(now kumquatlug.Millis) { m.drain.Label(m.revision, leaving, now) })
+	m.update(func(now kumquatlug.Millis) { m.drain.SetLeavingLabel(m.revision, leaving, now) })
 }
 
 // admissionEvents are the events of the proof. Repeated ones are drawn more often.
@@ -105,9 +105,9 @@
 		if m.random.IntN(10) == 0 {
 			state = kumquatlug.VMLeaving
 		}
-		m.update(func(now kumquatlug.Millis) { m.drain.List(state, now) })
+		m.update(func(now kumquatlug.Millis) { m.drain.SetVMState(state, now) })
 	case "heartbeat":
-		m.update(func(now kumquatlug.Millis) { m.drain.Heard(now); m.drain.Asked(now) })
+		m.update(func(now kumquatlug.Millis) { m.drain.HeartbeatReceived(now); m.drain.Refreshed(now) })
 	case "wait":
 		m.clock.Advance(kumquatlug.Millis(m.random.IntN(4_000)))
 	case "stop":
@@ -120,7 +120,7 @@
 
 func (m *admissionModel) admitCall() {
 	work := peer.NewWork(peer.WorkConfig{
-		Request: "r", Revision: m.revision - int64(m.random.IntN(2)), Timeout: 60_000, From: "entry",
+		Request: "r", Revision: m.revision - int64(m.random.IntN(2)), Timeout: 60_000, SenderAddress: "entry",
 		Fingerprint: fmt.Sprint("f", m.random.IntN(60)),
 	})
 	id, verdict, _, failure := m.tryAdmit(work, "", m.random.IntN(2) == 0)
@@ -170,7 +170,7 @@
 
 func (m *admissionModel) offerOrder() {
 	m.sequence++
-	number := lease.Number(1 + m.random.IntN(3))
+	number := lease.FencingToken(1 + m.random.IntN(3))
 	role := []string{"prefill", "decode"}[m.random.IntN(2)]
 	m.updateOrders(func(kumquatlug.Millis) {
 		m.orderGate.Offer(order.NewOrder(order.NewID(1, number, m.sequence), order.VerbRole, role))
@@ -183,18 +183,18 @@
 	var s order.Step
 	m.updateOrders(func(now kumquatlug.Millis) { s = m.orderGate.Next(now) })
 	switch s.Action() {
-	case order.StepRead:
-		state := order.NewState(!m.engineChanging, order.Fact{Verb: order.VerbRole, Argument: m.role})
-		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.Read(s, state) })
-	case order.StepFence:
-		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.Fenced(s, 1) })
+	case order.StepReadState:
+		state := order.NewState(!m.engineChanging, order.Property{Verb: order.VerbRole, Argument: m.role})
+		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.StateRead(s, state) })
+	case order.StepReadFencingToken:
+		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.FencingTokenRead(s, 1) })
 	case order.StepRun:
 		m.counts["orders"]++
 		if len(m.callIDs) > 0 {
 			m.fail("an order was sent to the engine with %d calls in flight", len(m.callIDs))
 		}
 		m.engineChanging, m.role = true, s.Order().Argument()
-		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.Ran(s, order.OutcomeUnknown) })
+		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.RunFinished(s, order.OutcomeUnknown) })
 	}
 }
 
@@ -222,10 +222,10 @@
 	// an order.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
-		Claim: "orders and stops never interrupt calls at the agent",
-		Seed:  11, Runs: 1000, Steps: 120,
-		Command: proof.Events(admissionEvents, runEvent),
-		World:   func() commands.SystemUnderTest { return newAdmissionModel(counts) },
+		Property: "orders and stops never interrupt calls at the agent",
+		Seed:     11, Runs: 1000, Steps: 120,
+		StepGen:   proof.Events(admissionEvents, runEvent),
+		NewSystem: func() commands.SystemUnderTest { return newAdmissionModel(counts) },
 	})
 	t.Logf("%d started, %d refused, %d orders, %d crashes", counts["started"], counts["refused"], counts["orders"], counts["crashes"])
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -47,14 +47,14 @@
 	// Address is the address at which gateways reach the agent. Default is the
 	// address of Listener.
 	Address string
-	// Silence is the time without heartbeats after which the agent queries its state
+	// StaleAfter is the time without heartbeats after which the agent queries its state
 	// itself before it accepts new work, in milliseconds. Default is
 	// drain.AgentSilence.
-	Silence  kumquatlug.Millis
-	Clock    kumquatlug.Clock
-	Logger   *zap.Logger
-	Registry *prometheus.Registry
-	Ring     *timeline.Ring
+	StaleAfter kumquatlug.Millis
+	Clock      kumquatlug.Clock
+	Logger     *zap.Logger
+	Registry   *prometheus.Registry
+	Ring       *timeline.Ring
 }
 
 // Agent is the process beside one target.
@@ -83,16 +83,16 @@
 // New returns an agent that is ready to run.
 func New(c Config) (*Agent, error) {
 	a := &Agent{c: c, incarnation: kumquatlug.NewIncarnation(c.Name), dialer: peer.NewDialer(c.Keys)}
-	if a.c.Silence == 0 {
-		a.c.Silence = drain.AgentSilence
+	if a.c.StaleAfter == 0 {
+		a.c.StaleAfter = drain.AgentStaleAfter
 	}
 	a.metrics = newMetrics(c.Registry)
 	a.monitor = &targetMonitor{agent: a}
 	a.admission = newAdmissionController(a)
 	a.follower = peer.NewFollower(peer.FollowerConfig{
-		Me: c.Name, Dialer: a.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger,
-		Store: config.NewStore(config.StoreConfig{Table: c.Table, Objects: c.Objects}),
-		Live:  func() []string { return nil }, Passive: true, OnState: a.applyConfig,
+		NodeName: c.Name, Dialer: a.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger,
+		Store:     config.NewStore(config.StoreConfig{Table: c.Table, Objects: c.Objects}),
+		LiveNodes: func() []string { return nil }, Passive: true, OnState: a.applyConfig,
 	})
 	work, err := newWorkHandler(a)
 	a.work = work
@@ -104,7 +104,7 @@
 func (a *Agent) applyConfig(state config.State) {
 	labels, err := config.Labels(state, a.c.Name)
 	selectors, _ := config.Selectors(state)
-	next := &targetConfig{revision: state.Revision(), selectors: selectors, labels: labels.With(a.c.Name, a.c.Zone), labelsErr: err}
+	next := &targetConfig{revision: state.Revision(), selectors: selectors, labels: labels.WithPlatform(a.c.Name, a.c.Zone), labelsErr: err}
 	a.admission.update(func(now kumquatlug.Millis) {
 		// The follower and refreshWhenStale both call applyConfig; the later of the two
 		// calls may have the older config, which must not replace the newer one.
@@ -114,14 +114,14 @@
 		if err != nil || state.Revision() == 0 {
 			return
 		}
-		a.admission.drain.Label(int64(state.Revision()), labels.Leaving(), now)
+		a.admission.drain.SetLeavingLabel(int64(state.Revision()), labels.Leaving(), now)
 	})
 }
 
 // refusal returns a failure of a call that was not sent to the target.
 func (a *Agent) refusal(step, reason string, cause error) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Peer: a.c.Name, Reason: reason, Ran: kumquatlug.RanNot, Cause: cause,
+		Step: step, Peer: a.c.Name, Reason: reason, Execution: kumquatlug.NotExecuted, Cause: cause,
 	})
 }
 
@@ -143,7 +143,7 @@
 		a.follower.Run, a.monitor.run, a.refreshWhenStale, a.runOrders, a.work.ledger.Run,
 		a.presence().Run,
 	} {
-		peer.AddDuty(background, &group, task)
+		peer.AddTask(background, &group, task)
 	}
 	peer.AddServer(&group, "serve gateways", &http.Server{Handler: a.handler(), TLSConfig: a.c.Keys.Server()}, a.c.Listener)
 	group.Add(func() error {
@@ -160,21 +160,21 @@
 	mux := http.NewServeMux()
 	keys := a.c.Keys
 	path, service := peerv1connect.NewPeerServiceHandler(peer.NewService(a.follower, a.c.Ring), peer.HandlerOptions())
-	mux.Handle(path, keys.Only(service, peer.RoleEntry, peer.RoleAgent))
+	mux.Handle(path, keys.RequireRole(service, peer.RoleGateway, peer.RoleAgent))
 	path, agent := peerv1connect.NewAgentServiceHandler(&agentService{agent: a}, peer.HandlerOptions())
-	mux.Handle(path, keys.Only(agent, peer.RoleEntry))
-	mux.Handle(peer.WorkPath+"/", keys.Only(a.work, peer.RoleEntry))
+	mux.Handle(path, keys.RequireRole(agent, peer.RoleGateway))
+	mux.Handle(peer.WorkPath+"/", keys.RequireRole(a.work, peer.RoleGateway))
 	mux.Handle("/metrics", metricsHandler(a.c.Registry))
 	return mux
 }
 
 // presence returns the agent's registration in the list of VMs.
-func (a *Agent) presence() peer.Presence {
+func (a *Agent) presence() peer.Registration {
 	address := a.c.Address
 	if address == "" {
 		address = a.c.Listener.Addr().String()
 	}
-	return peer.Presence{VMs: a.c.VMs, Logger: a.c.Logger, VM: kumquatlug.NewVM(kumquatlug.VMConfig{
+	return peer.Registration{VMs: a.c.VMs, Logger: a.c.Logger, VM: kumquatlug.NewVM(kumquatlug.VMConfig{
 		Name: a.c.Name, Role: kumquatlug.VMTarget, Address: address, Zone: a.c.Zone, State: kumquatlug.VMLive,
 	})}
 }
--- a/internal/agent/monitor.go
+++ b/internal/agent/monitor.go
@@ -173,10 +173,10 @@
 	a.admission.update(func(now kumquatlug.Millis) {
 		for _, vm := range vms {
 			if vm.Name() == a.c.Name {
-				a.admission.drain.List(vm.State(), now)
+				a.admission.drain.SetVMState(vm.State(), now)
 			}
 		}
-		a.admission.drain.Asked(now)
+		a.admission.drain.Refreshed(now)
 	})
 	a.monitor.recordHeartbeat(a.c.Clock.Now())
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -96,7 +96,7 @@
 		for range a.admission.calls {
 			// Calls that started before the gate existed count as in flight there,
 			// too, since an order must wait for them.
-			a.admission.orderGate.Begin()
+			a.admission.orderGate.BeginCall()
 		}
 	})
 	tick := time.NewTicker(orderPollInterval)
@@ -125,7 +125,7 @@
 			return
 		}
 		change(now)
-		ac.drain.Order(ac.underOrder(), now)
+		ac.drain.SetUnderOrder(ac.underOrder(), now)
 	})
 }
 
@@ -140,7 +140,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	if s.Action() == order.StepRead {
+	if s.Action() == order.StepReadState {
 		return a.readEngineState(ctx, s)
 	}
 	return a.readFencingNumber(ctx, s)
@@ -150,10 +150,10 @@
 	condition, err := a.c.Engine.ReadState(ctx)
 	a.admission.updateOrders(func(kumquatlug.Millis) {
 		if err != nil {
-			a.admission.orderGate.ReadFailed(s)
+			a.admission.orderGate.StateReadFailed(s)
 			return
 		}
-		a.admission.orderGate.Read(s, orderState(condition))
+		a.admission.orderGate.StateRead(s, orderState(condition))
 	})
 	return err == nil && condition.State != engine.StateChanging
 }
@@ -161,7 +161,7 @@
 // orderState treats an engine that lost its role in a crash as settled: it is not
 // changing, so the next order may be sent.
 func orderState(c engine.Condition) order.State {
-	return order.NewState(c.State != engine.StateChanging, order.Fact{Verb: order.VerbRole, Argument: string(c.Role)})
+	return order.NewState(c.State != engine.StateChanging, order.Property{Verb: order.VerbRole, Argument: string(c.Role)})
 }
 
 func (a *Agent) readFencingNumber(ctx context.Context, s order.Step) bool {
@@ -176,10 +176,10 @@
 	}
 	a.admission.updateOrders(func(kumquatlug.Millis) {
 		if err != nil {
-			a.admission.orderGate.FenceFailed(s)
+			a.admission.orderGate.FencingTokenReadFailed(s)
 			return
 		}
-		a.admission.orderGate.Fenced(s, max(record.Fence(), lease.Least(row.Era())))
+		a.admission.orderGate.FencingTokenRead(s, max(record.Fence(), lease.EraBase(row.Era())))
 	})
 	return err == nil
 }
@@ -190,12 +190,12 @@
 	if target.labelsErr != nil {
 		return ""
 	}
-	return config.GroupAmong(target.selectors, target.labels)
+	return config.GroupOf(target.selectors, target.labels)
 }
 
 func (a *Agent) sendOrder(ctx context.Context, s order.Step) bool {
 	o := s.Order()
-	_, err := a.c.Engine.Give(ctx, engine.Order{
+	_, err := a.c.Engine.SendOrder(ctx, engine.Order{
 		ID: o.ID().String(), Fence: int64(o.ID().Number()), Verb: string(o.Verb()), Argument: o.Argument(),
 	})
 	// An engine that accepted the order reports by its state when it has settled.
@@ -204,7 +204,7 @@
 		outcome = order.OutcomeNotApplied
 	}
 	a.c.Ring.Add(timeline.Record{Name: timeline.OrderTaken, Detail: string(o.Verb()) + " " + o.Argument()})
-	a.admission.updateOrders(func(kumquatlug.Millis) { a.admission.orderGate.Ran(s, outcome) })
+	a.admission.updateOrders(func(kumquatlug.Millis) { a.admission.orderGate.RunFinished(s, outcome) })
 	return true
 }
 
@@ -212,7 +212,7 @@
 func (a *Agent) offerOrder(o order.Order) order.Reply {
 	reply := order.NewReply(order.VerdictNotReady, "", 0)
 	a.admission.updateOrders(func(kumquatlug.Millis) { reply = a.admission.orderGate.Offer(o) })
-	if reply.Verdict() == order.VerdictOld || reply.Verdict() == order.VerdictOtherIncarnation {
+	if reply.Verdict() == order.VerdictStale || reply.Verdict() == order.VerdictOtherIncarnation {
 		a.c.Ring.Add(timeline.Record{Name: timeline.OrderRefused, Detail: string(reply.Verdict()) + " " + o.ID().String()})
 	}
 	return reply
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -28,14 +28,14 @@
 	a := s.agent
 	request := r.Msg
 	a.c.Ring.Witness(request.GetLogical())
-	a.follower.Learned(peer.RoleEntry, request.GetAddress(), request.GetRevision(), kumquatlug.Millis(request.GetHeadAgeMs()))
+	a.follower.ObserveRevision(peer.RoleGateway, request.GetAddress(), request.GetRevision(), kumquatlug.Millis(request.GetHeadAgeMs()))
 	a.admission.mergeNotices(request.GetNotices())
 	a.monitor.recordHeartbeat(a.c.Clock.Now())
 	a.admission.update(func(now kumquatlug.Millis) {
 		if request.GetVmState() != "" {
-			a.admission.drain.List(kumquatlug.VMState(request.GetVmState()), now)
+			a.admission.drain.SetVMState(kumquatlug.VMState(request.GetVmState()), now)
 		}
-		a.admission.drain.Heard(now)
+		a.admission.drain.HeartbeatReceived(now)
 	})
 	return connect.NewResponse(s.buildReport(request)), nil
 }
@@ -80,9 +80,9 @@
 func reportedLoad(status targetStatus, inFlight int) *peerv1.Load {
 	load := &peerv1.Load{
 		Running: status.load.Running, Waiting: status.load.Waiting,
-		KvUsedTokens: status.load.KVUsed, KvTotalTokens: status.load.KVTotal,
-		PrefillTokensPerSecond: status.load.PrefillTokens, DecodeTokensPerSecond: status.load.DecodeTokens,
-		AgeMs: status.load.Age,
+		KvUsedTokens: status.load.KVUsedTokens, KvTotalTokens: status.load.KVTotalTokens,
+		PrefillTokensPerSecond: status.load.PrefillTokensPerSecond, DecodeTokensPerSecond: status.load.DecodeTokensPerSecond,
+		AgeMs: status.load.AgeMs,
 	}
 	if status.readAt.IsZero() {
 		load.Running = int64(inFlight)
--- a/internal/agent/run_once.go
+++ b/internal/agent/run_once.go
@@ -38,7 +38,7 @@
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	decision, err := h.ledger.Begin(r.Context(), ledger.NewCall(ledger.CallConfig{
-		Caller: work.Caller(), Key: work.Key(), Body: work.Fingerprint(), Dispatch: dispatch,
+		Caller: work.Caller(), Key: work.Key(), Fingerprint: work.Fingerprint(), Dispatch: dispatch,
 	}))
 	if err != nil {
 		h.refuse(w, work, kumquatlug.FailureOf(err))
@@ -48,12 +48,12 @@
 }
 
 // applyDecision runs the call or responds as the ledger decided.
-func (h *workHandler) applyDecision(w http.ResponseWriter, r *http.Request, work peer.Work, id string, decision ledger.Ruling) bool {
+func (h *workHandler) applyDecision(w http.ResponseWriter, r *http.Request, work peer.Work, id string, decision ledger.Decision) bool {
 	switch decision.Verdict() {
 	case ledger.VerdictRun:
 		return h.runOnce(w, r, work, id, decision.Ticket())
-	case ledger.VerdictAnswer:
-		w.Header().Set(peer.ReplayedHeader, "true")
+	case ledger.VerdictResponse:
+		w.Header().Set(peer.HeaderReplayed, "true")
 		h.writeOutcome(w, work, decision.Outcome())
 	case ledger.VerdictStale:
 		f := h.agent.refusal("claim call", "stale_dispatch", nil)
@@ -66,15 +66,15 @@
 }
 
 // decisionFailure returns the failure for a verdict under which the call doesn't run.
-func decisionFailure(decision ledger.Ruling, agentName string) *kumquatlug.Failure {
-	c := kumquatlug.FailureConfig{Step: "claim call", Peer: agentName, Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway}
+func decisionFailure(decision ledger.Decision, agentName string) *kumquatlug.Failure {
+	c := kumquatlug.FailureConfig{Step: "claim call", Peer: agentName, Execution: kumquatlug.ExecutionUnknown, Status: http.StatusBadGateway}
 	switch decision.Verdict() {
 	case ledger.VerdictConflict:
-		c.Reason, c.Ran, c.Status = "key_reused", kumquatlug.RanNot, http.StatusUnprocessableEntity
+		c.Reason, c.Execution, c.Status = "key_reused", kumquatlug.NotExecuted, http.StatusUnprocessableEntity
 	case ledger.VerdictElsewhere:
-		c.Reason, c.Peer = peer.ReasonElsewhere, decision.Holder().Target()
+		c.Reason, c.Peer = peer.ReasonHeldElsewhere, decision.Holder().Target()
 	default:
-		c.Reason = peer.ReasonUnknown
+		c.Reason = peer.ReasonOutcomeUnknown
 	}
 	return kumquatlug.NewFailure(c)
 }
@@ -86,7 +86,7 @@
 	startedAt := h.agent.c.Clock.Now()
 	outcome, err := h.callTarget(ctx, targetCall(r, work))
 	if err != nil {
-		ran := kumquatlug.RanOf(err)
+		ran := kumquatlug.ExecutionOf(err)
 		if abandonErr := h.ledger.Abandon(ticket, ran); abandonErr != nil {
 			err = errors.WithSecondaryError(err, abandonErr)
 		}
@@ -105,12 +105,12 @@
 }
 
 // abandonFailure returns the failure of a run without an outcome.
-func abandonFailure(err error, ran kumquatlug.Ran, agentName string) *kumquatlug.Failure {
-	if ran == kumquatlug.RanNot {
+func abandonFailure(err error, ran kumquatlug.Execution, agentName string) *kumquatlug.Failure {
+	if ran == kumquatlug.NotExecuted {
 		return kumquatlug.FailureOf(err)
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "call target", Peer: agentName, Reason: peer.ReasonUnknown, Ran: kumquatlug.RanUnknown,
+		Step: "call target", Peer: agentName, Reason: peer.ReasonOutcomeUnknown, Execution: kumquatlug.ExecutionUnknown,
 		Status: http.StatusBadGateway, Cause: err,
 	})
 }
@@ -137,7 +137,7 @@
 
 // writeOutcome responds to the gateway with an outcome.
 func (h *workHandler) writeOutcome(w http.ResponseWriter, work peer.Work, outcome ledger.Outcome) {
-	end := h.forwardResponse(w, kumquatlug.NewAnswer(outcome.Status(), outcome.Header(), io.NopCloser(bytes.NewReader(outcome.Body()))), func() {})
+	end := h.forwardResponse(w, kumquatlug.NewTargetResponse(outcome.Status(), outcome.Header(), io.NopCloser(bytes.NewReader(outcome.Body()))), func() {})
 	h.agent.metrics.ended.WithLabelValues(end).Inc()
 	h.agent.c.Ring.Add(timeline.Record{Name: timeline.WorkEnded, RequestID: work.Request(), Detail: end})
 }
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -50,7 +50,7 @@
 		return
 	}
 	h.agent.c.Ring.Witness(work.Logical())
-	h.agent.follower.Learned(peer.RoleEntry, work.From(), work.Revision(), config.AgeUnknown)
+	h.agent.follower.ObserveRevision(peer.RoleGateway, work.SenderAddress(), work.Revision(), config.AgeUnknown)
 	if notice := r.Header.Get(peer.HeaderNotice); notice != "" {
 		h.agent.admission.mergeNotices([]string{notice})
 	}
@@ -66,7 +66,7 @@
 			h.agent.releaseSuspectClaim(work)
 		}
 	}()
-	if work.Once() {
+	if work.RunOnce() {
 		complete = h.serveOnce(w, r, work, id)
 		return
 	}
@@ -92,9 +92,9 @@
 func (h *workHandler) refuse(w http.ResponseWriter, work peer.Work, f *kumquatlug.Failure) {
 	h.agent.metrics.refused.WithLabelValues(f.Reason()).Inc()
 	h.agent.c.Logger.Info("work refused", zap.String("request", work.Request()), zap.String("step", f.Step()),
-		zap.String("reason", f.Reason()), zap.String("ran", string(f.Ran())), zap.String("cause", f.CauseText()))
+		zap.String("reason", f.Reason()), zap.String("ran", string(f.Execution())), zap.String("cause", f.CauseText()))
 	logical := h.agent.c.Ring.Add(timeline.Record{
-		Name: timeline.WorkRefused, RequestID: work.Request(), Detail: f.Reason() + " " + string(f.Ran()),
+		Name: timeline.WorkRefused, RequestID: work.Request(), Detail: f.Reason() + " " + string(f.Execution()),
 	})
 	peer.WriteFailure(w, f, int64(h.agent.follower.State().Revision()), logical)
 }
@@ -111,11 +111,11 @@
 	}
 	defer response.Body().Close()
 	if response.Status() == http.StatusServiceUnavailable && work.Kind().Protocol() == kumquatlug.ProtocolEngine {
-		h.refuse(w, work, h.agent.refusal("call target", dispatch.ReasonFull, nil))
+		h.refuse(w, work, h.agent.refusal("call target", dispatch.ReasonEngineRefused, nil))
 		return false
 	}
 	end := h.forwardResponse(w, response, func() { h.agent.admission.firstOutput(id) })
-	if end != peer.EndWhole {
+	if end != peer.EndComplete {
 		w.Header().Set(peer.HeaderNotice, h.agent.checkCrash(r.Context(), id, work))
 	}
 	h.agent.metrics.ended.WithLabelValues(end).Inc()
@@ -123,7 +123,7 @@
 		Name: timeline.WorkEnded, RequestID: work.Request(), Detail: end,
 		Duration: int64(h.agent.c.Clock.Now() - startedAt),
 	})
-	return end == peer.EndWhole
+	return end == peer.EndComplete
 }
 
 // importKV has the engine fetch the KV cache of the prompt from the engine that
@@ -152,8 +152,8 @@
 func targetCall(r *http.Request, work peer.Work) kumquatlug.Call {
 	header := http.Header{}
 	peer.CopyHeaders(header, r.Header)
-	if work.Once() {
-		header.Set(peer.KeyHeader, work.Key())
+	if work.RunOnce() {
+		header.Set(peer.HeaderIdempotencyKey, work.Key())
 	}
 	path := strings.TrimPrefix(r.URL.RequestURI(), peer.WorkPath)
 	if r.ContentLength == 0 {
@@ -165,18 +165,18 @@
 // forwardResponse streams the response to the gateway. The trailer says whether it is
 // complete: when a target crashes, its kernel may close the connection normally,
 // which is indistinguishable from the end of a response.
-func (h *workHandler) forwardResponse(w http.ResponseWriter, response kumquatlug.Answer, onFirstOutput func()) string {
+func (h *workHandler) forwardResponse(w http.ResponseWriter, response kumquatlug.TargetResponse, onFirstOutput func()) string {
 	header := w.Header()
 	peer.CopyHeaders(header, response.Header())
 	header.Del("Content-Length")
 	header.Set("Trailer", peer.TrailerEnd+", "+peer.HeaderNotice)
-	header.Set(peer.HeaderRan, string(kumquatlug.RanDone))
+	header.Set(peer.HeaderExecution, string(kumquatlug.Executed))
 	header.Set(peer.HeaderRevision, strconv.FormatInt(int64(h.agent.follower.State().Revision()), 10))
 	header.Set(peer.HeaderLogical, strconv.FormatInt(h.agent.c.Ring.Logical(), 10))
 	w.WriteHeader(response.Status())
-	end := peer.EndWhole
+	end := peer.EndComplete
 	if err := copyAndFlush(w, response.Body(), onFirstOutput); err != nil {
-		end = peer.EndCut
+		end = peer.EndTruncated
 	}
 	header.Set(peer.TrailerEnd, end)
 	return end
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -54,7 +54,7 @@
 	if h.reservedBytes.Add(size) > h.maxReservedBytes {
 		h.reservedBytes.Add(-size)
 		return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-			Step: "read body", Reason: "bodies_full", Ran: kumquatlug.RanNot,
+			Step: "read body", Reason: "bodies_full", Execution: kumquatlug.NotExecuted,
 			Status: http.StatusServiceUnavailable, RetryAfter: kumquatlug.Second,
 		})
 	}
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -22,8 +22,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Desk is the backend that serves the requests of the API.
-type Desk interface {
+// Backend is the backend that serves the requests of the API.
+type Backend interface {
 	// Authenticate returns the account whose API key has this hash.
 	Authenticate(keyHash string) (kumquatlug.Caller, bool)
 	// Kinds returns every kind of work (model or service) that some selector
@@ -35,7 +35,7 @@
 	Generate(ctx context.Context, g Generation, sink Sink) error
 	// Call makes a call to a plain HTTP service. Its error is a
 	// *kumquatlug.Failure.
-	Call(ctx context.Context, c ServiceCall) (kumquatlug.Answer, error)
+	Call(ctx context.Context, c ServiceCall) (kumquatlug.TargetResponse, error)
 }
 
 // Sink receives the chunks of one response. An error means that the caller has
@@ -49,14 +49,14 @@
 
 // Config configures a [Handler].
 type Config struct {
-	Desk   Desk
-	Logger *zap.Logger
-	// MaxBody is the maximum size of a request body, in bytes; zero means
-	// DefaultMaxBody.
-	MaxBody int64
-	// MaxHeld is the maximum total size of the bodies of all requests in
-	// flight, in bytes; zero means DefaultMaxHeld.
-	MaxHeld int64
+	Backend Backend
+	Logger  *zap.Logger
+	// MaxBodyBytes is the maximum size of a request body, in bytes; zero means
+	// DefaultMaxBodyBytes.
+	MaxBodyBytes int64
+	// MaxTotalBodyBytes is the maximum total size of the bodies of all requests in
+	// flight, in bytes; zero means DefaultMaxTotalBodyBytes.
+	MaxTotalBodyBytes int64
 	// BodyTimeout is how long a caller may take to send its body, and
 	// WriteTimeout how long one write to a caller may block, in milliseconds.
 	// Zero means DefaultBodyTimeout and DefaultWriteTimeout.
@@ -66,13 +66,13 @@
 
 // Defaults of a [Config].
 const (
-	// DefaultMaxBody fits a prompt of about two million tokens of English.
-	DefaultMaxBody = 8 << 20
-	// DefaultMaxHeld fits a thousand documents of 32 KB, as many as may be
+	// DefaultMaxBodyBytes fits a prompt of about two million tokens of English.
+	DefaultMaxBodyBytes = 8 << 20
+	// DefaultMaxTotalBodyBytes fits a thousand documents of 32 KB, as many as may be
 	// queued for one kind. A body is in memory about three times (as received,
 	// as parsed fields and as sent), so this limit takes 96 MB of the 128 MB
 	// budget of a node.
-	DefaultMaxHeld = 32 << 20
+	DefaultMaxTotalBodyBytes = 32 << 20
 	// DefaultBodyTimeout lets 8 MiB arrive over a link of 2.2 Mbit/s.
 	DefaultBodyTimeout = 30 * kumquatlug.Second
 	// DefaultWriteTimeout is how long a caller may read nothing at all. The
@@ -83,7 +83,7 @@
 
 // Handler is the [http.Handler] of the public API.
 type Handler struct {
-	backend          Desk
+	backend          Backend
 	logger           *zap.Logger
 	maxBodyBytes     int64
 	maxReservedBytes int64
@@ -96,14 +96,14 @@
 // New returns a handler for the public API.
 func New(c Config) *Handler {
 	h := &Handler{
-		backend: c.Desk, logger: c.Logger, maxBodyBytes: c.MaxBody, maxReservedBytes: c.MaxHeld,
+		backend: c.Backend, logger: c.Logger, maxBodyBytes: c.MaxBodyBytes, maxReservedBytes: c.MaxTotalBodyBytes,
 		bodyTimeout: c.BodyTimeout, writeTimeout: c.WriteTimeout, mux: http.NewServeMux(),
 	}
 	if h.maxBodyBytes == 0 {
-		h.maxBodyBytes = DefaultMaxBody
+		h.maxBodyBytes = DefaultMaxBodyBytes
 	}
 	if h.maxReservedBytes == 0 {
-		h.maxReservedBytes = DefaultMaxHeld
+		h.maxReservedBytes = DefaultMaxTotalBodyBytes
 	}
 	if h.bodyTimeout == 0 {
 		h.bodyTimeout = DefaultBodyTimeout
@@ -127,7 +127,7 @@
 	account, ok := h.authenticate(r)
 	if !ok {
 		h.refuse(w, id, kumquatlug.NewFailure(kumquatlug.FailureConfig{
-			Step: "authenticate", Reason: "invalid_api_key", Ran: kumquatlug.RanNot, Status: http.StatusUnauthorized,
+			Step: "authenticate", Reason: "invalid_api_key", Execution: kumquatlug.NotExecuted, Status: http.StatusUnauthorized,
 		}))
 		return
 	}
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -25,7 +25,7 @@
 // fakeBackend is a backend whose results are given by functions.
 type fakeBackend struct {
 	generate func(ctx context.Context, g Generation, sink Sink) error
-	call     func(c ServiceCall) (kumquatlug.Answer, error)
+	call     func(c ServiceCall) (kumquatlug.TargetResponse, error)
 }
 
 func (b *fakeBackend) Authenticate(hash string) (kumquatlug.Caller, bool) {
@@ -44,13 +44,13 @@
 	return b.generate(ctx, g, sink)
 }
 
-func (b *fakeBackend) Call(_ context.Context, c ServiceCall) (kumquatlug.Answer, error) {
+func (b *fakeBackend) Call(_ context.Context, c ServiceCall) (kumquatlug.TargetResponse, error) {
 	return b.call(c)
 }
 
 func newServer(t *testing.T, backend *fakeBackend, c Config) *httptest.Server {
 	t.Helper()
-	c.Desk, c.Logger = backend, zap.NewNop()
+	c.Backend, c.Logger = backend, zap.NewNop()
 	server := httptest.NewUnstartedServer(New(c))
 	peer.ServerTimeouts(server.Config)
 	server.Start()
@@ -84,7 +84,7 @@
 func TestRefusalCarriesStatusHeadersAndErrorBody(t *testing.T) {
 	backend := &fakeBackend{generate: func(context.Context, Generation, Sink) error {
 		return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-			Step: "wait", Peer: "engine-7", Reason: "queue_full", Ran: kumquatlug.RanNot, Status: 503, RetryAfter: 1500,
+			Step: "wait", Peer: "engine-7", Reason: "queue_full", Execution: kumquatlug.NotExecuted, Status: 503, RetryAfter: 1500,
 		})
 	}}
 	response, text := send(t, newServer(t, backend, Config{}), http.MethodPost, "/v1/completions", `{"model":"m","prompt":"p"}`, nil)
@@ -117,9 +117,9 @@
 // connection ended cleanly, the caller would take the partial response for a
 // complete one.
 func TestTruncatedServiceResponseAbortsConnection(t *testing.T) {
-	backend := &fakeBackend{call: func(ServiceCall) (kumquatlug.Answer, error) {
+	backend := &fakeBackend{call: func(ServiceCall) (kumquatlug.TargetResponse, error) {
 		body := io.MultiReader(strings.NewReader("part"), errorReader{})
-		return kumquatlug.NewAnswer(200, http.Header{}, io.NopCloser(body)), nil
+		return kumquatlug.NewTargetResponse(200, http.Header{}, io.NopCloser(body)), nil
 	}}
 	server := newServer(t, backend, Config{})
 	request, err := http.NewRequest(http.MethodGet, server.URL+"/services/s/x", nil)
@@ -143,13 +143,13 @@
 
 func TestServiceCallKeepsPathAndGetsIdempotencyKey(t *testing.T) {
 	var got ServiceCall
-	backend := &fakeBackend{call: func(c ServiceCall) (kumquatlug.Answer, error) {
+	backend := &fakeBackend{call: func(c ServiceCall) (kumquatlug.TargetResponse, error) {
 		got = c
-		return kumquatlug.NewAnswer(201, http.Header{"X-Own": {"1"}}, io.NopCloser(bytes.NewReader(nil))), nil
+		return kumquatlug.NewTargetResponse(201, http.Header{"X-Own": {"1"}}, io.NopCloser(bytes.NewReader(nil))), nil
 	}}
 	server := newServer(t, backend, Config{})
 	response, _ := send(t, server, http.MethodPut, "/services/s/a%2Fb/c?d=e", "body", http.Header{"Prefer": {"wait=3"}})
-	if got.Path() != "/a%2Fb/c?d=e" || got.Method() != http.MethodPut || got.Timeout() != 3000 || got.OwnKey() {
+	if got.Path() != "/a%2Fb/c?d=e" || got.Method() != http.MethodPut || got.Timeout() != 3000 || got.HasCallerKey() {
 		t.Errorf("path %q, method %s, timeout %d", got.Path(), got.Method(), got.Timeout())
 	}
 	if got.Header().Get("Authorization") != "" {
@@ -216,7 +216,7 @@
 		<-release
 		return sink.Chunk(textChunk("ok"))
 	}}
-	server := newServer(t, backend, Config{MaxHeld: 3000})
+	server := newServer(t, backend, Config{MaxTotalBodyBytes: 3000})
 	body := `{"model":"m","prompt":"` + strings.Repeat("x", 2000) + `"}`
 	first := make(chan int, 1)
 	go func() {
@@ -283,8 +283,8 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		g, _, failure := parseRequest("/v1/completions", body)
 		if failure != nil {
-			if failure.Ran() != kumquatlug.RanNot || failure.Status() >= 500 {
-				t.Fatalf("refusal: status %d, ran %s, want a status below 500 and not-run", failure.Status(), failure.Ran())
+			if failure.Execution() != kumquatlug.NotExecuted || failure.Status() >= 500 {
+				t.Fatalf("refusal: status %d, ran %s, want a status below 500 and not-run", failure.Status(), failure.Execution())
 			}
 			return
 		}
--- a/internal/caller/completions.go
+++ b/internal/caller/completions.go
@@ -65,7 +65,7 @@
 		return
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.writeTimeout.Duration()))
-	w.Header().Set(peer.HeaderRan, string(kumquatlug.RanDone))
+	w.Header().Set(peer.HeaderExecution, string(kumquatlug.Executed))
 	writeJSON(w, http.StatusOK, s.responseBody("cmpl-"+g.id, time.Now().Unix(), g.kind.Name()))
 }
 
@@ -149,7 +149,7 @@
 	h := s.writer.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
-	h.Set(peer.HeaderRan, string(kumquatlug.RanDone))
+	h.Set(peer.HeaderExecution, string(kumquatlug.Executed))
 	s.writer.WriteHeader(http.StatusOK)
 }
 
@@ -184,8 +184,8 @@
 		return nil
 	}
 	choice := c.Choices[0]
-	if choice.Finish != nil {
-		s.finishReason = *choice.Finish
+	if choice.FinishReason != nil {
+		s.finishReason = *choice.FinishReason
 	}
 	if choice.Text != nil {
 		s.text = append(s.text, *choice.Text...)
--- a/internal/caller/errors.go
+++ b/internal/caller/errors.go
@@ -14,13 +14,13 @@
 // newRefusal returns a failure from before anything was sent to a target.
 func newRefusal(step, reason string, status int) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status,
+		Step: step, Reason: reason, Execution: kumquatlug.NotExecuted, Status: status,
 	})
 }
 
 func newRefusalWithCause(step, reason string, status int, cause error) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status, Cause: cause,
+		Step: step, Reason: reason, Execution: kumquatlug.NotExecuted, Status: status, Cause: cause,
 	})
 }
 
@@ -30,19 +30,19 @@
 }
 
 type errorDetail struct {
-	Message    string         `json:"message"`
-	Type       string         `json:"type"`
-	Param      *string        `json:"param"`
-	Code       string         `json:"code"`
-	Ran        kumquatlug.Ran `json:"ran"`
-	Request    string         `json:"request_id"`
-	RetryAfter int64          `json:"retry_after_ms,omitempty"`
+	Message    string               `json:"message"`
+	Type       string               `json:"type"`
+	Param      *string              `json:"param"`
+	Code       string               `json:"code"`
+	Ran        kumquatlug.Execution `json:"ran"`
+	Request    string               `json:"request_id"`
+	RetryAfter int64                `json:"retry_after_ms,omitempty"`
 }
 
 func newErrorBody(id string, f *kumquatlug.Failure) errorBody {
 	return errorBody{errorDetail{
 		Message: errorMessage(f), Type: errorType(f.Status()), Code: f.Reason(),
-		Ran: f.Ran(), Request: id, RetryAfter: int64(f.RetryAfter()),
+		Ran: f.Execution(), Request: id, RetryAfter: int64(f.RetryAfter()),
 	}}
 }
 
@@ -73,9 +73,9 @@
 // refuse writes f as the final response.
 func (h *Handler) refuse(w http.ResponseWriter, id string, f *kumquatlug.Failure) {
 	h.logger.Info("refused", zap.String("request", id), zap.String("step", f.Step()), zap.String("peer", f.Peer()),
-		zap.String("reason", f.Reason()), zap.String("ran", string(f.Ran())), zap.Int("status", f.Status()),
+		zap.String("reason", f.Reason()), zap.String("ran", string(f.Execution())), zap.Int("status", f.Status()),
 		zap.Int64("retry_after_ms", int64(f.RetryAfter())), zap.String("cause", f.CauseText()))
-	w.Header().Set(peer.HeaderRan, string(f.Ran()))
+	w.Header().Set(peer.HeaderExecution, string(f.Execution()))
 	if f.RetryAfter() > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(ceilSeconds(f.RetryAfter()), 10))
 	}
--- a/internal/caller/generation.go
+++ b/internal/caller/generation.go
@@ -54,9 +54,9 @@
 // PromptTokens returns the estimated length of the prompt in tokens.
 func (g Generation) PromptTokens() int64 { return int64(len(g.prompt))/bytesPerToken + 1 }
 
-// OutputBound returns the caller's limit on the output, in tokens, or zero if
+// MaxOutputTokens returns the caller's limit on the output, in tokens, or zero if
 // there is none.
-func (g Generation) OutputBound() int64 { return g.maxTokens }
+func (g Generation) MaxOutputTokens() int64 { return g.maxTokens }
 
 // Body returns the request body for an engine: the caller's own fields, but
 // always streamed, with token counts and starting after the first resume
--- a/internal/caller/service_call.go
+++ b/internal/caller/service_call.go
@@ -60,10 +60,10 @@
 // call.
 func (c ServiceCall) Key() string { return c.key }
 
-// OwnKey reports whether the caller supplied the key. A caller never repeats a
+// HasCallerKey reports whether the caller supplied the key. A caller never repeats a
 // call under a generated key, because nobody else knows it; a second request
 // under such a key can only be a resend by this process.
-func (c ServiceCall) OwnKey() bool { return c.callerKey }
+func (c ServiceCall) HasCallerKey() bool { return c.callerKey }
 
 // Timeout returns the timeout that the caller requested, in milliseconds, or
 // zero if there is none.
@@ -77,7 +77,7 @@
 		h.refuse(w, state.id, failure)
 		return
 	}
-	w.Header().Set(peer.KeyHeader, c.key)
+	w.Header().Set(peer.HeaderIdempotencyKey, c.key)
 	response, err := h.backend.Call(r.Context(), c)
 	if err != nil {
 		h.refuse(w, state.id, kumquatlug.FailureOf(err))
@@ -89,7 +89,7 @@
 
 func (h *Handler) readCall(w http.ResponseWriter, r *http.Request) (ServiceCall, *kumquatlug.Failure) {
 	state := requestStateOf(r)
-	key := r.Header.Get(peer.KeyHeader)
+	key := r.Header.Get(peer.HeaderIdempotencyKey)
 	fromCaller := key != ""
 	if !fromCaller {
 		key = generatedKeyPrefix + state.id
@@ -127,9 +127,9 @@
 // relay writes a target's response to the caller. If the response ends early,
 // relay aborts the caller's connection, so that the caller can't mistake a
 // truncated response for a complete one.
-func (h *Handler) relay(w http.ResponseWriter, response kumquatlug.Answer) {
+func (h *Handler) relay(w http.ResponseWriter, response kumquatlug.TargetResponse) {
 	peer.CopyHeaders(w.Header(), response.Header())
-	w.Header().Set(peer.HeaderRan, string(kumquatlug.RanDone))
+	w.Header().Set(peer.HeaderExecution, string(kumquatlug.Executed))
 	w.WriteHeader(response.Status())
 	controller := http.NewResponseController(w)
 	buffer := make([]byte, copyBufferBytes)
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -48,8 +48,8 @@
 // Name returns the name that selects the measurement in [Run].
 func (m Measurement) Name() string { return m.name }
 
-// About returns a one-line description.
-func (m Measurement) About() string { return m.about }
+// Description returns a one-line description.
+func (m Measurement) Description() string { return m.about }
 
 // Measurements returns all measurements, in the order of docs/CAPACITY.md.
 func Measurements() []Measurement {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 func TestSlopeUsesFirstAndLastPoint(t *testing.T) {
 	s, err := NewSlope("heartbeat", "heartbeat", UnitBytes, NewPoint(100, 5000), NewPoint(200, 9999), NewPoint(300, 13000))
 	if err != nil || s.Value() != 40 || s.Sizes() != "100, 200, 300" {
-		t.Errorf("slope %v per %q over sizes %q, want 40 over 100, 200, 300: %v", s.Value(), s.Per(), s.Sizes(), err)
+		t.Errorf("slope %v per %q over sizes %q, want 40 over 100, 200, 300: %v", s.Value(), s.CountedObject(), s.Sizes(), err)
 	}
 	for _, points := range [][]Point{nil, {NewPoint(1, 1)}, {NewPoint(2, 1), NewPoint(2, 3)}} {
 		if _, err := NewSlope("bad", "one", UnitBytes, points...); err == nil {
@@ -61,15 +61,15 @@
 				t.Fatalf("%d slopes: %v", len(slopes), err)
 			}
 			for _, s := range slopes {
-				if s.Measurement() != m.Name() || s.What() == "" || s.Per() == "" {
+				if s.Measurement() != m.Name() || s.CostName() == "" || s.CountedObject() == "" {
 					t.Errorf("slope with a missing or wrong description: %+v", s)
 				}
 				if s.Unit() == UnitBytes && s.Value() <= 0 {
-					t.Errorf("%s: %v bytes, want more than 0", s.What(), s.Value())
+					t.Errorf("%s: %v bytes, want more than 0", s.CostName(), s.Value())
 				}
-				want, exact := wantValues[s.What()+"/"+string(s.Unit())]
+				want, exact := wantValues[s.CostName()+"/"+string(s.Unit())]
 				if exact && s.Value() != want {
-					t.Errorf("%s: %v %s, want %v", s.What(), s.Value(), s.Unit(), want)
+					t.Errorf("%s: %v %s, want %v", s.CostName(), s.Value(), s.Unit(), want)
 				}
 			}
 		})
--- a/internal/capacity/decisions.go
+++ b/internal/capacity/decisions.go
@@ -84,7 +84,7 @@
 	d.Arrive(d.now, r)
 	d.now++
 	d.Progress(d.now, r.ID, 1)
-	d.Finished(d.now, r.ID, dispatch.Done{Tokens: 200})
+	d.Finished(d.now, r.ID, dispatch.Completion{OutputTokens: 200})
 }
 
 // measureFleetUpdates measures how a gateway processes heartbeats, the platform's list
@@ -99,25 +99,25 @@
 	}
 	newShared := cachedDispatchers(fleetConfig{})
 	benchmarks := []decisionBenchmark{
-		{"take the platform's list", "VM listed", sizes, 3, newShared, func(d *fleetDispatcher, _ int) { d.Listed(d.now, d.vms) }},
+		{"take the platform's list", "VM listed", sizes, 3, newShared, func(d *fleetDispatcher, _ int) { d.SetVMs(d.now, d.vms) }},
 		{"take a config change", "target labelled", sizes, 3, newShared, func(d *fleetDispatcher, i int) { d.relabelTarget(i) }},
 		{"take a heartbeat that changes nothing", "target listed", sizes, c.scaledSize(2000, 50), newShared, func(d *fleetDispatcher, i int) {
 			d.now++
-			d.answerHeartbeat(d.Watched()[i%len(d.Watched())])
+			d.answerHeartbeat(d.WatchedTargets()[i%len(d.WatchedTargets())])
 		}},
 		{"planner: find each target's group, once a config change", "target listed", sizes, 1, newDisaggregated, func(d *fleetDispatcher, _ int) {
 			for _, name := range d.Members() {
-				if _, switchable := d.Flexible(name); switchable {
+				if _, switchable := d.SwitchableKind(name); switchable {
 					_ = d.Group(name)
 				}
 			}
 		}},
 		{"planner: name the targets of its groups anew", "target listed", sizes, 3, newDisaggregated, func(d *fleetDispatcher, _ int) {
-			d.WatchAlso(d.now, d.Members()[:minSubset])
+			d.SetExtraTargets(d.now, d.Members()[:minSubset])
 		}},
 		{"take a heartbeat after an agent restarted", "target listed", sizes, 3, newShared, func(d *fleetDispatcher, i int) {
 			d.now++
-			d.Heard(d.now, d.Watched()[0], dispatch.Report{Incarnation: fmt.Sprint(i), State: dispatch.TargetServing, Asked: d.now})
+			d.HeartbeatAnswered(d.now, d.WatchedTargets()[0], dispatch.Report{Incarnation: fmt.Sprint(i), State: dispatch.TargetServing, SentAt: d.now})
 		}},
 	}
 	var slopes []Slope
@@ -171,7 +171,7 @@
 		}
 		points = append(points, NewPoint(size, float64(took.Nanoseconds())))
 	}
-	return NewSlope(what, per, UnitNanos, points...)
+	return NewSlope(what, per, UnitProcessorNanos, points...)
 }
 
 // slopePerSize returns the processor time in nanoseconds that each further object adds
@@ -197,5 +197,5 @@
 		}
 		points = append(points, NewPoint(size, float64(took)/float64(time.Nanosecond)/float64(b.iterations)))
 	}
-	return NewSlope(b.what, b.per, UnitNanos, points...)
+	return NewSlope(b.what, b.per, UnitProcessorNanos, points...)
 }
--- a/internal/capacity/deployment.go
+++ b/internal/capacity/deployment.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	s := &deployment{store: platform.NewMemory(), authority: authority}
-	if s.gatewayKeys, err = newPeerKeys(authority, peer.RoleEntry); err != nil {
+	if s.gatewayKeys, err = newPeerKeys(authority, peer.RoleGateway); err != nil {
 		return nil, err
 	}
 	if s.agentKeys, err = newPeerKeys(authority, peer.RoleAgent); err != nil {
@@ -68,7 +68,7 @@
 // newPublicKeys returns the keys of the callers' API and a certificate pool that
 // trusts them.
 func (s *deployment) newPublicKeys() (*peer.PublicKeys, *x509.CertPool, error) {
-	certificate, key, err := s.authority.Issue(peer.RoleEntry)
+	certificate, key, err := s.authority.Issue(peer.RoleGateway)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -81,7 +81,7 @@
 // start runs everything added so far. The returned function stops it and waits until
 // it has ended.
 func (s *deployment) start() (stop func()) {
-	peer.AddDuty(s.ctx, &s.group, func(ctx context.Context) error {
+	peer.AddTask(s.ctx, &s.group, func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
 	})
@@ -148,7 +148,7 @@
 	if err != nil {
 		return "", err
 	}
-	peer.AddDuty(s.ctx, &s.group, a.Run)
+	peer.AddTask(s.ctx, &s.group, a.Run)
 	address := l.Addr().String()
 	s.store.SetVM(kumquatlug.NewVM(kumquatlug.VMConfig{
 		Name: name, Role: kumquatlug.VMTarget, Address: address, Zone: zone, State: kumquatlug.VMLive,
--- a/internal/capacity/dispatcher.go
+++ b/internal/capacity/dispatcher.go
@@ -48,9 +48,9 @@
 }
 
 func newFleetDispatcher(c fleetConfig) (*fleetDispatcher, error) {
-	limits := limit.TargetsConfig{Initial: c.concurrency, Max: c.concurrency, MaxPending: 1 << 40}
+	limits := limit.TargetsConfig{Initial: c.concurrency, Max: c.concurrency, MaxPendingTokens: 1 << 40}
 	d := &fleetDispatcher{
-		Dispatcher: dispatch.New(dispatch.Config{Entry: "entry-0000", Zone: zone, Seed: 1, Subset: c.subsetSize, Limits: limits}),
+		Dispatcher: dispatch.New(dispatch.Config{Gateway: "entry-0000", Zone: zone, Seed: 1, SubsetSize: c.subsetSize, Limits: limits}),
 		now:        100_000,
 	}
 	sets, err := newFleetSets(c)
@@ -60,8 +60,8 @@
 	d.state = config.NewState(1, sets)
 	d.Configure(d.now, d.state)
 	d.vms = newFleetVMs(c)
-	d.Listed(d.now, d.vms)
-	for _, name := range d.Watched() {
+	d.SetVMs(d.now, d.vms)
+	for _, name := range d.WatchedTargets() {
 		d.answerHeartbeat(name)
 	}
 	return d, nil
@@ -69,9 +69,9 @@
 
 // answerHeartbeat reports a heartbeat response of a target with free capacity.
 func (d *fleetDispatcher) answerHeartbeat(name string) {
-	d.Heard(d.now, name, dispatch.Report{
+	d.HeartbeatAnswered(d.now, name, dispatch.Report{
 		Incarnation: "01J9ZZZZZZZZZZZZZZZZZZZZZZ", State: dispatch.TargetServing, Protocol: kumquatlug.ProtocolEngine,
-		Role: kumquatlug.RoleBoth, Revision: 1, Asked: d.now, KVTotal: 1 << 40, PrefillRate: 7312, DecodeRate: 1210,
+		Role: kumquatlug.RoleBoth, Revision: 1, SentAt: d.now, KVTotal: 1 << 40, PrefillRate: 7312, DecodeRate: 1210,
 	})
 }
 
@@ -79,7 +79,7 @@
 func (d *fleetDispatcher) newRequest(i int, caller kumquatlug.Caller) dispatch.RequestConfig {
 	return dispatch.RequestConfig{
 		ID: fmt.Sprintf("01J9ZZZZZZZZZZZZZZ%08d", i), Caller: caller, Kind: draftKind, Role: kumquatlug.RoleBoth,
-		Prefix: []uint64{uint64(i)<<8 | 1, uint64(i)<<8 | 2}, PrefillTokens: 500, DecodeTokens: 200,
+		PrefixKeys: []uint64{uint64(i)<<8 | 1, uint64(i)<<8 | 2}, PrefillTokens: 500, DecodeTokens: 200,
 		Arrival: d.now, Deadline: d.now + 2*kumquatlug.Minute, Fingerprint: newFingerprint(i),
 	}
 }
@@ -94,7 +94,7 @@
 	}
 	for _, model := range modelNames {
 		for _, role := range roles {
-			set, err := config.SetSelector(selector.Config{
+			set, err := config.NewSelectorSet(selector.Config{
 				Name: model + "-" + string(role), Protocol: kumquatlug.ProtocolEngine, Kind: model, Role: role, Match: "pool=" + model,
 			})
 			if err != nil {
@@ -135,7 +135,7 @@
 	}
 	for i := range c.gateways {
 		vms = append(vms, kumquatlug.NewVM(kumquatlug.VMConfig{
-			Name: fmt.Sprintf("entry-%04d", i), Role: kumquatlug.VMEntry, Address: fmt.Sprintf("10.121.%d.%d:8070", i>>8, i&255),
+			Name: fmt.Sprintf("entry-%04d", i), Role: kumquatlug.VMGateway, Address: fmt.Sprintf("10.121.%d.%d:8070", i>>8, i&255),
 			Zone: zone, State: kumquatlug.VMLive,
 		}))
 	}
--- a/internal/capacity/heartbeat.go
+++ b/internal/capacity/heartbeat.go
@@ -47,7 +47,7 @@
 		client   peerv1connect.AgentServiceClient
 	}{
 		{"as shipped", dialer.Agent(address)},
-		{"HTTP/1.1", peerv1connect.NewAgentServiceClient(dialer.Work(), "https://"+address, noCompression)},
+		{"HTTP/1.1", peerv1connect.NewAgentServiceClient(dialer.WorkClient(), "https://"+address, noCompression)},
 		{"HTTP/2, gzip", peerv1connect.NewAgentServiceClient(client, "https://"+address)},
 		{"HTTP/2", peerv1connect.NewAgentServiceClient(client, "https://"+address, noCompression)},
 	}
@@ -148,12 +148,12 @@
 	}
 	configs := []slopeConfig{
 		{c.what + ": wire, both ways, without TLS", c.per, UnitBytes, plaintextBytes},
-		{c.what + ": both ends", c.per, UnitNanos, nanos},
+		{c.what + ": both ends", c.per, UnitProcessorNanos, nanos},
 	}
 	if !c.noTLS {
 		configs = append(configs,
 			slopeConfig{c.what + ": wire, both ways, with TLS", c.per, UnitBytes, wireBytes},
-			slopeConfig{c.what + ": records, both ways", c.per, UnitRecords, records})
+			slopeConfig{c.what + ": records, both ways", c.per, UnitTLSRecords, records})
 	}
 	return newSlopes(configs)
 }
--- a/internal/capacity/idle.go
+++ b/internal/capacity/idle.go
@@ -40,9 +40,9 @@
 	}
 	const silent = "agent that no entry asks, a second"
 	slopes, err := newSlopes([]slopeConfig{
-		{silent + ", its engine's side of the looks included", "agent", UnitNanos, nanosByAgents},
+		{silent + ", its engine's side of the looks included", "agent", UnitProcessorNanos, nanosByAgents},
 		{silent, "agent", UnitReads, readsByAgents},
-		{"entry without work that speaks to 10 agents, a second, their side included", "entry", UnitNanos, nanosByGateways},
+		{"entry without work that speaks to 10 agents, a second, their side included", "entry", UnitProcessorNanos, nanosByGateways},
 	})
 	if err != nil {
 		return nil, err
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -69,7 +69,7 @@
 		}
 		points = append(points, NewPoint(n, bytes))
 	}
-	return NewSlope(b.what, b.per, UnitHeap, points...)
+	return NewSlope(b.what, b.per, UnitHeapBytes, points...)
 }
 
 func buildListedTargets(n int) (any, error) {
@@ -101,9 +101,9 @@
 		}
 		callersByKeyHash[caller.KeyHash()] = caller
 		r := d.newRequest(0, caller)
-		r.Prefix = nil
+		r.PrefixKeys = nil
 		d.Arrive(d.now, r)
-		d.Finished(d.now, r.ID, dispatch.Done{Tokens: 200})
+		d.Finished(d.now, r.ID, dispatch.Completion{OutputTokens: 200})
 	}
 	return []any{d, callersByKeyHash}, nil
 }
@@ -126,7 +126,7 @@
 	}
 	for i := range n {
 		r := d.newRequest(i, caller)
-		r.Prefix = nil
+		r.PrefixKeys = nil
 		r.Deadline = d.now + 100*kumquatlug.Hour
 		for _, decision := range d.Arrive(d.now, r) {
 			if decision.Verdict() == dispatch.VerdictRefuse {
@@ -143,7 +143,7 @@
 }
 
 func buildChanges(n int) (any, error) {
-	a := config.NewAdopter(config.AdopterConfig{Me: "entry-0000", Recent: n})
+	a := config.NewAdopter(config.AdopterConfig{NodeName: "entry-0000", MaxRecentChanges: n})
 	changes, err := newLabelChanges(n)
 	if err != nil {
 		return nil, err
@@ -170,9 +170,9 @@
 
 func buildPrefixKeys(n int) (any, error) {
 	const targets = 60
-	r := routing.New(routing.Config{Source: rand.NewPCG(1, 1), Zone: zone, PrefixKeys: n})
+	r := routing.New(routing.Config{RandomSource: rand.NewPCG(1, 1), Zone: zone, PrefixKeys: n})
 	for i := range targets {
-		r.Set(0, routing.Candidate{Name: targetName(i), Zone: zone, Duties: []routing.Duty{{Kind: draftKind, Role: kumquatlug.RoleBoth}}})
+		r.Set(0, routing.Candidate{Name: targetName(i), Zone: zone, Assignments: []routing.Assignment{{Kind: draftKind, Role: kumquatlug.RoleBoth}}})
 	}
 	for i := range n {
 		name := targetName(i % targets)
@@ -191,7 +191,7 @@
 }
 
 func buildFingerprints(n int) (any, error) {
-	register := quarantine.New(quarantine.Config{Records: n + 1})
+	register := quarantine.New(quarantine.Config{MaxRecords: n + 1})
 	for i := range n {
 		register.Crashed(1000, quarantine.NewCrash("drafting-01234", "01J9ZZZZZZZZZZZZZZZZZZZZZZ"), newInFlightCalls(i))
 	}
@@ -201,7 +201,7 @@
 func buildLeases(n int) (any, error) {
 	holders := make([]*lease.Holder, n)
 	for i := range holders {
-		h, err := lease.New(lease.Config{Group: fmt.Sprintf("draft/%04d", i), Me: "entry-0123/01J9ZZZZZZZZZZZZZZZZZZZZZZ"})
+		h, err := lease.New(lease.Config{Group: fmt.Sprintf("draft/%04d", i), HolderID: "entry-0123/01J9ZZZZZZZZZZZZZZZZZZZZZZ"})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -82,14 +82,14 @@
 
 // buildCrashReport returns a report of one crash with n calls in flight.
 func buildCrashReport(n int) (any, error) {
-	register := quarantine.New(quarantine.Config{Records: n + 1})
-	calls := make([]quarantine.Held, n)
+	register := quarantine.New(quarantine.Config{MaxRecords: n + 1})
+	calls := make([]quarantine.InFlightCall, n)
 	for i := range calls {
-		calls[i] = quarantine.Held{Fingerprint: newFingerprint(i), Starting: i%2 == 0}
+		calls[i] = quarantine.InFlightCall{Fingerprint: newFingerprint(i), Starting: i%2 == 0}
 	}
 	register.Crashed(1000, quarantine.NewCrash("drafting-01234", ulid.Make().String()+"/1"), calls)
-	notices, _ := register.Known(2000, 0)
-	return &peerv1.ReportResponse{Notices: peer.NoticesTo(notices)}, nil
+	notices, _ := register.NoticesSince(2000, 0)
+	return &peerv1.ReportResponse{Notices: peer.EncodeNotices(notices)}, nil
 }
 
 func buildCacheReport(n int) (any, error) {
@@ -100,13 +100,13 @@
 	return report, nil
 }
 
-func newInFlightCalls(i int) []quarantine.Held {
-	return []quarantine.Held{{Fingerprint: newFingerprint(i), Starting: true}}
+func newInFlightCalls(i int) []quarantine.InFlightCall {
+	return []quarantine.InFlightCall{{Fingerprint: newFingerprint(i), Starting: true}}
 }
 
 func buildLabelRows(n int) (any, error) {
 	sets, err := newTargetSets(n)
-	return &peerv1.PullResponse{Revision: 1_402_113, Whole: true, Sets: peer.SetsTo(sets)}, err
+	return &peerv1.PullResponse{Revision: 1_402_113, Whole: true, Sets: peer.EncodeSets(sets)}, err
 }
 
 func buildSnapshot(n int) (any, error) {
--- a/internal/capacity/offer.go
+++ b/internal/capacity/offer.go
@@ -23,7 +23,7 @@
 	defer s.start()()
 	dialer := peer.NewDialer(s.gatewayKeys)
 	defer dialer.Close()
-	client := dialer.Entry(e.peerAddress)
+	client := dialer.Gateway(e.peerAddress)
 	return measureExchanges(exchangeConfig{
 		what: "demand told to another entry", per: "offer", sizes: []int{c.scaledSize(200, 3), c.scaledSize(1200, 9)}, traffic: e.peerTraffic,
 		exchange: func() error {
--- a/internal/capacity/pull.go
+++ b/internal/capacity/pull.go
@@ -33,10 +33,10 @@
 		return nil, err
 	}
 	follower := peer.NewFollower(peer.FollowerConfig{
-		Me: "entry-0123", Store: newConfigStore(s.store), Dialer: peer.NewDialer(s.gatewayKeys), Clock: clock.NewMonotonic(),
-		Ring: timeline.NewRing("entry-0123", ringSize), Logger: zap.NewNop(), Live: func() []string { return nil },
+		NodeName: "entry-0123", Store: newConfigStore(s.store), Dialer: peer.NewDialer(s.gatewayKeys), Clock: clock.NewMonotonic(),
+		Ring: timeline.NewRing("entry-0123", ringSize), Logger: zap.NewNop(), LiveNodes: func() []string { return nil },
 	})
-	peer.AddDuty(s.ctx, &s.group, follower.Run)
+	peer.AddTask(s.ctx, &s.group, follower.Run)
 	mux := http.NewServeMux()
 	mux.Handle(peerv1connect.NewPeerServiceHandler(peer.NewService(follower, timeline.NewRing("entry-0123", ringSize))))
 	peer.AddServer(&s.group, "serve peers", &http.Server{Handler: mux, TLSConfig: s.gatewayKeys.Server()}, l)
@@ -46,7 +46,7 @@
 	}
 	dialer := peer.NewDialer(s.agentKeys)
 	defer dialer.Close()
-	return measurePullsFrom(ctx, c, t, dialer.Peer(peer.RoleEntry, l.Addr().String()))
+	return measurePullsFrom(ctx, c, t, dialer.Peer(peer.RoleGateway, l.Addr().String()))
 }
 
 // commitPeerChanges commits the changes after the follower has started and waits until
@@ -61,7 +61,7 @@
 		if err := commitUpTo(ctx, newConfigStore(s.store), int(head)); err != nil {
 			return err
 		}
-		follower.LearnedHead(head)
+		follower.ObserveHead(head)
 		if err := waitUntil(ctx, func() bool { return follower.State().Revision() == head }); err != nil {
 			return err
 		}
@@ -115,7 +115,7 @@
 	}
 	more, err := newSlopes([]slopeConfig{
 		{"pull that missed many: wire, with TLS", "further change", UnitBytes, bytes},
-		{"pull that missed many: both ends", "further change", UnitNanos, nanos},
+		{"pull that missed many: both ends", "further change", UnitProcessorNanos, nanos},
 	})
 	if err != nil {
 		return nil, err
@@ -135,7 +135,7 @@
 	if err != nil {
 		return Slope{}, err
 	}
-	a := config.NewAdopter(config.AdopterConfig{Me: "entry-0123", Start: config.NewState(0, sets)})
+	a := config.NewAdopter(config.AdopterConfig{NodeName: "entry-0123", InitialState: config.NewState(0, sets)})
 	i := 0
 	return slopePerRound("change adopted in 10,000 rows", "change", [2]int{c.scaledSize(100, 1), c.scaledSize(500, 4)}, func() {
 		_, _, _ = a.Adopt(changes[i : i+1])
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -15,13 +15,13 @@
 
 // Units of slopes.
 const (
-	UnitBytes   Unit = "bytes"
-	UnitHeap    Unit = "heap bytes"
-	UnitNanos   Unit = "ns of processor time"
-	UnitReads   Unit = "table reads"
-	UnitWrites  Unit = "table writes"
-	UnitRecords Unit = "TLS records"
-	UnitRows    Unit = "table rows written"
+	UnitBytes          Unit = "bytes"
+	UnitHeapBytes      Unit = "heap bytes"
+	UnitProcessorNanos Unit = "ns of processor time"
+	UnitReads          Unit = "table reads"
+	UnitWrites         Unit = "table writes"
+	UnitTLSRecords     Unit = "TLS records"
+	UnitRowsWritten    Unit = "table rows written"
 )
 
 // Point is the total cost at one size.
@@ -61,11 +61,11 @@
 // Measurement returns the name of the measurement that produced the slope.
 func (s Slope) Measurement() string { return s.measurement }
 
-// What names the cost.
-func (s Slope) What() string { return s.what }
+// CostName names the cost.
+func (s Slope) CostName() string { return s.what }
 
-// Per names the counted object.
-func (s Slope) Per() string { return s.per }
+// CountedObject names the counted object.
+func (s Slope) CountedObject() string { return s.per }
 
 // Unit returns the unit of the value.
 func (s Slope) Unit() Unit { return s.unit }
--- a/internal/capacity/stream.go
+++ b/internal/capacity/stream.go
@@ -90,7 +90,7 @@
 	defer plainClient.CloseIdleConnections()
 	paths := []streamPath{
 		{"engine alone", plainClient, engineURL, http.Header{}, engineTraffic},
-		{"through the agent", dialer.Work(), dialer.WorkURL(agent, ""), newWorkHeader(), agentTraffic},
+		{"through the agent", dialer.WorkClient(), dialer.WorkURL(agent, ""), newWorkHeader(), agentTraffic},
 		{"through entry and agent", gateway.client, gateway.url, http.Header{"Authorization": {"Bearer " + callerKey}}, gatewayTraffic},
 	}
 	if err := waitUntil(ctx, func() bool { return paths[2].readOne(ctx, 2) == nil }); err != nil {
@@ -104,7 +104,7 @@
 	h := http.Header{"Content-Type": {"application/json"}}
 	peer.NewWork(peer.WorkConfig{
 		Request: "01J9ZZZZZZZZZZZZZZZZZZZZZZ", Attempt: 1, Kind: kumquatlug.NewKind(kumquatlug.ProtocolEngine, "standin"),
-		Caller: "portal", Revision: 1, Timeout: kumquatlug.Minute, Fingerprint: string(newFingerprint(0)), From: "10.120.30.40:8070",
+		Caller: "portal", Revision: 1, Timeout: kumquatlug.Minute, Fingerprint: string(newFingerprint(0)), SenderAddress: "10.120.30.40:8070",
 	}).Write(h)
 	return h
 }
@@ -131,7 +131,7 @@
 		}
 		configs := []slopeConfig{
 			{"stream, " + p.what + ": wire at the client", "token", UnitBytes, bytes},
-			{"stream, " + p.what + ": all processes", "token", UnitNanos, nanos},
+			{"stream, " + p.what + ": all processes", "token", UnitProcessorNanos, nanos},
 		}
 		if p.traffic != agentTraffic && p.what != paths[0].what {
 			configs = append(configs, slopeConfig{"stream, " + p.what + ": wire between the two, with TLS", "token", UnitBytes, betweenBytes})
@@ -169,7 +169,7 @@
 		}
 		points = append(points, NewPoint(n, bytes))
 	}
-	return NewSlope("stream, "+p.what+": heap and stacks of all processes", "open stream", UnitHeap, points...)
+	return NewSlope("stream, "+p.what+": heap and stacks of all processes", "open stream", UnitHeapBytes, points...)
 }
 
 // readAll reads concurrentStreams streams of the same length concurrently.
@@ -234,11 +234,11 @@
 // commitInitialConfig commits the first config change: labels, a selector and a client
 // account.
 func (s *deployment) commitInitialConfig(ctx context.Context) error {
-	labels, err := config.SetLabels("drafting-01234", selector.Labels{"pool": "draft"})
+	labels, err := config.NewLabelsSet("drafting-01234", selector.Labels{"pool": "draft"})
 	if err != nil {
 		return err
 	}
-	engines, err := config.SetSelector(selector.Config{
+	engines, err := config.NewSelectorSet(selector.Config{
 		Name: "engines", Protocol: kumquatlug.ProtocolEngine, Kind: "standin", Role: kumquatlug.RoleBoth, Match: "pool=draft",
 	})
 	if err != nil {
@@ -290,20 +290,20 @@
 		return gatewayEndpoint{}, err
 	}
 	e, err := entry.New(entry.Config{
-		Name: name, Zone: zone, Callers: callers, Peers: peers, Operators: operators, Keys: s.gatewayKeys, CallerTLS: public,
-		Table: s.store, Objects: s.store, VMs: s.store, Clock: clock.NewMonotonic(), ListEvery: 2 * kumquatlug.Second,
+		Name: name, Zone: zone, CallerListener: callers, PeerListener: peers, OperatorListener: operators, PeerKeys: s.gatewayKeys, CallerTLS: public,
+		Table: s.store, Objects: s.store, VMs: s.store, Clock: clock.NewMonotonic(), VMListInterval: 2 * kumquatlug.Second,
 		Logger: zap.NewNop(), Registry: prometheus.NewRegistry(), Ring: timeline.NewRing(name, ringSize),
-		Planner: func() kumquatlug.RolePlanner { return planner.Static{} },
+		NewPlanner: func() kumquatlug.RolePlanner { return planner.Static{} },
 	})
 	if err != nil {
 		return gatewayEndpoint{}, err
 	}
 	s.store.SetVM(kumquatlug.NewVM(kumquatlug.VMConfig{
-		Name: name, Role: kumquatlug.VMEntry, Address: peers.Addr().String(), Zone: zone, State: kumquatlug.VMLive,
+		Name: name, Role: kumquatlug.VMGateway, Address: peers.Addr().String(), Zone: zone, State: kumquatlug.VMLive,
 	}))
-	peer.AddDuty(s.ctx, &s.group, e.Run)
+	peer.AddTask(s.ctx, &s.group, e.Run)
 	client := &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: concurrentStreams, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, ServerName: peer.RoleEntry.DNSName()},
+		MaxIdleConnsPerHost: concurrentStreams, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, ServerName: peer.RoleGateway.DNSName()},
 	}}
 	return gatewayEndpoint{"https://" + callers.Addr().String(), client, peers.Addr().String(), peerTraffic}, nil
 }
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -75,7 +75,7 @@
 	return newSlopes([]slopeConfig{
 		{b.what, b.per, UnitReads, reads},
 		{b.what, b.per, UnitWrites, writes},
-		{b.what, b.per, UnitRows, rows},
+		{b.what, b.per, UnitRowsWritten, rows},
 	})
 }
 
@@ -83,7 +83,7 @@
 const renewInterval = 5 * kumquatlug.Second
 
 func newHolder(id string) (*lease.Holder, error) {
-	return lease.New(lease.Config{Group: "draft/0001", Me: id})
+	return lease.New(lease.Config{Group: "draft/0001", HolderID: id})
 }
 
 // runHolder performs the table operations that the lease holder requests at now.
@@ -96,7 +96,7 @@
 		} else {
 			err = table.Commit(ctx, operation.Tx())
 		}
-		operation = h.Answered(now, operation, row, err)
+		operation = h.HandleResponse(now, operation, row, err)
 	}
 }
 
@@ -137,7 +137,7 @@
 func openLedger(ctx context.Context, table *standin.Memory, maxCachedCalls int) (l *ledger.Ledger, stop func(), err error) {
 	l, err = ledger.New(ledger.Config{
 		Table: table, Objects: table, Clock: clock.NewMonotonic(), Target: "publication-01",
-		Incarnation: ulid.Make().String(), Kept: maxCachedCalls,
+		Incarnation: ulid.Make().String(), MaxCachedCalls: maxCachedCalls,
 	})
 	if err != nil {
 		return nil, nil, err
@@ -155,7 +155,7 @@
 // time.
 func runOnceCall(ctx context.Context, l *ledger.Ledger, i int) error {
 	call := ledger.NewCall(ledger.CallConfig{
-		Caller: "portal", Key: fmt.Sprintf("posting-%06d", i), Body: string(newFingerprint(i)), Dispatch: ledger.NewDispatch(0, 0),
+		Caller: "portal", Key: fmt.Sprintf("posting-%06d", i), Fingerprint: string(newFingerprint(i)), Dispatch: ledger.NewDispatch(0, 0),
 	})
 	decision, err := l.Begin(ctx, call)
 	if err != nil {
@@ -231,7 +231,7 @@
 func tickEra(ctx context.Context, table *standin.Memory, n int) error {
 	// The clock does not advance, so that no write is due at any tick. In a fleet one
 	// tick a minute writes, over all gateways.
-	keeper, err := ledger.NewKeeper(ledger.KeeperConfig{Table: table, Clock: clock.NewManual(0), Incarnation: "entry-1"})
+	keeper, err := ledger.NewEraKeeper(ledger.EraKeeperConfig{Table: table, Clock: clock.NewManual(0), Incarnation: "entry-1"})
 	for range n {
 		if err != nil {
 			return err
@@ -285,7 +285,7 @@
 
 // pullFromTable reads all changes from the table at once.
 func pullFromTable(ctx context.Context, table *standin.Memory, _ int) error {
-	_, err := newConfigStore(table).Since(ctx, 0)
+	_, err := newConfigStore(table).ChangesSince(ctx, 0)
 	return err
 }
 
--- a/internal/capacity/tabletraffic.go
+++ b/internal/capacity/tabletraffic.go
@@ -30,7 +30,7 @@
 	s.addServerOn(l, rowstore.New())
 	defer s.start()()
 	client := platform.NewStore(platform.StoreConfig{
-		Address: l.Addr().String(), Pool: exchange.New(exchange.Config{Clock: clock.NewMonotonic(), Kept: 1}),
+		Address: l.Addr().String(), Pool: exchange.New(exchange.Config{Clock: clock.NewMonotonic(), MaxIdlePerAddress: 1}),
 	})
 	store := config.NewStore(config.StoreConfig{Table: client, Objects: client})
 	if err := commitUpTo(ctx, store, 100); err != nil {
@@ -73,7 +73,7 @@
 	roster := membership.NewRoster(client)
 	for _, n := range []int{c.scaledSize(200, 5), c.scaledSize(2200, 25)} {
 		for _, vm := range newFleetVMs(fleetConfig{targets: n}) {
-			if err := roster.Enter(ctx, vm); err != nil {
+			if err := roster.Register(ctx, vm); err != nil {
 				return nil, err
 			}
 		}
@@ -94,6 +94,6 @@
 	}
 	return newSlopes([]slopeConfig{
 		{"platform's list read: wire, both ways, without TLS", "VM listed", UnitBytes, bytes},
-		{"platform's list read: both ends", "VM listed", UnitNanos, nanos},
+		{"platform's list read: both ends", "VM listed", UnitProcessorNanos, nanos},
 	})
 }
--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -13,9 +13,9 @@
 // kilobytes at most.
 const maxEventBytes = 1 << 20
 
-// ErrNoEnd reports that a stream ended before its end marker: the response is
+// ErrTruncated reports that a stream ended before its end marker: the response is
 // incomplete.
-var ErrNoEnd = errors.New("stream ended without its end marker")
+var ErrTruncated = errors.New("stream ended without its end marker")
 
 // doneMarker is the data of the last event of every complete OpenAI stream.
 var doneMarker = []byte("[DONE]")
@@ -36,10 +36,10 @@
 // Choice is the single choice of a chunk. Text is set by completions, Delta by chat
 // completions.
 type Choice struct {
-	Index  int             `json:"index"`
-	Text   *string         `json:"text,omitempty"`
-	Delta  json.RawMessage `json:"delta,omitempty"`
-	Finish *string         `json:"finish_reason"`
+	Index        int             `json:"index"`
+	Text         *string         `json:"text,omitempty"`
+	Delta        json.RawMessage `json:"delta,omitempty"`
+	FinishReason *string         `json:"finish_reason"`
 }
 
 // Chunk is the data of one event of a stream.
@@ -52,21 +52,21 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Tokens returns the number of tokens of the response up to and including this
+// CompletionTokens returns the number of tokens of the response up to and including this
 // chunk, zero if the engine doesn't report it.
-func (c Chunk) Tokens() int64 {
+func (c Chunk) CompletionTokens() int64 {
 	if c.Usage == nil {
 		return 0
 	}
 	return c.Usage.CompletionTokens
 }
 
-// Finish returns the finish reason, empty unless the response ends with this chunk.
-func (c Chunk) Finish() string {
-	if len(c.Choices) == 0 || c.Choices[0].Finish == nil {
+// FinishReason returns the finish reason, empty unless the response ends with this chunk.
+func (c Chunk) FinishReason() string {
+	if len(c.Choices) == 0 || c.Choices[0].FinishReason == nil {
 		return ""
 	}
-	return *c.Choices[0].Finish
+	return *c.Choices[0].FinishReason
 }
 
 // Reader reads the events of one stream.
@@ -84,7 +84,7 @@
 }
 
 // Next returns the next chunk. It returns io.EOF after the end marker, and an error
-// that is ErrNoEnd if the stream ended before it.
+// that is ErrTruncated if the stream ended before it.
 func (r *Reader) Next() (Chunk, error) {
 	for r.lines.Scan() {
 		data, ok := bytes.CutPrefix(r.lines.Bytes(), []byte("data:"))
@@ -103,7 +103,7 @@
 		return c, nil
 	}
 	if err := r.lines.Err(); err != nil {
-		return Chunk{}, errors.Mark(errors.Wrap(err, "read stream"), ErrNoEnd)
+		return Chunk{}, errors.Mark(errors.Wrap(err, "read stream"), ErrTruncated)
 	}
-	return Chunk{}, ErrNoEnd
+	return Chunk{}, ErrTruncated
 }
--- a/internal/engine/chunk_test.go
+++ b/internal/engine/chunk_test.go
@@ -21,14 +21,14 @@
 			if err != nil {
 				return tokens, err
 			}
-			tokens = append(tokens, *c.Choices[0].Text+c.Finish())
+			tokens = append(tokens, *c.Choices[0].Text+c.FinishReason())
 		}
 	}
 	tokens, err := read(twoChunks + "data: [DONE]\n\n")
 	if !errors.Is(err, io.EOF) || strings.Join(tokens, "") != "abstop" {
 		t.Fatalf("complete stream: %v, %v", tokens, err)
 	}
-	if _, err := read(twoChunks); !errors.Is(err, ErrNoEnd) {
+	if _, err := read(twoChunks); !errors.Is(err, ErrTruncated) {
 		t.Fatalf("truncated stream: %v", err)
 	}
 }
--- a/internal/engine/decode.go
+++ b/internal/engine/decode.go
@@ -179,7 +179,7 @@
 			if s.want("null") {
 				return 3, true
 			}
-			return 3, s.stringPointer(&c.Finish)
+			return 3, s.stringPointer(&c.FinishReason)
 		default:
 			return 0, false
 		}
--- a/internal/engine/decode_test.go
+++ b/internal/engine/decode_test.go
@@ -79,7 +79,7 @@
 			}
 			if random.IntN(2) == 0 {
 				reason := text()
-				choice.Finish = &reason
+				choice.FinishReason = &reason
 			}
 			c.Choices = append(c.Choices, choice)
 		}
--- a/internal/engine/encode.go
+++ b/internal/engine/encode.go
@@ -54,10 +54,10 @@
 		b = append(append(b, `,"delta":`...), delta...)
 	}
 	b = append(b, `,"finish_reason":`...)
-	if c.Finish == nil {
+	if c.FinishReason == nil {
 		return append(b, "null}"...), nil
 	}
-	return append(appendString(b, *c.Finish), '}'), nil
+	return append(appendString(b, *c.FinishReason), '}'), nil
 }
 
 func appendUsage(b []byte, u Usage) []byte {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -32,14 +32,14 @@
 
 // Load is the load that an engine reports, with a delay.
 type Load struct {
-	Running       int64   `json:"running"`
-	Waiting       int64   `json:"waiting"`
-	KVUsed        int64   `json:"kv_used_tokens"`
-	KVTotal       int64   `json:"kv_total_tokens"`
-	PrefillTokens float64 `json:"prefill_tokens_per_second"`
-	DecodeTokens  float64 `json:"decode_tokens_per_second"`
-	// Age is the age of the values, in milliseconds.
-	Age int64 `json:"age_ms"`
+	Running                int64   `json:"running"`
+	Waiting                int64   `json:"waiting"`
+	KVUsedTokens           int64   `json:"kv_used_tokens"`
+	KVTotalTokens          int64   `json:"kv_total_tokens"`
+	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
+	DecodeTokensPerSecond  float64 `json:"decode_tokens_per_second"`
+	// AgeMs is the age of the values, in milliseconds.
+	AgeMs int64 `json:"age_ms"`
 }
 
 // ReadLoad returns the load that the engine reports.
@@ -100,9 +100,9 @@
 	Argument string `json:"argument"`
 }
 
-// Give sends o to the engine. An error marked kumquatlug.ErrConflict means that the
+// SendOrder sends o to the engine. An error marked kumquatlug.ErrConflict means that the
 // engine refused it; after any other error the effect is unknown.
-func (e *Engine) Give(ctx context.Context, o Order) (Condition, error) {
+func (e *Engine) SendOrder(ctx context.Context, o Order) (Condition, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return Condition{}, errors.Wrap(err, "encode order")
@@ -142,7 +142,7 @@
 	return decodeResponse(step, response, dst)
 }
 
-func decodeResponse(step string, response kumquatlug.Answer, dst any) error {
+func decodeResponse(step string, response kumquatlug.TargetResponse, dst any) error {
 	defer response.Body().Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body(), maxControlBytes))
 	if err != nil {
--- a/internal/entry/background.go
+++ b/internal/entry/background.go
@@ -38,7 +38,7 @@
 
 // pollVMs reads the platform's VM list periodically.
 func (e *Entry) pollVMs(ctx context.Context) error {
-	ticker := time.NewTicker(e.cfg.ListEvery.Duration())
+	ticker := time.NewTicker(e.cfg.VMListInterval.Duration())
 	defer ticker.Stop()
 	for {
 		vms, err := e.cfg.VMs.List(ctx)
@@ -129,7 +129,7 @@
 func (e *Entry) watchedMembers(ctx context.Context) []membership.Member {
 	var members []membership.Member
 	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) {
-		for _, name := range d.Watched() {
+		for _, name := range d.WatchedTargets() {
 			if m, known := d.Member(name); known {
 				members = append(members, m)
 			}
@@ -153,11 +153,11 @@
 	sentAt := e.cfg.Clock.Now()
 	var notices []quarantine.Notice
 	var version int64
-	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) { notices, version = d.Known(sentAt, state.noticesSent) })
+	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) { notices, version = d.NoticesSince(sentAt, state.noticesSent) })
 	response, err := e.dialer.Agent(m.VM().Address()).Report(ctx, connect.NewRequest(&peerv1.ReportRequest{
 		Entry: e.cfg.Name, Address: e.address, Revision: int64(e.follower.State().Revision()),
 		HeadAgeMs: int64(e.follower.HeadAge()), Logical: e.cfg.Ring.Logical(), VmState: e.listedVMState(m),
-		Notices: peer.NoticesTo(notices), NoticesAfter: state.noticesReceived, CacheAfter: state.lastCacheEvent,
+		Notices: peer.EncodeNotices(notices), NoticesAfter: state.noticesReceived, CacheAfter: state.lastCacheEvent,
 	}))
 	if err != nil || response.Msg.GetTarget() != m.VM().Name() {
 		// A different agent at this address counts as a missed heartbeat: the
@@ -175,8 +175,8 @@
 	}
 	state.noticesSent, state.noticesReceived = version, response.Msg.GetNoticesVersion()
 	e.cfg.Ring.Witness(response.Msg.GetLogical())
-	e.follower.Learned(peer.RoleAgent, m.VM().Address(), response.Msg.GetRevision(), kumquatlug.Millis(response.Msg.GetHeadAgeMs()))
-	e.loop.post(heartbeatAnswered{name: m.VM().Name(), report: newReport(response.Msg, sentAt), notices: peer.NoticesFrom(response.Msg.GetNotices()), cache: response.Msg.GetCache()})
+	e.follower.ObserveRevision(peer.RoleAgent, m.VM().Address(), response.Msg.GetRevision(), kumquatlug.Millis(response.Msg.GetHeadAgeMs()))
+	e.loop.post(heartbeatAnswered{name: m.VM().Name(), report: newReport(response.Msg, sentAt), notices: peer.DecodeNotices(response.Msg.GetNotices()), cache: response.Msg.GetCache()})
 }
 
 // listedVMState returns the state of a target's VM in the platform's VM list,
@@ -195,10 +195,10 @@
 	return dispatch.Report{
 		Incarnation: r.GetIncarnation(), State: dispatch.TargetState(r.GetState()),
 		Protocol: kumquatlug.Protocol(r.GetProtocol()), Role: kumquatlug.Role(r.GetRole()),
-		Revision: config.Revision(r.GetRevision()), Asked: sentAt, Age: kumquatlug.Millis(load.GetAgeMs()),
+		Revision: config.Revision(r.GetRevision()), SentAt: sentAt, LoadAge: kumquatlug.Millis(load.GetAgeMs()),
 		Running: load.GetRunning(), Waiting: load.GetWaiting(), KVUsed: load.GetKvUsedTokens(), KVTotal: load.GetKvTotalTokens(),
 		PrefillRate: load.GetPrefillTokensPerSecond(), DecodeRate: load.GetDecodeTokensPerSecond(),
-		Begun: r.GetBegun(), Starts: r.GetStarts(), Fence: r.GetFence(), Phase: r.GetPhase(),
+		StartedCalls: r.GetBegun(), AgentStarts: r.GetStarts(), FencingToken: r.GetFence(), Phase: r.GetPhase(),
 	}
 }
 
@@ -206,8 +206,8 @@
 // order of a task that a single entry node performs.
 func (e *Entry) isPrimary(ctx context.Context, task string) bool {
 	var entries []string
-	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) { entries = append(entries, d.Entries()...) })
-	order := routing.ServiceOrder(task, entries)
+	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) { entries = append(entries, d.Gateways()...) })
+	order := routing.RunOnceOrder(task, entries)
 	return len(order) > 0 && order[0] == e.cfg.Name
 }
 
--- a/internal/entry/config_view.go
+++ b/internal/entry/config_view.go
@@ -15,7 +15,7 @@
 // policy of each kind. It is built once per revision and read without a lock.
 type configView struct {
 	revision config.Revision
-	accounts *accounts.Book
+	accounts *accounts.Index
 	policies map[kumquatlug.Kind]kindPolicy
 	kinds    []kumquatlug.Kind
 }
@@ -36,7 +36,7 @@
 		}
 		return true
 	})
-	v.accounts = accounts.NewBook(callers)
+	v.accounts = accounts.NewIndex(callers)
 	selectors, _ := config.Selectors(state)
 	for _, s := range selectors {
 		v.addSelector(s)
@@ -54,7 +54,7 @@
 		v.policies[s.Kind()] = existing
 		return
 	}
-	v.policies[s.Kind()] = kindPolicy{repeatable: s.Repeatable(), timeout: s.Deadline(), priority: s.Priority()}
+	v.policies[s.Kind()] = kindPolicy{repeatable: s.Repeatable(), timeout: s.Timeout(), priority: s.Priority()}
 	v.kinds = append(v.kinds, s.Kind())
 }
 
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -30,28 +30,28 @@
 		share := m.demand
 		share.PrefillTokens *= float64(len(g.engines)) / float64(engines)
 		share.DecodeTokens *= float64(len(g.engines)) / float64(engines)
-		g.planner.Offered(c.now(), share)
+		g.planner.RecordDemand(c.now(), share)
 	}
 }
 
 // reportDemand sends the demand seen by this entry node to the entry nodes that
 // may hold the leases.
 func (c *roleController) reportDemand(ctx context.Context, span kumquatlug.Millis) {
-	demand := map[string]dispatch.Offered{}
+	demand := map[string]dispatch.OfferedWork{}
 	var entries []string
 	_ = c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) {
-		entries = append(entries, d.Entries()...)
-		d.TakeOffers(func(kind kumquatlug.Kind, o dispatch.Offered) { demand[kind.Name()] = o })
+		entries = append(entries, d.Gateways()...)
+		d.TakeOfferedWork(func(kind kumquatlug.Kind, o dispatch.OfferedWork) { demand[kind.Name()] = o })
 	})
 	addresses := map[string]string{}
 	for _, vm := range c.entry.otherEntries() {
 		addresses[vm.Name()] = vm.Address()
 	}
 	for kind, o := range demand {
-		offer := kumquatlug.Offer{
-			Entry: c.entry.cfg.Name, Span: span, PrefillTokens: float64(o.Prefill), DecodeTokens: float64(o.Decode),
+		offer := kumquatlug.Demand{
+			Gateway: c.entry.cfg.Name, Period: span, PrefillTokens: float64(o.PrefillTokens), DecodeTokens: float64(o.DecodeTokens),
 		}
-		for i, name := range routing.ServiceOrder(kind, entries) {
+		for i, name := range routing.RunOnceOrder(kind, entries) {
 			if i >= leaseCandidates {
 				break
 			}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c *roleController) sendDemand(ctx context.Context, entry, address, kind string, o kumquatlug.Offer) {
+func (c *roleController) sendDemand(ctx context.Context, entry, address, kind string, o kumquatlug.Demand) {
 	if entry == c.entry.cfg.Name {
 		c.post(demandReport{kind, o})
 		return
@@ -68,8 +68,8 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 		defer cancel()
-		_, err := c.entry.dialer.Entry(address).Offer(ctx, connect.NewRequest(&peerv1.OfferRequest{
-			Entry: o.Entry, Kind: kind, SpanMs: int64(o.Span), PrefillTokens: o.PrefillTokens, DecodeTokens: o.DecodeTokens,
+		_, err := c.entry.dialer.Gateway(address).Offer(ctx, connect.NewRequest(&peerv1.OfferRequest{
+			Entry: o.Gateway, Kind: kind, SpanMs: int64(o.Period), PrefillTokens: o.PrefillTokens, DecodeTokens: o.DecodeTokens,
 		}))
 		if err != nil {
 			c.entry.cfg.Logger.Debug("failed to report demand", zap.String("peer", entry), timeline.ErrorField(err))
@@ -86,8 +86,8 @@
 func (s *demandService) Offer(
 	_ context.Context, r *connect.Request[peerv1.OfferRequest],
 ) (*connect.Response[peerv1.OfferResponse], error) {
-	s.controller.post(demandReport{r.Msg.GetKind(), kumquatlug.Offer{
-		Entry: r.Msg.GetEntry(), Span: kumquatlug.Millis(r.Msg.GetSpanMs()),
+	s.controller.post(demandReport{r.Msg.GetKind(), kumquatlug.Demand{
+		Gateway: r.Msg.GetEntry(), Period: kumquatlug.Millis(r.Msg.GetSpanMs()),
 		PrefillTokens: r.Msg.GetPrefillTokens(), DecodeTokens: r.Msg.GetDecodeTokens(),
 	}})
 	return connect.NewResponse(&peerv1.OfferResponse{}), nil
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -35,16 +35,16 @@
 	// centre.
 	Name string
 	Zone string
-	// Callers, Peers and Operators are the listeners for each of them.
-	Callers   net.Listener
-	Peers     net.Listener
-	Operators net.Listener
+	// CallerListener, Peers and Operators are the listeners for each of them.
+	CallerListener   net.Listener
+	PeerListener     net.Listener
+	OperatorListener net.Listener
 	// PeerAddress is the address advertised to peers; empty means the address
 	// of Peers.
 	PeerAddress string
-	// Keys are the TLS keys for connections between nodes; nil means plain
+	// PeerKeys are the TLS keys for connections between nodes; nil means plain
 	// connections on loopback.
-	Keys *peer.Keys
+	PeerKeys *peer.Keys
 	// CallerTLS is the server certificate presented to callers and operators;
 	// nil means plain connections.
 	CallerTLS *peer.PublicKeys
@@ -55,24 +55,24 @@
 	Objects      kumquatlug.Objects
 	VMs          kumquatlug.VMs
 	Clock        kumquatlug.Clock
-	// ListEvery is the interval between reads of the platform's VM list, in
+	// VMListInterval is the interval between reads of the platform's VM list, in
 	// milliseconds.
-	ListEvery kumquatlug.Millis
+	VMListInterval kumquatlug.Millis
 	// BalancerLag is how long an entry node that is shutting down still accepts
 	// requests after it reports that it is not ready, in milliseconds.
 	BalancerLag kumquatlug.Millis
-	// MaxBody is the maximum size of a caller's request body, in bytes; zero
+	// MaxBodyBytes is the maximum size of a caller's request body, in bytes; zero
 	// means the default.
-	MaxBody int64
-	// MaxHeld is the maximum total size of the bodies of all requests in
+	MaxBodyBytes int64
+	// MaxTotalBodyBytes is the maximum total size of the bodies of all requests in
 	// flight, in bytes; zero means the default.
-	MaxHeld  int64
-	Dispatch dispatch.Config
-	// Planner returns a new role planner for a group of engines.
-	Planner  func() kumquatlug.RolePlanner
-	Logger   *zap.Logger
-	Registry *prometheus.Registry
-	Ring     *timeline.Ring
+	MaxTotalBodyBytes int64
+	Dispatch          dispatch.Config
+	// NewPlanner returns a new role planner for a group of engines.
+	NewPlanner func() kumquatlug.RolePlanner
+	Logger     *zap.Logger
+	Registry   *prometheus.Registry
+	Ring       *timeline.Ring
 }
 
 // Entry is an entry node, which runs behind the load balancer.
@@ -84,7 +84,7 @@
 	follower    *peer.Follower
 	configStore *config.Store
 	ledger      *ledger.Ledger
-	eraKeeper   *ledger.Keeper
+	eraKeeper   *ledger.EraKeeper
 	loop        *loop
 	attempts    *attemptTracker
 	roles       *roleController
@@ -97,19 +97,19 @@
 
 // New returns an entry node that is ready to run.
 func New(c Config) (*Entry, error) {
-	e := &Entry{cfg: c, incarnation: kumquatlug.NewIncarnation(c.Name), address: c.PeerAddress, dialer: peer.NewDialer(c.Keys), attempts: newAttemptTracker()}
+	e := &Entry{cfg: c, incarnation: kumquatlug.NewIncarnation(c.Name), address: c.PeerAddress, dialer: peer.NewDialer(c.PeerKeys), attempts: newAttemptTracker()}
 	if e.address == "" {
-		e.address = c.Peers.Addr().String()
+		e.address = c.PeerListener.Addr().String()
 	}
 	e.metrics = newMetrics(c.Registry)
 	e.configStore = config.NewStore(config.StoreConfig{Table: c.Table, Objects: c.Objects})
 	e.listedVMs.Store(&[]kumquatlug.VM{})
-	e.cfg.Dispatch.Entry, e.cfg.Dispatch.Zone = c.Name, c.Zone
+	e.cfg.Dispatch.Gateway, e.cfg.Dispatch.Zone = c.Name, c.Zone
 	e.loop = newLoop(e)
 	e.roles = newRoleController(e)
 	e.follower = peer.NewFollower(peer.FollowerConfig{
-		Me: c.Name, Dialer: e.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger, Store: e.configStore,
-		Live: e.localEntries, OnState: e.applyConfig,
+		NodeName: c.Name, Dialer: e.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger, Store: e.configStore,
+		LiveNodes: e.localEntries, OnState: e.applyConfig,
 	})
 	return e, e.openLedger()
 }
@@ -122,7 +122,7 @@
 	if err != nil {
 		return errors.Wrap(err, "open ledger")
 	}
-	e.eraKeeper, err = ledger.NewKeeper(ledger.KeeperConfig{Table: e.cfg.Table, Clock: e.cfg.Clock, Incarnation: e.incarnation})
+	e.eraKeeper, err = ledger.NewEraKeeper(ledger.EraKeeperConfig{Table: e.cfg.Table, Clock: e.cfg.Clock, Incarnation: e.incarnation})
 	return errors.Wrap(err, "open ledger")
 }
 
@@ -138,7 +138,7 @@
 func (e *Entry) localEntries() []string {
 	var names []string
 	for _, vm := range *e.listedVMs.Load() {
-		if vm.Role() == kumquatlug.VMEntry && vm.Zone() == e.cfg.Zone {
+		if vm.Role() == kumquatlug.VMGateway && vm.Zone() == e.cfg.Zone {
 			names = append(names, vm.Name())
 		}
 	}
@@ -156,7 +156,7 @@
 		e.loop.run, e.follower.Run, e.pollVMs, e.runHeartbeats, e.ledger.Run, e.eraKeeper.Run, e.runSnapshots, e.roles.run,
 		e.presence().Run,
 	} {
-		peer.AddDuty(background, &group, task)
+		peer.AddTask(background, &group, task)
 	}
 	e.addServers(&group)
 	group.Add(func() error {
@@ -164,17 +164,17 @@
 		e.drain(background)
 		return ctx.Err()
 	}, func(error) { cancel() })
-	e.cfg.Logger.Info("entry serves", zap.String("name", e.cfg.Name), zap.String("callers", e.cfg.Callers.Addr().String()),
-		zap.String("peers", e.address), zap.String("operators", e.cfg.Operators.Addr().String()))
+	e.cfg.Logger.Info("entry serves", zap.String("name", e.cfg.Name), zap.String("callers", e.cfg.CallerListener.Addr().String()),
+		zap.String("peers", e.address), zap.String("operators", e.cfg.OperatorListener.Addr().String()))
 	defer e.dialer.Close()
 	return peer.RunGroup(&group)
 }
 
 // presence returns the registration of this entry node in the platform's VM
 // list.
-func (e *Entry) presence() peer.Presence {
-	return peer.Presence{VMs: e.cfg.VMs, Logger: e.cfg.Logger, VM: kumquatlug.NewVM(kumquatlug.VMConfig{
-		Name: e.cfg.Name, Role: kumquatlug.VMEntry, Address: e.address, Zone: e.cfg.Zone, State: kumquatlug.VMLive,
+func (e *Entry) presence() peer.Registration {
+	return peer.Registration{VMs: e.cfg.VMs, Logger: e.cfg.Logger, VM: kumquatlug.NewVM(kumquatlug.VMConfig{
+		Name: e.cfg.Name, Role: kumquatlug.VMGateway, Address: e.address, Zone: e.cfg.Zone, State: kumquatlug.VMLive,
 	})}
 }
 
@@ -194,25 +194,25 @@
 }
 
 func (e *Entry) addServers(group *run.Group) {
-	callers := caller.New(caller.Config{Desk: e, Logger: e.cfg.Logger, MaxBody: e.cfg.MaxBody, MaxHeld: e.cfg.MaxHeld})
+	callers := caller.New(caller.Config{Backend: e, Logger: e.cfg.Logger, MaxBodyBytes: e.cfg.MaxBodyBytes, MaxTotalBodyBytes: e.cfg.MaxTotalBodyBytes})
 	public := http.NewServeMux()
 	e.addProbes(public)
 	public.Handle("/", e.countInFlight(callers))
-	e.addServer(group, "serve callers", public, e.cfg.Callers, e.cfg.CallerTLS.Server())
+	e.addServer(group, "serve callers", public, e.cfg.CallerListener, e.cfg.CallerTLS.Server())
 
 	peers := http.NewServeMux()
 	path, service := peerv1connect.NewPeerServiceHandler(peer.NewService(e.follower, e.cfg.Ring), peer.HandlerOptions())
-	peers.Handle(path, e.cfg.Keys.Only(service, peer.RoleEntry, peer.RoleAgent))
+	peers.Handle(path, e.cfg.PeerKeys.RequireRole(service, peer.RoleGateway, peer.RoleAgent))
 	path, service = peerv1connect.NewEntryServiceHandler(&demandService{e.roles}, peer.HandlerOptions())
-	peers.Handle(path, e.cfg.Keys.Only(service, peer.RoleEntry))
-	e.addServer(group, "serve peers", peers, e.cfg.Peers, e.cfg.Keys.Server())
+	peers.Handle(path, e.cfg.PeerKeys.RequireRole(service, peer.RoleGateway))
+	e.addServer(group, "serve peers", peers, e.cfg.PeerListener, e.cfg.PeerKeys.Server())
 
 	operators := http.NewServeMux()
 	e.addProbes(operators)
 	operators.Handle("/metrics", promhttp.HandlerFor(e.cfg.Registry, promhttp.HandlerOpts{}))
-	path, service = operator.NewHandler(operator.HandlerConfig{Desk: e, Keys: e.cfg.OperatorKeys, Logger: e.cfg.Logger})
+	path, service = operator.NewHandler(operator.HandlerConfig{Backend: e, Keys: e.cfg.OperatorKeys, Logger: e.cfg.Logger})
 	operators.Handle(path, service)
-	e.addServer(group, "serve operators", operators, e.cfg.Operators, e.cfg.CallerTLS.Server())
+	e.addServer(group, "serve operators", operators, e.cfg.OperatorListener, e.cfg.CallerTLS.Server())
 }
 
 // countInFlight counts the callers' requests in flight, so that a graceful
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -45,11 +45,11 @@
 	r.fingerprint = quarantine.NewFingerprint(g.Caller().Name(), g.Kind(), body)
 	r.record(timeline.Admitted, "", g.Kind().String())
 	r.submit(dispatch.RequestConfig{
-		Role: kumquatlug.RoleBoth, Prefix: prefixKeys(g.Prompt()),
-		PrefillTokens: g.PromptTokens(), DecodeTokens: g.OutputBound(),
+		Role: kumquatlug.RoleBoth, PrefixKeys: prefixKeys(g.Prompt()),
+		PrefillTokens: g.PromptTokens(), DecodeTokens: g.MaxOutputTokens(),
 	})
 	defer func() { r.close(err) }()
-	assembler, err := stream.New(stream.Config{Request: g.ID(), Attempts: maxAttempts})
+	assembler, err := stream.New(stream.Config{Request: g.ID(), MaxAttempts: maxAttempts})
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	request        *request
 	generation     caller.Generation
 	sink           caller.Sink
-	assembler      *stream.Answer
+	assembler      *stream.Assembler
 	reportedTokens int64
 	kvHandle       string
 	// template is the first chunk with a choice; it sets the format of the
@@ -124,16 +124,16 @@
 // received tokens, the failure can't claim that the work did not run.
 func (s *responseStream) finalError(err error) error {
 	f := kumquatlug.FailureOf(err)
-	if len(s.assembler.Sent()) == 0 || f.Ran() == kumquatlug.RanDone {
+	if len(s.assembler.SentTokens()) == 0 || f.Execution() == kumquatlug.Executed {
 		return err
 	}
-	return f.WithRan(kumquatlug.RanUnknown)
+	return f.WithExecution(kumquatlug.ExecutionUnknown)
 }
 
 // runAttempt runs one attempt. It returns a nil failure if the response is
 // complete, and an error if the caller disconnected or the request can't be
 // retried.
-func (s *responseStream) runAttempt(ctx context.Context, a dispatch.Attempt) (*dispatch.Failed, error) {
+func (s *responseStream) runAttempt(ctx context.Context, a dispatch.Attempt) (*dispatch.AttemptFailure, error) {
 	if a.Role() == kumquatlug.RolePrefill {
 		return s.prefill(ctx, a)
 	}
@@ -188,8 +188,8 @@
 	_, _ = io.Copy(io.Discard, body)
 }
 
-func (s *responseStream) attemptRefused(ctx context.Context, number int, refused *refusal) (*dispatch.Failed, error) {
-	s.assembler.Cut(s.request.id, number)
+func (s *responseStream) attemptRefused(ctx context.Context, number int, refused *refusal) (*dispatch.AttemptFailure, error) {
+	s.assembler.ConnectionClosed(s.request.id, number)
 	if ctx.Err() != nil {
 		return nil, s.request.callerGone("send work", ctx.Err())
 	}
@@ -208,21 +208,21 @@
 		status = http.StatusBadGateway
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "run at engine", Peer: a.Target(), Reason: "engine_error", Ran: s.request.ranSoFar(), Status: status,
+		Step: "run at engine", Peer: a.Target(), Reason: "engine_error", Execution: s.request.ranSoFar(), Status: status,
 		Cause: errors.Newf("%s", text),
 	})
 }
 
 func (s *responseStream) readFailure(a dispatch.Attempt, reason string, cause error) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "read answer", Peer: a.Target(), Reason: reason, Ran: kumquatlug.RanUnknown,
+		Step: "read answer", Peer: a.Target(), Reason: reason, Execution: kumquatlug.ExecutionUnknown,
 		Status: http.StatusBadGateway, Cause: cause,
 	})
 }
 
 // relay forwards the tokens of one attempt until the response is complete or
 // cut off.
-func (s *responseStream) relay(ctx context.Context, a dispatch.Attempt, number int, chunks *engine.Reader) (*dispatch.Failed, error) {
+func (s *responseStream) relay(ctx context.Context, a dispatch.Attempt, number int, chunks *engine.Reader) (*dispatch.AttemptFailure, error) {
 	for {
 		chunk, err := chunks.Next()
 		if errors.Is(err, io.EOF) {
@@ -235,7 +235,7 @@
 			return nil, s.request.callerGone("write answer", s.writeErr)
 		}
 		if err != nil {
-			s.assembler.Cut(s.request.id, number)
+			s.assembler.ConnectionClosed(s.request.id, number)
 			return s.streamCut(a, err), nil
 		}
 		if err := s.relayChunk(number, chunk); err != nil {
@@ -244,8 +244,8 @@
 	}
 }
 
-func (s *responseStream) streamCut(a dispatch.Attempt, cause error) *dispatch.Failed {
-	return &dispatch.Failed{Failure: s.readFailure(a, "stream_cut", cause), Resumable: true}
+func (s *responseStream) streamCut(a dispatch.Attempt, cause error) *dispatch.AttemptFailure {
+	return &dispatch.AttemptFailure{Failure: s.readFailure(a, "stream_cut", cause), Resumable: true}
 }
 
 // relayChunk forwards the part of a chunk that the caller does not have yet.
@@ -261,7 +261,7 @@
 	if !isToken {
 		return nil
 	}
-	step := s.assembler.Chunk(stream.NewChunk(s.request.id, number, int(chunk.Tokens())-1, text))
+	step := s.assembler.Chunk(stream.NewChunk(s.request.id, number, int(chunk.CompletionTokens())-1, text))
 	for _, token := range step.Tokens() {
 		if err := s.sink.Chunk(s.tokenChunk(token)); err != nil {
 			return err
@@ -273,7 +273,7 @@
 // reportProgress reports progress to the loop at the first token and then at
 // every progressIntervalTokens.
 func (s *responseStream) reportProgress() error {
-	tokens := int64(len(s.assembler.Sent()))
+	tokens := int64(len(s.assembler.SentTokens()))
 	if s.reportedTokens == 0 && tokens > 0 {
 		s.request.entry.metrics.firstToken.WithLabelValues(s.request.kind.String()).Observe(s.request.age().Seconds())
 	}
@@ -299,7 +299,7 @@
 	}
 	choice := c.Choices[0]
 	if choice.Text != nil {
-		return *choice.Text, c.Tokens() > 0 && (*choice.Text != "" || choice.Finish == nil)
+		return *choice.Text, c.CompletionTokens() > 0 && (*choice.Text != "" || choice.FinishReason == nil)
 	}
 	var delta struct {
 		Content *string `json:"content"`
@@ -307,7 +307,7 @@
 	if json.Unmarshal(choice.Delta, &delta) != nil || delta.Content == nil {
 		return "", false
 	}
-	return *delta.Content, c.Tokens() > 0 && (*delta.Content != "" || choice.Finish == nil)
+	return *delta.Content, c.CompletionTokens() > 0 && (*delta.Content != "" || choice.FinishReason == nil)
 }
 
 // tokenChunk renders a token in the format of the API that was called.
@@ -317,9 +317,9 @@
 
 func (s *responseStream) render(token string, finish *string) engine.Chunk {
 	c := engine.Chunk{Object: s.template.Object, Model: s.generation.Kind().Name()}
-	choice := engine.Choice{Finish: finish}
+	choice := engine.Choice{FinishReason: finish}
 	if len(s.template.Choices) > 0 && s.template.Choices[0].Text == nil {
-		choice.Delta = chatDelta(token, len(s.assembler.Sent()) <= 1 && finish == nil)
+		choice.Delta = chatDelta(token, len(s.assembler.SentTokens()) <= 1 && finish == nil)
 	} else {
 		choice.Text = &token
 	}
@@ -345,7 +345,7 @@
 
 // end handles the [DONE] event: the response is complete if no token is
 // missing.
-func (s *responseStream) end(a dispatch.Attempt, number int) (*dispatch.Failed, error) {
+func (s *responseStream) end(a dispatch.Attempt, number int) (*dispatch.AttemptFailure, error) {
 	usage := s.last.Usage
 	if usage == nil {
 		usage = &engine.Usage{}
@@ -354,14 +354,14 @@
 	if usage.PromptDetails != nil {
 		cached = usage.PromptDetails.CachedTokens
 	}
-	reason := s.last.Finish()
+	reason := s.last.FinishReason()
 	step := s.assembler.End(stream.NewEnd(s.request.id, number, int(usage.CompletionTokens), reason,
 		stream.NewUsage(int(usage.PromptTokens), int(cached), int(usage.CompletionTokens))))
-	if step.Verdict() != stream.VerdictWhole {
-		s.assembler.Cut(s.request.id, number)
-		return s.streamCut(a, engine.ErrNoEnd), nil
+	if step.Action() != stream.ActionComplete {
+		s.assembler.ConnectionClosed(s.request.id, number)
+		return s.streamCut(a, engine.ErrTruncated), nil
 	}
-	s.request.finish(dispatch.Done{Tokens: usage.CompletionTokens, Cached: cached})
+	s.request.finish(dispatch.Completion{OutputTokens: usage.CompletionTokens, CachedTokens: cached})
 	if err := s.sink.Chunk(s.render("", &reason)); err != nil {
 		return nil, s.request.callerGone("write answer", err)
 	}
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -27,7 +27,7 @@
 	}
 	attemptFailed struct {
 		id     string
-		failed dispatch.Failed
+		failed dispatch.AttemptFailure
 	}
 	requestProgressed struct {
 		id     string
@@ -35,7 +35,7 @@
 	}
 	requestFinished struct {
 		id   string
-		done dispatch.Done
+		done dispatch.Completion
 	}
 	prefillDone       struct{ id string }
 	requestCancelled  struct{ id string }
@@ -118,7 +118,7 @@
 	defer timer.Stop()
 	for {
 		now := l.entry.cfg.Clock.Now()
-		timer.Reset((l.dispatcher.Wake(now) - now).Duration())
+		timer.Reset((l.dispatcher.NextTick(now) - now).Duration())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -144,7 +144,7 @@
 		delete(l.replies, m.id)
 		return l.dispatcher.Finished(now, m.id, m.done)
 	case prefillDone:
-		return l.dispatcher.Linked(now, m.id)
+		return l.dispatcher.PrefillDone(now, m.id)
 	case requestCancelled:
 		delete(l.replies, m.id)
 		return l.dispatcher.Cancelled(now, m.id)
@@ -152,7 +152,7 @@
 		l.entry.metrics.revision.Set(float64(m.state.Revision()))
 		return l.dispatcher.Configure(now, m.state)
 	case vmsListed:
-		return l.dispatcher.Listed(now, m.vms)
+		return l.dispatcher.SetVMs(now, m.vms)
 	case heartbeatAnswered:
 		return l.handleHeartbeat(now, m)
 	case heartbeatMissed:
@@ -167,13 +167,13 @@
 }
 
 func (l *loop) handleHeartbeat(now kumquatlug.Millis, m heartbeatAnswered) []dispatch.Decision {
-	l.dispatcher.Merge(now, m.notices)
+	l.dispatcher.MergeNotices(now, m.notices)
 	for _, event := range m.cache {
 		if prefix, err := strconv.ParseUint(event.GetPrefix(), 16, 64); err == nil {
-			l.dispatcher.Cached(m.name, prefix, event.GetSequence(), event.GetEvicted())
+			l.dispatcher.PrefixCacheEvent(m.name, prefix, event.GetSequence(), event.GetEvicted())
 		}
 	}
-	change, changed, decisions := l.dispatcher.Heard(now, m.name, m.report)
+	change, changed, decisions := l.dispatcher.HeartbeatAnswered(now, m.name, m.report)
 	if changed {
 		l.entry.cfg.Ring.Add(timeline.Record{Name: timeline.TargetUp, Peer: m.name, Detail: "was " + string(change.From())})
 	}
@@ -181,7 +181,7 @@
 }
 
 func (l *loop) handleMissedHeartbeat(now kumquatlug.Millis, m heartbeatMissed) []dispatch.Decision {
-	_, changed, decisions := l.dispatcher.Missed(now, m.name)
+	_, changed, decisions := l.dispatcher.HeartbeatMissed(now, m.name)
 	if changed {
 		l.entry.attempts.cancelTarget(m.name)
 		l.entry.cfg.Ring.Add(timeline.Record{Name: timeline.TargetDown, Peer: m.name, Detail: "heartbeats missed"})
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -24,7 +24,7 @@
 // updateTargetCounts sets the number of watched targets in each state.
 func (e *Entry) updateTargetCounts(d *dispatch.Dispatcher) {
 	counts := map[string]int{}
-	for _, name := range d.Watched() {
+	for _, name := range d.WatchedTargets() {
 		counts[targetState(d, name)]++
 	}
 	e.metrics.targets.Reset()
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -20,7 +20,7 @@
 // fanOutTimeout is how long an operator's query waits for peers.
 const fanOutTimeout = 2 * time.Second
 
-var _ operator.Desk = (*Entry)(nil)
+var _ operator.Backend = (*Entry)(nil)
 
 // Change commits a proposal as the next revision and applies it on this entry
 // node.
@@ -30,7 +30,7 @@
 		return change, err
 	}
 	e.cfg.Ring.Add(timeline.Record{Name: timeline.ConfigChanged, Peer: p.Author(), Detail: "revision " + revisionText(change.Revision())})
-	e.follower.LearnedHead(change.Revision())
+	e.follower.ObserveHead(change.Revision())
 	return change, nil
 }
 
@@ -73,8 +73,8 @@
 		State: targetState(d, name), Revision: int64(report.Revision), Labels: d.Labels(name).String(),
 		Running: report.Running, HeartbeatAgeMs: -1, TargetRole: string(report.Role),
 	}
-	if m.HeardAt() > 0 {
-		node.HeartbeatAgeMs = int64(now - m.HeardAt())
+	if m.LastAnsweredAt() > 0 {
+		node.HeartbeatAgeMs = int64(now - m.LastAnsweredAt())
 	}
 	return node
 }
@@ -94,7 +94,7 @@
 func (e *Entry) entryStatuses(ctx context.Context) []*peerv1.NodeStatus {
 	var nodes []*peerv1.NodeStatus
 	own := &peerv1.NodeStatus{
-		Name: e.cfg.Name, Role: string(kumquatlug.VMEntry), Zone: e.cfg.Zone, Address: e.address, State: "up",
+		Name: e.cfg.Name, Role: string(kumquatlug.VMGateway), Zone: e.cfg.Zone, Address: e.address, State: "up",
 		Revision: int64(e.State().Revision()), Running: e.inFlight.Load(),
 	}
 	nodes = append(nodes, own)
@@ -108,9 +108,9 @@
 
 func (e *Entry) queryEntry(ctx context.Context, vm kumquatlug.VM) *peerv1.NodeStatus {
 	node := &peerv1.NodeStatus{
-		Name: vm.Name(), Role: string(kumquatlug.VMEntry), Zone: vm.Zone(), Address: vm.Address(), State: "unreachable", HeartbeatAgeMs: -1,
+		Name: vm.Name(), Role: string(kumquatlug.VMGateway), Zone: vm.Zone(), Address: vm.Address(), State: "unreachable", HeartbeatAgeMs: -1,
 	}
-	response, err := e.dialer.Peer(peer.RoleEntry, vm.Address()).Pull(ctx,
+	response, err := e.dialer.Peer(peer.RoleGateway, vm.Address()).Pull(ctx,
 		connect.NewRequest(&peerv1.PullRequest{Since: int64(e.State().Revision()), Node: e.cfg.Name}))
 	if err != nil {
 		return node
@@ -123,7 +123,7 @@
 func (e *Entry) otherEntries() []kumquatlug.VM {
 	var others []kumquatlug.VM
 	for _, vm := range *e.listedVMs.Load() {
-		if vm.Role() == kumquatlug.VMEntry && vm.Name() != e.cfg.Name {
+		if vm.Role() == kumquatlug.VMGateway && vm.Name() != e.cfg.Name {
 			others = append(others, vm)
 		}
 	}
@@ -180,8 +180,8 @@
 }
 
 func peerRole(vm kumquatlug.VM) peer.Role {
-	if vm.Role() == kumquatlug.VMEntry {
-		return peer.RoleEntry
+	if vm.Role() == kumquatlug.VMGateway {
+		return peer.RoleGateway
 	}
 	return peer.RoleAgent
 }
--- a/internal/entry/prefill.go
+++ b/internal/entry/prefill.go
@@ -24,7 +24,7 @@
 // prefill runs the prompt on one engine and keeps the handle with which another
 // engine fetches the KV cache. The cache itself never passes through an entry
 // node.
-func (s *responseStream) prefill(ctx context.Context, a dispatch.Attempt) (*dispatch.Failed, error) {
+func (s *responseStream) prefill(ctx context.Context, a dispatch.Attempt) (*dispatch.AttemptFailure, error) {
 	body, err := s.generation.Body(0, s.request.enginePriority())
 	if err != nil {
 		return nil, err
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -21,7 +21,7 @@
 // routes.
 func (e *Entry) Kinds() []kumquatlug.Kind { return e.view.Load().kinds }
 
-var _ caller.Desk = (*Entry)(nil)
+var _ caller.Backend = (*Entry)(nil)
 
 // request is one request on the goroutine that serves it. It waits for the
 // loop's decisions, makes attempts and reports their outcomes to the loop.
@@ -81,7 +81,7 @@
 func (r *request) handleDecision(d dispatch.Decision) (dispatch.Attempt, error) {
 	if d.Verdict() == dispatch.VerdictRefuse {
 		r.active = false
-		r.record(timeline.Refused, d.Failure().Peer(), d.Failure().Reason()+" "+string(d.Failure().Ran()))
+		r.record(timeline.Refused, d.Failure().Peer(), d.Failure().Reason()+" "+string(d.Failure().Execution()))
 		return dispatch.Attempt{}, d.Failure()
 	}
 	if !r.dispatched {
@@ -94,13 +94,13 @@
 // callerGone returns the failure of a request whose caller has disconnected.
 // Nobody reads it as a response.
 func (r *request) callerGone(step string, cause error) error {
-	ran := kumquatlug.RanNot
+	ran := kumquatlug.NotExecuted
 	if r.dispatched {
-		ran = kumquatlug.RanUnknown
+		ran = kumquatlug.ExecutionUnknown
 	}
 	const statusClientClosed = 499
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Reason: "caller_gone", Ran: ran, Status: statusClientClosed, Cause: cause,
+		Step: step, Reason: "caller_gone", Execution: ran, Status: statusClientClosed, Cause: cause,
 	})
 }
 
@@ -114,7 +114,7 @@
 	kind := r.kind.String()
 	if err != nil {
 		f := kumquatlug.FailureOf(err)
-		r.entry.metrics.refused.WithLabelValues(kind, f.Reason(), string(f.Ran())).Inc()
+		r.entry.metrics.refused.WithLabelValues(kind, f.Reason(), string(f.Execution())).Inc()
 		return
 	}
 	r.entry.metrics.answered.WithLabelValues(kind).Inc()
@@ -123,17 +123,17 @@
 }
 
 // finish reports to the loop that the response is complete.
-func (r *request) finish(done dispatch.Done) {
+func (r *request) finish(done dispatch.Completion) {
 	r.active = false
 	r.entry.loop.post(requestFinished{r.id, done})
 }
 
 // reportFailure reports a failed attempt to the loop; its next decision
 // follows.
-func (r *request) reportFailure(attempt dispatch.Attempt, f dispatch.Failed) {
+func (r *request) reportFailure(attempt dispatch.Attempt, f dispatch.AttemptFailure) {
 	r.entry.metrics.attempts.WithLabelValues(r.kind.String(), f.Failure.Reason()).Inc()
-	r.record(timeline.AttemptFailed, attempt.Target(), f.Failure.Reason()+" "+string(f.Failure.Ran()))
-	r.mayHaveRun = r.mayHaveRun || f.Failure.Ran() != kumquatlug.RanNot
+	r.record(timeline.AttemptFailed, attempt.Target(), f.Failure.Reason()+" "+string(f.Failure.Execution()))
+	r.mayHaveRun = r.mayHaveRun || f.Failure.Execution() != kumquatlug.NotExecuted
 	r.entry.loop.post(attemptFailed{r.id, f})
 }
 
@@ -151,14 +151,14 @@
 }
 
 // ranSoFar returns whether an earlier attempt may have run.
-func (r *request) ranSoFar() kumquatlug.Ran {
+func (r *request) ranSoFar() kumquatlug.Execution {
 	if r.mayHaveRun {
-		return kumquatlug.RanUnknown
+		return kumquatlug.ExecutionUnknown
 	}
-	return kumquatlug.RanNot
+	return kumquatlug.NotExecuted
 }
 
-func (r *request) record(name timeline.Name, peer, detail string) int64 {
+func (r *request) record(name timeline.EventName, peer, detail string) int64 {
 	return r.entry.cfg.Ring.Add(timeline.Record{Name: name, RequestID: r.id, Peer: peer, Detail: detail})
 }
 
--- a/internal/entry/role_orders.go
+++ b/internal/entry/role_orders.go
@@ -19,16 +19,16 @@
 	if !known || m.err != nil {
 		return
 	}
-	if settlement, ended := g.sender.Answered(m.target, m.id, m.reply); ended {
+	if settlement, ended := g.sender.HandleReply(m.target, m.id, m.reply); ended {
 		c.orderSettled(g, settlement)
 	}
 }
 
-func (c *roleController) orderSettled(g *engineGroup, s order.Settlement) {
+func (c *roleController) orderSettled(g *engineGroup, s order.Result) {
 	c.entry.cfg.Logger.Info("order settled", zap.String("group", g.name), zap.String("target", s.Target()),
 		zap.String("order", s.Order().ID().String()), zap.String("outcome", string(s.Outcome())))
 	if s.Outcome() != order.OutcomeApplied {
-		g.planner.Refused(c.now(), s.Target())
+		g.planner.OrderRefused(c.now(), s.Target())
 	}
 }
 
@@ -37,7 +37,7 @@
 	leaseNumber, held := g.holder.Held(c.now())
 	if held && leaseNumber != g.leaseNumber {
 		g.leaseNumber = leaseNumber
-		g.sender.Granted(leaseNumber)
+		g.sender.LeaseAcquired(leaseNumber)
 		c.entry.cfg.Ring.Add(timeline.Record{Name: timeline.LeaseTaken, Peer: g.name, Detail: "number " + itoa(int64(leaseNumber))})
 	}
 	if !held && g.leaseNumber != 0 {
@@ -55,9 +55,9 @@
 // issueOrders turns the planner's role changes and initial roles into orders.
 func (c *roleController) issueOrders(g *engineGroup) {
 	for _, change := range append(planner.FirstRoles(g.reports), g.planner.Plan(c.now())...) {
-		o, err := g.sender.Give(change.Target(), order.VerbRole, string(change.To()))
+		o, err := g.sender.Issue(change.Target(), order.VerbRole, string(change.To()))
 		if err != nil {
-			g.planner.Refused(c.now(), change.Target())
+			g.planner.OrderRefused(c.now(), change.Target())
 			continue
 		}
 		c.entry.cfg.Ring.Add(timeline.Record{
@@ -80,7 +80,7 @@
 			Id: o.ID().String(), Group: g.name, Holder: c.entry.cfg.Name, Verb: string(o.Verb()), Argument: o.Argument(),
 		}))
 		if m.err = err; err == nil {
-			m.reply = order.NewReply(order.Verdict(response.Msg.GetVerdict()), order.Outcome(response.Msg.GetOutcome()), lease.Number(response.Msg.GetFence()))
+			m.reply = order.NewReply(order.Verdict(response.Msg.GetVerdict()), order.Outcome(response.Msg.GetOutcome()), lease.FencingToken(response.Msg.GetFence()))
 		}
 		c.post(m)
 	}()
--- a/internal/entry/roles.go
+++ b/internal/entry/roles.go
@@ -44,7 +44,7 @@
 	holder      *lease.Holder
 	sender      *order.Sender
 	planner     kumquatlug.RolePlanner
-	leaseNumber lease.Number
+	leaseNumber lease.FencingToken
 	engines     map[string]engineState
 	// reports are the last reports of the registered engines, in name order.
 	reports []kumquatlug.EngineReport
@@ -73,7 +73,7 @@
 	}
 	demandReport struct {
 		kind   string
-		demand kumquatlug.Offer
+		demand kumquatlug.Demand
 	}
 )
 
@@ -130,7 +130,7 @@
 	switch m := message.(type) {
 	case leaseReply:
 		if g, known := c.groups[m.group]; known {
-			c.execute(ctx, g, g.holder.Answered(c.now(), m.intent, m.row, m.err))
+			c.execute(ctx, g, g.holder.HandleResponse(c.now(), m.intent, m.row, m.err))
 		}
 	case orderReply:
 		c.handleOrderReply(m)
@@ -163,7 +163,7 @@
 	kinds := map[string]string{}
 	var entries, targets []string
 	err := c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) {
-		entries = append(entries, d.Entries()...)
+		entries = append(entries, d.Gateways()...)
 		for _, name := range d.Members() {
 			group := c.plannedGroup(state, d, name)
 			if group == "" {
@@ -171,7 +171,7 @@
 			}
 			if engines[group] == nil {
 				engines[group] = map[string]engineState{}
-				kind, _ := d.Flexible(name)
+				kind, _ := d.SwitchableKind(name)
 				kinds[group] = kind.Name()
 			}
 			m, _ := d.Member(name)
@@ -184,7 +184,7 @@
 	for name, members := range engines {
 		g := c.ensureGroup(name)
 		g.kind = kinds[name]
-		g.holder.Want(c.isLeaseCandidate(name, entries) && !c.entry.draining.Load())
+		g.holder.SetWanted(c.isLeaseCandidate(name, entries) && !c.entry.draining.Load())
 		c.updateEngines(now, g, members)
 		if _, held := g.holder.Held(now); held {
 			for target := range members {
@@ -194,7 +194,7 @@
 	}
 	for name, g := range c.groups {
 		if engines[name] == nil {
-			g.holder.Want(false)
+			g.holder.SetWanted(false)
 		}
 	}
 	slices.Sort(targets)
@@ -202,7 +202,7 @@
 		return
 	}
 	c.watchedTargets = targets
-	_ = c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) { d.WatchAlso(now, targets) })
+	_ = c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) { d.SetExtraTargets(now, targets) })
 }
 
 // plannedGroup returns the group of an engine whose role may change: one that
@@ -216,7 +216,7 @@
 	}
 	group, found := c.groupByTarget[target]
 	if !found {
-		if _, flexible := d.Flexible(target); flexible {
+		if _, flexible := d.SwitchableKind(target); flexible {
 			group = d.Group(target)
 		}
 		c.groupByTarget[target] = group
@@ -225,7 +225,7 @@
 }
 
 func (c *roleController) isLeaseCandidate(group string, entries []string) bool {
-	for i, name := range routing.ServiceOrder(group, entries) {
+	for i, name := range routing.RunOnceOrder(group, entries) {
 		if i < leaseCandidates && name == c.entry.cfg.Name {
 			return true
 		}
@@ -237,13 +237,13 @@
 	if g, known := c.groups[name]; known {
 		return g
 	}
-	holder, err := lease.New(lease.Config{Group: name, Me: c.entry.cfg.Name + "/" + c.entry.incarnation})
+	holder, err := lease.New(lease.Config{Group: name, HolderID: c.entry.cfg.Name + "/" + c.entry.incarnation})
 	if err != nil {
 		// New refuses only an empty name, and groups have names.
 		panic(err)
 	}
 	g := &engineGroup{
-		name: name, holder: holder, sender: order.NewSender(order.SenderConfig{}), planner: c.entry.cfg.Planner(),
+		name: name, holder: holder, sender: order.NewSender(order.SenderConfig{}), planner: c.entry.cfg.NewPlanner(),
 		engines: map[string]engineState{},
 	}
 	c.groups[name] = g
@@ -261,20 +261,20 @@
 	g.reports = g.reports[:0]
 	for _, name := range sortedNames(members) {
 		e := members[name]
-		settlement, ended := g.sender.Heard(order.Report{
-			Target: name, Incarnation: order.Incarnation(e.report.Starts), Number: lease.Number(e.report.Fence),
+		settlement, ended := g.sender.HandleReport(order.Report{
+			Target: name, Incarnation: order.Incarnation(e.report.AgentStarts), Number: lease.FencingToken(e.report.FencingToken),
 			Phase: order.Phase(e.report.Phase),
 		})
 		if ended {
 			c.orderSettled(g, settlement)
 		}
 		report := kumquatlug.EngineReport{
-			Target: name, Role: e.report.Role, Going: c.orderedRole(g, name), TakenAt: e.report.Asked - e.report.Age,
-			InHand: int(e.report.Running), Waiting: int(e.report.Waiting),
+			Target: name, Role: e.report.Role, PendingRole: c.orderedRole(g, name), TakenAt: e.report.SentAt - e.report.LoadAge,
+			InFlight: int(e.report.Running), Waiting: int(e.report.Waiting),
 			PrefillRate: e.report.PrefillRate, DecodeRate: e.report.DecodeRate,
 		}
 		g.planner.Report(now, report)
-		if e.report.Starts > 0 {
+		if e.report.AgentStarts > 0 {
 			// An agent that is not registered yet accepts no orders.
 			g.reports = append(g.reports, report)
 		}
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -51,10 +51,10 @@
 }
 
 // attemptFailure returns the refusal in the form in which the loop handles it.
-func (r *refusal) attemptFailure() dispatch.Failed {
-	return dispatch.Failed{
+func (r *refusal) attemptFailure() dispatch.AttemptFailure {
+	return dispatch.AttemptFailure{
 		Failure: r.failure, Refused: isAgentRefusal(r.failure), Notices: r.notices,
-		Final: isPermanent(r.failure),
+		Permanent: isPermanent(r.failure),
 	}
 }
 
@@ -64,7 +64,7 @@
 // refused only after seven seconds and sixteen attempts.
 func isPermanent(f *kumquatlug.Failure) bool {
 	return f.Status() < http.StatusInternalServerError ||
-		f.Reason() == ledger.ReasonTable || f.Reason() == ledger.ReasonObjects
+		f.Reason() == ledger.ReasonTableUnavailable || f.Reason() == ledger.ReasonObjectsUnavailable
 }
 
 // noticesFrom returns the crash notice that an agent sent in h, if any.
@@ -73,7 +73,7 @@
 	if text == "" {
 		return nil
 	}
-	return peer.NoticesFrom([]string{text})
+	return peer.DecodeNotices([]string{text})
 }
 
 // send makes one attempt that ends with ctx. It returns the agent's response,
@@ -82,7 +82,7 @@
 	e := r.entry
 	httpRequest, err := http.NewRequestWithContext(ctx, o.method, e.dialer.WorkURL(a.Address(), o.path), bytes.NewReader(o.body))
 	if err != nil {
-		return nil, r.sendFailure(a, "bad_request", kumquatlug.RanNot, err)
+		return nil, r.sendFailure(a, "bad_request", kumquatlug.NotExecuted, err)
 	}
 	peer.CopyHeaders(httpRequest.Header, o.header)
 	r.newWork(a, o).Write(httpRequest.Header)
@@ -90,15 +90,15 @@
 		httpRequest.Header.Set(peer.HeaderKV, o.kvHandle)
 	}
 	if notice, suspect := a.Notice(); suspect {
-		httpRequest.Header[peer.HeaderNotice] = peer.NoticesTo([]quarantine.Notice{notice})
+		httpRequest.Header[peer.HeaderNotice] = peer.EncodeNotices([]quarantine.Notice{notice})
 	}
-	response, err := e.dialer.Work().Do(httpRequest)
+	response, err := e.dialer.WorkClient().Do(httpRequest)
 	if err != nil {
 		return nil, r.sendFailure(a, reasonUnreachable, ranAfterSendError(err), err)
 	}
-	e.cfg.Ring.Witness(peer.Number(response.Header, peer.HeaderLogical))
-	e.follower.Learned(peer.RoleAgent, a.Address(), peer.Number(response.Header, peer.HeaderRevision), config.AgeUnknown)
-	if peer.Refused(response) {
+	e.cfg.Ring.Witness(peer.IntHeader(response.Header, peer.HeaderLogical))
+	e.follower.ObserveRevision(peer.RoleAgent, a.Address(), peer.IntHeader(response.Header, peer.HeaderRevision), config.AgeUnknown)
+	if peer.IsAgentFailure(response) {
 		defer response.Body.Close()
 		f, mark := peer.ReadFailure(response)
 		return nil, &refusal{failure: f, dispatchID: mark, notices: noticesFrom(response.Header)}
@@ -110,26 +110,26 @@
 	logical := r.record(timeline.Sent, a.Target(), "attempt "+strconv.Itoa(a.Number()))
 	return peer.NewWork(peer.WorkConfig{
 		Request: r.id, Attempt: a.Number(), Kind: r.kind, Caller: r.account.Name(), Revision: int64(a.Revision()),
-		Timeout: r.deadline - r.entry.cfg.Clock.Now(), Once: o.idempotencyKey != "", Key: o.idempotencyKey, Dispatch: o.dispatchID,
-		Fingerprint: string(r.fingerprint), Logical: logical, From: r.entry.address,
+		Timeout: r.deadline - r.entry.cfg.Clock.Now(), RunOnce: o.idempotencyKey != "", Key: o.idempotencyKey, Dispatch: o.dispatchID,
+		Fingerprint: string(r.fingerprint), Logical: logical, SenderAddress: r.entry.address,
 	})
 }
 
-func (r *request) sendFailure(a dispatch.Attempt, reason string, ran kumquatlug.Ran, cause error) *refusal {
+func (r *request) sendFailure(a dispatch.Attempt, reason string, ran kumquatlug.Execution, cause error) *refusal {
 	return &refusal{failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "send work", Peer: a.Target(), Reason: reason, Ran: ran, Status: http.StatusBadGateway, Cause: cause,
+		Step: "send work", Peer: a.Target(), Reason: reason, Execution: ran, Status: http.StatusBadGateway, Cause: cause,
 	})}
 }
 
 // ranAfterSendError returns whether the work may have run after a failure to
 // send it to an agent. Only a connection that was never established proves that
 // nothing arrived.
-func ranAfterSendError(err error) kumquatlug.Ran {
+func ranAfterSendError(err error) kumquatlug.Execution {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
-		return kumquatlug.RanNot
+		return kumquatlug.NotExecuted
 	}
-	return kumquatlug.RanUnknown
+	return kumquatlug.ExecutionUnknown
 }
 
 // verifiedBody reads an agent's response to its end and fails if the trailer
@@ -141,7 +141,7 @@
 // Read returns [io.ErrUnexpectedEOF] at the end of an incomplete body.
 func (b verifiedBody) Read(p []byte) (int, error) {
 	n, err := b.response.Body.Read(p)
-	if errors.Is(err, io.EOF) && b.response.Trailer.Get(peer.TrailerEnd) != peer.EndWhole {
+	if errors.Is(err, io.EOF) && b.response.Trailer.Get(peer.TrailerEnd) != peer.EndComplete {
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, err
--- a/internal/entry/service_call.go
+++ b/internal/entry/service_call.go
@@ -30,21 +30,21 @@
 // Call makes a call to a plain HTTP service. A call that is not repeatable is
 // sent with an at-most-once dispatch ID and is resent only if it is known not
 // to have run.
-func (e *Entry) Call(ctx context.Context, c caller.ServiceCall) (response kumquatlug.Answer, err error) {
+func (e *Entry) Call(ctx context.Context, c caller.ServiceCall) (response kumquatlug.TargetResponse, err error) {
 	r := e.newRequest(c.ID(), c.Caller(), c.Kind(), c.Timeout())
 	r.fingerprint = quarantine.NewFingerprint(c.Caller().Name(), c.Kind(), fingerprintInput(c))
 	out := agentRequest{method: c.Method(), path: c.Path(), header: c.Header(), body: c.Body()}
 	if !r.policy.repeatable && !isSafeMethod(c.Method()) {
 		dispatchID, known := e.eraKeeper.Dispatch()
 		if !known {
-			return kumquatlug.Answer{}, eraUnknown()
+			return kumquatlug.TargetResponse{}, eraUnknown()
 		}
 		out.idempotencyKey, out.dispatchID = c.Key(), dispatchID.String()
 	}
 	r.record(timeline.Admitted, "", c.Kind().String())
 	request := dispatch.RequestConfig{Role: kumquatlug.RoleServe, PrefillTokens: serviceCallTokens, DecodeTokens: 0}
 	if out.idempotencyKey != "" {
-		request.OnceKey = c.Caller().Name() + "/" + out.idempotencyKey
+		request.RunOnceKey = c.Caller().Name() + "/" + out.idempotencyKey
 	}
 	r.submit(request)
 	response, err = r.runCall(ctx, out)
@@ -74,25 +74,25 @@
 // since this entry node started.
 func eraUnknown() error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "claim call", Peer: "platform", Reason: ledger.ReasonTable, Ran: kumquatlug.RanNot,
+		Step: "claim call", Peer: "platform", Reason: ledger.ReasonTableUnavailable, Execution: kumquatlug.NotExecuted,
 		RetryAfter: ledger.DefaultRetryAfter,
 	})
 }
 
 // runCall makes attempts until one returns a response or the loop refuses the
 // request.
-func (r *request) runCall(ctx context.Context, out agentRequest) (kumquatlug.Answer, error) {
+func (r *request) runCall(ctx context.Context, out agentRequest) (kumquatlug.TargetResponse, error) {
 	for {
 		attempt, err := r.nextAttempt(ctx)
 		if err != nil {
-			return kumquatlug.Answer{}, err
+			return kumquatlug.TargetResponse{}, err
 		}
 		response, refused := r.attemptCall(ctx, attempt, out)
 		if refused == nil {
 			return response, nil
 		}
 		if ctx.Err() != nil {
-			return kumquatlug.Answer{}, r.callerGone("call", ctx.Err())
+			return kumquatlug.TargetResponse{}, r.callerGone("call", ctx.Err())
 		}
 		if refused.dispatchID != "" {
 			out.dispatchID = refused.dispatchID
@@ -103,19 +103,19 @@
 
 // attemptCall makes one attempt. If the outcome of a call that is not
 // repeatable is unknown, it resolves that outcome.
-func (r *request) attemptCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
+func (r *request) attemptCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.TargetResponse, *refusal) {
 	response, refused := r.sendCall(ctx, a, out)
 	if refused == nil {
 		return response, nil
 	}
-	if out.idempotencyKey == "" || refused.failure.Ran() != kumquatlug.RanUnknown {
-		return kumquatlug.Answer{}, refused
+	if out.idempotencyKey == "" || refused.failure.Execution() != kumquatlug.ExecutionUnknown {
+		return kumquatlug.TargetResponse{}, refused
 	}
-	if refused.failure.Reason() == peer.ReasonElsewhere {
+	if refused.failure.Reason() == peer.ReasonHeldElsewhere {
 		return r.outcomeFromHolder(ctx, a, out, refused.failure.Peer())
 	}
-	if refused.failure.Reason() == peer.ReasonUnknown {
-		return kumquatlug.Answer{}, refused
+	if refused.failure.Reason() == peer.ReasonOutcomeUnknown {
+		return kumquatlug.TargetResponse{}, refused
 	}
 	return r.resolveOutcome(ctx, a, out, refused)
 }
@@ -123,28 +123,28 @@
 // isAgentRefusal reports whether a failure is a refusal by an agent, which does
 // not count against its target.
 func isAgentRefusal(f *kumquatlug.Failure) bool {
-	return f.Ran() == kumquatlug.RanNot && f.Reason() != reasonUnreachable && f.Reason() != reasonTargetFailed
+	return f.Execution() == kumquatlug.NotExecuted && f.Reason() != reasonUnreachable && f.Reason() != reasonTargetFailed
 }
 
 // sendCall sends the call to one agent. It reads the start of the response
 // before anything is sent to the caller, so that a response that breaks off
 // early can be retried.
-func (r *request) sendCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
+func (r *request) sendCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.TargetResponse, *refusal) {
 	ctx, end := r.entry.attempts.start(ctx, a.Target())
 	response, refused := r.send(ctx, a, out)
 	if refused != nil {
 		end()
-		return kumquatlug.Answer{}, refused
+		return kumquatlug.TargetResponse{}, refused
 	}
 	body := verifiedBody{response}
 	start, err := io.ReadAll(io.LimitReader(body, prefetchBytes))
 	if err != nil {
 		response.Body.Close()
 		end()
-		return kumquatlug.Answer{}, r.sendFailure(a, "answer_cut", kumquatlug.RanUnknown, err)
+		return kumquatlug.TargetResponse{}, r.sendFailure(a, "answer_cut", kumquatlug.ExecutionUnknown, err)
 	}
 	tracked := &trackedBody{Reader: io.MultiReader(bytes.NewReader(start), body), body: body, request: r, release: end}
-	return kumquatlug.NewAnswer(response.StatusCode, response.Header, tracked), nil
+	return kumquatlug.NewTargetResponse(response.StatusCode, response.Header, tracked), nil
 }
 
 // resolveOutcome determines the outcome of a dispatch after its connection was
@@ -153,47 +153,47 @@
 // dispatch. Without the block it would be wrong to report the call as not run:
 // the dispatch may still be buffered in a connection or a paused agent, and run
 // afterwards.
-func (r *request) resolveOutcome(ctx context.Context, a dispatch.Attempt, out agentRequest, lost *refusal) (kumquatlug.Answer, *refusal) {
+func (r *request) resolveOutcome(ctx context.Context, a dispatch.Attempt, out agentRequest, lost *refusal) (kumquatlug.TargetResponse, *refusal) {
 	ruling, err := r.entry.ledger.Block(ctx, r.ledgerCall(out))
 	if err != nil {
-		return kumquatlug.Answer{}, r.outcomeUnknown(a, err)
+		return kumquatlug.TargetResponse{}, r.outcomeUnknown(a, err)
 	}
 	r.record(timeline.RequestBlocked, a.Target(), string(ruling.Verdict()))
 	switch ruling.Verdict() {
 	case ledger.VerdictBlocked, ledger.VerdictStale:
-		return kumquatlug.Answer{}, &refusal{failure: r.notRun(lost.failure), dispatchID: ruling.Dispatch().String()}
-	case ledger.VerdictAnswer:
+		return kumquatlug.TargetResponse{}, &refusal{failure: r.notRun(lost.failure), dispatchID: ruling.Dispatch().String()}
+	case ledger.VerdictResponse:
 		return r.replay(ruling.Outcome()), nil
 	case ledger.VerdictElsewhere:
 		return r.outcomeFromHolder(ctx, a, out, ruling.Holder().Target())
 	default:
-		return kumquatlug.Answer{}, r.outcomeUnknown(a, lost.failure)
+		return kumquatlug.TargetResponse{}, r.outcomeUnknown(a, lost.failure)
 	}
 }
 
 func (r *request) ledgerCall(out agentRequest) ledger.Call {
 	dispatchID, _ := ledger.ParseDispatch(out.dispatchID)
-	return ledger.NewCall(ledger.CallConfig{Caller: r.account.Name(), Key: out.idempotencyKey, Body: string(r.fingerprint), Dispatch: dispatchID})
+	return ledger.NewCall(ledger.CallConfig{Caller: r.account.Name(), Key: out.idempotencyKey, Fingerprint: string(r.fingerprint), Dispatch: dispatchID})
 }
 
 func (r *request) notRun(lost *kumquatlug.Failure) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: lost.Step(), Peer: lost.Peer(), Reason: lost.Reason(), Ran: kumquatlug.RanNot,
+		Step: lost.Step(), Peer: lost.Peer(), Reason: lost.Reason(), Execution: kumquatlug.NotExecuted,
 		RetryAfter: kumquatlug.Second, Cause: lost.Unwrap(),
 	})
 }
 
 func (r *request) outcomeUnknown(a dispatch.Attempt, cause error) *refusal {
 	return &refusal{failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "settle call", Peer: a.Target(), Reason: peer.ReasonUnknown, Ran: kumquatlug.RanUnknown,
+		Step: "settle call", Peer: a.Target(), Reason: peer.ReasonOutcomeUnknown, Execution: kumquatlug.ExecutionUnknown,
 		Status: http.StatusBadGateway, RetryAfter: unknownRetryDelay, Cause: cause,
 	})}
 }
 
 // replay returns the response recorded in an outcome.
-func (r *request) replay(o ledger.Outcome) kumquatlug.Answer {
+func (r *request) replay(o ledger.Outcome) kumquatlug.TargetResponse {
 	body := bytes.NewReader(o.Body())
-	return kumquatlug.NewAnswer(o.Status(), o.Header(), &trackedBody{Reader: body, body: io.NopCloser(body), request: r})
+	return kumquatlug.NewTargetResponse(o.Status(), o.Header(), &trackedBody{Reader: body, body: io.NopCloser(body), request: r})
 }
 
 // unknownRetryDelay is the Retry-After of a call whose outcome is unknown. By
@@ -207,7 +207,7 @@
 
 // outcomeFromHolder asks the agent that holds the claim for the outcome of its
 // run.
-func (r *request) outcomeFromHolder(ctx context.Context, a dispatch.Attempt, out agentRequest, target string) (kumquatlug.Answer, *refusal) {
+func (r *request) outcomeFromHolder(ctx context.Context, a dispatch.Attempt, out agentRequest, target string) (kumquatlug.TargetResponse, *refusal) {
 	var last error
 	for _, wait := range holderRetryDelays {
 		if !sleep(ctx, wait) {
@@ -217,17 +217,17 @@
 		if !known {
 			continue
 		}
-		holder := a.At(target, member.VM().Address())
+		holder := a.WithTarget(target, member.VM().Address())
 		response, refused := r.sendCallToHolder(ctx, holder, out)
 		if refused == nil {
 			return response, nil
 		}
 		last = refused.failure
 		if concernsClaim(refused) {
-			return kumquatlug.Answer{}, refused
+			return kumquatlug.TargetResponse{}, refused
 		}
 	}
-	return kumquatlug.Answer{}, r.outcomeUnknown(a, last)
+	return kumquatlug.TargetResponse{}, r.outcomeUnknown(a, last)
 }
 
 // concernsClaim reports whether a refusal by the holder of a claim is about the
@@ -235,7 +235,7 @@
 // only of this dispatch, while the run in question may still be in progress
 // there.
 func concernsClaim(r *refusal) bool {
-	return r.dispatchID != "" || r.failure.Reason() == peer.ReasonUnknown || r.failure.Status() < http.StatusInternalServerError
+	return r.dispatchID != "" || r.failure.Reason() == peer.ReasonOutcomeUnknown || r.failure.Status() < http.StatusInternalServerError
 }
 
 // holderTimeout is how long to wait for a response from the holder of a claim.
@@ -243,7 +243,7 @@
 // known yet, and retries under the same key.
 const holderTimeout = 10 * kumquatlug.Second
 
-func (r *request) sendCallToHolder(ctx context.Context, holder dispatch.Attempt, out agentRequest) (kumquatlug.Answer, *refusal) {
+func (r *request) sendCallToHolder(ctx context.Context, holder dispatch.Attempt, out agentRequest) (kumquatlug.TargetResponse, *refusal) {
 	ctx, cancel := context.WithTimeout(ctx, holderTimeout.Duration())
 	response, refused := r.sendCall(ctx, holder, out)
 	if refused != nil {
@@ -290,7 +290,7 @@
 // complete.
 func (b *trackedBody) Close() error {
 	if b.complete {
-		b.request.finish(dispatch.Done{})
+		b.request.finish(dispatch.Completion{})
 		b.request.close(nil)
 	} else {
 		b.request.close(b.request.callerGone("write answer", io.ErrUnexpectedEOF))
--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -14,18 +14,18 @@
 // Limits that detect a dead connection. A peer that lost power, or a network path
 // that dropped its connection state, sends no reset; only timeouts reveal it.
 const (
-	// UnackedLimit is how long sent bytes may stay unacknowledged before the
+	// UnackedTimeout is how long sent bytes may stay unacknowledged before the
 	// kernel closes the connection (TCP_USER_TIMEOUT). Round trips take less than
 	// 10 ms and a lost packet is retransmitted after 200, 400 and 800 ms, so the
 	// connection survives three losses in a row.
-	UnackedLimit = 1500 * kumquatlug.Millis(1)
-	// ProbeIdle is the idle time before the first keep-alive probe and ProbeEvery
+	UnackedTimeout = 1500 * kumquatlug.Millis(1)
+	// ProbeIdle is the idle time before the first keep-alive probe and ProbeInterval
 	// the interval between probes, both in whole seconds as the kernel counts
 	// them. With ProbeCount unanswered probes a dead peer is detected within three
 	// seconds.
-	ProbeIdle  = 1 * kumquatlug.Second
-	ProbeEvery = 1 * kumquatlug.Second
-	ProbeCount = 2
+	ProbeIdle     = 1 * kumquatlug.Second
+	ProbeInterval = 1 * kumquatlug.Second
+	ProbeCount    = 2
 	// DialTimeout bounds one attempt to connect. It covers many round trips of
 	// 10 ms but is shorter than the second after which the kernel retransmits a
 	// lost SYN: a new attempt is faster than that retransmission.
@@ -38,12 +38,12 @@
 	return &net.Dialer{
 		Timeout: DialTimeout.Duration(),
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: ProbeIdle.Duration(), Interval: ProbeEvery.Duration(), Count: ProbeCount,
+			Enable: true, Idle: ProbeIdle.Duration(), Interval: ProbeInterval.Duration(), Count: ProbeCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var sockoptErr error
 			err := raw.Control(func(fd uintptr) {
-				sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedLimit))
+				sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedTimeout))
 			})
 			return errors.CombineErrors(err, sockoptErr)
 		},
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -61,19 +61,19 @@
 	Header http.Header
 	// Body is the complete body, nil for none.
 	Body []byte
-	// Belongs reports whether a response is the one to this request; nil accepts
+	// MatchesResponse reports whether a response is the one to this request; nil accepts
 	// any.
-	Belongs func(*http.Response) bool
-	// Fresh is the longest time that the connection may have been idle, zero for
+	MatchesResponse func(*http.Response) bool
+	// MaxIdleTime is the longest time that the connection may have been idle, zero for
 	// no limit: the peer may close an idle connection while the request is sent.
-	Fresh kumquatlug.Millis
+	MaxIdleTime kumquatlug.Millis
 }
 
 // Config holds the settings of a [Pool].
 type Config struct {
 	Clock kumquatlug.Clock
-	// Kept is the maximum number of idle connections per address.
-	Kept int
+	// MaxIdlePerAddress is the maximum number of idle connections per address.
+	MaxIdlePerAddress int
 }
 
 // Pool sends requests and reuses idle connections. It is safe for concurrent use.
@@ -108,7 +108,7 @@
 func (p *Pool) Do(ctx context.Context, r Request) (*http.Response, error) {
 	c, err := p.acquire(ctx, r)
 	if err != nil {
-		return nil, failure("connect", r.Address, kumquatlug.RanNot, err)
+		return nil, failure("connect", r.Address, kumquatlug.NotExecuted, err)
 	}
 	// A deadline in the past unblocks pending reads and writes.
 	stopCancel := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
@@ -119,15 +119,15 @@
 		if ctx.Err() != nil {
 			err = errors.CombineErrors(ctx.Err(), err)
 		}
-		return nil, failure("exchange", r.Address, kumquatlug.RanUnknown, err)
+		return nil, failure("exchange", r.Address, kumquatlug.ExecutionUnknown, err)
 	}
 	response.Body = &responseBody{Reader: response.Body, pool: p, conn: c, response: response, stopCancel: stopCancel}
 	return response, nil
 }
 
-func failure(step, peer string, ran kumquatlug.Ran, cause error) error {
+func failure(step, peer string, ran kumquatlug.Execution, cause error) error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Peer: peer, Reason: "peer_failed", Ran: ran, Status: http.StatusBadGateway, Cause: cause,
+		Step: step, Peer: peer, Reason: "peer_failed", Execution: ran, Status: http.StatusBadGateway, Cause: cause,
 	})
 }
 
@@ -161,7 +161,7 @@
 		c := conns[len(conns)-1]
 		conns = conns[:len(conns)-1]
 		p.idle[r.Address] = conns
-		if now < c.idleUntil && (r.Fresh == 0 || now-c.idleSince < r.Fresh) {
+		if now < c.idleUntil && (r.MaxIdleTime == 0 || now-c.idleSince < r.MaxIdleTime) {
 			return c
 		}
 		_ = c.Close()
@@ -178,16 +178,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[c.address]
-	if len(conns) >= p.c.Kept {
+	if len(conns) >= p.c.MaxIdlePerAddress {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.address] = append(conns, c)
 }
 
-// Sweep closes idle connections that have expired and those to addresses for which
+// CloseIdle closes idle connections that have expired and those to addresses for which
 // keep returns false. Call it about once a second.
-func (p *Pool) Sweep(keep func(address string) bool) {
+func (p *Pool) CloseIdle(keep func(address string) bool) {
 	now := p.c.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +220,7 @@
 		switch {
 		case response.StatusCode < http.StatusOK:
 			continue
-		case r.Belongs == nil || r.Belongs(response):
+		case r.MatchesResponse == nil || r.MatchesResponse(response):
 			return response, nil
 		}
 		// A late or duplicate response to another request precedes the expected one.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -70,11 +70,11 @@
 func newRequest(p *testPeer, method, id string) Request {
 	return Request{
 		Address: p.address, Method: method, Target: "/x", Host: "h", Header: http.Header{"Id": {id}},
-		Belongs: func(a *http.Response) bool { return a.Header.Get("Id") == id },
+		MatchesResponse: func(a *http.Response) bool { return a.Header.Get("Id") == id },
 	}
 }
 
-func newPool() *Pool { return New(Config{Clock: clock.NewMonotonic(), Kept: 4}) }
+func newPool() *Pool { return New(Config{Clock: clock.NewMonotonic(), MaxIdlePerAddress: 4}) }
 
 // doRequest sends r and returns the response body.
 func doRequest(t *testing.T, pool *Pool, r Request) (string, error) {
@@ -104,7 +104,7 @@
 			t.Fatal(text, err)
 		}
 		_, err := doRequest(t, pool, newRequest(p, method, "2"))
-		if kumquatlug.RanOf(err) != kumquatlug.RanUnknown {
+		if kumquatlug.ExecutionOf(err) != kumquatlug.ExecutionUnknown {
 			t.Errorf("%s: %v, want a failure with RanUnknown", method, err)
 		}
 		if n := p.requests.Load(); n != 2 {
@@ -237,7 +237,7 @@
 	address := l.Addr().String()
 	_ = l.Close()
 	_, err = doRequest(t, newPool(), Request{Address: address, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}})
-	if kumquatlug.RanOf(err) != kumquatlug.RanNot {
+	if kumquatlug.ExecutionOf(err) != kumquatlug.NotExecuted {
 		t.Errorf("%v, want a failure with RanNot", err)
 	}
 }
@@ -290,7 +290,7 @@
 // could cross the peer's close and be lost.
 func TestIdleConnectionsCloseBeforePeerTimeout(t *testing.T) {
 	now := clock.NewManual(1000)
-	pool := New(Config{Clock: now, Kept: 4})
+	pool := New(Config{Clock: now, MaxIdlePerAddress: 4})
 	p := newTestPeer(t, func(p *testPeer, c net.Conn, reader *bufio.Reader) {
 		for id := p.readRequest(reader); id != ""; id = p.readRequest(reader) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nKeep-Alive: timeout=3\r\nContent-Length: 0\r\n\r\n", id)
@@ -308,7 +308,7 @@
 			t.Errorf("after %d ms more: %d connections, want %d", step.after, n, step.want)
 		}
 	}
-	pool.Sweep(func(string) bool { return false })
+	pool.CloseIdle(func(string) bool { return false })
 	if len(pool.idle) != 0 {
 		t.Error("Sweep kept connections to addresses that keep rejected")
 	}
--- a/internal/experiment/agent.go
+++ b/internal/experiment/agent.go
@@ -24,7 +24,7 @@
 type agent struct {
 	sim      *simulation
 	engine   *engine
-	register *quarantine.Register
+	register *quarantine.Registry
 	gate     *quarantine.Gate
 	waiting  []*call
 }
@@ -50,7 +50,7 @@
 }
 
 func (a *agent) beginAtGate(now kumquatlug.Millis, c *call) quarantine.Verdict {
-	return a.gate.Begin(now, quarantine.Arrival{ID: c.id, Fingerprint: c.fingerprint, Claimed: c.claimed})
+	return a.gate.Begin(now, quarantine.StartRequest{ID: c.id, Fingerprint: c.fingerprint, Claimed: c.claimed})
 }
 
 // accept starts a call, queues it until it may start, or rejects it.
@@ -128,9 +128,9 @@
 }
 
 // gossip exchanges crash notices between the agent and a gateway, as heartbeats do.
-func (a *agent) gossip(now kumquatlug.Millis, gatewayRegister *quarantine.Register) {
-	agentNotices, _ := a.register.Known(now, 0)
-	gatewayNotices, _ := gatewayRegister.Known(now, 0)
+func (a *agent) gossip(now kumquatlug.Millis, gatewayRegister *quarantine.Registry) {
+	agentNotices, _ := a.register.NoticesSince(now, 0)
+	gatewayNotices, _ := gatewayRegister.NoticesSince(now, 0)
 	gatewayRegister.Merge(now, agentNotices)
 	a.register.Merge(now, gatewayNotices)
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -69,8 +69,8 @@
 	return simulate(c, measureCapacity(c.Scenario, c.Seed))
 }
 
-// Compare simulates the scenario under each of its policies with the same requests.
-func Compare(s Scenario, seed uint64) []Result {
+// RunPolicies simulates the scenario under each of its policies with the same requests.
+func RunPolicies(s Scenario, seed uint64) []Result {
 	fleetCapacity := measureCapacity(s, seed)
 	var list []Result
 	for _, p := range Policies(s) {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 
 func findScenario(t *testing.T, name string) Scenario {
 	t.Helper()
-	s, ok := ScenarioOf(name)
+	s, ok := ScenarioByName(name)
 	if !ok {
 		t.Fatalf("no scenario %q", name)
 	}
@@ -37,8 +37,8 @@
 	for _, name := range []string{"crasher", "mix-half"} {
 		s := findScenario(t, name)
 		s.duration = min(s.duration, 4*kumquatlug.Minute)
-		first := simulate(Config{Scenario: s, Policy: PolicyDecisions, Seed: 1}, approximateCapacity)
-		second := simulate(Config{Scenario: s, Policy: PolicyDecisions, Seed: 1}, approximateCapacity)
+		first := simulate(Config{Scenario: s, Policy: PolicyModules, Seed: 1}, approximateCapacity)
+		second := simulate(Config{Scenario: s, Policy: PolicyModules, Seed: 1}, approximateCapacity)
 		if !reflect.DeepEqual(first, second) {
 			t.Errorf("%s: %+v and %+v", name, first, second)
 		}
@@ -50,7 +50,7 @@
 	// timeout, and no counter would include it.
 	for _, name := range []string{"burst", "lost-at-peak", "crasher"} {
 		s := findScenario(t, name)
-		sim := newSimulation(Config{Scenario: s, Policy: PolicyDecisions, Seed: 2}, approximateCapacity)
+		sim := newSimulation(Config{Scenario: s, Policy: PolicyModules, Seed: 2}, approximateCapacity)
 		for end := s.duration + s.drainTime(); sim.now < end; sim.now += timeStep {
 			sim.step()
 		}
@@ -71,16 +71,16 @@
 func TestGoodputUnderOverload(t *testing.T) {
 	// The offered load is twice the capacity. If every call were sent on arrival, queues in
 	// the engines would grow until every response is late.
-	got := simulatePolicies(t, "overload-2x", PolicyDecisions, PolicyRoundRobin)
+	got := simulatePolicies(t, "overload-2x", PolicyModules, PolicyRoundRobin)
 	// The goal is 0.95 over several seeds, which the command checks. This lower bound
 	// guards against regressions.
-	if g := got[PolicyDecisions].Goodput; g < 0.93 {
+	if g := got[PolicyModules].Goodput; g < 0.93 {
 		t.Errorf("goodput %.3f", g)
 	}
 	if g := got[PolicyRoundRobin].Goodput; g > 0.6 {
 		t.Errorf("goodput of FIFO is %.3f; this load no longer distinguishes the policies", g)
 	}
-	refusals := got[PolicyDecisions].ordinaryCallers(workloadChat).Told
+	refusals := got[PolicyModules].ordinaryCallers(workloadChat).RefusalTime
 	if refusals.P50 > 100 {
 		t.Errorf("time to refusal (p50/p99 in seconds): %v", refusals)
 	}
@@ -89,8 +89,8 @@
 func TestHotCallerDoesNotDelayQuietCallers(t *testing.T) {
 	// One caller offers twice the fleet's capacity. Without isolation between callers, the
 	// calls of twenty others would be late or refused.
-	beside := simulatePolicies(t, "hot-caller", PolicyDecisions)[PolicyDecisions]
-	alone := simulatePolicies(t, "quiet-alone", PolicyDecisions)[PolicyDecisions]
+	beside := simulatePolicies(t, "hot-caller", PolicyModules)[PolicyModules]
+	alone := simulatePolicies(t, "quiet-alone", PolicyModules)[PolicyModules]
 	retained := beside.ordinaryCallers(workloadChat).onTimeFraction() / alone.ordinaryCallers(workloadChat).onTimeFraction()
 	if retained < 0.975 {
 		t.Errorf("quiet callers keep %.3f of their on-time responses", retained)
@@ -101,7 +101,7 @@
 	// A request crashes each engine that runs it, and its caller sends it repeatedly through
 	// any gateway. If it were retried like other requests, it would crash one engine after
 	// the other, and all calls in flight there would be lost.
-	got := simulatePolicies(t, "crasher", PolicyDecisions)[PolicyDecisions]
+	got := simulatePolicies(t, "crasher", PolicyModules)[PolicyModules]
 	if got.Crashes > 2 || got.Resends < 50 {
 		t.Errorf("%d engines crashed, request sent again %d times", got.Crashes, got.Resends)
 	}
--- a/internal/experiment/module_policy.go
+++ b/internal/experiment/module_policy.go
@@ -29,7 +29,7 @@
 	inFlight      map[string]*attempt
 	pending       []pendingCall
 	estimator     *admission.Estimator
-	crashRegister *quarantine.Register
+	crashRegister *quarantine.Registry
 	gateway       int
 	lastHeartbeat map[string]kumquatlug.Millis
 }
@@ -59,17 +59,17 @@
 	p := &modulePolicy{
 		sim:     sim,
 		queue:   admission.New(admission.Config{Random: rand.New(rand.NewPCG(seed, 3))}),
-		targets: limit.NewTargets(limit.TargetsConfig{Entries: gatewayCount, Floor: 1, Random: rand.New(rand.NewPCG(seed, 4))}),
-		router:  routing.New(routing.Config{Source: rand.NewPCG(seed, 5), Zone: fmt.Sprintf("zone-%d", gateway)}),
+		targets: limit.NewTargets(limit.TargetsConfig{Gateways: gatewayCount, Baseline: 1, Random: rand.New(rand.NewPCG(seed, 4))}),
+		router:  routing.New(routing.Config{RandomSource: rand.NewPCG(seed, 5), Zone: fmt.Sprintf("zone-%d", gateway)}),
 		health:  health.New(health.Config{}),
-		retry:   retry.New(retry.Config{Source: rand.NewPCG(seed, 6)}),
+		retry:   retry.New(retry.Config{RandomSource: rand.NewPCG(seed, 6)}),
 		waiting: make(map[string]*call), inFlight: make(map[string]*attempt),
 		gateway:       gateway,
 		crashRegister: quarantine.New(quarantine.Config{}),
 		estimator:     admission.NewEstimator(admission.EstimatorConfig{}),
 		lastHeartbeat: make(map[string]kumquatlug.Millis),
 	}
-	p.router.SetEntries(gatewayCount)
+	p.router.SetGateways(gatewayCount)
 	for _, e := range sim.engines {
 		p.setCandidate(0, e.name, e.zone, e.role, true)
 		p.targets.Add(e.name)
@@ -84,22 +84,22 @@
 		state = routing.StateDraining
 	}
 	p.router.Set(now, routing.Candidate{
-		Name: target, Zone: zone, State: state, Duties: []routing.Duty{{Kind: modelKind, Role: role}},
+		Name: target, Zone: zone, State: state, Assignments: []routing.Assignment{{Kind: modelKind, Role: role}},
 	})
 }
 
 func (p *modulePolicy) arrive(now kumquatlug.Millis, c *call) {
 	prompt := int64(c.promptTokens)
 	p.sim.roles.recordOffered(p.gateway, float64(c.promptTokens), float64(p.estimator.Output(now, c.caller, modelKind, prompt)))
-	if p.crashRegister.Ask(now, c.fingerprint).Refused() {
+	if p.crashRegister.Check(now, c.fingerprint).Refused() {
 		p.sim.refuse(c, 0)
 		return
 	}
-	p.retry.Accepted(now)
+	p.retry.RecordCall(now)
 	r := admission.NewRequest(admission.RequestConfig{
 		ID: c.id, Caller: c.caller, Kind: modelKind, Arrival: now, Deadline: c.deadline,
-		Cost:    admission.Cost(prompt, p.estimator.Output(now, c.caller, modelKind, prompt)),
-		Service: p.estimator.Service(now, c.caller, modelKind, prompt),
+		Cost:        admission.Cost(prompt, p.estimator.Output(now, c.caller, modelKind, prompt)),
+		ServiceTime: p.estimator.ServiceTime(now, c.caller, modelKind, prompt),
 	})
 	admitted := p.queue.Offer(now, r)
 	p.refuseAll(admitted.Displaced())
@@ -119,7 +119,7 @@
 }
 
 func (p *modulePolicy) tick(now kumquatlug.Millis) {
-	if wake, ok := p.queue.Wake(); ok && wake <= now {
+	if wake, ok := p.queue.NextExpiry(); ok && wake <= now {
 		p.refuseAll(p.queue.Expire(now))
 	}
 	p.markMissedHeartbeats(now)
@@ -143,7 +143,7 @@
 // delayIfSuspect reports whether a call that was in flight at a crash must wait, and updates
 // the time at which it is to be sent.
 func (p *modulePolicy) delayIfSuspect(now kumquatlug.Millis, item *pendingCall) bool {
-	status := p.crashRegister.Ask(now, item.call.fingerprint)
+	status := p.crashRegister.Check(now, item.call.fingerprint)
 	if status.Standing() == quarantine.StandingFree || status.Wait() <= 0 {
 		return false
 	}
@@ -161,7 +161,7 @@
 	if len(p.pending) >= maxPrefilledPending && p.sim.config.Scenario.splitRoles() {
 		return false
 	}
-	r, ok := p.queue.Next(modelKind)
+	r, ok := p.queue.Peek(modelKind)
 	if !ok {
 		return false
 	}
@@ -172,7 +172,7 @@
 	} else if p.send(now, c, "") == sendElsewhere {
 		return false
 	}
-	p.queue.Take(now, c.id)
+	p.queue.Dequeue(now, c.id)
 	delete(p.waiting, c.id)
 	return true
 }
@@ -187,7 +187,7 @@
 func (r limitChecker) Room(target string) bool { return r.targets.Room(target, r.cost) }
 
 func (p *modulePolicy) send(now kumquatlug.Millis, c *call, exclude string) sendResult {
-	if p.crashRegister.Ask(now, c.fingerprint).Refused() {
+	if p.crashRegister.Check(now, c.fingerprint).Refused() {
 		p.sim.refuse(c, 0)
 		return sendRefused
 	}
@@ -216,14 +216,14 @@
 		ID: c.id, Prefix: query.Prefix, PrefillTokens: max(query.PrefillTokens-choice.Cached(), 0), DecodeTokens: query.DecodeTokens,
 	})
 	a := &attempt{call: c, target: target, ticket: p.targets.Begin(now, target, cost), choice: choice, sentAt: now}
-	p.targets.Tolerate(&a.ticket, c.deadline-c.arrival, p.idleDuration(now, c))
+	p.targets.SetTolerance(&a.ticket, c.deadline-c.arrival, p.idleDuration(now, c))
 	p.inFlight[c.id] = a
 	return sendAccepted
 }
 
 // idleDuration returns the duration of a call with a long output on an idle target.
 func (p *modulePolicy) idleDuration(now kumquatlug.Millis, c *call) kumquatlug.Millis {
-	output := p.estimator.HighOutput(now, c.caller, modelKind, int64(c.promptTokens))
+	output := p.estimator.OutputP90(now, c.caller, modelKind, int64(c.promptTokens))
 	return kumquatlug.Millis(idlePrefillTime(c.promptTokens) + idleDecodeTime(int(output)))
 }
 
@@ -270,13 +270,13 @@
 
 func (p *modulePolicy) report(now kumquatlug.Millis, r loadReport) {
 	if r.alive {
-		p.health.Heartbeat(now, r.target)
+		p.health.HeartbeatAnswered(now, r.target)
 		p.lastHeartbeat[r.target] = now
 	}
 	p.sim.engine(r.target).agent.gossip(now, p.crashRegister)
 	p.setCandidate(now, r.target, r.zone, r.role, r.ready)
 	p.targets.Report(now, r.target, limit.Load{
-		Age: now - r.takenAt, Asked: now, Running: int64(r.running), Waiting: int64(r.waiting), Used: int64(r.kvUsed), Total: kvCapacityTokens,
+		Age: now - r.takenAt, RequestedAt: now, Running: int64(r.running), Waiting: int64(r.waiting), Used: int64(r.kvUsed), Total: kvCapacityTokens,
 	})
 	p.router.Report(now, r.target, routing.Load{
 		Running: r.running, Waiting: r.waiting, KVUsed: r.kvUsed, KVTotal: kvCapacityTokens, DecodeRate: r.decodeRate,
--- a/internal/experiment/module_policy_events.go
+++ b/internal/experiment/module_policy_events.go
@@ -20,14 +20,14 @@
 		a.firstTokenAt, a.lastOutputAt = now, now
 		p.targets.Sample(now, &a.ticket, now-a.sentAt, idlePrefillTime(e.tokens))
 		p.router.Progress(now, a.target, e.call.id, 1)
-		p.queue.Served(now, modelKind, admission.Cost(int64(e.tokens), 0))
+		p.queue.RecordServed(now, modelKind, admission.Cost(int64(e.tokens), 0))
 	case eventProgress:
 		p.recordOutput(now, a, e.tokens)
-		p.queue.Served(now, modelKind, admission.Cost(0, int64(e.tokens)))
+		p.queue.RecordServed(now, modelKind, admission.Cost(0, int64(e.tokens)))
 	case eventPrefilled:
 		a.firstTokenAt = now
 		p.targets.Sample(now, &a.ticket, now-a.sentAt, idlePrefillTime(e.tokens))
-		p.queue.Served(now, modelKind, admission.Cost(int64(e.tokens), 0))
+		p.queue.RecordServed(now, modelKind, admission.Cost(int64(e.tokens), 0))
 		p.endAttempt(now, a, limit.OutcomeEnded)
 		p.pending = append(p.pending, pendingCall{call: e.call, at: now})
 	case eventDone:
@@ -58,11 +58,11 @@
 
 func (p *modulePolicy) recordDone(now kumquatlug.Millis, a *attempt, e callEvent) {
 	p.recordOutput(now, a, e.tokens)
-	p.queue.Served(now, modelKind, admission.Cost(0, int64(e.tokens)))
+	p.queue.RecordServed(now, modelKind, admission.Cost(0, int64(e.tokens)))
 	p.updateEstimates(now, a, true)
 	p.crashRegister.Finished(now, e.call.fingerprint)
 	expected := max(float64(a.choice.Finish()), 1)
-	p.health.Outcome(now, a.target, true, float64(now-a.sentAt)/expected)
+	p.health.RecordOutcome(now, a.target, true, float64(now-a.sentAt)/expected)
 	p.endAttempt(now, a, limit.OutcomeEnded)
 }
 
@@ -73,8 +73,8 @@
 	if c.firstTokenAt > 0 {
 		prefillTime, decodeTime = c.firstTokenAt-c.sentAt, now-c.firstTokenAt
 	}
-	p.estimator.Learn(now, c.caller, modelKind, admission.Observed{
-		Prompt: int64(c.promptTokens), Output: int64(c.generated), First: prefillTime, Rest: decodeTime, Whole: completed,
+	p.estimator.Observe(now, c.caller, modelKind, admission.Observation{
+		PromptTokens: int64(c.promptTokens), OutputTokens: int64(c.generated), TimeToFirstToken: prefillTime, DecodeTime: decodeTime, Complete: completed,
 	})
 }
 
@@ -91,15 +91,15 @@
 	c := a.call
 	p.endAttempt(now, a, limit.OutcomeEnded)
 	crash := p.sim.engine(a.target).agent.crashID()
-	p.crashRegister.Crashed(now, crash, []quarantine.Held{{Fingerprint: c.fingerprint, Starting: a.firstTokenAt == 0}})
-	p.health.Outcome(now, a.target, false, 0)
+	p.crashRegister.Crashed(now, crash, []quarantine.InFlightCall{{Fingerprint: c.fingerprint, Starting: a.firstTokenAt == 0}})
+	p.health.RecordOutcome(now, a.target, false, 0)
 	p.router.SetWeight(a.target, p.health.Weight(now, a.target))
 	c.retries++
 	next := p.retry.Next(now, retry.Attempt{
-		Ran: kumquatlug.RanUnknown, Repeatable: true, Resumable: true, Attempts: c.sendCount,
+		Execution: kumquatlug.ExecutionUnknown, Repeatable: true, Resumable: true, Attempts: c.sendCount,
 		Deadline: c.deadline - c.arrival, Elapsed: now - c.arrival,
 	})
-	if next.Verdict() == retry.VerdictStop {
+	if next.Action() == retry.ActionStop {
 		p.sim.fail(c)
 		return
 	}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -18,12 +18,12 @@
 
 // policyColours are distinguishable with red-green colour blindness.
 var policyColours = map[PolicyName]string{
-	PolicyDecisions:  "#0072b2",
-	PolicyBogota:     "#56b4e9",
-	PolicyStatic:     "#e69f00",
-	PolicyThreshold:  "#cc79a7",
-	PolicyRoundRobin: "#999999",
-	PolicyLeast:      "#555555",
+	PolicyModules:          "#0072b2",
+	PolicyBogota:           "#56b4e9",
+	PolicyStatic:           "#e69f00",
+	PolicyThreshold:        "#cc79a7",
+	PolicyRoundRobin:       "#999999",
+	PolicyLeastConnections: "#555555",
 }
 
 // WritePlot writes a bar chart of the goodput of each policy in each scenario, as SVG.
@@ -66,7 +66,7 @@
 }
 
 func writeLegend(b *strings.Builder, y int) {
-	order := []PolicyName{PolicyDecisions, PolicyBogota, PolicyStatic, PolicyThreshold, PolicyRoundRobin, PolicyLeast}
+	order := []PolicyName{PolicyModules, PolicyBogota, PolicyStatic, PolicyThreshold, PolicyRoundRobin, PolicyLeastConnections}
 	for n, p := range order {
 		x := 20 + n*122
 		fmt.Fprintf(b, "<rect x=\"%d\" y=\"%d\" width=\"10\" height=\"10\" fill=\"%s\"/>\n", x, y-9, policyColours[p])
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -26,8 +26,8 @@
 
 // The policies that are compared.
 const (
-	// PolicyDecisions uses the project's modules with the cost of a role change at Kochi.
-	PolicyDecisions PolicyName = "kumquatlug"
+	// PolicyModules uses the project's modules with the cost of a role change at Kochi.
+	PolicyModules PolicyName = "kumquatlug"
 	// PolicyBogota is the same with the cost of a role change at Bogota.
 	PolicyBogota PolicyName = "kumquatlug-bogota"
 	// PolicyStatic is the same with the initial roles throughout.
@@ -36,14 +36,14 @@
 	PolicyThreshold PolicyName = "threshold"
 	// PolicyRoundRobin is FIFO with round-robin routing and without limits.
 	PolicyRoundRobin PolicyName = "round-robin"
-	// PolicyLeast is FIFO without limits, routed to the target with the fewest
+	// PolicyLeastConnections is FIFO without limits, routed to the target with the fewest
 	// connections from this gateway.
-	PolicyLeast PolicyName = "least-connections"
+	PolicyLeastConnections PolicyName = "least-connections"
 )
 
 // Policies returns the policies to compare in a scenario.
 func Policies(s Scenario) []PolicyName {
-	list := []PolicyName{PolicyDecisions, PolicyRoundRobin, PolicyLeast}
+	list := []PolicyName{PolicyModules, PolicyRoundRobin, PolicyLeastConnections}
 	if s.splitRoles() {
 		list = append(list, PolicyBogota, PolicyStatic, PolicyThreshold)
 	}
@@ -52,7 +52,7 @@
 
 func newPolicy(sim *simulation, gateway int) policy {
 	switch sim.config.Policy {
-	case PolicyRoundRobin, PolicyLeast:
+	case PolicyRoundRobin, PolicyLeastConnections:
 		return newBaselinePolicy(sim, gateway)
 	default:
 		return newModulePolicy(sim, gateway)
@@ -108,7 +108,7 @@
 		list[n] = (p.next + n) % engineCount
 	}
 	p.next++
-	if p.sim.config.Policy == PolicyLeast {
+	if p.sim.config.Policy == PolicyLeastConnections {
 		slices.SortStableFunc(list, func(a, b int) int { return p.running[a] - p.running[b] })
 	}
 	return list
@@ -145,4 +145,4 @@
 
 // usesAgents reports whether calls pass through agents, which detect requests that crash
 // engines.
-func (p PolicyName) usesAgents() bool { return p != PolicyRoundRobin && p != PolicyLeast }
+func (p PolicyName) usesAgents() bool { return p != PolicyRoundRobin && p != PolicyLeastConnections }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -27,18 +27,18 @@
 
 // Group is the outcome for one group of callers and one workload.
 type Group struct {
-	Callers string `json:"callers"`
-	Work    string `json:"work"`
-	Offered int    `json:"offered"`
-	OnTime  int    `json:"on_time"`
-	Late    int    `json:"late"`
-	Refused int    `json:"refused"`
-	Failed  int    `json:"failed"`
-	// First and Whole are percentiles of the time to the first and to the last token of
+	Callers  string `json:"callers"`
+	Workload string `json:"work"`
+	Offered  int    `json:"offered"`
+	OnTime   int    `json:"on_time"`
+	Late     int    `json:"late"`
+	Refused  int    `json:"refused"`
+	Failed   int    `json:"failed"`
+	// TimeToFirstToken and Whole are percentiles of the time to the first and to the last token of
 	// responses on time, Told of the time until a refusal.
-	First Percentiles `json:"first_ms"`
-	Whole Percentiles `json:"whole_ms"`
-	Told  Percentiles `json:"told_ms"`
+	TimeToFirstToken Percentiles `json:"first_ms"`
+	TotalTime        Percentiles `json:"whole_ms"`
+	RefusalTime      Percentiles `json:"told_ms"`
 }
 
 // Percentiles summarizes a distribution of times, in milliseconds.
@@ -125,7 +125,7 @@
 }
 
 func groupOf(k groupKey, calls []*call) Group {
-	g := Group{Callers: k.callers, Work: string(k.work), Offered: len(calls)}
+	g := Group{Callers: k.callers, Workload: string(k.work), Offered: len(calls)}
 	var first, total, refusal []kumquatlug.Millis
 	for _, c := range calls {
 		switch c.outcome {
@@ -142,6 +142,6 @@
 			g.Late++
 		}
 	}
-	g.First, g.Whole, g.Told = percentiles(first), percentiles(total), percentiles(refusal)
+	g.TimeToFirstToken, g.TotalTime, g.RefusalTime = percentiles(first), percentiles(total), percentiles(refusal)
 	return g
 }
--- a/internal/experiment/roles.go
+++ b/internal/experiment/roles.go
@@ -12,7 +12,7 @@
 type roleController struct {
 	sim     *simulation
 	planner kumquatlug.RolePlanner
-	offered [gatewayCount]kumquatlug.Offer
+	offered [gatewayCount]kumquatlug.Demand
 }
 
 func newRoleController(sim *simulation) *roleController {
@@ -26,10 +26,10 @@
 		return planner.Static{}
 	}
 	switch c.Policy {
-	case PolicyDecisions:
+	case PolicyModules:
 		return planner.New(planner.Config{})
 	case PolicyBogota:
-		return planner.New(planner.Config{Price: 4, Enough: 0.9, Dwell: 2 * kumquatlug.Minute})
+		return planner.New(planner.Config{ChangeCost: 4, SufficientShare: 0.9, MinDwell: 2 * kumquatlug.Minute})
 	case PolicyThreshold:
 		return planner.NewThreshold(planner.ThresholdConfig{})
 	default:
@@ -46,7 +46,7 @@
 
 func (r *roleController) report(now kumquatlug.Millis, l loadReport) {
 	r.planner.Report(now, kumquatlug.EngineReport{
-		Target: l.target, Role: l.role, Going: l.nextRole, TakenAt: l.takenAt, InHand: l.running, Waiting: l.waiting,
+		Target: l.target, Role: l.role, PendingRole: l.nextRole, TakenAt: l.takenAt, InFlight: l.running, Waiting: l.waiting,
 		PrefillRate: l.prefillRate, DecodeRate: l.decodeRate,
 	})
 }
@@ -57,9 +57,9 @@
 	}
 	for n := range r.offered {
 		o := r.offered[n]
-		o.Entry, o.Span = fmt.Sprint("entry-", n), reportInterval
-		r.planner.Offered(now, o)
-		r.offered[n] = kumquatlug.Offer{}
+		o.Gateway, o.Period = fmt.Sprint("entry-", n), reportInterval
+		r.planner.RecordDemand(now, o)
+		r.offered[n] = kumquatlug.Demand{}
 	}
 	for _, change := range r.planner.Plan(now) {
 		e := r.sim.engine(change.Target())
@@ -67,6 +67,6 @@
 			r.sim.roleChanges++
 			continue
 		}
-		r.planner.Refused(now, change.Target())
+		r.planner.OrderRefused(now, change.Target())
 	}
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// ScenarioOf returns the scenario with the given name.
-func ScenarioOf(name string) (Scenario, bool) {
+// ScenarioByName returns the scenario with the given name.
+func ScenarioByName(name string) (Scenario, bool) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
 			return s, true
--- a/internal/experiment/swing/bound.go
+++ b/internal/experiment/swing/bound.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// Bound returns an upper bound of [Result.Worth], as a fraction of the offered value. No
+// UpperBound returns an upper bound of [Result.Value], as a fraction of the offered value. No
 // decisions exceed it, even with knowledge of the future: every engine prefills and
 // decodes at any time without a role change, every shared prompt part is cached on every
 // engine, streams run in full batches, and only engine time is scarce. In each interval of
@@ -12,9 +12,9 @@
 // The bound is not attainable. Under a load with a result close to it, the engines are the
 // bottleneck; if the result is far below, value is lost to decisions, cache misses or
 // wasted work.
-func Bound(config Sheet, load []Span, seed uint64) float64 {
+func UpperBound(config SiteConfig, load []Arrivals, seed uint64) float64 {
 	requests := generateRequests(config, load, seed)
-	freeTime := make([]float64, len(load)+int(config.StreamDeadline/intervalLength))
+	freeTime := make([]float64, len(load)+int(config.StreamTimeout/intervalLength))
 	for i := range freeTime {
 		freeTime[i] = float64(config.Engines) * float64(intervalLength)
 	}
@@ -35,7 +35,7 @@
 		first := int(item.request.arrivesAt / intervalLength)
 		last := first
 		if item.request.stream {
-			last = first + int(config.StreamDeadline/intervalLength) - 1
+			last = first + int(config.StreamTimeout/intervalLength) - 1
 		}
 		remaining := item.engineTime
 		for interval := first; interval <= last && remaining > 0; interval++ {
@@ -51,8 +51,8 @@
 }
 
 // minEngineTime returns the minimum engine time of a request, in ms.
-func minEngineTime(config Sheet, r *request) float64 {
+func minEngineTime(config SiteConfig, r *request) float64 {
 	batch := float64(config.Slots)
-	stepTime := config.Step + config.PerStream*batch
-	return prefillTime(config, r.uniqueTokens, r.prompt.Input()-r.uniqueTokens, config.ReadRate) + float64(r.outputTokens)*stepTime/batch
+	stepTime := config.StepMs + config.StepMsPerStream*batch
+	return prefillTime(config, r.uniqueTokens, r.prompt.Input()-r.uniqueTokens, config.PrefillTokensPerMs) + float64(r.outputTokens)*stepTime/batch
 }
--- a/internal/experiment/swing/engine.go
+++ b/internal/experiment/swing/engine.go
@@ -12,9 +12,9 @@
 type attempt struct {
 	request     *request
 	gateway     int
-	ticket      *placement.Ticket
+	ticket      *placement.Attempt
 	prefillOnly bool
-	reservation placement.Place
+	reservation placement.Reservation
 	// prefillLeft is the remaining prefill time in ms.
 	prefillLeft float64
 	// prefilled says that another engine has prefilled the prompt.
@@ -27,7 +27,7 @@
 
 // engine simulates one model engine.
 type engine struct {
-	config Sheet
+	config SiteConfig
 	role   kumquatlug.Role
 	// roleChangeUntil is when the role change in progress ends, zero if there is none;
 	// nextRole is the role after it.
@@ -53,16 +53,16 @@
 	tokens int
 }
 
-func newEngine(config Sheet, role kumquatlug.Role) *engine {
+func newEngine(config SiteConfig, role kumquatlug.Role) *engine {
 	return &engine{config: config, role: role, cacheOrder: list.New(), cacheIndex: map[string]*list.Element{}}
 }
 
 // prefillTime returns the prefill time, in ms, of a prompt with cached tokens and others
 // that are not cached.
-func prefillTime(config Sheet, uncached, cached int, rate float64) float64 {
+func prefillTime(config SiteConfig, uncached, cached int, rate float64) float64 {
 	pairs := float64(uncached) * (float64(cached) + float64(uncached)/2) / 1e6
-	chunks := float64((uncached + config.Piece - 1) / config.Piece)
-	return float64(uncached)/rate + pairs*config.PairTime + chunks*config.Step
+	chunks := float64((uncached + config.ChunkTokens - 1) / config.ChunkTokens)
+	return float64(uncached)/rate + pairs*config.MsPerMillionPairs + chunks*config.StepMs
 }
 
 // cachePrompt adds the parts of a prompt to the cache and returns the length in tokens of
@@ -82,7 +82,7 @@
 		e.cacheIndex[part.ID()] = e.cacheOrder.PushFront(cachedPart{id: part.ID(), tokens: part.Tokens()})
 		e.cachedTokens += part.Tokens()
 	}
-	for e.cachedTokens+e.runningTokens > e.config.Memory && e.cacheOrder.Len() > 0 {
+	for e.cachedTokens+e.runningTokens > e.config.KVCapacityTokens && e.cacheOrder.Len() > 0 {
 		oldest := e.cacheOrder.Back()
 		evicted := e.cacheOrder.Remove(oldest).(cachedPart)
 		delete(e.cacheIndex, evicted.id)
@@ -99,13 +99,13 @@
 	}
 	if a.prefillOnly {
 		cached := e.cachePrompt(a.request.prompt)
-		a.prefillLeft = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.ReadRate)
+		a.prefillLeft = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.PrefillTokensPerMs)
 		e.prefilling = append(e.prefilling, a)
 		return true
 	}
 	if !a.prefilled {
 		cached := e.cachePrompt(a.request.prompt)
-		a.prefillLeft = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.ReadRate/2)
+		a.prefillLeft = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.PrefillTokensPerMs/2)
 	}
 	e.waiting = append(e.waiting, a)
 	return true
@@ -118,7 +118,7 @@
 
 // stepTime returns the duration of a decode step of the current batch, in ms.
 func (e *engine) stepTime() float64 {
-	return e.config.Step + e.config.PerStream*float64(len(e.running)) + e.config.PerToken*float64(e.runningTokens)/1000
+	return e.config.StepMs + e.config.StepMsPerStream*float64(len(e.running)) + e.config.StepMsPerKiloToken*float64(e.runningTokens)/1000
 }
 
 // advance simulates one ms. It returns the attempts that produced their first output and
@@ -198,7 +198,7 @@
 	for len(e.waiting) > 0 {
 		index := e.nextWaiting()
 		a := e.waiting[index]
-		full := len(e.running) >= e.config.Slots || e.runningTokens+a.request.uniqueTokens > e.config.Memory
+		full := len(e.running) >= e.config.Slots || e.runningTokens+a.request.uniqueTokens > e.config.KVCapacityTokens
 		if full && (a.request.stream || !e.preempt()) {
 			return
 		}
--- a/internal/experiment/swing/limits.go
+++ b/internal/experiment/swing/limits.go
@@ -42,13 +42,13 @@
 }
 
 // newShares returns the rate limit shares of a gateway that knows all other gateways.
-func newShares(i int, config Sheet) *ratelimit.Shares {
+func newShares(i int, config SiteConfig) *ratelimit.Shares {
 	shares := ratelimit.NewShares(gatewayName(i))
-	names := make([]string, config.Fronts)
+	names := make([]string, config.Gateways)
 	for j := range names {
 		names[j] = gatewayName(j)
 	}
-	shares.Meet(names)
+	shares.AddGateways(names)
 	return shares
 }
 
@@ -66,9 +66,9 @@
 func (sim *simulation) recordLimit(now kumquatlug.Millis, a *attempt) {
 	e := sim.engineByName[a.ticket.Worker()]
 	_, advertised := sim.currentLimit(now, e)
-	sim.gateways[a.gateway].Limited(now, a.ticket, advertised, true)
+	sim.gateways[a.gateway].RecordLimit(now, a.ticket, advertised, true)
 	key := gatewayEngine{gateway: a.gateway, engine: e}
-	if _, seen := sim.limitSeenAt[key]; advertised.Named() && !seen {
+	if _, seen := sim.limitSeenAt[key]; advertised.Limited() && !seen {
 		sim.limitSeenAt[key] = now
 	}
 }
@@ -77,7 +77,7 @@
 func (sim *simulation) recordArrival(now kumquatlug.Millis, e *engine, a *attempt) {
 	l, advertised := sim.currentLimit(now, e)
 	seenAt, seen := sim.limitSeenAt[gatewayEngine{gateway: a.gateway, engine: e}]
-	if advertised.Named() && seen && now >= seenAt+limitReactionTime && now >= l.From+limitGracePeriod {
+	if advertised.Limited() && seen && now >= seenAt+limitReactionTime && now >= l.From+limitGracePeriod {
 		e.limitedArrivals = append(e.limitedArrivals, limitedArrival{at: now, perSecond: l.PerSecond})
 	}
 }
--- a/internal/experiment/swing/limits_test.go
+++ b/internal/experiment/swing/limits_test.go
@@ -18,19 +18,19 @@
 // simulateLimits simulates a steady load while the engines from first to last advertise a
 // limit. It returns the result and the mean fraction of value from then on.
 func simulateLimits(gateways, first, last int, perSecond float64, seed uint64) (Result, float64) {
-	config := UserSites()
-	config.Fronts, config.Coordinators = gateways, true
-	load := make([]Span, limitIntervals)
+	config := BaseSite()
+	config.Gateways, config.Coordinated = gateways, true
+	load := make([]Arrivals, limitIntervals)
 	for i := range load {
-		load[i] = Span{Documents: limitDocuments, Streams: limitStreams}
+		load[i] = Arrivals{Documents: limitDocuments, Streams: limitStreams}
 	}
-	policy := Policy{Readers: limitPrefillEngines}
+	policy := Policy{PrefillEngines: limitPrefillEngines}
 	for engine := first; engine <= last; engine++ {
 		policy.Limits = append(policy.Limits, Limit{Engine: engine, From: limitFrom, Until: limitUntil, PerSecond: perSecond})
 	}
-	r := Play(config, load, policy, seed)
+	r := Simulate(config, load, policy, seed)
 	sum, firstInterval := 0.0, int(limitFrom/intervalLength)
-	for _, value := range r.Windows[firstInterval:] {
+	for _, value := range r.ValueByInterval[firstInterval:] {
 		sum += value
 	}
 	return r, sum / float64(limitIntervals-firstInterval)
@@ -44,8 +44,8 @@
 		for name, engines := range map[string][2]int{"decode engines": {8, 9}, "prefill engines": {0, 3}} {
 			r, value := simulateLimits(gateways, engines[0], engines[1], 4, 1)
 			t.Logf("%d gateways, limits at %s: value %.3f, without limits %.3f", gateways, name, value, baseline)
-			if value < baseline-0.02 || r.Excess > 0 {
-				t.Errorf("%d gateways, limits at %s: value %.3f, without limits %.3f, excess %.1f", gateways, name, value, baseline, r.Excess)
+			if value < baseline-0.02 || r.LimitExcess > 0 {
+				t.Errorf("%d gateways, limits at %s: value %.3f, without limits %.3f, excess %.1f", gateways, name, value, baseline, r.LimitExcess)
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 			r, value := simulateLimits(3, 8, 11, perSecond, seed+1)
 			allowed := min(4*perSecond/offered, 1)
 			t.Logf("limit %v/s, seed %d: value %.3f of %.3f, documents %.3f, streams %.3f", perSecond, seed+1, value, allowed, r.Documents, r.Streams)
-			if value < 0.8*allowed || r.Excess > 0 || r.WasteTokens > 50_000 {
+			if value < 0.8*allowed || r.LimitExcess > 0 || r.WastedPrefillTokens > 50_000 {
 				t.Errorf("limit %v/s, seed %d: value %.3f of %.3f, %+v", perSecond, seed+1, value, allowed, r)
 			}
 			if difference := r.Documents - r.Streams; difference > 0.15 || difference < -0.15 {
--- a/internal/experiment/swing/load.go
+++ b/internal/experiment/swing/load.go
@@ -58,9 +58,9 @@
 }
 
 // generateRequests returns random requests for a load, in order of arrival.
-func generateRequests(config Sheet, load []Span, seed uint64) []*request {
+func generateRequests(config SiteConfig, load []Arrivals, seed uint64) []*request {
 	random := rand.New(rand.NewPCG(seed, 1))
-	chains := make([]int, config.Things)
+	chains := make([]int, config.PrefixChains)
 	for i := range chains {
 		chains[i] = int(lognormal(random, chainTokensMean, chainTokensCV, chainTokensMax))
 	}
@@ -84,9 +84,11 @@
 
 // outputTokens returns the number of tokens in the given number of events. The first event
 // is sent with the first token, each further one after config.Event more tokens.
-func outputTokens(config Sheet, events float64) int { return max(int(events)-1, 0)*config.Event + 1 }
+func outputTokens(config SiteConfig, events float64) int {
+	return max(int(events)-1, 0)*config.EventTokens + 1
+}
 
-func newDocument(config Sheet, random *rand.Rand, begin kumquatlug.Millis, chains []int) *request {
+func newDocument(config SiteConfig, random *rand.Rand, begin kumquatlug.Millis, chains []int) *request {
 	// A skew of 0.3 makes chains with a low index somewhat more frequent.
 	chain := int(float64(len(chains)) * math.Pow(random.Float64(), 1/(1-0.3)))
 	unique := max(int(lognormal(random, uniqueTokensMean, uniqueTokensCV, uniqueTokensMax)), 1)
@@ -95,34 +97,34 @@
 		kumquatlug.NewPart(fmt.Sprint("top", chain%rootCount), int(rootTokens)),
 		kumquatlug.NewPart(fmt.Sprint("chain", chain), chains[chain]),
 		kumquatlug.NewPart(fmt.Sprint("own", random.Uint64()), unique),
-	}, shared+unique, 2*config.Event)
+	}, shared+unique, 2*config.EventTokens)
 	relativeValue := min(fixedValueShare+(1-fixedValueShare)*float64(shared+unique)/(rootTokens+chainTokensMean+uniqueTokensMean), maxRelativeValue)
 	return &request{
-		arrivesAt: arrivalTime(random, begin), gateway: random.IntN(config.Fronts), prompt: prompt, uniqueTokens: unique, outputTokens: outputTokens(config, lognormal(random, documentEventsMean, documentEventsCV, documentEventsMax)),
-		value: config.DocumentWorth * relativeValue, lateValue: config.DocumentLate * relativeValue, relativeValue: relativeValue, ttftTarget: config.DocumentAim, timeout: config.Deadline,
+		arrivesAt: arrivalTime(random, begin), gateway: random.IntN(config.Gateways), prompt: prompt, uniqueTokens: unique, outputTokens: outputTokens(config, lognormal(random, documentEventsMean, documentEventsCV, documentEventsMax)),
+		value: config.DocumentValue * relativeValue, lateValue: config.DocumentLateValue * relativeValue, relativeValue: relativeValue, ttftTarget: config.DocumentTTFTTarget, timeout: config.DocumentTimeout,
 	}
 }
 
-func newStream(config Sheet, random *rand.Rand, begin kumquatlug.Millis) *request {
+func newStream(config SiteConfig, random *rand.Rand, begin kumquatlug.Millis) *request {
 	events := max(lognormal(random, streamEventsMean, streamEventsCV, streamEventsMax), 1)
 	relativeValue := min(fixedValueShare+(1-fixedValueShare)*events/streamEventsMean, maxRelativeValue)
 	return &request{
-		arrivesAt: arrivalTime(random, begin), gateway: random.IntN(config.Fronts), stream: true, uniqueTokens: streamUniqueTokens, outputTokens: outputTokens(config, events),
+		arrivesAt: arrivalTime(random, begin), gateway: random.IntN(config.Gateways), stream: true, uniqueTokens: streamUniqueTokens, outputTokens: outputTokens(config, events),
 		prompt: kumquatlug.NewPrompt([]kumquatlug.Part{
 			kumquatlug.NewPart(fmt.Sprint("hello", random.IntN(20)), streamSharedTokens), kumquatlug.NewPart(fmt.Sprint("own", random.Uint64()), streamUniqueTokens),
-		}, streamSharedTokens+streamUniqueTokens, 2*streamEventsTypical*config.Event),
-		value: config.StreamWorth * relativeValue, lateValue: config.StreamLate * relativeValue, relativeValue: relativeValue, ttftTarget: config.StreamAim, timeout: config.StreamDeadline,
+		}, streamSharedTokens+streamUniqueTokens, 2*streamEventsTypical*config.EventTokens),
+		value: config.StreamValue * relativeValue, lateValue: config.StreamLateValue * relativeValue, relativeValue: relativeValue, ttftTarget: config.StreamTTFTTarget, timeout: config.StreamTimeout,
 	}
 }
 
 // LargeBurst is a burst at the site with the most machines: for four seconds, nearly four
 // times the usual number of documents arrive.
-var LargeBurst = []Span{{1012, 52}, {1012, 52}, {3760, 60}, {3760, 60}, {1012, 52}}
+var LargeBurst = []Arrivals{{1012, 52}, {1012, 52}, {3760, 60}, {3760, 60}, {1012, 52}}
 
 // BogotaScale and BogotaTrouble are the arrivals on two standard days of Bogota according
 // to the logs of its gateways. Retries by clients count as arrivals.
 var (
-	BogotaScale = []Span{
+	BogotaScale = []Arrivals{
 		{276, 56},
 		{165, 88},
 		{229, 60},
@@ -149,7 +151,7 @@
 		{335, 43},
 		{242, 31},
 	}
-	BogotaTrouble = []Span{
+	BogotaTrouble = []Arrivals{
 		{392, 23},
 		{655, 31},
 		{262, 22},
