--- a/internal/experiment/swing/simulation.go
+++ b/internal/experiment/swing/simulation.go
@@ -13,30 +13,30 @@
 
 // Policy determines how many engines run prefill, and their rate limits.
 type Policy struct {
-	// Readers is the initial number of prefill engines.
-	Readers int
-	// Follow adapts the number of prefill engines to the load.
-	Follow bool
-	// Swing configures the adaptation.
-	Swing planner.SwingConfig
+	// PrefillEngines is the initial number of prefill engines.
+	PrefillEngines int
+	// Adaptive adapts the number of prefill engines to the load.
+	Adaptive bool
+	// Split configures the adaptation.
+	Split planner.AdaptiveSplitConfig
 	// Limits are the rate limits that engines advertise.
 	Limits []Limit
 }
 
 // Result is the outcome of a simulation for its clients.
 type Result struct {
-	// Worth is the fraction of the offered value that was delivered. Documents and Streams
+	// Value is the fraction of the offered value that was delivered. Documents and Streams
 	// are the same for the requests of one kind.
-	Worth, Documents, Streams float64
-	// Windows are these fractions for the requests that arrived in each two seconds.
-	Windows []float64
-	// Changes is the number of role changes.
-	Changes int
-	// Excess is the maximum number of requests by which an engine with a rate limit
+	Value, Documents, Streams float64
+	// ValueByInterval are these fractions for the requests that arrived in each two seconds.
+	ValueByInterval []float64
+	// RoleChanges is the number of role changes.
+	RoleChanges int
+	// LimitExcess is the maximum number of requests by which an engine with a rate limit
 	// received more in a window than the limit allows. WasteTokens is the number of tokens
 	// prefilled for prompts that were refused afterwards.
-	Excess      float64
-	WasteTokens int
+	LimitExcess         float64
+	WastedPrefillTokens int
 }
 
 // Timing of gateways, messages and clients.
@@ -55,7 +55,7 @@
 
 // simulation is the state of one run.
 type simulation struct {
-	config       Sheet
+	config       SiteConfig
 	engines      []*engine
 	engineByName map[string]*engine
 	gateways     []*placement.Placer
@@ -65,53 +65,53 @@
 	scheduled map[kumquatlug.Millis][]func(now kumquatlug.Millis)
 	// gatewayIndex maps the name of each gateway to its index.
 	gatewayIndex map[string]int
-	split        *planner.Swing
+	split        *planner.AdaptiveSplit
 	prefillShare float64
 	result       Result
 	limits       []Limit
 	limitSeenAt  map[gatewayEngine]kumquatlug.Millis
 }
 
-// Play simulates a load under a policy. The same arguments give the same result.
-func Play(config Sheet, load []Span, policy Policy, seed uint64) Result {
+// Simulate simulates a load under a policy. The same arguments give the same result.
+func Simulate(config SiteConfig, load []Arrivals, policy Policy, seed uint64) Result {
 	requests := generateRequests(config, load, seed)
 	sim := newSimulation(config, policy)
-	end := kumquatlug.Millis(len(load))*intervalLength + config.StreamDeadline
+	end := kumquatlug.Millis(len(load))*intervalLength + config.StreamTimeout
 	next := 0
 	for now := kumquatlug.Millis(1); now < end; now++ {
 		for next < len(requests) && requests[next].arrivesAt <= now {
 			sim.arrive(now, requests[next])
 			next++
 		}
-		sim.tick(now, policy.Follow)
+		sim.tick(now, policy.Adaptive)
 	}
-	sim.result.Excess = sim.maxExcess()
+	sim.result.LimitExcess = sim.maxExcess()
 	sim.result.summarize(requests, len(load))
 	return sim.result
 }
 
-func newSimulation(config Sheet, policy Policy) *simulation {
+func newSimulation(config SiteConfig, policy Policy) *simulation {
 	sim := &simulation{
 		config: config, gatewayIndex: map[string]int{}, engineByName: map[string]*engine{}, scheduled: map[kumquatlug.Millis][]func(kumquatlug.Millis){},
-		prefillShare: float64(policy.Readers) / float64(config.Engines), limits: policy.Limits, limitSeenAt: map[gatewayEngine]kumquatlug.Millis{},
+		prefillShare: float64(policy.PrefillEngines) / float64(config.Engines), limits: policy.Limits, limitSeenAt: map[gatewayEngine]kumquatlug.Millis{},
 	}
-	policy.Swing.Part = sim.prefillShare
-	sim.split = planner.NewSwing(policy.Swing)
+	policy.Split.BasePrefillShare = sim.prefillShare
+	sim.split = planner.NewAdaptiveSplit(policy.Split)
 	for i := range config.Engines {
 		role := kumquatlug.RoleDecode
-		if i < policy.Readers {
+		if i < policy.PrefillEngines {
 			role = kumquatlug.RolePrefill
 		}
 		sim.engines = append(sim.engines, newEngine(config, role))
 		sim.engineByName[engineName(i)] = sim.engines[i]
 	}
-	for i := range config.Fronts {
+	for i := range config.Gateways {
 		gatewayConfig := placement.Config{Zone: zoneName(i, config), Shares: newShares(i, config)}
-		if config.Coordinators {
+		if config.Coordinated {
 			gatewayConfig.Coordinators = sim.newCoordinators(i)
 		}
 		placer := placement.New(gatewayConfig)
-		placer.SetMemory(config.Memory)
+		placer.SetKVCapacity(config.KVCapacityTokens)
 		sim.gateways = append(sim.gateways, placer)
 		sim.queued = append(sim.queued, map[uint64]*request{})
 	}
@@ -120,9 +120,9 @@
 }
 
 // newCoordinators returns the coordinators as known to gateway i.
-func (sim *simulation) newCoordinators(i int) *coordinator.Fronts {
+func (sim *simulation) newCoordinators(i int) *coordinator.Gateways {
 	gateways := coordinator.New(gatewayName(i))
-	names := make([]string, sim.config.Fronts)
+	names := make([]string, sim.config.Gateways)
 	for j := range names {
 		names[j] = gatewayName(j)
 		sim.gatewayIndex[names[j]] = j
@@ -134,29 +134,29 @@
 // deliverMessages delivers the outgoing messages of a gateway to its peers.
 func (sim *simulation) deliverMessages(now kumquatlug.Millis, sender int) {
 	for _, message := range sim.gateways[sender].Outbox() {
-		recipient := sim.gatewayIndex[message.Front]
-		message.Front = gatewayName(sender)
+		recipient := sim.gatewayIndex[message.Gateway]
+		message.Gateway = gatewayName(sender)
 		sim.schedule(now, func(at kumquatlug.Millis) { sim.handleMessage(at, recipient, message) })
 	}
 }
 
 // handleMessage handles a message from a peer gateway.
-func (sim *simulation) handleMessage(now kumquatlug.Millis, gateway int, message kumquatlug.TurnMessage) {
+func (sim *simulation) handleMessage(now kumquatlug.Millis, gateway int, message kumquatlug.PermitMessage) {
 	placer := sim.gateways[gateway]
-	switch message.Turn.Step {
-	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
-		placer.Requested(now, message)
+	switch message.Permit.Step {
+	case kumquatlug.PermitRequested, kumquatlug.PermitReleased:
+		placer.HandleRequest(now, message)
 	default:
-		if due, ended := placer.Answered(now, message); ended {
+		if due, ended := placer.HandleReply(now, message); ended {
 			sim.handleDue(now, gateway, due)
 		}
 	}
 	sim.sendDue(now, gateway)
 }
 
-func gatewayName(i int) string            { return fmt.Sprintf("f%03d", i) }
-func engineName(i int) string             { return fmt.Sprintf("e%02d", i) }
-func zoneName(i int, config Sheet) string { return fmt.Sprint("zone-", i%config.Zones) }
+func gatewayName(i int) string                 { return fmt.Sprintf("f%03d", i) }
+func engineName(i int) string                  { return fmt.Sprintf("e%02d", i) }
+func zoneName(i int, config SiteConfig) string { return fmt.Sprint("zone-", i%config.Zones) }
 
 // syncRoles updates the engines' roles at all gateways.
 func (sim *simulation) syncRoles(now kumquatlug.Millis) {
@@ -194,7 +194,7 @@
 	if now%gatewayTick == 0 {
 		for i, gateway := range sim.gateways {
 			gateway.Measure(now)
-			gateway.Remind(now)
+			gateway.RetryRequests(now)
 			sim.sendDue(now, i)
 		}
 	}
@@ -212,11 +212,11 @@
 func (sim *simulation) arrive(now kumquatlug.Millis, r *request) {
 	sim.lastKey++
 	placer := sim.gateways[r.gateway]
-	admission, choice, ticket := placer.Enter(now, sim.lastKey, r.query())
+	admission, choice, ticket := placer.Submit(now, sim.lastKey, r.query())
 	switch admission {
-	case placement.EntrySent:
-		sim.send(now, &attempt{request: r, gateway: r.gateway, ticket: ticket, prefillOnly: choice.Apart(), reservation: choice.Place()}, choice)
-	case placement.EntryWaits:
+	case placement.SubmissionSent:
+		sim.send(now, &attempt{request: r, gateway: r.gateway, ticket: ticket, prefillOnly: choice.PrefillOnly(), reservation: choice.Reservation()}, choice)
+	case placement.SubmissionQueued:
 		sim.queued[r.gateway][sim.lastKey] = r
 	default:
 		sim.refuse(now, r)
@@ -226,7 +226,7 @@
 
 // query returns the placement query of the request.
 func (r *request) query() placement.Query {
-	return placement.Query{Prompt: r.prompt, Target: r.arrivesAt + r.ttftTarget, Until: r.arrivesAt + r.timeout, Worth: r.relativeValue}
+	return placement.Query{Prompt: r.prompt, FirstOutputDue: r.arrivesAt + r.ttftTarget, Deadline: r.arrivesAt + r.timeout, Value: r.relativeValue}
 }
 
 // refuse refuses a request. Its client retries once, unless it times out before.
@@ -255,7 +255,7 @@
 		return
 	}
 	choice := due.Choice()
-	sim.send(now, &attempt{request: r, gateway: gateway, ticket: due.Ticket(), prefillOnly: choice.Apart(), reservation: choice.Place()}, choice)
+	sim.send(now, &attempt{request: r, gateway: gateway, ticket: due.Ticket(), prefillOnly: choice.PrefillOnly(), reservation: choice.Reservation()}, choice)
 }
 
 // send sends an attempt to the chosen engine.
@@ -275,8 +275,8 @@
 func (sim *simulation) recordFirstOutput(now kumquatlug.Millis, a *attempt) {
 	placer := sim.gateways[a.gateway]
 	sim.recordLimit(now, a)
-	placer.Read(now, a.ticket)
-	placer.Heard(now, a.ticket)
+	placer.PrefillDone(now, a.ticket)
+	placer.RecordOutput(now, a.ticket)
 	if a.request.firstOutputAt == 0 {
 		a.request.firstOutputAt = now
 	}
@@ -286,21 +286,21 @@
 // request to a decode engine.
 func (sim *simulation) recordEnd(now kumquatlug.Millis, engineIndex int, a *attempt) {
 	placer := sim.gateways[a.gateway]
-	placer.Report(now, engineName(engineIndex), sim.engines[engineIndex].reportedLoad())
+	placer.ReportLoad(now, engineName(engineIndex), sim.engines[engineIndex].reportedLoad())
 	if a.prefillOnly {
 		sim.recordLimit(now, a)
 	}
-	placer.End(now, a.ticket, placement.OutcomeGood)
+	placer.End(now, a.ticket, placement.OutcomeServed)
 	if !a.prefillOnly {
 		a.request.done = !a.request.abandoned
 		sim.sendDue(now, a.gateway)
 		return
 	}
 	query := a.request.query()
-	query.CacheZone, query.Place = zoneName(engineIndex, sim.config), a.reservation
-	choice, found := placer.Output(now, query)
+	query.CacheZone, query.Reservation = zoneName(engineIndex, sim.config), a.reservation
+	choice, found := placer.ChooseDecode(now, query)
 	if !found {
-		sim.result.WasteTokens += a.request.uniqueTokens
+		sim.result.WastedPrefillTokens += a.request.uniqueTokens
 		sim.refuse(now, a.request)
 		return
 	}
@@ -312,7 +312,7 @@
 // engines accordingly.
 func (sim *simulation) adjustSplit(now kumquatlug.Millis) {
 	pressure := sim.gateways[0].Pressure()
-	view := planner.SwingView{Reading: pressure.Reading(), Taken: pressure.Taken(), Coming: pressure.Coming()}
+	view := planner.SplitLoad{PrefillUtilization: pressure.PrefillUtilization(), OccupiedSlots: pressure.DecodeEnginesUsed(), ExpectedSlots: pressure.DecodeEnginesForecast()}
 	engines := make([]planner.SplitEngine, len(sim.engines))
 	for i, e := range sim.engines {
 		role := e.role
@@ -321,36 +321,36 @@
 		}
 		engines[i] = planner.SplitEngine{Target: engineName(i), Zone: zoneName(i, sim.config), Role: role}
 		if role == kumquatlug.RolePrefill {
-			view.Readers++
+			view.PrefillEngines++
 		} else {
-			view.Writers++
+			view.DecodeEngines++
 		}
 	}
-	if !sim.split.Look(now, view) {
+	if !sim.split.Update(now, view) {
 		return
 	}
 	roles := map[string]kumquatlug.Role{}
-	for _, change := range planner.KeepSplit(engines, sim.split.Part()) {
+	for _, change := range planner.MaintainSplit(engines, sim.split.PrefillShare()) {
 		roles[change.Target()] = change.To()
 		sim.changeRole(now, sim.engineByName[change.Target()], change.To())
-		sim.result.Changes++
+		sim.result.RoleChanges++
 	}
 	for _, gateway := range sim.gateways {
-		gateway.Announce(now, roles)
+		gateway.SetRoleChanges(now, roles)
 	}
 }
 
 // changeRole takes an engine offline while it changes its role. Its streams move to other
 // engines.
 func (sim *simulation) changeRole(now kumquatlug.Millis, e *engine, to kumquatlug.Role) {
-	e.roleChangeUntil, e.nextRole = now+sim.config.Change, to
+	e.roleChangeUntil, e.nextRole = now+sim.config.RoleChangeTime, to
 	running := e.running
 	displaced := append(slices.Clone(running), e.waiting...)
 	e.running, e.waiting, e.runningTokens = nil, nil, 0
 	for _, a := range displaced {
 		placer := sim.gateways[a.gateway]
-		placer.End(now, a.ticket, placement.OutcomeGood)
-		choice, found := placer.Output(now, placement.Query{Prompt: a.request.prompt})
+		placer.End(now, a.ticket, placement.OutcomeServed)
+		choice, found := placer.ChooseDecode(now, placement.Query{Prompt: a.request.prompt})
 		if !found {
 			continue
 		}
@@ -380,10 +380,10 @@
 		earnedByKind[kind] += value
 	}
 	for i := range offered {
-		r.Windows = append(r.Windows, ratio(earned[i], offered[i]))
+		r.ValueByInterval = append(r.ValueByInterval, ratio(earned[i], offered[i]))
 	}
 	r.Documents, r.Streams = ratio(earnedByKind[0], offeredByKind[0]), ratio(earnedByKind[1], offeredByKind[1])
-	r.Worth = ratio(earnedByKind[0]+earnedByKind[1], offeredByKind[0]+offeredByKind[1])
+	r.Value = ratio(earnedByKind[0]+earnedByKind[1], offeredByKind[0]+offeredByKind[1])
 }
 
 // earnedValue returns the delivered value of a request.
--- a/internal/experiment/swing/simulation_test.go
+++ b/internal/experiment/swing/simulation_test.go
@@ -6,8 +6,8 @@
 )
 
 // simulateFixedSplit simulates a load with a fixed number of prefill engines.
-func simulateFixedSplit(load []Span, prefillEngines int) Result {
-	return Play(UserSites(), load, Policy{Readers: prefillEngines}, 1)
+func simulateFixedSplit(load []Arrivals, prefillEngines int) Result {
+	return Simulate(BaseSite(), load, Policy{PrefillEngines: prefillEngines}, 1)
 }
 
 // The simulation evaluates changes before a site runs them, so it must rank fixed splits as
@@ -16,7 +16,7 @@
 func TestModelRanksFixedSplitsLikeMeasuredDay(t *testing.T) {
 	value := map[int]float64{}
 	for _, prefillEngines := range []int{6, 7, 8, 9, 10} {
-		value[prefillEngines] = simulateFixedSplit(BogotaTrouble, prefillEngines).Worth
+		value[prefillEngines] = simulateFixedSplit(BogotaTrouble, prefillEngines).Value
 	}
 	if min(value[8], value[9]) <= value[7] || value[7] <= value[6] || value[6] <= value[10]+0.05 {
 		t.Errorf("value by number of prefill engines: %v", value)
@@ -28,10 +28,10 @@
 // the fixed split that it starts from, without serving fewer documents.
 func TestAdaptiveSplitServesMoreStreams(t *testing.T) {
 	fixed := simulateFixedSplit(BogotaScale, 8)
-	adaptive := Play(UserSites(), BogotaScale, Policy{Readers: 8, Follow: true}, 1)
-	t.Logf("fixed %.3f (documents %.3f, streams %.3f), adaptive %.3f (%.3f, %.3f) with %d role changes", fixed.Worth, fixed.Documents,
-		fixed.Streams, adaptive.Worth, adaptive.Documents, adaptive.Streams, adaptive.Changes)
-	if adaptive.Streams < fixed.Streams+0.03 || adaptive.Documents < fixed.Documents-0.03 || adaptive.Changes == 0 || adaptive.Changes > 6 {
+	adaptive := Simulate(BaseSite(), BogotaScale, Policy{PrefillEngines: 8, Adaptive: true}, 1)
+	t.Logf("fixed %.3f (documents %.3f, streams %.3f), adaptive %.3f (%.3f, %.3f) with %d role changes", fixed.Value, fixed.Documents,
+		fixed.Streams, adaptive.Value, adaptive.Documents, adaptive.Streams, adaptive.RoleChanges)
+	if adaptive.Streams < fixed.Streams+0.03 || adaptive.Documents < fixed.Documents-0.03 || adaptive.RoleChanges == 0 || adaptive.RoleChanges > 6 {
 		t.Errorf("fixed %+v, adaptive %+v", fixed, adaptive)
 	}
 	if moreDecode := simulateFixedSplit(BogotaScale, 6); moreDecode.Streams < fixed.Streams+0.1 {
@@ -43,10 +43,10 @@
 // before they are reused, and are prefilled again. With twice the memory, documents must
 // gain more than from any split.
 func TestKVMemoryLimitsDocuments(t *testing.T) {
-	config := UserSites()
-	base := Play(config, BogotaScale, Policy{Readers: 8}, 1)
-	config.Memory *= 2
-	doubled := Play(config, BogotaScale, Policy{Readers: 8}, 1)
+	config := BaseSite()
+	base := Simulate(config, BogotaScale, Policy{PrefillEngines: 8}, 1)
+	config.KVCapacityTokens *= 2
+	doubled := Simulate(config, BogotaScale, Policy{PrefillEngines: 8}, 1)
 	if doubled.Documents < base.Documents+0.05 {
 		t.Errorf("documents %.3f, with twice the memory %.3f", base.Documents, doubled.Documents)
 	}
@@ -54,13 +54,13 @@
 
 // If a simulation exceeded the bound, the bound would hide that there is something to gain.
 func TestNoSimulationExceedsBound(t *testing.T) {
-	config := UserSites()
+	config := BaseSite()
 	config.Engines = 6
-	for name, load := range map[string][]Span{"scale": BogotaScale, "trouble": BogotaTrouble} {
-		bound := Bound(config, load, 1)
-		for _, policy := range []Policy{{Readers: 4}, {Readers: 4, Follow: true}} {
-			if r := Play(config, load, policy, 1); r.Worth > bound || bound > 1+1e-9 {
-				t.Errorf("%s: worth %.3f, bound %.3f", name, r.Worth, bound)
+	for name, load := range map[string][]Arrivals{"scale": BogotaScale, "trouble": BogotaTrouble} {
+		bound := UpperBound(config, load, 1)
+		for _, policy := range []Policy{{PrefillEngines: 4}, {PrefillEngines: 4, Adaptive: true}} {
+			if r := Simulate(config, load, policy, 1); r.Value > bound || bound > 1+1e-9 {
+				t.Errorf("%s: worth %.3f, bound %.3f", name, r.Value, bound)
 			}
 		}
 	}
@@ -74,8 +74,8 @@
 func TestCoordinatedGatewaysEarnNearlyAsMuchAsOne(t *testing.T) {
 	simulate := func(gateways int, coordinators bool) float64 {
 		config := LargeSite(gateways)
-		config.Coordinators = coordinators
-		return Play(config, LargeBurst, Policy{Readers: 39}, 1).Worth
+		config.Coordinated = coordinators
+		return Simulate(config, LargeBurst, Policy{PrefillEngines: 39}, 1).Value
 	}
 	single, uncoordinated := simulate(1, true), simulate(28, false)
 	for _, gateways := range []int{4, 13, 28, 60} {
--- a/internal/front/configmessage.go
+++ b/internal/front/configmessage.go
@@ -10,8 +10,8 @@
 // maxConfigParts limits the part numbers and part counts that are accepted from a peer.
 const maxConfigParts = 1 << 20
 
-// TellConfig implements [kumquatlug.FrontLink].
-func (l *Link) TellConfig(gateway string) {
+// AnnounceConfig implements [kumquatlug.GatewayLink].
+func (l *Link) AnnounceConfig(gateway string) {
 	if gateway == "" {
 		gateway = l.randomPeer()
 	}
@@ -37,13 +37,13 @@
 	return ""
 }
 
-// AskConfig implements [kumquatlug.FrontLink].
-func (l *Link) AskConfig(gateway string, request kumquatlug.ConfigAsk) {
-	l.sendTo(gateway, &frontv1.Datagram{ConfigAsk: &frontv1.ConfigAsk{Version: request.Version, First: uint32(max(request.First, 0))}})
+// RequestConfig implements [kumquatlug.GatewayLink].
+func (l *Link) RequestConfig(gateway string, request kumquatlug.ConfigRequest) {
+	l.sendTo(gateway, &frontv1.Datagram{ConfigAsk: &frontv1.ConfigAsk{Version: request.Version, First: uint32(max(request.FirstPart, 0))}})
 }
 
-// GiveConfig implements [kumquatlug.FrontLink].
-func (l *Link) GiveConfig(gateway string, p kumquatlug.ConfigPart) {
+// SendConfigPart implements [kumquatlug.GatewayLink].
+func (l *Link) SendConfigPart(gateway string, p kumquatlug.ConfigPart) {
 	l.sendTo(gateway, &frontv1.Datagram{ConfigPart: &frontv1.ConfigPart{
 		Version: p.Version, Part: uint32(p.Part), Parts: uint32(p.Parts), Text: p.Text,
 	}})
--- a/internal/front/link.go
+++ b/internal/front/link.go
@@ -63,10 +63,10 @@
 	mu        sync.Mutex
 	peers     map[string]*peer
 	// handler handles received messages, nil before [Link.Receive].
-	handler atomic.Pointer[kumquatlug.FrontHandler]
+	handler atomic.Pointer[kumquatlug.GatewayHandler]
 }
 
-var _ kumquatlug.FrontLink = (*Link)(nil)
+var _ kumquatlug.GatewayLink = (*Link)(nil)
 
 // peer is another gateway.
 type peer struct {
@@ -113,7 +113,7 @@
 	return aead, errors.Wrap(err, "create a cipher from a gateway's key")
 }
 
-// Row implements [kumquatlug.FrontLink].
+// Row implements [kumquatlug.GatewayLink].
 func (l *Link) Row() []byte {
 	data, err := json.Marshal(peerRow{Incarnation: l.config.Incarnation, Address: l.config.Conn.LocalAddr().String(), Key: l.key})
 	if err != nil {
@@ -123,9 +123,9 @@
 	return data
 }
 
-// Meet implements [kumquatlug.FrontLink]. Invalid rows are skipped, as are those of a
+// UpdatePeers implements [kumquatlug.GatewayLink]. Invalid rows are skipped, as are those of a
 // release that does not exchange datagrams.
-func (l *Link) Meet(rows map[string][]byte) (reachable, restarted []string) {
+func (l *Link) UpdatePeers(rows map[string][]byte) (reachable, restarted []string) {
 	reachable = []string{l.config.Name}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,9 +177,9 @@
 	return p.address.IP.Equal(address.IP) && p.address.Port == address.Port && string(p.key) == string(key)
 }
 
-// Send implements [kumquatlug.FrontLink].
-func (l *Link) Send(m kumquatlug.TurnMessage) {
-	l.sendTo(m.Front, &frontv1.Datagram{Turn: encodePermit(m.Turn)})
+// Send implements [kumquatlug.GatewayLink].
+func (l *Link) Send(m kumquatlug.PermitMessage) {
+	l.sendTo(m.Gateway, &frontv1.Datagram{Turn: encodePermit(m.Permit)})
 }
 
 // sendTo sends a datagram to the gateway with this name.
@@ -218,8 +218,8 @@
 	l.datagrams.WithLabelValues("sent").Inc()
 }
 
-// Leave implements [kumquatlug.FrontLink].
-func (l *Link) Leave() {
+// AnnounceStop implements [kumquatlug.GatewayLink].
+func (l *Link) AnnounceStop() {
 	l.mu.Lock()
 	peers := make(map[string]*peer, len(l.peers))
 	for name, p := range l.peers {
@@ -233,8 +233,8 @@
 	}
 }
 
-// Receive implements [kumquatlug.FrontLink].
-func (l *Link) Receive(ctx context.Context, h kumquatlug.FrontHandler) error {
+// Receive implements [kumquatlug.GatewayLink].
+func (l *Link) Receive(ctx context.Context, h kumquatlug.GatewayHandler) error {
 	l.handler.Store(&h)
 	stop := context.AfterFunc(ctx, func() { _ = l.config.Conn.Close() })
 	defer stop()
@@ -258,7 +258,7 @@
 
 // handleDatagram decrypts a datagram and passes its contents to the handler. Only gateways
 // that have read this gateway's row, or received its key in a hello, can encrypt one.
-func (l *Link) handleDatagram(sealed []byte, source net.Addr, h kumquatlug.FrontHandler) {
+func (l *Link) handleDatagram(sealed []byte, source net.Addr, h kumquatlug.GatewayHandler) {
 	d, err := l.decrypt(sealed)
 	if err == nil {
 		err = l.authenticate(d, source, h)
@@ -270,19 +270,19 @@
 	}
 	l.datagrams.WithLabelValues("received").Inc()
 	if d.GetLeaving() {
-		h.Left(d.GetFrom())
+		h.PeerLeft(d.GetFrom())
 	}
 	if d.GetConfig() != nil {
-		h.ConfigHeard(d.GetFrom(), decodeConfigState(d.GetConfig()))
+		h.ConfigStateReceived(d.GetFrom(), decodeConfigState(d.GetConfig()))
 	}
 	if request := d.GetConfigAsk(); request != nil {
-		h.ConfigAsked(d.GetFrom(), kumquatlug.ConfigAsk{Version: request.GetVersion(), First: int(min(request.GetFirst(), maxConfigParts))})
+		h.ConfigRequested(d.GetFrom(), kumquatlug.ConfigRequest{Version: request.GetVersion(), FirstPart: int(min(request.GetFirst(), maxConfigParts))})
 	}
 	if d.GetConfigPart() != nil {
-		h.ConfigGiven(d.GetFrom(), decodeConfigPart(d.GetConfigPart()))
+		h.ConfigPartReceived(d.GetFrom(), decodeConfigPart(d.GetConfigPart()))
 	}
 	if d.GetTurn() != nil {
-		h.Turn(kumquatlug.TurnMessage{Front: d.GetFrom(), Turn: decodePermit(d.GetTurn())})
+		h.PermitReceived(kumquatlug.PermitMessage{Gateway: d.GetFrom(), Permit: decodePermit(d.GetTurn())})
 	}
 }
 
@@ -300,7 +300,7 @@
 
 // authenticate checks the sender of a datagram, and records the address and key of a hello
 // in it.
-func (l *Link) authenticate(d *frontv1.Datagram, source net.Addr, h kumquatlug.FrontHandler) error {
+func (l *Link) authenticate(d *frontv1.Datagram, source net.Addr, h kumquatlug.GatewayHandler) error {
 	if d.GetFrom() == l.config.Name {
 		return errors.New("sender has the name of this gateway")
 	}
@@ -320,7 +320,7 @@
 	sender.hasOurKey = true
 	l.mu.Unlock()
 	if d.GetHello() != nil {
-		h.Met(d.GetFrom())
+		h.PeerJoined(d.GetFrom())
 	}
 	return nil
 }
--- a/internal/front/link_test.go
+++ b/internal/front/link_test.go
@@ -26,34 +26,41 @@
 
 // handlerRecorder records what is received from other gateways.
 type handlerRecorder struct {
-	permits chan kumquatlug.TurnMessage
+	permits chan kumquatlug.PermitMessage
 	joined  chan string
 	leaving chan string
 	// configVersion is the version of this gateway, configStates are the states received
 	// from others.
 	configVersion  atomic.Int64
 	configStates   chan kumquatlug.ConfigState
-	configRequests chan kumquatlug.ConfigAsk
+	configRequests chan kumquatlug.ConfigRequest
 	configParts    chan kumquatlug.ConfigPart
 }
 
 func newHandlerRecorder() *handlerRecorder {
 	return &handlerRecorder{
-		permits: make(chan kumquatlug.TurnMessage, 64), joined: make(chan string, 64), leaving: make(chan string, 64),
-		configStates: make(chan kumquatlug.ConfigState, 64), configRequests: make(chan kumquatlug.ConfigAsk, 64), configParts: make(chan kumquatlug.ConfigPart, 64),
+		permits: make(chan kumquatlug.PermitMessage, 64), joined: make(chan string, 64), leaving: make(chan string, 64),
+		configStates: make(chan kumquatlug.ConfigState, 64), configRequests: make(chan kumquatlug.ConfigRequest, 64), configParts: make(chan kumquatlug.ConfigPart, 64),
 	}
 }
 
-func (h *handlerRecorder) Turn(m kumquatlug.TurnMessage) { h.permits <- m }
-func (h *handlerRecorder) Met(gateway string)            { h.joined <- gateway }
-func (h *handlerRecorder) Left(gateway string)           { h.leaving <- gateway }
+func (h *handlerRecorder) PermitReceived(m kumquatlug.PermitMessage) { h.permits <- m }
+func (h *handlerRecorder) PeerJoined(gateway string)                 { h.joined <- gateway }
+func (h *handlerRecorder) PeerLeft(gateway string)                   { h.leaving <- gateway }
 
 func (h *handlerRecorder) ConfigState() kumquatlug.ConfigState {
 	return kumquatlug.ConfigState{Version: h.configVersion.Load(), Age: 40}
 }
-func (h *handlerRecorder) ConfigHeard(_ string, s kumquatlug.ConfigState) { h.configStates <- s }
-func (h *handlerRecorder) ConfigAsked(_ string, a kumquatlug.ConfigAsk)   { h.configRequests <- a }
-func (h *handlerRecorder) ConfigGiven(_ string, p kumquatlug.ConfigPart)  { h.configParts <- p }
+
+func (h *handlerRecorder) ConfigStateReceived(_ string, s kumquatlug.ConfigState) {
+	h.configStates <- s
+}
+
+func (h *handlerRecorder) ConfigRequested(_ string, a kumquatlug.ConfigRequest) {
+	h.configRequests <- a
+}
+
+func (h *handlerRecorder) ConfigPartReceived(_ string, p kumquatlug.ConfigPart) { h.configParts <- p }
 
 // testGateway is the link of one gateway on the loopback interface.
 type testGateway struct {
@@ -96,14 +103,14 @@
 }
 
 // nextPermit waits for the next message about a prompt.
-func (g *testGateway) nextPermit(t *testing.T) kumquatlug.TurnMessage {
+func (g *testGateway) nextPermit(t *testing.T) kumquatlug.PermitMessage {
 	t.Helper()
 	select {
 	case m := <-g.received.permits:
 		return m
 	case <-time.After(5 * time.Second):
 		t.Fatal("no message received within 5 s")
-		return kumquatlug.TurnMessage{}
+		return kumquatlug.PermitMessage{}
 	}
 }
 
@@ -113,13 +120,13 @@
 	for _, p := range peers {
 		rows[p.config.Name] = p.Row()
 	}
-	g.Meet(rows)
+	g.UpdatePeers(rows)
 }
 
-func permitRequest(key uint64) kumquatlug.Turn {
-	return kumquatlug.Turn{
-		Step: kumquatlug.TurnAsked, Service: "s", Engine: "e", Key: key, Prompt: receivedPrompt(), Worth: 1.5, Target: -3, Patience: 2000,
-		Timed: true, Begun: true, Wait: 7, Alone: true, Fresh: 40,
+func permitRequest(key uint64) kumquatlug.Permit {
+	return kumquatlug.Permit{
+		Step: kumquatlug.PermitRequested, Service: "s", Engine: "e", Key: key, Prompt: receivedPrompt(), Value: 1.5, LatencyTarget: -3, ClientTimeout: 2000,
+		HasLatencyTarget: true, ResponseStarted: true, Wait: 7, EngineIdle: true, UncachedTokens: 40,
 	}
 }
 
@@ -138,16 +145,16 @@
 func TestUnknownGatewayIntroducesItself(t *testing.T) {
 	first, second := newTestGateway(t, "first", "127.0.0.1:0"), newTestGateway(t, "second", "127.0.0.1:0")
 	second.addPeers(first)
-	second.Send(kumquatlug.TurnMessage{Front: "first", Turn: permitRequest(9)})
-	if got := first.nextPermit(t); got.Front != "second" || !reflect.DeepEqual(got.Turn, permitRequest(9)) {
+	second.Send(kumquatlug.PermitMessage{Gateway: "first", Permit: permitRequest(9)})
+	if got := first.nextPermit(t); got.Gateway != "second" || !reflect.DeepEqual(got.Permit, permitRequest(9)) {
 		t.Fatalf("first gateway received %+v", got)
 	}
 	if met := <-first.received.joined; met != "second" {
 		t.Errorf("first gateway met %q", met)
 	}
-	response := kumquatlug.Turn{Step: kumquatlug.TurnGranted, Service: "s", Key: 9, Prompt: receivedPrompt()}
-	first.Send(kumquatlug.TurnMessage{Front: "second", Turn: response})
-	if got := second.nextPermit(t); got.Front != "first" || !reflect.DeepEqual(got.Turn, response) {
+	response := kumquatlug.Permit{Step: kumquatlug.PermitGranted, Service: "s", Key: 9, Prompt: receivedPrompt()}
+	first.Send(kumquatlug.PermitMessage{Gateway: "second", Permit: response})
+	if got := second.nextPermit(t); got.Gateway != "first" || !reflect.DeepEqual(got.Permit, response) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -162,15 +169,15 @@
 	t.Run("before", func(t *testing.T) {
 		old := newTestGateway(t, "again", address)
 		address, row = old.address(), old.Row()
-		other.Meet(map[string][]byte{"again": row})
+		other.UpdatePeers(map[string][]byte{"again": row})
 	})
 	restarted := newTestGateway(t, "again", address)
-	other.Send(kumquatlug.TurnMessage{Front: "again", Turn: permitRequest(1)})
+	other.Send(kumquatlug.PermitMessage{Gateway: "again", Permit: permitRequest(1)})
 	restarted.addPeers(other)
-	restarted.Send(kumquatlug.TurnMessage{Front: "other", Turn: permitRequest(2)})
+	restarted.Send(kumquatlug.PermitMessage{Gateway: "other", Permit: permitRequest(2)})
 	other.nextPermit(t)
-	other.Send(kumquatlug.TurnMessage{Front: "again", Turn: permitRequest(3)})
-	if got := restarted.nextPermit(t); got.Turn.Key != 3 {
+	other.Send(kumquatlug.PermitMessage{Gateway: "again", Permit: permitRequest(3)})
+	if got := restarted.nextPermit(t); got.Permit.Key != 3 {
 		t.Errorf("%+v", got)
 	}
 	if restarted.refusedCount() != 1 {
@@ -217,8 +224,8 @@
 		}
 	}
 	known.addPeers(n)
-	known.Send(kumquatlug.TurnMessage{Front: "n", Turn: permitRequest(2)})
-	if got := n.nextPermit(t); got.Turn.Key != 2 {
+	known.Send(kumquatlug.PermitMessage{Gateway: "n", Permit: permitRequest(2)})
+	if got := n.nextPermit(t); got.Permit.Key != 2 {
 		t.Errorf("%+v was accepted", got)
 	}
 	if n.refusedCount() != float64(len(forged)) {
@@ -229,7 +236,7 @@
 // Invalid rows, and those of a release that does not exchange datagrams, add no peers.
 func TestInvalidPeerRowsAreSkipped(t *testing.T) {
 	n := newTestGateway(t, "n", "127.0.0.1:0")
-	names, _ := n.Meet(map[string][]byte{
+	names, _ := n.UpdatePeers(map[string][]byte{
 		"n": n.Row(), "old": []byte("01KKHVXYNGR852X1AS97XW4JQC"), "empty": nil, "keyless": []byte(`{"address":"127.0.0.1:7"}`),
 		"nowhere": []byte(`{"address":":7","key":"AAAAAAAAAAAAAAAAAAAAAA=="}`), "good": []byte(`{"address":"127.0.0.1:7","key":"AAAAAAAAAAAAAAAAAAAAAA=="}`),
 	})
@@ -242,9 +249,9 @@
 func TestLeaveNotifiesPeers(t *testing.T) {
 	stopping, other := newTestGateway(t, "stops", "127.0.0.1:0"), newTestGateway(t, "other", "127.0.0.1:0")
 	other.addPeers(stopping)
-	other.Send(kumquatlug.TurnMessage{Front: "stops", Turn: permitRequest(1)})
+	other.Send(kumquatlug.PermitMessage{Gateway: "stops", Permit: permitRequest(1)})
 	stopping.nextPermit(t)
-	stopping.Leave()
+	stopping.AnnounceStop()
 	select {
 	case left := <-other.received.leaving:
 		if left != "stops" {
@@ -262,9 +269,9 @@
 	n, other := newTestGateway(t, "edge-andina-a-1", "127.0.0.1:0"), newTestGateway(t, "edge-andina-b-1", "127.0.0.1:0")
 	n.addPeers(other)
 	size := 0
-	for _, permit := range []kumquatlug.Turn{permitRequest(1 << 20), {Step: kumquatlug.TurnGranted, Wait: 20, Fresh: 3000, Alone: true}, {Step: kumquatlug.TurnOver}} {
+	for _, permit := range []kumquatlug.Permit{permitRequest(1 << 20), {Step: kumquatlug.PermitGranted, Wait: 20, UncachedTokens: 3000, EngineIdle: true}, {Step: kumquatlug.PermitReleased}} {
 		permit.Service, permit.Key = "lm-service", 1<<20
-		if permit.Step != kumquatlug.TurnGranted {
+		if permit.Step != kumquatlug.PermitGranted {
 			permit.Engine = "i-7f3a91c2d4"
 		}
 		data := mustMarshal(t, &frontv1.Datagram{From: n.config.Name, Turn: encodePermit(permit)})
@@ -305,7 +312,7 @@
 			return
 		}
 		permit := decodePermit(d.GetTurn())
-		if !(permit.Worth >= 0 && permit.Worth <= maxValue) || permit.Fresh < 0 || permit.Fresh > maxTokens {
+		if !(permit.Value >= 0 && permit.Value <= maxValue) || permit.UncachedTokens < 0 || permit.UncachedTokens > maxTokens {
 			t.Errorf("%+v", permit)
 		}
 		sum := 0
@@ -315,7 +322,7 @@
 		if sum != permit.Prompt.Input() || sum < 0 || sum > maxTokens {
 			t.Errorf("parts have %d tokens: %+v", sum, permit)
 		}
-		for _, duration := range []kumquatlug.Millis{permit.Target, permit.Patience, permit.Wait} {
+		for _, duration := range []kumquatlug.Millis{permit.LatencyTarget, permit.ClientTimeout, permit.Wait} {
 			if duration < -maxDuration || duration > maxDuration {
 				t.Errorf("%+v", permit)
 			}
@@ -329,14 +336,14 @@
 func TestRestartIsReportedOnce(t *testing.T) {
 	n, other := newTestGateway(t, "n", "127.0.0.1:0"), newTestGateway(t, "other", "127.0.0.1:0")
 	rows := map[string][]byte{"other": other.Row()}
-	if _, restarted := n.Meet(rows); len(restarted) != 1 {
+	if _, restarted := n.UpdatePeers(rows); len(restarted) != 1 {
 		t.Errorf("first read of the row: restarted %v", restarted)
 	}
-	if _, restarted := n.Meet(rows); len(restarted) != 0 {
+	if _, restarted := n.UpdatePeers(rows); len(restarted) != 0 {
 		t.Errorf("second read of the row: restarted %v", restarted)
 	}
 	rows["other"] = newTestGateway(t, "other", "127.0.0.1:0").Row()
-	if _, restarted := n.Meet(rows); len(restarted) != 1 || restarted[0] != "other" {
+	if _, restarted := n.UpdatePeers(rows); len(restarted) != 1 || restarted[0] != "other" {
 		t.Errorf("read after a restart: restarted %v", restarted)
 	}
 }
@@ -345,18 +352,18 @@
 // receives its text. The longest part must fit in one datagram.
 func TestConfigExchange(t *testing.T) {
 	a, b := newTestGateway(t, "a", "127.0.0.1:0"), newTestGateway(t, "b", "127.0.0.1:0")
-	a.Meet(map[string][]byte{"b": b.Row()})
+	a.UpdatePeers(map[string][]byte{"b": b.Row()})
 	a.received.configVersion.Store(12)
-	a.TellConfig("")
+	a.AnnounceConfig("")
 	if s := <-b.received.configStates; s.Version != 12 || s.Age != 40 {
 		t.Errorf("received config state %+v", s)
 	}
-	b.AskConfig("a", kumquatlug.ConfigAsk{Version: 12, First: 16})
-	if request := <-a.received.configRequests; request.Version != 12 || request.First != 16 {
+	b.RequestConfig("a", kumquatlug.ConfigRequest{Version: 12, FirstPart: 16})
+	if request := <-a.received.configRequests; request.Version != 12 || request.FirstPart != 16 {
 		t.Errorf("received config request %+v", request)
 	}
 	data := bytes.Repeat([]byte("x"), 1000)
-	a.GiveConfig("b", kumquatlug.ConfigPart{Version: 12, Part: 16, Parts: 1024, Text: data})
+	a.SendConfigPart("b", kumquatlug.ConfigPart{Version: 12, Part: 16, Parts: 1024, Text: data})
 	if p := <-b.received.configParts; p.Part != 16 || p.Parts != 1024 || !bytes.Equal(p.Text, data) {
 		t.Errorf("received part %d of %d, %d bytes", p.Part, p.Parts, len(p.Text))
 	}
--- a/internal/front/permit.go
+++ b/internal/front/permit.go
@@ -6,29 +6,29 @@
 )
 
 // wireSteps maps the steps to their wire form.
-var wireSteps = map[kumquatlug.TurnStep]frontv1.Step{
-	kumquatlug.TurnAsked:   frontv1.Step_STEP_ASKED,
-	kumquatlug.TurnQueued:  frontv1.Step_STEP_QUEUED,
-	kumquatlug.TurnGranted: frontv1.Step_STEP_GRANTED,
-	kumquatlug.TurnRefused: frontv1.Step_STEP_REFUSED,
-	kumquatlug.TurnUnknown: frontv1.Step_STEP_UNKNOWN,
-	kumquatlug.TurnOver:    frontv1.Step_STEP_OVER,
+var wireSteps = map[kumquatlug.PermitStep]frontv1.Step{
+	kumquatlug.PermitRequested:      frontv1.Step_STEP_ASKED,
+	kumquatlug.PermitQueued:         frontv1.Step_STEP_QUEUED,
+	kumquatlug.PermitGranted:        frontv1.Step_STEP_GRANTED,
+	kumquatlug.PermitRefused:        frontv1.Step_STEP_REFUSED,
+	kumquatlug.PermitNotCoordinator: frontv1.Step_STEP_UNKNOWN,
+	kumquatlug.PermitReleased:       frontv1.Step_STEP_OVER,
 }
 
 // stepsByWire is the inverse of wireSteps.
-var stepsByWire = func() map[frontv1.Step]kumquatlug.TurnStep {
-	byWire := map[frontv1.Step]kumquatlug.TurnStep{}
+var stepsByWire = func() map[frontv1.Step]kumquatlug.PermitStep {
+	byWire := map[frontv1.Step]kumquatlug.PermitStep{}
 	for step, wire := range wireSteps {
 		byWire[wire] = step
 	}
 	return byWire
 }()
 
-func encodePermit(t kumquatlug.Turn) *frontv1.Turn {
+func encodePermit(t kumquatlug.Permit) *frontv1.Turn {
 	return &frontv1.Turn{
 		Step: wireSteps[t.Step], Service: t.Service, Engine: t.Engine, Key: t.Key, Shared: encodeSharedParts(t.Prompt),
-		Input: uint32(t.Prompt.Input()), Worth: float32(t.Worth), TargetMs: int64(t.Target), Timed: t.Timed, PatienceMs: int64(t.Patience),
-		Begun: t.Begun, WaitMs: int64(t.Wait), Alone: t.Alone, Fresh: uint32(max(t.Fresh, 0)),
+		Input: uint32(t.Prompt.Input()), Worth: float32(t.Value), TargetMs: int64(t.LatencyTarget), Timed: t.HasLatencyTarget, PatienceMs: int64(t.ClientTimeout),
+		Begun: t.ResponseStarted, WaitMs: int64(t.Wait), Alone: t.EngineIdle, Fresh: uint32(max(t.UncachedTokens, 0)),
 	}
 }
 
@@ -45,13 +45,13 @@
 // decodePermit decodes a message about a prompt. Values out of range would disturb the
 // queue of an engine for all gateways, so each is clamped. An unknown step decodes to the
 // zero step, which matches none.
-func decodePermit(t *frontv1.Turn) kumquatlug.Turn {
+func decodePermit(t *frontv1.Turn) kumquatlug.Permit {
 	clampDuration := func(ms int64) kumquatlug.Millis { return min(max(kumquatlug.Millis(ms), -maxDuration), maxDuration) }
-	return kumquatlug.Turn{
+	return kumquatlug.Permit{
 		Step: stepsByWire[t.GetStep()], Service: t.GetService(), Engine: t.GetEngine(), Key: t.GetKey(),
-		Prompt: decodePrompt(t), Worth: clamp(t.GetWorth(), maxValue), Fresh: int(min(t.GetFresh(), maxTokens)),
-		Target: clampDuration(t.GetTargetMs()), Timed: t.GetTimed(), Patience: clampDuration(t.GetPatienceMs()),
-		Begun: t.GetBegun(), Wait: clampDuration(t.GetWaitMs()), Alone: t.GetAlone(),
+		Prompt: decodePrompt(t), Value: clamp(t.GetWorth(), maxValue), UncachedTokens: int(min(t.GetFresh(), maxTokens)),
+		LatencyTarget: clampDuration(t.GetTargetMs()), HasLatencyTarget: t.GetTimed(), ClientTimeout: clampDuration(t.GetPatienceMs()),
+		ResponseStarted: t.GetBegun(), Wait: clampDuration(t.GetWaitMs()), EngineIdle: t.GetAlone(),
 	}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -20,7 +20,7 @@
 	if failed != nil {
 		return failed
 	}
-	return f.run(ctx, choice, attempt, kumquatlug.KVCache{})
+	return f.run(ctx, choice, attempt, kumquatlug.KVCacheRef{})
 }
 
 // tokensPerEvent is the number of tokens assumed per streamed event. Engines do not
@@ -42,9 +42,9 @@
 }
 
 func (f *inflight) placementQuery() placement.Query {
-	q := placement.Query{Prompt: f.remainingPrompt(), Exclude: f.exclude, Until: f.deadline, CacheZone: f.cacheZone, Begun: f.responseStarted, Worth: f.value, Place: f.reservation}
-	if target := f.route.Target(); target > 0 {
-		q.Target = f.arrived - f.retryingFor + target
+	q := placement.Query{Prompt: f.remainingPrompt(), Exclude: f.exclude, Deadline: f.deadline, CacheZone: f.cacheZone, ResponseStarted: f.responseStarted, Value: f.value, Reservation: f.reservation}
+	if target := f.route.LatencyTarget(); target > 0 {
+		q.FirstOutputDue = f.arrived - f.retryingFor + target
 	}
 	return q
 }
@@ -52,7 +52,7 @@
 // generate prefills the prompt and decodes the output, on one engine or on two.
 func (f *inflight) generate(ctx context.Context) *attemptFailure {
 	if cache := f.refusedCache; cache.Handle() != "" {
-		f.refusedCache, f.cacheReused = kumquatlug.KVCache{}, true
+		f.refusedCache, f.cacheReused = kumquatlug.KVCacheRef{}, true
 		return f.decode(ctx, cache)
 	}
 	attempt, choice, failed := f.submitPrompt(ctx)
@@ -60,35 +60,35 @@
 		return failed
 	}
 	f.timings.permittedAt = f.g.c.Clock.Now()
-	if !choice.Apart() {
-		return f.run(ctx, choice, attempt, kumquatlug.KVCache{})
+	if !choice.PrefillOnly() {
+		return f.run(ctx, choice, attempt, kumquatlug.KVCacheRef{})
 	}
 	f.timings.expectedPrefill, f.timings.prefillWorker = choice.Wait(), choice.Worker().ID()
 	cache, failed := f.prefill(ctx, choice, attempt)
 	if failed != nil {
 		return failed
 	}
-	f.cacheZone, f.reservation = choice.Zone(), choice.Place()
+	f.cacheZone, f.reservation = choice.Zone(), choice.Reservation()
 	return f.decode(ctx, cache)
 }
 
 // decode generates the output from a prompt's KV cache. An engine that changes its role
 // or is full refuses it, and another engine then takes the same cache: prefilling again
 // would delay this prompt and those queued behind it.
-func (f *inflight) decode(ctx context.Context, cache kumquatlug.KVCache) *attemptFailure {
+func (f *inflight) decode(ctx context.Context, cache kumquatlug.KVCacheRef) *attemptFailure {
 	if failed := f.shutdownFailure(); failed != nil {
 		f.g.releaseCache(cache)
 		return failed
 	}
 	attempt, choice, failed := f.choose(stageOutput)
-	f.reservation = placement.Place{}
+	f.reservation = placement.Reservation{}
 	if failed != nil {
 		f.g.releaseCache(cache)
 		return failed
 	}
 	failed = f.run(ctx, choice, attempt, cache)
 	switch {
-	case failed == nil || failed.failure.Ran() != kumquatlug.RanNot:
+	case failed == nil || failed.failure.Execution() != kumquatlug.NotExecuted:
 	case failed.failure.Reason() == reasonWorkerRefused && !f.cacheReused:
 		f.refusedCache = cache
 	default:
@@ -99,7 +99,7 @@
 
 // choose selects a worker and starts an attempt there. It returns a failure if there is
 // no worker.
-func (f *inflight) choose(s stage) (*placement.Ticket, placement.Choice, *attemptFailure) {
+func (f *inflight) choose(s stage) (*placement.Attempt, placement.Choice, *attemptFailure) {
 	if failed := f.takeRetryBudget(); failed != nil {
 		return nil, placement.Choice{}, failed
 	}
@@ -115,7 +115,7 @@
 		return nil, choice, f.noWorkerFailure(choice)
 	}
 	if s == stageWhole && choice.Wait() >= f.timeLeft() {
-		f.endAttempt(s, attempt, placement.OutcomeSilent)
+		f.endAttempt(s, attempt, placement.OutcomeNeutral)
 		return nil, choice, f.overloadFailure(choice)
 	}
 	return attempt, choice, nil
@@ -136,7 +136,7 @@
 // overload lasts for seconds.
 func (f *inflight) overloadFailure(c placement.Choice) *attemptFailure {
 	return &attemptFailure{permanent: true, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "place", Peer: c.Worker().ID(), Reason: "overload", Ran: kumquatlug.RanNot, RetryAfter: f.retryAfter(maxRetryAfter),
+		Step: "place", Peer: c.Worker().ID(), Reason: "overload", Execution: kumquatlug.NotExecuted, RetryAfter: f.retryAfter(maxRetryAfter),
 		Cause: errors.Newf("expected wait of %d ms at its engine", c.Wait()),
 	})}
 }
@@ -144,30 +144,30 @@
 // submitPrompt waits for a permit and returns the engine to which the prompt is sent.
 // The attempt may count as a retry: the first prefill on a separate engine does not, all
 // others do.
-func (f *inflight) submitPrompt(ctx context.Context) (*placement.Ticket, placement.Choice, *attemptFailure) {
+func (f *inflight) submitPrompt(ctx context.Context) (*placement.Attempt, placement.Choice, *attemptFailure) {
 	if f.prefilled {
 		if failed := f.takeRetryBudget(); failed != nil {
 			return nil, placement.Choice{}, failed
 		}
 	}
 	attempt, choice, failed := f.awaitPermit(ctx)
-	if failed == nil && !f.prefilled && !choice.Apart() {
+	if failed == nil && !f.prefilled && !choice.PrefillOnly() {
 		if failed = f.takeRetryBudget(); failed != nil {
-			f.endAttempt(stageOutput, attempt, placement.OutcomeSilent)
+			f.endAttempt(stageOutput, attempt, placement.OutcomeNeutral)
 		}
 	}
 	return attempt, choice, failed
 }
 
 // awaitPermit waits until the prompt may be sent to an engine.
-func (f *inflight) awaitPermit(ctx context.Context) (*placement.Ticket, placement.Choice, *attemptFailure) {
+func (f *inflight) awaitPermit(ctx context.Context) (*placement.Attempt, placement.Choice, *attemptFailure) {
 	p := f.g.scheduler.submit(f.g.c.Clock.Now(), f.service.Name(), f.placementQuery())
 	switch p.admission {
-	case placement.EntrySent:
+	case placement.SubmissionSent:
 		return p.attempt, p.choice, nil
-	case placement.EntryNobody:
+	case placement.SubmissionNoEngine:
 		return nil, p.choice, f.noWorkerFailure(p.choice)
-	case placement.EntryRefused:
+	case placement.SubmissionRefused:
 		return nil, p.choice, f.overloadFailure(p.choice)
 	}
 	wait := time.NewTimer(f.timeToStartOutput().Duration())
@@ -204,28 +204,28 @@
 	priorityLowest = 9
 )
 
-func (f *inflight) attemptOptions(choice placement.Choice) kumquatlug.Sending {
+func (f *inflight) attemptOptions(choice placement.Choice) kumquatlug.AttemptOptions {
 	now := f.g.c.Clock.Now()
 	priority := priorityOnTime
-	target := f.route.Target()
+	target := f.route.LatencyTarget()
 	if target > 0 && f.retryingFor+now-f.arrived+choice.Wait() > target {
 		priority = priorityLate
 	}
-	return kumquatlug.Sending{
-		Left: f.timeLeft(), Resume: f.lastEventID, Urgency: min(priority+f.priority(), priorityLowest),
+	return kumquatlug.AttemptOptions{
+		Timeout: f.timeLeft(), LastEventID: f.lastEventID, Priority: min(priority+f.priority(), priorityLowest),
 	}
 }
 
 // attemptTimeout returns how long an attempt may take until its first output, in ms, if
 // another worker could still respond in time.
-func (f *inflight) attemptTimeout(a *placement.Ticket) kumquatlug.Millis {
+func (f *inflight) attemptTimeout(a *placement.Attempt) kumquatlug.Millis {
 	return min(f.timeLeft(), f.g.scheduler.attemptTimeout(f.service.Name(), a))
 }
 
 // prefill computes the prompt's KV cache on an engine.
-func (f *inflight) prefill(ctx context.Context, c placement.Choice, a *placement.Ticket) (kumquatlug.KVCache, *attemptFailure) {
+func (f *inflight) prefill(ctx context.Context, c placement.Choice, a *placement.Attempt) (kumquatlug.KVCacheRef, *attemptFailure) {
 	if denied := f.reauthenticate(stagePrefill, a); denied != nil {
-		return kumquatlug.KVCache{}, denied
+		return kumquatlug.KVCacheRef{}, denied
 	}
 	call, cancel := context.WithTimeout(ctx, min(f.attemptTimeout(a), f.timeToStartOutput()).Duration())
 	defer cancel()
@@ -233,10 +233,10 @@
 	cache, response, err := f.g.c.Workers.Prefill(call, c.Worker(), f.request, f.attemptOptions(c))
 	if err != nil {
 		// The prompt may have been prefilled; the next prefill then counts as a retry.
-		f.prefilled = f.prefilled || kumquatlug.RanOf(err) != kumquatlug.RanNot
+		f.prefilled = f.prefilled || kumquatlug.ExecutionOf(err) != kumquatlug.NotExecuted
 		// A prefill does not run the request, whatever its result.
 		failed := f.attemptFailed(stagePrefill, c, a, endCauseOf(ctx, call), err)
-		failed.failure = failed.failure.WithRan(kumquatlug.RanNot)
+		failed.failure = failed.failure.WithExecution(kumquatlug.NotExecuted)
 		return cache, failed
 	}
 	f.recordWorkerStatus(c, a, response)
@@ -254,12 +254,12 @@
 	}
 	f.prefilled = true
 	f.timings.prefilledAt = f.g.c.Clock.Now()
-	f.endAttempt(stagePrefill, a, placement.OutcomeGood)
+	f.endAttempt(stagePrefill, a, placement.OutcomeServed)
 	return cache, nil
 }
 
 // endAttempt records the outcome of an attempt.
-func (f *inflight) endAttempt(s stage, a *placement.Ticket, o placement.Outcome) {
+func (f *inflight) endAttempt(s stage, a *placement.Attempt, o placement.Outcome) {
 	f.g.metrics.attempts.WithLabelValues(string(s), string(o)).Inc()
 	f.g.scheduler.endAttempt(f.g.c.Clock.Now(), f.service.Name(), a, o)
 }
@@ -290,22 +290,22 @@
 
 // endFailedAttempt records the end of a failed attempt that may have run. The request is
 // recorded as a possible cause of a crash only if the worker itself ended the attempt.
-func (f *inflight) endFailedAttempt(s stage, c placement.Choice, a *placement.Ticket, cause endCause, ran kumquatlug.Ran) {
+func (f *inflight) endFailedAttempt(s stage, c placement.Choice, a *placement.Attempt, cause endCause, ran kumquatlug.Execution) {
 	if cause == endedByClient {
-		f.endAttempt(s, a, placement.OutcomeSilent)
+		f.endAttempt(s, a, placement.OutcomeNeutral)
 		return
 	}
 	f.endAttempt(s, a, placement.OutcomeFailed)
-	if cause == endedByWorker && ran != kumquatlug.RanNot {
+	if cause == endedByWorker && ran != kumquatlug.NotExecuted {
 		f.recordCrash(c.Worker().ID())
 	}
 }
 
 // attemptFailed records an attempt that received no response.
-func (f *inflight) attemptFailed(s stage, c placement.Choice, a *placement.Ticket, cause endCause, err error) *attemptFailure {
+func (f *inflight) attemptFailed(s stage, c placement.Choice, a *placement.Attempt, cause endCause, err error) *attemptFailure {
 	failure := kumquatlug.FailureOf(err)
-	f.endFailedAttempt(s, c, a, cause, failure.Ran())
-	if failure.Ran() != kumquatlug.RanNot {
+	f.endFailedAttempt(s, c, a, cause, failure.Execution())
+	if failure.Execution() != kumquatlug.NotExecuted {
 		f.deliveries++
 		if !f.service.Engine() {
 			// An engine starts the request at its first output. A plain worker has most
@@ -317,18 +317,18 @@
 }
 
 // attemptRefused records an attempt that the worker refused and closes the response.
-func (f *inflight) attemptRefused(s stage, c placement.Choice, a *placement.Ticket, response kumquatlug.Reply) *attemptFailure {
+func (f *inflight) attemptRefused(s stage, c placement.Choice, a *placement.Attempt, response kumquatlug.WorkerResponse) *attemptFailure {
 	response.Body().Close()
 	f.deliveries++
 	f.endAttempt(s, a, placement.OutcomeRefused)
 	return &attemptFailure{worker: c.Worker().ID(), failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: string(s), Peer: c.Worker().ID(), Reason: reasonWorkerRefused, Ran: kumquatlug.RanNot,
+		Step: string(s), Peer: c.Worker().ID(), Reason: reasonWorkerRefused, Execution: kumquatlug.NotExecuted,
 		Status: http.StatusServiceUnavailable, RetryAfter: f.retryAfter(minRetryAfter * 2),
 	})}
 }
 
 // run makes an attempt that runs the request, and relays the response.
-func (f *inflight) run(ctx context.Context, c placement.Choice, a *placement.Ticket, cache kumquatlug.KVCache) *attemptFailure {
+func (f *inflight) run(ctx context.Context, c placement.Choice, a *placement.Attempt, cache kumquatlug.KVCacheRef) *attemptFailure {
 	if failed := f.awaitWorkerLimit(ctx, c, a); failed != nil {
 		return failed
 	}
@@ -339,7 +339,7 @@
 	s.Cache = cache
 	call, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if f.route.Repeatable() && f.possibleRuns+1 < f.route.Workers() {
+	if f.route.Repeatable() && f.possibleRuns+1 < f.route.MaxWorkers() {
 		f.g.scheduler.onUnresponsive(f.service.Name(), a, cancel)
 		// An unresponsive worker would hold the request until its deadline.
 		stop := time.AfterFunc(f.attemptTimeout(a).Duration(), cancel)
--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -17,7 +17,7 @@
 // request may not use its route. On a public route the account is set only if the key is
 // known.
 func (g *Gateway) authenticate(
-	table *routes.Table, route kumquatlug.Route, request kumquatlug.Ask,
+	table *routes.Table, route kumquatlug.Route, request kumquatlug.Request,
 ) (kumquatlug.Caller, *kumquatlug.Failure) {
 	accountIndex := table.Accounts()
 	if accountIndex == nil {
@@ -27,14 +27,14 @@
 	switch {
 	case route.Public():
 		return account, nil
-	case g.c.FailClosed && g.configAge() > g.c.RevokeSpan:
+	case g.c.FailClosed && g.configAge() > g.c.MaxRevocationDelay:
 		return kumquatlug.Caller{}, refusal("authenticate", "keys_stale", http.StatusServiceUnavailable, noConfigRetryAfter)
-	case verdict == accounts.VerdictKnown:
+	case verdict == accounts.KeyKnown:
 		return account, nil
 	}
 	g.metrics.denied.WithLabelValues(string(verdict)).Inc()
 	denied := refusal("authenticate", string(verdict), http.StatusUnauthorized, 0)
-	if verdict == accounts.VerdictUnknownKey {
+	if verdict == accounts.KeyUnknown {
 		denied = g.deniedUnlessStale(denied)
 	}
 	return kumquatlug.Caller{}, denied
@@ -42,7 +42,7 @@
 
 // configAge returns the time in ms since the store last confirmed the config in force.
 func (g *Gateway) configAge() kumquatlug.Millis {
-	return g.c.Awake.Now() - kumquatlug.Millis(g.configConfirmedAt.Load())
+	return g.c.BootClock.Now() - kumquatlug.Millis(g.configConfirmedAt.Load())
 }
 
 // deniedUnlessStale returns the final response to a request that the config in force
@@ -50,7 +50,7 @@
 // the store may not have the config that allows the request; it responds 503 instead, so
 // that the client retries at another gateway.
 func (g *Gateway) deniedUnlessStale(denied *kumquatlug.Failure) *kumquatlug.Failure {
-	if g.c.ConfigSpan == 0 || g.configAge() <= max(g.c.ConfigSpan, maxFeedSilence) {
+	if g.c.MaxConfigDelay == 0 || g.configAge() <= max(g.c.MaxConfigDelay, maxFeedSilence) {
 		return denied
 	}
 	return refusal(denied.Step(), "config_stale", http.StatusServiceUnavailable, noConfigRetryAfter)
@@ -60,14 +60,14 @@
 // it may have been revoked or assigned to another account while the request was queued.
 // Nothing is started for a revoked key. A response of which the client has received a
 // part is completed, because the account was entitled to it when it started.
-func (f *inflight) reauthenticate(s stage, a *placement.Ticket) *attemptFailure {
+func (f *inflight) reauthenticate(s stage, a *placement.Attempt) *attemptFailure {
 	table := f.g.table.Load()
 	if f.responseStarted || table == nil || table.Version() == f.configVersion && !f.g.c.FailClosed {
 		return nil
 	}
 	account, denied := f.g.authenticate(table, f.route, f.request)
 	if denied != nil {
-		f.endAttempt(s, a, placement.OutcomeSilent)
+		f.endAttempt(s, a, placement.OutcomeNeutral)
 		return &attemptFailure{permanent: true, failure: denied}
 	}
 	if account.Name() != f.request.Account() {
--- a/internal/gateway/auth_test.go
+++ b/internal/gateway/auth_test.go
@@ -18,7 +18,7 @@
 func tableWithKeys(t *testing.T, version int64, accounts map[string]string) *routes.Table {
 	t.Helper()
 	c := testConfig(version)
-	c.Keyed = true
+	c.KeysRequired = true
 	rank := 2
 	for key, name := range accounts {
 		caller, err := kumquatlug.NewCaller(kumquatlug.CallerConfig{Name: name, KeyHash: kumquatlug.HashKey(key), Priority: &rank})
@@ -28,8 +28,8 @@
 		c.Accounts = append(c.Accounts, caller)
 	}
 	c.Routes = append(c.Routes, kumquatlug.NewRoute(kumquatlug.RouteConfig{
-		Host: "h", Name: "open", Prefix: "/open/", Public: true, Repeat: kumquatlug.RepeatFree, Workers: 1, Timeout: 1500,
-		Shares: []kumquatlug.Share{{Service: "desk", Weight: 1}},
+		Host: "h", Name: "open", Prefix: "/open/", Public: true, RetryPolicy: kumquatlug.RetryIdempotent, MaxWorkers: 1, Timeout: 1500,
+		Services: []kumquatlug.WeightedService{{Service: "desk", Weight: 1}},
 	}))
 	return routes.NewTable(c)
 }
@@ -37,12 +37,12 @@
 func newGatewayWithKeys(t *testing.T, w *fakeWorkers) *testGateway {
 	f := newTestGateway(t, w, manyRetries)
 	f.g.table.Store(tableWithKeys(t, 7, map[string]string{"k1": "north"}))
-	f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now()))
+	f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now()))
 	return f
 }
 
 func respondingWorkers() *fakeWorkers {
-	return &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
+	return &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
 		return wholeResponse(200, "done"), nil
 	}}
 }
@@ -54,7 +54,7 @@
 	f := newGatewayWithKeys(t, w)
 	for _, keys := range [][]string{nil, {"k1", "k1"}, {"k2"}} {
 		response := f.do(t.Context(), http.MethodPost, postRoute, keys...)
-		if response.status != http.StatusUnauthorized || response.header.Get("Ran") != string(kumquatlug.RanNot) {
+		if response.status != http.StatusUnauthorized || response.header.Get("Ran") != string(kumquatlug.NotExecuted) {
 			t.Errorf("%q: %+v", keys, response)
 		}
 	}
@@ -79,8 +79,8 @@
 	f := newGatewayWithKeys(t, w)
 	f.do(t.Context(), http.MethodPost, postRoute, "k1")
 	f.do(t.Context(), http.MethodGet, "/open/")
-	if calls := w.recorded(); calls[0].options.Urgency != priorityOnTime+2 || calls[1].options.Urgency != priorityOnTime {
-		t.Errorf("priorities %d and %d", calls[0].options.Urgency, calls[1].options.Urgency)
+	if calls := w.recorded(); calls[0].options.Priority != priorityOnTime+2 || calls[1].options.Priority != priorityOnTime {
+		t.Errorf("priorities %d and %d", calls[0].options.Priority, calls[1].options.Priority)
 	}
 }
 
@@ -96,11 +96,13 @@
 		{map[string]string{"k2": "north"}, http.StatusUnauthorized, 0},
 		{map[string]string{"k1": "south"}, http.StatusOK, 1},
 	} {
-		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 3), nil }}
+		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+			return streamResponse(1, 3), nil
+		}}
 		f := newGatewayWithKeys(t, w)
-		w.prefill = func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+		w.prefill = func(context.Context, int, workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
 			f.g.table.Store(tableWithKeys(t, 8, c.now))
-			return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
+			return kumquatlug.NewKVCacheRef("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 		}
 		response := f.do(t.Context(), http.MethodPost, longRoute, "k1")
 		if response.status != c.status {
@@ -127,7 +129,7 @@
 func TestStartedResponseOutlivesItsKey(t *testing.T) {
 	w := &fakeWorkers{}
 	f := newGatewayWithKeys(t, w)
-	w.run = func(_ context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
+	w.run = func(_ context.Context, n int, _ workerCall) (kumquatlug.WorkerResponse, error) {
 		if n == 1 {
 			f.g.table.Store(tableWithKeys(t, 8, nil))
 			return truncatedResponse(events(1, 2), -1), nil
@@ -144,15 +146,15 @@
 // retry after a denial; after a 503 they retry at another gateway, which serves them.
 func TestStaleGatewayDeniesWithRetry(t *testing.T) {
 	f := newGatewayWithKeys(t, respondingWorkers())
-	f.g.c.ConfigSpan = 2000
-	f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 2500))
+	f.g.c.MaxConfigDelay = 2000
+	f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now() - 2500))
 	if response := f.do(t.Context(), http.MethodPost, "/added/", "k1"); response.status != http.StatusNotFound {
 		t.Errorf("unknown route, recent confirmation: %+v", response)
 	}
-	f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 3600))
+	f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now() - 3600))
 	for path, key := range map[string]string{postRoute: "k2", "/added/": "k1"} {
 		response := f.do(t.Context(), http.MethodPost, path, key)
-		if response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" || response.header.Get("Ran") != string(kumquatlug.RanNot) {
+		if response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" || response.header.Get("Ran") != string(kumquatlug.NotExecuted) {
 			t.Errorf("%s with %s: %+v", path, key, response)
 		}
 	}
@@ -168,12 +170,12 @@
 	for _, closed := range []bool{false, true} {
 		w := respondingWorkers()
 		f := newGatewayWithKeys(t, w)
-		f.g.c.FailClosed, f.g.c.RevokeSpan, f.g.c.ConfigSpan = closed, 5000, 3000
-		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 4500))
+		f.g.c.FailClosed, f.g.c.MaxRevocationDelay, f.g.c.MaxConfigDelay = closed, 5000, 3000
+		f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now() - 4500))
 		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != http.StatusOK {
 			t.Errorf("fail closed %v, within RevokeSpan: %+v", closed, response)
 		}
-		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 5500))
+		f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now() - 5500))
 		want, sent := http.StatusOK, 2
 		if closed {
 			want, sent = http.StatusServiceUnavailable, 1
@@ -193,14 +195,16 @@
 // A prompt that is queued while the config of the gateway becomes stale must not be
 // started with FailClosed.
 func TestQueuedPromptFailsClosed(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 3), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return streamResponse(1, 3), nil
+	}}
 	f := newGatewayWithKeys(t, w)
-	f.g.c.FailClosed, f.g.c.RevokeSpan = true, 5000
+	f.g.c.FailClosed, f.g.c.MaxRevocationDelay = true, 5000
 	var prompts atomic.Int32
-	w.prefill = func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+	w.prefill = func(context.Context, int, workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
 		prompts.Add(1)
-		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 6000))
-		return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
+		f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now() - 6000))
+		return kumquatlug.NewKVCacheRef("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 	}
 	response := f.do(t.Context(), http.MethodPost, longRoute, "k1")
 	if response.status != http.StatusServiceUnavailable || prompts.Load() != 1 || response.duration > time.Second {
@@ -217,7 +221,7 @@
 // config in force is the newest. The gateway must keep serving.
 func TestPeersConfirmConfig(t *testing.T) {
 	f := newGatewayWithKeys(t, respondingWorkers())
-	f.g.c.FailClosed, f.g.c.RevokeSpan, f.g.c.Fronts = true, 5000, noLink{}
+	f.g.c.FailClosed, f.g.c.MaxRevocationDelay, f.g.c.Peers = true, 5000, noLink{}
 	f.g.configFetch.current.Store(&configCopy{version: 7})
 	for _, c := range []struct {
 		state  kumquatlug.ConfigState
@@ -228,8 +232,8 @@
 		{kumquatlug.ConfigState{Version: 8, Age: 100}, http.StatusServiceUnavailable},
 		{kumquatlug.ConfigState{Version: 7, Age: 900}, http.StatusOK},
 	} {
-		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now() - 6000))
-		f.g.ConfigHeard("front-2", c.state)
+		f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now() - 6000))
+		f.g.ConfigStateReceived("front-2", c.state)
 		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != c.status {
 			t.Errorf("%+v: %+v", c.state, response)
 		}
@@ -237,9 +241,9 @@
 }
 
 // statelessWorkers responds without recording the calls.
-type statelessWorkers struct{ kumquatlug.Workers }
+type statelessWorkers struct{ kumquatlug.WorkerClient }
 
-func (statelessWorkers) Run(context.Context, kumquatlug.Worker, kumquatlug.Ask, kumquatlug.Sending) (kumquatlug.Reply, error) {
+func (statelessWorkers) Run(context.Context, kumquatlug.Worker, kumquatlug.Request, kumquatlug.AttemptOptions) (kumquatlug.WorkerResponse, error) {
 	return wholeResponse(200, "done"), nil
 }
 
@@ -259,9 +263,9 @@
 			}
 			c.Accounts = append(c.Accounts, caller)
 		}
-		c.Keyed = keys > 0
+		c.KeysRequired = keys > 0
 		f.g.table.Store(routes.NewTable(c))
-		f.g.configConfirmedAt.Store(int64(f.g.c.Awake.Now()))
+		f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now()))
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			for b.Loop() {
 				r := httptest.NewRequest(http.MethodPost, postRoute, http.NoBody)
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -10,10 +10,10 @@
 )
 
 // backoffResponse returns a refusal in which the worker requests a backoff.
-func backoffResponse(backoff kumquatlug.Millis) kumquatlug.Reply {
+func backoffResponse(backoff kumquatlug.Millis) kumquatlug.WorkerResponse {
 	r := refusedResponse()
-	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
-		Status: r.Status(), Header: r.Header(), Body: r.Body(), Refused: true, Pause: backoff,
+	return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
+		Status: r.Status(), Header: r.Header(), Body: r.Body(), Refused: true, Backoff: backoff,
 	})
 }
 
@@ -21,7 +21,7 @@
 // capacity for refusals.
 func TestWorkerBackoffIsHonored(t *testing.T) {
 	const backoff = 1500 * kumquatlug.Millis(1)
-	w := &fakeWorkers{run: func(_ context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, _ int, c workerCall) (kumquatlug.WorkerResponse, error) {
 		if c.worker == "s1" {
 			return backoffResponse(backoff), nil
 		}
@@ -50,7 +50,9 @@
 // with the time at which the first worker accepts requests again.
 func TestRefusalNamesEndOfBackoff(t *testing.T) {
 	const backoff = 400 * kumquatlug.Millis(1)
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return backoffResponse(backoff), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return backoffResponse(backoff), nil
+	}}
 	f := newTestGateway(t, w, manyRetries)
 	f.do(context.Background(), http.MethodPost, postRoute)
 	sent := len(w.recorded())
--- a/internal/gateway/controller.go
+++ b/internal/gateway/controller.go
@@ -52,9 +52,9 @@
 	g      *Gateway
 	holder *lease.Holder
 	// splits follow the load, by service.
-	splits map[string]*planner.Swing
+	splits map[string]*planner.AdaptiveSplit
 	// fencingToken is the fencing token of the current lease, zero without a lease.
-	fencingToken lease.Number
+	fencingToken lease.FencingToken
 	// deferredUntil is the time until which an engine that refused an order gets no
 	// other one, by engine.
 	deferredUntil map[string]kumquatlug.Millis
@@ -68,7 +68,7 @@
 
 func newController(g *Gateway, holder *lease.Holder) *controller {
 	return &controller{
-		g: g, holder: holder, splits: map[string]*planner.Swing{}, deferredUntil: map[string]kumquatlug.Millis{},
+		g: g, holder: holder, splits: map[string]*planner.AdaptiveSplit{}, deferredUntil: map[string]kumquatlug.Millis{},
 		announcedRoles: map[string]map[string]kumquatlug.Role{}, pendingOrders: map[string]pendingOrder{}, mismatchSince: map[string]kumquatlug.Millis{},
 	}
 }
@@ -84,9 +84,9 @@
 // runController maintains the lease and the roles of the engines.
 func (g *Gateway) runController(ctx context.Context) {
 	holder, err := lease.New(lease.Config{
-		Group: engineLeaseGroup, Me: g.c.VM + "/" + g.c.Incarnation, Predecessors: g.c.VM + "/",
-		Turn: g.c.OrderTurn + handoverMargin, TTL: leaseTTL, Margin: leaseMargin,
-		Renew: leaseRenewInterval, Retry: leaseRetryDelay, Timeout: storeCallTimeout,
+		Group: engineLeaseGroup, HolderID: g.c.VM + "/" + g.c.Incarnation, PreviousIDPrefix: g.c.VM + "/",
+		HandoverDelay: g.c.HandoverDelay + handoverMargin, TTL: leaseTTL, Margin: leaseMargin,
+		RenewInterval: leaseRenewInterval, RetryDelay: leaseRetryDelay, Timeout: storeCallTimeout,
 	})
 	if err != nil {
 		g.c.Logger.Error("role orders disabled: invalid lease config", logs.Error(err))
@@ -98,13 +98,13 @@
 			// Stop acting on the lease before it may be released.
 			g.term.Store(nil)
 		}
-		holder.Want(!g.shuttingDown())
-		holder.Watch(leaseRenewInterval * kumquatlug.Millis(min(g.scheduler.gatewayCount(), maxLeasePollers)) / leasePollersPerRenewal)
+		holder.SetWanted(!g.shuttingDown())
+		holder.SetPollInterval(leaseRenewInterval * kumquatlug.Millis(min(g.scheduler.gatewayCount(), maxLeasePollers)) / leasePollersPerRenewal)
 		v.maintainLease(ctx)
-		term := holder.Term(g.c.Awake.Now())
+		term := holder.Term(g.c.BootClock.Now())
 		g.term.Store(&term)
 		g.metrics.fencingToken.Set(float64(term.Number()))
-		if holder.MayOrder(g.c.Awake.Now()) {
+		if holder.MayOrder(g.c.BootClock.Now()) {
 			v.applySplits(ctx)
 		}
 	}
@@ -113,7 +113,7 @@
 // maintainLease makes the store calls that the lease requires.
 func (v *controller) maintainLease(ctx context.Context) {
 	c := v.g.c
-	for intent := v.holder.Next(c.Awake.Now()); intent.Action() != lease.ActionNone; {
+	for intent := v.holder.Next(c.BootClock.Now()); intent.Action() != lease.ActionNone; {
 		call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 		var row kumquatlug.Row
 		var err error
@@ -123,9 +123,9 @@
 			err = c.Table.Commit(call, intent.Tx())
 		}
 		cancel()
-		intent = v.holder.Answered(c.Awake.Now(), intent, row, err)
+		intent = v.holder.HandleResponse(c.BootClock.Now(), intent, row, err)
 	}
-	now := c.Awake.Now()
+	now := c.BootClock.Now()
 	fencingToken, held := v.holder.Held(now)
 	if !held {
 		if v.fencingToken != 0 {
@@ -146,14 +146,14 @@
 	if table == nil {
 		return
 	}
-	now := v.g.c.Awake.Now()
+	now := v.g.c.BootClock.Now()
 	set := v.g.members.Load()
 	for _, name := range table.Services() {
 		if s, _ := table.Service(name); !s.Engine() {
 			continue
 		}
 		engines, workers := v.engines(now, set.byService[name], v.g.scheduler.activities(name))
-		changes := planner.KeepSplit(engines, v.prefillShare(now, name, engines))
+		changes := planner.MaintainSplit(engines, v.prefillShare(now, name, engines))
 		if !v.mismatchPersists(now, name, len(changes) > 0) {
 			continue
 		}
@@ -213,26 +213,26 @@
 func (v *controller) prefillShare(now kumquatlug.Millis, service string, engines []planner.SplitEngine) float64 {
 	split, known := v.splits[service]
 	if !known {
-		split = planner.NewSwing(planner.SwingConfig{Part: v.g.c.ReadPart})
+		split = planner.NewAdaptiveSplit(planner.AdaptiveSplitConfig{BasePrefillShare: v.g.c.PrefillShare})
 		v.splits[service] = split
 	}
 	p := v.g.scheduler.load(service)
-	load := planner.SwingView{Reading: p.Reading(), Taken: p.Taken(), Coming: p.Coming()}
+	load := planner.SplitLoad{PrefillUtilization: p.PrefillUtilization(), OccupiedSlots: p.DecodeEnginesUsed(), ExpectedSlots: p.DecodeEnginesForecast()}
 	for _, e := range engines {
 		if e.Role == kumquatlug.RolePrefill {
-			load.Readers++
+			load.PrefillEngines++
 		} else {
-			load.Writers++
+			load.DecodeEngines++
 		}
 	}
-	if load.Readers+load.Writers > 1 && split.Look(now, load) {
+	if load.PrefillEngines+load.DecodeEngines > 1 && split.Update(now, load) {
 		// The adaptive split has already checked that the mismatch persists.
 		v.mismatchSince[service] = now - minMismatch
-		v.g.c.Logger.Info("split", zap.String("service", service), zap.Float64("part", split.Part()),
-			zap.Int("readers", load.Readers), zap.Int("writers", load.Writers), zap.Float64("reading", load.Reading),
-			zap.Float64("late", p.Late()), zap.Float64("taken", load.Taken), zap.Float64("coming", load.Coming))
+		v.g.c.Logger.Info("split", zap.String("service", service), zap.Float64("part", split.PrefillShare()),
+			zap.Int("readers", load.PrefillEngines), zap.Int("writers", load.DecodeEngines), zap.Float64("reading", load.PrefillUtilization),
+			zap.Float64("late", p.LateFraction()), zap.Float64("taken", load.OccupiedSlots), zap.Float64("coming", load.ExpectedSlots))
 	}
-	return split.Part()
+	return split.PrefillShare()
 }
 
 // mismatchPersists reports whether a split has differed from the wanted one for
@@ -255,7 +255,7 @@
 // engines returns the engines that accept work, with their current role or the one that
 // they are changing to.
 func (v *controller) engines(
-	now kumquatlug.Millis, members []kumquatlug.Member, use map[string]placement.Use,
+	now kumquatlug.Millis, members []kumquatlug.Member, use map[string]placement.Activity,
 ) ([]planner.SplitEngine, map[string]kumquatlug.Worker) {
 	var engines []planner.SplitEngine
 	workers := map[string]kumquatlug.Worker{}
@@ -272,14 +272,14 @@
 				role = order.role
 			}
 		}
-		if use[id] == placement.UseSilent {
+		if use[id] == placement.ActivityUnresponsive {
 			continue
 		}
 		if now >= v.deferredUntil[id] {
 			delete(v.deferredUntil, id)
 		}
 		engines = append(engines, planner.SplitEngine{
-			Target: id, Zone: m.Zone, Role: role, Fixed: now < v.deferredUntil[id], Idle: use[id] == placement.UseIdle,
+			Target: id, Zone: m.Zone, Role: role, Refused: now < v.deferredUntil[id], Idle: use[id] == placement.ActivityIdle,
 		})
 		workers[id] = m.Worker
 	}
@@ -293,7 +293,7 @@
 	call, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
 	state, err := v.g.c.Workers.State(call, w)
-	return err == nil && (state.Busy || state.Orders > before)
+	return err == nil && (state.Reconfiguring || state.Orders > before)
 }
 
 // sendOrder sends one order. It reads the engine's order count first, because an earlier
@@ -303,18 +303,18 @@
 	call, cancel := context.WithTimeout(ctx, orderTimeout.Duration())
 	defer cancel()
 	state, err := c.Workers.State(call, w)
-	now := c.Awake.Now()
+	now := c.BootClock.Now()
 	switch {
 	case err != nil:
 		v.deferredUntil[w.ID()] = now + unreachableOrderDelay
 		c.Logger.Info("role order deferred", zap.String("worker", w.ID()), logs.Error(err))
 		return
-	case state.Busy, state.Role == change.To():
+	case state.Reconfiguring, state.Role == change.To():
 		// An earlier order is in progress, most likely the same one: an engine reports
 		// no progress while its streams end. Ordering another engine instead would make
 		// the split wrong by two.
 		v.pendingOrders[w.ID()] = pendingOrder{role: change.To(), at: now}
-		c.Logger.Info("role order deferred", zap.String("worker", w.ID()), zap.Bool("busy", state.Busy))
+		c.Logger.Info("role order deferred", zap.String("worker", w.ID()), zap.Bool("busy", state.Reconfiguring))
 		return
 	}
 	fencingToken, held := v.holder.Held(now)
@@ -322,7 +322,7 @@
 		return
 	}
 	accepted, err := c.Workers.Order(call, w, kumquatlug.RoleOrder{
-		Role: change.To(), Holder: c.Name, Fence: int64(fencingToken), After: state.Orders,
+		Role: change.To(), Holder: c.Name, FencingToken: int64(fencingToken), ExpectedOrders: state.Orders,
 	})
 	outcome := "taken"
 	if err != nil {
--- a/internal/gateway/controller_test.go
+++ b/internal/gateway/controller_test.go
@@ -30,7 +30,7 @@
 			}
 			f := newTestGateway(t, w, manyRetries)
 			store := &planRecorder{Memory: platform.NewMemory(), plans: make(chan string, 64)}
-			f.g.c.Table, f.g.c.ReadPart = store, 0.75
+			f.g.c.Table, f.g.c.PrefillShare = store, 0.75
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go f.g.runController(ctx)
@@ -65,7 +65,7 @@
 	f := newTestGateway(t, w, manyRetries)
 	store := &planRecorder{Memory: platform.NewMemory(), plans: make(chan string, 64)}
 	store.failPlans.Store(true)
-	f.g.c.Table, f.g.c.ReadPart = store, 0.75
+	f.g.c.Table, f.g.c.PrefillShare = store, 0.75
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go f.g.runController(ctx)
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -30,7 +30,7 @@
 // crashes are the requests that crashed their workers, as seen by all gateways.
 type crashes struct {
 	mu      sync.Mutex
-	counter *quarantine.Suspects
+	counter *quarantine.CrashCounter
 	// unpublished are the names of crashes that are not published to the other
 	// gateways yet, published those with a row written by this gateway.
 	unpublished []string
@@ -39,7 +39,7 @@
 }
 
 func newCrashes() *crashes {
-	return &crashes{counter: quarantine.NewSuspects(quarantine.SuspectsConfig{})}
+	return &crashes{counter: quarantine.NewCrashCounter(quarantine.CrashCounterConfig{})}
 }
 
 // fingerprint identifies a request by path and body, independent of its client.
@@ -51,7 +51,7 @@
 func (f *inflight) quarantined() bool {
 	c := f.g.crashes
 	c.mu.Lock()
-	none := !c.counter.Any()
+	none := !c.counter.HasCrashes()
 	c.mu.Unlock()
 	if none {
 		return false
@@ -122,6 +122,6 @@
 				g.crashes.counter.Crashed(now, quarantine.Fingerprint(text), name)
 			}
 		}
-		g.crashes.counter.Forget(now)
+		g.crashes.counter.RemoveExpired(now)
 	})
 }
--- a/internal/gateway/estimates.go
+++ b/internal/gateway/estimates.go
@@ -14,7 +14,7 @@
 
 // loggedEstimates holds the last logged estimates by service. It belongs to one
 // goroutine.
-type loggedEstimates map[string]map[placement.Figure]float64
+type loggedEstimates map[string]map[placement.Estimate]float64
 
 // reportEstimates exports the estimates about each service's engines as metrics, and
 // logs those that changed considerably. They show an engineer on call why an attempt was
@@ -22,7 +22,7 @@
 func (g *Gateway) reportEstimates(logged loggedEstimates) {
 	for service, estimates := range g.scheduler.estimates() {
 		if logged[service] == nil {
-			logged[service] = map[placement.Figure]float64{}
+			logged[service] = map[placement.Estimate]float64{}
 		}
 		for estimate, value := range estimates {
 			g.metrics.estimates.WithLabelValues(service, string(estimate)).Set(value)
@@ -38,13 +38,13 @@
 }
 
 // estimates returns the estimates of the services that have engines.
-func (sc *scheduler) estimates() map[string]map[placement.Figure]float64 {
+func (sc *scheduler) estimates() map[string]map[placement.Estimate]float64 {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	all := map[string]map[placement.Figure]float64{}
+	all := map[string]map[placement.Estimate]float64{}
 	for name, state := range sc.services {
 		if state.engines {
-			all[name] = state.placer.Learnt()
+			all[name] = state.placer.Estimates()
 		}
 	}
 	return all
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -23,8 +23,8 @@
 // workerCall is one attempt that the gateway made at a worker.
 type workerCall struct {
 	worker  string
-	request kumquatlug.Ask
-	options kumquatlug.Sending
+	request kumquatlug.Request
+	options kumquatlug.AttemptOptions
 	prefill bool
 }
 
@@ -32,10 +32,10 @@
 type fakeWorkers struct {
 	mu       sync.Mutex
 	calls    []workerCall
-	released []kumquatlug.KVCache
-	run      func(ctx context.Context, n int, c workerCall) (kumquatlug.Reply, error)
-	prefill  func(ctx context.Context, n int, c workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error)
-	move     func(ctx context.Context, from, to string) (kumquatlug.KVCache, error)
+	released []kumquatlug.KVCacheRef
+	run      func(ctx context.Context, n int, c workerCall) (kumquatlug.WorkerResponse, error)
+	prefill  func(ctx context.Context, n int, c workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error)
+	move     func(ctx context.Context, from, to string) (kumquatlug.KVCacheRef, error)
 	state    func() (kumquatlug.EngineState, error)
 	order    func() (bool, error)
 }
@@ -61,35 +61,35 @@
 }
 
 func (w *fakeWorkers) Run(
-	ctx context.Context, to kumquatlug.Worker, a kumquatlug.Ask, s kumquatlug.Sending,
-) (kumquatlug.Reply, error) {
+	ctx context.Context, to kumquatlug.Worker, a kumquatlug.Request, s kumquatlug.AttemptOptions,
+) (kumquatlug.WorkerResponse, error) {
 	c := workerCall{worker: to.ID(), request: a, options: s}
 	return w.run(ctx, w.record(c), c)
 }
 
 func (w *fakeWorkers) Prefill(
-	ctx context.Context, to kumquatlug.Worker, a kumquatlug.Ask, s kumquatlug.Sending,
-) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+	ctx context.Context, to kumquatlug.Worker, a kumquatlug.Request, s kumquatlug.AttemptOptions,
+) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
 	c := workerCall{worker: to.ID(), request: a, options: s, prefill: true}
 	n := w.record(c)
 	if w.prefill != nil {
 		return w.prefill(ctx, n, c)
 	}
-	return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
+	return kumquatlug.NewKVCacheRef("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 }
 
-func (w *fakeWorkers) Free(_ context.Context, k kumquatlug.KVCache) error {
+func (w *fakeWorkers) ReleaseCache(_ context.Context, k kumquatlug.KVCacheRef) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.released = append(w.released, k)
 	return nil
 }
 
-func (w *fakeWorkers) Move(
-	ctx context.Context, from kumquatlug.Worker, _ kumquatlug.Ask, to kumquatlug.Worker,
-) (kumquatlug.KVCache, error) {
+func (w *fakeWorkers) MoveStream(
+	ctx context.Context, from kumquatlug.Worker, _ kumquatlug.Request, to kumquatlug.Worker,
+) (kumquatlug.KVCacheRef, error) {
 	if w.move == nil {
-		return kumquatlug.KVCache{}, kumquatlug.ErrNotFound
+		return kumquatlug.KVCacheRef{}, kumquatlug.ErrNotFound
 	}
 	return w.move(ctx, from.ID(), to.ID())
 }
@@ -98,7 +98,7 @@
 	if w.state != nil {
 		return w.state()
 	}
-	return kumquatlug.EngineState{Busy: true}, nil
+	return kumquatlug.EngineState{Reconfiguring: true}, nil
 }
 
 func (w *fakeWorkers) Order(context.Context, kumquatlug.Worker, kumquatlug.RoleOrder) (bool, error) {
@@ -109,8 +109,8 @@
 }
 
 // wholeResponse returns a complete response of a worker.
-func wholeResponse(status int, text string) kumquatlug.Reply {
-	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
+func wholeResponse(status int, text string) kumquatlug.WorkerResponse {
+	return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
 		Status: status, Header: http.Header{"Stamp": {"s"}}, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text)),
 	})
 }
@@ -130,8 +130,8 @@
 
 // truncatedResponse returns a response that breaks off after text. A stream has length
 // -1.
-func truncatedResponse(text string, length int64) kumquatlug.Reply {
-	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
+func truncatedResponse(text string, length int64) kumquatlug.WorkerResponse {
+	return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
 		Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: length, Body: truncatedBody{strings.NewReader(text)},
 	})
 }
@@ -145,50 +145,50 @@
 	return b.String()
 }
 
-func streamResponse(from, to int) kumquatlug.Reply {
-	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
+func streamResponse(from, to int) kumquatlug.WorkerResponse {
+	return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
 		Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: -1, Body: io.NopCloser(strings.NewReader(events(from, to))),
 	})
 }
 
 // refusedResponse returns a response that states that the worker did not run the
 // request.
-func refusedResponse() kumquatlug.Reply {
-	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
+func refusedResponse() kumquatlug.WorkerResponse {
+	return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
 		Status: 503, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("")), Refused: true,
 	})
 }
 
 // lostConnection returns a failure after which the request may have run.
 func lostConnection() error {
-	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "exchange", Reason: "peer_failed", Ran: kumquatlug.RanUnknown})
+	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "exchange", Reason: "peer_failed", Execution: kumquatlug.ExecutionUnknown})
 }
 
 // plainIngress decodes the requests that tests send.
 type plainIngress struct{}
 
-func (plainIngress) Decode(r *http.Request, _ int64) (kumquatlug.Ask, error) {
+func (plainIngress) Decode(r *http.Request, _ int64) (kumquatlug.Request, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return kumquatlug.Ask{}, err
+		return kumquatlug.Request{}, err
 	}
 	var prompt kumquatlug.Prompt
 	if r.URL.Query().Get("tokens") != "" {
 		var in, out int
 		if _, err := fmt.Sscanf(r.URL.Query().Get("tokens"), "%d,%d", &in, &out); err != nil {
-			return kumquatlug.Ask{}, err
+			return kumquatlug.Request{}, err
 		}
 		prompt = kumquatlug.NewPrompt([]kumquatlug.Part{
 			kumquatlug.NewPart("shared", in*2/3), kumquatlug.NewPart("own", in/3),
 		}, in, out)
 	}
-	return kumquatlug.NewAsk(kumquatlug.AskConfig{
+	return kumquatlug.NewRequest(kumquatlug.RequestConfig{
 		ID: r.Header.Get("Id"), Host: "h", Method: r.Method, Path: r.URL.Path, Target: r.URL.Path, Body: body,
-		Deadline: 2000, Prompt: prompt, Credential: kumquatlug.NewCredential(r.Header["Secret"]),
+		Timeout: 2000, Prompt: prompt, Credential: kumquatlug.NewCredential(r.Header["Secret"]),
 	}), nil
 }
 
-func (plainIngress) Head(w http.ResponseWriter, response kumquatlug.Reply) {
+func (plainIngress) WriteHeader(w http.ResponseWriter, response kumquatlug.WorkerResponse) {
 	w.Header().Set("Stamp", response.Header().Get("Stamp"))
 	if response.Length() >= 0 {
 		w.Header().Set("Content-Length", fmt.Sprint(response.Length()))
@@ -196,8 +196,8 @@
 	w.WriteHeader(response.Status())
 }
 
-func (plainIngress) Refuse(w http.ResponseWriter, _ kumquatlug.Ask, f *kumquatlug.Failure) {
-	w.Header().Set("Ran", string(f.Ran()))
+func (plainIngress) WriteError(w http.ResponseWriter, _ kumquatlug.Request, f *kumquatlug.Failure) {
+	w.Header().Set("Ran", string(f.Execution()))
 	w.Header().Set("Reason", f.Reason())
 	if f.RetryAfter() > 0 {
 		w.Header().Set("Retry-After", fmt.Sprint(f.RetryAfter()))
@@ -208,13 +208,13 @@
 // jsonDirectory decodes the JSON rows that tests write.
 type jsonDirectory struct{}
 
-func (jsonDirectory) Config(value []byte) (kumquatlug.OperatorConfig, error) {
+func (jsonDirectory) DecodeConfig(value []byte) (kumquatlug.OperatorConfig, error) {
 	var version int64
 	err := json.Unmarshal(value, &version)
 	return kumquatlug.OperatorConfig{Version: version}, err
 }
 
-func (jsonDirectory) Member(row kumquatlug.Row) (kumquatlug.Member, error) {
+func (jsonDirectory) DecodeMember(row kumquatlug.Row) (kumquatlug.Member, error) {
 	var role string
 	if err := json.Unmarshal(row.Value(), &role); err != nil {
 		return kumquatlug.Member{}, err
@@ -258,11 +258,11 @@
 	t.Helper()
 	now := clock.NewMonotonic()
 	g := New(Config{
-		Name: "n", Zone: "z", Incarnation: "i", Ingress: plainIngress{}, Directory: jsonDirectory{}, Workers: w, Table: unavailableTable{},
-		Clock: now, Awake: now, Grace: 4000, OrderTurn: 100,
-		Repeats:   retry.SharedConfig{Floor: retryFloor, Window: 10_000},
-		MaxBodies: 1000,
-		ReadPart:  0.5, Sweep: func(func(string) bool) {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
+		Name: "n", Zone: "z", Incarnation: "i", Ingress: plainIngress{}, RowDecoder: jsonDirectory{}, Workers: w, Table: unavailableTable{},
+		Clock: now, BootClock: now, GracePeriod: 4000, HandoverDelay: 100,
+		RetryBudget:  retry.SharedBudgetConfig{MinRetries: retryFloor, Window: 10_000},
+		MaxBodyBytes: 1000,
+		PrefillShare: 0.5, CloseIdle: func(func(string) bool) {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
 	g.table.Store(testTable(7))
 	set := &memberSet{loaded: true, byService: map[string][]kumquatlug.Member{
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,24 +41,24 @@
 	VM string
 	// Incarnation is unique to this start of the process.
 	Incarnation string
-	// Clients and Control are the listeners for clients and for the load balancer.
-	Clients net.Listener
-	Control net.Listener
+	// ClientListener and Control are the listeners for clients and for the load balancer.
+	ClientListener  net.Listener
+	ControlListener net.Listener
 	// ReadyPath is the path of the readiness check on Control.
 	ReadyPath string
-	// Metrics is the listener of the metrics endpoint, nil for none.
-	Metrics net.Listener
+	// MetricsListener is the listener of the metrics endpoint, nil for none.
+	MetricsListener net.Listener
 
 	// Ingress decodes client requests and writes responses, Workers calls workers, and
 	// Directory decodes the rows of the operator and of the workers.
-	Ingress   kumquatlug.Ingress
-	Workers   kumquatlug.Workers
-	Directory kumquatlug.Directory
+	Ingress    kumquatlug.Ingress
+	Workers    kumquatlug.WorkerClient
+	RowDecoder kumquatlug.RowDecoder
 	// Table is the platform's store, Feed its change feed.
-	Table kumquatlug.Table
-	Feed  kumquatlug.Feed
-	// Fronts exchanges messages with peer gateways, nil if gateways do not communicate.
-	Fronts kumquatlug.FrontLink
+	Table      kumquatlug.Table
+	ChangeFeed kumquatlug.ChangeFeed
+	// Peers exchanges messages with peer gateways, nil if gateways do not communicate.
+	Peers kumquatlug.GatewayLink
 	// ConfigTable and ConfigKey identify the operator's row, MemberTable holds the rows
 	// of the workers.
 	ConfigTable, ConfigKey, MemberTable string
@@ -70,47 +70,47 @@
 
 	// Clock is a monotonic clock.
 	Clock kumquatlug.Clock
-	// Awake is a clock that also counts the time in which the VM was suspended. Leases
+	// BootClock is a clock that also counts the time in which the VM was suspended. Leases
 	// use it.
-	Awake kumquatlug.Clock
-	// Grace is the time in ms from the stop signal to the kill.
-	Grace kumquatlug.Millis
-	// LeaveSpan is the minimum time in ms for which a worker still serves after it has
+	BootClock kumquatlug.Clock
+	// GracePeriod is the time in ms from the stop signal to the kill.
+	GracePeriod kumquatlug.Millis
+	// WorkerGracePeriod is the minimum time in ms for which a worker still serves after it has
 	// announced its shutdown.
-	LeaveSpan kumquatlug.Millis
-	// OrderTurn is the minimum time in ms between orders of two lease holders to one
+	WorkerGracePeriod kumquatlug.Millis
+	// HandoverDelay is the minimum time in ms between orders of two lease holders to one
 	// engine.
-	OrderTurn kumquatlug.Millis
-	// ConfigSpan is the maximum time in ms in which a config must come into force. A
+	HandoverDelay kumquatlug.Millis
+	// MaxConfigDelay is the maximum time in ms in which a config must come into force. A
 	// gateway that has had no confirmation from the store for longer can't determine
 	// that a key or a route does not exist. Zero means no maximum.
-	ConfigSpan kumquatlug.Millis
+	MaxConfigDelay kumquatlug.Millis
 	// FailClosed makes a gateway that has had no confirmation from the store for
 	// RevokeSpan, in ms, refuse all requests that need a key.
-	FailClosed bool
-	RevokeSpan kumquatlug.Millis
-	// Repeats configures the retry budget that all gateways share per service.
-	Repeats retry.SharedConfig
-	// MaxBodies bounds the total size in bytes of the bodies of all requests in flight.
+	FailClosed         bool
+	MaxRevocationDelay kumquatlug.Millis
+	// RetryBudget configures the retry budget that all gateways share per service.
+	RetryBudget retry.SharedBudgetConfig
+	// MaxBodyBytes bounds the total size in bytes of the bodies of all requests in flight.
 	// Without it, a few hundred large bodies exhaust the memory of the process.
-	MaxBodies int64
-	// Duties receives the calls that the leader makes on behalf of all gateways, nil if
+	MaxBodyBytes int64
+	// LeaderActions receives the calls that the leader makes on behalf of all gateways, nil if
 	// there are none.
-	Duties kumquatlug.Duties
+	LeaderActions kumquatlug.LeaderActions
 	// UsageWindows divides time into the windows in which requests are counted per
 	// account. With a zero Span nothing is reported. Wall returns the time since 1970,
 	// without jumps.
 	UsageWindows usage.Windows
-	Wall         kumquatlug.Clock
-	// Scales enables ordering the number of workers.
-	Scales bool
-	// ReadPart is the share of engines that only run prefill, 0 to 1.
-	ReadPart float64
+	WallClock    kumquatlug.Clock
+	// ScalingEnabled enables ordering the number of workers.
+	ScalingEnabled bool
+	// PrefillShare is the share of engines that only run prefill, 0 to 1.
+	PrefillShare float64
 	// Placement configures the choice of workers. Zone and Health are set by the
 	// gateway.
 	Placement placement.Config
-	// Sweep closes idle connections to workers that no longer exist.
-	Sweep func(keep func(address string) bool)
+	// CloseIdle closes idle connections to workers that no longer exist.
+	CloseIdle func(keep func(address string) bool)
 
 	// Logger receives the log lines, Registry the metrics.
 	Logger   *zap.Logger
@@ -145,7 +145,7 @@
 	// bodyBytes is the total size of the bodies of requests in flight.
 	bodyBytes atomic.Int64
 	// unusedCaches are KV caches to be released.
-	unusedCaches chan kumquatlug.KVCache
+	unusedCaches chan kumquatlug.KVCacheRef
 }
 
 // maxUnusedCaches bounds the caches that wait to be released. An engine drops others by
@@ -156,7 +156,7 @@
 func New(c Config) *Gateway {
 	g := &Gateway{
 		c: c, scheduler: newScheduler(c), metrics: newMetrics(c.Registry), crashes: newCrashes(),
-		shuttingDownWorkers: newShuttingDownWorkers(), unusedCaches: make(chan kumquatlug.KVCache, maxUnusedCaches),
+		shuttingDownWorkers: newShuttingDownWorkers(), unusedCaches: make(chan kumquatlug.KVCacheRef, maxUnusedCaches),
 	}
 	g.members.Store(&memberSet{})
 	g.usage.counter = usage.NewCounter(c.UsageWindows)
@@ -190,10 +190,10 @@
 	}
 	group.Add(func() error { return g.serveUntil(ctx, server) }, func(error) { _ = server.Close() })
 	control := &http.Server{Handler: g.controlHandler(), ReadHeaderTimeout: headerTimeout.Duration()}
-	group.Add(func() error { return ignoreServerClosed(control.Serve(g.c.Control)) }, func(error) { _ = control.Close() })
-	if g.c.Metrics != nil {
+	group.Add(func() error { return ignoreServerClosed(control.Serve(g.c.ControlListener)) }, func(error) { _ = control.Close() })
+	if g.c.MetricsListener != nil {
 		m := &http.Server{Handler: g.metrics.handler(g.c.Registry), ReadHeaderTimeout: headerTimeout.Duration()}
-		group.Add(func() error { return ignoreServerClosed(m.Serve(g.c.Metrics)) }, func(error) { _ = m.Close() })
+		group.Add(func() error { return ignoreServerClosed(m.Serve(g.c.MetricsListener)) }, func(error) { _ = m.Close() })
 	}
 	loop(g.watchConfig)
 	loop(g.watchMembers)
@@ -208,11 +208,11 @@
 		loop(g.writeTallies)
 		loop(g.reportUsage)
 	}
-	if g.c.Scales {
+	if g.c.ScalingEnabled {
 		loop(g.scaleServices)
 	}
-	if g.c.Fronts != nil {
-		group.Add(func() error { return g.c.Fronts.Receive(work, g) }, func(error) { cancel() })
+	if g.c.Peers != nil {
+		group.Add(func() error { return g.c.Peers.Receive(work, g) }, func(error) { cancel() })
 	}
 	g.c.Logger.Info("started", zap.String("zone", g.c.Zone), zap.String("incarnation", g.c.Incarnation))
 	err := group.Run()
@@ -251,17 +251,17 @@
 // see [inflight.outlastsShutdown].
 func (g *Gateway) serveUntil(ctx context.Context, server *http.Server) error {
 	failed := make(chan error, 1)
-	go func() { failed <- ignoreServerClosed(server.Serve(g.c.Clients)) }()
+	go func() { failed <- ignoreServerClosed(server.Serve(g.c.ClientListener)) }()
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
 	start := g.c.Clock.Now()
-	exit := start + g.c.Grace - exitMargin
+	exit := start + g.c.GracePeriod - exitMargin
 	g.exitAt.Store(int64(exit))
 	g.stopCoordinating()
-	g.c.Logger.Info("stopping", zap.Int64("grace_ms", int64(g.c.Grace)), zap.Int64("in_hand", g.inFlight.Load()))
+	g.c.Logger.Info("stopping", zap.Int64("grace_ms", int64(g.c.GracePeriod)), zap.Int64("in_hand", g.inFlight.Load()))
 	for now := start; now < exit-finalDrainTime; now = g.c.Clock.Now() {
 		if now-start >= balancerLag && g.inFlight.Load() == 0 {
 			break
@@ -310,7 +310,7 @@
 			return
 		case cache := <-g.unusedCaches:
 			call, cancel := context.WithTimeout(ctx, cacheReleaseTimeout.Duration())
-			if err := g.c.Workers.Free(call, cache); err != nil {
+			if err := g.c.Workers.ReleaseCache(call, cache); err != nil {
 				g.c.Logger.Info("failed to release KV cache", zap.String("engine", cache.Engine()), logs.Error(err))
 			}
 			cancel()
@@ -318,7 +318,7 @@
 	}
 }
 
-func (g *Gateway) releaseCache(k kumquatlug.KVCache) {
+func (g *Gateway) releaseCache(k kumquatlug.KVCacheRef) {
 	if k.Handle() == "" {
 		return
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -27,23 +27,23 @@
 
 func testConfig(version int64) kumquatlug.OperatorConfig {
 	route := func(c kumquatlug.RouteConfig) kumquatlug.Route {
-		c.Host, c.Name, c.Target = "h", c.Prefix, 200
+		c.Host, c.Name, c.LatencyTarget = "h", c.Prefix, 200
 		if c.Timeout == 0 {
 			c.Timeout = 1500
 		}
 		return kumquatlug.NewRoute(c)
 	}
-	engines, desk := []kumquatlug.Share{{Service: "engines", Weight: 1}}, []kumquatlug.Share{{Service: "desk", Weight: 1}}
+	engines, desk := []kumquatlug.WeightedService{{Service: "engines", Weight: 1}}, []kumquatlug.WeightedService{{Service: "desk", Weight: 1}}
 	return kumquatlug.OperatorConfig{
 		Version: version,
 		Routes: []kumquatlug.Route{
-			route(kumquatlug.RouteConfig{Prefix: postRoute, Repeat: kumquatlug.RepeatNever, Shares: desk, Workers: 1}),
-			route(kumquatlug.RouteConfig{Prefix: lookupRoute, Repeat: kumquatlug.RepeatFree, Shares: desk, Workers: 2}),
-			route(kumquatlug.RouteConfig{Prefix: "/long/", Stream: true, Resumable: true, Prompted: true, Shares: engines, Workers: 2}),
-			route(kumquatlug.RouteConfig{Prefix: "/chat/", Stream: true, Prompted: true, Shares: engines, Workers: 1, Priority: 1}),
+			route(kumquatlug.RouteConfig{Prefix: postRoute, RetryPolicy: kumquatlug.RetryNever, Services: desk, MaxWorkers: 1}),
+			route(kumquatlug.RouteConfig{Prefix: lookupRoute, RetryPolicy: kumquatlug.RetryIdempotent, Services: desk, MaxWorkers: 2}),
+			route(kumquatlug.RouteConfig{Prefix: "/long/", Stream: true, Resumable: true, HasPrompts: true, Services: engines, MaxWorkers: 2}),
+			route(kumquatlug.RouteConfig{Prefix: "/chat/", Stream: true, HasPrompts: true, Services: engines, MaxWorkers: 1, Priority: 1}),
 		},
 		Services: []kumquatlug.Service{
-			kumquatlug.NewService(kumquatlug.ServiceConfig{Name: "engines", Engine: true, Slots: 8, Memory: 370_000}),
+			kumquatlug.NewService(kumquatlug.ServiceConfig{Name: "engines", Engine: true, Slots: 8, KVCapacityTokens: 370_000}),
 			kumquatlug.NewService(kumquatlug.ServiceConfig{Name: "desk"}),
 		},
 	}
@@ -52,7 +52,7 @@
 // A worker that is full refuses a request and states that it did not run it. The request
 // must go to another worker even if it may run only once.
 func TestRefusedAttemptIsRetried(t *testing.T) {
-	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.WorkerResponse, error) {
 		if n == 1 {
 			return refusedResponse(), nil
 		}
@@ -70,8 +70,8 @@
 // The response to a POST is lost. The request may have run, so that it must not be
 // retried, and the response to the client must not state that it did not run.
 func TestLostPostIsNotRetried(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
-		return kumquatlug.Reply{}, lostConnection()
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return kumquatlug.WorkerResponse{}, lostConnection()
 	}}
 	response := newTestGateway(t, w, manyRetries).do(context.Background(), http.MethodPost, postRoute)
 	if response.status != http.StatusBadGateway || len(w.recorded()) != 1 {
@@ -82,7 +82,7 @@
 // The response to a POST breaks off in the middle. The client must not receive the part
 // as a complete response, but a failure that leaves open whether the request ran.
 func TestTruncatedPostFails(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
 		return truncatedResponse("hal", 10), nil
 	}}
 	response := newTestGateway(t, w, manyRetries).do(context.Background(), http.MethodPost, postRoute)
@@ -94,16 +94,18 @@
 // A lookup fails at its worker by an error, a truncated response or a timeout. It may
 // run again, so that another worker must serve it.
 func TestLookupIsRetried(t *testing.T) {
-	for name, first := range map[string]func(context.Context) (kumquatlug.Reply, error){
-		"lost":  func(context.Context) (kumquatlug.Reply, error) { return kumquatlug.Reply{}, lostConnection() },
-		"error": func(context.Context) (kumquatlug.Reply, error) { return wholeResponse(500, "no"), nil },
-		"cut":   func(context.Context) (kumquatlug.Reply, error) { return truncatedResponse("hal", 10), nil },
-		"silent": func(ctx context.Context) (kumquatlug.Reply, error) {
+	for name, first := range map[string]func(context.Context) (kumquatlug.WorkerResponse, error){
+		"lost": func(context.Context) (kumquatlug.WorkerResponse, error) {
+			return kumquatlug.WorkerResponse{}, lostConnection()
+		},
+		"error": func(context.Context) (kumquatlug.WorkerResponse, error) { return wholeResponse(500, "no"), nil },
+		"cut":   func(context.Context) (kumquatlug.WorkerResponse, error) { return truncatedResponse("hal", 10), nil },
+		"silent": func(ctx context.Context) (kumquatlug.WorkerResponse, error) {
 			<-ctx.Done()
-			return kumquatlug.Reply{}, lostConnection()
+			return kumquatlug.WorkerResponse{}, lostConnection()
 		},
 	} {
-		w := &fakeWorkers{run: func(ctx context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
+		w := &fakeWorkers{run: func(ctx context.Context, n int, _ workerCall) (kumquatlug.WorkerResponse, error) {
 			if n == 1 {
 				return first(ctx)
 			}
@@ -119,7 +121,9 @@
 // All gateways share a retry budget. If retries continued beyond it, a failing service
 // would get more load the more it fails.
 func TestRetriesStopAtBudget(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return refusedResponse(), nil
+	}}
 	f := newTestGateway(t, w, 3)
 	for range 10 {
 		response := f.do(context.Background(), http.MethodPost, postRoute)
@@ -135,12 +139,12 @@
 // A stream breaks off in the middle of an event. If the route allows it, another engine
 // continues after the last complete event, and the client receives one stream.
 func TestTruncatedStreamResumes(t *testing.T) {
-	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.WorkerResponse, error) {
 		if n == 1 {
 			return truncatedResponse(events(1, 2)+"id: 3\nda", -1), nil
 		}
-		if c.options.Resume != 2 {
-			t.Errorf("resumed after event %d, want 2", c.options.Resume)
+		if c.options.LastEventID != 2 {
+			t.Errorf("resumed after event %d, want 2", c.options.LastEventID)
 		}
 		return streamResponse(3, 5), nil
 	}}
@@ -153,7 +157,7 @@
 // A stream that can't be resumed breaks off. The connection to the client must be
 // aborted: ended properly, the partial stream would look complete.
 func TestTruncatedStreamIsAborted(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
 		return truncatedResponse(events(1, 2), -1), nil
 	}}
 	response := newTestGateway(t, w, manyRetries).do(context.Background(), http.MethodPost, chatRoute)
@@ -170,11 +174,11 @@
 func TestRouteTimeout(t *testing.T) {
 	silent := func(ctx context.Context) error { <-ctx.Done(); return lostConnection() }
 	w := &fakeWorkers{
-		run: func(ctx context.Context, _ int, _ workerCall) (kumquatlug.Reply, error) {
-			return kumquatlug.Reply{}, silent(ctx)
+		run: func(ctx context.Context, _ int, _ workerCall) (kumquatlug.WorkerResponse, error) {
+			return kumquatlug.WorkerResponse{}, silent(ctx)
 		},
-		prefill: func(ctx context.Context, _ int, _ workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
-			return kumquatlug.KVCache{}, kumquatlug.Reply{}, silent(ctx)
+		prefill: func(ctx context.Context, _ int, _ workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
+			return kumquatlug.KVCacheRef{}, kumquatlug.WorkerResponse{}, silent(ctx)
 		},
 	}
 	f := newTestGateway(t, w, manyRetries)
@@ -190,10 +194,10 @@
 // second, so that the worker does not compute an unused response.
 func TestClientDisconnectCancelsWorker(t *testing.T) {
 	canceled := make(chan struct{})
-	w := &fakeWorkers{run: func(ctx context.Context, _ int, _ workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(ctx context.Context, _ int, _ workerCall) (kumquatlug.WorkerResponse, error) {
 		<-ctx.Done()
 		close(canceled)
-		return kumquatlug.Reply{}, lostConnection()
+		return kumquatlug.WorkerResponse{}, lostConnection()
 	}}
 	f := newTestGateway(t, w, manyRetries)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -232,7 +236,9 @@
 // A gateway that is shutting down receives a long stream, which it could not complete.
 // It must refuse the stream at once, so that another gateway can serve it in time.
 func TestGatewayThatShutsDownRefusesLongRequests(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return streamResponse(1, 2), nil
+	}}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 2000))
 	response := f.do(context.Background(), http.MethodPost, "/chat/?tokens=220,9000")
@@ -276,7 +282,7 @@
 // All workers of a service except one are being replaced, and the remaining one responds
 // to one lookup in seven with an error. A retry at the same worker succeeds.
 func TestLookupIsRetriedOnOnlyWorker(t *testing.T) {
-	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.WorkerResponse, error) {
 		if n == 1 {
 			return wholeResponse(500, "no"), nil
 		}
@@ -292,7 +298,9 @@
 // The only remaining worker refuses because it is full. An immediate retry would be
 // refused again and would use the retry budget, so that the client gets a Retry-After.
 func TestOnlyWorkerIsNotRetriedAfterRefusal(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return refusedResponse(), nil
+	}}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.scheduler.syncMembers(f.g.c.Clock.Now(), map[string][]kumquatlug.Member{"desk": {member("s1", "")}})
 	response := f.do(context.Background(), http.MethodGet, lookupRoute)
@@ -307,18 +315,20 @@
 // so that another gateway can still serve it.
 func TestGatewayThatShutsDownStartsNoLateOutput(t *testing.T) {
 	for _, engineFails := range []bool{true, false} {
-		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
+		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+			return streamResponse(1, 2), nil
+		}}
 		f := newTestGateway(t, w, manyRetries)
 		f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 10_000))
-		w.prefill = func(_ context.Context, n int, _ workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+		w.prefill = func(_ context.Context, n int, _ workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
 			f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 100))
 			if engineFails && n == 1 {
-				return kumquatlug.KVCache{}, kumquatlug.Reply{}, errors.New("the engine is lost")
+				return kumquatlug.KVCacheRef{}, kumquatlug.WorkerResponse{}, errors.New("the engine is lost")
 			}
-			return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
+			return kumquatlug.NewKVCacheRef("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 		}
 		response := f.do(context.Background(), http.MethodPost, longRoute)
-		if response.status != http.StatusServiceUnavailable || response.header.Get("Ran") != string(kumquatlug.RanNot) {
+		if response.status != http.StatusServiceUnavailable || response.header.Get("Ran") != string(kumquatlug.NotExecuted) {
 			t.Errorf("engine lost %v: %+v", engineFails, response)
 		}
 		for _, c := range w.recorded() {
@@ -337,17 +347,17 @@
 	w := &fakeWorkers{}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 10_000))
-	w.prefill = func(ctx context.Context, n int, _ workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+	w.prefill = func(ctx context.Context, n int, _ workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
 		if n == 1 {
 			// Most of the ten seconds have passed.
 			f.g.exitAt.Store(int64(f.g.c.Clock.Now() + 700))
-			return kumquatlug.KVCache{}, kumquatlug.Reply{}, errors.New("the engine is lost")
+			return kumquatlug.KVCacheRef{}, kumquatlug.WorkerResponse{}, errors.New("the engine is lost")
 		}
 		<-ctx.Done()
-		return kumquatlug.KVCache{}, kumquatlug.Reply{}, ctx.Err()
+		return kumquatlug.KVCacheRef{}, kumquatlug.WorkerResponse{}, ctx.Err()
 	}
 	response := f.do(context.Background(), http.MethodPost, longRoute)
-	if response.status != http.StatusServiceUnavailable || response.header.Get("Ran") != string(kumquatlug.RanNot) {
+	if response.status != http.StatusServiceUnavailable || response.header.Get("Ran") != string(kumquatlug.NotExecuted) {
 		t.Errorf("%+v", response)
 	}
 	if now, exit := f.g.c.Clock.Now(), kumquatlug.Millis(f.g.exitAt.Load()); now >= exit {
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -15,7 +15,7 @@
 type inflight struct {
 	g       *Gateway
 	w       http.ResponseWriter
-	request kumquatlug.Ask
+	request kumquatlug.Request
 	account kumquatlug.Caller
 	route   kumquatlug.Route
 	service kumquatlug.Service
@@ -33,10 +33,10 @@
 	// cacheZone is the data centre of the engine that ran the prefill.
 	cacheZone string
 	// reservation is the request reserved for decoding at an engine with a rate limit.
-	reservation placement.Place
+	reservation placement.Reservation
 	// refusedCache is the prompt's KV cache that a decode engine refused. The next
 	// engine may take it. cacheReused is set once an engine has been sent such a cache.
-	refusedCache kumquatlug.KVCache
+	refusedCache kumquatlug.KVCacheRef
 	cacheReused  bool
 	// workerErrored is set if the worker responded to the last attempt with an error.
 	workerErrored bool
@@ -71,7 +71,7 @@
 	// pausedWorker is the worker at which that pause exceeded the route's limit,
 	// pausedWorkerLoad what else it had in flight.
 	pausedWorker     string
-	pausedWorkerLoad placement.Beside
+	pausedWorkerLoad placement.WorkInFlight
 	// events counts the forwarded events.
 	events int
 	// expectedPrefill is the expected duration of the prefill.
@@ -81,7 +81,7 @@
 
 // serve makes attempts until the client has its final response.
 func (f *inflight) serve(ctx context.Context) {
-	clientTimeout := f.request.Deadline()
+	clientTimeout := f.request.Timeout()
 	if clientTimeout <= 0 {
 		clientTimeout = defaultClientTimeout
 	}
@@ -131,7 +131,7 @@
 	if failed.worker != "" {
 		f.exclude = append(f.exclude, failed.worker)
 	}
-	if failed.failure.Ran() != kumquatlug.RanNot {
+	if failed.failure.Execution() != kumquatlug.NotExecuted {
 		f.possibleRuns++
 	}
 	f.logFailure("attempt failed", failed)
@@ -142,7 +142,7 @@
 		return failed.failure
 	case f.possibleRuns > 0 && !f.route.Repeatable():
 		return failed.failure
-	case f.possibleRuns >= f.route.Workers():
+	case f.possibleRuns >= f.route.MaxWorkers():
 		return failed.failure
 	}
 	if failed := f.shutdownFailure(); failed != nil {
@@ -167,14 +167,14 @@
 		return cause
 	}
 	c := kumquatlug.FailureConfig{
-		Step: cause.Step(), Peer: cause.Peer(), Reason: reason, Ran: kumquatlug.RanUnknown,
+		Step: cause.Step(), Peer: cause.Peer(), Reason: reason, Execution: kumquatlug.ExecutionUnknown,
 		Status: http.StatusBadGateway, Cause: cause,
 	}
 	if cause.Status() == http.StatusGatewayTimeout {
 		c.Status = cause.Status()
 	}
 	if f.possibleRuns == 0 {
-		c.Ran, c.Status, c.RetryAfter = kumquatlug.RanNot, http.StatusServiceUnavailable, cause.RetryAfter()
+		c.Execution, c.Status, c.RetryAfter = kumquatlug.NotExecuted, http.StatusServiceUnavailable, cause.RetryAfter()
 		if c.RetryAfter == 0 {
 			c.RetryAfter = f.retryAfter(maxRetryAfter)
 		}
@@ -197,7 +197,7 @@
 		return refusal("serve", reason, http.StatusServiceUnavailable, 0)
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "serve", Reason: reason, Ran: kumquatlug.RanUnknown, Status: http.StatusGatewayTimeout, Cause: cause,
+		Step: "serve", Reason: reason, Execution: kumquatlug.ExecutionUnknown, Status: http.StatusGatewayTimeout, Cause: cause,
 	})
 }
 
@@ -242,7 +242,7 @@
 	f.g.c.Logger.Info(message, append([]zap.Field{
 		zap.String("request", f.request.ID()), zap.String("worker", failed.worker),
 		zap.String("step", failed.failure.Step()), zap.String("reason", failed.failure.Reason()),
-		zap.String("ran", string(failed.failure.Ran())), zap.Int("tries", f.attempts),
+		zap.String("ran", string(failed.failure.Execution())), zap.Int("tries", f.attempts),
 		zap.String("cause", failed.failure.CauseText()),
 	}, f.logFields()...)...)
 }
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -22,7 +22,7 @@
 // leaseTerm returns the lease that this gateway holds, the zero term if it holds none.
 func (g *Gateway) leaseTerm() lease.Term {
 	term := g.term.Load()
-	if term == nil || !term.MayHold(g.c.Awake.Now()) {
+	if term == nil || !term.Valid(g.c.BootClock.Now()) {
 		return lease.Term{}
 	}
 	return *term
@@ -31,10 +31,10 @@
 // leaderLease returns the holder name and fencing token under which this gateway acts on
 // behalf of all, and whether it may do so now: a call sent now arrives before the lease
 // can have moved to another gateway.
-func (g *Gateway) leaderLease() (kumquatlug.Duty, bool) {
+func (g *Gateway) leaderLease() (kumquatlug.LeaderLease, bool) {
 	term := g.leaseTerm()
-	duty := kumquatlug.Duty{Holder: g.c.Name, Fence: int64(term.Number())}
-	return duty, term.MayAct(g.c.Awake.Now(), leaderCallTimeout)
+	duty := kumquatlug.LeaderLease{Holder: g.c.Name, FencingToken: int64(term.Number())}
+	return duty, term.MayAct(g.c.BootClock.Now(), leaderCallTimeout)
 }
 
 // serviceZone is a service in one data centre.
@@ -44,14 +44,14 @@
 // lease. All gateways observe the load, so that a new holder has that of the last
 // minute.
 func (g *Gateway) scaleServices(ctx context.Context) {
-	zones := map[serviceZone]*scaling.Zone{}
+	zones := map[serviceZone]*scaling.Scaler{}
 	for sleep(ctx, scaleInterval) {
 		table := g.table.Load()
 		if table == nil {
 			continue
 		}
 		for _, name := range table.Services() {
-			if s, _ := table.Service(name); s.Scaling().Most > 0 {
+			if s, _ := table.Service(name); s.Scaling().MaxWorkers > 0 {
 				g.scaleService(ctx, zones, s)
 			}
 		}
@@ -59,8 +59,8 @@
 }
 
 // scaleService checks one service in all data centres.
-func (g *Gateway) scaleService(ctx context.Context, zones map[serviceZone]*scaling.Zone, s kumquatlug.Service) {
-	now := g.c.Awake.Now()
+func (g *Gateway) scaleService(ctx context.Context, zones map[serviceZone]*scaling.Scaler, s kumquatlug.Service) {
+	now := g.c.BootClock.Now()
 	byZone := g.scheduler.occupancy(g.c.Clock.Now(), s.Name())
 	for zone := range byZone {
 		key := serviceZone{service: s.Name(), zone: zone}
@@ -75,19 +75,19 @@
 		// A data centre without workers counts as well.
 		occupancy := byZone[key.zone]
 		z.SetBounds(s.Scaling())
-		wanted, changed := z.Look(now, scaling.View{Workers: occupancy.Workers(), Busy: occupancy.Busy()})
+		wanted, changed := z.Update(now, scaling.Load{Workers: occupancy.Workers(), BusyWorkers: occupancy.Busy()})
 		duty, allowed := g.leaderLease()
 		if !changed || !allowed {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, leaderCallTimeout.Duration())
-		err := g.c.Duties.Scale(call, duty, key.service, key.zone, wanted)
+		err := g.c.LeaderActions.Scale(call, duty, key.service, key.zone, wanted)
 		cancel()
 		if err == nil {
-			z.Ordered(now, wanted)
+			z.RecordOrder(now, wanted)
 		}
 		g.c.Logger.Info("workers ordered", zap.String("service", key.service), zap.String("zone", key.zone),
 			zap.Int("wanted", wanted), zap.Int("workers", occupancy.Workers()), zap.Float64("busy", occupancy.Busy()),
-			zap.Int64("fence", duty.Fence), logs.Error(err))
+			zap.Int64("fence", duty.FencingToken), logs.Error(err))
 	}
 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -11,9 +11,9 @@
 )
 
 // limitResponse returns a complete response that reports a rate limit.
-func limitResponse(perSecond float64) kumquatlug.Reply {
+func limitResponse(perSecond float64) kumquatlug.WorkerResponse {
 	r := wholeResponse(http.StatusOK, "done")
-	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
+	return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
 		Status: r.Status(), Header: r.Header(), Length: r.Length(), Body: r.Body(), Limit: kumquatlug.NewRateLimit(perSecond),
 	})
 }
@@ -22,7 +22,9 @@
 // limit.
 func newLimitedGateway(t *testing.T, perSecond float64) *testGateway {
 	t.Helper()
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return limitResponse(perSecond), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return limitResponse(perSecond), nil
+	}}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.scheduler.setGateways(nil)
 	for attempts := 0; len(f.g.scheduler.limits()) < 2; attempts++ {
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -43,10 +43,10 @@
 }
 
 // logUnresponsive logs the workers that became unresponsive.
-func (g *Gateway) logUnresponsive(workers []placement.Fallen) {
+func (g *Gateway) logUnresponsive(workers []placement.UnresponsiveWorker) {
 	for _, w := range workers {
 		g.metrics.unresponsive.Inc()
-		g.c.Logger.Warn("worker unresponsive", zap.String("worker", w.Worker()), zap.Int64("quiet_ms", int64(w.Quiet())),
+		g.c.Logger.Warn("worker unresponsive", zap.String("worker", w.Worker()), zap.Int64("quiet_ms", int64(w.SilentFor())),
 			zap.Int("in_hand", len(w.Attempts())))
 	}
 }
@@ -55,7 +55,7 @@
 type timerEvents struct {
 	// unresponsive are the workers that became unresponsive, probes the engines to
 	// probe.
-	unresponsive []placement.Fallen
+	unresponsive []placement.UnresponsiveWorker
 	probes       []probe
 }
 
@@ -72,12 +72,12 @@
 	var events timerEvents
 	for name, state := range sc.services {
 		state.placer.Measure(now)
-		state.placer.Remind(now)
-		unresponsive := state.placer.Silent(now)
+		state.placer.RetryRequests(now)
+		unresponsive := state.placer.CheckLiveness(now)
 		for _, worker := range unresponsive {
 			state.cancelAttempts(worker.Attempts())
 		}
-		state.cancelAttempts(state.placer.Stalled(now))
+		state.cancelAttempts(state.placer.StalledStreams(now))
 		events.unresponsive = append(events.unresponsive, unresponsive...)
 		for _, w := range state.placer.Suspects(now) {
 			events.probes = append(events.probes, probe{service: name, worker: w})
@@ -88,29 +88,29 @@
 }
 
 // activities returns what each worker of a service does, by name.
-func (sc *scheduler) activities(service string) map[string]placement.Use {
+func (sc *scheduler) activities(service string) map[string]placement.Activity {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.service(service).placer.InUse(sc.c.Clock.Now())
+	return sc.service(service).placer.Activities(sc.c.Clock.Now())
 }
 
 // recordProbe records whether a probed engine responded. It returns the engine if it is
 // now considered unresponsive.
-func (sc *scheduler) recordProbe(now kumquatlug.Millis, p probe, responded bool) []placement.Fallen {
+func (sc *scheduler) recordProbe(now kumquatlug.Millis, p probe, responded bool) []placement.UnresponsiveWorker {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
 	state := sc.service(p.service)
-	worker, unresponsive := state.placer.Asked(now, p.worker.ID(), responded)
+	worker, unresponsive := state.placer.RecordProbe(now, p.worker.ID(), responded)
 	if !unresponsive {
 		return nil
 	}
 	state.cancelAttempts(worker.Attempts())
 	sc.deliverDue(now, state)
-	return []placement.Fallen{worker}
+	return []placement.UnresponsiveWorker{worker}
 }
 
 // cancelAttempts cancels those of the attempts that can resume elsewhere.
-func (state *serviceState) cancelAttempts(attempts []*placement.Ticket) {
+func (state *serviceState) cancelAttempts(attempts []*placement.Attempt) {
 	for _, a := range attempts {
 		if cancel, can := state.cancels[a]; can {
 			delete(state.cancels, a)
@@ -121,15 +121,15 @@
 
 // onUnresponsive registers cancel to be called if the attempt's worker becomes
 // unresponsive.
-func (sc *scheduler) onUnresponsive(service string, a *placement.Ticket, cancel func()) {
+func (sc *scheduler) onUnresponsive(service string, a *placement.Attempt, cancel func()) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	sc.service(service).cancels[a] = cancel
 }
 
 // recordOutput records that output of an attempt arrived.
-func (sc *scheduler) recordOutput(now kumquatlug.Millis, service string, a *placement.Ticket) {
+func (sc *scheduler) recordOutput(now kumquatlug.Millis, service string, a *placement.Attempt) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.service(service).placer.Heard(now, a)
+	sc.service(service).placer.RecordOutput(now, a)
 }
--- a/internal/gateway/liveness_test.go
+++ b/internal/gateway/liveness_test.go
@@ -18,10 +18,10 @@
 // tries another worker. If that counted as a crash, three such events would quarantine
 // the lookup for all clients for a minute.
 func TestTimeoutIsNotACrash(t *testing.T) {
-	w := &fakeWorkers{run: func(ctx context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(ctx context.Context, n int, _ workerCall) (kumquatlug.WorkerResponse, error) {
 		if n%2 == 1 {
 			<-ctx.Done()
-			return kumquatlug.Reply{}, lostConnection()
+			return kumquatlug.WorkerResponse{}, lostConnection()
 		}
 		return wholeResponse(200, "done"), nil
 	}}
@@ -37,7 +37,9 @@
 // This must count neither as a failure of the worker nor as a crash caused by the
 // request.
 func TestClientDisconnectIsNotACrash(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 3), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return streamResponse(1, 3), nil
+	}}
 	f := newTestGateway(t, w, manyRetries)
 	for range 4 {
 		r := httptest.NewRequest(http.MethodPost, chatRoute, strings.NewReader("body"))
@@ -69,14 +71,14 @@
 // complete stream instead of waiting until it gives up.
 func TestStreamsOfUnresponsiveEngineResume(t *testing.T) {
 	const last = 30
-	w := &fakeWorkers{run: func(ctx context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(ctx context.Context, _ int, c workerCall) (kumquatlug.WorkerResponse, error) {
 		end := last
 		if c.worker == "d1" {
 			end = 2
 		}
-		return kumquatlug.NewReply(kumquatlug.ReplyConfig{
+		return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
 			Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: -1,
-			Body: &pacedBody{ctx: ctx, next: int(c.options.Resume) + 1, last: end, stalls: end != last},
+			Body: &pacedBody{ctx: ctx, next: int(c.options.LastEventID) + 1, last: end, stalls: end != last},
 		}), nil
 	}}
 	f := newTestGateway(t, w, manyRetries)
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -42,14 +42,14 @@
 			counted = g.countGateways(ctx)
 			g.scheduler.setUncountedUntil(g.countableSince(row) + kumquatlug.Millis(rounds+1)*maintenanceInterval + storeCallTimeout)
 		}
-		if g.c.Fronts != nil {
-			g.c.Fronts.TellConfig("")
+		if g.c.Peers != nil {
+			g.c.Peers.AnnounceConfig("")
 		}
 		g.reportEstimates(logged)
 		g.exportWorstAccounts()
 		g.exportLimits()
 		addresses := g.members.Load().addresses
-		g.c.Sweep(func(address string) bool { return addresses[address] })
+		g.c.CloseIdle(func(address string) bool { return addresses[address] })
 		if !sleep(ctx, maintenanceInterval) {
 			return
 		}
@@ -99,10 +99,10 @@
 			firstSeenAt = g.c.Clock.Now()
 		}
 	}
-	era := g.c.Feed.Era()
+	era := g.c.ChangeFeed.Era()
 	row := []byte(g.c.Incarnation)
-	if g.c.Fronts != nil {
-		row = g.c.Fronts.Row()
+	if g.c.Peers != nil {
+		row = g.c.Peers.Row()
 	}
 	if err := g.c.Table.Commit(ctx, kumquatlug.NewTx(g.c.Incarnation).Put(gatewayRowPrefix+g.c.Name, row)); err != nil {
 		g.c.Logger.Warn("failed to write gateway row", logs.Error(err))
--- a/internal/gateway/maintenance_test.go
+++ b/internal/gateway/maintenance_test.go
@@ -32,7 +32,7 @@
 	f := newTestGateway(t, &fakeWorkers{}, manyRetries)
 	table := &failingTable{}
 	table.failures.Store(2)
-	f.g.c.Table, f.g.c.Feed = table, &scriptedFeed{}
+	f.g.c.Table, f.g.c.ChangeFeed = table, &scriptedFeed{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.g.runMaintenance(ctx)
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -64,7 +64,7 @@
 	for key := range m.current {
 		if _, present := w.rows[key]; !present && !storeReturning {
 			m.g.c.Logger.Info("worker removed", zap.String("worker", key))
-			m.removed[key] = removedWorker{startedAt: m.current[key].Born, era: m.g.c.Feed.Era(), removedAt: now}
+			m.removed[key] = removedWorker{startedAt: m.current[key].StartedAt, era: m.g.c.ChangeFeed.Era(), removedAt: now}
 			delete(m.current, key)
 		}
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	m.rowVersions[key] = row.Version()
-	member, err := m.g.c.Directory.Member(row)
+	member, err := m.g.c.RowDecoder.DecodeMember(row)
 	if err != nil {
 		m.g.c.Logger.Warn("invalid worker row ignored", zap.String("worker", key), logs.Error(err))
 		delete(m.current, key)
@@ -93,13 +93,13 @@
 	}
 	if member.State == kumquatlug.MemberDraining {
 		// A store that is restored from an older copy says that the worker is ready.
-		m.g.shuttingDownWorkers.note(m.g.c.Clock.Now(), key, member.Born)
+		m.g.shuttingDownWorkers.note(m.g.c.Clock.Now(), key, member.StartedAt)
 	}
-	if fullRead && m.restoredAfterRemoval(key, member.Born, row.Era()) {
+	if fullRead && m.restoredAfterRemoval(key, member.StartedAt, row.Era()) {
 		member.State = kumquatlug.MemberDraining
 	}
 	before, known := m.current[key]
-	if !known || before.State != member.State || before.Role != member.Role || before.Born != member.Born {
+	if !known || before.State != member.State || before.Role != member.Role || before.StartedAt != member.StartedAt {
 		m.g.c.Logger.Info("worker", zap.String("worker", key), zap.String("service", member.Service),
 			zap.String("state", string(member.State)), zap.String("role", string(member.Role)),
 			zap.Int64("row", row.Version()))
--- a/internal/gateway/peerconfig.go
+++ b/internal/gateway/peerconfig.go
@@ -20,7 +20,7 @@
 // configFetch fetches the config from peer gateways.
 type configFetch struct {
 	mu      sync.Mutex
-	fetcher catchup.Fetch
+	fetcher catchup.Fetcher
 	// current is the config in force, nil if there is none.
 	current atomic.Pointer[configCopy]
 }
@@ -34,22 +34,22 @@
 	return kumquatlug.ConfigState{Version: current.version, Age: g.configAge()}
 }
 
-// ConfigHeard handles the config state of a peer gateway. If the peer has the same
+// ConfigStateReceived handles the config state of a peer gateway. If the peer has the same
 // version and the store confirmed it there recently, this also confirms it here.
-func (g *Gateway) ConfigHeard(peer string, s kumquatlug.ConfigState) {
+func (g *Gateway) ConfigStateReceived(peer string, s kumquatlug.ConfigState) {
 	current := g.configFetch.current.Load()
 	if current != nil && s.Version == current.version {
-		g.confirmConfig(g.c.Awake.Now() - s.Age)
+		g.confirmConfig(g.c.BootClock.Now() - s.Age)
 		return
 	}
 	if current != nil && s.Version < current.version {
 		// The peer may be one that can't read the store.
-		g.c.Fronts.TellConfig(peer)
+		g.c.Peers.AnnounceConfig(peer)
 		return
 	}
 	g.configFetch.mu.Lock()
 	defer g.configFetch.mu.Unlock()
-	g.configFetch.fetcher.Heard(g.c.Clock.Now(), peer, s.Version)
+	g.configFetch.fetcher.RecordVersion(g.c.Clock.Now(), peer, s.Version)
 }
 
 // confirmConfig records when the store confirmed that the config in force is the newest.
@@ -62,27 +62,27 @@
 	}
 }
 
-// ConfigAsked responds to a peer gateway that requests the text of the config.
-func (g *Gateway) ConfigAsked(peer string, request kumquatlug.ConfigAsk) {
+// ConfigRequested responds to a peer gateway that requests the text of the config.
+func (g *Gateway) ConfigRequested(peer string, request kumquatlug.ConfigRequest) {
 	current := g.configFetch.current.Load()
 	if current == nil {
 		return
 	}
-	for _, part := range catchup.Answer(request, current.version, current.text) {
-		g.c.Fronts.GiveConfig(peer, part)
+	for _, part := range catchup.PartsFor(request, current.version, current.text) {
+		g.c.Peers.SendConfigPart(peer, part)
 	}
 }
 
-// ConfigGiven handles a part of the text of a config.
-func (g *Gateway) ConfigGiven(peer string, part kumquatlug.ConfigPart) {
+// ConfigPartReceived handles a part of the text of a config.
+func (g *Gateway) ConfigPartReceived(peer string, part kumquatlug.ConfigPart) {
 	g.configFetch.mu.Lock()
-	text, complete := g.configFetch.fetcher.Took(peer, part)
+	text, complete := g.configFetch.fetcher.AddPart(peer, part)
 	g.configFetch.mu.Unlock()
 	if !complete {
 		g.requestConfig()
 		return
 	}
-	config, err := g.c.Directory.Config(text)
+	config, err := g.c.RowDecoder.DecodeConfig(text)
 	if err != nil || config.Version != part.Version {
 		g.c.Logger.Warn("invalid config from a peer gateway ignored", zap.String("front", peer), logs.Error(err))
 		return
@@ -93,13 +93,13 @@
 
 // requestConfig requests the next part of a newer config from a peer, if one is due.
 func (g *Gateway) requestConfig() {
-	if g.c.Fronts == nil {
+	if g.c.Peers == nil {
 		return
 	}
 	g.configFetch.mu.Lock()
-	peer, request, due := g.configFetch.fetcher.Next(g.c.Clock.Now())
+	peer, request, due := g.configFetch.fetcher.NextRequest(g.c.Clock.Now())
 	g.configFetch.mu.Unlock()
 	if due {
-		g.c.Fronts.AskConfig(peer, request)
+		g.c.Peers.RequestConfig(peer, request)
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -11,17 +11,17 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/placement"
 )
 
-// Turn handles a permit message of a peer gateway.
-func (g *Gateway) Turn(m kumquatlug.TurnMessage) {
-	g.metrics.permits.WithLabelValues("received", string(m.Turn.Step)).Inc()
+// PermitReceived handles a permit message of a peer gateway.
+func (g *Gateway) PermitReceived(m kumquatlug.PermitMessage) {
+	g.metrics.permits.WithLabelValues("received", string(m.Permit.Step)).Inc()
 	g.scheduler.handlePermit(g.c.Clock.Now(), m)
 }
 
-// Met handles the announcement of a peer gateway.
-func (g *Gateway) Met(peer string) { g.scheduler.peerJoined(peer) }
+// PeerJoined handles the announcement of a peer gateway.
+func (g *Gateway) PeerJoined(peer string) { g.scheduler.peerJoined(peer) }
 
-// Left handles the shutdown of a peer gateway.
-func (g *Gateway) Left(peer string) {
+// PeerLeft handles the shutdown of a peer gateway.
+func (g *Gateway) PeerLeft(peer string) {
 	g.c.Logger.Info("front stops", zap.String("front", peer))
 	g.scheduler.peerLeft(peer)
 }
@@ -29,27 +29,27 @@
 // updatePeers applies the rows of all gateways.
 func (g *Gateway) updatePeers(rows map[string][]byte) {
 	g.scheduler.setGateways(slices.Collect(maps.Keys(rows)))
-	if g.c.Fronts == nil {
+	if g.c.Peers == nil {
 		return
 	}
-	reachable, restarted := g.c.Fronts.Meet(rows)
+	reachable, restarted := g.c.Peers.UpdatePeers(rows)
 	g.scheduler.setPeers(reachable, restarted)
 	g.c.Logger.Info("fronts met", zap.Int("rows", len(rows)), zap.Int("there", len(reachable)))
 }
 
 // stopCoordinating hands the coordination of engines over to the other gateways.
 func (g *Gateway) stopCoordinating() {
-	if g.c.Fronts == nil {
+	if g.c.Peers == nil {
 		return
 	}
 	g.scheduler.stopCoordinating()
-	g.c.Fronts.Leave()
+	g.c.Peers.AnnounceStop()
 }
 
 // newCoordinators returns the assignment of engines to coordinators, nil if gateways do
 // not communicate.
-func newCoordinators(c Config) *coordinator.Fronts {
-	if c.Fronts == nil {
+func newCoordinators(c Config) *coordinator.Gateways {
+	if c.Peers == nil {
 		return nil
 	}
 	return coordinator.New(c.Name)
@@ -85,14 +85,14 @@
 func (sc *scheduler) peerLeft(peer string) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
-	sc.coordinators.Left(peer)
+	sc.coordinators.PeerLeft(peer)
 }
 
 // stopCoordinating sends the prompts of other gateways to their next coordinators.
 func (sc *scheduler) stopCoordinating() {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
-	sc.coordinators.Leave()
+	sc.coordinators.StopCoordinating()
 	for _, state := range sc.services {
 		state.placer.StopCoordinating()
 	}
@@ -100,18 +100,18 @@
 
 // handlePermit handles a permit message: a request to this gateway as the coordinator of
 // an engine, or the response of another coordinator.
-func (sc *scheduler) handlePermit(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
+func (sc *scheduler) handlePermit(now kumquatlug.Millis, m kumquatlug.PermitMessage) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
-	state, known := sc.services[m.Turn.Service]
+	state, known := sc.services[m.Permit.Service]
 	if !known {
 		return
 	}
-	switch m.Turn.Step {
-	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
-		state.placer.Requested(now, m)
+	switch m.Permit.Step {
+	case kumquatlug.PermitRequested, kumquatlug.PermitReleased:
+		state.placer.HandleRequest(now, m)
 	default:
-		if due, ended := state.placer.Answered(now, m); ended {
+		if due, ended := state.placer.HandleReply(now, m); ended {
 			state.deliver(due)
 		}
 	}
@@ -129,22 +129,22 @@
 // unlockAndSend releases the lock and sends the pending messages to other gateways. It
 // sends without the lock because each message is a system call.
 func (sc *scheduler) unlockAndSend() {
-	var out []kumquatlug.TurnMessage
+	var out []kumquatlug.PermitMessage
 	for name, state := range sc.services {
 		for _, m := range state.placer.Outbox() {
-			m.Turn.Service = name
+			m.Permit.Service = name
 			out = append(out, m)
 		}
 	}
-	var events []coordinator.News
+	var events []coordinator.Change
 	if sc.coordinators != nil {
-		events = sc.coordinators.News()
+		events = sc.coordinators.Changes()
 	}
 	sc.mu.Unlock()
 	for _, m := range out {
-		sc.c.Fronts.Send(m)
+		sc.c.Peers.Send(m)
 	}
 	for _, e := range events {
-		sc.c.Logger.Info(e.What(), zap.String("front", e.Front()), zap.Int("unanswered", e.Misses()))
+		sc.c.Logger.Info(e.Event(), zap.String("front", e.Gateway()), zap.Int("unanswered", e.Timeouts()))
 	}
 }
--- a/internal/gateway/prefill_test.go
+++ b/internal/gateway/prefill_test.go
@@ -12,7 +12,7 @@
 // A long prompt is prefilled on one engine and decoded on another, which gets the KV
 // cache. The response of the prefill must not reach the client.
 func TestLongPromptIsPrefilledOnAnotherEngine(t *testing.T) {
-	w := &fakeWorkers{run: func(_ context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, _ int, c workerCall) (kumquatlug.WorkerResponse, error) {
 		if c.options.Cache.Handle() != "h" {
 			t.Errorf("attempt without the KV cache: %+v", c.options)
 		}
@@ -30,9 +30,11 @@
 // Every prefill fails. The request has not run, whatever became of the prefills, and the
 // response to the client must state so, with a Retry-After.
 func TestFailedPrefillHasNotRun(t *testing.T) {
-	w := &fakeWorkers{prefill: func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
-		return kumquatlug.KVCache{}, kumquatlug.Reply{}, lostConnection()
-	}, run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
+	w := &fakeWorkers{prefill: func(context.Context, int, workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
+		return kumquatlug.KVCacheRef{}, kumquatlug.WorkerResponse{}, lostConnection()
+	}, run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return refusedResponse(), nil
+	}}
 	response := newTestGateway(t, w, manyRetries).do(context.Background(), http.MethodPost, chatPrefill)
 	if response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" || response.header.Get("Ran") != "not-run" {
 		t.Errorf("%+v", response)
@@ -46,7 +48,9 @@
 // A prompt was prefilled, and the engine that should take its KV cache refuses. The
 // cache must be released; otherwise its engine lacks the memory for seconds.
 func TestUnusedCacheIsReleased(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return refusedResponse(), nil
+	}}
 	f := newTestGateway(t, w, manyRetries)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -70,12 +74,12 @@
 // has some thousand tokens to prefill. On decode engines, that would pause every other
 // stream there, so that these prompts are prefilled separately like any long prompt.
 func TestResumedStreamIsPrefilledOnAnotherEngine(t *testing.T) {
-	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.WorkerResponse, error) {
 		if n == 1 {
 			return truncatedResponse(events(1, 100), -1), nil
 		}
-		if c.options.Cache.Handle() == "" || c.options.Resume != 100 {
-			t.Errorf("resumed with cache %q after event %d", c.options.Cache.Handle(), c.options.Resume)
+		if c.options.Cache.Handle() == "" || c.options.LastEventID != 100 {
+			t.Errorf("resumed with cache %q after event %d", c.options.Cache.Handle(), c.options.LastEventID)
 		}
 		return streamResponse(101, 102), nil
 	}}
@@ -94,7 +98,7 @@
 // would cost two retries, and half of them would break off for lack of budget.
 func TestResumedStreamCostsOneRetry(t *testing.T) {
 	const oneRepeat = 2
-	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.WorkerResponse, error) {
 		if n == 1 {
 			return truncatedResponse(events(1, 100), -1), nil
 		}
@@ -110,12 +114,14 @@
 // is a retry, and so is a first prefill that was refused. If these were not counted, the
 // workers would get more attempts than the budget allows.
 func TestRepeatedPrefillCountsAsRetry(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
-	w.prefill = func(_ context.Context, n int, _ workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return refusedResponse(), nil
+	}}
+	w.prefill = func(_ context.Context, n int, _ workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
 		if n%2 == 1 {
-			return kumquatlug.KVCache{}, refusedResponse(), nil
+			return kumquatlug.KVCacheRef{}, refusedResponse(), nil
 		}
-		return kumquatlug.NewKVCache("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
+		return kumquatlug.NewKVCacheRef("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 	}
 	const repeats = 4
 	f := newTestGateway(t, w, 5)
@@ -132,7 +138,7 @@
 // elsewhere. Another engine must take the same KV cache: a second prefill would double
 // the load of the prefill engine and delay the client.
 func TestRefusedDecodeKeepsCache(t *testing.T) {
-	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(_ context.Context, n int, c workerCall) (kumquatlug.WorkerResponse, error) {
 		if c.options.Cache.Handle() != "h" {
 			t.Errorf("attempt without the KV cache: %+v", c.options)
 		}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -38,8 +38,8 @@
 	// requestCtx is the context of the request, attemptCtx that of the attempt.
 	requestCtx, attemptCtx context.Context
 	choice                 placement.Choice
-	attempt                *placement.Ticket
-	response               kumquatlug.Reply
+	attempt                *placement.Attempt
+	response               kumquatlug.WorkerResponse
 	// transfer is the move of the stream to another engine, nil if there is none. done
 	// is set when no goroutine waits for a transfer any more.
 	transfer atomic.Pointer[transfer]
@@ -71,12 +71,12 @@
 	if status := a.response.Status(); status < http.StatusInternalServerError || status == http.StatusGatewayTimeout {
 		return nil
 	}
-	if f.responseStarted || !f.route.Repeatable() || f.possibleRuns+1 >= f.route.Workers() || f.attempts+1 >= maxAttempts {
+	if f.responseStarted || !f.route.Repeatable() || f.possibleRuns+1 >= f.route.MaxWorkers() || f.attempts+1 >= maxAttempts {
 		return nil
 	}
 	f.endAttempt(stageOutput, a.attempt, placement.OutcomeFailed)
 	return &attemptFailure{worker: a.worker(), failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "run", Peer: a.worker(), Reason: reasonWorkerFailed, Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway,
+		Step: "run", Peer: a.worker(), Reason: reasonWorkerFailed, Execution: kumquatlug.ExecutionUnknown, Status: http.StatusBadGateway,
 		Cause: errors.Newf("status %d", a.response.Status()),
 	})}
 }
@@ -94,14 +94,14 @@
 	}
 	f.onFirstOutput()
 	f.responseStarted = true
-	f.g.c.Ingress.Head(f.w, a.response)
+	f.g.c.Ingress.WriteHeader(f.w, a.response)
 	if _, err := f.w.Write(head); err != nil {
 		return f.clientDisconnected(a, err)
 	}
 	if failed := f.relayRest(a, len(head)); failed != nil {
 		return failed
 	}
-	outcome := placement.OutcomeGood
+	outcome := placement.OutcomeServed
 	if status >= http.StatusInternalServerError {
 		outcome = placement.OutcomeFailed
 	}
@@ -143,9 +143,9 @@
 
 // responseBroken records a response that broke off before its end.
 func (f *inflight) responseBroken(a *relayedAttempt, err error) *attemptFailure {
-	f.endFailedAttempt(stageOutput, a.choice, a.attempt, endCauseOf(a.requestCtx, a.attemptCtx), kumquatlug.RanUnknown)
+	f.endFailedAttempt(stageOutput, a.choice, a.attempt, endCauseOf(a.requestCtx, a.attemptCtx), kumquatlug.ExecutionUnknown)
 	return &attemptFailure{worker: a.worker(), failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "relay", Peer: a.worker(), Reason: "answer_broken", Ran: kumquatlug.RanUnknown,
+		Step: "relay", Peer: a.worker(), Reason: "answer_broken", Execution: kumquatlug.ExecutionUnknown,
 		Status: http.StatusBadGateway, Cause: err,
 	})}
 }
@@ -153,9 +153,9 @@
 // clientDisconnected records a response that the client no longer reads. It says nothing
 // about the worker.
 func (f *inflight) clientDisconnected(a *relayedAttempt, err error) *attemptFailure {
-	f.endFailedAttempt(stageOutput, a.choice, a.attempt, endedByClient, kumquatlug.RanUnknown)
+	f.endFailedAttempt(stageOutput, a.choice, a.attempt, endedByClient, kumquatlug.ExecutionUnknown)
 	return &attemptFailure{worker: a.worker(), permanent: true, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "relay", Reason: "client_left", Ran: kumquatlug.RanUnknown, Status: http.StatusBadGateway, Cause: err,
+		Step: "relay", Reason: "client_left", Execution: kumquatlug.ExecutionUnknown, Status: http.StatusBadGateway, Cause: err,
 	})}
 }
 
@@ -197,7 +197,7 @@
 // incomplete event; they were held back while the stream might have been moved.
 func (f *inflight) streamEnded(a *relayedAttempt, flush *http.ResponseController, pending []byte, end error) *attemptFailure {
 	if t := f.takeTransfer(a); t != nil {
-		f.endAttempt(stageOutput, a.attempt, placement.OutcomeGood)
+		f.endAttempt(stageOutput, a.attempt, placement.OutcomeServed)
 		if !f.route.Repeatable() {
 			// The continued stream is the only run that the request may have.
 			f.possibleRuns = max(f.possibleRuns, 1)
@@ -213,7 +213,7 @@
 			return failed
 		}
 	}
-	f.endAttempt(stageOutput, a.attempt, placement.OutcomeGood)
+	f.endAttempt(stageOutput, a.attempt, placement.OutcomeServed)
 	f.recordResponse(a.choice, a.response.Status())
 	return nil
 }
@@ -230,7 +230,7 @@
 	f.responseStarted = true
 	f.timings.firstOutputAt = now
 	f.g.metrics.latency.WithLabelValues(strconv.Itoa(f.priority())).Observe((now - f.arrived).Duration().Seconds())
-	f.g.c.Ingress.Head(f.w, a.response)
+	f.g.c.Ingress.WriteHeader(f.w, a.response)
 }
 
 // forwardEvents writes events to the client.
@@ -262,7 +262,7 @@
 		return
 	}
 	f.timings.longestPause = pause
-	if allowed := f.route.Gap(); allowed > 0 && pause > allowed {
+	if allowed := f.route.MaxEventGap(); allowed > 0 && pause > allowed {
 		f.timings.pausedWorker = a.worker()
 		f.timings.pausedWorkerLoad = f.g.scheduler.workInFlight(f.g.c.Clock.Now(), f.service.Name(), a.worker())
 	}
@@ -271,12 +271,12 @@
 // recordResponse records that the client received the response of a worker.
 func (f *inflight) recordResponse(c placement.Choice, status int) {
 	f.g.metrics.responses.WithLabelValues("answered").Inc()
-	onTime := status < http.StatusInternalServerError && (f.route.Target() == 0 || f.timeToFirstOutput() <= f.route.Target())
+	onTime := status < http.StatusInternalServerError && (f.route.LatencyTarget() == 0 || f.timeToFirstOutput() <= f.route.LatencyTarget())
 	f.g.accounts.note(f.g.c.Clock.Now(), f.request.Account(), onTime)
 	f.g.c.Logger.Info("answered", append([]zap.Field{
 		zap.String("request", f.request.ID()), zap.String("worker", c.Worker().ID()),
 		zap.Int("status", status), zap.Int("tries", f.attempts+1), zap.Object("steps", f.stepDurations()),
-		zap.Int64("first_ms", int64(f.timeToFirstOutput())), zap.Int64("target_ms", int64(f.route.Target())),
+		zap.Int64("first_ms", int64(f.timeToFirstOutput())), zap.Int64("target_ms", int64(f.route.LatencyTarget())),
 	}, f.logFields()...)...)
 }
 
@@ -306,7 +306,7 @@
 		if f.timings.lastOutputAt != 0 {
 			e.AddInt64("longest_pause", int64(f.timings.longestPause))
 			e.AddInt64("events", int64(f.timings.events))
-			e.AddInt64("pause_allowed", int64(f.route.Gap()))
+			e.AddInt64("pause_allowed", int64(f.route.MaxEventGap()))
 		}
 		if f.timings.pausedWorker != "" {
 			e.AddString("paused_at", f.timings.pausedWorker)
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -24,7 +24,7 @@
 	lastKey  uint64
 	// coordinators reports which gateway coordinates an engine, nil if gateways do not
 	// communicate.
-	coordinators *coordinator.Fronts
+	coordinators *coordinator.Gateways
 	// limitShares divides the rate limits of workers among the gateways.
 	limitShares *ratelimit.Shares
 }
@@ -34,7 +34,7 @@
 	placer *placement.Placer
 	// engines is set if the workers are engines.
 	engines     bool
-	retryBudget *retry.Shared
+	retryBudget *retry.SharedBudget
 	// maxClientTimeout is the longest timeout of the clients of a route, by route.
 	maxClientTimeout map[string]kumquatlug.Millis
 	// meanSizes is the mean size of the requests of a route, by route.
@@ -42,9 +42,9 @@
 	// accountShares detects accounts that send more than usual.
 	accountShares *fairshare.Shares
 	// cancels holds the functions that cancel attempts which can resume elsewhere.
-	cancels map[*placement.Ticket]func()
+	cancels map[*placement.Attempt]func()
 	// moves holds the functions that move streams to other engines.
-	moves map[*placement.Ticket]func()
+	moves map[*placement.Attempt]func()
 	// waiting holds the channels of the queued prompts, by key.
 	waiting map[uint64]chan placement.Due
 }
@@ -79,19 +79,19 @@
 		c.Coordinators = sc.placerCoordinators()
 		c.Shares = sc.limitShares
 		c.Health = health.Config{
-			FailureLimit: failureLimit, ProbeAfter: probeAfter, ProbeLimit: maxProbeDelay, SlowStart: slowStart,
+			FailureLimit: failureLimit, ProbeDelay: probeAfter, MaxProbeDelay: maxProbeDelay, SlowStart: slowStart,
 		}
 		s = &serviceState{
 			placer:           placement.New(c),
-			retryBudget:      retry.NewShared(sc.c.Repeats),
+			retryBudget:      retry.NewSharedBudget(sc.c.RetryBudget),
 			maxClientTimeout: map[string]kumquatlug.Millis{},
 			meanSizes:        map[string]float64{},
 			accountShares:    fairshare.New(),
-			cancels:          map[*placement.Ticket]func(){},
-			moves:            map[*placement.Ticket]func(){},
+			cancels:          map[*placement.Attempt]func(){},
+			moves:            map[*placement.Attempt]func(){},
 			waiting:          map[uint64]chan placement.Due{},
 		}
-		s.retryBudget.SetFronts(sc.gateways)
+		s.retryBudget.SetGateways(sc.gateways)
 		sc.services[service] = s
 	}
 	return s
@@ -101,9 +101,9 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	sc.gateways = max(len(names), 1)
-	sc.limitShares.Meet(names)
+	sc.limitShares.AddGateways(names)
 	for _, s := range sc.services {
-		s.retryBudget.SetFronts(sc.gateways)
+		s.retryBudget.SetGateways(sc.gateways)
 	}
 }
 
@@ -111,7 +111,7 @@
 func (sc *scheduler) setUncountedUntil(until kumquatlug.Millis) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.limitShares.SetNew(until)
+	sc.limitShares.SetUncountedUntil(until)
 }
 
 // gatewayCount returns the number of gateways.
@@ -143,7 +143,7 @@
 	for _, name := range table.Services() {
 		s, _ := table.Service(name)
 		state := sc.service(name)
-		state.placer.SetMemory(s.Memory())
+		state.placer.SetKVCapacity(s.KVCapacityTokens())
 		state.engines = s.Engine()
 	}
 }
@@ -159,7 +159,7 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	s := sc.service(service)
-	s.retryBudget.Request(now)
+	s.retryBudget.RecordRequest(now)
 	if timeout > s.maxClientTimeout[route] {
 		s.maxClientTimeout[route] = timeout
 	}
@@ -192,7 +192,7 @@
 	defer sc.mu.Unlock()
 	share := 1.0
 	if account != "" {
-		share = sc.service(service).accountShares.Asked(now, account, size)
+		share = sc.service(service).accountShares.RecordRequest(now, account, size)
 	}
 	sizes := sc.service(service).meanSizes
 	mean, known := sizes[route]
@@ -208,14 +208,14 @@
 func (sc *scheduler) takeRetry(now kumquatlug.Millis, service string) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.service(service).retryBudget.Take(now)
+	return sc.service(service).retryBudget.Allow(now)
 }
 
 // noteRetry records an attempt that turned out to be a retry.
 func (sc *scheduler) noteRetry(now kumquatlug.Millis, service string) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.service(service).retryBudget.Note(now)
+	sc.service(service).retryBudget.RecordRetry(now)
 }
 
 // stage is the part of a request for which a worker is chosen.
@@ -228,13 +228,13 @@
 )
 
 // choose selects a worker and records the attempt as in flight there.
-func (sc *scheduler) choose(now kumquatlug.Millis, service string, s stage, q placement.Query) (placement.Choice, *placement.Ticket) {
+func (sc *scheduler) choose(now kumquatlug.Millis, service string, s stage, q placement.Query) (placement.Choice, *placement.Attempt) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	p := sc.service(service).placer
-	pick := p.Plain
+	pick := p.ChoosePlain
 	if s == stageOutput {
-		pick = p.Output
+		pick = p.ChooseDecode
 	}
 	c, found := pick(now, q)
 	if !found {
@@ -245,9 +245,9 @@
 
 // pendingPrompt is a prompt that was submitted to the engines.
 type pendingPrompt struct {
-	admission placement.Entry
+	admission placement.Submission
 	choice    placement.Choice
-	attempt   *placement.Ticket
+	attempt   *placement.Attempt
 	// key and due are set while the prompt is queued.
 	key uint64
 	due chan placement.Due
@@ -260,8 +260,8 @@
 	state := sc.service(service)
 	sc.lastKey++
 	p := pendingPrompt{key: sc.lastKey}
-	p.admission, p.choice, p.attempt = state.placer.Enter(now, p.key, q)
-	if p.admission == placement.EntryWaits {
+	p.admission, p.choice, p.attempt = state.placer.Submit(now, p.key, q)
+	if p.admission == placement.SubmissionQueued {
 		p.due = make(chan placement.Due, 1)
 		state.waiting[p.key] = p.due
 	}
@@ -275,12 +275,12 @@
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
 	state := sc.service(service)
-	state.placer.Leave(p.key)
+	state.placer.Cancel(p.key)
 	delete(state.waiting, p.key)
 	select {
 	case due := <-p.due:
 		if due.Ticket() != nil {
-			state.placer.End(now, due.Ticket(), placement.OutcomeSilent)
+			state.placer.End(now, due.Ticket(), placement.OutcomeNeutral)
 		}
 	default:
 	}
@@ -309,31 +309,31 @@
 func (sc *scheduler) occupancy(now kumquatlug.Millis, service string) map[string]placement.Occupancy {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.service(service).placer.Occupied(now)
+	return sc.service(service).placer.Occupancy(now)
 }
 
 // recordWorkerStatus records what a worker reported about itself in a response, and
 // reports whether its rate limit changed.
 func (sc *scheduler) recordWorkerStatus(
-	now kumquatlug.Millis, service string, a *placement.Ticket, worker string, response kumquatlug.Reply,
-) (placement.LimitNews, bool) {
+	now kumquatlug.Millis, service string, a *placement.Attempt, worker string, response kumquatlug.WorkerResponse,
+) (placement.LimitChange, bool) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
 	state := sc.service(service)
 	p := state.placer
-	p.Report(now, worker, response.Load())
-	if response.Pause() > 0 {
-		p.Pause(now, a, response.Pause())
+	p.ReportLoad(now, worker, response.Load())
+	if response.Backoff() > 0 {
+		p.BackOff(now, a, response.Backoff())
 		sc.deliverDue(now, state)
 	}
-	return p.Limited(now, a, response.Limit(), response.Status() < http.StatusMultipleChoices)
+	return p.RecordLimit(now, a, response.Limit(), response.Status() < http.StatusMultipleChoices)
 }
 
 // limits returns the workers that have a rate limit.
-func (sc *scheduler) limits() []placement.LimitNews {
+func (sc *scheduler) limits() []placement.LimitChange {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	var all []placement.LimitNews
+	var all []placement.LimitChange
 	for _, state := range sc.services {
 		all = append(all, state.placer.Limits()...)
 	}
@@ -341,17 +341,17 @@
 }
 
 // workInFlight returns the work in flight at a worker.
-func (sc *scheduler) workInFlight(now kumquatlug.Millis, service, worker string) placement.Beside {
+func (sc *scheduler) workInFlight(now kumquatlug.Millis, service, worker string) placement.WorkInFlight {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.service(service).placer.Beside(now, worker)
+	return sc.service(service).placer.InFlight(now, worker)
 }
 
 // attemptTimeout returns how long the first output of an attempt may take, in ms.
-func (sc *scheduler) attemptTimeout(service string, a *placement.Ticket) kumquatlug.Millis {
+func (sc *scheduler) attemptTimeout(service string, a *placement.Attempt) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.service(service).placer.Patience(a)
+	return sc.service(service).placer.AttemptTimeout(a)
 }
 
 // maxDuration returns how long nearly all requests with this maximum output, in tokens,
@@ -359,7 +359,7 @@
 func (sc *scheduler) maxDuration(service string, output int) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.service(service).placer.Takes(output)
+	return sc.service(service).placer.MaxDuration(output)
 }
 
 // maxDecodeTime returns how long nearly all requests with this maximum output, in
@@ -367,18 +367,18 @@
 func (sc *scheduler) maxDecodeTime(service string, output int) kumquatlug.Millis {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.service(service).placer.Runs(output)
+	return sc.service(service).placer.MaxDecodeTime(output)
 }
 
-func (sc *scheduler) prefillDone(now kumquatlug.Millis, service string, a *placement.Ticket) {
+func (sc *scheduler) prefillDone(now kumquatlug.Millis, service string, a *placement.Attempt) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
 	state := sc.service(service)
-	state.placer.Read(now, a)
+	state.placer.PrefillDone(now, a)
 	sc.deliverDue(now, state)
 }
 
-func (sc *scheduler) endAttempt(now kumquatlug.Millis, service string, a *placement.Ticket, o placement.Outcome) {
+func (sc *scheduler) endAttempt(now kumquatlug.Millis, service string, a *placement.Attempt, o placement.Outcome) {
 	sc.mu.Lock()
 	defer sc.unlockAndSend()
 	state := sc.service(service)
--- a/internal/gateway/scheduler_test.go
+++ b/internal/gateway/scheduler_test.go
@@ -49,7 +49,7 @@
 // so that the rows must bring it back. Otherwise the two would disagree about the
 // coordinators of some engines, and prompts would be queued at both.
 func TestRestartedPeerCoordinatesAgain(t *testing.T) {
-	sc := newScheduler(Config{Name: "a", Fronts: noLink{}, Logger: zap.NewNop()})
+	sc := newScheduler(Config{Name: "a", Peers: noLink{}, Logger: zap.NewNop()})
 	all := []string{"a", "b", "c"}
 	sc.setPeers(all, nil)
 	engine := ""
@@ -67,14 +67,14 @@
 	}
 }
 
-// noLink is a [kumquatlug.FrontLink] that reaches no peer.
+// noLink is a [kumquatlug.GatewayLink] that reaches no peer.
 type noLink struct{}
 
-func (noLink) Row() []byte                                            { return nil }
-func (noLink) Meet(map[string][]byte) (reachable, restarted []string) { return nil, nil }
-func (noLink) Send(kumquatlug.TurnMessage)                            {}
-func (noLink) TellConfig(string)                                      {}
-func (noLink) AskConfig(string, kumquatlug.ConfigAsk)                 {}
-func (noLink) GiveConfig(string, kumquatlug.ConfigPart)               {}
-func (noLink) Leave()                                                 {}
-func (noLink) Receive(context.Context, kumquatlug.FrontHandler) error { return nil }
+func (noLink) Row() []byte                                                   { return nil }
+func (noLink) UpdatePeers(map[string][]byte) (reachable, restarted []string) { return nil, nil }
+func (noLink) Send(kumquatlug.PermitMessage)                                 {}
+func (noLink) AnnounceConfig(string)                                         {}
+func (noLink) RequestConfig(string, kumquatlug.ConfigRequest)                {}
+func (noLink) SendConfigPart(string, kumquatlug.ConfigPart)                  {}
+func (noLink) AnnounceStop()                                                 {}
+func (noLink) Receive(context.Context, kumquatlug.GatewayHandler) error      { return nil }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -42,8 +42,8 @@
 	if table != nil && table.Limits().BodyBytes > 0 {
 		limit = table.Limits().BodyBytes
 	}
-	if g.bodyBytes.Load()+max(r.ContentLength, 0) > g.c.MaxBodies {
-		g.refuse(w, kumquatlug.Ask{}, refusal("read request", "bodies", http.StatusServiceUnavailable, minRetryAfter))
+	if g.bodyBytes.Load()+max(r.ContentLength, 0) > g.c.MaxBodyBytes {
+		g.refuse(w, kumquatlug.Request{}, refusal("read request", "bodies", http.StatusServiceUnavailable, minRetryAfter))
 		return
 	}
 	request, err := g.c.Ingress.Decode(r, limit)
@@ -75,7 +75,7 @@
 	}
 	f := &inflight{
 		g: g, w: w, request: request, account: account, route: route, service: service, configVersion: table.Version(),
-		arrived: arrived, lastEventID: request.Resume(),
+		arrived: arrived, lastEventID: request.LastEventID(),
 	}
 	if exit := kumquatlug.Millis(g.exitAt.Load()); exit != 0 {
 		// The client's next request uses a new connection, to a gateway that is not
@@ -135,17 +135,17 @@
 // refusal returns the final response to a request that did not run.
 func refusal(step, reason string, status int, retryAfter kumquatlug.Millis) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status, RetryAfter: retryAfter,
+		Step: step, Reason: reason, Execution: kumquatlug.NotExecuted, Status: status, RetryAfter: retryAfter,
 	})
 }
 
 // refuse sends an error response of the gateway itself.
-func (g *Gateway) refuse(w http.ResponseWriter, request kumquatlug.Ask, f *kumquatlug.Failure, fields ...zap.Field) {
+func (g *Gateway) refuse(w http.ResponseWriter, request kumquatlug.Request, f *kumquatlug.Failure, fields ...zap.Field) {
 	g.metrics.responses.WithLabelValues(f.Reason()).Inc()
 	g.c.Logger.Info("refused", append([]zap.Field{
 		zap.String("request", request.ID()), zap.String("step", f.Step()),
-		zap.String("reason", f.Reason()), zap.String("ran", string(f.Ran())), zap.Int("status", f.Status()),
+		zap.String("reason", f.Reason()), zap.String("ran", string(f.Execution())), zap.Int("status", f.Status()),
 		zap.Int64("retry_after_ms", int64(f.RetryAfter())), zap.String("cause", f.CauseText()),
 	}, fields...)...)
-	g.c.Ingress.Refuse(w, request, f)
+	g.c.Ingress.WriteError(w, request, f)
 }
--- a/internal/gateway/transfer.go
+++ b/internal/gateway/transfer.go
@@ -15,11 +15,11 @@
 // another one that continues with a copy of its KV cache.
 type transfer struct {
 	choice  placement.Choice
-	attempt *placement.Ticket
+	attempt *placement.Attempt
 	// done is closed when the move has ended. cache is then the copy at the other
 	// engine, or none if the stream stays.
 	done  chan struct{}
-	cache kumquatlug.KVCache
+	cache kumquatlug.KVCacheRef
 }
 
 // moveTimeout is how long moving a stream may take. The copy itself takes one
@@ -28,23 +28,23 @@
 
 // move moves the stream of an attempt for request to an engine that q selects. The first
 // engine then ends the stream, which the goroutine that reads it detects.
-func (f *inflight) move(a *relayedAttempt, request kumquatlug.Ask, q placement.Query) {
+func (f *inflight) move(a *relayedAttempt, request kumquatlug.Request, q placement.Query) {
 	choice, attempt := f.g.scheduler.choose(f.g.c.Clock.Now(), f.service.Name(), stageOutput, q)
 	if attempt == nil {
 		return
 	}
 	if choice.Wait() > 0 || a.done.Load() {
 		// The stream would pause there until a slot is free, or it has ended.
-		f.endAttempt(stageOutput, attempt, placement.OutcomeSilent)
+		f.endAttempt(stageOutput, attempt, placement.OutcomeNeutral)
 		return
 	}
 	t := &transfer{choice: choice, attempt: attempt, done: make(chan struct{})}
 	a.transfer.Store(t)
 	call, cancel := context.WithTimeout(a.requestCtx, moveTimeout.Duration())
 	defer cancel()
-	cache, err := f.g.c.Workers.Move(call, a.choice.Worker(), request, choice.Worker())
+	cache, err := f.g.c.Workers.MoveStream(call, a.choice.Worker(), request, choice.Worker())
 	if err != nil {
-		f.endAttempt(stageOutput, attempt, placement.OutcomeSilent)
+		f.endAttempt(stageOutput, attempt, placement.OutcomeNeutral)
 		f.g.c.Logger.Info("stream not moved", zap.String("request", request.ID()), zap.String("worker", a.worker()),
 			zap.String("to", choice.Worker().ID()), logs.Error(err))
 	} else {
@@ -92,13 +92,13 @@
 	if t.cache.Handle() == "" {
 		return
 	}
-	f.endAttempt(stageOutput, t.attempt, placement.OutcomeSilent)
+	f.endAttempt(stageOutput, t.attempt, placement.OutcomeNeutral)
 	f.g.releaseCache(t.cache)
 }
 
 // onMove registers move to be called if the attempt's engine changes its role or shuts
 // down.
-func (sc *scheduler) onMove(service string, a *placement.Ticket, move func()) {
+func (sc *scheduler) onMove(service string, a *placement.Attempt, move func()) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	sc.service(service).moves[a] = move
@@ -111,7 +111,7 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	state := sc.service(service)
-	streams, changed := state.placer.Announce(now, roles)
+	streams, changed := state.placer.SetRoleChanges(now, roles)
 	moved := state.moveStreams(streams)
 	sc.deliverDue(now, state)
 	return moved, changed
@@ -120,11 +120,11 @@
 // moveBeforeExit moves the streams of workers that shut down to other engines shortly
 // before these workers may exit. Until then they are best served where they are: moved
 // at once, they would crowd the remaining engines.
-func (sc *scheduler) moveBeforeExit(state *serviceState, streams []*placement.Ticket) {
+func (sc *scheduler) moveBeforeExit(state *serviceState, streams []*placement.Attempt) {
 	if len(streams) == 0 {
 		return
 	}
-	time.AfterFunc((sc.c.LeaveSpan * moveAtPercent / 100).Duration(), func() {
+	time.AfterFunc((sc.c.WorkerGracePeriod * moveAtPercent / 100).Duration(), func() {
 		sc.mu.Lock()
 		defer sc.mu.Unlock()
 		state.moveStreams(streams)
@@ -137,7 +137,7 @@
 const moveAtPercent = 80
 
 // moveStreams moves streams to other engines and returns how many can be moved.
-func (state *serviceState) moveStreams(streams []*placement.Ticket) int {
+func (state *serviceState) moveStreams(streams []*placement.Attempt) int {
 	moved := 0
 	for _, a := range streams {
 		if move, can := state.moves[a]; can {
--- a/internal/gateway/transfer_test.go
+++ b/internal/gateway/transfer_test.go
@@ -36,21 +36,21 @@
 
 // moveOneStream serves one stream of thirty events at one engine. Once the stream has
 // started, the engine is announced to change its role to prefill.
-func moveOneStream(t *testing.T, path string, w *fakeWorkers, move func(moved chan struct{}) (kumquatlug.KVCache, error)) clientResponse {
+func moveOneStream(t *testing.T, path string, w *fakeWorkers, move func(moved chan struct{}) (kumquatlug.KVCacheRef, error)) clientResponse {
 	t.Helper()
 	const last = 30
 	moved, started := make(chan struct{}), make(chan string, 1)
 	second := w.run
-	w.run = func(ctx context.Context, n int, c workerCall) (kumquatlug.Reply, error) {
+	w.run = func(ctx context.Context, n int, c workerCall) (kumquatlug.WorkerResponse, error) {
 		if n > 1 {
 			return second(ctx, n, c)
 		}
 		started <- c.worker
-		return kumquatlug.NewReply(kumquatlug.ReplyConfig{
+		return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
 			Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: -1, Body: &movedBody{next: 1, last: last, moved: moved},
 		}), nil
 	}
-	w.move = func(context.Context, string, string) (kumquatlug.KVCache, error) { return move(moved) }
+	w.move = func(context.Context, string, string) (kumquatlug.KVCacheRef, error) { return move(moved) }
 	f := newTestGateway(t, w, manyRetries)
 	response := make(chan clientResponse, 1)
 	go func() { response <- f.do(context.Background(), http.MethodPost, path) }()
@@ -66,15 +66,15 @@
 func TestStreamMovesWithKVCache(t *testing.T) {
 	for _, path := range []string{"/long/?tokens=220,4600", chatRoute} {
 		w := &fakeWorkers{}
-		w.run = func(_ context.Context, _ int, c workerCall) (kumquatlug.Reply, error) {
-			if c.options.Cache.Handle() != "copy" || c.options.Resume == 0 {
-				t.Errorf("%s: continued with cache %q after event %d", path, c.options.Cache.Handle(), c.options.Resume)
+		w.run = func(_ context.Context, _ int, c workerCall) (kumquatlug.WorkerResponse, error) {
+			if c.options.Cache.Handle() != "copy" || c.options.LastEventID == 0 {
+				t.Errorf("%s: continued with cache %q after event %d", path, c.options.Cache.Handle(), c.options.LastEventID)
 			}
-			return streamResponse(int(c.options.Resume)+1, 30), nil
+			return streamResponse(int(c.options.LastEventID)+1, 30), nil
 		}
-		response := moveOneStream(t, path, w, func(moved chan struct{}) (kumquatlug.KVCache, error) {
+		response := moveOneStream(t, path, w, func(moved chan struct{}) (kumquatlug.KVCacheRef, error) {
 			close(moved)
-			return kumquatlug.NewKVCache("10.0.0.1:1", "copy"), nil
+			return kumquatlug.NewKVCacheRef("10.0.0.1:1", "copy"), nil
 		})
 		if response.err != nil || response.body != events(1, 30) {
 			t.Errorf("%s: %d bytes, %v", path, len(response.body), response.err)
@@ -89,12 +89,12 @@
 // A stream ends before it can be moved. Its engine reports that it does not run there
 // any more, and the client must receive the end of the stream.
 func TestFailedMoveKeepsStream(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
 		t.Error("the request was sent again")
-		return kumquatlug.Reply{}, lostConnection()
+		return kumquatlug.WorkerResponse{}, lostConnection()
 	}}
-	response := moveOneStream(t, chatRoute, w, func(chan struct{}) (kumquatlug.KVCache, error) {
-		return kumquatlug.KVCache{}, kumquatlug.ErrNotFound
+	response := moveOneStream(t, chatRoute, w, func(chan struct{}) (kumquatlug.KVCacheRef, error) {
+		return kumquatlug.KVCacheRef{}, kumquatlug.ErrNotFound
 	})
 	if response.err != nil || response.body != events(1, 30) {
 		t.Errorf("%d bytes, %v", len(response.body), response.err)
@@ -105,10 +105,12 @@
 // it again would run the request twice, so that the connection to the client must be
 // aborted.
 func TestMovedStreamIsNotRestarted(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return refusedResponse(), nil }}
-	response := moveOneStream(t, chatRoute, w, func(moved chan struct{}) (kumquatlug.KVCache, error) {
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return refusedResponse(), nil
+	}}
+	response := moveOneStream(t, chatRoute, w, func(moved chan struct{}) (kumquatlug.KVCacheRef, error) {
 		close(moved)
-		return kumquatlug.NewKVCache("10.0.0.1:1", "copy"), nil
+		return kumquatlug.NewKVCacheRef("10.0.0.1:1", "copy"), nil
 	})
 	if response.err == nil {
 		t.Errorf("%d bytes look complete", len(response.body))
@@ -121,7 +123,9 @@
 // A plan of another gateway names an engine. New requests sent there would be refused
 // for three seconds and have to be queued again.
 func TestAnnouncedEngineGetsNoNewRequests(t *testing.T) {
-	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil }}
+	w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return streamResponse(1, 2), nil
+	}}
 	f := newTestGateway(t, w, manyRetries)
 	f.g.applyPlan("engines", rolePlan{Roles: map[string]kumquatlug.Role{"d1": kumquatlug.RolePrefill}})
 	for range 10 {
@@ -142,16 +146,16 @@
 	for name, abandoned := range map[string]bool{"before the copy": true, "during the copy": false} {
 		t.Run(name, func(t *testing.T) {
 			started, end := make(chan struct{}), make(chan struct{})
-			w := &fakeWorkers{move: func(context.Context, string, string) (kumquatlug.KVCache, error) {
+			w := &fakeWorkers{move: func(context.Context, string, string) (kumquatlug.KVCacheRef, error) {
 				close(started)
 				<-end
-				return kumquatlug.NewKVCache("10.0.0.1:1", "late"), nil
+				return kumquatlug.NewKVCacheRef("10.0.0.1:1", "late"), nil
 			}}
 			gateway := newTestGateway(t, w, manyRetries)
 			table := gateway.g.table.Load()
 			route, _ := table.Match("h", "/long/")
 			service, _ := table.Service("engines")
-			f := &inflight{g: gateway.g, route: route, service: service, request: kumquatlug.NewAsk(kumquatlug.AskConfig{ID: "r"})}
+			f := &inflight{g: gateway.g, route: route, service: service, request: kumquatlug.NewRequest(kumquatlug.RequestConfig{ID: "r"})}
 			a := &relayedAttempt{requestCtx: t.Context(), attemptCtx: t.Context()}
 			if abandoned {
 				f.abandon(a)
@@ -175,7 +179,7 @@
 				t.Errorf("released %q", cache.Handle())
 			}
 			for id, use := range gateway.g.scheduler.activities("engines") {
-				if use != placement.UseIdle {
+				if use != placement.ActivityIdle {
 					t.Errorf("%s is %s", id, use)
 				}
 			}
@@ -189,17 +193,17 @@
 func TestIncompleteLastEventIsForwarded(t *testing.T) {
 	w := &fakeWorkers{}
 	ended := make(chan struct{})
-	w.run = func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
-		return kumquatlug.NewReply(kumquatlug.ReplyConfig{
+	w.run = func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+		return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
 			Status: 200, Header: http.Header{"Stamp": {"s"}}, Length: -1, Body: &blockingBody{text: events(1, 2) + "id: 3", end: ended},
 		}), nil
 	}
 	moving := make(chan struct{})
-	w.move = func(context.Context, string, string) (kumquatlug.KVCache, error) {
+	w.move = func(context.Context, string, string) (kumquatlug.KVCacheRef, error) {
 		close(moving)
 		close(ended)
 		<-time.After(20 * time.Millisecond)
-		return kumquatlug.KVCache{}, kumquatlug.ErrNotFound
+		return kumquatlug.KVCacheRef{}, kumquatlug.ErrNotFound
 	}
 	f := newTestGateway(t, w, manyRetries)
 	response := make(chan clientResponse, 1)
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -47,7 +47,7 @@
 }
 
 // reportsUsage reports whether usage is counted and reported.
-func (g *Gateway) reportsUsage() bool { return g.c.Duties != nil && g.c.UsageWindows.Span > 0 }
+func (g *Gateway) reportsUsage() bool { return g.c.LeaderActions != nil && g.c.UsageWindows.Span > 0 }
 
 // countUsage counts a request of an account that started to run, once per request of a
 // client, however many attempts are made for it.
@@ -60,20 +60,20 @@
 	u := &f.g.usage
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.counter.Began(f.g.c.Wall.Now(), account)
+	u.counter.Record(f.g.c.WallClock.Now(), account)
 	u.changed = true
 }
 
 // writeTallies writes the counts of this gateway to the store periodically.
 func (g *Gateway) writeTallies(ctx context.Context) {
 	spread := kumquatlug.Millis(xxhash.Sum64String(g.c.Name) % uint64(tallyWriteSpread))
-	for window := g.c.UsageWindows.At(g.c.Wall.Now()); ; {
+	for window := g.c.UsageWindows.At(g.c.WallClock.Now()); ; {
 		interval := g.tallyInterval()
-		now := g.c.Wall.Now() - spread
+		now := g.c.WallClock.Now() - spread
 		if !sleep(ctx, interval-now%interval) {
 			return
 		}
-		current := g.c.UsageWindows.At(g.c.Wall.Now() - spread)
+		current := g.c.UsageWindows.At(g.c.WallClock.Now() - spread)
 		g.writeTally(ctx, storeCallTimeout, current != window, false)
 		window = current
 	}
@@ -91,7 +91,7 @@
 	u := &g.usage
 	g.dropFixedWindows(ctx)
 	u.mu.Lock()
-	tally := u.counter.Tally(g.c.Wall.Now(), final)
+	tally := u.counter.Tally(g.c.WallClock.Now(), final)
 	due := u.changed || u.lastTallyOpen && (windowEnded || final)
 	changed := u.changed
 	u.changed = false
@@ -112,25 +112,25 @@
 		g.c.Logger.Warn("failed to write usage counts", logs.Error(err))
 		return
 	}
-	u.counter.Told(tally)
-	u.lastTallyOpen = !tally.Left()
+	u.counter.Stored(tally)
+	u.lastTallyOpen = !tally.Final()
 }
 
 // dropFixedWindows removes the windows whose sums are fixed, if there are any old ones.
 func (g *Gateway) dropFixedWindows(ctx context.Context) {
 	u := &g.usage
 	u.mu.Lock()
-	expired := u.counter.Old(g.c.Wall.Now())
+	expired := u.counter.ShouldCheckFinalized(g.c.WallClock.Now())
 	u.mu.Unlock()
 	if !expired {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
-	row, err := g.c.Table.Get(call, usage.NextKey)
+	row, err := g.c.Table.Get(call, usage.NextWindowKey)
 	next := usage.Window(0)
 	if err == nil {
-		next, err = usage.DecodeNext(row)
+		next, err = usage.DecodeNextWindow(row)
 	}
 	if err != nil {
 		g.c.Logger.Warn("failed to drop fixed usage windows", logs.Error(err))
@@ -138,21 +138,21 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.counter.Fixed(next)
+	u.counter.DropFinalized(next)
 }
 
 // reportUsage fixes and sends the counts of all gateways while this one holds the lease.
 func (g *Gateway) reportUsage(ctx context.Context) {
 	r := usage.NewReporter(g.c.UsageWindows, g.c.Incarnation)
-	era := g.c.Feed.Era()
+	era := g.c.ChangeFeed.Era()
 	for sleep(ctx, reportInterval) {
-		if now := g.c.Feed.Era(); now != era && (era < 0 || g.rewriteReports(ctx, r)) {
+		if now := g.c.ChangeFeed.Era(); now != era && (era < 0 || g.rewriteReports(ctx, r)) {
 			era = now
 		}
-		r.Hold(int64(g.leaseTerm().Number()))
+		r.SetFencingToken(int64(g.leaseTerm().Number()))
 		for steps := 0; steps < maxReportSteps && g.reportStep(ctx, r); steps++ {
 		}
-		g.metrics.usageOpen.Set(float64(r.Open()))
+		g.metrics.usageOpen.Set(float64(r.UnsentReports()))
 	}
 }
 
@@ -161,7 +161,7 @@
 func (g *Gateway) rewriteReports(ctx context.Context, r *usage.Reporter) bool {
 	rows, err := g.scan(ctx, usage.ReportPrefix)
 	if err == nil {
-		if tx, due := r.Again(g.c.Wall.Now(), rows); due {
+		if tx, due := r.RestoreTx(g.c.WallClock.Now(), rows); due {
 			call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 			defer cancel()
 			err = g.c.Table.Commit(call, tx)
@@ -173,15 +173,15 @@
 
 // reportStep makes the next call that is due and reports whether there was one.
 func (g *Gateway) reportStep(ctx context.Context, r *usage.Reporter) bool {
-	i := r.Next(g.c.Wall.Now())
+	i := r.Next(g.c.WallClock.Now())
 	switch i.Action() {
-	case usage.ActionLoad:
+	case usage.ActionScanReports:
 		rows, err := g.scan(ctx, usage.ReportPrefix)
-		g.logUsageError("failed to read usage reports", r.Loaded(g.c.Wall.Now(), rows, err))
-	case usage.ActionLook:
+		g.logUsageError("failed to read usage reports", r.ReportsScanned(g.c.WallClock.Now(), rows, err))
+	case usage.ActionScanTallies:
 		rows, err := g.scan(ctx, usage.TallyPrefix)
-		g.logUsageError("failed to read usage counts", r.Looked(g.c.Wall.Now(), rows, err))
-	case usage.ActionFix:
+		g.logUsageError("failed to read usage counts", r.TalliesScanned(g.c.WallClock.Now(), rows, err))
+	case usage.ActionFinalize:
 		g.fixWindow(ctx, r, i)
 	case usage.ActionSend:
 		return g.sendReport(ctx, r, i.Report())
@@ -208,12 +208,12 @@
 	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	err := g.c.Table.Commit(call, i.Tx())
-	r.Fixed(g.c.Wall.Now(), err)
-	if i.Missing() > 0 {
+	r.Finalized(g.c.WallClock.Now(), err)
+	if i.MissingGateways() > 0 {
 		g.metrics.usageReports.WithLabelValues("incomplete").Inc()
 	}
 	g.c.Logger.Info("usage window fixed", windowField(i.Report()), zap.Int64("requests", i.Report().Counts().Total()),
-		zap.Int("missing_fronts", i.Missing()), logs.Error(err))
+		zap.Int("missing_fronts", i.MissingGateways()), logs.Error(err))
 }
 
 // sendReport sends a report if it arrives before the lease can have moved to another
@@ -225,8 +225,8 @@
 	}
 	call, cancel := context.WithTimeout(ctx, leaderCallTimeout.Duration())
 	defer cancel()
-	err := g.c.Duties.ReportUsage(call, duty, int64(report.Window()), report.Counts())
-	r.Sent(g.c.Wall.Now(), report, err)
+	err := g.c.LeaderActions.ReportUsage(call, duty, int64(report.Window()), report.Counts())
+	r.Sent(g.c.WallClock.Now(), report, err)
 	outcome := "sent"
 	switch {
 	case errors.Is(err, kumquatlug.ErrDenied):
@@ -235,7 +235,7 @@
 		outcome = "failed"
 	}
 	g.metrics.usageReports.WithLabelValues(outcome).Inc()
-	g.c.Logger.Info("usage report", windowField(report), zap.String("outcome", outcome), zap.Int64("fence", duty.Fence), logs.Error(err))
+	g.c.Logger.Info("usage report", windowField(report), zap.String("outcome", outcome), zap.Int64("fence", duty.FencingToken), logs.Error(err))
 	return err == nil
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -123,7 +123,7 @@
 // read reads the whole table, or waits for its next change.
 func (w *tableWatcher) read(ctx context.Context) error {
 	if !w.synced {
-		rows, version, err := w.g.c.Feed.Snapshot(ctx, w.table)
+		rows, version, err := w.g.c.ChangeFeed.Snapshot(ctx, w.table)
 		if err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 		w.version, w.synced, w.changed, w.fullRead = version, true, rows, true
 		return nil
 	}
-	rows, version, err := w.g.c.Feed.Changes(ctx, w.table, w.version, w.nextPollWait(w.g.c.Clock.Now()))
+	rows, version, err := w.g.c.ChangeFeed.Changes(ctx, w.table, w.version, w.nextPollWait(w.g.c.Clock.Now()))
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 	adopted := int64(0)
 	w.watch(ctx, func(kumquatlug.Millis) {
 		if w.synced {
-			g.confirmConfig(g.c.Awake.Now())
+			g.confirmConfig(g.c.BootClock.Now())
 		}
 		row, there := w.rows[g.c.ConfigKey]
 		if !there || row.Version() == adopted {
@@ -207,7 +207,7 @@
 
 // adoptRow applies the config in a row of the store.
 func (g *Gateway) adoptRow(row kumquatlug.Row) {
-	config, err := g.c.Directory.Config(row.Value())
+	config, err := g.c.RowDecoder.DecodeConfig(row.Value())
 	if err != nil {
 		g.c.Logger.Error("invalid config ignored", zap.Int64("row", row.Version()), logs.Error(err))
 		return
@@ -231,7 +231,7 @@
 	g.table.Store(table)
 	g.configFetch.current.Store(&configCopy{version: table.Version(), text: text})
 	g.configFetch.mu.Lock()
-	g.configFetch.fetcher.Have(table.Version())
+	g.configFetch.fetcher.SetCurrent(table.Version())
 	g.configFetch.mu.Unlock()
 	g.scheduler.applyConfig(table)
 	g.metrics.configVersion.Set(float64(table.Version()))
--- a/internal/gateway/workershutdown.go
+++ b/internal/gateway/workershutdown.go
@@ -54,14 +54,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, m := range members {
-		if worker, known := d.byWorker[m.Worker.ID()]; known && worker.startedAt == m.Born && m.State == kumquatlug.MemberReady {
+		if worker, known := d.byWorker[m.Worker.ID()]; known && worker.startedAt == m.StartedAt && m.State == kumquatlug.MemberReady {
 			members[i].State = kumquatlug.MemberDraining
 		}
 	}
 }
 
 // recordShutdown handles a response in which the worker announces its shutdown.
-func (f *inflight) recordShutdown(a *placement.Ticket) {
+func (f *inflight) recordShutdown(a *placement.Attempt) {
 	if !f.g.shuttingDownWorkers.note(f.g.c.Clock.Now(), a.Worker(), a.Born()) {
 		return
 	}
--- a/internal/gateway/workershutdown_test.go
+++ b/internal/gateway/workershutdown_test.go
@@ -10,9 +10,9 @@
 )
 
 // shuttingDownResponse returns the response r with the announcement of a shutdown.
-func shuttingDownResponse(r kumquatlug.Reply) kumquatlug.Reply {
-	return kumquatlug.NewReply(kumquatlug.ReplyConfig{
-		Status: r.Status(), Header: r.Header(), Length: r.Length(), Body: r.Body(), Refused: r.Refused(), Leaving: true,
+func shuttingDownResponse(r kumquatlug.WorkerResponse) kumquatlug.WorkerResponse {
+	return kumquatlug.NewWorkerResponse(kumquatlug.WorkerResponseConfig{
+		Status: r.Status(), Header: r.Header(), Length: r.Length(), Body: r.Body(), Refused: r.Refused(), ShuttingDown: true,
 	})
 }
 
@@ -64,7 +64,7 @@
 	d := newShuttingDownWorkers()
 	d.note(0, "a", 100)
 	restarted := member("a", "")
-	restarted.Born = 200
+	restarted.StartedAt = 200
 	members := []kumquatlug.Member{restarted}
 	d.mark(members)
 	if members[0].State != kumquatlug.MemberReady {
@@ -76,11 +76,11 @@
 // a prefill. The next request must go elsewhere, and be refused at once if there is no
 // other worker.
 func TestAnyResponseMayAnnounceShutdown(t *testing.T) {
-	for name, response := range map[string]func() kumquatlug.Reply{
-		"answer": func() kumquatlug.Reply { return wholeResponse(http.StatusOK, "done") }, "refusal": refusedResponse,
-		"failure": func() kumquatlug.Reply { return wholeResponse(http.StatusInternalServerError, "") },
+	for name, response := range map[string]func() kumquatlug.WorkerResponse{
+		"answer": func() kumquatlug.WorkerResponse { return wholeResponse(http.StatusOK, "done") }, "refusal": refusedResponse,
+		"failure": func() kumquatlug.WorkerResponse { return wholeResponse(http.StatusInternalServerError, "") },
 	} {
-		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) {
+		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
 			return shuttingDownResponse(response()), nil
 		}}
 		f := newTestGateway(t, w, manyRetries)
@@ -100,9 +100,11 @@
 		}
 	}
 	w := &fakeWorkers{
-		run: func(context.Context, int, workerCall) (kumquatlug.Reply, error) { return streamResponse(1, 2), nil },
-		prefill: func(context.Context, int, workerCall) (kumquatlug.KVCache, kumquatlug.Reply, error) {
-			return kumquatlug.NewKVCache("10.0.0.1:1", "h"), shuttingDownResponse(wholeResponse(http.StatusOK, "")), nil
+		run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
+			return streamResponse(1, 2), nil
+		},
+		prefill: func(context.Context, int, workerCall) (kumquatlug.KVCacheRef, kumquatlug.WorkerResponse, error) {
+			return kumquatlug.NewKVCacheRef("10.0.0.1:1", "h"), shuttingDownResponse(wholeResponse(http.StatusOK, "")), nil
 		},
 	}
 	f := newTestGateway(t, w, manyRetries)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -5,7 +5,7 @@
 // buffer and written by one goroutine. Lines that don't fit are dropped and counted, and
 // the count is written once there is room again.
 //
-// The package also reads log lines: [ReadStory] collects those about one request, worker or
+// The package also reads log lines: [ReadTimeline] collects those about one request, worker or
 // VM, [ReadLosses] counts the requests that were answered late or not at all.
 package logs
 
@@ -51,8 +51,8 @@
 // Sync does nothing: [Writer.Run] writes the buffered lines.
 func (w *Writer) Sync() error { return nil }
 
-// Left returns the number of dropped lines that are not yet reported in the output.
-func (w *Writer) Left() int64 { return w.dropped.Load() }
+// Dropped returns the number of dropped lines that are not yet reported in the output.
+func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 // Run writes lines until stop is closed, then the lines still in the buffer.
 func (w *Writer) Run(stop <-chan struct{}) {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -38,7 +38,7 @@
 	if elapsed := time.Since(start); elapsed > 5*time.Second {
 		t.Errorf("took %v for %d lines", elapsed, lines)
 	}
-	if w.Left() == 0 {
+	if w.Dropped() == 0 {
 		t.Error("no line was dropped")
 	}
 	close(out.release)
--- a/internal/logs/losses.go
+++ b/internal/logs/losses.go
@@ -19,12 +19,12 @@
 // Causes that are derived from the steps of a request. The other causes are composed
 // of the outcome and the reason in a line, as in "refused: overload".
 const (
-	CauseWaited Cause = "late: waited for an engine"
-	CauseRead   Cause = "late: prompt was read"
-	CauseOutput Cause = "late: first output"
-	CauseTried  Cause = "late: tried again"
-	CauseAnswer Cause = "late: worker's answer"
-	CausePause  Cause = "late: paused"
+	CauseQueued      Cause = "late: waited for an engine"
+	CausePrefill     Cause = "late: prompt was read"
+	CauseFirstOutput Cause = "late: first output"
+	CauseRetry       Cause = "late: tried again"
+	CauseResponse    Cause = "late: worker's answer"
+	CausePause       Cause = "late: paused"
 )
 
 // Prefixes of the other causes.
@@ -179,14 +179,14 @@
 // lateCause returns the cause for the step that took most of the time of a late response.
 func lateCause(line Line) Cause {
 	if line.numberField("tries") > 1 {
-		return CauseTried
+		return CauseRetry
 	}
 	steps, _ := line.fields["steps"].(map[string]any)
-	longest, cause := 0.0, CauseAnswer
+	longest, cause := 0.0, CauseResponse
 	for _, step := range []struct {
 		name  string
 		cause Cause
-	}{{"queued", CauseWaited}, {"read", CauseRead}, {"first", CauseOutput}} {
+	}{{"queued", CauseQueued}, {"read", CausePrefill}, {"first", CauseFirstOutput}} {
 		if duration, _ := steps[step.name].(float64); duration > longest {
 			longest, cause = duration, step.cause
 		}
@@ -283,10 +283,10 @@
 	return all
 }
 
-// Tell writes the losses by route and cause, the workers with paused streams, the worst
+// Print writes the losses by route and cause, the workers with paused streams, the worst
 // accounts, and a bar for each second: "=" for responses in time, "~" for late ones, "!"
 // for requests that were not served.
-func (l *Losses) Tell(w io.Writer) error {
+func (l *Losses) Print(w io.Writer) error {
 	var b strings.Builder
 	route := ""
 	for _, loss := range l.Sorted() {
--- a/internal/logs/losses_test.go
+++ b/internal/logs/losses_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("%d losses, want %d", len(got), len(want))
 	}
 	var b strings.Builder
-	if err := l.Tell(&b); err != nil {
+	if err := l.Print(&b); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	if err := l.Tell(&b); err != nil {
+	if err := l.Print(&b); err != nil {
 		t.Fatal(err)
 	}
 	for text, want := range map[string]bool{
--- a/internal/logs/story.go
+++ b/internal/logs/story.go
@@ -31,11 +31,11 @@
 // Node returns the name of the process that wrote the line.
 func (l Line) Node() string { return l.node }
 
-// What returns the message of the line.
-func (l Line) What() string { return l.message }
+// Message returns the message of the line.
+func (l Line) Message() string { return l.message }
 
-// Story is the sequence of log lines about one request, VM or worker.
-type Story struct {
+// Timeline is the sequence of log lines about one request, VM or worker.
+type Timeline struct {
 	subject string
 	lines   []Line
 	// unparsed counts lines that are not valid JSON.
@@ -43,13 +43,13 @@
 }
 
 // Lines returns the lines in order of time.
-func (s Story) Lines() []Line { return s.lines }
+func (s Timeline) Lines() []Line { return s.lines }
 
-// ReadStory collects the log lines about a subject: a request by its id, a worker by its
+// ReadTimeline collects the log lines about a subject: a request by its id, a worker by its
 // name, or a VM by the lines that it wrote. Text before the first brace of a line, as log
 // collectors add it, is ignored.
-func ReadStory(input io.Reader, subject string) (Story, error) {
-	s := Story{subject: subject}
+func ReadTimeline(input io.Reader, subject string) (Timeline, error) {
+	s := Timeline{subject: subject}
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for scanner.Scan() {
@@ -112,9 +112,9 @@
 	return found
 }
 
-// Tell writes the lines with the time since the first one, then the outcome of a request.
+// Print writes the lines with the time since the first one, then the outcome of a request.
 // It fails if there is no line.
-func (s Story) Tell(out io.Writer) error {
+func (s Timeline) Print(out io.Writer) error {
 	if len(s.lines) == 0 {
 		return errors.Newf("no line names %q", s.subject)
 	}
@@ -155,7 +155,7 @@
 }
 
 // outcome describes the outcome of a request in one sentence, according to its last line.
-func (s Story) outcome() string {
+func (s Timeline) outcome() string {
 	last := s.lines[len(s.lines)-1]
 	if last.fields["request"] != s.subject {
 		return ""
--- a/internal/logs/story_test.go
+++ b/internal/logs/story_test.go
@@ -17,12 +17,12 @@
 
 func storyText(t *testing.T, subject string) string {
 	t.Helper()
-	s, err := ReadStory(strings.NewReader(storyLines), subject)
+	s, err := ReadTimeline(strings.NewReader(storyLines), subject)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	if err := s.Tell(&b); err != nil {
+	if err := s.Print(&b); err != nil {
 		t.Fatal(err)
 	}
 	return b.String()
@@ -48,8 +48,8 @@
 	if output := storyText(t, "front-2"); strings.Count(output, "\n") != 4 {
 		t.Errorf("story of a VM:\n%s", output)
 	}
-	s, err := ReadStory(strings.NewReader(storyLines), "nobody")
-	if err != nil || s.Tell(&strings.Builder{}) == nil {
+	s, err := ReadTimeline(strings.NewReader(storyLines), "nobody")
+	if err != nil || s.Print(&strings.Builder{}) == nil {
 		t.Errorf("story of an unknown subject: read error %v, or Tell returned nil", err)
 	}
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -91,7 +91,7 @@
 			}
 		}
 		response, err := c.service.Change(ctx, connect.NewRequest(&peerv1.ChangeRequest{
-			Id: id, Base: int64(base), Sets: peer.SetsTo(sets),
+			Id: id, Base: int64(base), Sets: peer.EncodeSets(sets),
 		}))
 		if err == nil {
 			return config.Revision(response.Msg.GetRevision()), nil
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, 0, readError("get", err)
 	}
-	return peer.SetsFrom(response.Msg.GetSets()), config.Revision(response.Msg.GetRevision()), nil
+	return peer.DecodeSets(response.Msg.GetSets()), config.Revision(response.Msg.GetRevision()), nil
 }
 
 // Status returns every node with the config revision in force there.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle(NewHandler(HandlerConfig{
-		Desk: backend, Keys: map[string]string{kumquatlug.HashKey("right"): "ana"}, Logger: zap.NewNop(),
+		Backend: backend, Keys: map[string]string{kumquatlug.HashKey("right"): "ana"}, Logger: zap.NewNop(),
 	}))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -27,8 +27,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// Desk is the part of a gateway that the API uses.
-type Desk interface {
+// Backend is the part of a gateway that the API uses.
+type Backend interface {
 	Change(ctx context.Context, p config.Proposal) (config.Change, error)
 	State() config.State
 	Status(ctx context.Context) ([]*peerv1.NodeStatus, error)
@@ -38,7 +38,7 @@
 
 // HandlerConfig holds the dependencies of the handler.
 type HandlerConfig struct {
-	Desk Desk
+	Backend Backend
 	// Keys maps the hash of an operator's key to the operator's name.
 	Keys   map[string]string
 	Logger *zap.Logger
@@ -88,12 +88,12 @@
 ) (*connect.Response[peerv1.ChangeResponse], error) {
 	author, _ := ctx.Value(authorKey{}).(string)
 	p, err := config.NewProposal(config.ProposalConfig{
-		ID: r.Msg.GetId(), Author: author, Base: config.Revision(r.Msg.GetBase()), Sets: peer.SetsFrom(r.Msg.GetSets()),
+		ID: r.Msg.GetId(), Author: author, Base: config.Revision(r.Msg.GetBase()), Sets: peer.DecodeSets(r.Msg.GetSets()),
 	})
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	change, err := s.c.Desk.Change(ctx, p)
+	change, err := s.c.Backend.Change(ctx, p)
 	if err != nil {
 		s.c.Logger.Warn("config change failed", zap.String("author", author), zap.String("change", p.ID()), timeline.ErrorField(err))
 		return nil, connect.NewError(connectCode(err), err)
@@ -122,7 +122,7 @@
 func (s *server) Get(
 	_ context.Context, r *connect.Request[peerv1.GetRequest],
 ) (*connect.Response[peerv1.GetResponse], error) {
-	state := s.c.Desk.State()
+	state := s.c.Backend.State()
 	response := &peerv1.GetResponse{Revision: int64(state.Revision())}
 	state.Range(r.Msg.GetPrefix(), func(key string, value []byte) bool {
 		response.Sets = append(response.Sets, &peerv1.Set{Key: key, Value: redactKeyHash(key, value)})
@@ -149,11 +149,11 @@
 func (s *server) Status(
 	ctx context.Context, _ *connect.Request[peerv1.StatusRequest],
 ) (*connect.Response[peerv1.StatusResponse], error) {
-	nodes, err := s.c.Desk.Status(ctx)
+	nodes, err := s.c.Backend.Status(ctx)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	return connect.NewResponse(&peerv1.StatusResponse{Revision: int64(s.c.Desk.State().Revision()), Nodes: nodes}), nil
+	return connect.NewResponse(&peerv1.StatusResponse{Revision: int64(s.c.Backend.State().Revision()), Nodes: nodes}), nil
 }
 
 // Explain returns which targets may serve a kind of work and why others may not.
@@ -161,11 +161,11 @@
 	ctx context.Context, r *connect.Request[peerv1.ExplainRequest],
 ) (*connect.Response[peerv1.ExplainResponse], error) {
 	kind := kumquatlug.NewKind(kumquatlug.Protocol(r.Msg.GetProtocol()), r.Msg.GetKind())
-	explanations, err := s.c.Desk.Explain(ctx, kind)
+	explanations, err := s.c.Backend.Explain(ctx, kind)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	response := &peerv1.ExplainResponse{Revision: int64(s.c.Desk.State().Revision())}
+	response := &peerv1.ExplainResponse{Revision: int64(s.c.Backend.State().Revision())}
 	for _, e := range explanations {
 		response.Verdicts = append(response.Verdicts, &peerv1.Verdict{
 			Target: e.Target(), Eligible: e.Eligible(), Selector: e.Selector(), Reason: e.Reason(),
@@ -178,7 +178,7 @@
 func (s *server) Timeline(
 	ctx context.Context, r *connect.Request[peerv1.TimelineRequest],
 ) (*connect.Response[peerv1.EventsResponse], error) {
-	response, err := s.c.Desk.Timeline(ctx, r.Msg.GetRequestId())
+	response, err := s.c.Backend.Timeline(ctx, r.Msg.GetRequestId())
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -37,7 +37,7 @@
 func NewDialer(keys *Keys) *Dialer {
 	return &Dialer{
 		keys: keys, workClient: newClient(keys, RoleAgent, false),
-		agentClient: newClient(keys, RoleAgent, true), gatewayClient: newClient(keys, RoleEntry, true),
+		agentClient: newClient(keys, RoleAgent, true), gatewayClient: newClient(keys, RoleGateway, true),
 	}
 }
 
@@ -66,14 +66,14 @@
 	return peerv1connect.NewAgentServiceClient(d.agentClient, d.url(address))
 }
 
-// Entry returns a client of the gateway at address.
-func (d *Dialer) Entry(address string) peerv1connect.EntryServiceClient {
+// Gateway returns a client of the gateway at address.
+func (d *Dialer) Gateway(address string) peerv1connect.EntryServiceClient {
 	return peerv1connect.NewEntryServiceClient(d.gatewayClient, d.url(address))
 }
 
 // Peer returns a client of the process with role at address.
 func (d *Dialer) Peer(role Role, address string) peerv1connect.PeerServiceClient {
-	if role == RoleEntry {
+	if role == RoleGateway {
 		return peerv1connect.NewPeerServiceClient(d.gatewayClient, d.url(address))
 	}
 	return peerv1connect.NewPeerServiceClient(d.agentClient, d.url(address))
@@ -84,8 +84,8 @@
 	return d.url(address) + WorkPath + path
 }
 
-// Work returns the HTTP client for work sent to agents.
-func (d *Dialer) Work() *http.Client { return d.workClient }
+// WorkClient returns the HTTP client for work sent to agents.
+func (d *Dialer) WorkClient() *http.Client { return d.workClient }
 
 // Close closes idle connections.
 func (d *Dialer) Close() {
