--- a/internal/peer/failure.go
+++ b/internal/peer/failure.go
@@ -26,7 +26,7 @@
 }
 
 // WriteFailure responds to a gateway with f. HeaderReason identifies the response as
-// a failure of the agent; an error response of the target has only HeaderRan, with
+// a failure of the agent; an error response of the target has only HeaderExecution, with
 // the value "done".
 func WriteFailure(w http.ResponseWriter, f *kumquatlug.Failure, revision, logical int64) {
 	writeFailure(w, f, revision, logical, "")
@@ -49,15 +49,15 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(HeaderReason, f.Reason())
-	w.Header().Set(HeaderRan, string(f.Ran()))
+	w.Header().Set(HeaderExecution, string(f.Execution()))
 	w.Header().Set(HeaderRevision, strconv.FormatInt(revision, 10))
 	w.Header().Set(HeaderLogical, strconv.FormatInt(logical, 10))
 	w.WriteHeader(http.StatusServiceUnavailable)
 	w.Write(text)
 }
 
-// Refused reports whether an agent's response is a failure of the agent itself.
-func Refused(response *http.Response) bool {
+// IsAgentFailure reports whether an agent's response is a failure of the agent itself.
+func IsAgentFailure(response *http.Response) bool {
 	return response.Header.Get(HeaderReason) != ""
 }
 
@@ -70,7 +70,7 @@
 	}
 	c := kumquatlug.FailureConfig{
 		Step: body.Step, Peer: body.Peer, Reason: response.Header.Get(HeaderReason),
-		Ran: kumquatlug.Ran(response.Header.Get(HeaderRan)), Status: body.Status,
+		Execution: kumquatlug.Execution(response.Header.Get(HeaderExecution)), Status: body.Status,
 		RetryAfter: kumquatlug.Millis(body.RetryAfter),
 	}
 	if err != nil {
@@ -81,8 +81,8 @@
 	return kumquatlug.NewFailure(c), body.Dispatch
 }
 
-// Number returns the integer in a header, zero if it is missing or malformed.
-func Number(h http.Header, name string) int64 {
+// IntHeader returns the integer in a header, zero if it is missing or malformed.
+func IntHeader(h http.Header, name string) int64 {
 	n, err := strconv.ParseInt(h.Get(name), 10, 64)
 	if err != nil {
 		return 0
--- a/internal/peer/follower.go
+++ b/internal/peer/follower.go
@@ -35,15 +35,15 @@
 
 // FollowerConfig holds the settings and dependencies of a [Follower].
 type FollowerConfig struct {
-	// Me is the name of this node.
-	Me     string
-	Store  *config.Store
-	Dialer *Dialer
-	Clock  kumquatlug.Clock
-	Ring   *timeline.Ring
-	Logger *zap.Logger
-	// Live returns the names of the nodes in this data centre.
-	Live func() []string
+	// NodeName is the name of this node.
+	NodeName string
+	Store    *config.Store
+	Dialer   *Dialer
+	Clock    kumquatlug.Clock
+	Ring     *timeline.Ring
+	Logger   *zap.Logger
+	// LiveNodes returns the names of the nodes in this data centre.
+	LiveNodes func() []string
 	// Passive nodes read the head only if no peer has reported it for a while. Ten
 	// thousand agents that each read it once a second would need five times the
 	// read rate that the table supports.
@@ -87,12 +87,12 @@
 
 // NewFollower returns a follower without a config.
 func NewFollower(c FollowerConfig) *Follower {
-	settings := config.AdopterConfig{Me: c.Me, Now: c.Clock.Now()}
+	settings := config.AdopterConfig{NodeName: c.NodeName, Now: c.Clock.Now()}
 	if c.Passive {
-		settings.Poll = passiveReadInterval
+		settings.PollInterval = passiveReadInterval
 	}
 	f := &Follower{c: c, inbox: make(chan any, inboxSize), adopter: config.NewAdopter(settings)}
-	f.publish(f.adopter.Holds())
+	f.publish(f.adopter.State())
 	return f
 }
 
@@ -102,11 +102,11 @@
 // HeadAge returns how long ago the head was last confirmed.
 func (f *Follower) HeadAge() kumquatlug.Millis { return kumquatlug.Millis(f.headAge.Load()) }
 
-// Learned handles the revision that the peer with role at address reported. Its age
+// ObserveRevision handles the revision that the peer with role at address reported. Its age
 // says how long ago it was confirmed to be the head; config.AgeUnknown confirms
 // nothing.
-func (f *Follower) Learned(role Role, address string, revision int64, age kumquatlug.Millis) {
-	report := config.Report{Peer: peerName(role, address), Revision: config.Revision(revision), Age: age}
+func (f *Follower) ObserveRevision(role Role, address string, revision int64, age kumquatlug.Millis) {
+	report := config.HeadReport{Peer: peerName(role, address), Revision: config.Revision(revision), Age: age}
 	if report.Revision <= f.State().Revision() && age == config.AgeUnknown {
 		return
 	}
@@ -116,10 +116,10 @@
 	}
 }
 
-// LearnedHead handles a head that was just written to, or read from, the table.
-func (f *Follower) LearnedHead(revision config.Revision) {
+// ObserveHead handles a head that was just written to, or read from, the table.
+func (f *Follower) ObserveHead(revision config.Revision) {
 	select {
-	case f.inbox <- config.Report{Peer: config.Table, Revision: revision}:
+	case f.inbox <- config.HeadReport{Peer: config.TablePeer, Revision: revision}:
 	default:
 	}
 }
@@ -127,9 +127,9 @@
 // peerName returns the name under which the adopter knows a peer.
 func peerName(role Role, address string) string { return string(role) + "@" + address }
 
-// Since returns the changes after revision. It returns false if they are no longer
+// ChangesSince returns the changes after revision. It returns false if they are no longer
 // available and the whole state is needed.
-func (f *Follower) Since(ctx context.Context, revision config.Revision) ([]config.Change, bool) {
+func (f *Follower) ChangesSince(ctx context.Context, revision config.Revision) ([]config.Change, bool) {
 	query := sinceQuery{revision: revision, reply: make(chan sinceReply, 1)}
 	select {
 	case f.inbox <- query:
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	f.enqueue(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - requestedAt})
+	f.enqueue(ctx, config.HeadReport{Peer: config.TablePeer, Revision: head, Age: f.c.Clock.Now() - requestedAt})
 	if current := f.State().Revision(); current < head {
 		result := f.pullTable(ctx, current)
 		f.enqueue(ctx, result)
@@ -181,17 +181,17 @@
 // loadSnapshot loads the whole state from the table, so that a new node doesn't have
 // to replay the log.
 func (f *Follower) loadSnapshot(ctx context.Context) {
-	f.pull(ctx, config.Table, 0)
+	f.pull(ctx, config.TablePeer, 0)
 }
 
 func (f *Follower) handle(message any) {
 	switch m := message.(type) {
-	case config.Report:
-		f.adopter.Learned(f.c.Clock.Now(), m)
+	case config.HeadReport:
+		f.adopter.ObserveReport(f.c.Clock.Now(), m)
 	case pullResult:
 		f.handlePull(m)
 	case sinceQuery:
-		changes, found := f.adopter.Since(m.revision)
+		changes, found := f.adopter.ChangesSince(m.revision)
 		m.reply <- sinceReply{changes: changes, found: found}
 	}
 }
@@ -201,10 +201,10 @@
 	now := f.c.Clock.Now()
 	f.headAge.Store(int64(f.adopter.Age(now)))
 	deferPoll := f.c.Passive && f.adopter.Age(now) < passiveReadAge
-	if !deferPoll && f.adopter.Poll(now, f.c.Live()) {
+	if !deferPoll && f.adopter.ShouldPoll(now, f.c.LiveNodes()) {
 		go f.pollHead(ctx)
 	}
-	if next, due := f.adopter.Pull(now); due {
+	if next, due := f.adopter.NextPull(now); due {
 		go f.pull(ctx, next.Peer(), next.Since())
 	}
 }
@@ -219,14 +219,14 @@
 		f.c.Logger.Warn("failed to read the head of the config", timeline.ErrorField(err))
 		return
 	}
-	f.enqueue(ctx, config.Report{Peer: config.Table, Revision: head, Age: f.c.Clock.Now() - requestedAt})
+	f.enqueue(ctx, config.HeadReport{Peer: config.TablePeer, Revision: head, Age: f.c.Clock.Now() - requestedAt})
 }
 
 func (f *Follower) pull(ctx context.Context, from string, since config.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	var result pullResult
-	if from == config.Table {
+	if from == config.TablePeer {
 		result = f.pullTable(ctx, since)
 	} else {
 		result = f.pullPeer(ctx, from, since)
@@ -244,7 +244,7 @@
 
 func (f *Follower) pullTable(ctx context.Context, since config.Revision) pullResult {
 	if since > 0 {
-		changes, err := f.c.Store.Since(ctx, since)
+		changes, err := f.c.Store.ChangesSince(ctx, since)
 		if err == nil {
 			return pullResult{changes: changes}
 		}
@@ -256,12 +256,12 @@
 func (f *Follower) pullPeer(ctx context.Context, from string, since config.Revision) pullResult {
 	role, address, _ := strings.Cut(from, "@")
 	response, err := f.c.Dialer.Peer(Role(role), address).Pull(ctx,
-		connect.NewRequest(&peerv1.PullRequest{Since: int64(since), Node: f.c.Me}))
+		connect.NewRequest(&peerv1.PullRequest{Since: int64(since), Node: f.c.NodeName}))
 	if err != nil {
 		return pullResult{err: err}
 	}
 	if response.Msg.GetWhole() {
-		snapshot := config.NewState(config.Revision(response.Msg.GetRevision()), SetsFrom(response.Msg.GetSets()))
+		snapshot := config.NewState(config.Revision(response.Msg.GetRevision()), DecodeSets(response.Msg.GetSets()))
 		return pullResult{snapshot: snapshot, isSnapshot: true}
 	}
 	return pullResult{changes: changesFrom(response.Msg.GetChanges())}
--- a/internal/peer/group.go
+++ b/internal/peer/group.go
@@ -10,9 +10,9 @@
 	"github.com/oklog/run"
 )
 
-// AddDuty adds a goroutine to group that runs task until the group stops. A task
+// AddTask adds a goroutine to group that runs task until the group stops. A task
 // that returns nil has completed and doesn't stop the group.
-func AddDuty(ctx context.Context, group *run.Group, task func(context.Context) error) {
+func AddTask(ctx context.Context, group *run.Group, task func(context.Context) error) {
 	taskCtx, cancel := context.WithCancel(ctx)
 	group.Add(func() error {
 		if err := task(taskCtx); err != nil {
--- a/internal/peer/notice.go
+++ b/internal/peer/notice.go
@@ -7,9 +7,9 @@
 // an incomplete response.
 const HeaderNotice = "Kumquatlug-Notice"
 
-// NoticesFrom decodes notices from their wire form. Notices that can't be decoded
+// DecodeNotices decodes notices from their wire form. Notices that can't be decoded
 // are omitted, since their sender repeats them.
-func NoticesFrom(texts []string) []quarantine.Notice {
+func DecodeNotices(texts []string) []quarantine.Notice {
 	notices := make([]quarantine.Notice, 0, len(texts))
 	for _, text := range texts {
 		var n quarantine.Notice
@@ -20,8 +20,8 @@
 	return notices
 }
 
-// NoticesTo encodes notices to their wire form.
-func NoticesTo(notices []quarantine.Notice) []string {
+// EncodeNotices encodes notices to their wire form.
+func EncodeNotices(notices []quarantine.Notice) []string {
 	texts := make([]string, 0, len(notices))
 	for _, n := range notices {
 		if text, err := n.MarshalText(); err == nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -12,7 +12,7 @@
 func TestWorkHeadersRoundTrip(t *testing.T) {
 	want := NewWork(WorkConfig{
 		Request: "r1", Attempt: 2, Kind: kumquatlug.NewKind(kumquatlug.ProtocolService, "gazette"), Caller: "desk",
-		Revision: 7, Timeout: 1500, Once: true, Key: "k", Dispatch: "1.3", Fingerprint: "f", Logical: 9, From: "10.0.0.1:7",
+		Revision: 7, Timeout: 1500, RunOnce: true, Key: "k", Dispatch: "1.3", Fingerprint: "f", Logical: 9, SenderAddress: "10.0.0.1:7",
 	})
 	h := http.Header{}
 	want.Write(h)
@@ -28,7 +28,7 @@
 
 func TestCopyHeadersDropsCredentialsAndInternalHeaders(t *testing.T) {
 	from := http.Header{
-		"Authorization": {"Bearer s"}, "Connection": {"close"}, HeaderRan: {"done"}, "Content-Type": {"text/plain"},
+		"Authorization": {"Bearer s"}, "Connection": {"close"}, HeaderExecution: {"done"}, "Content-Type": {"text/plain"},
 	}
 	to := http.Header{}
 	CopyHeaders(to, from)
@@ -44,12 +44,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	agentKeys, gatewayKeys := issueKeys(t, authority, RoleAgent), issueKeys(t, authority, RoleEntry)
+	agentKeys, gatewayKeys := issueKeys(t, authority, RoleAgent), issueKeys(t, authority, RoleGateway)
 	otherAuthority, err := NewAuthority(time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := httptest.NewUnstartedServer(agentKeys.Only(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), RoleEntry))
+	server := httptest.NewUnstartedServer(agentKeys.RequireRole(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), RoleGateway))
 	server.TLS = agentKeys.Server()
 	server.StartTLS()
 	defer server.Close()
@@ -58,7 +58,7 @@
 	statusWith := func(keys *Keys) int {
 		d := NewDialer(keys)
 		defer d.Close()
-		response, err := d.Work().Get(d.WorkURL(address, "/"))
+		response, err := d.WorkClient().Get(d.WorkURL(address, "/"))
 		if err != nil {
 			return 0
 		}
@@ -71,7 +71,7 @@
 	if got := statusWith(agentKeys); got != http.StatusForbidden {
 		t.Errorf("status of an agent: %d, want 403", got)
 	}
-	if got := statusWith(issueKeys(t, otherAuthority, RoleEntry)); got != 0 {
+	if got := statusWith(issueKeys(t, otherAuthority, RoleGateway)); got != 0 {
 		t.Errorf("status of a peer with a certificate of another authority: %d, want a failed handshake", got)
 	}
 }
--- a/internal/peer/presence.go
+++ b/internal/peer/presence.go
@@ -18,8 +18,8 @@
 	presenceRetryDelay = 1 * kumquatlug.Second
 )
 
-// Presence keeps this process in the list of VMs while it runs.
-type Presence struct {
+// Registration keeps this process in the list of VMs while it runs.
+type Registration struct {
 	VMs    kumquatlug.VMs
 	VM     kumquatlug.VM
 	Logger *zap.Logger
@@ -27,9 +27,9 @@
 
 // Run registers the process, retrying for as long as the table is unavailable, and
 // deregisters it when ctx ends.
-func (p Presence) Run(ctx context.Context) error {
+func (p Registration) Run(ctx context.Context) error {
 	for {
-		err := p.call(ctx, func(ctx context.Context) error { return p.VMs.Enter(ctx, p.VM) })
+		err := p.call(ctx, func(ctx context.Context) error { return p.VMs.Register(ctx, p.VM) })
 		if err == nil {
 			break
 		}
@@ -41,7 +41,7 @@
 		}
 	}
 	<-ctx.Done()
-	err := p.call(context.WithoutCancel(ctx), func(ctx context.Context) error { return p.VMs.Leave(ctx, p.VM.Name()) })
+	err := p.call(context.WithoutCancel(ctx), func(ctx context.Context) error { return p.VMs.Deregister(ctx, p.VM.Name()) })
 	if err != nil {
 		// Gateways detect by missing heartbeats that the process has stopped.
 		p.Logger.Warn("failed to deregister from the list of VMs", zap.String("name", p.VM.Name()), zap.Error(err))
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func (p Presence) call(ctx context.Context, f func(context.Context) error) error {
+func (p Registration) call(ctx context.Context, f func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, presenceTimeout.Duration())
 	defer cancel()
 	return f(ctx)
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -29,13 +29,13 @@
 ) (*connect.Response[peerv1.PullResponse], error) {
 	state := s.follower.State()
 	response := &peerv1.PullResponse{Revision: int64(state.Revision())}
-	changes, found := s.follower.Since(ctx, config.Revision(r.Msg.GetSince()))
+	changes, found := s.follower.ChangesSince(ctx, config.Revision(r.Msg.GetSince()))
 	if found {
 		response.Changes = changesTo(changes)
 		return connect.NewResponse(response), nil
 	}
 	response.Whole = true
-	response.Sets = SetsTo(state.Sets())
+	response.Sets = EncodeSets(state.Sets())
 	return connect.NewResponse(response), nil
 }
 
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -18,8 +18,8 @@
 
 // Roles that a certificate may contain, each as a DNS name with dnsNameSuffix.
 const (
-	RoleEntry Role = "entry"
-	RoleAgent Role = "agent"
+	RoleGateway Role = "entry"
+	RoleAgent   Role = "agent"
 )
 
 // dnsNameSuffix is the suffix of the DNS names in certificates. Addresses change with
@@ -99,10 +99,10 @@
 	return "https"
 }
 
-// Only rejects requests of peers whose certificate has none of roles. Otherwise an
+// RequireRole rejects requests of peers whose certificate has none of roles. Otherwise an
 // agent's key, which is stored on every target VM, would suffice to send orders to
 // other agents. Plain connections have no certificate and are accepted.
-func (k *Keys) Only(next http.Handler, roles ...Role) http.Handler {
+func (k *Keys) RequireRole(next http.Handler, roles ...Role) http.Handler {
 	if k == nil {
 		return next
 	}
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -9,8 +9,8 @@
 
 func revisionText(r config.Revision) string { return strconv.FormatInt(int64(r), 10) }
 
-// SetsFrom decodes config sets from their wire form.
-func SetsFrom(wire []*peerv1.Set) []config.Set {
+// DecodeSets decodes config sets from their wire form.
+func DecodeSets(wire []*peerv1.Set) []config.Set {
 	sets := make([]config.Set, len(wire))
 	for i, s := range wire {
 		if s.GetDeleted() {
@@ -22,8 +22,8 @@
 	return sets
 }
 
-// SetsTo encodes config sets to their wire form.
-func SetsTo(sets []config.Set) []*peerv1.Set {
+// EncodeSets encodes config sets to their wire form.
+func EncodeSets(sets []config.Set) []*peerv1.Set {
 	wire := make([]*peerv1.Set, len(sets))
 	for i, s := range sets {
 		wire[i] = &peerv1.Set{Key: s.Key(), Value: s.Value(), Deleted: s.Deleted()}
@@ -34,7 +34,7 @@
 func changesFrom(wire []*peerv1.ConfigChange) []config.Change {
 	changes := make([]config.Change, len(wire))
 	for i, c := range wire {
-		changes[i] = config.NewChange(config.Revision(c.GetRevision()), c.GetId(), c.GetAuthor(), SetsFrom(c.GetSets()))
+		changes[i] = config.NewChange(config.Revision(c.GetRevision()), c.GetId(), c.GetAuthor(), DecodeSets(c.GetSets()))
 	}
 	return changes
 }
@@ -43,7 +43,7 @@
 	wire := make([]*peerv1.ConfigChange, len(changes))
 	for i, c := range changes {
 		wire[i] = &peerv1.ConfigChange{
-			Revision: int64(c.Revision()), Id: c.ID(), Author: c.Author(), Sets: SetsTo(c.Sets()),
+			Revision: int64(c.Revision()), Id: c.ID(), Author: c.Author(), Sets: EncodeSets(c.Sets()),
 		}
 	}
 	return wire
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -16,43 +16,43 @@
 
 // Headers between a gateway and an agent, some of which callers see, too.
 const (
-	HeaderRequest  = "Kumquatlug-Request-Id"
-	HeaderAttempt  = "Kumquatlug-Attempt"
-	HeaderKind     = "Kumquatlug-Kind"
-	HeaderCaller   = "Kumquatlug-Caller"
-	HeaderRevision = "Kumquatlug-Revision"
-	HeaderTimeout  = "Kumquatlug-Timeout-Ms"
-	HeaderDispatch = "Kumquatlug-Dispatch"
-	HeaderOnce     = "Kumquatlug-Run-Once"
-	HeaderLogical  = "Kumquatlug-Logical"
-	HeaderFrom     = "Kumquatlug-From"
-	HeaderRan      = "Kumquatlug-Ran"
-	HeaderReason   = "Kumquatlug-Reason"
-	HeaderKV       = "Kumquatlug-Kv-Handle"
-	HeaderPrint    = "Kumquatlug-Fingerprint"
-	HeaderKey      = "Kumquatlug-Key"
-	// TrailerEnd is sent after the body: EndWhole, or why the response is incomplete.
+	HeaderRequest     = "Kumquatlug-Request-Id"
+	HeaderAttempt     = "Kumquatlug-Attempt"
+	HeaderKind        = "Kumquatlug-Kind"
+	HeaderCaller      = "Kumquatlug-Caller"
+	HeaderRevision    = "Kumquatlug-Revision"
+	HeaderTimeout     = "Kumquatlug-Timeout-Ms"
+	HeaderDispatch    = "Kumquatlug-Dispatch"
+	HeaderRunOnce     = "Kumquatlug-Run-Once"
+	HeaderLogical     = "Kumquatlug-Logical"
+	HeaderFrom        = "Kumquatlug-From"
+	HeaderExecution   = "Kumquatlug-Ran"
+	HeaderReason      = "Kumquatlug-Reason"
+	HeaderKV          = "Kumquatlug-Kv-Handle"
+	HeaderFingerprint = "Kumquatlug-Fingerprint"
+	HeaderKey         = "Kumquatlug-Key"
+	// TrailerEnd is sent after the body: EndComplete, or why the response is incomplete.
 	TrailerEnd = "Kumquatlug-End"
-	// EndWhole means that the target's response was forwarded in full.
-	EndWhole = "whole"
-	// EndCut means that the target stopped in the middle of its response.
-	EndCut = "target_cut"
+	// EndComplete means that the target's response was forwarded in full.
+	EndComplete = "whole"
+	// EndTruncated means that the target stopped in the middle of its response.
+	EndTruncated = "target_cut"
 )
 
 // Reasons for an agent's refusal that a gateway handles.
 const (
-	// ReasonElsewhere: the agent that the failure names as its peer holds the
+	// ReasonHeldElsewhere: the agent that the failure names as its peer holds the
 	// run-once claim of the call.
-	ReasonElsewhere = "held_elsewhere"
-	// ReasonUnknown: it can't be determined any more whether the call ran.
-	ReasonUnknown = "outcome_unknown"
+	ReasonHeldElsewhere = "held_elsewhere"
+	// ReasonOutcomeUnknown: it can't be determined any more whether the call ran.
+	ReasonOutcomeUnknown = "outcome_unknown"
 )
 
-// ReplayedHeader marks a response that was stored by an earlier run of the call.
-const ReplayedHeader = "Idempotent-Replayed"
+// HeaderReplayed marks a response that was stored by an earlier run of the call.
+const HeaderReplayed = "Idempotent-Replayed"
 
-// KeyHeader is the header with which callers identify a call that they may resend.
-const KeyHeader = "Idempotency-Key"
+// HeaderIdempotencyKey is the header with which callers identify a call that they may resend.
+const HeaderIdempotencyKey = "Idempotency-Key"
 
 // internalHeaderPrefix is the prefix of headers that no caller or target may set.
 const internalHeaderPrefix = "Kumquatlug-"
@@ -85,9 +85,9 @@
 	Revision int64
 	// Timeout is the time left until the deadline, in milliseconds.
 	Timeout kumquatlug.Millis
-	// Once reports that the call must not be repeated; Key and Dispatch then
+	// RunOnce reports that the call must not be repeated; Key and Dispatch then
 	// identify the run-once claim.
-	Once     bool
+	RunOnce  bool
 	Key      string
 	Dispatch string
 	// Fingerprint identifies the request for quarantine. Equal requests have equal
@@ -95,15 +95,15 @@
 	Fingerprint string
 	// Logical is the sender's logical time.
 	Logical int64
-	// From is the address at which peers reach the sender, to pull the config.
-	From string
+	// SenderAddress is the address at which peers reach the sender, to pull the config.
+	SenderAddress string
 }
 
 // NewWork returns a Work with the fields of c.
 func NewWork(c WorkConfig) Work {
 	return Work{
 		request: c.Request, attempt: c.Attempt, kind: c.Kind, caller: c.Caller, revision: c.Revision,
-		timeout: c.Timeout, once: c.Once, key: c.Key, dispatch: c.Dispatch, fingerprint: c.Fingerprint, logical: c.Logical, from: c.From,
+		timeout: c.Timeout, once: c.RunOnce, key: c.Key, dispatch: c.Dispatch, fingerprint: c.Fingerprint, logical: c.Logical, from: c.SenderAddress,
 	}
 }
 
@@ -126,8 +126,8 @@
 // in milliseconds.
 func (w Work) Timeout() kumquatlug.Millis { return w.timeout }
 
-// Once reports whether the call must not be repeated.
-func (w Work) Once() bool { return w.once }
+// RunOnce reports whether the call must not be repeated.
+func (w Work) RunOnce() bool { return w.once }
 
 // Key returns the idempotency key.
 func (w Work) Key() string { return w.key }
@@ -141,8 +141,8 @@
 // Logical returns the sender's logical time.
 func (w Work) Logical() int64 { return w.logical }
 
-// From returns the address at which peers reach the sender.
-func (w Work) From() string { return w.from }
+// SenderAddress returns the address at which peers reach the sender.
+func (w Work) SenderAddress() string { return w.from }
 
 // Write sets the headers of a request to an agent.
 func (w Work) Write(h http.Header) {
@@ -152,13 +152,13 @@
 	h.Set(HeaderCaller, w.caller)
 	h.Set(HeaderRevision, strconv.FormatInt(w.revision, 10))
 	h.Set(HeaderTimeout, strconv.FormatInt(int64(w.timeout), 10))
-	h.Set(HeaderPrint, w.fingerprint)
+	h.Set(HeaderFingerprint, w.fingerprint)
 	h.Set(HeaderFrom, w.from)
 	h.Set(HeaderLogical, strconv.FormatInt(w.logical, 10))
 	if !w.once {
 		return
 	}
-	h.Set(HeaderOnce, "true")
+	h.Set(HeaderRunOnce, "true")
 	h.Set(HeaderKey, w.key)
 	h.Set(HeaderDispatch, w.dispatch)
 }
@@ -174,8 +174,8 @@
 		Request: h.Get(HeaderRequest), Attempt: int(n.get(HeaderAttempt)),
 		Kind: kumquatlug.NewKind(kumquatlug.Protocol(protocol), name), Caller: h.Get(HeaderCaller),
 		Revision: n.get(HeaderRevision), Timeout: kumquatlug.Millis(n.get(HeaderTimeout)),
-		Once: h.Get(HeaderOnce) == "true", Key: h.Get(HeaderKey), Fingerprint: h.Get(HeaderPrint),
-		Dispatch: h.Get(HeaderDispatch), Logical: n.get(HeaderLogical), From: h.Get(HeaderFrom),
+		RunOnce: h.Get(HeaderRunOnce) == "true", Key: h.Get(HeaderKey), Fingerprint: h.Get(HeaderFingerprint),
+		Dispatch: h.Get(HeaderDispatch), Logical: n.get(HeaderLogical), SenderAddress: h.Get(HeaderFrom),
 	})
 	return w, n.err
 }
@@ -204,7 +204,7 @@
 // is forwarded in an internal header.
 func CopyHeaders(to, from http.Header) {
 	for name, values := range from {
-		if strings.HasPrefix(name, internalHeaderPrefix) || name == "Authorization" || name == KeyHeader {
+		if strings.HasPrefix(name, internalHeaderPrefix) || name == "Authorization" || name == HeaderIdempotencyKey {
 			continue
 		}
 		to[name] = append([]string(nil), values...)
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -29,36 +29,36 @@
 // maxSeed is the largest seed of an [Event].
 const maxSeed = 1 << 40
 
-// maxChoice is the largest choice of a [Move].
+// maxChoice is the largest choice of a [Action].
 const maxChoice = 9999
 
 // Config describes a property-based test.
 type Config struct {
-	// Claim is the property that must hold; it is printed with the result. Required.
-	Claim string
+	// Property is the property that must hold; it is printed with the result. Required.
+	Property string
 	// Seed is the seed of the random number generator.
 	Seed int
 	// Runs is the number of step sequences to execute.
 	Runs int
 	// Steps is the number of steps in each sequence.
 	Steps int
-	// Command generates the next step. Required.
-	Command gopter.Gen
-	// World returns a new system under test for one run. Required.
-	World func() commands.SystemUnderTest
-	// End cleans up the system under test after its run. Optional.
-	End func(world commands.SystemUnderTest)
+	// StepGen generates the next step. Required.
+	StepGen gopter.Gen
+	// NewSystem returns a new system under test for one run. Required.
+	NewSystem func() commands.SystemUnderTest
+	// Cleanup cleans up the system under test after its run. Optional.
+	Cleanup func(world commands.SystemUnderTest)
 }
 
 // Run executes the test and fails t if a step violates the property.
 func Run(t *testing.T, c Config) {
 	t.Helper()
 	properties := gopter.NewProperties(newParameters(t, c))
-	properties.Property(c.Claim, commands.Prop(&commands.ProtoCommands{
-		NewSystemUnderTestFunc:     func(commands.State) commands.SystemUnderTest { return c.World() },
-		DestroySystemUnderTestFunc: c.End,
+	properties.Property(c.Property, commands.Prop(&commands.ProtoCommands{
+		NewSystemUnderTestFunc:     func(commands.State) commands.SystemUnderTest { return c.NewSystem() },
+		DestroySystemUnderTestFunc: c.Cleanup,
 		InitialStateGen:            gen.Const(0),
-		GenCommandFunc:             func(commands.State) gopter.Gen { return c.Command },
+		GenCommandFunc:             func(commands.State) gopter.Gen { return c.StepGen },
 	}))
 	properties.TestingRun(t)
 }
@@ -89,7 +89,7 @@
 }
 
 // Step implements the parts of commands.Command that all steps share. A step that
-// is neither an [Event] nor a [Move] embeds it and adds Run and String. The system
+// is neither an [Event] nor a [Action] embeds it and adds Run and String. The system
 // under test holds the state itself, so a step is valid at any time.
 type Step struct{}
 
@@ -148,8 +148,8 @@
 	})
 }
 
-// Move is one step of one of several actors.
-type Move struct {
+// Action is one step of one of several actors.
+type Action struct {
 	Kind string
 	// Actor is the index of the acting party.
 	Actor int
@@ -158,27 +158,27 @@
 }
 
 // String formats the move for failure messages.
-func (m Move) String() string { return fmt.Sprintf("%s(%d,%d)", m.Kind, m.Actor, m.Choice) }
+func (m Action) String() string { return fmt.Sprintf("%s(%d,%d)", m.Kind, m.Actor, m.Choice) }
 
 type moveStep struct {
 	Step
-	Move
-	run func(commands.SystemUnderTest, Move) commands.Result
+	Action
+	run func(commands.SystemUnderTest, Action) commands.Result
 }
 
 // Run implements commands.Command.
 func (s moveStep) Run(system commands.SystemUnderTest) commands.Result {
-	return s.run(system, s.Move)
+	return s.run(system, s.Action)
 }
 
-// Moves generates moves with a kind from kinds, the index of one of actors and a
+// Actions generates moves with a kind from kinds, the index of one of actors and a
 // choice. A kind that is listed several times is drawn more often in proportion.
 // Run applies the move to the system under test and returns a violation as described
 // at [Step.PostCondition].
-func Moves(kinds []string, actors int, run func(system commands.SystemUnderTest, m Move) commands.Result) gopter.Gen {
+func Actions(kinds []string, actors int, run func(system commands.SystemUnderTest, m Action) commands.Result) gopter.Gen {
 	return gopter.CombineGens(
 		gen.IntRange(0, len(kinds)-1), gen.IntRange(0, actors-1), gen.IntRange(0, maxChoice),
 	).Map(func(values []interface{}) commands.Command {
-		return moveStep{Move: Move{Kind: kinds[values[0].(int)], Actor: values[1].(int), Choice: values[2].(int)}, run: run}
+		return moveStep{Action: Action{Kind: kinds[values[0].(int)], Actor: values[1].(int), Choice: values[2].(int)}, run: run}
 	}).WithShrinker(gopter.NoShrinker)
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -60,18 +60,18 @@
 
 // Do sends call to the service. Only a failure to connect proves that the call did
 // not run; every other error leaves that unknown.
-func (s *Service) Do(ctx context.Context, call kumquatlug.Call) (kumquatlug.Answer, error) {
+func (s *Service) Do(ctx context.Context, call kumquatlug.Call) (kumquatlug.TargetResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, call.Method(), s.baseURL+call.Path(), call.Body())
 	if err != nil {
-		return kumquatlug.Answer{}, targetFailure(s.baseURL, "bad_request", kumquatlug.RanNot, err)
+		return kumquatlug.TargetResponse{}, targetFailure(s.baseURL, "bad_request", kumquatlug.NotExecuted, err)
 	}
 	request.Header = call.Header().Clone()
 	disableAutoRetry(request.Header)
 	response, err := s.client.Do(request) //nolint:bodyclose // the caller closes the body
 	if err != nil {
-		return kumquatlug.Answer{}, targetFailure(s.baseURL, "target_failed", ranAfterError(err), err)
+		return kumquatlug.TargetResponse{}, targetFailure(s.baseURL, "target_failed", ranAfterError(err), err)
 	}
-	return kumquatlug.NewAnswer(response.StatusCode, response.Header, response.Body), nil
+	return kumquatlug.NewTargetResponse(response.StatusCode, response.Header, response.Body), nil
 }
 
 // lowercaseKeyHeader is Idempotency-Key in a spelling that HTTP allows but
@@ -90,17 +90,17 @@
 	}
 }
 
-func ranAfterError(err error) kumquatlug.Ran {
+func ranAfterError(err error) kumquatlug.Execution {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
-		return kumquatlug.RanNot
+		return kumquatlug.NotExecuted
 	}
-	return kumquatlug.RanUnknown
+	return kumquatlug.ExecutionUnknown
 }
 
-func targetFailure(peer, reason string, ran kumquatlug.Ran, cause error) error {
+func targetFailure(peer, reason string, ran kumquatlug.Execution, cause error) error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "call target", Peer: peer, Reason: reason, Ran: ran, Status: http.StatusBadGateway, Cause: cause,
+		Step: "call target", Peer: peer, Reason: reason, Execution: ran, Status: http.StatusBadGateway, Cause: cause,
 	})
 }
 
@@ -120,7 +120,7 @@
 }
 
 // Get sends a GET request for path to the service.
-func (s *Service) Get(ctx context.Context, path string) (kumquatlug.Answer, error) {
+func (s *Service) Get(ctx context.Context, path string) (kumquatlug.TargetResponse, error) {
 	return s.Do(ctx, kumquatlug.NewCall(http.MethodGet, path, http.Header{}, nil))
 }
 
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -30,7 +30,7 @@
 			response.Body().Close()
 			continue
 		}
-		if got := kumquatlug.RanOf(err); got != kumquatlug.RanUnknown {
+		if got := kumquatlug.ExecutionOf(err); got != kumquatlug.ExecutionUnknown {
 			t.Errorf("execution of a request that reached the service is %q, want unknown", got)
 		}
 	}
--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -83,8 +83,8 @@
 	return maps.Clone(s.reports)
 }
 
-// Total returns the number of requests of an account in all windows.
-func (s *Service) Total(account string) int64 {
+// TotalRequests returns the number of requests of an account in all windows.
+func (s *Service) TotalRequests(account string) int64 {
 	var total int64
 	for _, counts := range s.Reports() {
 		total += counts[account]
@@ -92,8 +92,8 @@
 	return total
 }
 
-// Holders returns the number of lease holders that have reported usage.
-func (s *Service) Holders() int {
+// ReportingHolders returns the number of lease holders that have reported usage.
+func (s *Service) ReportingHolders() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	holders := map[string]bool{}
@@ -112,15 +112,15 @@
 	s.scale = scale
 }
 
-// Scaled returns the number of accepted orders for worker counts.
-func (s *Service) Scaled() int {
+// ScaleOrders returns the number of accepted orders for worker counts.
+func (s *Service) ScaleOrders() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.scaleOrders
 }
 
-// Broken returns a description of each violation of the rules.
-func (s *Service) Broken() []string {
+// Violations returns a description of each violation of the rules.
+func (s *Service) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.violations...)
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -118,7 +118,7 @@
 		if e.kvUsed+s.reservedTokens > e.config.KVTokens {
 			return
 		}
-		if e.config.CrashMark != "" && strings.Contains(s.prompt, e.config.CrashMark) {
+		if e.config.CrashMarker != "" && strings.Contains(s.prompt, e.config.CrashMarker) {
 			e.crash(e.clock.Now())
 			return
 		}
@@ -173,7 +173,7 @@
 	if n := len(planned.decode); n > 0 {
 		planned.millis += e.config.DecodeTime * (1 + e.config.BatchSlope*float64(n-1))
 	}
-	planned.millis = max(planned.millis, e.config.LeastStep) * e.config.TimeScale
+	planned.millis = max(planned.millis, e.config.MinStepTime) * e.config.TimeScale
 	return planned
 }
 
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -79,7 +79,7 @@
 	newFilledCache := func() *prefixCache {
 		c := newPrefixCache(50, 0.2, 7)
 		for i := range 100 {
-			c.add(Prefixes(strings.Repeat(string(rune('!'+i%90)), 64), 16), 5)
+			c.add(PrefixHashes(strings.Repeat(string(rune('!'+i%90)), 64), 16), 5)
 		}
 		return c
 	}
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -13,10 +13,10 @@
 // maxEvents limits the cache events that are kept for readers.
 const maxEvents = 8192
 
-// Prefixes returns the hashes of the prefixes of prompt that end at a block
+// PrefixHashes returns the hashes of the prefixes of prompt that end at a block
 // boundary, shortest first: the hexadecimal xxhash64 of the first n bytes,
 // where n is a multiple of the block size.
-func Prefixes(prompt string, blockTokens int) []string {
+func PrefixHashes(prompt string, blockTokens int) []string {
 	blockBytes := blockTokens * bytesPerToken
 	digest := xxhash.New()
 	hashes := make([]string, 0, len(prompt)/blockBytes)
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -85,7 +85,7 @@
 
 func (e *Engine) serve(w http.ResponseWriter, httpRequest *http.Request, request completionRequest) {
 	prompt := request.prompt()
-	s := e.newSequence(prompt, AnswerTokens(prompt, request.maxTokens()), request.ResumeTokens)
+	s := e.newSequence(prompt, ResponseLength(prompt, request.maxTokens()), request.ResumeTokens)
 	s.priority = request.Priority
 	if !e.accept(w, request.Model, s) {
 		return
@@ -109,7 +109,7 @@
 func (e *Engine) newSequence(prompt string, total, resumed int) *sequence {
 	resumed = min(max(0, resumed), total)
 	s := &sequence{
-		prompt: prompt, promptTokens: PromptTokens(prompt), blockHashes: Prefixes(prompt, e.config.BlockTokens),
+		prompt: prompt, promptTokens: PromptTokens(prompt), blockHashes: PrefixHashes(prompt, e.config.BlockTokens),
 		totalTokens: total, resumedTokens: resumed, wake: make(chan struct{}, 1),
 	}
 	s.reservedTokens = s.promptTokens + total
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	text := strings.Join(Answer(s.prompt, s.totalTokens)[s.resumedTokens:], "")
+	text := strings.Join(ResponseTokens(s.prompt, s.totalTokens)[s.resumedTokens:], "")
 	type choice struct {
 		Index   int      `json:"index"`
 		Text    *string  `json:"text,omitempty"`
@@ -198,7 +198,7 @@
 		c = choice{Message: &Message{Role: "assistant", Content: text}, Finish: c.Finish}
 		object = "chat.completion"
 	}
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		ID      string   `json:"id"`
 		Object  string   `json:"object"`
 		Created int64    `json:"created"`
@@ -219,7 +219,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	arrived := time.Now()
-	tokens := Answer(s.prompt, s.totalTokens)
+	tokens := ResponseTokens(s.prompt, s.totalTokens)
 	for seen := s.resumedTokens; ; {
 		n, err := awaitTokens(ctx, s, seen)
 		if err != nil {
@@ -227,7 +227,7 @@
 		}
 		for ; seen < n; seen++ {
 			token := tokens[seen]
-			if e.config.Stamped {
+			if e.config.StampTokens {
 				token = NewStamp(arrived, time.Now()).String()
 			}
 			encoder.addChunk(token, seen+1)
@@ -346,7 +346,7 @@
 	if _, err := awaitTokens(r.Context(), s, 0); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		Handle string `json:"handle"`
 		Tokens int    `json:"tokens"`
 	}{kvHandle(prompt), s.promptTokens})
@@ -380,7 +380,7 @@
 		writeError(w, http.StatusServiceUnavailable, "full", "too many imported KV caches are unused")
 		return
 	}
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		Tokens int `json:"tokens"`
 	}{tokens})
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -50,10 +50,10 @@
 	// DecodeTime is the duration, in milliseconds, of a step that decodes one
 	// token of one sequence; 20 by default.
 	DecodeTime float64
-	// LeastStep is the minimum duration of a step, in milliseconds: the pass
+	// MinStepTime is the minimum duration of a step, in milliseconds: the pass
 	// over the model's weights, which even a single short prompt takes. Zero by
 	// default.
-	LeastStep float64
+	MinStepTime float64
 	// BatchSlope is the fraction of DecodeTime that each further sequence adds;
 	// 0.01 by default, so that a step with 101 sequences takes twice as long as
 	// with one.
@@ -72,26 +72,26 @@
 	// EventLag is the delay until cache events are published, in milliseconds;
 	// zero by default. It is not scaled.
 	EventLag kumquatlug.Millis
-	// EventLoss is the fraction of cache events that are lost; zero by default.
-	EventLoss float64
+	// EventLossRate is the fraction of cache events that are lost; zero by default.
+	EventLossRate float64
 	// Seed determines which events are lost.
 	Seed uint64
 	// LoadLag is the age of load reports, in milliseconds; zero by default. It
 	// is not scaled.
 	LoadLag kumquatlug.Millis
-	// ChecksFence makes the engine reject orders with an old fencing number.
-	ChecksFence bool
+	// CheckFence makes the engine reject orders with an old fencing number.
+	CheckFence bool
 	// OrderTime is the duration of an order, in milliseconds; 2,000 by default.
 	OrderTime kumquatlug.Millis
-	// CrashMark crashes the engine when a prompt that contains it is admitted
+	// CrashMarker crashes the engine when a prompt that contains it is admitted
 	// to the batch; empty disables it.
-	CrashMark string
+	CrashMarker string
 	// RestartTime is the downtime after a crash, in milliseconds; 5,000 by
 	// default.
 	RestartTime kumquatlug.Millis
-	// Stamped makes every streamed token a [Stamp] instead of a word, so that
+	// StampTokens makes every streamed token a [Stamp] instead of a word, so that
 	// the latency between the engine and a reader can be measured per token.
-	Stamped bool
+	StampTokens bool
 }
 
 func (c Config) withDefaults() Config {
@@ -146,7 +146,7 @@
 	c = c.withDefaults()
 	e := &Engine{
 		config: c, clock: clock.NewMonotonic(),
-		cache:    newPrefixCache(c.CacheTokens/c.BlockTokens, c.EventLoss, c.Seed),
+		cache:    newPrefixCache(c.CacheTokens/c.BlockTokens, c.EventLossRate, c.Seed),
 		imported: map[string]bool{},
 		models:   slices.Clone(c.Models),
 	}
@@ -164,9 +164,9 @@
 	e.crash(now)
 }
 
-// CrashInOrder crashes the engine halfway through the order in progress, or
+// CrashDuringOrder crashes the engine halfway through the order in progress, or
 // through the next order.
-func (e *Engine) CrashInOrder() {
+func (e *Engine) CrashDuringOrder() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders.crashPending = true
@@ -231,14 +231,14 @@
 		body.Data = append(body.Data, model{ID: name, Object: "model", OwnedBy: "standin"})
 	}
 	e.mu.Unlock()
-	standin.Reply(w, http.StatusOK, body)
+	standin.WriteJSON(w, http.StatusOK, body)
 }
 
 func (e *Engine) reportLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	sample := e.laggedLoad()
 	e.mu.Unlock()
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		Running int               `json:"running"`
 		Waiting int               `json:"waiting"`
 		KVUsed  int               `json:"kv_used_tokens"`
@@ -274,7 +274,7 @@
 		body.Events = append(body.Events, event{published.sequence, published.prefix, published.evicted})
 		body.Next = published.sequence
 	}
-	standin.Reply(w, http.StatusOK, body)
+	standin.WriteJSON(w, http.StatusOK, body)
 }
 
 func decodeBody(w http.ResponseWriter, r *http.Request, body any) bool {
@@ -298,7 +298,7 @@
 		kind = "server_error"
 		w.Header().Set("Retry-After", "1")
 	}
-	standin.Reply(w, status, struct {
+	standin.WriteJSON(w, status, struct {
 		Error errorBody `json:"error"`
 	}{errorBody{message, kind, code}})
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -118,8 +118,8 @@
 	_, url := startEngine(t, engine.Config{})
 	const total = 9
 	for _, prompt := range []string{"a", strings.Repeat("decree ", 300), "\"quoted\"\n"} {
-		want := engine.Answer(prompt, total)
-		if other := engine.Answer(prompt+"b", total); other[0] == want[0] {
+		want := engine.ResponseTokens(prompt, total)
+		if other := engine.ResponseTokens(prompt+"b", total); other[0] == want[0] {
 			t.Fatalf("two prompts have the same first token %q", want[0])
 		}
 		for delivered := range total + 1 {
@@ -142,7 +142,7 @@
 	_, url := startEngine(t, engine.Config{Models: []string{"draft"}})
 	client := openai.NewClient(option.WithBaseURL(url+"/v1"), option.WithAPIKey("k"), option.WithMaxRetries(0))
 	messages := []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("be brief"), openai.UserMessage("hello")}
-	want := engine.AnswerText(engine.ChatPrompt([]engine.Message{
+	want := engine.ResponseText(engine.ChatPrompt([]engine.Message{
 		{Role: "system", Content: "be brief"}, {Role: "user", Content: "hello"},
 	}), 0)
 	params := openai.ChatCompletionNewParams{Model: "draft", Messages: messages}
@@ -171,7 +171,7 @@
 // Their streams end without an end marker, and until the engine has restarted
 // no client gets a response.
 func TestCrashAbortsAllRequests(t *testing.T) {
-	e, url := startEngine(t, engine.Config{CrashMark: "poison", TimeScale: 1, DecodeTime: 1, RestartTime: kumquatlug.Hour})
+	e, url := startEngine(t, engine.Config{CrashMarker: "poison", TimeScale: 1, DecodeTime: 1, RestartTime: kumquatlug.Hour})
 	const streamCount = 3
 	var streams []*bufio.Reader
 	for i := range streamCount {
@@ -220,7 +220,7 @@
 		Next   int64
 	}
 	get(t, url+"/cache/events?after=0", &events)
-	if names := engine.Prefixes(prompt, 64); len(events.Events) != len(names) || events.Next != int64(len(names)) {
+	if names := engine.PrefixHashes(prompt, 64); len(events.Events) != len(names) || events.Next != int64(len(names)) {
 		t.Fatalf("events %+v, want one for each of %d blocks", events, len(names))
 	}
 	e.Crash()
@@ -280,7 +280,7 @@
 // must check.
 func TestStaleFencingNumberIsRejectedOnlyIfChecked(t *testing.T) {
 	for _, checkFence := range []bool{true, false} {
-		_, url := startEngine(t, engine.Config{ChecksFence: checkFence, OrderTime: 1})
+		_, url := startEngine(t, engine.Config{CheckFence: checkFence, OrderTime: 1})
 		postOK(t, url+"/orders", `{"id":"new","fence":7,"verb":"role","argument":"decode"}`, &state{})
 		awaitOrder(t, url)
 		status, _, err := post(url+"/orders", `{"id":"old","fence":6,"verb":"role","argument":"prefill"}`)
@@ -329,7 +329,7 @@
 // them.
 func TestCrashDuringOrderLeavesStateUnknown(t *testing.T) {
 	e, url := startEngine(t, engine.Config{OrderTime: 1, RestartTime: 1})
-	e.CrashInOrder()
+	e.CrashDuringOrder()
 	// The engine may have restarted before the client reads, or still be down.
 	_, _, _ = post(url+"/orders", `{"id":"a","verb":"role","argument":"decode"}`)
 	for e.Crashes() == 0 {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -174,7 +174,7 @@
 		return
 	}
 	e.mu.Lock()
-	verdict := e.orders.record(received, e.config.ChecksFence)
+	verdict := e.orders.record(received, e.config.CheckFence)
 	if verdict == VerdictAccepted {
 		e.startOrder(received, e.clock.Now())
 	}
@@ -213,7 +213,7 @@
 	e.mu.Lock()
 	o := e.orders
 	e.mu.Unlock()
-	standin.Reply(w, http.StatusOK, struct {
+	standin.WriteJSON(w, http.StatusOK, struct {
 		State   State           `json:"state"`
 		Role    kumquatlug.Role `json:"role"`
 		OrderID string          `json:"order_id"`
@@ -242,7 +242,7 @@
 	for _, o := range log {
 		body.Orders = append(body.Orders, orderBody{o.id, o.fence, o.verb, o.argument, o.highestBefore, o.verdict, o.aborted})
 	}
-	standin.Reply(w, http.StatusOK, body)
+	standin.WriteJSON(w, http.StatusOK, body)
 }
 
 func (e *Engine) handleCrash(w http.ResponseWriter, r *http.Request) {
@@ -253,9 +253,9 @@
 		return
 	}
 	if body.InOrder {
-		e.CrashInOrder()
+		e.CrashDuringOrder()
 	} else {
 		e.Crash()
 	}
-	standin.Reply(w, http.StatusOK, struct{}{})
+	standin.WriteJSON(w, http.StatusOK, struct{}{})
 }
--- a/internal/standin/engine/response.go
+++ b/internal/standin/engine/response.go
@@ -19,13 +19,13 @@
 	defaultTokenSpread = 48
 )
 
-// Answer returns the tokens of the engine's response to prompt: maxTokens of
+// ResponseTokens returns the tokens of the engine's response to prompt: maxTokens of
 // them, or a number that depends on the prompt if maxTokens is not positive.
 // The same prompt always gives the same tokens, so that tests can check every
 // byte.
-func Answer(prompt string, maxTokens int) []string {
+func ResponseTokens(prompt string, maxTokens int) []string {
 	seed := xxhash.Sum64String(prompt)
-	count := AnswerTokens(prompt, maxTokens)
+	count := ResponseLength(prompt, maxTokens)
 	tokens := make([]string, count)
 	for i := range tokens {
 		tokens[i] = token(seed, i)
@@ -33,17 +33,17 @@
 	return tokens
 }
 
-// AnswerTokens returns the number of tokens that [Answer] returns.
-func AnswerTokens(prompt string, maxTokens int) int {
+// ResponseLength returns the number of tokens that [ResponseTokens] returns.
+func ResponseLength(prompt string, maxTokens int) int {
 	if maxTokens > 0 {
 		return maxTokens
 	}
 	return minDefaultTokens + int(xxhash.Sum64String(prompt)%defaultTokenSpread)
 }
 
-// AnswerText returns the concatenated tokens of [Answer].
-func AnswerText(prompt string, maxTokens int) string {
-	return strings.Join(Answer(prompt, maxTokens), "")
+// ResponseText returns the concatenated tokens of [ResponseTokens].
+func ResponseText(prompt string, maxTokens int) string {
+	return strings.Join(ResponseTokens(prompt, maxTokens), "")
 }
 
 // PromptTokens returns the number of tokens that prompt counts as, at least
--- a/internal/standin/engine/stamp.go
+++ b/internal/standin/engine/stamp.go
@@ -23,9 +23,9 @@
 	return Stamp{arrived: arrived.UnixMicro(), written: written.UnixMicro()}
 }
 
-// ReadStamp parses the output of [Stamp.String]. It returns an error if token
+// ParseStamp parses the output of [Stamp.String]. It returns an error if token
 // has another format.
-func ReadStamp(token string) (Stamp, error) {
+func ParseStamp(token string) (Stamp, error) {
 	left, right, ok := strings.Cut(strings.TrimPrefix(token, " "), "+")
 	if !ok {
 		return Stamp{}, errors.Newf("token %q is not a stamp", token)
--- a/internal/standin/fleet/responses.go
+++ b/internal/standin/fleet/responses.go
@@ -21,7 +21,7 @@
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(w.config.Pause)
+	time.Sleep(w.config.Delay)
 	w.mu.Lock()
 	w.prefills++
 	handle := fmt.Sprintf("h-%s-%d", id, w.prefills)
@@ -79,7 +79,7 @@
 		}
 	}()
 	for n := last + 1; n <= w.config.Events; n++ {
-		if !wait(r, w.config.Pause) {
+		if !wait(r, w.config.Delay) {
 			return
 		}
 		select {
@@ -88,7 +88,7 @@
 			panic(http.ErrAbortHandler)
 		default:
 		}
-		if fault == FaultCut && n == last+2 {
+		if fault == FaultTruncate && n == last+2 {
 			// The stream ends in the middle of an event.
 			_, _ = fmt.Fprintf(out, "id: %d\nda", n)
 			_ = flush.Flush()
@@ -99,30 +99,30 @@
 	}
 }
 
-// Body returns the response of a plain worker to the attempt with this ID.
-func Body(id string) string { return strings.Repeat("answer to "+id+"\n", 40) }
+// ResponseBody returns the response of a plain worker to the attempt with this ID.
+func ResponseBody(id string) string { return strings.Repeat("answer to "+id+"\n", 40) }
 
 // writeBody sends the response of a plain worker.
 func (w *Worker) writeBody(out http.ResponseWriter, r *http.Request, id string, fault Fault, bodyBytes int) {
-	if !wait(r, w.config.Pause) {
+	if !wait(r, w.config.Delay) {
 		return
 	}
 	out.Header().Set("Request-Size", strconv.Itoa(bodyBytes))
-	text := Body(id)
+	text := ResponseBody(id)
 	out.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if fault == FaultCut {
+	if fault == FaultTruncate {
 		_, _ = io.WriteString(out, text[:len(text)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(out, text)
-	if fault == FaultExtra {
+	if fault == FaultDuplicate {
 		writeSecondResponse(out, id)
 	}
 }
 
 // writeSecondResponse sends the response again on the same connection.
 func writeSecondResponse(out http.ResponseWriter, id string) {
-	text := Body(id)
+	text := ResponseBody(id)
 	flush := http.NewResponseController(out)
 	_ = flush.Flush()
 	conn, _, err := flush.Hijack()
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -23,14 +23,14 @@
 // Faults that can be injected.
 const (
 	FaultNone Fault = ""
-	// FaultShed: requests are rejected and do not run.
-	FaultShed Fault = "shed"
+	// FaultReject: requests are rejected and do not run.
+	FaultReject Fault = "shed"
 	// FaultLost: requests run and the connection is closed without a response.
 	FaultLost Fault = "lost"
-	// FaultCut: responses are truncated.
-	FaultCut Fault = "cut"
-	// FaultExtra: a plain worker sends a second response after each one.
-	FaultExtra Fault = "extra"
+	// FaultTruncate: responses are truncated.
+	FaultTruncate Fault = "cut"
+	// FaultDuplicate: a plain worker sends a second response after each one.
+	FaultDuplicate Fault = "extra"
 	// FaultSilent: requests are accepted and never get a response.
 	FaultSilent Fault = "silent"
 	// FaultError: requests run and get status 500.
@@ -49,7 +49,7 @@
 	// Events is the number of events per stream. Pause is the time before each
 	// event and the duration of a plain request or a prefill.
 	Events int
-	Pause  time.Duration
+	Delay  time.Duration
 }
 
 // Worker is a simulated worker. It is an http.Handler.
@@ -104,17 +104,17 @@
 	w.rateLimit = perSecond
 }
 
-// Leave makes all later responses announce that the worker shuts down. The
+// AnnounceShutdown makes all later responses announce that the worker shuts down. The
 // worker keeps serving.
-func (w *Worker) Leave() {
+func (w *Worker) AnnounceShutdown() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.shuttingDown = true
 }
 
-// Most returns the maximum number of requests that arrived within span, over
+// MaxArrivals returns the maximum number of requests that arrived within span, over
 // all intervals that start at from or later.
-func (w *Worker) Most(from time.Time, span time.Duration) int {
+func (w *Worker) MaxArrivals(from time.Time, span time.Duration) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	highest, first := 0, 0
@@ -140,8 +140,8 @@
 	return runs
 }
 
-// Prompts returns the number of separate prefills.
-func (w *Worker) Prompts() int {
+// Prefills returns the number of separate prefills.
+func (w *Worker) Prefills() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.prefills
@@ -154,8 +154,8 @@
 	return append([]string(nil), w.acceptedOrders...)
 }
 
-// Received returns the headers of all received requests.
-func (w *Worker) Received() []http.Header {
+// ReceivedHeaders returns the headers of all received requests.
+func (w *Worker) ReceivedHeaders() []http.Header {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]http.Header(nil), w.receivedHeaders...)
@@ -233,8 +233,8 @@
 	_ = json.NewEncoder(out).Encode(map[string]any{"kv_handle": "h-" + m.InstanceID + "-moved", "created": 1})
 }
 
-// Moved returns the number of streams moved to another engine.
-func (w *Worker) Moved() int {
+// MovedStreams returns the number of streams moved to another engine.
+func (w *Worker) MovedStreams() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.movedStreams
@@ -295,7 +295,7 @@
 		out.Header().Set("Server-Limit", strconv.FormatFloat(w.rateLimit, 'f', -1, 64))
 	}
 	fault, stage := w.fault, w.config.Stage
-	if fault == FaultShed || w.running >= 4*w.config.Slots {
+	if fault == FaultReject || w.running >= 4*w.config.Slots {
 		w.rejected[id]++
 		w.mu.Unlock()
 		w.reject(out, id)
--- a/internal/standin/load/compare.go
+++ b/internal/standin/load/compare.go
@@ -53,13 +53,13 @@
 // Direct returns the results of the runs directly at the engine.
 func (c *Comparison) Direct() *Report { return c.direct }
 
-// Through returns the results of the runs through the system.
-func (c *Comparison) Through() *Report { return c.through }
+// ThroughSystem returns the results of the runs through the system.
+func (c *Comparison) ThroughSystem() *Report { return c.through }
 
 // Ratio returns the goodput through the system divided by the goodput of the
 // engine, or zero if the engine gave no complete response.
 func (c *Comparison) Ratio() float64 {
-	if c.direct.Whole() == 0 {
+	if c.direct.Complete() == 0 {
 		return 0
 	}
 	return c.through.Goodput() / c.direct.Goodput()
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -31,15 +31,15 @@
 	maxInFlight = 8192
 )
 
-// Form is the kind of responses to request.
-type Form string
+// ResponseKind is the kind of responses to request.
+type ResponseKind string
 
 // Kinds of responses.
 const (
-	FormStreamed Form = "streamed"
-	FormWhole    Form = "whole"
-	// FormMixed alternates between the two.
-	FormMixed Form = "mixed"
+	ResponseStreamed   ResponseKind = "streamed"
+	ResponseUnstreamed ResponseKind = "whole"
+	// ResponseMixed alternates between the two.
+	ResponseMixed ResponseKind = "mixed"
 )
 
 // Config configures a [Generator].
@@ -61,8 +61,8 @@
 	Duration kumquatlug.Millis
 	// Timeout limits one request, in milliseconds; one minute by default.
 	Timeout kumquatlug.Millis
-	// Form is FormStreamed by default.
-	Form Form
+	// ResponseKind is ResponseStreamed by default.
+	ResponseKind ResponseKind
 	// Mix determines the prompts and the lengths of responses.
 	Mix Mix
 	// Seed determines arrivals and prompts.
@@ -94,8 +94,8 @@
 	if c.Timeout == 0 {
 		c.Timeout = kumquatlug.Minute
 	}
-	if c.Form == "" {
-		c.Form = FormStreamed
+	if c.ResponseKind == "" {
+		c.ResponseKind = ResponseStreamed
 	}
 	c.Mix = c.Mix.withDefaults()
 	return c
@@ -120,8 +120,8 @@
 	if c.Rate < 0 || c.Concurrency < 0 || c.Concurrency > maxInFlight {
 		return errors.Newf("rate must not be negative, concurrency must be between 0 and %d", maxInFlight)
 	}
-	if c.Form != FormStreamed && c.Form != FormWhole && c.Form != FormMixed {
-		return errors.Newf("form %q must be streamed, whole or mixed", c.Form)
+	if c.ResponseKind != ResponseStreamed && c.ResponseKind != ResponseUnstreamed && c.ResponseKind != ResponseMixed {
+		return errors.Newf("form %q must be streamed, whole or mixed", c.ResponseKind)
 	}
 	return c.Mix.check()
 }
@@ -232,7 +232,7 @@
 	defer cancel()
 	r := g.config.Mix.request(g.config.Seed, g.config.salt, index, kumquatlug.MillisOf(due.Sub(start)))
 	r.model = g.config.Model
-	r.streamed = g.config.Form == FormStreamed || g.config.Form == FormMixed && index%2 == 0
+	r.streamed = g.config.ResponseKind == ResponseStreamed || g.config.ResponseKind == ResponseMixed && index%2 == 0
 	if n := len(g.config.Keys); n > 0 {
 		r.key = g.config.Keys[index%n]
 	}
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -41,10 +41,10 @@
 
 func TestCompleteResponsesAreCountedInEveryForm(t *testing.T) {
 	url := startServer(t, newEngine())
-	for _, form := range []Form{FormStreamed, FormWhole, FormMixed} {
+	for _, form := range []ResponseKind{ResponseStreamed, ResponseUnstreamed, ResponseMixed} {
 		for _, rate := range []float64{0, 5000} {
-			r := runLoad(t, Config{URL: url, Count: 60, Rate: rate, Form: form, Mix: Mix{LongShare: 0.5, Documents: 3}})
-			if r.Whole() != 60 || r.usageWrong != 0 || r.firstToken.TotalCount() != 60 || r.ran[noRanHeader] != 60 {
+			r := runLoad(t, Config{URL: url, Count: 60, Rate: rate, ResponseKind: form, Mix: Mix{LongShare: 0.5, Documents: 3}})
+			if r.Complete() != 60 || r.usageWrong != 0 || r.firstToken.TotalCount() != 60 || r.ran[noRanHeader] != 60 {
 				t.Fatalf("form %s, rate %v: got %+v, want 60 complete responses", form, rate, r)
 			}
 		}
@@ -90,14 +90,14 @@
 			replaceBody(response, `"completion_tokens":`, `"completion_tokens":1`)
 		}
 	}))
-	r := runLoad(t, Config{URL: url, Count: 50, Mix: Mix{LongAnswer: 5}})
-	if r.outcomes["wrong"] != 20 || r.outcomes["cut"] != 10 || r.Broken() != 30 {
+	r := runLoad(t, Config{URL: url, Count: 50, Mix: Mix{LongResponse: 5}})
+	if r.outcomes["wrong"] != 20 || r.outcomes["cut"] != 10 || r.Invalid() != 30 {
 		t.Fatalf("%v", r.outcomes)
 	}
-	if r.Refused() != 10 || r.withoutRetryAfter != 10 || r.ran["not-run"] != 10 || r.statuses["429"] != 10 {
+	if r.Rejected() != 10 || r.withoutRetryAfter != 10 || r.ran["not-run"] != 10 || r.statuses["429"] != 10 {
 		t.Fatalf("outcomes %v, %d without Retry-After, by ran %v, by status %v", r.outcomes, r.withoutRetryAfter, r.ran, r.statuses)
 	}
-	if r.Whole() != 10 || r.usageWrong != 10 || r.totalTime.TotalCount() != 10 {
+	if r.Complete() != 10 || r.usageWrong != 10 || r.totalTime.TotalCount() != 10 {
 		t.Fatalf("outcomes %v, wrong usage %d", r.outcomes, r.usageWrong)
 	}
 }
@@ -117,13 +117,13 @@
 		<-all
 		h.ServeHTTP(w, r)
 	}))
-	if r := runLoad(t, Config{URL: url, Count: count, Rate: 2000}); r.Whole() != count {
+	if r := runLoad(t, Config{URL: url, Count: count, Rate: 2000}); r.Complete() != count {
 		t.Fatalf("%v", r.outcomes)
 	}
 }
 
 func TestMixShiftsAndIsDeterministic(t *testing.T) {
-	m := Mix{LongShare: 0.9, ShiftAt: 100, ShiftedShare: 0.1, Documents: 4}.withDefaults()
+	m := Mix{LongShare: 0.9, ShiftTime: 100, ShiftedShare: 0.1, Documents: 4}.withDefaults()
 	const count = 1000
 	long := func(at kumquatlug.Millis) (n int) {
 		for i := range count {
@@ -131,7 +131,7 @@
 			if r != m.request(1, 0, i, at) {
 				t.Fatal("the same index gave two different requests")
 			}
-			if engine.PromptTokens(r.prompt) == m.LongPrompt && r.maxTokens == m.ShortAnswer {
+			if engine.PromptTokens(r.prompt) == m.LongPrompt && r.maxTokens == m.ShortResponse {
 				n++
 			}
 		}
@@ -147,7 +147,7 @@
 	h := newEngine()
 	direct, through := startServer(t, h), startServer(t, h)
 	comparison, err := Compare(context.Background(), Config{URL: through, Keys: []string{"k"}, Count: 20}, direct, 3)
-	if err != nil || comparison.Direct().Whole() != 60 || comparison.Through().Whole() != 60 || comparison.direct.tokens != comparison.through.tokens {
+	if err != nil || comparison.Direct().Complete() != 60 || comparison.ThroughSystem().Complete() != 60 || comparison.direct.tokens != comparison.through.tokens {
 		t.Fatalf("%+v %v", comparison, err)
 	}
 	if _, err := json.Marshal(comparison); err != nil || comparison.Ratio() <= 0 {
@@ -164,7 +164,7 @@
 		{URL: "127.0.0.1:80"},
 		{URL: loopbackURL, Count: maxRequests + 1},
 		{URL: loopbackURL, Duration: maxDuration + 1},
-		{URL: loopbackURL, Form: "half"},
+		{URL: loopbackURL, ResponseKind: "half"},
 		{URL: loopbackURL, Mix: Mix{LongShare: 2}},
 		{URL: loopbackURL, Rate: -1},
 	} {
--- a/internal/standin/load/mix.go
+++ b/internal/standin/load/mix.go
@@ -15,18 +15,18 @@
 type Mix struct {
 	// LongShare is the fraction with long prompts, from 0 to 1.
 	LongShare float64
-	// ShiftAt is when the fraction changes to ShiftedShare, in milliseconds
+	// ShiftTime is when the fraction changes to ShiftedShare, in milliseconds
 	// from the start; zero disables the change.
-	ShiftAt      kumquatlug.Millis
+	ShiftTime    kumquatlug.Millis
 	ShiftedShare float64
 	// LongPrompt and ShortPrompt are in tokens of four bytes; 2,000 and 50 by
 	// default.
 	LongPrompt  int
 	ShortPrompt int
-	// LongAnswer and ShortAnswer are the response lengths in tokens; 200 and 10
+	// LongResponse and ShortAnswer are the response lengths in tokens; 200 and 10
 	// by default.
-	LongAnswer  int
-	ShortAnswer int
+	LongResponse  int
+	ShortResponse int
 	// Documents is the number of different prefixes that the prompts share: the
 	// first half of each prompt is one of them. With zero, prompts share no
 	// prefix.
@@ -41,8 +41,8 @@
 	}
 	setDefault(&m.LongPrompt, 2000)
 	setDefault(&m.ShortPrompt, 50)
-	setDefault(&m.LongAnswer, 200)
-	setDefault(&m.ShortAnswer, 10)
+	setDefault(&m.LongResponse, 200)
+	setDefault(&m.ShortResponse, 10)
 	return m
 }
 
@@ -50,7 +50,7 @@
 	if m.LongShare < 0 || m.LongShare > 1 || m.ShiftedShare < 0 || m.ShiftedShare > 1 {
 		return errors.New("shares must be between 0 and 1")
 	}
-	if min(m.LongPrompt, m.ShortPrompt, m.LongAnswer, m.ShortAnswer) < 1 || m.Documents < 0 {
+	if min(m.LongPrompt, m.ShortPrompt, m.LongResponse, m.ShortResponse) < 1 || m.Documents < 0 {
 		return errors.New("lengths must be positive, documents must not be negative")
 	}
 	return nil
@@ -72,12 +72,12 @@
 func (m Mix) request(seed, salt uint64, index int, elapsed kumquatlug.Millis) request {
 	random := rand.New(rand.NewPCG(seed, uint64(index)+2))
 	share := m.LongShare
-	if m.ShiftAt > 0 && elapsed >= m.ShiftAt {
+	if m.ShiftTime > 0 && elapsed >= m.ShiftTime {
 		share = m.ShiftedShare
 	}
-	promptTokens, maxTokens := m.ShortPrompt, m.LongAnswer
+	promptTokens, maxTokens := m.ShortPrompt, m.LongResponse
 	if random.Float64() < share {
-		promptTokens, maxTokens = m.LongPrompt, m.ShortAnswer
+		promptTokens, maxTokens = m.LongPrompt, m.ShortResponse
 	}
 	prompt := padPrompt(fmt.Sprintf("request %d of %d.%d ", index, seed, salt), promptTokens)
 	if m.Documents > 0 {
--- a/internal/standin/load/path.go
+++ b/internal/standin/load/path.go
@@ -15,29 +15,29 @@
 
 // PathConfig configures [MeasurePath].
 type PathConfig struct {
-	// Entry is the base address of the callers' API, Key the key of an account
+	// GatewayURL is the base address of the callers' API, Key the key of an account
 	// there.
-	Entry string
-	Key   string
-	// Stamped are the addresses of the engines of StampedModel, which stamp
+	GatewayURL string
+	Key        string
+	// StampedEngines are the addresses of the engines of StampedModel, which stamp
 	// their tokens; Fast those of the engines of FastModel, which respond as
 	// fast as they can.
-	Stamped []string
-	Fast    []string
-	// Metrics are the processes of the path whose resource usage is measured.
-	Metrics []Process
+	StampedEngines []string
+	FastEngines    []string
+	// Processes are the processes of the path whose resource usage is measured.
+	Processes []Process
 	// Streams is the number of concurrent streams, Tokens the length of each in
 	// tokens, and TokenTime the stamping engines' time per token, in
 	// milliseconds.
 	Streams   int
 	Tokens    int
 	TokenTime kumquatlug.Millis
-	// Span is the period in which streams are started and BurstSpan the
+	// StreamDuration is the period in which streams are started and BurstSpan the
 	// duration of each burst, both in milliseconds. BurstRounds is the number
 	// of bursts sent each way.
-	Span        kumquatlug.Millis
-	BurstSpan   kumquatlug.Millis
-	BurstRounds int
+	StreamDuration kumquatlug.Millis
+	BurstDuration  kumquatlug.Millis
+	BurstRounds    int
 	// BurstTokens is the length of a burst's responses in tokens.
 	BurstTokens int
 }
@@ -69,24 +69,24 @@
 	Client *http.Client
 }
 
-// Use is the processor time and memory that processes have used.
-type Use struct {
+// ResourceUsage is the processor time and memory that processes have used.
+type ResourceUsage struct {
 	cpuSeconds, allocations, allocatedBytes float64
 	// waitSeconds is the total time that requests waited for a slot at a target
 	// and waitCount their number; only a gateway has them.
 	waitSeconds, waitCount float64
 }
 
-func (u Use) plus(other Use) Use {
-	return Use{u.cpuSeconds + other.cpuSeconds, u.allocations + other.allocations, u.allocatedBytes + other.allocatedBytes, u.waitSeconds + other.waitSeconds, u.waitCount + other.waitCount}
+func (u ResourceUsage) plus(other ResourceUsage) ResourceUsage {
+	return ResourceUsage{u.cpuSeconds + other.cpuSeconds, u.allocations + other.allocations, u.allocatedBytes + other.allocatedBytes, u.waitSeconds + other.waitSeconds, u.waitCount + other.waitCount}
 }
 
-func (u Use) minus(before Use) Use {
-	return u.plus(Use{-before.cpuSeconds, -before.allocations, -before.allocatedBytes, -before.waitSeconds, -before.waitCount})
+func (u ResourceUsage) minus(before ResourceUsage) ResourceUsage {
+	return u.plus(ResourceUsage{-before.cpuSeconds, -before.allocations, -before.allocatedBytes, -before.waitSeconds, -before.waitCount})
 }
 
-// PathCost contains the results of [MeasurePath].
-type PathCost struct {
+// PathOverhead contains the results of [MeasurePath].
+type PathOverhead struct {
 	// Streams and Bursts are the results of the two loads.
 	Streams PathLoad
 	Bursts  PathLoad
@@ -98,18 +98,18 @@
 	direct       *Report
 	directRepeat *Report
 	through      *Report
-	usage        map[string]Use
+	usage        map[string]ResourceUsage
 }
 
 func newPathLoad() PathLoad {
-	return PathLoad{direct: newReport(), directRepeat: newReport(), through: newReport(), usage: map[string]Use{}}
+	return PathLoad{direct: newReport(), directRepeat: newReport(), through: newReport(), usage: map[string]ResourceUsage{}}
 }
 
 // MeasurePath measures the overhead of the path. Direct runs and those through
 // the path follow one another closely, so that other activity on the machine
 // affects all of them.
-func MeasurePath(ctx context.Context, c PathConfig) (*PathCost, error) {
-	cost := &PathCost{Streams: newPathLoad(), Bursts: newPathLoad()}
+func MeasurePath(ctx context.Context, c PathConfig) (*PathOverhead, error) {
+	cost := &PathOverhead{Streams: newPathLoad(), Bursts: newPathLoad()}
 	streams := c.streams()
 	// The warm-up raises the concurrency limits of the gateway to what the
 	// engines can serve, with some margin.
@@ -118,11 +118,11 @@
 	if err := runInto(ctx, warmup, newReport()); err != nil {
 		return nil, err
 	}
-	if err := c.measure(ctx, streams, c.Stamped, 0, cost.Streams); err != nil {
+	if err := c.measure(ctx, streams, c.StampedEngines, 0, cost.Streams); err != nil {
 		return nil, err
 	}
 	for round := range c.BurstRounds {
-		if err := c.measure(ctx, c.bursts(), c.Fast, round, cost.Bursts); err != nil {
+		if err := c.measure(ctx, c.bursts(), c.FastEngines, round, cost.Bursts); err != nil {
 			return nil, err
 		}
 	}
@@ -134,16 +134,16 @@
 func (c PathConfig) streams() Config {
 	seconds := float64(c.Tokens) * float64(c.TokenTime) / float64(kumquatlug.Second)
 	return Config{
-		URL: c.Entry, Keys: []string{c.Key}, Model: StampedModel, Rate: float64(c.Streams) / seconds,
-		Count: maxRequests, Duration: c.Span, Timeout: requestTimeout, Seed: 1,
-		Mix: Mix{LongAnswer: c.Tokens}, stamped: true,
+		URL: c.GatewayURL, Keys: []string{c.Key}, Model: StampedModel, Rate: float64(c.Streams) / seconds,
+		Count: maxRequests, Duration: c.StreamDuration, Timeout: requestTimeout, Seed: 1,
+		Mix: Mix{LongResponse: c.Tokens}, stamped: true,
 	}
 }
 
 func (c PathConfig) bursts() Config {
 	return Config{
-		URL: c.Entry, Keys: []string{c.Key}, Model: FastModel, Concurrency: burstClients,
-		Count: maxRequests, Duration: c.BurstSpan, Timeout: requestTimeout, Seed: 1, Mix: Mix{LongAnswer: c.BurstTokens},
+		URL: c.GatewayURL, Keys: []string{c.Key}, Model: FastModel, Concurrency: burstClients,
+		Count: maxRequests, Duration: c.BurstDuration, Timeout: requestTimeout, Seed: 1, Mix: Mix{LongResponse: c.BurstTokens},
 	}
 }
 
@@ -187,16 +187,16 @@
 	return nil
 }
 
-func addUsage(into, before, after map[string]Use) {
+func addUsage(into, before, after map[string]ResourceUsage) {
 	for name, total := range after {
 		into[name] = into[name].plus(total.minus(before[name]))
 	}
 }
 
 // readUsage returns the resource usage of the processes so far, by role.
-func (c PathConfig) readUsage(ctx context.Context) (map[string]Use, error) {
-	usage := map[string]Use{}
-	for _, p := range c.Metrics {
+func (c PathConfig) readUsage(ctx context.Context) (map[string]ResourceUsage, error) {
+	usage := map[string]ResourceUsage{}
+	for _, p := range c.Processes {
 		processUsage, err := p.readUsage(ctx)
 		if err != nil {
 			return nil, errors.Wrapf(err, "metrics of %s", p.Name)
@@ -206,22 +206,22 @@
 	return usage, nil
 }
 
-func (p Process) readUsage(ctx context.Context) (Use, error) {
+func (p Process) readUsage(ctx context.Context) (ResourceUsage, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.URL, nil)
 	if err != nil {
-		return Use{}, err
+		return ResourceUsage{}, err
 	}
 	response, err := p.Client.Do(request)
 	if err != nil {
-		return Use{}, err
+		return ResourceUsage{}, err
 	}
 	defer response.Body.Close()
 	return parseUsage(response.Body)
 }
 
 // parseUsage sums the samples of each metric; those of a histogram have labels.
-func parseUsage(text io.Reader) (Use, error) {
-	var u Use
+func parseUsage(text io.Reader) (ResourceUsage, error) {
+	var u ResourceUsage
 	fields := map[string]*float64{
 		"process_cpu_seconds_total": &u.cpuSeconds, "go_memstats_mallocs_total": &u.allocations,
 		"go_memstats_alloc_bytes_total":     &u.allocatedBytes,
@@ -244,9 +244,11 @@
 	return u, lines.Err()
 }
 
-// Broken returns the number of wrong or truncated responses.
-func (c *PathCost) Broken() int { return c.Streams.invalidResponses() + c.Bursts.invalidResponses() }
+// Invalid returns the number of wrong or truncated responses.
+func (c *PathOverhead) Invalid() int {
+	return c.Streams.invalidResponses() + c.Bursts.invalidResponses()
+}
 
 func (l PathLoad) invalidResponses() int {
-	return l.direct.Broken() + l.directRepeat.Broken() + l.through.Broken()
+	return l.direct.Invalid() + l.directRepeat.Invalid() + l.through.Invalid()
 }
--- a/internal/standin/load/path_test.go
+++ b/internal/standin/load/path_test.go
@@ -22,7 +22,7 @@
 
 func TestParseUsageSumsLabeledSeries(t *testing.T) {
 	got, err := parseUsage(strings.NewReader(sampleMetrics))
-	want := Use{cpuSeconds: 1.5, allocations: 1e6, allocatedBytes: 2048, waitSeconds: 0.75, waitCount: 3}
+	want := ResourceUsage{cpuSeconds: 1.5, allocations: 1e6, allocatedBytes: 2048, waitSeconds: 0.75, waitCount: 3}
 	if err != nil || got != want {
 		t.Fatalf("got %+v, error %v", got, err)
 	}
@@ -31,7 +31,7 @@
 // One engine serves both the direct runs and those through the path. In both,
 // every response must be complete, with a latency for each of its tokens.
 func TestMeasurePathTimesEveryToken(t *testing.T) {
-	e := httptest.NewServer(engine.New(engine.Config{Models: []string{StampedModel}, Stamped: true, DecodeTime: 2}).Handler())
+	e := httptest.NewServer(engine.New(engine.Config{Models: []string{StampedModel}, StampTokens: true, DecodeTime: 2}).Handler())
 	defer e.Close()
 	metrics := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, sampleMetrics)
@@ -39,17 +39,17 @@
 	defer metrics.Close()
 	const tokens = 5
 	cost, err := MeasurePath(context.Background(), PathConfig{
-		Entry: e.URL, Key: "k", Stamped: []string{e.URL}, Streams: 4, Tokens: tokens, TokenTime: 2, Span: 100,
-		Metrics: []Process{{Name: "entry", URL: metrics.URL, Client: http.DefaultClient}},
+		GatewayURL: e.URL, Key: "k", StampedEngines: []string{e.URL}, Streams: 4, Tokens: tokens, TokenTime: 2, StreamDuration: 100,
+		Processes: []Process{{Name: "entry", URL: metrics.URL, Client: http.DefaultClient}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cost.Broken() != 0 || cost.Streams.through.Whole() == 0 {
-		t.Fatalf("%d broken and %d complete responses, want none broken", cost.Broken(), cost.Streams.through.Whole())
+	if cost.Invalid() != 0 || cost.Streams.through.Complete() == 0 {
+		t.Fatalf("%d broken and %d complete responses, want none broken", cost.Invalid(), cost.Streams.through.Complete())
 	}
 	for _, r := range []*Report{cost.Streams.direct, cost.Streams.directRepeat, cost.Streams.through} {
-		if got, want := r.transit.perToken.TotalCount(), int64(r.Whole()*tokens); got != want {
+		if got, want := r.transit.perToken.TotalCount(), int64(r.Complete()*tokens); got != want {
 			t.Errorf("%d token times, want %d", got, want)
 		}
 	}
--- a/internal/standin/load/pathtable.go
+++ b/internal/standin/load/pathtable.go
@@ -10,11 +10,11 @@
 )
 
 // WriteTable writes the results as a table.
-func (c *PathCost) WriteTable(out io.Writer) error {
+func (c *PathOverhead) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	c.Streams.writeTimes(w)
 	c.Streams.writeUsage(w, "streams")
-	if c.Bursts.through.Whole() > 0 {
+	if c.Bursts.through.Complete() > 0 {
 		c.Bursts.writeRates(w)
 		c.Bursts.writeUsage(w, "bursts")
 	}
@@ -27,7 +27,7 @@
 	streams := l.through.transit.lastToken.TotalCount()
 	meanOpen := l.through.totalTime.Mean() * float64(streams) / 1e6 / l.through.elapsed.Seconds()
 	fmt.Fprintf(w, "streams: %d through, %.0f open at a time on average, whole/refused/broken %d/%d/%d\n",
-		streams, meanOpen, l.through.Whole(), l.through.Refused()+l.through.Failed(), l.invalidResponses())
+		streams, meanOpen, l.through.Complete(), l.through.Rejected()+l.through.Failed(), l.invalidResponses())
 	fmt.Fprintln(w, "time in ms\tdirect p50\tthrough p50\tadded p50\tnoise p50\tdirect p99\tthrough p99\tadded p99\tnoise p99")
 	rows := []struct {
 		name      string
@@ -60,7 +60,7 @@
 	}{{"direct", l.direct}, {"direct again", l.directRepeat}, {"through", l.through}} {
 		rate := row.r.Goodput()
 		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.3f\t%d\t%.2f\t%.2f\n", row.name, rate, float64(row.r.tokens)/row.r.elapsed.Seconds(),
-			rate/l.direct.Goodput(), row.r.Refused()+row.r.Failed(),
+			rate/l.direct.Goodput(), row.r.Rejected()+row.r.Failed(),
 			float64(row.r.totalTime.ValueAtQuantile(50))/1000, float64(row.r.totalTime.ValueAtQuantile(99))/1000)
 	}
 }
@@ -68,7 +68,7 @@
 // writeUsage writes the resource usage per request and per token of each role
 // in the path.
 func (l PathLoad) writeUsage(w io.Writer, load string) {
-	requests, tokens := float64(max(l.through.Whole(), 1)), float64(max(l.through.tokens, 1))
+	requests, tokens := float64(max(l.through.Complete(), 1)), float64(max(l.through.tokens, 1))
 	fmt.Fprintf(w, "%s, use of\tallocations/request\tKB/request\tallocations/token\tB/token\tprocessor ms/request\tprocessor us/token\twait ms\n", load)
 	names := make([]string, 0, len(l.usage))
 	for name := range l.usage {
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -99,24 +99,24 @@
 	}
 }
 
-// Whole returns the number of complete and correct responses.
-func (r *Report) Whole() int { return r.outcomes[string(outcomeComplete)] }
+// Complete returns the number of complete and correct responses.
+func (r *Report) Complete() int { return r.outcomes[string(outcomeComplete)] }
 
-// Broken returns the number of wrong or truncated responses.
-func (r *Report) Broken() int {
+// Invalid returns the number of wrong or truncated responses.
+func (r *Report) Invalid() int {
 	return r.outcomes[string(outcomeWrong)] + r.outcomes[string(outcomeTruncated)]
 }
 
-// Refused returns the number of rejected requests: those with a status other
+// Rejected returns the number of rejected requests: those with a status other
 // than 200.
-func (r *Report) Refused() int { return r.outcomes[string(outcomeRefused)] }
+func (r *Report) Rejected() int { return r.outcomes[string(outcomeRefused)] }
 
 // Failed returns the number of requests without a response, including those not
 // sent.
 func (r *Report) Failed() int { return r.outcomes[string(outcomeFailed)] + r.unsent }
 
 // Goodput returns the number of complete responses per second.
-func (r *Report) Goodput() float64 { return float64(r.Whole()) / r.elapsed.Seconds() }
+func (r *Report) Goodput() float64 { return float64(r.Complete()) / r.elapsed.Seconds() }
 
 // quantiles are in milliseconds.
 type quantiles struct {
--- a/internal/standin/load/send.go
+++ b/internal/standin/load/send.go
@@ -110,7 +110,7 @@
 		}
 		return
 	}
-	if text != engine.AnswerText(sent.prompt, sent.maxTokens) {
+	if text != engine.ResponseText(sent.prompt, sent.maxTokens) {
 		r.outcome = outcomeWrong
 	}
 }
--- a/internal/standin/load/transit.go
+++ b/internal/standin/load/transit.go
@@ -18,7 +18,7 @@
 // addToken records a stamped token that has just arrived. It returns false for
 // a token without a stamp or for several tokens in one chunk.
 func (t *transitTimes) addToken(text string, due time.Time) bool {
-	stamp, err := engine.ReadStamp(text)
+	stamp, err := engine.ParseStamp(text)
 	if err != nil {
 		return false
 	}
--- a/internal/standin/platform/memory.go
+++ b/internal/standin/platform/memory.go
@@ -23,17 +23,17 @@
 type Faults struct {
 	// Down fails every request before it takes effect.
 	Down bool `json:"down"`
-	// DownTable fails requests to the table before they take effect.
-	DownTable bool `json:"down_table"`
-	// DownObjects fails requests to the object store before they take effect.
-	DownObjects bool `json:"down_objects"`
-	// DownVMs fails requests to the VM list before they take effect.
-	DownVMs bool `json:"down_vms"`
-	// Slow delays every request before it takes effect, in milliseconds.
-	Slow kumquatlug.Millis `json:"slow_ms"`
-	// LoseAnswers is the number of next commits that take effect but return
+	// TableDown fails requests to the table before they take effect.
+	TableDown bool `json:"down_table"`
+	// ObjectsDown fails requests to the object store before they take effect.
+	ObjectsDown bool `json:"down_objects"`
+	// VMsDown fails requests to the VM list before they take effect.
+	VMsDown bool `json:"down_vms"`
+	// Delay delays every request before it takes effect, in milliseconds.
+	Delay kumquatlug.Millis `json:"slow_ms"`
+	// LoseResponses is the number of next commits that take effect but return
 	// ErrLost to their writer.
-	LoseAnswers int `json:"lose_answers"`
+	LoseResponses int `json:"lose_answers"`
 }
 
 // Counts are the numbers of operations since the platform was created. Reads
@@ -105,9 +105,9 @@
 	m.faults = f
 }
 
-// SetLag sets the delay, in milliseconds, until a change of the VM list is
+// SetVMListLag sets the delay, in milliseconds, until a change of the VM list is
 // visible. It applies to later changes.
-func (m *Memory) SetLag(lag kumquatlug.Millis) {
+func (m *Memory) SetVMListLag(lag kumquatlug.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.vmLag = lag
@@ -174,8 +174,8 @@
 	for _, w := range tx.Writes() {
 		m.write(w)
 	}
-	if m.faults.LoseAnswers > 0 {
-		m.faults.LoseAnswers--
+	if m.faults.LoseResponses > 0 {
+		m.faults.LoseResponses--
 		return errors.Mark(errors.Newf("response to commit %q lost", tx.ID()), kumquatlug.ErrLost)
 	}
 	return nil
@@ -238,8 +238,8 @@
 	return vms, nil
 }
 
-// Enter registers or updates a VM.
-func (m *Memory) Enter(ctx context.Context, v kumquatlug.VM) error {
+// Register registers or updates a VM.
+func (m *Memory) Register(ctx context.Context, v kumquatlug.VM) error {
 	if err := m.acquire(ctx, m.vmsDown); err != nil {
 		return err
 	}
@@ -249,8 +249,8 @@
 	return nil
 }
 
-// Leave removes a VM from the list.
-func (m *Memory) Leave(ctx context.Context, name string) error {
+// Deregister removes a VM from the list.
+func (m *Memory) Deregister(ctx context.Context, name string) error {
 	if err := m.acquire(ctx, m.vmsDown); err != nil {
 		return err
 	}
@@ -293,15 +293,15 @@
 	}
 }
 
-func (m *Memory) tableDown() bool   { return m.faults.Down || m.faults.DownTable }
-func (m *Memory) objectsDown() bool { return m.faults.Down || m.faults.DownObjects }
-func (m *Memory) vmsDown() bool     { return m.faults.Down || m.faults.DownVMs }
+func (m *Memory) tableDown() bool   { return m.faults.Down || m.faults.TableDown }
+func (m *Memory) objectsDown() bool { return m.faults.Down || m.faults.ObjectsDown }
+func (m *Memory) vmsDown() bool     { return m.faults.Down || m.faults.VMsDown }
 
 // acquire waits for the injected delay and locks the mutex, which is held if it
 // returns nil. It returns ErrUnavailable during an outage or if ctx ends.
 func (m *Memory) acquire(ctx context.Context, down func() bool) error {
 	m.mu.Lock()
-	slow := m.faults.Slow
+	slow := m.faults.Delay
 	m.mu.Unlock()
 	if err := standin.Wait(ctx, slow); err != nil {
 		return errors.Mark(err, kumquatlug.ErrUnavailable)
--- a/internal/standin/platform/memory_test.go
+++ b/internal/standin/platform/memory_test.go
@@ -13,7 +13,7 @@
 func TestTableOutageLeavesObjectsAvailable(t *testing.T) {
 	m := platform.NewMemory()
 	ctx := context.Background()
-	m.SetFaults(platform.Faults{DownTable: true})
+	m.SetFaults(platform.Faults{TableDown: true})
 	if err := m.Commit(ctx, kumquatlug.NewTx("1").Put("a", nil)); !errors.Is(err, kumquatlug.ErrUnavailable) {
 		t.Fatalf("%v", err)
 	}
@@ -24,7 +24,7 @@
 	if r, err := m.Get(ctx, "a"); err != nil || r.Exists() {
 		t.Fatalf("%+v %v", r, err)
 	}
-	m.SetFaults(platform.Faults{Slow: kumquatlug.Hour})
+	m.SetFaults(platform.Faults{Delay: kumquatlug.Hour})
 	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
 	if err := m.Commit(cancelled, kumquatlug.NewTx("2").Put("a", nil)); !errors.Is(err, kumquatlug.ErrUnavailable) {
@@ -34,7 +34,7 @@
 
 func TestVMListShowsChangesAfterLag(t *testing.T) {
 	m := platform.NewMemory()
-	m.SetLag(1)
+	m.SetVMListLag(1)
 	m.SetVM(kumquatlug.NewVM(kumquatlug.VMConfig{Name: "t1"}))
 	for seen := 0; seen == 0; {
 		vms, err := m.List(context.Background())
--- a/internal/standin/rowstore/contract_test.go
+++ b/internal/standin/rowstore/contract_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(server.Close)
 	store := platform.NewStore(platform.StoreConfig{
 		Address: strings.TrimPrefix(server.URL, "http://"),
-		Pool:    exchange.New(exchange.Config{Clock: clock.NewMonotonic(), Kept: 8}),
+		Pool:    exchange.New(exchange.Config{Clock: clock.NewMonotonic(), MaxIdlePerAddress: 8}),
 	})
 	setFaults := func(body string) {
 		response, err := http.Post(server.URL+rowstore.PathFaults, "application/json", strings.NewReader(body))
@@ -57,7 +57,7 @@
 		},
 		"memory": {
 			m, m, m,
-			func(n int) { m.SetFaults(memory.Faults{LoseAnswers: n}) }, func(down bool) { m.SetFaults(memory.Faults{Down: down}) },
+			func(n int) { m.SetFaults(memory.Faults{LoseResponses: n}) }, func(down bool) { m.SetFaults(memory.Faults{Down: down}) },
 		},
 	}
 }
@@ -229,11 +229,11 @@
 		vm := kumquatlug.NewVM(kumquatlug.VMConfig{
 			Name: "t1", Role: kumquatlug.VMTarget, Address: "127.0.0.1:1", Zone: "a", State: kumquatlug.VMLive,
 		})
-		must(t, b.Enter(ctx, vm))
+		must(t, b.Register(ctx, vm))
 		if vms, err := b.List(ctx); err != nil || len(vms) != 1 || vms[0] != vm {
 			t.Fatalf("%+v %v", vms, err)
 		}
-		must(t, b.Leave(ctx, "t1"))
+		must(t, b.Deregister(ctx, "t1"))
 		if vms, err := b.List(ctx); err != nil || len(vms) != 0 {
 			t.Fatalf("%+v %v", vms, err)
 		}
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -79,23 +79,23 @@
 	}
 }
 
-// Copy is a snapshot of the rows of a store.
-type Copy struct {
+// Snapshot is a snapshot of the rows of a store.
+type Snapshot struct {
 	rows    map[string]row
 	version int64
 }
 
-// Copy returns a snapshot of the store.
-func (s *Store) Copy() Copy {
+// Snapshot returns a snapshot of the store.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{rows: maps.Clone(s.rows), version: s.version}
+	return Snapshot{rows: maps.Clone(s.rows), version: s.version}
 }
 
 // Restore resets the store to an older snapshot. Later writes are lost and
 // their versions are reused, the first otherRows of them immediately for rows
 // of another table.
-func (s *Store) Restore(c Copy, otherRows int) {
+func (s *Store) Restore(c Snapshot, otherRows int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows, s.version, s.compacted, s.history = maps.Clone(c.rows), c.version, c.version, nil
@@ -114,8 +114,8 @@
 	s.fault = f
 }
 
-// Forget drops the history, so that followers of a table must read it again.
-func (s *Store) Forget() {
+// CompactHistory drops the history, so that followers of a table must read it again.
+func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = s.version
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -26,12 +26,12 @@
 	// Delay is the time before a call takes effect, in milliseconds; zero by
 	// default.
 	Delay kumquatlug.Millis `json:"delay_ms"`
-	// FailAfter is the number of next calls with an effect for which the
+	// LoseResponses is the number of next calls with an effect for which the
 	// connection is closed without a response after the run is recorded.
-	FailAfter int `json:"fail_after"`
-	// AnswerBytes is the minimum size of a response, reached by padding; no
+	LoseResponses int `json:"fail_after"`
+	// MinResponseBytes is the minimum size of a response, reached by padding; no
 	// padding by default.
-	AnswerBytes int `json:"answer_bytes"`
+	MinResponseBytes int `json:"answer_bytes"`
 }
 
 // Run is the number of runs of one call.
@@ -126,7 +126,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(Answer(r.Method, r.URL.RequestURI(), string(body), c.AnswerBytes))
+	w.Write(Response(r.Method, r.URL.RequestURI(), string(body), c.MinResponseBytes))
 }
 
 // recordRun counts a run and reports whether its response must be lost.
@@ -134,16 +134,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[runKey{key: key, body: body}]++
-	if s.config.FailAfter == 0 {
+	if s.config.LoseResponses == 0 {
 		return false
 	}
-	s.config.FailAfter--
+	s.config.LoseResponses--
 	return true
 }
 
-// Answer returns the response to a call, padded to at least minBytes bytes. It
+// Response returns the response to a call, padded to at least minBytes bytes. It
 // depends only on the call, so that tests can check every byte.
-func Answer(method, path, body string, minBytes int) []byte {
+func Response(method, path, body string, minBytes int) []byte {
 	response := struct {
 		Receipt uint64 `json:"receipt"`
 		Echo    string `json:"echo"`
@@ -170,7 +170,7 @@
 	for _, r := range s.Runs() {
 		body.Runs = append(body.Runs, runBody{r.key, r.body, r.count})
 	}
-	standin.Reply(w, http.StatusOK, body)
+	standin.WriteJSON(w, http.StatusOK, body)
 }
 
 func (s *Service) configure(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -40,14 +40,14 @@
 // retry of the call books twice, while the caller sees one receipt and pays two
 // deposits. The service must count both runs, else no test could detect it.
 func TestRunWithoutResponseIsCounted(t *testing.T) {
-	s := service.New(service.Config{FailAfter: 1})
+	s := service.New(service.Config{LoseResponses: 1})
 	h := httptest.NewServer(s.Handler())
 	defer h.Close()
 	if status, text := call(t, http.MethodPost, h.URL+"/book", "k", "saree"); status != 0 {
 		t.Fatalf("the failing call got a response: %d %s", status, text)
 	}
 	status, text := call(t, http.MethodPost, h.URL+"/book", "k", "saree")
-	if status != http.StatusOK || text != string(service.Answer(http.MethodPost, "/book", "saree", 0)) {
+	if status != http.StatusOK || text != string(service.Response(http.MethodPost, "/book", "saree", 0)) {
 		t.Fatalf("%d %s", status, text)
 	}
 	call(t, http.MethodPost, h.URL+"/book", "k", "sherwani")
@@ -59,13 +59,13 @@
 }
 
 func TestEveryMethodAndLargeResponses(t *testing.T) {
-	s := service.New(service.Config{AnswerBytes: 1 << 20})
+	s := service.New(service.Config{MinResponseBytes: 1 << 20})
 	h := httptest.NewServer(s.Handler())
 	defer h.Close()
 	for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPatch, http.MethodDelete} {
 		const path = "/a//b/%2Fc?q=1"
 		status, text := call(t, method, h.URL+path, "", "body")
-		if status != http.StatusOK || len(text) < 1<<20 || text != string(service.Answer(method, path, "body", 1<<20)) {
+		if status != http.StatusOK || len(text) < 1<<20 || text != string(service.Response(method, path, "body", 1<<20)) {
 			t.Fatalf("%s: %d, %d bytes", method, status, len(text))
 		}
 	}
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -20,10 +20,10 @@
 
 // Names used in the deployment.
 const (
-	Host    = "shop.example"
-	Engines = "engines"
-	Desk    = "desk"
-	Zone    = "zone-a"
+	Host          = "shop.example"
+	EngineService = "engines"
+	PlainService  = "desk"
+	Zone          = "zone-a"
 )
 
 // leaseMillis is the lease duration. It is also the minimum time between two
@@ -33,32 +33,32 @@
 
 // Paths of the routes.
 const (
-	// PathLong is for prompts whose streams may resume on another engine.
-	PathLong = "/long/"
-	// PathChat is for prompts whose streams may not resume.
-	PathChat = "/chat/"
-	// PathPost is for non-idempotent requests.
-	PathPost = "/post/"
-	// PathLook is for idempotent requests.
-	PathLook = "/look/"
+	// PathResumable is for prompts whose streams may resume on another engine.
+	PathResumable = "/long/"
+	// PathNonResumable is for prompts whose streams may not resume.
+	PathNonResumable = "/chat/"
+	// PathNonIdempotent is for non-idempotent requests.
+	PathNonIdempotent = "/post/"
+	// PathIdempotent is for idempotent requests.
+	PathIdempotent = "/look/"
 )
 
 // Config configures a [Site].
 type Config struct {
-	// Prefill and Decode are the numbers of engines by their initial stage;
+	// PrefillEngines and Decode are the numbers of engines by their initial stage;
 	// Plain is the number of plain workers.
-	Prefill, Decode, Plain int
+	PrefillEngines, DecodeEngines, PlainWorkers int
 	// Events is the number of events per stream, Pause the time before each
 	// event and the duration of a plain request.
-	Events int
-	Pause  time.Duration
+	Events     int
+	EventDelay time.Duration
 }
 
 // Site is a running deployment.
 type Site struct {
-	Store   *rowstore.Store
-	Engines []*fleet.Worker
-	Plain   []*fleet.Worker
+	Store        *rowstore.Store
+	Engines      []*fleet.Worker
+	PlainWorkers []*fleet.Worker
 	// Cloud receives usage reports and orders for worker counts.
 	Cloud         *cloud.Service
 	cloudAddress  string
@@ -93,15 +93,15 @@
 	if _, s.cloudAddress, err = s.serve(s.Cloud); err != nil {
 		return nil, err
 	}
-	for i := range c.Prefill + c.Decode + c.Plain {
-		worker := fleet.Config{ID: fmt.Sprintf("w-%d", i), Service: Engines, Zone: Zone, Events: c.Events, Pause: c.Pause}
+	for i := range c.PrefillEngines + c.DecodeEngines + c.PlainWorkers {
+		worker := fleet.Config{ID: fmt.Sprintf("w-%d", i), Service: EngineService, Zone: Zone, Events: c.Events, Delay: c.EventDelay}
 		switch {
-		case i < c.Prefill:
+		case i < c.PrefillEngines:
 			worker.Stage = "prefill"
-		case i < c.Prefill+c.Decode:
+		case i < c.PrefillEngines+c.DecodeEngines:
 			worker.Stage = "decode"
 		default:
-			worker.Service = Desk
+			worker.Service = PlainService
 		}
 		if err := s.addWorker(worker); err != nil {
 			return nil, err
@@ -133,28 +133,28 @@
 	c.Address = address
 	w = fleet.New(c)
 	s.workerIDs[w], s.workerServers[c.ID] = c.ID, server
-	if c.Service == Engines {
+	if c.Service == EngineService {
 		s.Engines = append(s.Engines, w)
 	} else {
-		s.Plain = append(s.Plain, w)
+		s.PlainWorkers = append(s.PlainWorkers, w)
 	}
-	s.Announce(w, "ready")
+	s.WriteWorkerRow(w, "ready")
 	return nil
 }
 
 // ID returns the ID of a worker.
 func (s *Site) ID(w *fleet.Worker) string { return s.workerIDs[w] }
 
-// Announce writes the row of a worker with its state: "ready" or "draining".
-func (s *Site) Announce(w *fleet.Worker, state string) {
+// WriteWorkerRow writes the row of a worker with its state: "ready" or "draining".
+func (s *Site) WriteWorkerRow(w *fleet.Worker, state string) {
 	s.Store.Put("servers", s.workerIDs[w], w.Row(state))
 }
 
-// Remove deletes the row of a worker.
-func (s *Site) Remove(w *fleet.Worker) { s.Store.Delete("servers", s.workerIDs[w]) }
+// DeleteWorkerRow deletes the row of a worker.
+func (s *Site) DeleteWorkerRow(w *fleet.Worker) { s.Store.Delete("servers", s.workerIDs[w]) }
 
-// Crash closes the server of a worker and all its connections.
-func (s *Site) Crash(w *fleet.Worker) { _ = s.workerServers[s.workerIDs[w]].Close() }
+// CrashWorker closes the server of a worker and all its connections.
+func (s *Site) CrashWorker(w *fleet.Worker) { _ = s.workerServers[s.workerIDs[w]].Close() }
 
 // Route is a route of the config, by names of fields.
 type Route map[string]any
@@ -164,10 +164,10 @@
 func (s *Site) SetConfig(change func(routes map[string]Route)) {
 	s.configVersion += 2
 	routes := map[string]Route{
-		PathLong: {"kind": "streaming", "service": Engines, "timeout_ms": 4000, "resumable": true, "sticky": true, "max_attempts": 2, "gap_target_ms": 200},
-		PathChat: {"kind": "streaming", "service": Engines, "timeout_ms": 8000, "resumable": false, "sticky": true, "max_attempts": 1, "gap_target_ms": 200, "priority": 1},
-		PathPost: {"kind": "non_idempotent", "service": Desk, "timeout_ms": 2000, "max_attempts": 1, "priority": 2},
-		PathLook: {"kind": "idempotent", "service": Desk, "timeout_ms": 2000, "max_attempts": 2, "priority": 2},
+		PathResumable:     {"kind": "streaming", "service": EngineService, "timeout_ms": 4000, "resumable": true, "sticky": true, "max_attempts": 2, "gap_target_ms": 200},
+		PathNonResumable:  {"kind": "streaming", "service": EngineService, "timeout_ms": 8000, "resumable": false, "sticky": true, "max_attempts": 1, "gap_target_ms": 200, "priority": 1},
+		PathNonIdempotent: {"kind": "non_idempotent", "service": PlainService, "timeout_ms": 2000, "max_attempts": 1, "priority": 2},
+		PathIdempotent:    {"kind": "idempotent", "service": PlainService, "timeout_ms": 2000, "max_attempts": 2, "priority": 2},
 	}
 	if change != nil {
 		change(routes)
@@ -183,10 +183,10 @@
 	config := map[string]any{
 		"version": s.configVersion, "routes": routeList,
 		"services": []map[string]any{
-			{"name": Engines, "health_path": "/healthz", "max_connections": 360, "engine": map[string]any{
+			{"name": EngineService, "health_path": "/healthz", "max_connections": 360, "engine": map[string]any{
 				"slots": 8, "kv_capacity_tokens": 370000, "stage_switch_s": 0.1,
 			}},
-			{"name": Desk, "health_path": "/healthz", "max_connections": 96, "scaling": s.scaling},
+			{"name": PlainService, "health_path": "/healthz", "max_connections": 96, "scaling": s.scaling},
 		},
 		"limits": map[string]any{
 			"max_header_bytes": 16384, "max_body_bytes": 1 << 20, "header_timeout_ms": 3000, "idle_timeout_ms": 15000,
@@ -204,16 +204,16 @@
 	s.Store.Put("op", "config", text)
 }
 
-// Scale enables scaling from the next version of the config on: the deployment
+// EnableScaling enables scaling from the next version of the config on: the deployment
 // starts as many plain workers as the gateways order, up to maxWorkers. It
 // removes none.
-func (s *Site) Scale(maxWorkers int, pause time.Duration) {
+func (s *Site) EnableScaling(maxWorkers int, pause time.Duration) {
 	s.scaling = map[string]any{"min": 1, "max": maxWorkers, "boot_s": 1}
 	s.Cloud.OnScale(func(_, _ string, count int) {
 		s.scaleMu.Lock()
 		defer s.scaleMu.Unlock()
-		for len(s.Plain) < min(count, maxWorkers) {
-			c := fleet.Config{ID: fmt.Sprintf("grown-%d", len(s.Plain)), Service: Desk, Zone: Zone, Pause: pause}
+		for len(s.PlainWorkers) < min(count, maxWorkers) {
+			c := fleet.Config{ID: fmt.Sprintf("grown-%d", len(s.PlainWorkers)), Service: PlainService, Zone: Zone, Delay: pause}
 			if err := s.addWorker(c); err != nil {
 				return
 			}
@@ -229,9 +229,9 @@
 	s.SetConfig(nil)
 }
 
-// Settings returns the settings file of a gateway on free ports, together with
+// GatewaySettings returns the settings file of a gateway on free ports, together with
 // its addresses for clients and for the balancer's readiness check.
-func (s *Site) Settings(name string) (text, clients, ready string, err error) {
+func (s *Site) GatewaySettings(name string) (text, clients, ready string, err error) {
 	var ports [3]int
 	for i := range ports {
 		if ports[i], err = freePort(); err != nil {
@@ -277,12 +277,14 @@
 	return text, clients, ready, nil
 }
 
-// CutOneWay lets the calls of a gateway reach the store and drops all
+// DropStoreResponses lets the calls of a gateway reach the store and drops all
 // responses.
-func (s *Site) CutOneWay(gateway string) { s.storeProxies[gateway].loseResponses() }
+func (s *Site) DropStoreResponses(gateway string) { s.storeProxies[gateway].loseResponses() }
 
-// TurnAway blocks or unblocks the calls of a gateway to the store.
-func (s *Site) TurnAway(gateway string, blocked bool) { s.storeProxies[gateway].setBlocked(blocked) }
+// SetStoreBlocked blocks or unblocks the calls of a gateway to the store.
+func (s *Site) SetStoreBlocked(gateway string, blocked bool) {
+	s.storeProxies[gateway].setBlocked(blocked)
+}
 
 // Close stops all servers.
 func (s *Site) Close() {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -12,9 +12,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Reply writes status and body, encoded as JSON. Write errors are ignored: the
+// WriteJSON writes status and body, encoded as JSON. Write errors are ignored: the
 // client has disconnected.
-func Reply(w http.ResponseWriter, status int, body any) {
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -19,37 +19,37 @@
 // for control, and covers several seconds of a busy gateway.
 const DefaultSize = 4096
 
-// Name is the type of an event.
-type Name string
+// EventName is the type of an event.
+type EventName string
 
 // Events of gateways and agents.
 const (
-	Admitted       Name = "admitted"
-	Refused        Name = "refused"
-	Sent           Name = "sent"
-	AttemptFailed  Name = "attempt_failed"
-	Answered       Name = "answered"
-	WorkBegun      Name = "work_begun"
-	WorkEnded      Name = "work_ended"
-	WorkRefused    Name = "work_refused"
-	TargetCrashed  Name = "target_crashed"
-	ConfigAdopted  Name = "config_adopted"
-	ConfigChanged  Name = "config_changed"
-	TargetUp       Name = "target_up"
-	TargetDown     Name = "target_down"
-	StateChanged   Name = "state_changed"
-	OrderSent      Name = "order_sent"
-	OrderTaken     Name = "order_taken"
-	OrderRefused   Name = "order_refused"
-	LeaseTaken     Name = "lease_taken"
-	LeaseLost      Name = "lease_lost"
-	RequestBlocked Name = "request_blocked"
+	Admitted       EventName = "admitted"
+	Refused        EventName = "refused"
+	Sent           EventName = "sent"
+	AttemptFailed  EventName = "attempt_failed"
+	Answered       EventName = "answered"
+	WorkBegun      EventName = "work_begun"
+	WorkEnded      EventName = "work_ended"
+	WorkRefused    EventName = "work_refused"
+	TargetCrashed  EventName = "target_crashed"
+	ConfigAdopted  EventName = "config_adopted"
+	ConfigChanged  EventName = "config_changed"
+	TargetUp       EventName = "target_up"
+	TargetDown     EventName = "target_down"
+	StateChanged   EventName = "state_changed"
+	OrderSent      EventName = "order_sent"
+	OrderTaken     EventName = "order_taken"
+	OrderRefused   EventName = "order_refused"
+	LeaseTaken     EventName = "lease_taken"
+	LeaseLost      EventName = "lease_lost"
+	RequestBlocked EventName = "request_blocked"
 )
 
 // Record holds the caller's part of an event, for [Ring.Add]. It must not contain
 // secrets: no key, no prompt, no body.
 type Record struct {
-	Name      Name
+	Name      EventName
 	RequestID string
 	Peer      string
 	Detail    string
--- a/pkg/kumquatlug/accounts/accounts_test.go
+++ b/pkg/kumquatlug/accounts/accounts_test.go
@@ -19,22 +19,22 @@
 // A request with two keys is ambiguous, and one with a revoked key must not be accepted for
 // any account.
 func TestCredentialNeedsExactlyOneKnownKey(t *testing.T) {
-	b := NewBook([]kumquatlug.Caller{newCaller(t, "north", "k1"), newCaller(t, "north", "k2"), newCaller(t, "south", "k3"), newCaller(t, "late", "k1")})
+	b := NewIndex([]kumquatlug.Caller{newCaller(t, "north", "k1"), newCaller(t, "north", "k2"), newCaller(t, "south", "k3"), newCaller(t, "late", "k1")})
 	for _, c := range []struct {
 		keys    []string
 		account string
-		verdict Verdict
+		verdict KeyStatus
 	}{
-		{nil, "", VerdictNoKey},
-		{[]string{""}, "", VerdictNoKey},
-		{[]string{"k1"}, "north", VerdictKnown},
-		{[]string{"k2"}, "north", VerdictKnown},
-		{[]string{"k3"}, "south", VerdictKnown},
-		{[]string{"K3"}, "", VerdictUnknownKey},
-		{[]string{"k1,k3"}, "", VerdictUnknownKey},
-		{[]string{"k1", "k3"}, "", VerdictSeveralKeys},
-		{[]string{"k1", "k1"}, "", VerdictSeveralKeys},
-		{[]string{kumquatlug.HashKey("k1")}, "", VerdictUnknownKey},
+		{nil, "", KeyMissing},
+		{[]string{""}, "", KeyMissing},
+		{[]string{"k1"}, "north", KeyKnown},
+		{[]string{"k2"}, "north", KeyKnown},
+		{[]string{"k3"}, "south", KeyKnown},
+		{[]string{"K3"}, "", KeyUnknown},
+		{[]string{"k1,k3"}, "", KeyUnknown},
+		{[]string{"k1", "k3"}, "", KeyAmbiguous},
+		{[]string{"k1", "k1"}, "", KeyAmbiguous},
+		{[]string{kumquatlug.HashKey("k1")}, "", KeyUnknown},
 	} {
 		account, verdict := b.Find(kumquatlug.NewCredential(c.keys))
 		if account.Name() != c.account || verdict != c.verdict {
@@ -50,11 +50,11 @@
 		for i := range callers {
 			callers[i] = newCaller(b, fmt.Sprintf("account-%d", i%740), fmt.Sprintf("key-%d", i))
 		}
-		book := NewBook(callers)
+		book := NewIndex(callers)
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			values := []string{fmt.Sprintf("key-%d", keys-1)}
 			for b.Loop() {
-				if _, verdict := book.Find(kumquatlug.NewCredential(values)); verdict != VerdictKnown {
+				if _, verdict := book.Find(kumquatlug.NewCredential(values)); verdict != KeyKnown {
 					b.Fatal(verdict)
 				}
 			}
--- a/pkg/kumquatlug/admission/bench_test.go
+++ b/pkg/kumquatlug/admission/bench_test.go
@@ -17,8 +17,8 @@
 				b.ReportAllocs()
 				for n := 0; b.Loop(); n++ {
 					q.Offer(now, requests[n%len(requests)])
-					r, _ := q.Next(draftKind)
-					q.Take(now, r.ID())
+					r, _ := q.Peek(draftKind)
+					q.Dequeue(now, r.ID())
 				}
 			})
 		}
--- a/pkg/kumquatlug/admission/estimate.go
+++ b/pkg/kumquatlug/admission/estimate.go
@@ -15,7 +15,7 @@
 const decodeWeight = 6
 
 // Cost returns the cost of prompt and output tokens, in prompt tokens, for
-// [RequestConfig] and [Queue.Served].
+// [RequestConfig] and [Queue.RecordServed].
 func Cost(prompt, output int64) int64 {
 	return prompt + decodeWeight*output
 }
@@ -44,8 +44,8 @@
 // EstimatorConfig holds the initial values of an [Estimator], used for a kind of
 // work until responses have been observed.
 type EstimatorConfig struct {
-	// Output is the expected output in tokens. Default 200, a few paragraphs.
-	Output float64
+	// OutputTokens is the expected output in tokens. Default 200, a few paragraphs.
+	OutputTokens float64
 	// PromptRate is the prefill rate of a request that runs alone, in prompt
 	// tokens per second. Default 8,000, a mid-sized model on one accelerator.
 	PromptRate float64
@@ -122,7 +122,7 @@
 // NewEstimator returns an estimator without samples. Zero fields of c take their
 // defaults.
 func NewEstimator(c EstimatorConfig) *Estimator {
-	c.Output = standard.Float(c.Output, 200)
+	c.OutputTokens = standard.Float(c.OutputTokens, 200)
 	c.PromptRate = standard.Float(c.PromptRate, 8000)
 	c.TokenGap = standard.Float(c.TokenGap, 29)
 	return &Estimator{
@@ -137,46 +137,46 @@
 	return int64(e.output(caller, kind, prompt).mean.at(now))
 }
 
-// HighOutput returns the 90th percentile of the output, in tokens, of a request
+// OutputP90 returns the 90th percentile of the output, in tokens, of a request
 // whose prompt has the given number of tokens.
-func (e *Estimator) HighOutput(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, prompt int64) int64 {
+func (e *Estimator) OutputP90(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, prompt int64) int64 {
 	return int64(e.output(caller, kind, prompt).high.at(now))
 }
 
-// Service returns a service time, from sending to the last token, that about
+// ServiceTime returns a service time, from sending to the last token, that about
 // nine of ten responses stay below.
-func (e *Estimator) Service(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, prompt int64) kumquatlug.Millis {
+func (e *Estimator) ServiceTime(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, prompt int64) kumquatlug.Millis {
 	output := e.output(caller, kind, prompt).high.at(now)
 	return kumquatlug.Millis(e.firstToken(kind, prompt).at(now) + e.tokenGap(kind).at(now)*output)
 }
 
-// Learn updates the estimates with a response. Responses that the caller
+// Observe updates the estimates with a response. Responses that the caller
 // cancelled count with the part that was produced. Without them only responses
 // that were fast enough would be sampled, which biases the estimates.
-func (e *Estimator) Learn(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, a Observed) {
-	e.firstToken(kind, a.Prompt).learnQuantile(now, float64(a.First))
-	if a.Output > 1 {
-		e.tokenGap(kind).learnMean(now, float64(a.Rest)/float64(a.Output))
+func (e *Estimator) Observe(now kumquatlug.Millis, caller string, kind kumquatlug.Kind, a Observation) {
+	e.firstToken(kind, a.PromptTokens).learnQuantile(now, float64(a.TimeToFirstToken))
+	if a.OutputTokens > 1 {
+		e.tokenGap(kind).learnMean(now, float64(a.DecodeTime)/float64(a.OutputTokens))
 	}
-	o := e.output(caller, kind, a.Prompt)
-	outputTokens := float64(a.Output)
-	if a.Whole || outputTokens > o.mean.at(now) {
+	o := e.output(caller, kind, a.PromptTokens)
+	outputTokens := float64(a.OutputTokens)
+	if a.Complete || outputTokens > o.mean.at(now) {
 		o.mean.learnMean(now, outputTokens)
 	}
-	if a.Whole || outputTokens > o.high.at(now) {
+	if a.Complete || outputTokens > o.high.at(now) {
 		o.high.learnQuantile(now, outputTokens)
 	}
 }
 
-// Observed describes one response, complete or cancelled.
-type Observed struct {
-	// Prompt and Output are in tokens.
-	Prompt, Output int64
-	// First is the time from sending to the first token, Rest the time from the
+// Observation describes one response, complete or cancelled.
+type Observation struct {
+	// PromptTokens and Output are in tokens.
+	PromptTokens, OutputTokens int64
+	// TimeToFirstToken is the time from sending to the first token, Rest the time from the
 	// first to the last token.
-	First, Rest kumquatlug.Millis
-	// Whole reports whether the response completed.
-	Whole bool
+	TimeToFirstToken, DecodeTime kumquatlug.Millis
+	// Complete reports whether the response completed.
+	Complete bool
 }
 
 func (e *Estimator) tokenGap(kind kumquatlug.Kind) *estimate {
@@ -202,15 +202,15 @@
 	key := newSizeKey(caller, kind, prompt)
 	o, ok := e.outputs[key]
 	if !ok {
-		o = &outputEstimate{mean: newEstimate(e.config.Output), high: newEstimate(e.config.Output * 1.25)}
+		o = &outputEstimate{mean: newEstimate(e.config.OutputTokens), high: newEstimate(e.config.OutputTokens * 1.25)}
 		e.outputs[key] = o
 	}
 	return o
 }
 
-// Forget removes the output estimates of callers without recent responses, so
+// EvictIdle removes the output estimates of callers without recent responses, so
 // that memory is bounded by the number of active callers. Call it periodically.
-func (e *Estimator) Forget(now kumquatlug.Millis) {
+func (e *Estimator) EvictIdle(now kumquatlug.Millis) {
 	for key, o := range e.outputs {
 		if now-o.mean.learnedAt > 10*decayTime {
 			delete(e.outputs, key)
--- a/pkg/kumquatlug/admission/estimate_test.go
+++ b/pkg/kumquatlug/admission/estimate_test.go
@@ -14,7 +14,7 @@
 	for range n {
 		now += interval
 		outputTokens := int64(output * (0.5 + random.Float64()))
-		e.Learn(now, "caller", draftKind, Observed{Prompt: 400, Output: outputTokens, First: 100, Rest: kumquatlug.Millis(outputTokens) * 40, Whole: true})
+		e.Observe(now, "caller", draftKind, Observation{PromptTokens: 400, OutputTokens: outputTokens, TimeToFirstToken: 100, DecodeTime: kumquatlug.Millis(outputTokens) * 40, Complete: true})
 	}
 	return now
 }
@@ -27,10 +27,10 @@
 			t.Errorf("interval %d ms: mean output %d, want 600", interval, mean)
 		}
 		// The output is uniform between 300 and 900; its 90th percentile is 840.
-		if high := e.HighOutput(now, "caller", draftKind, 400); high < 750 || high > 930 {
+		if high := e.OutputP90(now, "caller", draftKind, 400); high < 750 || high > 930 {
 			t.Errorf("interval %d ms: high output %d, want 840", interval, high)
 		}
-		if s := e.Service(now, "caller", draftKind, 400); s < 30_000 || s > 39_000 {
+		if s := e.ServiceTime(now, "caller", draftKind, 400); s < 30_000 || s > 39_000 {
 			t.Errorf("interval %d ms: service time %d, want the first token and 840 gaps of 40 ms", interval, s)
 		}
 		if other := e.Output(now, "caller", draftKind, 40_000); other != 200 {
@@ -47,12 +47,12 @@
 	now := kumquatlug.Millis(0)
 	for range 1000 {
 		now += 60
-		e.Learn(now, "caller", draftKind, Observed{Prompt: 400, Output: 100, First: 30_000, Rest: 30_000})
+		e.Observe(now, "caller", draftKind, Observation{PromptTokens: 400, OutputTokens: 100, TimeToFirstToken: 30_000, DecodeTime: 30_000})
 	}
-	if s := e.Service(now, "caller", draftKind, 400); s < 30_000 {
+	if s := e.ServiceTime(now, "caller", draftKind, 400); s < 30_000 {
 		t.Fatalf("service time %d after a minute of slow responses, want at least 30000", s)
 	}
-	if s := e.Service(now+3*kumquatlug.Minute, "caller", draftKind, 400); s > 10_000 {
+	if s := e.ServiceTime(now+3*kumquatlug.Minute, "caller", draftKind, 400); s > 10_000 {
 		t.Errorf("service time %d after three minutes without responses, want at most 10000", s)
 	}
 }
@@ -62,11 +62,11 @@
 	// service time of all other requests is unchanged.
 	e := NewEstimator(EstimatorConfig{})
 	now := learnResponses(e, 0, 500, 100, 150)
-	before := e.Service(now, "caller", draftKind, 400)
+	before := e.ServiceTime(now, "caller", draftKind, 400)
 	for range 10 {
-		e.Learn(now, "caller", draftKind, Observed{Prompt: 400, First: 60_000})
+		e.Observe(now, "caller", draftKind, Observation{PromptTokens: 400, TimeToFirstToken: 60_000})
 	}
-	if after := e.Service(now, "caller", draftKind, 400); after > before+200 {
+	if after := e.ServiceTime(now, "caller", draftKind, 400); after > before+200 {
 		t.Errorf("ten outliers change the service time from %d to %d", before, after)
 	}
 }
--- a/pkg/kumquatlug/admission/property_test.go
+++ b/pkg/kumquatlug/admission/property_test.go
@@ -49,12 +49,12 @@
 	m.now += kumquatlug.Millis(r.IntN(200))
 	switch r.IntN(8) {
 	case 0:
-		m.q.Served(m.now, draftKind, int64(r.IntN(3000)))
+		m.q.RecordServed(m.now, draftKind, int64(r.IntN(3000)))
 	case 1:
 		m.leaveAll(m.q.Expire(m.now))
 	case 2:
-		if first, ok := m.q.Next(draftKind); ok {
-			m.q.Take(m.now, first.ID())
+		if first, ok := m.q.Peek(draftKind); ok {
+			m.q.Dequeue(m.now, first.ID())
 			m.leave(first.ID())
 		}
 	case 3:
@@ -71,7 +71,7 @@
 	c := RequestConfig{
 		ID: fmt.Sprint(m.nextID), Caller: fmt.Sprint(r.IntN(6)), Kind: draftKind,
 		Cost: 1 + int64(r.IntN(900)), Priority: r.IntN(5) - 2, Weight: 1 + int64(r.IntN(3)),
-		Deadline: m.now + kumquatlug.Millis(r.IntN(20000)), Service: kumquatlug.Millis(r.IntN(2000)),
+		Deadline: m.now + kumquatlug.Millis(r.IntN(20000)), ServiceTime: kumquatlug.Millis(r.IntN(2000)),
 	}
 	m.nextID++
 	d := m.q.Offer(m.now, NewRequest(c))
@@ -104,8 +104,8 @@
 				return m.violation
 			}
 		}
-		for first, ok := m.q.Next(draftKind); ok; first, ok = m.q.Next(draftKind) {
-			m.q.Take(m.now, first.ID())
+		for first, ok := m.q.Peek(draftKind); ok; first, ok = m.q.Peek(draftKind) {
+			m.q.Dequeue(m.now, first.ID())
 			m.leave(first.ID())
 		}
 		return m.violation
@@ -129,8 +129,8 @@
 		}
 		served := map[string]float64{}
 		for remaining["a"] > 0 && remaining["b"] > 0 {
-			r, _ := q.Next(draftKind)
-			q.Take(0, r.ID())
+			r, _ := q.Peek(draftKind)
+			q.Dequeue(0, r.ID())
 			remaining[r.Caller()]--
 			served[r.Caller()] += float64(r.Cost()) / float64(r.Weight())
 			if difference := served["a"] - served["b"]; difference > 1001 || -difference > 1001*(1+1/float64(weight)) {
@@ -154,8 +154,8 @@
 		}))
 	}
 	for range n / 4 {
-		first, _ := q.Next(draftKind)
-		q.Take(0, first.ID())
+		first, _ := q.Peek(draftKind)
+		q.Dequeue(0, first.ID())
 	}
 	return q
 }
@@ -186,9 +186,9 @@
 		predicted := kq.tokensAhead(c, f, r)
 		q.Offer(0, r)
 		actual := int64(0)
-		for first, _ := q.Next(draftKind); first.ID() != "new"; first, _ = q.Next(draftKind) {
+		for first, _ := q.Peek(draftKind); first.ID() != "new"; first, _ = q.Peek(draftKind) {
 			actual += first.Cost()
-			q.Take(0, first.ID())
+			q.Dequeue(0, first.ID())
 		}
 		if difference := predicted - actual; difference > 10_000 || difference < -10_000 {
 			return fmt.Sprintf("predicted %d, actual %d", predicted, actual)
--- a/pkg/kumquatlug/admission/queue.go
+++ b/pkg/kumquatlug/admission/queue.go
@@ -50,14 +50,14 @@
 
 // Defaults of [Config]. Its fields document the reasons.
 const (
-	DefaultMaxCount      = 1024
-	DefaultMaxCost       = 4 << 20
-	DefaultDrainHorizon  = 10 * kumquatlug.Second
-	DefaultCheckEvery    = 50
-	DefaultStandingAfter = 5 * kumquatlug.Second
-	DefaultStandingWait  = kumquatlug.Second
-	DefaultMinRetryAfter = kumquatlug.Second
-	DefaultMaxRetryAfter = kumquatlug.Minute
+	DefaultMaxCount       = 1024
+	DefaultMaxCost        = 4 << 20
+	DefaultDrainHorizon   = 10 * kumquatlug.Second
+	DefaultExpiryInterval = 50
+	DefaultStandingAfter  = 5 * kumquatlug.Second
+	DefaultStandingWait   = kumquatlug.Second
+	DefaultMinRetryAfter  = kumquatlug.Second
+	DefaultMaxRetryAfter  = kumquatlug.Minute
 )
 
 const (
@@ -80,10 +80,10 @@
 	// request durations, so that one long response doesn't change the rate, and
 	// short enough to detect a lost target before deadlines pass.
 	DrainHorizon kumquatlug.Millis
-	// CheckEvery is the interval at which waiting requests are checked for
+	// ExpiryInterval is the interval at which waiting requests are checked for
 	// lateness. Default 50 ms: the delay is not noticeable to callers, and a
 	// check of 1,024 requests takes a small part of the interval.
-	CheckEvery kumquatlug.Millis
+	ExpiryInterval kumquatlug.Millis
 	// StandingAfter is how long a queue can be non-empty before it counts as
 	// standing. Default 5 s: shorter bursts are admitted completely.
 	StandingAfter kumquatlug.Millis
@@ -107,7 +107,7 @@
 	c.MaxCount = standard.Int(c.MaxCount, DefaultMaxCount)
 	c.MaxCost = standard.Int64(c.MaxCost, DefaultMaxCost)
 	c.DrainHorizon = standard.Millis(c.DrainHorizon, DefaultDrainHorizon)
-	c.CheckEvery = standard.Millis(c.CheckEvery, DefaultCheckEvery)
+	c.ExpiryInterval = standard.Millis(c.ExpiryInterval, DefaultExpiryInterval)
 	c.StandingAfter = standard.Millis(c.StandingAfter, DefaultStandingAfter)
 	c.StandingWait = standard.Millis(c.StandingWait, DefaultStandingWait)
 	c.MinRetryAfter = standard.Millis(c.MinRetryAfter, DefaultMinRetryAfter)
@@ -157,7 +157,7 @@
 		return q.refuse(r, ReasonDeadline, excess)
 	}
 	if !q.makeRoom(kq, c, f, r) {
-		return q.refuse(r, ReasonFull, 0)
+		return q.refuse(r, ReasonQueueFull, 0)
 	}
 	it := q.enqueue(kq, c, f, r)
 	it.offeredAt, it.predictedWait = now, predicted
@@ -215,7 +215,7 @@
 		return true
 	}
 	for _, victim := range kq.victims(c, f, r, needCount, needCost) {
-		q.refusals = append(q.refusals, q.refusal(victim.request, ReasonShare, 0))
+		q.refusals = append(q.refusals, q.refusal(victim.request, ReasonAboveShare, 0))
 		q.remove(victim)
 	}
 	return len(q.refusals) > 0
@@ -242,10 +242,10 @@
 	return q.kinds
 }
 
-// Next returns the request of a kind that is served next without removing it, so
+// Peek returns the request of a kind that is served next without removing it, so
 // that it keeps its position if no target has capacity. Call [Queue.Expire]
 // first, so that no late request is served.
-func (q *Queue) Next(kind kumquatlug.Kind) (Request, bool) {
+func (q *Queue) Peek(kind kumquatlug.Kind) (Request, bool) {
 	kq, ok := q.kindQueues[kind]
 	if !ok || kq.count == 0 {
 		return Request{}, false
@@ -253,9 +253,9 @@
 	return kq.head().request, true
 }
 
-// Take removes a request that is being sent and charges its cost to its caller's
+// Dequeue removes a request that is being sent and charges its cost to its caller's
 // share. It reports whether the request was waiting.
-func (q *Queue) Take(now kumquatlug.Millis, id string) bool {
+func (q *Queue) Dequeue(now kumquatlug.Millis, id string) bool {
 	it, ok := q.items[id]
 	if !ok {
 		return false
@@ -279,12 +279,12 @@
 	return true
 }
 
-// Served adds work that targets have finished for this gateway, in prompt tokens
+// RecordServed adds work that targets have finished for this gateway, in prompt tokens
 // (see [Cost]), to the drain rate of a kind. Call it as output streams in: with
 // the prompt at the first token, then with each part of the output. If long
 // responses were counted only at their end, the rate would drop to zero in
 // between.
-func (q *Queue) Served(now kumquatlug.Millis, kind kumquatlug.Kind, tokens int64) {
+func (q *Queue) RecordServed(now kumquatlug.Millis, kind kumquatlug.Kind, tokens int64) {
 	kq := q.kindQueue(kind)
 	kq.advance(now)
 	kq.drain.served(tokens, kq.count > 0)
@@ -315,11 +315,11 @@
 	}
 }
 
-// Wake returns when Expire must be called next: at the next check, or earlier if
+// NextExpiry returns when Expire must be called next: at the next check, or earlier if
 // the latest start of a waiting request passes before it. It returns false when
 // no request is waiting.
-func (q *Queue) Wake() (kumquatlug.Millis, bool) {
-	wake := q.lastCheck + q.config.CheckEvery
+func (q *Queue) NextExpiry() (kumquatlug.Millis, bool) {
+	wake := q.lastCheck + q.config.ExpiryInterval
 	for _, kq := range q.sorted {
 		if kq.count > 0 {
 			wake = min(wake, kq.minLatestStart+1)
--- a/pkg/kumquatlug/admission/queue_test.go
+++ b/pkg/kumquatlug/admission/queue_test.go
@@ -21,7 +21,7 @@
 	q.Offer(0, NewRequest(RequestConfig{ID: "warm", Caller: "warm", Kind: draftKind, Deadline: kumquatlug.Hour}))
 	now := kumquatlug.Millis(0)
 	for ; now <= kumquatlug.Minute; now += 100 {
-		q.Served(now, draftKind, tokens/10)
+		q.RecordServed(now, draftKind, tokens/10)
 	}
 	q.Cancel(now, "warm")
 	return q, now
@@ -31,11 +31,11 @@
 func serve(q *Queue, now kumquatlug.Millis, n int) []string {
 	var ids []string
 	for range n {
-		r, ok := q.Next(draftKind)
+		r, ok := q.Peek(draftKind)
 		if !ok {
 			break
 		}
-		q.Take(now, r.ID())
+		q.Dequeue(now, r.ID())
 		ids = append(ids, r.ID())
 	}
 	return ids
@@ -82,7 +82,7 @@
 	var refused []Refusal
 	for n := range 200 {
 		c := request(fmt.Sprint(n), "caller")
-		c.Deadline, c.Service = deadline, 2*kumquatlug.Second
+		c.Deadline, c.ServiceTime = deadline, 2*kumquatlug.Second
 		if d := q.Offer(now, NewRequest(c)); d.Verdict() == VerdictRefused {
 			refused = append(refused, d.Refusal())
 		}
@@ -113,7 +113,7 @@
 		q.Offer(now, NewRequest(c))
 	}
 	refused := 0
-	for wake, ok := q.Wake(); ok && wake < now+20*kumquatlug.Second; wake, ok = q.Wake() {
+	for wake, ok := q.NextExpiry(); ok && wake < now+20*kumquatlug.Second; wake, ok = q.NextExpiry() {
 		refused += len(q.Expire(wake))
 	}
 	// After 20 s with a horizon of 10 s the drain rate has decayed by e^-2, at
--- a/pkg/kumquatlug/admission/request.go
+++ b/pkg/kumquatlug/admission/request.go
@@ -33,9 +33,9 @@
 	Arrival kumquatlug.Millis
 	// Deadline is when the response must be complete.
 	Deadline kumquatlug.Millis
-	// Service is a high estimate of the service time, from sending to the end of
+	// ServiceTime is a high estimate of the service time, from sending to the end of
 	// the response; see [Estimator].
-	Service kumquatlug.Millis
+	ServiceTime kumquatlug.Millis
 	// Priority selects the class, from LowestPriority to HighestPriority.
 	Priority int
 	// Weight is the caller's fair-share weight. Default 1.
@@ -47,7 +47,7 @@
 func NewRequest(c RequestConfig) Request {
 	return Request{
 		id: c.ID, caller: c.Caller, kind: c.Kind, cost: max(c.Cost, 1),
-		arrival: c.Arrival, deadline: c.Deadline, service: c.Service,
+		arrival: c.Arrival, deadline: c.Deadline, service: c.ServiceTime,
 		priority: min(max(c.Priority, LowestPriority), HighestPriority),
 		weight:   max(c.Weight, 1),
 	}
@@ -71,8 +71,8 @@
 // Deadline returns when the response must be complete.
 func (r Request) Deadline() kumquatlug.Millis { return r.deadline }
 
-// Service returns the estimated service time once the request is sent.
-func (r Request) Service() kumquatlug.Millis { return r.service }
+// ServiceTime returns the estimated service time once the request is sent.
+func (r Request) ServiceTime() kumquatlug.Millis { return r.service }
 
 // Priority returns the priority.
 func (r Request) Priority() int { return r.priority }
@@ -96,12 +96,12 @@
 const (
 	// ReasonDeadline means that the response can't complete before the deadline.
 	ReasonDeadline Reason = "deadline_unreachable"
-	// ReasonFull means that the queue is full and no caller with a larger share
+	// ReasonQueueFull means that the queue is full and no caller with a larger share
 	// can be displaced.
-	ReasonFull Reason = "queue_full"
-	// ReasonShare means that the request was displaced by a caller with a smaller
+	ReasonQueueFull Reason = "queue_full"
+	// ReasonAboveShare means that the request was displaced by a caller with a smaller
 	// share.
-	ReasonShare Reason = "above_share"
+	ReasonAboveShare Reason = "above_share"
 	// ReasonTooLarge means that the cost exceeds Config.MaxCost; a retry can't
 	// succeed.
 	ReasonTooLarge Reason = "too_large"
@@ -130,7 +130,7 @@
 func (r Refusal) Failure() *kumquatlug.Failure {
 	status := http.StatusServiceUnavailable
 	switch r.reason {
-	case ReasonShare, ReasonFull:
+	case ReasonAboveShare, ReasonQueueFull:
 		status = http.StatusTooManyRequests
 	case ReasonTooLarge:
 		status = http.StatusRequestEntityTooLarge
@@ -138,7 +138,7 @@
 		status = http.StatusConflict
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "admit", Reason: string(r.reason), Ran: kumquatlug.RanNot,
+		Step: "admit", Reason: string(r.reason), Execution: kumquatlug.NotExecuted,
 		Status: status, RetryAfter: r.retryAfter,
 	})
 }
--- a/pkg/kumquatlug/admission/simulation_test.go
+++ b/pkg/kumquatlug/admission/simulation_test.go
@@ -48,7 +48,7 @@
 	t.offered++
 	r := NewRequest(RequestConfig{
 		ID: fmt.Sprint(w.caller, "-", n), Caller: cmp.Or(w.account, w.caller), Kind: draftKind, Cost: w.cost, Arrival: s.now,
-		Deadline: s.now + w.timeout, Service: kumquatlug.Millis(w.cost / serverTokensPerMs),
+		Deadline: s.now + w.timeout, ServiceTime: kumquatlug.Millis(w.cost / serverTokensPerMs),
 	})
 	d := s.queue.Offer(s.now, r)
 	if d.Verdict() == VerdictRefused {
@@ -76,17 +76,17 @@
 
 func (s *simulation) serve() {
 	if s.remaining == 0 {
-		r, ok := s.queue.Next(draftKind)
+		r, ok := s.queue.Peek(draftKind)
 		if !ok {
 			return
 		}
-		s.queue.Take(s.now, r.ID())
+		s.queue.Dequeue(s.now, r.ID())
 		s.statsFor(r).waited += s.now - r.Arrival()
 		s.serving, s.remaining = r, r.Cost()
 	}
 	done := min(s.remaining, serverTokensPerMs)
 	s.remaining -= done
-	s.queue.Served(s.now, draftKind, done)
+	s.queue.RecordServed(s.now, draftKind, done)
 	if s.remaining > 0 {
 		return
 	}
@@ -115,7 +115,7 @@
 				nextArrival[n] += max(1, kumquatlug.Millis(random.Int64N(int64(2*w.interval)+1)))
 			}
 		}
-		if wake, ok := s.queue.Wake(); ok && wake <= s.now {
+		if wake, ok := s.queue.NextExpiry(); ok && wake <= s.now {
 			s.refuse(s.queue.Expire(s.now))
 		}
 		s.serve()
--- a/pkg/kumquatlug/caller.go
+++ b/pkg/kumquatlug/caller.go
@@ -110,8 +110,8 @@
 	return c
 }
 
-// Keys returns the number of keys in the request.
-func (c Credential) Keys() int { return c.keyCount }
+// KeyCount returns the number of keys in the request.
+func (c Credential) KeyCount() int { return c.keyCount }
 
 // Hash returns [HashKey] of the last key, empty if there is none.
 func (c Credential) Hash() string { return c.hash }
--- a/pkg/kumquatlug/catchup/catchup.go
+++ b/pkg/kumquatlug/catchup/catchup.go
@@ -30,8 +30,8 @@
 	maxParts = 1024
 )
 
-// Fetch tracks the newest version and fetches it. It is not safe for concurrent use.
-type Fetch struct {
+// Fetcher tracks the newest version and fetches it. It is not safe for concurrent use.
+type Fetcher struct {
 	// current is the version in use at this gateway.
 	current int64
 	// newest is the newest version seen, source a gateway that has it, seenAt when the version
@@ -50,25 +50,25 @@
 	receivedParts int
 }
 
-// Have sets the version in use at this gateway.
-func (f *Fetch) Have(version int64) { f.current = max(f.current, version) }
+// SetCurrent sets the version in use at this gateway.
+func (f *Fetcher) SetCurrent(version int64) { f.current = max(f.current, version) }
 
-// Heard records the version in use at another gateway.
-func (f *Fetch) Heard(now kumquatlug.Millis, gateway string, version int64) {
+// RecordVersion records the version in use at another gateway.
+func (f *Fetcher) RecordVersion(now kumquatlug.Millis, gateway string, version int64) {
 	if version <= f.current || version < f.newest {
 		return
 	}
 	if version > f.newest {
-		*f = Fetch{current: f.current, newest: version, seenAt: now}
+		*f = Fetcher{current: f.current, newest: version, seenAt: now}
 	}
 	if f.source == "" {
 		f.source, f.requests, f.requestedAt = gateway, 0, 0
 	}
 }
 
-// Next returns the gateway and the request to send to it, and whether one is due.
-func (f *Fetch) Next(now kumquatlug.Millis) (string, kumquatlug.ConfigAsk, bool) {
-	none := kumquatlug.ConfigAsk{}
+// NextRequest returns the gateway and the request to send to it, and whether one is due.
+func (f *Fetcher) NextRequest(now kumquatlug.Millis) (string, kumquatlug.ConfigRequest, bool) {
+	none := kumquatlug.ConfigRequest{}
 	if f.newest <= f.current || f.source == "" || now-f.seenAt < storeReadDelay || f.requests > 0 && now-f.requestedAt < requestTimeout {
 		return "", none, false
 	}
@@ -79,10 +79,10 @@
 	}
 	f.requests++
 	f.requestedAt, f.receivedParts = now, 0
-	return f.source, kumquatlug.ConfigAsk{Version: f.newest, First: f.firstMissing()}, true
+	return f.source, kumquatlug.ConfigRequest{Version: f.newest, FirstPart: f.firstMissing()}, true
 }
 
-func (f *Fetch) firstMissing() int {
+func (f *Fetcher) firstMissing() int {
 	for i, part := range f.parts {
 		if part == nil {
 			return i
@@ -91,8 +91,8 @@
 	return 0
 }
 
-// Took records a part of a text, and returns the text if it is complete.
-func (f *Fetch) Took(gateway string, p kumquatlug.ConfigPart) ([]byte, bool) {
+// AddPart records a part of a text, and returns the text if it is complete.
+func (f *Fetcher) AddPart(gateway string, p kumquatlug.ConfigPart) ([]byte, bool) {
 	switch {
 	case gateway != f.source || p.Version != f.newest || p.Version <= f.current:
 		return nil, false
@@ -122,9 +122,9 @@
 	return text, true
 }
 
-// Answer returns the parts that answer a request, given the version in use and its text. There
+// PartsFor returns the parts that answer a request, given the version in use and its text. There
 // are none if another version is requested.
-func Answer(request kumquatlug.ConfigAsk, version int64, text []byte) []kumquatlug.ConfigPart {
+func PartsFor(request kumquatlug.ConfigRequest, version int64, text []byte) []kumquatlug.ConfigPart {
 	if request.Version != version {
 		return nil
 	}
@@ -133,7 +133,7 @@
 		return nil
 	}
 	var parts []kumquatlug.ConfigPart
-	for i := max(request.First, 0); i < min(total, request.First+partsPerRequest); i++ {
+	for i := max(request.FirstPart, 0); i < min(total, request.FirstPart+partsPerRequest); i++ {
 		end := min((i+1)*partBytes, len(text))
 		parts = append(parts, kumquatlug.ConfigPart{Version: version, Part: i, Parts: total, Text: text[i*partBytes : end]})
 	}
--- a/pkg/kumquatlug/catchup/catchup_test.go
+++ b/pkg/kumquatlug/catchup/catchup_test.go
@@ -10,24 +10,24 @@
 
 // transfer simulates a gateway that has the text and whose responses are lost at lossRate. It
 // returns the text that f assembles, and when.
-func transfer(t *testing.T, f *Fetch, gateway string, version int64, text []byte, lossRate float64) ([]byte, kumquatlug.Millis) {
+func transfer(t *testing.T, f *Fetcher, gateway string, version int64, text []byte, lossRate float64) ([]byte, kumquatlug.Millis) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
 	for now := kumquatlug.Millis(0); now < 20_000; now += 10 {
-		f.Heard(now, gateway, version)
+		f.RecordVersion(now, gateway, version)
 		for {
-			to, request, due := f.Next(now)
+			to, request, due := f.NextRequest(now)
 			if !due {
 				break
 			}
 			if to != gateway {
 				t.Fatalf("request to %q", to)
 			}
-			for _, part := range Answer(request, version, text) {
+			for _, part := range PartsFor(request, version, text) {
 				if random.Float64() < lossRate {
 					continue
 				}
-				if got, complete := f.Took(gateway, part); complete {
+				if got, complete := f.AddPart(gateway, part); complete {
 					return got, now
 				}
 			}
@@ -41,8 +41,8 @@
 func TestConfigArrivesDespitePacketLoss(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789abcdef"), 20_000)
 	for _, lossRate := range []float64{0, 0.5} {
-		f := &Fetch{}
-		f.Have(3)
+		f := &Fetcher{}
+		f.SetCurrent(3)
 		got, at := transfer(t, f, "front-2", 7, text, lossRate)
 		if !bytes.Equal(got, text) || lossRate == 0 && at > 2*storeReadDelay {
 			t.Errorf("lost %.1f: %d of %d bytes at %d ms", lossRate, len(got), len(text), at)
@@ -53,18 +53,18 @@
 // The store delivers a version shortly after another gateway announced it. If gateways
 // requested it nevertheless, each change would be sent again between all of them.
 func TestVersionFromStoreIsNotRequested(t *testing.T) {
-	f := &Fetch{}
-	f.Have(3)
-	f.Heard(0, "front-2", 7)
-	if _, _, due := f.Next(storeReadDelay - 1); due {
+	f := &Fetcher{}
+	f.SetCurrent(3)
+	f.RecordVersion(0, "front-2", 7)
+	if _, _, due := f.NextRequest(storeReadDelay - 1); due {
 		t.Error("requested before the delay for the store was over")
 	}
-	f.Have(7)
-	if _, _, due := f.Next(10 * storeReadDelay); due {
+	f.SetCurrent(7)
+	if _, _, due := f.NextRequest(10 * storeReadDelay); due {
 		t.Error("requested the version in use")
 	}
-	f.Heard(11*storeReadDelay, "front-3", 5)
-	if _, _, due := f.Next(13 * storeReadDelay); due {
+	f.RecordVersion(11*storeReadDelay, "front-3", 5)
+	if _, _, due := f.NextRequest(13 * storeReadDelay); due {
 		t.Error("requested an older version")
 	}
 }
@@ -72,25 +72,25 @@
 // The gateway that announced a version fails before it sends the text, and another one is
 // requested. Parts of an older version must not be mixed with those of a newer one.
 func TestNextGatewayIsAskedAfterTimeouts(t *testing.T) {
-	f := &Fetch{}
-	f.Heard(0, "front-2", 7)
+	f := &Fetcher{}
+	f.RecordVersion(0, "front-2", 7)
 	requests := 0
 	for now := storeReadDelay; now < storeReadDelay+1000; now += 10 {
-		if _, _, due := f.Next(now); due {
+		if _, _, due := f.NextRequest(now); due {
 			requests++
 		}
 	}
 	if requests != maxRequests {
 		t.Fatalf("%d requests", requests)
 	}
-	f.Heard(2000, "front-3", 7)
-	if to, _, due := f.Next(2000); !due || to != "front-3" {
+	f.RecordVersion(2000, "front-3", 7)
+	if to, _, due := f.NextRequest(2000); !due || to != "front-3" {
 		t.Fatalf("request to %q, due %v", to, due)
 	}
-	if _, complete := f.Took("front-2", kumquatlug.ConfigPart{Version: 7, Part: 0, Parts: 1, Text: []byte("x")}); complete {
+	if _, complete := f.AddPart("front-2", kumquatlug.ConfigPart{Version: 7, Part: 0, Parts: 1, Text: []byte("x")}); complete {
 		t.Error("accepted a part that was not requested")
 	}
-	f.Heard(2100, "front-4", 8)
+	f.RecordVersion(2100, "front-4", 8)
 	for _, bad := range []kumquatlug.ConfigPart{
 		{Version: 7, Part: 0, Parts: 1, Text: []byte("x")},
 		{Version: 8, Part: 1, Parts: 1, Text: []byte("x")},
@@ -98,7 +98,7 @@
 		{Version: 8, Part: 0, Parts: maxParts + 1, Text: []byte("x")},
 		{Version: 8, Part: 0, Parts: 1},
 	} {
-		if _, complete := f.Took("front-4", bad); complete {
+		if _, complete := f.AddPart("front-4", bad); complete {
 			t.Errorf("accepted %+v", bad)
 		}
 	}
--- a/pkg/kumquatlug/clock/clock.go
+++ b/pkg/kumquatlug/clock/clock.go
@@ -12,7 +12,7 @@
 )
 
 // Monotonic is the system's monotonic clock, so that a step of the wall clock can't extend a
-// lease. It stops while the VM is suspended, see [Awake].
+// lease. It stops while the VM is suspended, see [Boottime].
 type Monotonic struct {
 	origin time.Time
 }
@@ -50,20 +50,20 @@
 	return kumquatlug.Millis(m.now.Add(int64(span)))
 }
 
-// Awake is the system's boot-time clock, which also counts the time while the VM is suspended.
+// Boottime is the system's boot-time clock, which also counts the time while the VM is suspended.
 // By the monotonic clock, a lease holder that was suspended past the end of its lease would
 // still consider itself the holder.
-type Awake struct {
+type Boottime struct {
 	origin kumquatlug.Millis
 }
 
-// NewAwake returns a clock whose origin is one minute before the call.
-func NewAwake() *Awake {
-	return &Awake{origin: sinceBoot() - kumquatlug.Minute}
+// NewBoottime returns a clock whose origin is one minute before the call.
+func NewBoottime() *Boottime {
+	return &Boottime{origin: sinceBoot() - kumquatlug.Minute}
 }
 
 // Now returns the milliseconds since the origin.
-func (a *Awake) Now() kumquatlug.Millis { return sinceBoot() - a.origin }
+func (a *Boottime) Now() kumquatlug.Millis { return sinceBoot() - a.origin }
 
 // Wall returns Unix time in milliseconds. It reads the time of day once, when it is created,
 // and advances with a clock that counts suspended time. The system's time of day may jump back
--- a/pkg/kumquatlug/config/adopter.go
+++ b/pkg/kumquatlug/config/adopter.go
@@ -25,17 +25,17 @@
 // maxSources bounds the list of peers to pull from.
 const maxSources = 4
 
-// Table is the peer name that denotes the platform's table.
-const Table = ""
+// TablePeer is the peer name that denotes the platform's table.
+const TablePeer = ""
 
 // AgeUnknown is the age of a report that doesn't say when the revision was last
 // confirmed to be the head.
 const AgeUnknown kumquatlug.Millis = -1
 
-// Report is information about the head: a read of the table, or what a peer includes
+// HeadReport is information about the head: a read of the table, or what a peer includes
 // in a heartbeat, a load report or a request.
-type Report struct {
-	// Peer is the sender, [Table] for the table itself.
+type HeadReport struct {
+	// Peer is the sender, [TablePeer] for the table itself.
 	Peer string
 	// Revision is the revision in force at the peer, or the table's head.
 	Revision Revision
@@ -51,7 +51,7 @@
 	since Revision
 }
 
-// Peer returns the peer to pull from, [Table] for the table itself.
+// Peer returns the peer to pull from, [TablePeer] for the table itself.
 func (p Pull) Peer() string { return p.peer }
 
 // Since returns the revision after which changes are requested.
@@ -59,51 +59,51 @@
 
 // AdopterConfig holds the settings of an [Adopter].
 type AdopterConfig struct {
-	// Me is this node's name. Required.
-	Me string
-	// Start is the initial state, the newest that the node could load; the zero
+	// NodeName is this node's name. Required.
+	NodeName string
+	// InitialState is the initial state, the newest that the node could load; the zero
 	// value is the empty config.
-	Start State
+	InitialState State
 	// Now is the start time in milliseconds.
 	Now kumquatlug.Millis
 	// Readers is the number of nodes of a data centre that poll the head, 3 by
 	// default: with one gone and one paused, the third still reads.
 	Readers int
-	// MostReaders bounds the number of readers while no read succeeds, 32 by
+	// MaxReaders bounds the number of readers while no read succeeds, 32 by
 	// default: ten data centres then use 320 of the table's 2,000 reads a second. A
 	// rack whose failure takes out all initial readers doesn't hold all of the 32
 	// highest-ranked nodes of a data centre.
-	MostReaders int
-	// Poll is the interval between a reader's reads of the head, 1 s by default. A
+	MaxReaders int
+	// PollInterval is the interval between a reader's reads of the head, 1 s by default. A
 	// change is then in force after at most a poll, a heartbeat of 1 s and a pull: a
 	// fifth of the 16 s allowed.
-	Poll kumquatlug.Millis
-	// Widen is the age of the head at which the number of readers doubles; it doubles
+	PollInterval kumquatlug.Millis
+	// ReaderDoublingAge is the age of the head at which the number of readers doubles; it doubles
 	// again each time the same period passes. 2 s by default: a poll and a heartbeat
 	// together, which the age exceeds only when readers fail. Six readers after 2 s
 	// and 32 after 8 s stay within the 16 s allowed.
-	Widen kumquatlug.Millis
-	// Alone is the age of the head from which any node may read it, 4 s by default.
+	ReaderDoublingAge kumquatlug.Millis
+	// FallbackAge is the age of the head from which any node may read it, 4 s by default.
 	// Otherwise a node that no peer contacts would never learn of a change although
 	// it reaches the table.
-	Alone kumquatlug.Millis
-	// AlonePoll is the interval between the reads of such a node, 10 s by default.
+	FallbackAge kumquatlug.Millis
+	// FallbackInterval is the interval between the reads of such a node, 10 s by default.
 	// The first reads are spread over the same period, so that a change is in force
 	// there within 14 s. While the table is unavailable, all nodes are in this mode:
 	// 1,230 nodes of a data centre send 123 reads a second beside the 32 of the
 	// readers, and ten data centres 1,550 of the table's 2,000. The interval grows to
 	// half the head's age, at most a minute, so that a long outage costs a third of
 	// that.
-	AlonePoll kumquatlug.Millis
+	FallbackInterval kumquatlug.Millis
 	// PullTimeout is the time after which the node pulls from another peer, 1 s by
 	// default.
 	PullTimeout kumquatlug.Millis
-	// Stale is the age of the head above which the node counts as cut off, 16 s by
+	// StaleAge is the age of the head above which the node counts as cut off, 16 s by
 	// default: the time within which every change must be in force.
-	Stale kumquatlug.Millis
-	// Recent is the number of changes retained for peers that pull, 1024 by default:
+	StaleAge kumquatlug.Millis
+	// MaxRecentChanges is the number of changes retained for peers that pull, 1024 by default:
 	// 1.7 hours at 14,000 a day. A peer further behind gets the whole state.
-	Recent int
+	MaxRecentChanges int
 }
 
 // Adopter holds the config in force on a node and decides when to read the table and
@@ -125,19 +125,19 @@
 // their defaults.
 func NewAdopter(c AdopterConfig) *Adopter {
 	c.Readers = standard.Int(c.Readers, defaultReaders)
-	c.MostReaders = standard.Int(c.MostReaders, defaultMaxReaders)
-	c.Recent = standard.Int(c.Recent, defaultMaxRecentChanges)
-	c.Poll = standard.Millis(c.Poll, defaultPollInterval)
-	c.Widen = standard.Millis(c.Widen, defaultReaderDoublingAge)
-	c.Alone = standard.Millis(c.Alone, defaultFallbackAge)
-	c.AlonePoll = standard.Millis(c.AlonePoll, defaultFallbackInterval)
+	c.MaxReaders = standard.Int(c.MaxReaders, defaultMaxReaders)
+	c.MaxRecentChanges = standard.Int(c.MaxRecentChanges, defaultMaxRecentChanges)
+	c.PollInterval = standard.Millis(c.PollInterval, defaultPollInterval)
+	c.ReaderDoublingAge = standard.Millis(c.ReaderDoublingAge, defaultReaderDoublingAge)
+	c.FallbackAge = standard.Millis(c.FallbackAge, defaultFallbackAge)
+	c.FallbackInterval = standard.Millis(c.FallbackInterval, defaultFallbackInterval)
 	c.PullTimeout = standard.Millis(c.PullTimeout, defaultPullTimeout)
-	c.Stale = standard.Millis(c.Stale, defaultStaleAge)
-	return &Adopter{c: c, state: c.Start, head: c.Start.revision, headConfirmedAt: c.Now, lastPollAt: c.Now - c.AlonePoll}
+	c.StaleAge = standard.Millis(c.StaleAge, defaultStaleAge)
+	return &Adopter{c: c, state: c.InitialState, head: c.InitialState.revision, headConfirmedAt: c.Now, lastPollAt: c.Now - c.FallbackInterval}
 }
 
-// Holds returns the state in force on the node.
-func (a *Adopter) Holds() State { return a.state }
+// State returns the state in force on the node.
+func (a *Adopter) State() State { return a.state }
 
 // Head returns the highest revision known to the node.
 func (a *Adopter) Head() Revision { return a.head }
@@ -148,10 +148,10 @@
 
 // Stale reports whether the node is cut off from the head. Such a node continues to
 // serve and says so in its reports.
-func (a *Adopter) Stale(now kumquatlug.Millis) bool { return a.Age(now) > a.c.Stale }
+func (a *Adopter) Stale(now kumquatlug.Millis) bool { return a.Age(now) > a.c.StaleAge }
 
-// Learned records a report about the head.
-func (a *Adopter) Learned(now kumquatlug.Millis, r Report) {
+// ObserveReport records a report about the head.
+func (a *Adopter) ObserveReport(now kumquatlug.Millis, r HeadReport) {
 	if r.Revision > a.state.revision {
 		a.addSource(r.Peer, r.Revision > a.head)
 	}
@@ -182,9 +182,9 @@
 	a.sources = a.sources[:min(len(a.sources), maxSources)]
 }
 
-// Pull returns the next pull when the node lags behind the head and no pull is in
+// NextPull returns the next pull when the node lags behind the head and no pull is in
 // flight, else false. A returned pull counts as sent.
-func (a *Adopter) Pull(now kumquatlug.Millis) (Pull, bool) {
+func (a *Adopter) NextPull(now kumquatlug.Millis) (Pull, bool) {
 	if a.head <= a.state.revision || len(a.sources) == 0 {
 		return Pull{}, false
 	}
@@ -264,15 +264,15 @@
 // recordChange retains change for peers that pull. The list is trimmed only when it has
 // twice the retained length, so that not every change copies all the others.
 func (a *Adopter) recordChange(change Change) {
-	if len(a.recentChanges) >= 2*a.c.Recent {
-		a.recentChanges = append([]Change(nil), a.recentChanges[len(a.recentChanges)-a.c.Recent:]...)
+	if len(a.recentChanges) >= 2*a.c.MaxRecentChanges {
+		a.recentChanges = append([]Change(nil), a.recentChanges[len(a.recentChanges)-a.c.MaxRecentChanges:]...)
 	}
 	a.recentChanges = append(a.recentChanges, change)
 }
 
-// Since returns the changes after rev for a peer that pulls, and false when the peer is
+// ChangesSince returns the changes after rev for a peer that pulls, and false when the peer is
 // too far behind and needs the whole state. The caller must not modify the slice.
-func (a *Adopter) Since(rev Revision) ([]Change, bool) {
+func (a *Adopter) ChangesSince(rev Revision) ([]Change, bool) {
 	if rev >= a.state.revision {
 		return nil, true
 	}
@@ -283,14 +283,14 @@
 	return a.recentChanges[int64(len(a.recentChanges))-missing:], true
 }
 
-// Poll reports whether the node must read the head from the table now. live names the
+// ShouldPoll reports whether the node must read the head from the table now. live names the
 // live nodes of its data centre, with or without itself. Each call that returns true
 // counts as a read.
-func (a *Adopter) Poll(now kumquatlug.Millis, live []string) bool {
-	if now-a.lastPollAt < a.c.Poll {
+func (a *Adopter) ShouldPoll(now kumquatlug.Millis, live []string) bool {
+	if now-a.lastPollAt < a.c.PollInterval {
 		return false
 	}
-	if !a.isFallbackReader(now) && !a.Reader(now, live) {
+	if !a.isFallbackReader(now) && !a.IsReader(now, live) {
 		return false
 	}
 	a.lastPollAt = now
@@ -300,24 +300,24 @@
 // isFallbackReader reports whether the node must read the head although it is not among
 // the chosen readers, because the head is too old.
 func (a *Adopter) isFallbackReader(now kumquatlug.Millis) bool {
-	offset := kumquatlug.Millis(xxhash.Sum64String(a.c.Me) % uint64(a.c.AlonePoll))
+	offset := kumquatlug.Millis(xxhash.Sum64String(a.c.NodeName) % uint64(a.c.FallbackInterval))
 	age := a.Age(now)
-	interval := min(max(a.c.AlonePoll, age/2), maxFallbackInterval)
-	return age >= a.c.Alone+offset && now-a.lastPollAt >= interval
+	interval := min(max(a.c.FallbackInterval, age/2), maxFallbackInterval)
+	return age >= a.c.FallbackAge+offset && now-a.lastPollAt >= interval
 }
 
-// Reader reports whether the node is among the readers of its data centre, which poll
+// IsReader reports whether the node is among the readers of its data centre, which poll
 // the head. The number of readers doubles as the head ages: all chosen readers may be
 // paused or cut off from the table while other nodes are not.
-func (a *Adopter) Reader(now kumquatlug.Millis, live []string) bool {
+func (a *Adopter) IsReader(now kumquatlug.Millis, live []string) bool {
 	readers := a.c.Readers
-	for age := a.Age(now); age > a.c.Widen && readers < a.c.MostReaders; age -= a.c.Widen {
-		readers = min(2*readers, a.c.MostReaders)
+	for age := a.Age(now); age > a.c.ReaderDoublingAge && readers < a.c.MaxReaders; age -= a.c.ReaderDoublingAge {
+		readers = min(2*readers, a.c.MaxReaders)
 	}
-	ownHash := xxhash.Sum64String(a.c.Me)
+	ownHash := xxhash.Sum64String(a.c.NodeName)
 	higherRanked := 0
 	for _, name := range live {
-		if name != a.c.Me && xxhash.Sum64String(name) > ownHash {
+		if name != a.c.NodeName && xxhash.Sum64String(name) > ownHash {
 			higherRanked++
 		}
 		if higherRanked >= readers {
@@ -327,9 +327,9 @@
 	return true
 }
 
-// Check validates the settings. It returns an error when Me is empty.
-func (c AdopterConfig) Check() error {
-	if c.Me == "" {
+// Validate validates the settings. It returns an error when Me is empty.
+func (c AdopterConfig) Validate() error {
+	if c.NodeName == "" {
 		return errors.New("AdopterConfig.Me is required")
 	}
 	return nil
--- a/pkg/kumquatlug/config/commit.go
+++ b/pkg/kumquatlug/config/commit.go
@@ -19,7 +19,7 @@
 // result can't be read back now: send it again with the same id and base.
 func (s *Store) Commit(ctx context.Context, p Proposal) (Change, error) {
 	for _, set := range p.sets {
-		if err := Check(set); err != nil {
+		if err := ValidateSet(set); err != nil {
 			return Change{}, err
 		}
 	}
@@ -134,7 +134,7 @@
 	if op.base == head {
 		return nil
 	}
-	changes, err := op.store.Since(ctx, op.base)
+	changes, err := op.store.ChangesSince(ctx, op.base)
 	if errors.Is(err, kumquatlug.ErrNotFound) {
 		return &Conflict{base: op.base, head: head, compacted: true}
 	}
--- a/pkg/kumquatlug/config/keys.go
+++ b/pkg/kumquatlug/config/keys.go
@@ -23,13 +23,13 @@
 	PrefixCaller = "caller/"
 )
 
-// SetLabels returns the set that writes a target's labels.
-func SetLabels(target string, labels selector.Labels) (Set, error) {
+// NewLabelsSet returns the set that writes a target's labels.
+func NewLabelsSet(target string, labels selector.Labels) (Set, error) {
 	return newJSONSet(PrefixTarget+target, labels)
 }
 
-// SetSelector validates c and returns the set that writes the selector.
-func SetSelector(c selector.Config) (Set, error) {
+// NewSelectorSet validates c and returns the set that writes the selector.
+func NewSelectorSet(c selector.Config) (Set, error) {
 	if _, err := selector.New(c); err != nil {
 		return Set{}, err
 	}
@@ -44,9 +44,9 @@
 	return NewSet(key, encoded), nil
 }
 
-// Check returns an error if nodes could not decode the set, so that it is rejected
+// ValidateSet returns an error if nodes could not decode the set, so that it is rejected
 // before it is in force.
-func Check(s Set) error {
+func ValidateSet(s Set) error {
 	if s.deleted {
 		return nil
 	}
@@ -64,8 +64,8 @@
 	return errors.Wrapf(err, "key %q", s.key)
 }
 
-// SetCaller validates c and returns the set that writes the client account.
-func SetCaller(c kumquatlug.CallerConfig) (Set, error) {
+// NewCallerSet validates c and returns the set that writes the client account.
+func NewCallerSet(c kumquatlug.CallerConfig) (Set, error) {
 	if _, err := kumquatlug.NewCaller(c); err != nil {
 		return Set{}, err
 	}
@@ -109,10 +109,10 @@
 // Engines without it are grouped by their kind of work.
 const LabelGroup = "group"
 
-// GroupAmong returns the group whose lease holder sends orders to a target with these
+// GroupOf returns the group whose lease holder sends orders to a target with these
 // labels: the group in its label, or else the first kind of engine work for which a
 // selector matches. It is empty for a target that no such selector matches.
-func GroupAmong(selectors []selector.Selector, labels selector.Labels) string {
+func GroupOf(selectors []selector.Selector, labels selector.Labels) string {
 	if group := labels[LabelGroup]; group != "" {
 		return group
 	}
--- a/pkg/kumquatlug/config/proof_steps_test.go
+++ b/pkg/kumquatlug/config/proof_steps_test.go
@@ -56,7 +56,7 @@
 
 // propose makes a proposal based on the state of one node, which may be old.
 func (sim *simulation) propose(s step) {
-	base := sim.nodes[s.actor%simulatedNodes].adopter.Holds().Revision()
+	base := sim.nodes[s.actor%simulatedNodes].adopter.State().Revision()
 	if len(sim.changes) > 0 {
 		base = max(base, 1)
 	}
--- a/pkg/kumquatlug/config/proof_test.go
+++ b/pkg/kumquatlug/config/proof_test.go
@@ -50,10 +50,10 @@
 // and sends work to a target that is leaving.
 func TestProofChangesNeverRevert(t *testing.T) {
 	proof.Run(t, proof.Config{
-		Claim: "accepted changes are applied once and never reverted",
-		Seed:  1, Runs: 200, Steps: 60,
-		Command: genStep(),
-		World:   func() commands.SystemUnderTest { return newSimulation() },
+		Property: "accepted changes are applied once and never reverted",
+		Seed:     1, Runs: 200, Steps: 60,
+		StepGen:   genStep(),
+		NewSystem: func() commands.SystemUnderTest { return newSimulation() },
 	})
 }
 
@@ -105,10 +105,10 @@
 	}
 	sim.table.onApply = sim.recordTx
 	objects := &fakeObjects{table: sim.table, bodies: map[string][]byte{}}
-	sim.store = NewStore(StoreConfig{Table: sim.table, Objects: objects, Keep: 3, PageRows: 2})
+	sim.store = NewStore(StoreConfig{Table: sim.table, Objects: objects, RetainedChanges: 3, PageRows: 2})
 	for i := range simulatedNodes {
 		n := &simulatedNode{name: fmt.Sprintf("node-%d", i)}
-		n.adopter = NewAdopter(AdopterConfig{Me: n.name, Readers: 1, MostReaders: 2, Recent: 2})
+		n.adopter = NewAdopter(AdopterConfig{NodeName: n.name, Readers: 1, MaxReaders: 2, MaxRecentChanges: 2})
 		sim.nodes = append(sim.nodes, n)
 	}
 	for i := range simulatedKeys {
@@ -196,7 +196,7 @@
 		sim.poll(n)
 	case "report-head":
 		other := sim.nodes[s.choice%simulatedNodes]
-		n.adopter.Learned(sim.now, Report{Peer: other.name, Revision: other.adopter.Holds().Revision(), Age: other.adopter.Age(sim.now)})
+		n.adopter.ObserveReport(sim.now, HeadReport{Peer: other.name, Revision: other.adopter.State().Revision(), Age: other.adopter.Age(sim.now)})
 	case "pull":
 		sim.pull(i, s.choice%3 == 0)
 	case "deliver":
@@ -218,7 +218,7 @@
 // snapshot stores the state of a node, or an old state of any node, as after a pause
 // right before the write.
 func (sim *simulation) snapshot(n *simulatedNode, s step) {
-	sim.pastStates = append(sim.pastStates, n.adopter.Holds())
+	sim.pastStates = append(sim.pastStates, n.adopter.State())
 	state := sim.pastStates[len(sim.pastStates)-1]
 	if s.choice%2 == 0 {
 		state = sim.pastStates[s.choice%len(sim.pastStates)]
@@ -236,13 +236,13 @@
 		sim.fail("load: %v", err)
 	}
 	n := sim.nodes[i]
-	n.adopter = NewAdopter(AdopterConfig{Me: n.name, Readers: 1, MostReaders: 2, Recent: 2, Start: state, Now: sim.now})
+	n.adopter = NewAdopter(AdopterConfig{NodeName: n.name, Readers: 1, MaxReaders: 2, MaxRecentChanges: 2, InitialState: state, Now: sim.now})
 	n.maxRevision = state.Revision()
 }
 
 func (sim *simulation) poll(n *simulatedNode) {
 	if head, err := sim.store.Head(context.Background()); err == nil {
-		n.adopter.Learned(sim.now, Report{Peer: Table, Revision: head})
+		n.adopter.ObserveReport(sim.now, HeadReport{Peer: TablePeer, Revision: head})
 	}
 }
 
@@ -258,12 +258,12 @@
 // set, else it stays in flight.
 func (sim *simulation) pull(i int, immediate bool) {
 	n := sim.nodes[i]
-	pull, ok := n.adopter.Pull(sim.now)
+	pull, ok := n.adopter.NextPull(sim.now)
 	if !ok {
 		return
 	}
 	p, ok := sim.fetchPull(pull)
-	if !ok || (i == sim.isolated && pull.Peer() != Table) {
+	if !ok || (i == sim.isolated && pull.Peer() != TablePeer) {
 		n.adopter.PullFailed(pull.Peer())
 		return
 	}
@@ -276,8 +276,8 @@
 }
 
 func (sim *simulation) fetchPull(pull Pull) (pullResponse, bool) {
-	if pull.Peer() == Table {
-		changes, err := sim.store.Since(context.Background(), pull.Since())
+	if pull.Peer() == TablePeer {
+		changes, err := sim.store.ChangesSince(context.Background(), pull.Since())
 		if errors.Is(err, kumquatlug.ErrNotFound) {
 			state, err := sim.store.Load(context.Background())
 			return pullResponse{state: &state}, err == nil
@@ -286,10 +286,10 @@
 	}
 	for _, n := range sim.nodes {
 		if n.name == pull.Peer() {
-			if changes, ok := n.adopter.Since(pull.Since()); ok && sim.random(2) == 0 {
+			if changes, ok := n.adopter.ChangesSince(pull.Since()); ok && sim.random(2) == 0 {
 				return pullResponse{changes: changes}, true
 			}
-			state := n.adopter.Holds()
+			state := n.adopter.State()
 			return pullResponse{state: &state}, true
 		}
 	}
@@ -310,7 +310,7 @@
 // checkNodes compares every node with the oracle.
 func (sim *simulation) checkNodes() {
 	for _, n := range sim.nodes {
-		holds := n.adopter.Holds()
+		holds := n.adopter.State()
 		if holds.Revision() < n.maxRevision {
 			sim.fail("%s reverted from revision %d to %d", n.name, n.maxRevision, holds.Revision())
 		}
@@ -345,23 +345,23 @@
 		sim.now += 250
 		for i, n := range sim.nodes {
 			reachesTable := (cutOff>>i)&1 == 0
-			if n.adopter.Poll(sim.now, sim.nodeNames()) && reachesTable {
+			if n.adopter.ShouldPoll(sim.now, sim.nodeNames()) && reachesTable {
 				head, _ := sim.store.Head(context.Background())
-				n.adopter.Learned(sim.now, Report{Peer: Table, Revision: head})
+				n.adopter.ObserveReport(sim.now, HeadReport{Peer: TablePeer, Revision: head})
 			}
 			next := (i + 1) % simulatedNodes
 			if next == sim.isolated {
 				next = (next + 1) % simulatedNodes
 			}
 			if i != sim.isolated {
-				sim.nodes[next].adopter.Learned(sim.now, Report{Peer: n.name, Revision: n.adopter.Holds().Revision(), Age: n.adopter.Age(sim.now)})
+				sim.nodes[next].adopter.ObserveReport(sim.now, HeadReport{Peer: n.name, Revision: n.adopter.State().Revision(), Age: n.adopter.Age(sim.now)})
 			}
 			sim.pull(i, true)
 		}
 	}
 	for _, n := range sim.nodes {
-		if int(n.adopter.Holds().Revision()) != len(sim.changes) {
-			sim.fail("%s holds revision %d 16 s after the faults ended, want the head %d", n.name, n.adopter.Holds().Revision(), len(sim.changes))
+		if int(n.adopter.State().Revision()) != len(sim.changes) {
+			sim.fail("%s holds revision %d 16 s after the faults ended, want the head %d", n.name, n.adopter.State().Revision(), len(sim.changes))
 		}
 	}
 }
--- a/pkg/kumquatlug/config/propagation_test.go
+++ b/pkg/kumquatlug/config/propagation_test.go
@@ -24,7 +24,7 @@
 	dc := &dataCentre{store: NewStore(StoreConfig{Table: newFakeTable(), Objects: &fakeObjects{}}), cutOff: map[int]bool{}}
 	for i := range size {
 		dc.names = append(dc.names, fmt.Sprintf("vm-%d", i))
-		dc.nodes = append(dc.nodes, NewAdopter(AdopterConfig{Me: dc.names[i]}))
+		dc.nodes = append(dc.nodes, NewAdopter(AdopterConfig{NodeName: dc.names[i]}))
 		dc.neighbours = append(dc.neighbours, []int{r.Intn(size), r.Intn(size), r.Intn(size)})
 	}
 	return dc
@@ -33,38 +33,38 @@
 // tick simulates one tenth of a second, in which a tenth of the nodes exchange reports.
 func (dc *dataCentre) tick(now kumquatlug.Millis) {
 	for i, n := range dc.nodes {
-		if n.Poll(now, dc.names) {
+		if n.ShouldPoll(now, dc.names) {
 			dc.reads++
 			if head, err := dc.store.Head(context.Background()); err == nil && !dc.cutOff[i] {
-				n.Learned(now, Report{Peer: Table, Revision: head})
+				n.ObserveReport(now, HeadReport{Peer: TablePeer, Revision: head})
 			}
 		}
 		if int(now/100)%10 == i%10 {
 			for _, k := range dc.neighbours[i] {
-				dc.nodes[k].Learned(now, dc.report(i, now))
-				n.Learned(now, dc.report(k, now))
+				dc.nodes[k].ObserveReport(now, dc.report(i, now))
+				n.ObserveReport(now, dc.report(k, now))
 			}
 		}
-		if pull, ok := n.Pull(now); ok {
+		if pull, ok := n.NextPull(now); ok {
 			dc.pull(n, pull)
 		}
 	}
 }
 
-func (dc *dataCentre) report(i int, now kumquatlug.Millis) Report {
+func (dc *dataCentre) report(i int, now kumquatlug.Millis) HeadReport {
 	n := dc.nodes[i]
-	return Report{Peer: dc.names[i], Revision: n.Holds().Revision(), Age: n.Age(now)}
+	return HeadReport{Peer: dc.names[i], Revision: n.State().Revision(), Age: n.Age(now)}
 }
 
 func (dc *dataCentre) pull(n *Adopter, pull Pull) {
-	if pull.Peer() == Table {
-		changes, _ := dc.store.Since(context.Background(), pull.Since())
+	if pull.Peer() == TablePeer {
+		changes, _ := dc.store.ChangesSince(context.Background(), pull.Since())
 		_, _, _ = n.Adopt(changes)
 		return
 	}
 	for i, name := range dc.names {
 		if name == pull.Peer() {
-			changes, _ := dc.nodes[i].Since(pull.Since())
+			changes, _ := dc.nodes[i].ChangesSince(pull.Since())
 			_, _, _ = n.Adopt(changes)
 		}
 	}
@@ -77,7 +77,7 @@
 		dc.tick(at)
 		lagging := 0
 		for _, n := range dc.nodes {
-			if n.Holds().Revision() < revision {
+			if n.State().Revision() < revision {
 				lagging++
 			}
 		}
@@ -101,7 +101,7 @@
 		dc.commitChange(t, "c1")
 		normalMs := dc.propagationTime(now, 1)
 		for i, n := range dc.nodes {
-			if n.Reader(now, dc.names) {
+			if n.IsReader(now, dc.names) {
 				dc.cutOff[i] = true
 			}
 		}
@@ -123,7 +123,7 @@
 	for age, want := range cases {
 		got := 0
 		for _, n := range dc.nodes {
-			if n.Reader(age, dc.names) {
+			if n.IsReader(age, dc.names) {
 				got++
 			}
 		}
@@ -140,7 +140,7 @@
 	maxPerSecond, previous := 0, 0
 	for now := kumquatlug.Millis(0); now < 3*kumquatlug.Minute; now += 250 {
 		for _, n := range dc.nodes {
-			if n.Poll(now, dc.names) {
+			if n.ShouldPoll(now, dc.names) {
 				dc.reads++
 			}
 		}
--- a/pkg/kumquatlug/config/state_test.go
+++ b/pkg/kumquatlug/config/state_test.go
@@ -82,7 +82,7 @@
 		NewSet("target/a", []byte("{")), NewSet("selector/a", []byte(`{"name":"a"}`)),
 		NewSet("caller/a", []byte("[]")), NewSet("other/a", []byte("{}")),
 	} {
-		if Check(s) == nil {
+		if ValidateSet(s) == nil {
 			t.Errorf("Check accepted %s = %s", s.Key(), s.Value())
 		}
 	}
@@ -105,7 +105,7 @@
 		"negative limit":    {`{"name":"a","key_hash":"` + hash + `","concurrency":-1}`, false},
 	}
 	for name, c := range cases {
-		if err := Check(NewSet(PrefixCaller+"a", []byte(c.value))); (err == nil) != c.want {
+		if err := ValidateSet(NewSet(PrefixCaller+"a", []byte(c.value))); (err == nil) != c.want {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -133,7 +133,7 @@
 
 func Example() {
 	store := NewStore(StoreConfig{Table: newFakeTable(), Objects: &fakeObjects{}})
-	set, _ := SetLabels("vm-1", selector.Labels{"pool": "draft"})
+	set, _ := NewLabelsSet("vm-1", selector.Labels{"pool": "draft"})
 	propose := func(id, author string, base Revision) error {
 		p, err := NewProposal(ProposalConfig{ID: id, Author: author, Base: base, Sets: []Set{set}})
 		if err == nil {
@@ -194,9 +194,9 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("vm-%05d", i)
 	}
-	a := NewAdopter(AdopterConfig{Me: names[0]})
+	a := NewAdopter(AdopterConfig{NodeName: names[0]})
 	b.ReportAllocs()
 	for b.Loop() {
-		a.Reader(0, names)
+		a.IsReader(0, names)
 	}
 }
--- a/pkg/kumquatlug/config/store.go
+++ b/pkg/kumquatlug/config/store.go
@@ -33,19 +33,19 @@
 	Table kumquatlug.Table
 	// Objects holds the snapshots. Required.
 	Objects kumquatlug.Objects
-	// Keep is the number of changes before the snapshot that stay in the log, 4096
+	// RetainedChanges is the number of changes before the snapshot that stay in the log, 4096
 	// by default: seven hours at 14,000 changes a day, far longer than a reader lags
 	// or an operator waits to resend a proposal.
-	Keep int
+	RetainedChanges int
 	// PageRows is the maximum number of log rows of one read, 500 by default: 150 KB
 	// at about 300 bytes a row, which any table returns without delay.
 	PageRows int
-	// Attempts bounds the transactions for one proposal when the head keeps moving,
+	// MaxAttempts bounds the transactions for one proposal when the head keeps moving,
 	// and the reads of one Load when the log is trimmed meanwhile, 32 by default. At
 	// 14,000 changes a day, the probability of another change within the few
 	// milliseconds of a transaction is below one in a thousand; 32 allows for
 	// scripts that run concurrently.
-	Attempts int
+	MaxAttempts int
 }
 
 // Store keeps the config in the platform's table and object store. It has no mutable
@@ -62,9 +62,9 @@
 func NewStore(c StoreConfig) *Store {
 	return &Store{
 		table: c.Table, objects: c.Objects,
-		retainedChanges: Revision(standard.Int(c.Keep, defaultRetainedChanges)),
+		retainedChanges: Revision(standard.Int(c.RetainedChanges, defaultRetainedChanges)),
 		pageRows:        standard.Int(c.PageRows, defaultPageRows),
-		maxAttempts:     standard.Int(c.Attempts, defaultMaxAttempts),
+		maxAttempts:     standard.Int(c.MaxAttempts, defaultMaxAttempts),
 	}
 }
 
@@ -100,10 +100,10 @@
 	return p, row.Version(), nil
 }
 
-// Since returns the changes after revision rev, in order and without gaps. The error is
+// ChangesSince returns the changes after revision rev, in order and without gaps. The error is
 // marked [kumquatlug.ErrNotFound] when the log no longer reaches back to rev; use
 // [Store.Load] then.
-func (s *Store) Since(ctx context.Context, rev Revision) ([]Change, error) {
+func (s *Store) ChangesSince(ctx context.Context, rev Revision) ([]Change, error) {
 	var changes []Change
 	for after := rev; ; {
 		rows, err := s.table.Scan(ctx, prefixLog, logKey(after), s.pageRows)
@@ -160,7 +160,7 @@
 	if err != nil {
 		return State{}, err
 	}
-	changes, err := s.Since(ctx, state.revision)
+	changes, err := s.ChangesSince(ctx, state.revision)
 	if err != nil {
 		return State{}, err
 	}
--- a/pkg/kumquatlug/configmessage.go
+++ b/pkg/kumquatlug/configmessage.go
@@ -1,11 +1,11 @@
 package kumquatlug
 
-// ConfigAsk requests the text of the operator's config from another gateway.
-type ConfigAsk struct {
+// ConfigRequest requests the text of the operator's config from another gateway.
+type ConfigRequest struct {
 	// Version is the requested version.
 	Version int64
-	// First is the index of the first requested part, from zero.
-	First int
+	// FirstPart is the index of the first requested part, from zero.
+	FirstPart int
 }
 
 // ConfigPart is one part of the text of a config, as the operator wrote it.
--- a/pkg/kumquatlug/coordinator/coordinator.go
+++ b/pkg/kumquatlug/coordinator/coordinator.go
@@ -38,9 +38,9 @@
 	quorumFraction = 0.5
 )
 
-// Fronts holds the gateways that are known to one gateway and chooses coordinators among them.
-// There is no coordinator until [Fronts.Set] is called. It is not safe for concurrent use.
-type Fronts struct {
+// Gateways holds the gateways that are known to one gateway and chooses coordinators among them.
+// There is no coordinator until [Gateways.Set] is called. It is not safe for concurrent use.
+type Gateways struct {
 	self     string
 	gateways map[string]*peerState
 	// shuttingDown reports that this gateway must not coordinate any engine.
@@ -49,27 +49,27 @@
 	// when a gateway changes.
 	cache           map[string]string
 	cacheValidUntil kumquatlug.Millis
-	changes         []News
+	changes         []Change
 }
 
-// News is a change of a gateway's reachability.
-type News struct {
+// Change is a change of a gateway's reachability.
+type Change struct {
 	gateway  string
 	event    string
 	timeouts int
 }
 
-// Front returns the gateway's name.
-func (n News) Front() string { return n.gateway }
+// Gateway returns the gateway's name.
+func (n Change) Gateway() string { return n.gateway }
 
-// What returns the event: "front away" or "front back".
-func (n News) What() string { return n.event }
+// Event returns the event: "front away" or "front back".
+func (n Change) Event() string { return n.event }
 
-// Misses returns the number of consecutive timeouts.
-func (n News) Misses() int { return n.timeouts }
+// Timeouts returns the number of consecutive timeouts.
+func (n Change) Timeouts() int { return n.timeouts }
 
-// News returns the changes since the last call.
-func (f *Fronts) News() []News {
+// Changes returns the changes since the last call.
+func (f *Gateways) Changes() []Change {
 	changes := f.changes
 	f.changes = nil
 	return changes
@@ -83,15 +83,15 @@
 	excluded     bool
 }
 
-var _ kumquatlug.Coordinators = (*Fronts)(nil)
+var _ kumquatlug.Coordinators = (*Gateways)(nil)
 
 // New returns the state of the gateway named self. It contains no other gateways.
-func New(self string) *Fronts {
-	return &Fronts{self: self, gateways: map[string]*peerState{}, cache: map[string]string{}}
+func New(self string) *Gateways {
+	return &Gateways{self: self, gateways: map[string]*peerState{}, cache: map[string]string{}}
 }
 
 // Set replaces the gateways; names includes this one. The state of known ones is kept.
-func (f *Fronts) Set(names []string) {
+func (f *Gateways) Set(names []string) {
 	gateways := map[string]*peerState{f.self: newPeerState(f.self)}
 	for _, name := range names {
 		gateways[name] = newPeerState(name)
@@ -106,50 +106,50 @@
 func newPeerState(name string) *peerState { return &peerState{hash: xxhash.Sum64String(name)} }
 
 // Add adds a gateway that announced itself.
-func (f *Fronts) Add(name string) {
+func (f *Gateways) Add(name string) {
 	if _, known := f.gateways[name]; !known && len(f.gateways) > 0 {
 		f.gateways[name] = newPeerState(name)
 		f.clearCache()
 	}
-	f.Answered(name)
+	f.PeerResponded(name)
 }
 
-// Left excludes a gateway that announced its shutdown.
-func (f *Fronts) Left(name string) {
+// PeerLeft excludes a gateway that announced its shutdown.
+func (f *Gateways) PeerLeft(name string) {
 	if peer, known := f.gateways[name]; known {
 		peer.excluded = true
 		f.clearCache()
 	}
 }
 
-// Leave makes this gateway stop coordinating engines.
-func (f *Fronts) Leave() {
+// StopCoordinating makes this gateway stop coordinating engines.
+func (f *Gateways) StopCoordinating() {
 	f.shuttingDown = true
 	f.clearCache()
 }
 
-func (f *Fronts) clearCache() { clear(f.cache) }
+func (f *Gateways) clearCache() { clear(f.cache) }
 
-// Answered records a response from a gateway.
-func (f *Fronts) Answered(name string) {
+// PeerResponded records a response from a gateway.
+func (f *Gateways) PeerResponded(name string) {
 	peer, known := f.gateways[name]
 	if !known || peer.timeouts == 0 && !peer.excluded {
 		return
 	}
-	f.changes = append(f.changes, News{gateway: name, event: "front back", timeouts: peer.timeouts})
+	f.changes = append(f.changes, Change{gateway: name, event: "front back", timeouts: peer.timeouts})
 	peer.timeouts, peer.backoffUntil, peer.excluded = 0, 0, false
 	f.clearCache()
 }
 
-// Missed records that a gateway did not respond in time.
-func (f *Fronts) Missed(now kumquatlug.Millis, name string) {
+// PeerTimedOut records that a gateway did not respond in time.
+func (f *Gateways) PeerTimedOut(now kumquatlug.Millis, name string) {
 	peer, known := f.gateways[name]
 	if !known || now < peer.backoffUntil {
 		return
 	}
 	peer.backoffUntil = now + min(minBackoff<<min(peer.timeouts, 10), maxBackoff)
 	peer.timeouts++
-	f.changes = append(f.changes, News{gateway: name, event: "front away", timeouts: peer.timeouts})
+	f.changes = append(f.changes, Change{gateway: name, event: "front away", timeouts: peer.timeouts})
 	if peer.timeouts >= excludeAfterTimeouts && f.hasQuorum(now) {
 		peer.excluded = true
 	}
@@ -158,7 +158,7 @@
 
 // hasQuorum reports whether enough other gateways are reachable; if not, this gateway may be
 // partitioned.
-func (f *Fronts) hasQuorum(now kumquatlug.Millis) bool {
+func (f *Gateways) hasQuorum(now kumquatlug.Millis) bool {
 	others, reachable := 0, 0
 	for name, peer := range f.gateways {
 		if name == f.self || peer.excluded {
@@ -173,7 +173,7 @@
 }
 
 // Coordinator returns the name of the gateway that coordinates an engine, empty if none does.
-func (f *Fronts) Coordinator(now kumquatlug.Millis, engine string) string {
+func (f *Gateways) Coordinator(now kumquatlug.Millis, engine string) string {
 	if now >= f.cacheValidUntil {
 		f.clearCache()
 	}
@@ -188,13 +188,13 @@
 	return coordinator
 }
 
-// Coordinates reports whether this gateway coordinates an engine.
-func (f *Fronts) Coordinates(now kumquatlug.Millis, engine string) bool {
+// IsCoordinator reports whether this gateway coordinates an engine.
+func (f *Gateways) IsCoordinator(now kumquatlug.Millis, engine string) bool {
 	return f.Coordinator(now, engine) == f.self
 }
 
 // nextRetryAt returns when the next unreachable gateway is retried.
-func (f *Fronts) nextRetryAt(now kumquatlug.Millis) kumquatlug.Millis {
+func (f *Gateways) nextRetryAt(now kumquatlug.Millis) kumquatlug.Millis {
 	next := kumquatlug.Millis(math.MaxInt64)
 	for _, peer := range f.gateways {
 		if now < peer.backoffUntil {
@@ -205,7 +205,7 @@
 }
 
 // choose returns the first reachable gateway in the rendezvous order of an engine.
-func (f *Fronts) choose(now kumquatlug.Millis, engine string) string {
+func (f *Gateways) choose(now kumquatlug.Millis, engine string) string {
 	if !f.hasQuorum(now) {
 		return ""
 	}
--- a/pkg/kumquatlug/coordinator/coordinator_test.go
+++ b/pkg/kumquatlug/coordinator/coordinator_test.go
@@ -23,7 +23,7 @@
 func engineName(i int) string { return fmt.Sprintf("engine-%d", i) }
 
 // newWithAllGateways returns the state of a gateway that has read the rows of all gateways.
-func newWithAllGateways(self string) *Fronts {
+func newWithAllGateways(self string) *Gateways {
 	f := New(self)
 	f.Set(gatewayNames(gatewayCount))
 	return f
@@ -38,7 +38,7 @@
 			if got := newWithAllGateways(self).Coordinator(0, engineName(i)); got != coordinator {
 				t.Fatalf("%s chooses %s for %s, want %s", self, got, engineName(i), coordinator)
 			}
-			if newWithAllGateways(self).Coordinates(0, engineName(i)) != (self == coordinator) {
+			if newWithAllGateways(self).IsCoordinator(0, engineName(i)) != (self == coordinator) {
 				t.Fatalf("%s: wrong result of Coordinates for %s", self, engineName(i))
 			}
 		}
@@ -57,7 +57,7 @@
 	if unresponsive == "front-0" {
 		t.Fatal("the first engine is coordinated by the gateway itself")
 	}
-	f.Missed(10, unresponsive)
+	f.PeerTimedOut(10, unresponsive)
 	for i := range engineCount {
 		after := f.Coordinator(10, engineName(i))
 		if after == unresponsive || before[i] != unresponsive && after != before[i] {
@@ -77,7 +77,7 @@
 	for now < 60*kumquatlug.Second {
 		peer := f.gateways["front-1"]
 		if now >= peer.backoffUntil && !peer.excluded {
-			f.Missed(now, "front-1")
+			f.PeerTimedOut(now, "front-1")
 			requests++
 		}
 		now += 10
@@ -98,7 +98,7 @@
 	now := kumquatlug.Millis(0)
 	for round := range 5 {
 		for i := 1; i < gatewayCount; i++ {
-			f.Missed(now, fmt.Sprintf("front-%d", i))
+			f.PeerTimedOut(now, fmt.Sprintf("front-%d", i))
 		}
 		if coordinator := f.Coordinator(now, engineName(round)); coordinator != "" {
 			t.Errorf("round %d: %q coordinates", round, coordinator)
@@ -107,7 +107,7 @@
 		now++
 	}
 	for i := 1; i < gatewayCount; i++ {
-		f.Answered(fmt.Sprintf("front-%d", i))
+		f.PeerResponded(fmt.Sprintf("front-%d", i))
 	}
 	if f.Coordinator(now, engineName(0)) != newWithAllGateways("front-0").Coordinator(0, engineName(0)) {
 		t.Error("the coordinators differ after the partition ended")
@@ -118,10 +118,10 @@
 // others must not send it requests.
 func TestGatewayThatShutsDownCoordinatesNothing(t *testing.T) {
 	shuttingDown, other := newWithAllGateways("front-3"), newWithAllGateways("front-4")
-	shuttingDown.Leave()
-	other.Left("front-3")
+	shuttingDown.StopCoordinating()
+	other.PeerLeft("front-3")
 	for i := range engineCount {
-		if shuttingDown.Coordinates(0, engineName(i)) || other.Coordinator(0, engineName(i)) == "front-3" {
+		if shuttingDown.IsCoordinator(0, engineName(i)) || other.Coordinator(0, engineName(i)) == "front-3" {
 			t.Errorf("%s is coordinated by a gateway that is shutting down", engineName(i))
 		}
 		if shuttingDown.Coordinator(0, engineName(i)) != other.Coordinator(0, engineName(i)) {
@@ -139,13 +139,13 @@
 		t.Errorf("%q coordinates", coordinator)
 	}
 	f.Set([]string{"front-0"})
-	if !f.Coordinates(0, engineName(0)) {
+	if !f.IsCoordinator(0, engineName(0)) {
 		t.Error("the only gateway coordinates nothing")
 	}
 	f.Add("front-1")
 	kept := 0
 	for i := range engineCount {
-		if f.Coordinates(0, engineName(i)) {
+		if f.IsCoordinator(0, engineName(i)) {
 			kept++
 		}
 	}
@@ -157,15 +157,15 @@
 // Each change is returned once, so that it is logged once.
 func TestChangesAreReportedOnce(t *testing.T) {
 	f := newWithAllGateways("front-0")
-	f.Missed(5, "front-1")
-	f.Missed(6, "front-1")
-	f.Answered("front-1")
-	f.Answered("front-1")
-	changes := f.News()
-	if len(changes) != 2 || changes[0].What() != "front away" || changes[1].What() != "front back" || changes[1].Front() != "front-1" {
+	f.PeerTimedOut(5, "front-1")
+	f.PeerTimedOut(6, "front-1")
+	f.PeerResponded("front-1")
+	f.PeerResponded("front-1")
+	changes := f.Changes()
+	if len(changes) != 2 || changes[0].Event() != "front away" || changes[1].Event() != "front back" || changes[1].Gateway() != "front-1" {
 		t.Errorf("changes %+v", changes)
 	}
-	if len(f.News()) != 0 {
+	if len(f.Changes()) != 0 {
 		t.Error("changes are returned twice")
 	}
 }
--- a/pkg/kumquatlug/dispatch/attempt.go
+++ b/pkg/kumquatlug/dispatch/attempt.go
@@ -12,34 +12,34 @@
 // Failure reasons of attempts that could not start because the target was
 // leaving, unreachable or at capacity.
 const (
-	// ReasonLabel means that the target's labels mark it as leaving.
-	ReasonLabel = string(drain.ReasonLabel)
-	// ReasonList means that the platform's VM list marks the target as leaving.
-	ReasonList = string(drain.ReasonList)
+	// ReasonLeavingByLabel means that the target's labels mark it as leaving.
+	ReasonLeavingByLabel = string(drain.ReasonLeavingByLabel)
+	// ReasonLeavingByVMList means that the platform's VM list marks the target as leaving.
+	ReasonLeavingByVMList = string(drain.ReasonLeavingByVMList)
 	// ReasonStopping means that the agent is stopping.
-	ReasonStopping = string(drain.ReasonStop)
-	// ReasonOrder means that the target is carrying out an order.
-	ReasonOrder = string(drain.ReasonOrder)
-	// ReasonFull means that the engine refused the work for lack of capacity.
-	ReasonFull = "engine_refused"
+	ReasonStopping = string(drain.ReasonStopping)
+	// ReasonUnderOrder means that the target is carrying out an order.
+	ReasonUnderOrder = string(drain.ReasonUnderOrder)
+	// ReasonEngineRefused means that the engine refused the work for lack of capacity.
+	ReasonEngineRefused = "engine_refused"
 	// ReasonUnreachable means that the connection to the agent failed.
 	ReasonUnreachable = "agent_unreachable"
-	// ReasonSuspect means that another request that was in flight at a crash is
+	// ReasonSuspectInFlight means that another request that was in flight at a crash is
 	// running at the target.
-	ReasonSuspect = "suspect_in_hand"
+	ReasonSuspectInFlight = "suspect_in_hand"
 )
 
-// Failed describes a failed attempt.
-type Failed struct {
+// AttemptFailure describes a failed attempt.
+type AttemptFailure struct {
 	// Failure is the error. Its Ran decides whether the request may be retried.
 	Failure *kumquatlug.Failure
 	// Refused reports whether the agent refused the work before it started.
 	Refused bool
 	// Notices are the agent's notices of requests that were in flight at a crash.
 	Notices []quarantine.Notice
-	// Final reports whether a retry can't succeed, for example because the
+	// Permanent reports whether a retry can't succeed, for example because the
 	// request is invalid. The failure is then returned to the caller unchanged.
-	Final bool
+	Permanent bool
 	// Resumable reports whether another target can continue the response after
 	// the output that was already sent.
 	Resumable bool
@@ -47,7 +47,7 @@
 
 // AttemptFailed records that the current attempt of a request failed. It schedules
 // another attempt or returns the final response.
-func (d *Dispatcher) AttemptFailed(now kumquatlug.Millis, id string, f Failed) []Decision {
+func (d *Dispatcher) AttemptFailed(now kumquatlug.Millis, id string, f AttemptFailure) []Decision {
 	d.begin(now)
 	r, ok := d.requests[id]
 	if !ok {
@@ -56,18 +56,18 @@
 	d.release(now, r, limitOutcome(f))
 	d.register.Merge(now, f.Notices)
 	r.lastFailure = f.Failure
-	r.mayHaveRun = r.mayHaveRun || f.Failure.Ran() != kumquatlug.RanNot
-	if f.Final {
+	r.mayHaveRun = r.mayHaveRun || f.Failure.Execution() != kumquatlug.NotExecuted
+	if f.Permanent {
 		d.giveUp(now, id, f.Failure)
 		return d.serve(now)
 	}
-	if f.Refused && f.Failure.Reason() == ReasonSuspect {
+	if f.Refused && f.Failure.Reason() == ReasonSuspectInFlight {
 		d.deferSuspect(now, r)
 		return d.serve(now)
 	}
 	d.recordFailure(now, r, f)
 	next := d.retries.Next(now, retry.Attempt{
-		Ran: f.Failure.Ran(), Repeatable: r.c.OnceKey == "", Resumable: f.Resumable, Refused: f.Refused,
+		Execution: f.Failure.Execution(), Repeatable: r.c.RunOnceKey == "", Resumable: f.Resumable, Refused: f.Refused,
 		Attempts: r.failures, Refusals: r.refusals, Deadline: d.timeBudget(now, r), Elapsed: now - r.c.Arrival,
 	})
 	if next.Reason() == retry.ReasonMayHaveRun {
@@ -76,7 +76,7 @@
 		d.giveUp(now, id, f.Failure)
 		return d.serve(now)
 	}
-	if next.Verdict() == retry.VerdictStop {
+	if next.Action() == retry.ActionStop {
 		d.giveUp(now, id, r.finalFailure(string(next.Reason())))
 		return d.serve(now)
 	}
@@ -104,7 +104,7 @@
 
 // recordFailure counts a failure for the request and, unless it is a refusal, for
 // the health of its target.
-func (d *Dispatcher) recordFailure(now kumquatlug.Millis, r *request, f Failed) {
+func (d *Dispatcher) recordFailure(now kumquatlug.Millis, r *request, f AttemptFailure) {
 	if f.Refused {
 		r.refusals++
 		d.markUnavailable(now, r.target, f.Failure.Reason())
@@ -121,11 +121,11 @@
 func (d *Dispatcher) markUnavailable(now kumquatlug.Millis, target, reason string) {
 	report := d.reports[target]
 	switch reason {
-	case ReasonLabel, ReasonList:
+	case ReasonLeavingByLabel, ReasonLeavingByVMList:
 		report.State = TargetLeaving
 	case ReasonStopping:
 		report.State = TargetStopping
-	case ReasonOrder:
+	case ReasonUnderOrder:
 		report.State = TargetChanging
 	case ReasonUnreachable:
 		report.State = TargetDown
@@ -141,7 +141,7 @@
 	if !ok {
 		return
 	}
-	group.Outcome(now, r.target, success, ratio)
+	group.RecordOutcome(now, r.target, success, ratio)
 	d.router.SetWeight(r.target, group.Weight(now, r.target))
 }
 
@@ -154,8 +154,8 @@
 
 // limitOutcome returns OutcomeOverload if the target refused the attempt for lack
 // of capacity, else OutcomeEnded.
-func limitOutcome(f Failed) limit.Outcome {
-	if f.Failure.Reason() == ReasonFull {
+func limitOutcome(f AttemptFailure) limit.Outcome {
+	if f.Failure.Reason() == ReasonEngineRefused {
 		return limit.OutcomeOverload
 	}
 	return limit.OutcomeEnded
@@ -187,26 +187,26 @@
 	r.progressAt = now
 	r.tokens = tokens
 	d.router.Progress(now, r.target, id, int(tokens))
-	d.queue.Served(now, r.c.Kind, served)
+	d.queue.RecordServed(now, r.c.Kind, served)
 	return d.decisions
 }
 
-// Done describes a completed response.
-type Done struct {
-	// Tokens is the number of output tokens. Cached is the number of prompt tokens
+// Completion describes a completed response.
+type Completion struct {
+	// OutputTokens is the number of output tokens. Cached is the number of prompt tokens
 	// that were in the target's prefix cache.
-	Tokens int64
-	Cached int64
+	OutputTokens int64
+	CachedTokens int64
 }
 
 // Finished records that the response to a request is complete.
-func (d *Dispatcher) Finished(now kumquatlug.Millis, id string, done Done) []Decision {
+func (d *Dispatcher) Finished(now kumquatlug.Millis, id string, done Completion) []Decision {
 	d.begin(now)
 	r, ok := d.requests[id]
 	if !ok {
 		return d.serve(now)
 	}
-	served := admission.Cost(0, max(0, done.Tokens-r.tokens))
+	served := admission.Cost(0, max(0, done.OutputTokens-r.tokens))
 	if r.firstTokenAt == 0 {
 		served += admission.Cost(r.c.PrefillTokens, 0)
 	}
@@ -214,24 +214,24 @@
 		d.services.Sample(now, &r.ticket, now-r.sentAt, 1)
 	}
 	d.release(now, r, limit.OutcomeEnded)
-	d.queue.Served(now, r.c.Kind, served)
-	if len(r.c.Prefix) > 0 {
-		d.router.Hit(r.target, r.cached, int(done.Cached))
+	d.queue.RecordServed(now, r.c.Kind, served)
+	if len(r.c.PrefixKeys) > 0 {
+		d.router.RecordCacheHit(r.target, r.cached, int(done.CachedTokens))
 	}
 	d.register.Finished(now, r.fingerprint())
-	d.learnEstimate(now, r, done.Tokens, true)
+	d.learnEstimate(now, r, done.OutputTokens, true)
 	d.learnLatencyRatio(now, r, done)
-	d.removeRequest(now, r, r.c.PrefillTokens+done.Tokens)
+	d.removeRequest(now, r, r.c.PrefillTokens+done.OutputTokens)
 	return d.serve(now)
 }
 
 // learnLatencyRatio updates the latency ratio of the kind with a response and
 // records its outcome for the health of the target: the response time relative
 // to the time that routing predicted.
-func (d *Dispatcher) learnLatencyRatio(now kumquatlug.Millis, r *request, done Done) {
+func (d *Dispatcher) learnLatencyRatio(now kumquatlug.Millis, r *request, done Completion) {
 	k, ok := d.kinds[r.c.Kind]
 	actual := *r
-	actual.c.DecodeTokens = done.Tokens
+	actual.c.DecodeTokens = done.OutputTokens
 	nominal := actual.nominalMs()
 	if !ok || nominal <= 0 {
 		d.recordOutcome(now, r, true, 1)
--- a/pkg/kumquatlug/dispatch/candidates.go
+++ b/pkg/kumquatlug/dispatch/candidates.go
@@ -10,7 +10,7 @@
 // updateTargets updates the subsets of all kinds, the watched targets and the
 // router's candidates.
 func (d *Dispatcher) updateTargets(now kumquatlug.Millis) {
-	duties := map[string][]routing.Duty{}
+	duties := map[string][]routing.Assignment{}
 	watched := map[string]bool{}
 	for _, kind := range d.kindOrder {
 		k := d.kinds[kind]
@@ -67,7 +67,7 @@
 	if kind.Protocol() == kumquatlug.ProtocolService {
 		return names
 	}
-	return routing.Subset(d.gateways, d.c.Entry, names, d.c.Subset)
+	return routing.Subset(d.gateways, d.c.Gateway, names, d.c.SubsetSize)
 }
 
 // selectorsFor returns the selectors that assign kind to the target, whether or not
@@ -85,7 +85,7 @@
 
 func (d *Dispatcher) labelsOf(name string) selector.Labels {
 	member, _ := d.members.Get(name)
-	return d.labels[name].labels.With(name, member.VM().Zone())
+	return d.labels[name].labels.WithPlatform(name, member.VM().Zone())
 }
 
 // setSubset sets the targets of a kind and removes the others from its health
@@ -136,19 +136,19 @@
 	return ""
 }
 
-func (d *Dispatcher) duties(name string, kind kumquatlug.Kind) []routing.Duty {
-	var duties []routing.Duty
+func (d *Dispatcher) duties(name string, kind kumquatlug.Kind) []routing.Assignment {
+	var duties []routing.Assignment
 	for _, s := range d.selectorsFor(name, kind) {
 		if roleMatches(s, d.reports[name].Role) {
-			duties = append(duties, routing.Duty{Kind: kind, Role: s.Role()})
+			duties = append(duties, routing.Assignment{Kind: kind, Role: s.Role()})
 		}
 	}
 	return duties
 }
 
-func (d *Dispatcher) setCandidate(now kumquatlug.Millis, name string, duties []routing.Duty) {
+func (d *Dispatcher) setCandidate(now kumquatlug.Millis, name string, duties []routing.Assignment) {
 	member, _ := d.members.Get(name)
-	candidate := routing.Candidate{Name: name, Zone: member.VM().Zone(), Duties: duties, State: routing.StateReady}
+	candidate := routing.Candidate{Name: name, Zone: member.VM().Zone(), Assignments: duties, State: routing.StateReady}
 	if d.unreadyReason(name) != "" {
 		candidate.State = routing.StateDraining
 	}
@@ -159,9 +159,9 @@
 // targets.
 func (d *Dispatcher) updateGatewayCount() {
 	n := max(1, len(d.gateways))
-	d.callers.SetEntries(n)
-	sharing := max(1, min(n, routing.Replicas(n, len(d.members.Names()), d.c.Subset)))
-	d.engines.SetEntries(sharing)
-	d.services.SetEntries(sharing)
-	d.router.SetEntries(sharing)
+	d.callers.SetGateways(n)
+	sharing := max(1, min(n, routing.GatewaysPerTarget(n, len(d.members.Names()), d.c.SubsetSize)))
+	d.engines.SetGateways(sharing)
+	d.services.SetGateways(sharing)
+	d.router.SetGateways(sharing)
 }
--- a/pkg/kumquatlug/dispatch/choose.go
+++ b/pkg/kumquatlug/dispatch/choose.go
@@ -30,9 +30,9 @@
 	r.sentAt, r.firstTokenAt = now, 0
 	limits := d.limits(r.c.Kind)
 	r.ticket = limits.Begin(now, target, r.kvTokens())
-	limits.Tolerate(&r.ticket, r.c.Deadline-r.c.Arrival, kumquatlug.Millis(r.nominalMs()))
+	limits.SetTolerance(&r.ticket, r.c.Deadline-r.c.Arrival, kumquatlug.Millis(r.nominalMs()))
 	d.router.Sent(now, target, routing.Call{
-		ID: r.c.ID, Prefix: r.c.Prefix, PrefillTokens: int(r.c.PrefillTokens) - cached, DecodeTokens: int(r.c.DecodeTokens),
+		ID: r.c.ID, Prefix: r.c.PrefixKeys, PrefillTokens: int(r.c.PrefillTokens) - cached, DecodeTokens: int(r.c.DecodeTokens),
 	})
 	attempt := Attempt{target: target, address: member.VM().Address(), number: r.attempts, revision: d.revision, role: r.c.Role}
 	attempt.notice, attempt.suspect = d.register.Notice(now, r.fingerprint())
@@ -41,12 +41,12 @@
 }
 
 func (d *Dispatcher) choose(now kumquatlug.Millis, r *request) (target string, cached int, predictedTime kumquatlug.Millis, found bool) {
-	if r.c.OnceKey != "" {
+	if r.c.RunOnceKey != "" {
 		target, found = d.chooseByKey(r)
 		return target, 0, 0, found
 	}
 	query := routing.Query{
-		Kind: r.c.Kind, Role: r.c.Role, Prefix: r.c.Prefix, PrefillTokens: int(r.c.PrefillTokens),
+		Kind: r.c.Kind, Role: r.c.Role, Prefix: r.c.PrefixKeys, PrefillTokens: int(r.c.PrefillTokens),
 		DecodeTokens: int(r.c.DecodeTokens), Exclude: r.exclude,
 	}
 	choice, found := d.router.Pick(now, query, capacityCheck{d.limits(r.c.Kind), r.kvTokens()})
@@ -57,7 +57,7 @@
 		query.Exclude = nil
 		choice, found = d.router.Pick(now, query, capacityCheck{d.limits(r.c.Kind), r.kvTokens()})
 	}
-	return choice.Target(), choice.Cached(), choice.Stated(), found
+	return choice.Target(), choice.Cached(), choice.FinishAtFullWeight(), found
 }
 
 // triedAll reports whether r was tried at every ready target of its kind.
@@ -79,7 +79,7 @@
 // correct too, but a later resend would then reach another agent and cost a read
 // of the table.
 func (d *Dispatcher) chooseByKey(r *request) (string, bool) {
-	order := routing.ServiceOrder(r.c.OnceKey, d.ready(r.c.Kind))
+	order := routing.RunOnceOrder(r.c.RunOnceKey, d.ready(r.c.Kind))
 	for _, name := range order {
 		if !contains(r.exclude, name) {
 			return name, d.services.Room(name, r.kvTokens())
--- a/pkg/kumquatlug/dispatch/configure.go
+++ b/pkg/kumquatlug/dispatch/configure.go
@@ -48,7 +48,7 @@
 func (d *Dispatcher) readCallerTerms(state config.State) {
 	state.Range(config.PrefixCaller, func(_ string, value []byte) bool {
 		if account, err := kumquatlug.DecodeCaller(value); err == nil {
-			d.callers.SetTerms(account.Name(), limit.CallerTerms{
+			d.callers.SetLimits(account.Name(), limit.CallerLimits{
 				Rate: account.TokensPerSecond(), Concurrency: account.Concurrency(),
 			})
 		}
--- a/pkg/kumquatlug/dispatch/decision.go
+++ b/pkg/kumquatlug/dispatch/decision.go
@@ -45,9 +45,9 @@
 	suspect  bool
 }
 
-// At returns a copy of the attempt for another target, for a call whose run-once
+// WithTarget returns a copy of the attempt for another target, for a call whose run-once
 // claim is held by that target.
-func (a Attempt) At(target, address string) Attempt {
+func (a Attempt) WithTarget(target, address string) Attempt {
 	a.target, a.address = target, address
 	return a
 }
--- a/pkg/kumquatlug/dispatch/disaggregated.go
+++ b/pkg/kumquatlug/dispatch/disaggregated.go
@@ -15,10 +15,10 @@
 // single token.
 const minPrefillEngineTokens = 256
 
-// Offered is the work of one kind that arrived in an interval, in tokens.
-type Offered struct {
-	Prefill int64
-	Decode  int64
+// OfferedWork is the work of one kind that arrived in an interval, in tokens.
+type OfferedWork struct {
+	PrefillTokens int64
+	DecodeTokens  int64
 }
 
 // assignRole adds r to the offered work of its kind. If the kind is disaggregated
@@ -28,8 +28,8 @@
 	if !ok {
 		return
 	}
-	k.offered.Prefill += r.c.PrefillTokens
-	k.offered.Decode += r.c.DecodeTokens
+	k.offered.PrefillTokens += r.c.PrefillTokens
+	k.offered.DecodeTokens += r.c.DecodeTokens
 	if !k.disaggregated {
 		return
 	}
@@ -39,22 +39,22 @@
 	}
 }
 
-// TakeOffers calls visit for each disaggregated kind with the work that arrived
+// TakeOfferedWork calls visit for each disaggregated kind with the work that arrived
 // since the last call, and resets the counts of all kinds.
-func (d *Dispatcher) TakeOffers(visit func(kind kumquatlug.Kind, o Offered)) {
+func (d *Dispatcher) TakeOfferedWork(visit func(kind kumquatlug.Kind, o OfferedWork)) {
 	for _, kind := range d.kindOrder {
 		k := d.kinds[kind]
 		if k.disaggregated {
 			visit(kind, k.offered)
 		}
-		k.offered = Offered{}
+		k.offered = OfferedWork{}
 	}
 }
 
-// Linked records that the prefill of a request is done. Its decode runs on another
+// PrefillDone records that the prefill of a request is done. Its decode runs on another
 // engine, which receives the KV cache directly from the prefill engine. The
 // request was already accepted and has precedence over the queue.
-func (d *Dispatcher) Linked(now kumquatlug.Millis, id string) []Decision {
+func (d *Dispatcher) PrefillDone(now kumquatlug.Millis, id string) []Decision {
 	d.begin(now)
 	r, ok := d.requests[id]
 	if !ok {
@@ -62,10 +62,10 @@
 	}
 	d.limits(r.c.Kind).Sample(now, &r.ticket, now-r.sentAt, nominalMs(r.c.PrefillTokens, 1))
 	d.release(now, r, limit.OutcomeEnded)
-	d.queue.Served(now, r.c.Kind, admission.Cost(r.c.PrefillTokens, 0))
+	d.queue.RecordServed(now, r.c.Kind, admission.Cost(r.c.PrefillTokens, 0))
 	d.recordOutcome(now, r, true, 1)
 	r.c.Role = kumquatlug.RoleDecode
-	r.c.PrefillTokens, r.c.Prefix = 1, nil
+	r.c.PrefillTokens, r.c.PrefixKeys = 1, nil
 	r.exclude = nil
 	r.nextAttemptAt = now
 	d.pending = append(d.pending, r)
@@ -88,12 +88,12 @@
 // Group returns the group of a target. The holder of the group's lease sends the
 // target its orders.
 func (d *Dispatcher) Group(target string) string {
-	return config.GroupAmong(d.selectors, d.labelsOf(target))
+	return config.GroupOf(d.selectors, d.labelsOf(target))
 }
 
-// Flexible reports whether selectors assign both prefill and decode of a kind to a
+// SwitchableKind reports whether selectors assign both prefill and decode of a kind to a
 // target, so that its role can be switched between the two, and returns the kind.
-func (d *Dispatcher) Flexible(target string) (kumquatlug.Kind, bool) {
+func (d *Dispatcher) SwitchableKind(target string) (kumquatlug.Kind, bool) {
 	labels := d.labelsOf(target)
 	roles := map[kumquatlug.Kind]map[kumquatlug.Role]bool{}
 	for _, s := range d.selectors {
