--- a/pkg/kumquatlug/dispatch/dispatch.go
+++ b/pkg/kumquatlug/dispatch/dispatch.go
@@ -30,11 +30,11 @@
 )
 
 const (
-	// TargetGrace is how long requests wait while their kind has no ready target.
+	// NoTargetGrace is how long requests wait while their kind has no ready target.
 	// A role change makes an engine unavailable for seconds, and a restarted agent
 	// answers a heartbeat within one second. After five seconds a target is
 	// unlikely to become ready in time, and the waiting requests are refused.
-	TargetGrace = 5 * kumquatlug.Second
+	NoTargetGrace = 5 * kumquatlug.Second
 	// nominalPrefillRate and nominalDecodeRate, in tokens per second, are assumed
 	// for a target until responses have been measured. They match the defaults of
 	// package routing.
@@ -48,7 +48,7 @@
 	// an gateway with 15 targets, and their network delay.
 	noticeSpreadTime = 5 * kumquatlug.Second
 	// freezeThreshold is the time without any event that counts as a freeze of the
-	// process. [Dispatcher.Wake] requests a tick at least every second.
+	// process. [Dispatcher.NextTick] requests a tick at least every second.
 	freezeThreshold = 2 * kumquatlug.Second
 	// evictionInterval is how often the state of idle callers is removed.
 	evictionInterval = kumquatlug.Minute
@@ -56,15 +56,15 @@
 
 // Config configures a [Dispatcher].
 type Config struct {
-	// Entry is the name of this gateway, Zone its data centre.
-	Entry string
-	Zone  string
+	// Gateway is the name of this gateway, Zone its data centre.
+	Gateway string
+	Zone    string
 	// Seed is the seed of choices, waits and jitter. It must differ between
 	// gateways, or they make the same choices from the same reports.
 	Seed uint64
-	// Subset is the number of targets per engine kind that this gateway uses; zero
+	// SubsetSize is the number of targets per engine kind that this gateway uses; zero
 	// means routing.DefaultSubset.
-	Subset int
+	SubsetSize int
 	// The following configure the packages of the same names; zero values mean
 	// their defaults. Sources of randomness are set from Seed.
 	Admission  admission.Config
@@ -98,7 +98,7 @@
 	watched      []string
 	hasLimits    map[string]bool
 	extraWatched map[string]bool
-	register     *quarantine.Register
+	register     *quarantine.Registry
 	requests     map[string]*request
 	pending      []*request
 	decisions    []Decision
@@ -119,8 +119,8 @@
 	emptySince kumquatlug.Millis
 	// disaggregated reports whether prefill and decode run on different engines.
 	disaggregated bool
-	// offered is the work that arrived since the last [Dispatcher.TakeOffers].
-	offered Offered
+	// offered is the work that arrived since the last [Dispatcher.TakeOfferedWork].
+	offered OfferedWork
 	// minTokenGap is the shortest time between two output tokens measured at the
 	// kind's engines, in milliseconds; zero before the first sample.
 	minTokenGap   float64
@@ -133,19 +133,19 @@
 func New(c Config) *Dispatcher {
 	seed := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(c.Seed, stream)) }
 	c.Admission.Random = seed(1)
-	c.Retry.Source = rand.NewPCG(c.Seed, 2)
+	c.Retry.RandomSource = rand.NewPCG(c.Seed, 2)
 	c.Limits.Random = seed(3)
 	c.Callers.Random = seed(4)
-	if c.Quarantine.Settle == 0 {
-		c.Quarantine.Settle = noticeSpreadTime
+	if c.Quarantine.SettleDelay == 0 {
+		c.Quarantine.SettleDelay = noticeSpreadTime
 	}
-	if c.Subset == 0 {
-		c.Subset = routing.DefaultSubset
+	if c.SubsetSize == 0 {
+		c.SubsetSize = routing.DefaultSubsetSize
 	}
 	return &Dispatcher{
 		c:        c,
 		queue:    admission.New(c.Admission),
-		router:   routing.New(routing.Config{Source: rand.NewPCG(c.Seed, 5), Zone: c.Zone}),
+		router:   routing.New(routing.Config{RandomSource: rand.NewPCG(c.Seed, 5), Zone: c.Zone}),
 		retries:  retry.New(c.Retry),
 		services: limit.NewTargets(c.Limits),
 		engines:  limit.NewTargets(engineLimits(c.Limits)),
@@ -170,7 +170,7 @@
 // has. For services the floor is learned, since the time of a call on an idle
 // service is unknown.
 func engineLimits(c limit.TargetsConfig) limit.TargetsConfig {
-	c.Floor = 1
+	c.Baseline = 1
 	return c
 }
 
@@ -203,7 +203,7 @@
 	if offer.Verdict() == admission.VerdictRefused {
 		d.giveUp(now, c.ID, offer.Refusal().Failure())
 	} else {
-		d.retries.Accepted(now)
+		d.retries.RecordCall(now)
 	}
 	return d.serve(now)
 }
@@ -219,14 +219,14 @@
 	if _, duplicate := d.requests[r.c.ID]; duplicate {
 		return newFailure("take request", "duplicate_id", 409, 0)
 	}
-	if len(k.ready) == 0 && now-k.emptySince > TargetGrace {
+	if len(k.ready) == 0 && now-k.emptySince > NoTargetGrace {
 		return noTargetFailure()
 	}
-	if status := d.register.Ask(now, r.fingerprint()); status.Refused() {
+	if status := d.register.Check(now, r.fingerprint()); status.Refused() {
 		return quarantineFailure(status.Remaining())
 	}
 	verdict := d.callers.Begin(now, r.c.Caller.Name(), r.rateTokens())
-	if !verdict.Passed() {
+	if !verdict.Admitted() {
 		return verdict.Failure()
 	}
 	r.charged = true
@@ -236,7 +236,7 @@
 func (d *Dispatcher) admissionRequest(r *request) admission.Request {
 	return admission.NewRequest(admission.RequestConfig{
 		ID: r.c.ID, Caller: r.c.Caller.Name(), Kind: r.c.Kind, Cost: r.cost(), Arrival: r.c.Arrival,
-		Deadline: r.c.Deadline, Service: d.serviceTime(r), Priority: r.c.Priority, Weight: int64(r.c.Caller.Weight()),
+		Deadline: r.c.Deadline, ServiceTime: d.serviceTime(r), Priority: r.c.Priority, Weight: int64(r.c.Caller.Weight()),
 	})
 }
 
@@ -253,22 +253,22 @@
 }
 
 // Tick handles timeouts and sends requests that are due. Call it no later than
-// the time returned by [Dispatcher.Wake].
+// the time returned by [Dispatcher.NextTick].
 func (d *Dispatcher) Tick(now kumquatlug.Millis) []Decision {
 	d.begin(now)
 	d.refuseUnservable(now)
 	if now-d.evictedAt > evictionInterval {
-		d.callers.Forget(now)
-		d.estimator.Forget(now)
+		d.callers.EvictIdle(now)
+		d.estimator.EvictIdle(now)
 		d.evictedAt = now
 	}
 	return d.serve(now)
 }
 
-// Wake returns the latest time at which Tick must be called.
-func (d *Dispatcher) Wake(now kumquatlug.Millis) kumquatlug.Millis {
+// NextTick returns the latest time at which Tick must be called.
+func (d *Dispatcher) NextTick(now kumquatlug.Millis) kumquatlug.Millis {
 	wake := now + kumquatlug.Second
-	if at, waits := d.queue.Wake(); waits {
+	if at, waits := d.queue.NextExpiry(); waits {
 		wake = min(wake, at)
 	}
 	for _, r := range d.pending {
@@ -284,7 +284,7 @@
 }
 
 // excludeFreeze excludes the time in which the process was frozen from
-// TargetGrace. Heartbeats can't be answered during a freeze, and without the
+// NoTargetGrace. Heartbeats can't be answered during a freeze, and without the
 // exclusion a gateway that resumes would refuse all requests before its next
 // heartbeats.
 func (d *Dispatcher) excludeFreeze(now kumquatlug.Millis) {
@@ -345,21 +345,21 @@
 
 func (d *Dispatcher) sendQueued(now kumquatlug.Millis, kind kumquatlug.Kind) {
 	for {
-		next, queued := d.queue.Next(kind)
+		next, queued := d.queue.Peek(kind)
 		if !queued {
 			return
 		}
 		r := d.requests[next.ID()]
 		if deferred, final := d.checkQuarantine(now, r); deferred || final != nil {
 			// Remove it from the queue so that it doesn't block other requests.
-			d.queue.Take(now, next.ID())
+			d.queue.Dequeue(now, next.ID())
 			d.pending = append(d.pending, r)
 			continue
 		}
 		if !d.send(now, r) {
 			return
 		}
-		d.queue.Take(now, next.ID())
+		d.queue.Dequeue(now, next.ID())
 	}
 }
 
--- a/pkg/kumquatlug/dispatch/dispatch_test.go
+++ b/pkg/kumquatlug/dispatch/dispatch_test.go
@@ -28,7 +28,7 @@
 
 func newHarness(t *testing.T, targets ...string) *harness {
 	t.Helper()
-	h := &harness{Dispatcher: New(Config{Entry: "e1", Zone: "a", Seed: 1}), t: t, now: 100_000}
+	h := &harness{Dispatcher: New(Config{Gateway: "e1", Zone: "a", Seed: 1}), t: t, now: 100_000}
 	h.configure(t,
 		selectorSet(t, selector.Config{Name: "drafts", Protocol: draftKind.Protocol(), Kind: draftKind.Name(), Role: kumquatlug.RoleBoth, Match: "pool=draft"}),
 		selectorSet(t, selector.Config{Name: "gazette", Protocol: postingKind.Protocol(), Kind: postingKind.Name(), Role: kumquatlug.RoleServe, Match: "pool=post"}),
@@ -44,7 +44,7 @@
 			Name: name, Role: kumquatlug.VMTarget, Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "a", State: kumquatlug.VMLive,
 		}))
 	}
-	h.Listed(h.now, vms)
+	h.SetVMs(h.now, vms)
 	for _, name := range targets {
 		h.heartbeat(name, TargetServing)
 	}
@@ -53,7 +53,7 @@
 
 func selectorSet(t *testing.T, c selector.Config) config.Set {
 	t.Helper()
-	set, err := config.SetSelector(c)
+	set, err := config.NewSelectorSet(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 
 func labelSet(t *testing.T, target string, labels selector.Labels) config.Set {
 	t.Helper()
-	set, err := config.SetLabels(target, labels)
+	set, err := config.NewLabelsSet(target, labels)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 }
 
 func (h *harness) heartbeat(target string, state TargetState) {
-	h.Heard(h.now, target, Report{Incarnation: "i", State: state, Asked: h.now})
+	h.HeartbeatAnswered(h.now, target, Report{Incarnation: "i", State: state, SentAt: h.now})
 }
 
 // arrive offers a request and returns the decision for it, if there is one.
@@ -94,7 +94,7 @@
 		ID: id, Caller: h.caller, Kind: kind, Role: kumquatlug.RoleBoth, PrefillTokens: 100, DecodeTokens: 20, Arrival: h.now, Deadline: h.now + timeout,
 	}
 	if kind == postingKind {
-		c.Role, c.OnceKey, c.DecodeTokens = kumquatlug.RoleServe, "portal/"+id, 0
+		c.Role, c.RunOnceKey, c.DecodeTokens = kumquatlug.RoleServe, "portal/"+id, 0
 	}
 	return decisionFor(id, h.Arrive(h.now, c))
 }
@@ -117,13 +117,13 @@
 	return decision.Attempt()
 }
 
-func newTestFailure(ran kumquatlug.Ran, reason string, status int) *kumquatlug.Failure {
-	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "test", Reason: reason, Ran: ran, Status: status})
+func newTestFailure(ran kumquatlug.Execution, reason string, status int) *kumquatlug.Failure {
+	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "test", Reason: reason, Execution: ran, Status: status})
 }
 
 // failAttempt reports a failed attempt and returns the next decision for the
 // request, if there is one within duration.
-func (h *harness) failAttempt(id string, f Failed, duration kumquatlug.Millis) (Decision, bool) {
+func (h *harness) failAttempt(id string, f AttemptFailure, duration kumquatlug.Millis) (Decision, bool) {
 	if decision, decided := decisionFor(id, h.AttemptFailed(h.now, id, f)); decided {
 		return decision, true
 	}
@@ -133,7 +133,7 @@
 // tickUntilDecided ticks until there is a decision for id or duration has passed.
 func (h *harness) tickUntilDecided(id string, duration kumquatlug.Millis) (Decision, bool) {
 	for end := h.now + duration; h.now < end; {
-		h.now = h.Wake(h.now)
+		h.now = h.NextTick(h.now)
 		if decision, decided := decisionFor(id, h.Tick(h.now)); decided {
 			return decision, true
 		}
@@ -147,8 +147,8 @@
 func TestFinalRefusalIsReturnedAtOnce(t *testing.T) {
 	h := newHarness(t, "s1")
 	h.mustSend("p", postingKind)
-	decision, decided := decisionFor("p", h.AttemptFailed(h.now, "p", Failed{
-		Failure: newTestFailure(kumquatlug.RanNot, "key_reused", 422), Refused: true, Final: true,
+	decision, decided := decisionFor("p", h.AttemptFailed(h.now, "p", AttemptFailure{
+		Failure: newTestFailure(kumquatlug.NotExecuted, "key_reused", 422), Refused: true, Permanent: true,
 	}))
 	if !decided || decision.Verdict() != VerdictRefuse || decision.Failure().Status() != 422 {
 		t.Fatalf("decided %v: %+v", decided, decision)
@@ -160,7 +160,7 @@
 func TestOnlyTargetIsRetriedAfterRefusal(t *testing.T) {
 	h := newHarness(t, "s1")
 	h.mustSend("p", postingKind)
-	decision, decided := h.failAttempt("p", Failed{Failure: newTestFailure(kumquatlug.RanNot, "stale_dispatch", 503), Refused: true}, 10*kumquatlug.Second)
+	decision, decided := h.failAttempt("p", AttemptFailure{Failure: newTestFailure(kumquatlug.NotExecuted, "stale_dispatch", 503), Refused: true}, 10*kumquatlug.Second)
 	if !decided || decision.Verdict() != VerdictSend || decision.Attempt().Target() != "s1" {
 		t.Fatalf("decided %v: %+v", decided, decision)
 	}
@@ -171,11 +171,11 @@
 func TestCallThatMayHaveRunIsNotRetried(t *testing.T) {
 	h := newHarness(t, "s1", "s2")
 	h.mustSend("p", postingKind)
-	decision, decided := decisionFor("p", h.AttemptFailed(h.now, "p", Failed{Failure: newTestFailure(kumquatlug.RanUnknown, "cut", 502)}))
+	decision, decided := decisionFor("p", h.AttemptFailed(h.now, "p", AttemptFailure{Failure: newTestFailure(kumquatlug.ExecutionUnknown, "cut", 502)}))
 	if !decided || decision.Verdict() != VerdictRefuse {
 		t.Fatalf("decided %v: %+v", decided, decision)
 	}
-	if f := decision.Failure(); f.Ran() != kumquatlug.RanUnknown || f.Status() != 502 || f.Reason() != "cut" {
+	if f := decision.Failure(); f.Execution() != kumquatlug.ExecutionUnknown || f.Status() != 502 || f.Reason() != "cut" {
 		t.Fatalf("failure %v, status %d", f, f.Status())
 	}
 }
@@ -218,7 +218,7 @@
 	first := h.mustSend("g", draftKind)
 	h.Progress(h.now, "g", 7)
 	h.now += 2 * kumquatlug.Minute
-	decision, decided := h.failAttempt("g", Failed{Failure: newTestFailure(kumquatlug.RanUnknown, "cut", 502), Resumable: true}, 10*kumquatlug.Second)
+	decision, decided := h.failAttempt("g", AttemptFailure{Failure: newTestFailure(kumquatlug.ExecutionUnknown, "cut", 502), Resumable: true}, 10*kumquatlug.Second)
 	if !decided || decision.Verdict() != VerdictSend || decision.Attempt().Target() == first.Target() {
 		t.Fatalf("decided %v: %+v after %s", decided, decision, first.Target())
 	}
@@ -234,10 +234,10 @@
 	}
 	start := h.now
 	decision, decided := h.tickUntilDecided("g", kumquatlug.Minute)
-	if !decided || decision.Verdict() != VerdictRefuse || decision.Failure().Ran() != kumquatlug.RanNot {
+	if !decided || decision.Verdict() != VerdictRefuse || decision.Failure().Execution() != kumquatlug.NotExecuted {
 		t.Fatalf("decided %v: %+v", decided, decision)
 	}
-	if took := h.now - start; took > 2*TargetGrace {
+	if took := h.now - start; took > 2*NoTargetGrace {
 		t.Errorf("refused after %d ms", took)
 	}
 	if decision, decided := h.arrive("h", draftKind, 10*kumquatlug.Minute); !decided || decision.Failure().RetryAfter() == 0 {
@@ -263,7 +263,7 @@
 	if decision, decided := h.tickUntilDecided("g", kumquatlug.Minute); !decided || decision.Verdict() != VerdictRefuse {
 		t.Fatalf("decided %v: %+v", decided, decision)
 	}
-	if took := h.now - start; took > 2*TargetGrace {
+	if took := h.now - start; took > 2*NoTargetGrace {
 		t.Errorf("refused after %d ms", took)
 	}
 }
@@ -274,7 +274,7 @@
 func TestStoppingTargetIsSkippedAfterItsRefusal(t *testing.T) {
 	h := newHarness(t, "e1", "e2")
 	first := h.mustSend("g", draftKind)
-	h.AttemptFailed(h.now, "g", Failed{Failure: newTestFailure(kumquatlug.RanNot, ReasonStopping, 503), Refused: true})
+	h.AttemptFailed(h.now, "g", AttemptFailure{Failure: newTestFailure(kumquatlug.NotExecuted, ReasonStopping, 503), Refused: true})
 	for i := range 10 {
 		if a := h.mustSend(fmt.Sprint(i), draftKind); a.Target() == first.Target() {
 			t.Fatalf("request %d went to the stopping target", i)
@@ -300,7 +300,7 @@
 			unreachable = decision.Attempt().Target()
 		}
 	}
-	decision, decided := h.failAttempt("long0", Failed{Failure: newTestFailure(kumquatlug.RanNot, ReasonUnreachable, 502)}, kumquatlug.Second)
+	decision, decided := h.failAttempt("long0", AttemptFailure{Failure: newTestFailure(kumquatlug.NotExecuted, ReasonUnreachable, 502)}, kumquatlug.Second)
 	if decided && decision.Verdict() == VerdictRefuse {
 		t.Fatalf("refused: %v", decision.Failure())
 	}
@@ -316,7 +316,7 @@
 		"label": func(h *harness) { h.label("e1", selector.Labels{"pool": "draft", selector.LabelLeaving: "true"}) },
 		"agent": func(h *harness) { h.heartbeat("e1", TargetLeaving) },
 		"list": func(h *harness) {
-			h.Listed(h.now, []kumquatlug.VM{
+			h.SetVMs(h.now, []kumquatlug.VM{
 				kumquatlug.NewVM(kumquatlug.VMConfig{Name: "e1", Role: kumquatlug.VMTarget, Address: "10.0.0.0:1", Zone: "a", State: kumquatlug.VMLeaving}),
 				kumquatlug.NewVM(kumquatlug.VMConfig{Name: "e2", Role: kumquatlug.VMTarget, Address: "10.0.0.1:1", Zone: "a", State: kumquatlug.VMLive}),
 			})
@@ -358,7 +358,7 @@
 			running[id]++
 			if running[id] == tokens {
 				delete(running, id)
-				h.Finished(h.now, id, Done{Tokens: tokens})
+				h.Finished(h.now, id, Completion{OutputTokens: tokens})
 			} else if running[id]%progressTokens == 1 {
 				h.Progress(h.now, id, running[id])
 			}
--- a/pkg/kumquatlug/dispatch/estimate.go
+++ b/pkg/kumquatlug/dispatch/estimate.go
@@ -29,8 +29,8 @@
 	}
 	name, bound := r.c.Caller.Name(), r.c.DecodeTokens
 	r.c.DecodeTokens = bounded(d.estimator.Output(now, name, r.c.Kind, r.c.PrefillTokens), bound)
-	r.outputP90 = bounded(d.estimator.HighOutput(now, name, r.c.Kind, r.c.PrefillTokens), bound)
-	r.serviceTime = d.estimator.Service(now, name, r.c.Kind, r.c.PrefillTokens)
+	r.outputP90 = bounded(d.estimator.OutputP90(now, name, r.c.Kind, r.c.PrefillTokens), bound)
+	r.serviceTime = d.estimator.ServiceTime(now, name, r.c.Kind, r.c.PrefillTokens)
 }
 
 func bounded(tokens, bound int64) int64 {
@@ -46,8 +46,8 @@
 	if r.c.Kind.Protocol() != kumquatlug.ProtocolEngine || r.firstTokenAt == 0 {
 		return
 	}
-	d.estimator.Learn(now, r.c.Caller.Name(), r.c.Kind, admission.Observed{
-		Prompt: r.c.PrefillTokens, Output: output, First: r.firstTokenAt - r.sentAt, Rest: now - r.firstTokenAt, Whole: whole,
+	d.estimator.Observe(now, r.c.Caller.Name(), r.c.Kind, admission.Observation{
+		PromptTokens: r.c.PrefillTokens, OutputTokens: output, TimeToFirstToken: r.firstTokenAt - r.sentAt, DecodeTime: now - r.firstTokenAt, Complete: whole,
 	})
 }
 
--- a/pkg/kumquatlug/dispatch/model_test.go
+++ b/pkg/kumquatlug/dispatch/model_test.go
@@ -37,7 +37,7 @@
 // takesWork reports whether the target may be sent new work: no source says that it
 // is leaving, it isn't down, and its last report says that it is serving.
 func (t *targetModel) takesWork() bool {
-	return !t.leavingByLabel && !t.leavingByList && !t.unavailable && t.state == TargetServing && t.missed < membership.MissedForDown
+	return !t.leavingByLabel && !t.leavingByList && !t.unavailable && t.state == TargetServing && t.missed < membership.DownAfterMissed
 }
 
 // modelChecker applies random events to a dispatcher and checks its decisions
@@ -100,7 +100,7 @@
 
 func (m *modelChecker) refused(d Decision, r *openRequest) {
 	m.counts["refused"]++
-	if r.mayHaveRun && d.Failure().Ran() == kumquatlug.RanNot {
+	if r.mayHaveRun && d.Failure().Execution() == kumquatlug.NotExecuted {
 		m.fail("%s: refused as not run although it may have run", d.ID())
 	}
 	delete(m.requests, d.ID())
@@ -151,7 +151,7 @@
 		if id, r := m.pickRequest(true); r != nil {
 			delete(m.requests, id)
 			m.counts["finished"]++
-			m.check(m.Finished(m.now, id, Done{Tokens: r.tokens + 1}))
+			m.check(m.Finished(m.now, id, Completion{OutputTokens: r.tokens + 1}))
 		}
 	case "cancel":
 		if id, r := m.pickRequest(m.random.IntN(2) == 0); r != nil {
@@ -163,7 +163,7 @@
 		m.reportState(name, states[m.random.IntN(len(states))])
 	case "missed":
 		m.targets[name].missed++
-		_, _, decisions := m.Missed(m.now, name)
+		_, _, decisions := m.HeartbeatMissed(m.now, name)
 		m.check(decisions)
 	case "label":
 		m.setLabel(name, m.random.IntN(2) == 0)
@@ -183,7 +183,7 @@
 		Arrival: m.now, Deadline: m.now + kumquatlug.Millis(500+m.random.IntN(60_000)),
 	}
 	if m.random.IntN(3) == 0 {
-		c.Kind, c.Role, c.OnceKey = postingKind, kumquatlug.RoleServe, "portal/"+id
+		c.Kind, c.Role, c.RunOnceKey = postingKind, kumquatlug.RoleServe, "portal/"+id
 	}
 	m.requests[id] = &openRequest{kind: c.Kind}
 	m.check(m.Arrive(m.now, c))
@@ -196,23 +196,23 @@
 	}
 	outcomes := []struct {
 		reason string
-		ran    kumquatlug.Ran
+		ran    kumquatlug.Execution
 	}{
-		{"stream_cut", kumquatlug.RanUnknown},
-		{"answer_cut", kumquatlug.RanUnknown},
-		{ReasonUnreachable, kumquatlug.RanNot},
-		{ReasonStopping, kumquatlug.RanNot},
-		{ReasonFull, kumquatlug.RanNot},
-		{"not_selected", kumquatlug.RanNot},
+		{"stream_cut", kumquatlug.ExecutionUnknown},
+		{"answer_cut", kumquatlug.ExecutionUnknown},
+		{ReasonUnreachable, kumquatlug.NotExecuted},
+		{ReasonStopping, kumquatlug.NotExecuted},
+		{ReasonEngineRefused, kumquatlug.NotExecuted},
+		{"not_selected", kumquatlug.NotExecuted},
 	}
 	outcome := outcomes[m.random.IntN(len(outcomes))]
 	if outcome.reason == ReasonUnreachable || outcome.reason == ReasonStopping {
 		m.targets[r.target].unavailable = true
 	}
 	r.target = ""
-	r.mayHaveRun = r.mayHaveRun || outcome.ran != kumquatlug.RanNot
-	m.check(m.AttemptFailed(m.now, id, Failed{
-		Failure: newTestFailure(outcome.ran, outcome.reason, 503), Refused: outcome.ran == kumquatlug.RanNot && outcome.reason != ReasonUnreachable,
+	r.mayHaveRun = r.mayHaveRun || outcome.ran != kumquatlug.NotExecuted
+	m.check(m.AttemptFailed(m.now, id, AttemptFailure{
+		Failure: newTestFailure(outcome.ran, outcome.reason, 503), Refused: outcome.ran == kumquatlug.NotExecuted && outcome.reason != ReasonUnreachable,
 		Resumable: r.kind == draftKind,
 	}))
 }
@@ -220,7 +220,7 @@
 func (m *modelChecker) reportState(name string, state TargetState) {
 	t := m.targets[name]
 	t.state, t.missed, t.unavailable = state, 0, false
-	_, _, decisions := m.Heard(m.now, name, Report{Incarnation: "i", State: state, Asked: m.now})
+	_, _, decisions := m.HeartbeatAnswered(m.now, name, Report{Incarnation: "i", State: state, SentAt: m.now})
 	m.check(decisions)
 }
 
@@ -242,13 +242,13 @@
 			Name: name, Role: kumquatlug.VMTarget, Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "a", State: state,
 		}))
 	}
-	m.check(m.Listed(m.now, vms))
+	m.check(m.SetVMs(m.now, vms))
 }
 
 // advance advances the clock and ticks as the event loop of a gateway does.
 func (m *modelChecker) advance(duration kumquatlug.Millis) {
 	for end := m.now + duration; m.now < end; {
-		m.now = min(end, m.Wake(m.now))
+		m.now = min(end, m.NextTick(m.now))
 		m.check(m.Tick(m.now))
 	}
 }
@@ -266,7 +266,7 @@
 		for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 			if r := m.requests[id]; r != nil && r.target != "" {
 				delete(m.requests, id)
-				m.check(m.Finished(m.now, id, Done{Tokens: r.tokens + 1}))
+				m.check(m.Finished(m.now, id, Completion{OutputTokens: r.tokens + 1}))
 			}
 		}
 		m.advance(kumquatlug.Second)
@@ -287,11 +287,11 @@
 	// takes none.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
-		Claim: "every request ends exactly once, with the correct run status",
-		Seed:  3, Runs: 300, Steps: 120,
-		Command: proof.Events(events, applyEvent),
-		World:   func() commands.SystemUnderTest { return newModelChecker(t, counts) },
-		End:     func(system commands.SystemUnderTest) { system.(*modelChecker).finishAll() },
+		Property: "every request ends exactly once, with the correct run status",
+		Seed:     3, Runs: 300, Steps: 120,
+		StepGen:   proof.Events(events, applyEvent),
+		NewSystem: func() commands.SystemUnderTest { return newModelChecker(t, counts) },
+		Cleanup:   func(system commands.SystemUnderTest) { system.(*modelChecker).finishAll() },
 	})
 	t.Logf("%d sent, %d refused, %d finished", counts["sent"], counts["refused"], counts["finished"])
 }
--- a/pkg/kumquatlug/dispatch/quarantine.go
+++ b/pkg/kumquatlug/dispatch/quarantine.go
@@ -16,7 +16,7 @@
 // quarantineFailure returns the final response to a quarantined request.
 func quarantineFailure(remaining kumquatlug.Millis) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "take request", Reason: "quarantined", Ran: kumquatlug.RanNot,
+		Step: "take request", Reason: "quarantined", Execution: kumquatlug.NotExecuted,
 		Status: http.StatusUnprocessableEntity, RetryAfter: remaining,
 	})
 }
@@ -27,7 +27,7 @@
 // of the crash spreads and while r is held: if a request that crashes targets were
 // sent to the next one at once, it would reach an agent without the notice.
 func (d *Dispatcher) checkQuarantine(now kumquatlug.Millis, r *request) (deferred bool, final *kumquatlug.Failure) {
-	status := d.register.Ask(now, r.fingerprint())
+	status := d.register.Check(now, r.fingerprint())
 	if status.Standing() != quarantine.StandingHeld {
 		r.heldUntil = 0
 	}
@@ -45,7 +45,7 @@
 	return false, nil
 }
 
-func (d *Dispatcher) holdSuspect(now kumquatlug.Millis, r *request, status quarantine.Opinion) (deferred bool, final *kumquatlug.Failure) {
+func (d *Dispatcher) holdSuspect(now kumquatlug.Millis, r *request, status quarantine.Assessment) (deferred bool, final *kumquatlug.Failure) {
 	if r.heldUntil == 0 {
 		r.heldUntil = now + status.Wait()
 	}
@@ -56,15 +56,15 @@
 	return true, nil
 }
 
-// Merge adds notices received from an agent.
-func (d *Dispatcher) Merge(now kumquatlug.Millis, notices []quarantine.Notice) {
+// MergeNotices adds notices received from an agent.
+func (d *Dispatcher) MergeNotices(now kumquatlug.Millis, notices []quarantine.Notice) {
 	d.register.Merge(now, notices)
 }
 
-// Known returns the notices that changed after a version, to send to an agent, and
+// NoticesSince returns the notices that changed after a version, to send to an agent, and
 // the version for the next call.
-func (d *Dispatcher) Known(now kumquatlug.Millis, after int64) ([]quarantine.Notice, int64) {
-	return d.register.Known(now, after)
+func (d *Dispatcher) NoticesSince(now kumquatlug.Millis, after int64) ([]quarantine.Notice, int64) {
+	return d.register.NoticesSince(now, after)
 }
 
 // deferSuspect defers r after its target refused it because of another suspect.
--- a/pkg/kumquatlug/dispatch/refuse.go
+++ b/pkg/kumquatlug/dispatch/refuse.go
@@ -6,21 +6,21 @@
 
 func newFailure(step, reason string, status int, retryAfter kumquatlug.Millis) *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Reason: reason, Ran: kumquatlug.RanNot, Status: status, RetryAfter: retryAfter,
+		Step: step, Reason: reason, Execution: kumquatlug.NotExecuted, Status: status, RetryAfter: retryAfter,
 	})
 }
 
 func noTargetFailure() *kumquatlug.Failure {
-	return newFailure("find targets", "no_target", 503, TargetGrace)
+	return newFailure("find targets", "no_target", 503, NoTargetGrace)
 }
 
 // refuseUnservable refuses the waiting requests of kinds that have had no ready
-// target for longer than TargetGrace. Waiting until their deadlines would only
+// target for longer than NoTargetGrace. Waiting until their deadlines would only
 // delay the failure.
 func (d *Dispatcher) refuseUnservable(now kumquatlug.Millis) {
 	for _, kind := range d.kindOrder {
 		k := d.kinds[kind]
-		if len(k.ready) > 0 || now-k.emptySince <= TargetGrace {
+		if len(k.ready) > 0 || now-k.emptySince <= NoTargetGrace {
 			continue
 		}
 		d.refuseWaiting(now, kind)
@@ -29,7 +29,7 @@
 
 // refuseWaiting refuses every request of a kind that is not in flight.
 func (d *Dispatcher) refuseWaiting(now kumquatlug.Millis, kind kumquatlug.Kind) {
-	for next, waits := d.queue.Next(kind); waits; next, waits = d.queue.Next(kind) {
+	for next, waits := d.queue.Peek(kind); waits; next, waits = d.queue.Peek(kind) {
 		d.queue.Cancel(now, next.ID())
 		d.giveUp(now, next.ID(), noTargetFailure())
 	}
--- a/pkg/kumquatlug/dispatch/request.go
+++ b/pkg/kumquatlug/dispatch/request.go
@@ -16,8 +16,8 @@
 	// Role is the requested part of the work: RoleBoth for engines, RoleServe for
 	// services.
 	Role kumquatlug.Role
-	// Prefix holds the prefix keys of the prompt; see routing.Query.
-	Prefix []uint64
+	// PrefixKeys holds the prefix keys of the prompt; see routing.Query.
+	PrefixKeys []uint64
 	// PrefillTokens is the number of prompt tokens. DecodeTokens is the maximum
 	// number of output tokens, zero if the caller set none.
 	PrefillTokens int64
@@ -27,10 +27,10 @@
 	Deadline kumquatlug.Millis
 	// Priority is the admission priority; see admission.RequestConfig.
 	Priority int
-	// OnceKey is the run-once key of a call that must not be executed twice, empty
+	// RunOnceKey is the run-once key of a call that must not be executed twice, empty
 	// for all others. The target is chosen by the key, so that a resent call
 	// reaches the agent that has its record.
-	OnceKey string
+	RunOnceKey string
 	// Fingerprint identifies equal requests of one caller; see package quarantine.
 	Fingerprint quarantine.Fingerprint
 }
@@ -71,11 +71,11 @@
 // attempts. It keeps the Ran of the last failure.
 func (r *request) finalFailure(reason string) *kumquatlug.Failure {
 	c := kumquatlug.FailureConfig{
-		Step: "send", Peer: r.target, Reason: reason, Ran: kumquatlug.RanNot, Status: http.StatusServiceUnavailable,
+		Step: "send", Peer: r.target, Reason: reason, Execution: kumquatlug.NotExecuted, Status: http.StatusServiceUnavailable,
 		RetryAfter: kumquatlug.Second,
 	}
 	if r.lastFailure != nil {
-		c.Ran, c.Cause = r.lastFailure.Ran(), r.lastFailure
+		c.Execution, c.Cause = r.lastFailure.Execution(), r.lastFailure
 		c.RetryAfter = max(c.RetryAfter, r.lastFailure.RetryAfter())
 	}
 	return kumquatlug.NewFailure(c)
@@ -84,8 +84,8 @@
 // withEarlierRan returns f with RanUnknown if f says RanNot but an earlier attempt
 // may have run. RanNot would then hold for the last attempt only.
 func (r *request) withEarlierRan(f *kumquatlug.Failure) *kumquatlug.Failure {
-	if !r.mayHaveRun || f.Ran() != kumquatlug.RanNot {
+	if !r.mayHaveRun || f.Execution() != kumquatlug.NotExecuted {
 		return f
 	}
-	return f.WithRan(kumquatlug.RanUnknown)
+	return f.WithExecution(kumquatlug.ExecutionUnknown)
 }
--- a/pkg/kumquatlug/dispatch/targets.go
+++ b/pkg/kumquatlug/dispatch/targets.go
@@ -40,46 +40,46 @@
 	Role kumquatlug.Role
 	// Revision is the revision of the agent's config.
 	Revision config.Revision
-	// Asked is when the gateway sent the heartbeat, Age the age of the load values
+	// SentAt is when the gateway sent the heartbeat, Age the age of the load values
 	// at that time.
-	Asked kumquatlug.Millis
-	Age   kumquatlug.Millis
+	SentAt  kumquatlug.Millis
+	LoadAge kumquatlug.Millis
 	// The following are the load of the target; see routing.Load.
 	Running, Waiting        int64
 	KVUsed, KVTotal         int64
 	PrefillRate, DecodeRate float64
-	Begun                   int64
-	// Starts is the number of starts of the agent, Fence the highest fencing token
+	StartedCalls            int64
+	// AgentStarts is the number of starts of the agent, Fence the highest fencing token
 	// that it has seen, and Phase the target's phase in handling orders.
-	Starts int64
-	Fence  int64
-	Phase  string
+	AgentStarts  int64
+	FencingToken int64
+	Phase        string
 }
 
-// Listed applies the platform's list of VMs.
-func (d *Dispatcher) Listed(now kumquatlug.Millis, vms []kumquatlug.VM) []Decision {
+// SetVMs applies the platform's list of VMs.
+func (d *Dispatcher) SetVMs(now kumquatlug.Millis, vms []kumquatlug.VM) []Decision {
 	d.begin(now)
-	d.members.Listed(vms)
+	d.members.SetVMs(vms)
 	d.gateways = d.gateways[:0]
 	for _, vm := range vms {
-		if vm.Role() == kumquatlug.VMEntry {
+		if vm.Role() == kumquatlug.VMGateway {
 			d.gateways = append(d.gateways, vm.Name())
 		}
 	}
-	if !contains(d.gateways, d.c.Entry) {
-		d.gateways = append(d.gateways, d.c.Entry)
+	if !contains(d.gateways, d.c.Gateway) {
+		d.gateways = append(d.gateways, d.c.Gateway)
 	}
 	sort.Strings(d.gateways)
 	d.updateTargets(now)
 	return d.serve(now)
 }
 
-// Heard applies the report of an answered heartbeat. It returns the change of the
+// HeartbeatAnswered applies the report of an answered heartbeat. It returns the change of the
 // member's state and whether there was one.
-func (d *Dispatcher) Heard(now kumquatlug.Millis, name string, report Report) (membership.Change, bool, []Decision) {
+func (d *Dispatcher) HeartbeatAnswered(now kumquatlug.Millis, name string, report Report) (membership.Change, bool, []Decision) {
 	d.begin(now)
 	previous, reported := d.reports[name]
-	change, changed := d.members.Heard(now, name, report.Incarnation)
+	change, changed := d.members.HeartbeatAnswered(now, name, report.Incarnation)
 	d.reports[name] = report
 	if changed {
 		delete(d.hasLimits, name)
@@ -87,10 +87,10 @@
 	}
 	if report.State == TargetDown {
 		// An engine restarts with an empty prefix cache.
-		d.router.Forget(name)
+		d.router.ClearCache(name)
 	}
 	for _, group := range d.health {
-		group.Heartbeat(now, name)
+		group.HeartbeatAnswered(now, name)
 	}
 	if changed || !reported || previous.State != report.State || previous.Role != report.Role {
 		d.updateTargets(now)
@@ -99,32 +99,32 @@
 	return change, changed, d.serve(now)
 }
 
-// Cached records that a target has cached or evicted a prompt prefix. Events can
+// PrefixCacheEvent records that a target has cached or evicted a prompt prefix. Events can
 // be late, and their sequence can have gaps.
-func (d *Dispatcher) Cached(name string, prefix uint64, sequence int64, evicted bool) {
-	d.router.Cached(name, prefix, sequence, evicted)
+func (d *Dispatcher) PrefixCacheEvent(name string, prefix uint64, sequence int64, evicted bool) {
+	d.router.ApplyCacheEvent(name, prefix, sequence, evicted)
 }
 
 func (d *Dispatcher) reportLoad(now kumquatlug.Millis, name string, report Report) {
-	takenAt := report.Asked - report.Age
+	takenAt := report.SentAt - report.LoadAge
 	d.router.Report(now, name, routing.Load{
 		Running: int(report.Running), Waiting: int(report.Waiting), KVUsed: int(report.KVUsed), KVTotal: int(report.KVTotal),
 		PrefillRate: report.PrefillRate, DecodeRate: report.DecodeRate, TakenAt: takenAt,
-		Begun: report.Begun, Incarnation: report.Incarnation,
+		Begun: report.StartedCalls, Incarnation: report.Incarnation,
 	})
 	if report.Protocol != kumquatlug.ProtocolService {
 		d.engines.Report(now, name, limit.Load{
-			Age: report.Age, Asked: report.Asked, Running: report.Running, Waiting: report.Waiting,
+			Age: report.LoadAge, RequestedAt: report.SentAt, Running: report.Running, Waiting: report.Waiting,
 			Used: report.KVUsed, Total: report.KVTotal,
 		})
 	}
 }
 
-// Missed records a heartbeat without a response. It returns the change of the
+// HeartbeatMissed records a heartbeat without a response. It returns the change of the
 // member's state and whether there was one.
-func (d *Dispatcher) Missed(now kumquatlug.Millis, name string) (membership.Change, bool, []Decision) {
+func (d *Dispatcher) HeartbeatMissed(now kumquatlug.Millis, name string) (membership.Change, bool, []Decision) {
 	d.begin(now)
-	change, changed := d.members.Missed(name)
+	change, changed := d.members.HeartbeatMissed(name)
 	for _, group := range d.health {
 		group.HeartbeatMissed(now, name)
 		d.router.SetWeight(name, group.Weight(now, name))
@@ -135,9 +135,9 @@
 	return change, changed, d.serve(now)
 }
 
-// WatchAlso sets the targets outside its subset that the gateway sends heartbeats
+// SetExtraTargets sets the targets outside its subset that the gateway sends heartbeats
 // to, such as those of a group whose lease it holds.
-func (d *Dispatcher) WatchAlso(now kumquatlug.Millis, names []string) {
+func (d *Dispatcher) SetExtraTargets(now kumquatlug.Millis, names []string) {
 	if len(names) == 0 && len(d.extraWatched) == 0 {
 		return
 	}
@@ -148,12 +148,12 @@
 	d.updateTargets(now)
 }
 
-// Entries returns the names of all gateways in the platform's list, in order.
-func (d *Dispatcher) Entries() []string { return d.gateways }
+// Gateways returns the names of all gateways in the platform's list, in order.
+func (d *Dispatcher) Gateways() []string { return d.gateways }
 
-// Watched returns the targets that the gateway sends heartbeats to, in name order.
+// WatchedTargets returns the targets that the gateway sends heartbeats to, in name order.
 // The slice is valid until the next event.
-func (d *Dispatcher) Watched() []string { return d.watched }
+func (d *Dispatcher) WatchedTargets() []string { return d.watched }
 
 // Member returns the membership state of a target.
 func (d *Dispatcher) Member(name string) (membership.Member, bool) { return d.members.Get(name) }
--- a/pkg/kumquatlug/drain/drain.go
+++ b/pkg/kumquatlug/drain/drain.go
@@ -26,14 +26,14 @@
 // a while. A planned stop is permanent; after the others the process may return.
 // The agent decides by its own config, so a gateway that routes by an older one,
 // because it is slow, paused or disconnected, is refused. If a gateway routes by
-// a newer config, [Admission.Behind] reports it and the agent pulls the changes;
+// a newer config, [Admission.ReceiverBehind] reports it and the agent pulls the changes;
 // until then the agent's own config applies.
 //
 // An agent receives changes through the heartbeats of gateways. After a start
 // or a pause of its process, its state is of unknown age, and the first
 // heartbeat may come from a disconnected gateway. The state of such an agent is
 // stale: it accepts nothing until it has queried the table and the VM list
-// itself, as far as they respond ([Drain.Asked]). Otherwise each restart and
+// itself, as far as they respond ([Drain.Refreshed]). Otherwise each restart and
 // each pause would admit work to a leaving target.
 //
 // Labels are ordered by their revision; a label of a lower revision never
@@ -56,42 +56,42 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// AgentSilence is the value of Config.Silence for an agent. It spans two
+// AgentStaleAfter is the value of Config.Silence for an agent. It spans two
 // heartbeats of a gateway with fifteen targets (2.2 s each), and every agent has
 // heartbeats of several gateways, so a late or lost heartbeat doesn't cause
 // refusals. It is short enough to keep work from a leaving target after a few
 // seconds.
-const AgentSilence = 5 * kumquatlug.Second
+const AgentStaleAfter = 5 * kumquatlug.Second
 
-// EntryLag is the value of Config.Lag for a gateway behind a load balancer. A
+// GatewayRefuseDelay is the value of Config.Lag for a gateway behind a load balancer. A
 // balancer that checks every 5 s and removes a VM after two failures needs 10 s;
 // 5 s more cover a check that was under way and connections opened just before.
-const EntryLag = 15 * kumquatlug.Second
+const GatewayRefuseDelay = 15 * kumquatlug.Second
 
-// DefaultSettle is the default of Config.Settle. The platform doesn't state the
+// DefaultSettleTime is the default of Config.Settle. The platform doesn't state the
 // lag of the VM list; a minute is far more than any lag with which such a list
 // is useful, and returning to service is never urgent.
-const DefaultSettle = 1 * kumquatlug.Minute
+const DefaultSettleTime = 1 * kumquatlug.Minute
 
 // Config holds the parameters of a [Drain].
 type Config struct {
-	// Lag is how long work is still accepted after the process began to leave,
-	// in milliseconds. A gateway sets EntryLag. An agent sets zero, to refuse at
+	// RefuseDelay is how long work is still accepted after the process began to leave,
+	// in milliseconds. A gateway sets GatewayRefuseDelay. An agent sets zero, to refuse at
 	// once: its gateways send a request that was refused as not-run to another
 	// target, and with a delay every restart or late notification would admit
 	// work to a leaving target.
-	Lag kumquatlug.Millis
-	// Settle is how long the VM list must say "live" after it said "leaving",
+	RefuseDelay kumquatlug.Millis
+	// SettleTime is how long the VM list must say "live" after it said "leaving",
 	// in milliseconds. Default 60000.
-	Settle kumquatlug.Millis
-	// Silence is the time without heartbeats, in milliseconds, after which the
+	SettleTime kumquatlug.Millis
+	// StaleAfter is the time without heartbeats, in milliseconds, after which the
 	// state of the process is stale and it refuses new work. Zero disables the
 	// check, which is right for a gateway: the agents decide on what it sends. An
-	// agent sets AgentSilence. It then accepts no new work later than Silence
+	// agent sets AgentStaleAfter. It then accepts no new work later than Silence
 	// plus a heartbeat after a label was set, or Silence plus the list's lag and
 	// a heartbeat after the list began to say "leaving", whether or not it is
 	// paused or restarted in between.
-	Silence kumquatlug.Millis
+	StaleAfter kumquatlug.Millis
 	// RetryAfter is the retry delay that a refusal carries, in milliseconds. An
 	// agent leaves it at zero, as its gateways try another target at once. A
 	// gateway sets the time that its callers need to reach another gateway, a
@@ -116,13 +116,13 @@
 
 // The reasons for a refusal.
 const (
-	ReasonUnknown   Reason = "config_unknown"
-	ReasonSilence   Reason = "config_of_unknown_age"
-	ReasonStop      Reason = "stopping"
-	ReasonLabel     Reason = "leaving_by_label"
-	ReasonList      Reason = "leaving_by_vm_list"
-	ReasonOrder     Reason = "target_under_order"
-	ReasonForbidden Reason = "forbidden_by_config"
+	ReasonConfigUnknown      Reason = "config_unknown"
+	ReasonConfigOfUnknownAge Reason = "config_of_unknown_age"
+	ReasonStopping           Reason = "stopping"
+	ReasonLeavingByLabel     Reason = "leaving_by_label"
+	ReasonLeavingByVMList    Reason = "leaving_by_vm_list"
+	ReasonUnderOrder         Reason = "target_under_order"
+	ReasonForbiddenByConfig  Reason = "forbidden_by_config"
 )
 
 // Request describes a request for admission.
@@ -150,9 +150,9 @@
 // Reason returns why the request is refused; it is empty if it is accepted.
 func (a Admission) Reason() Reason { return a.reason }
 
-// Behind reports whether the receiver has a lower config revision than the
+// ReceiverBehind reports whether the receiver has a lower config revision than the
 // sender; the receiver should pull the changes at once.
-func (a Admission) Behind() bool { return a.behind }
+func (a Admission) ReceiverBehind() bool { return a.behind }
 
 // Failure returns the refusal as an error for the sender, nil if the request is
 // accepted. The error is marked as not-run: nothing was started, and no state of
@@ -162,7 +162,7 @@
 		return nil
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "admit", Reason: string(a.reason), Ran: kumquatlug.RanNot,
+		Step: "admit", Reason: string(a.reason), Execution: kumquatlug.NotExecuted,
 		Status: http.StatusServiceUnavailable, RetryAfter: a.retryAfter, Cause: kumquatlug.ErrUnavailable,
 	})
 }
@@ -187,7 +187,7 @@
 
 // New returns a drain in [StateStarting].
 func New(c Config) *Drain {
-	c.Settle = cmp.Or(c.Settle, DefaultSettle)
+	c.SettleTime = cmp.Or(c.SettleTime, DefaultSettleTime)
 	return &Drain{config: c}
 }
 
@@ -197,35 +197,35 @@
 	d.updateLeaving(now)
 }
 
-// Heard records a heartbeat of a peer. The config and the VM state that it
+// HeartbeatReceived records a heartbeat of a peer. The config and the VM state that it
 // carried must be set before. A heartbeat doesn't refresh a stale state.
-func (d *Drain) Heard(now kumquatlug.Millis) {
-	if !d.Silent(now) {
+func (d *Drain) HeartbeatReceived(now kumquatlug.Millis) {
+	if !d.Stale(now) {
 		d.lastContactAt = max(d.lastContactAt, now)
 	}
 }
 
-// Asked records that the state is no longer stale. The process has queried the
+// Refreshed records that the state is no longer stale. The process has queried the
 // table for the latest config and the platform for its VM list, at now or later,
 // and has set the results. For a source that didn't respond it has set the state
 // of a peer.
-func (d *Drain) Asked(now kumquatlug.Millis) {
+func (d *Drain) Refreshed(now kumquatlug.Millis) {
 	d.lastContactAt = max(d.lastContactAt, now)
 	d.refreshed = true
 }
 
-// Silent reports whether the state is stale, so that the process must query its
+// Stale reports whether the state is stale, so that the process must query its
 // sources before it accepts new work.
-func (d *Drain) Silent(now kumquatlug.Millis) bool {
-	return d.config.Silence > 0 && (!d.refreshed || now-d.lastContactAt > d.config.Silence)
+func (d *Drain) Stale(now kumquatlug.Millis) bool {
+	return d.config.StaleAfter > 0 && (!d.refreshed || now-d.lastContactAt > d.config.StaleAfter)
 }
 
-// Label sets whether the config labels the target as leaving, as of a revision,
+// SetLeavingLabel sets whether the config labels the target as leaving, as of a revision,
 // which is at least one. It is called for each new revision, also if the label
 // is unchanged; a process without labels, such as a gateway, passes false. It
 // reports whether the revision is new. One that isn't higher than the last is
 // ignored.
-func (d *Drain) Label(revision int64, leaving bool, now kumquatlug.Millis) bool {
+func (d *Drain) SetLeavingLabel(revision int64, leaving bool, now kumquatlug.Millis) bool {
 	if revision <= d.revision {
 		return false
 	}
@@ -235,8 +235,8 @@
 	return true
 }
 
-// List sets the state of the VM according to the platform's VM list.
-func (d *Drain) List(state kumquatlug.VMState, now kumquatlug.Millis) {
+// SetVMState sets the state of the VM according to the platform's VM list.
+func (d *Drain) SetVMState(state kumquatlug.VMState, now kumquatlug.Millis) {
 	switch {
 	case state == kumquatlug.VMLeaving:
 		d.leavingByList = true
@@ -244,16 +244,16 @@
 	case d.leavingByList && !d.settling:
 		d.settling = true
 		d.listedLiveSince = now
-	case d.leavingByList && now-d.listedLiveSince >= d.config.Settle:
+	case d.leavingByList && now-d.listedLiveSince >= d.config.SettleTime:
 		d.leavingByList = false
 		d.settling = false
 	}
 	d.updateLeaving(now)
 }
 
-// Order sets whether an order takes the target offline, as a change of role does.
+// SetUnderOrder sets whether an order takes the target offline, as a change of role does.
 // The order may be executed in [StateDone].
-func (d *Drain) Order(ordered bool, now kumquatlug.Millis) {
+func (d *Drain) SetUnderOrder(ordered bool, now kumquatlug.Millis) {
 	d.underOrder = ordered
 	d.updateLeaving(now)
 }
@@ -280,21 +280,21 @@
 func (d *Drain) refusalReason(r Request, now kumquatlug.Millis) Reason {
 	switch {
 	case d.revision == 0:
-		return ReasonUnknown
-	case d.Silent(now):
-		return ReasonSilence
+		return ReasonConfigUnknown
+	case d.Stale(now):
+		return ReasonConfigOfUnknownAge
 	case r.forbidden:
-		return ReasonForbidden
-	case !d.leaving || now-d.leavingSince < d.config.Lag:
+		return ReasonForbiddenByConfig
+	case !d.leaving || now-d.leavingSince < d.config.RefuseDelay:
 		return ""
 	case d.stopping:
-		return ReasonStop
+		return ReasonStopping
 	case d.leavingByLabel:
-		return ReasonLabel
+		return ReasonLeavingByLabel
 	case d.leavingByList:
-		return ReasonList
+		return ReasonLeavingByVMList
 	default:
-		return ReasonOrder
+		return ReasonUnderOrder
 	}
 }
 
@@ -315,7 +315,7 @@
 		return StateStarting
 	case !d.leaving:
 		return StateServing
-	case now-d.leavingSince < d.config.Lag:
+	case now-d.leavingSince < d.config.RefuseDelay:
 		return StateUnready
 	case d.inFlight > 0:
 		return StateRefusing
@@ -324,17 +324,17 @@
 	}
 }
 
-// Wait returns the time until the state changes without an event, in
+// NextTransition returns the time until the state changes without an event, in
 // milliseconds, or zero if it changes only by events.
-func (d *Drain) Wait(now kumquatlug.Millis) kumquatlug.Millis {
+func (d *Drain) NextTransition(now kumquatlug.Millis) kumquatlug.Millis {
 	if d.State(now) != StateUnready {
 		return 0
 	}
-	return d.leavingSince + d.config.Lag - now
+	return d.leavingSince + d.config.RefuseDelay - now
 }
 
-// Hand returns the number of requests in flight.
-func (d *Drain) Hand() int { return d.inFlight }
+// InFlight returns the number of requests in flight.
+func (d *Drain) InFlight() int { return d.inFlight }
 
 // Revision returns the highest config revision seen.
 func (d *Drain) Revision() int64 { return d.revision }
--- a/pkg/kumquatlug/drain/drain_test.go
+++ b/pkg/kumquatlug/drain/drain_test.go
@@ -10,7 +10,7 @@
 // newServingDrain returns a drain with a config of revision 1.
 func newServingDrain(c Config) *Drain {
 	d := New(c)
-	d.Label(1, false, 0)
+	d.SetLeavingLabel(1, false, 0)
 	return d
 }
 
@@ -18,7 +18,7 @@
 	// A gateway is stopped while a response streams and the load balancer still
 	// sends callers to it. Callers that arrive before the balancer removes it must
 	// be served, and the stream must not be broken off although it runs for an hour.
-	d := newServingDrain(Config{Lag: EntryLag, RetryAfter: kumquatlug.Second})
+	d := newServingDrain(Config{RefuseDelay: GatewayRefuseDelay, RetryAfter: kumquatlug.Second})
 	stream := NewRequest(1, false)
 	if a := d.Begin(stream, 0); !a.Accepted() {
 		t.Fatal(a.Reason())
@@ -30,8 +30,8 @@
 		accept bool
 	}{
 		{100, StateUnready, true},
-		{100 + EntryLag - 1, StateUnready, true},
-		{100 + EntryLag, StateRefusing, false},
+		{100 + GatewayRefuseDelay - 1, StateUnready, true},
+		{100 + GatewayRefuseDelay, StateRefusing, false},
 		{kumquatlug.Hour, StateRefusing, false},
 	}
 	for _, s := range steps {
@@ -42,7 +42,7 @@
 		if a.Accepted() != s.accept {
 			t.Errorf("at %d ms: accepted %v", s.now, a.Accepted())
 		}
-		if f := kumquatlug.FailureOf(a.Failure()); !s.accept && (f.Ran() != kumquatlug.RanNot || f.RetryAfter() != kumquatlug.Second) {
+		if f := kumquatlug.FailureOf(a.Failure()); !s.accept && (f.Execution() != kumquatlug.NotExecuted || f.RetryAfter() != kumquatlug.Second) {
 			t.Errorf("at %d ms: refused with %v, want not-run and a retry after 1 s", s.now, f)
 		}
 	}
@@ -64,26 +64,26 @@
 	// reports the old state again. A gateway that doesn't know it keeps sending
 	// requests, which must be refused.
 	label := func(revision int64, leaving bool) func(*Drain) {
-		return func(d *Drain) { d.Label(revision, leaving, 1) }
+		return func(d *Drain) { d.SetLeavingLabel(revision, leaving, 1) }
 	}
 	list := func(s kumquatlug.VMState, now kumquatlug.Millis) func(*Drain) {
-		return func(d *Drain) { d.List(s, now) }
+		return func(d *Drain) { d.SetVMState(s, now) }
 	}
 	live, leaving := kumquatlug.VMLive, kumquatlug.VMLeaving
 	cases := map[string]struct {
 		events []func(*Drain)
 		want   Reason
 	}{
-		"label alone":             {[]func(*Drain){label(2, true), list(live, 1)}, ReasonLabel},
-		"list alone":              {[]func(*Drain){list(leaving, 1)}, ReasonList},
-		"lower revision":          {[]func(*Drain){label(3, true), label(2, false)}, ReasonLabel},
+		"label alone":             {[]func(*Drain){label(2, true), list(live, 1)}, ReasonLeavingByLabel},
+		"list alone":              {[]func(*Drain){list(leaving, 1)}, ReasonLeavingByVMList},
+		"lower revision":          {[]func(*Drain){label(3, true), label(2, false)}, ReasonLeavingByLabel},
 		"label removed":           {[]func(*Drain){label(2, true), label(3, false)}, ""},
-		"outdated list":           {[]func(*Drain){list(leaving, 1), list(live, 2), list(live, 100)}, ReasonList},
-		"list settles":            {[]func(*Drain){list(leaving, 1), list(live, 2), list(live, 2+DefaultSettle)}, ""},
-		"list flaps":              {[]func(*Drain){list(live, 2), list(leaving, 3), list(live, 4), list(leaving, 5), list(live, 4+DefaultSettle)}, ReasonList},
-		"order":                   {[]func(*Drain){func(d *Drain) { d.Order(true, 1) }}, ReasonOrder},
-		"order done, label stays": {[]func(*Drain){label(2, true), func(d *Drain) { d.Order(true, 1); d.Order(false, 2) }}, ReasonLabel},
-		"stop":                    {[]func(*Drain){func(d *Drain) { d.Stop(1) }, label(2, false)}, ReasonStop},
+		"outdated list":           {[]func(*Drain){list(leaving, 1), list(live, 2), list(live, 100)}, ReasonLeavingByVMList},
+		"list settles":            {[]func(*Drain){list(leaving, 1), list(live, 2), list(live, 2+DefaultSettleTime)}, ""},
+		"list flaps":              {[]func(*Drain){list(live, 2), list(leaving, 3), list(live, 4), list(leaving, 5), list(live, 4+DefaultSettleTime)}, ReasonLeavingByVMList},
+		"order":                   {[]func(*Drain){func(d *Drain) { d.SetUnderOrder(true, 1) }}, ReasonUnderOrder},
+		"order done, label stays": {[]func(*Drain){label(2, true), func(d *Drain) { d.SetUnderOrder(true, 1); d.SetUnderOrder(false, 2) }}, ReasonLeavingByLabel},
+		"stop":                    {[]func(*Drain){func(d *Drain) { d.Stop(1) }, label(2, false)}, ReasonStopping},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -104,23 +104,23 @@
 	// to it. Requests that are accepted before it has the newer config could reach
 	// a leaving target.
 	d := New(Config{})
-	if a := d.Begin(NewRequest(7, false), 0); a.Reason() != ReasonUnknown || !a.Behind() {
-		t.Errorf("before the first config: %q, behind %v", a.Reason(), a.Behind())
+	if a := d.Begin(NewRequest(7, false), 0); a.Reason() != ReasonConfigUnknown || !a.ReceiverBehind() {
+		t.Errorf("before the first config: %q, behind %v", a.Reason(), a.ReceiverBehind())
 	}
-	d.Label(7, false, 0)
-	if a := d.Begin(NewRequest(8, true), 0); a.Reason() != ReasonForbidden || !a.Behind() {
-		t.Errorf("forbidden by an older config than the sender's: %q, behind %v", a.Reason(), a.Behind())
+	d.SetLeavingLabel(7, false, 0)
+	if a := d.Begin(NewRequest(8, true), 0); a.Reason() != ReasonForbiddenByConfig || !a.ReceiverBehind() {
+		t.Errorf("forbidden by an older config than the sender's: %q, behind %v", a.Reason(), a.ReceiverBehind())
 	}
-	if a := d.Begin(NewRequest(6, false), 0); !a.Accepted() || a.Behind() {
-		t.Errorf("gateway with an older config: %q, behind %v", a.Reason(), a.Behind())
+	if a := d.Begin(NewRequest(6, false), 0); !a.Accepted() || a.ReceiverBehind() {
+		t.Errorf("gateway with an older config: %q, behind %v", a.Reason(), a.ReceiverBehind())
 	}
 }
 
 func ExampleDrain() {
 	d := New(Config{})
-	d.Label(1, false, 0)
+	d.SetLeavingLabel(1, false, 0)
 	d.Begin(NewRequest(1, false), 0)
-	d.Label(2, true, 10)
+	d.SetLeavingLabel(2, true, 10)
 	fmt.Println(d.Begin(NewRequest(1, false), 11).Reason(), d.State(11))
 	_ = d.End()
 	fmt.Println(d.State(12))
--- a/pkg/kumquatlug/drain/model_test.go
+++ b/pkg/kumquatlug/drain/model_test.go
@@ -16,7 +16,7 @@
 const (
 	pollInterval  = 500 * kumquatlug.Millis(1)
 	listLag       = 2 * kumquatlug.Second
-	maxLeaveDelay = listLag + AgentSilence + 2*pollInterval
+	maxLeaveDelay = listLag + AgentStaleAfter + 2*pollInterval
 )
 
 // leavingChange is one revision of the config, or one change of the platform's
@@ -61,7 +61,7 @@
 
 // restartAgent replaces the agent's process.
 func (m *model) restartAgent() {
-	m.agent = New(Config{Silence: AgentSilence})
+	m.agent = New(Config{StaleAfter: AgentStaleAfter})
 	m.underOrder, m.stopping, m.inFlight = false, false, 0
 	m.highestRevision, m.listReportedLeaving = 0, false
 }
@@ -69,7 +69,7 @@
 // refreshIfStale has an agent with a stale state query the table and the list, as
 // far as they are reachable.
 func (m *model) refreshIfStale(random *rand.Rand) {
-	if !m.agent.Silent(m.now) {
+	if !m.agent.Stale(m.now) {
 		return
 	}
 	if m.tableReachable {
@@ -78,14 +78,14 @@
 	if m.listReachable {
 		m.readList(random)
 	}
-	m.agent.Asked(m.now)
+	m.agent.Refreshed(m.now)
 }
 
 // readList sets the agent's VM state from the list as of a random time within its
 // lag.
 func (m *model) readList(random *rand.Rand) {
 	state := m.laggedVMState(random)
-	m.agent.List(state, m.now)
+	m.agent.SetVMState(state, m.now)
 	if state == kumquatlug.VMLeaving && m.vmList[len(m.vmList)-1].leaving {
 		m.listReportedLeaving = true
 	}
@@ -138,7 +138,7 @@
 }
 
 func (m *model) applyRevision(revision int64) {
-	m.agent.Label(revision, m.configLog[revision-1].leaving, m.now)
+	m.agent.SetLeavingLabel(revision, m.configLog[revision-1].leaving, m.now)
 	m.highestRevision = max(m.highestRevision, revision)
 }
 
@@ -172,9 +172,9 @@
 	}
 	highestRevision := m.highestRevision
 	a := m.agent.Begin(NewRequest(revision, false), m.now)
-	if a.Behind() && m.tableReachable {
+	if a.ReceiverBehind() && m.tableReachable {
 		m.applyRevision(int64(len(m.configLog)))
-	} else if a.Behind() {
+	} else if a.ReceiverBehind() {
 		m.applyRevision(revision)
 	}
 	m.refreshIfStale(random)
@@ -254,7 +254,7 @@
 		return
 	}
 	m.applyRevision(m.gatewayRevisions[gateway])
-	m.agent.Heard(m.now)
+	m.agent.HeartbeatReceived(m.now)
 }
 
 func (m *model) advance(random *rand.Rand, polls int) {
@@ -323,7 +323,7 @@
 	switch kind {
 	case "order", "end-order":
 		m.underOrder = kind == "order"
-		m.agent.Order(m.underOrder, m.now)
+		m.agent.SetUnderOrder(m.underOrder, m.now)
 	case "stop":
 		m.stopping = true
 		m.agent.Stop(m.now)
@@ -347,10 +347,10 @@
 	// shows as work at a target that leaves, or as responses broken off.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
-		Claim: "a leaving target accepts no new work and completes all work in flight",
-		Seed:  5, Runs: 800, Steps: 80,
-		Command: proof.Events(eventKinds, applyEvent),
-		World:   func() commands.SystemUnderTest { return newModel(counts) },
+		Property: "a leaving target accepts no new work and completes all work in flight",
+		Seed:     5, Runs: 800, Steps: 80,
+		StepGen:   proof.Events(eventKinds, applyEvent),
+		NewSystem: func() commands.SystemUnderTest { return newModel(counts) },
 	})
 	t.Logf("%d accepted, %d refused, %d planned stops", counts["accepted"], counts["refused"], counts["stops"])
 	if counts["accepted"] == 0 || counts["refused"] == 0 || counts["stops"] == 0 {
--- a/pkg/kumquatlug/failure.go
+++ b/pkg/kumquatlug/failure.go
@@ -21,17 +21,17 @@
 	ErrDenied = errors.New("denied")
 )
 
-// Ran says whether a refused or failed call ran at its target.
-type Ran string
+// Execution says whether a refused or failed call ran at its target.
+type Execution string
 
 // The execution states of a call without a response.
 const (
-	// RanNot: the call did not run and will not run later.
-	RanNot Ran = "not-run"
-	// RanUnknown: the call may have run or may still run.
-	RanUnknown Ran = "unknown"
-	// RanDone: the call ran; its response could not be delivered in full.
-	RanDone Ran = "done"
+	// NotExecuted: the call did not run and will not run later.
+	NotExecuted Execution = "not-run"
+	// ExecutionUnknown: the call may have run or may still run.
+	ExecutionUnknown Execution = "unknown"
+	// Executed: the call ran; its response could not be delivered in full.
+	Executed Execution = "done"
 )
 
 // Failure is an error in the processing of a request. It holds the step and the peer at
@@ -41,7 +41,7 @@
 	step       string
 	peer       string
 	reason     string
-	ran        Ran
+	ran        Execution
 	status     int
 	retryAfter Millis
 	cause      error
@@ -55,8 +55,8 @@
 	Peer string
 	// Reason is a short stable code for callers and metrics, such as "queue_full".
 	Reason string
-	// Ran defaults to RanUnknown, which is safe if nothing is known.
-	Ran Ran
+	// Execution defaults to ExecutionUnknown, which is safe if nothing is known.
+	Execution Execution
 	// Status is the HTTP status for the caller; it defaults to 503.
 	Status int
 	// RetryAfter is the delay after which a retry may succeed; zero means unknown.
@@ -68,11 +68,11 @@
 // NewFailure returns the failure that c describes.
 func NewFailure(c FailureConfig) *Failure {
 	f := &Failure{
-		step: c.Step, peer: c.Peer, reason: c.Reason, ran: c.Ran,
+		step: c.Step, peer: c.Peer, reason: c.Reason, ran: c.Execution,
 		status: c.Status, retryAfter: c.RetryAfter, cause: c.Cause,
 	}
 	if f.ran == "" {
-		f.ran = RanUnknown
+		f.ran = ExecutionUnknown
 	}
 	if f.status == 0 {
 		f.status = http.StatusServiceUnavailable
@@ -80,8 +80,8 @@
 	return f
 }
 
-// WithRan returns a copy of the failure with another execution state.
-func (f *Failure) WithRan(ran Ran) *Failure {
+// WithExecution returns a copy of the failure with another execution state.
+func (f *Failure) WithExecution(ran Execution) *Failure {
 	other := *f
 	other.ran = ran
 	return &other
@@ -120,8 +120,8 @@
 // Reason returns the short stable code.
 func (f *Failure) Reason() string { return f.reason }
 
-// Ran returns whether the call ran.
-func (f *Failure) Ran() Ran { return f.ran }
+// Execution returns whether the call ran.
+func (f *Failure) Execution() Execution { return f.ran }
 
 // Status returns the HTTP status for the caller.
 func (f *Failure) Status() int { return f.status }
@@ -129,7 +129,7 @@
 // RetryAfter returns the delay after which a retry may succeed, zero if unknown.
 func (f *Failure) RetryAfter() Millis { return f.retryAfter }
 
-// FailureOf returns the failure in err's chain, or wraps err in one with RanUnknown and
+// FailureOf returns the failure in err's chain, or wraps err in one with ExecutionUnknown and
 // status 500.
 func FailureOf(err error) *Failure {
 	var f *Failure
@@ -141,8 +141,8 @@
 	})
 }
 
-// RanOf returns whether the call that failed with err ran; RanUnknown if err does not
+// ExecutionOf returns whether the call that failed with err ran; ExecutionUnknown if err does not
 // say.
-func RanOf(err error) Ran {
-	return FailureOf(err).Ran()
+func ExecutionOf(err error) Execution {
+	return FailureOf(err).Execution()
 }
--- a/pkg/kumquatlug/fairshare/fairshare.go
+++ b/pkg/kumquatlug/fairshare/fairshare.go
@@ -57,9 +57,9 @@
 // New returns shares without any accounts.
 func New() *Shares { return &Shares{accounts: map[string]*account{}} }
 
-// Asked records a request and returns the factor for its value in the order of a queue,
+// RecordRequest records a request and returns the factor for its value in the order of a queue,
 // greater than 0 and at most 1. The size is in any unit, the same for all requests.
-func (s *Shares) Asked(now kumquatlug.Millis, name string, size float64) float64 {
+func (s *Shares) RecordRequest(now kumquatlug.Millis, name string, size float64) float64 {
 	a, known := s.accounts[name]
 	if !known {
 		if len(s.accounts) >= maxAccounts {
--- a/pkg/kumquatlug/fairshare/fairshare_test.go
+++ b/pkg/kumquatlug/fairshare/fairshare_test.go
@@ -82,7 +82,7 @@
 	unweighted := onTimeFraction(simulate(func(kumquatlug.Millis, string) float64 { return random.Float64() }, burst), "5")
 	shares := New()
 	fair := simulate(func(now kumquatlug.Millis, name string) float64 {
-		return shares.Asked(now, name, 1) * (0.9 + 0.1*random.Float64())
+		return shares.RecordRequest(now, name, 1) * (0.9 + 0.1*random.Float64())
 	}, burst)
 	if others := onTimeFraction(fair, "5"); others < 0.95 || unweighted > 0.9 {
 		t.Errorf("others in time: %.3f, without weights %.3f", others, unweighted)
@@ -96,7 +96,7 @@
 // requests as all others together.
 func TestLargeAccountKeepsItsShare(t *testing.T) {
 	shares := New()
-	counts := simulate(func(now kumquatlug.Millis, name string) float64 { return shares.Asked(now, name, 1) }, func(kumquatlug.Millis) int { return 0 })
+	counts := simulate(func(now kumquatlug.Millis, name string) float64 { return shares.RecordRequest(now, name, 1) }, func(kumquatlug.Millis) int { return 0 })
 	if all, large := onTimeFraction(counts, ""), float64(counts["0"].onTime)/float64(counts["0"].requests); large < all-0.01 {
 		t.Errorf("in time: large account %.3f, all accounts %.3f", large, all)
 	}
@@ -106,7 +106,7 @@
 func TestIdleAccountsAreEvicted(t *testing.T) {
 	shares := New()
 	for i := range 3 * maxAccounts {
-		shares.Asked(kumquatlug.Millis(i*10), fmt.Sprint(i), 1)
+		shares.RecordRequest(kumquatlug.Millis(i*10), fmt.Sprint(i), 1)
 	}
 	if n := len(shares.accounts); n > maxAccounts {
 		t.Errorf("%d accounts", n)
--- a/pkg/kumquatlug/gateway.go
+++ b/pkg/kumquatlug/gateway.go
@@ -57,8 +57,8 @@
 	return p.parts[:len(p.parts)-1]
 }
 
-// Ask is one request as a gateway received it from a client.
-type Ask struct {
+// Request is one request as a gateway received it from a client.
+type Request struct {
 	id          string
 	host        string
 	method      string
@@ -74,8 +74,8 @@
 	account    string
 }
 
-// AskConfig configures an [Ask].
-type AskConfig struct {
+// RequestConfig configures an [Request].
+type RequestConfig struct {
 	// ID is unique to this attempt of the client.
 	ID string
 	// Host and Path select the route.
@@ -86,67 +86,67 @@
 	Header http.Header
 	// Body is the complete body.
 	Body []byte
-	// Deadline is how long the client waits, counted from the arrival; zero if it does
+	// Timeout is how long the client waits, counted from the arrival; zero if it does
 	// not say.
-	Deadline Millis
-	// Resume is the number of the last event that the client has received, zero for
+	Timeout Millis
+	// LastEventID is the number of the last event that the client has received, zero for
 	// none.
-	Resume int64
+	LastEventID int64
 	// Prompt describes the work of an engine; zero for plain services.
 	Prompt Prompt
 	// Credential identifies the client.
 	Credential Credential
 }
 
-// NewAsk returns the request that c describes.
-func NewAsk(c AskConfig) Ask {
-	return Ask{
+// NewRequest returns the request that c describes.
+func NewRequest(c RequestConfig) Request {
+	return Request{
 		id: c.ID, host: c.Host, method: c.Method, path: c.Path, target: c.Target, header: c.Header,
-		body: c.Body, timeout: c.Deadline, lastEventID: c.Resume, prompt: c.Prompt, credential: c.Credential,
+		body: c.Body, timeout: c.Timeout, lastEventID: c.LastEventID, prompt: c.Prompt, credential: c.Credential,
 	}
 }
 
 // ID returns the id of this attempt of the client.
-func (a Ask) ID() string { return a.id }
+func (a Request) ID() string { return a.id }
 
 // Host returns the requested host, without a port.
-func (a Ask) Host() string { return a.host }
+func (a Request) Host() string { return a.host }
 
 // Method returns the HTTP method.
-func (a Ask) Method() string { return a.method }
+func (a Request) Method() string { return a.method }
 
 // Path returns the path without its query.
-func (a Ask) Path() string { return a.path }
+func (a Request) Path() string { return a.path }
 
 // Target returns the path and query as the client sent them.
-func (a Ask) Target() string { return a.target }
+func (a Request) Target() string { return a.target }
 
 // Header returns the headers to forward; they must not be changed.
-func (a Ask) Header() http.Header { return a.header }
+func (a Request) Header() http.Header { return a.header }
 
 // Body returns the complete body; it must not be changed.
-func (a Ask) Body() []byte { return a.body }
+func (a Request) Body() []byte { return a.body }
 
-// Deadline returns how long the client waits, counted from the arrival, zero if it does
+// Timeout returns how long the client waits, counted from the arrival, zero if it does
 // not say.
-func (a Ask) Deadline() Millis { return a.timeout }
+func (a Request) Timeout() Millis { return a.timeout }
 
-// Resume returns the number of the last event that the client has received, zero for
+// LastEventID returns the number of the last event that the client has received, zero for
 // none.
-func (a Ask) Resume() int64 { return a.lastEventID }
+func (a Request) LastEventID() int64 { return a.lastEventID }
 
 // Prompt returns the description of the prompt.
-func (a Ask) Prompt() Prompt { return a.prompt }
+func (a Request) Prompt() Prompt { return a.prompt }
 
 // Credential returns the credential that identifies the client.
-func (a Ask) Credential() Credential { return a.credential }
+func (a Request) Credential() Credential { return a.credential }
 
 // Account returns the name of the account that the request belongs to, empty for none.
 // It is sent to the workers.
-func (a Ask) Account() string { return a.account }
+func (a Request) Account() string { return a.account }
 
 // WithAccount returns a copy of the request that belongs to this account.
-func (a Ask) WithAccount(name string) Ask {
+func (a Request) WithAccount(name string) Request {
 	a.account = name
 	return a
 }
@@ -167,35 +167,37 @@
 // Address returns IP:port.
 func (w Worker) Address() string { return w.address }
 
-// KVCache refers to a prompt's KV cache that an engine holds for a single use.
-type KVCache struct {
+// KVCacheRef refers to a prompt's KV cache that an engine holds for a single use.
+type KVCacheRef struct {
 	engine string
 	handle string
 }
 
-// NewKVCache returns the cache that the engine at an address holds under handle.
-func NewKVCache(address, handle string) KVCache { return KVCache{engine: address, handle: handle} }
+// NewKVCacheRef returns the cache that the engine at an address holds under handle.
+func NewKVCacheRef(address, handle string) KVCacheRef {
+	return KVCacheRef{engine: address, handle: handle}
+}
 
 // Engine returns IP:port of the engine that holds the cache.
-func (k KVCache) Engine() string { return k.engine }
+func (k KVCacheRef) Engine() string { return k.engine }
 
 // Handle returns the engine's handle of the cache; empty means no cache.
-func (k KVCache) Handle() string { return k.handle }
-
-// Sending holds the parameters of one attempt at a worker.
-type Sending struct {
-	// Left is the time that the worker may take.
-	Left Millis
-	// Resume is the number of the last event that the client has received.
-	Resume int64
-	// Urgency is the priority of the work at an engine, 0 first, 9 last.
-	Urgency int
+func (k KVCacheRef) Handle() string { return k.handle }
+
+// AttemptOptions holds the parameters of one attempt at a worker.
+type AttemptOptions struct {
+	// Timeout is the time that the worker may take.
+	Timeout Millis
+	// LastEventID is the number of the last event that the client has received.
+	LastEventID int64
+	// Priority is the priority of the work at an engine, 0 first, 9 last.
+	Priority int
 	// Cache is the prompt's KV cache to import, zero for none.
-	Cache KVCache
+	Cache KVCacheRef
 }
 
-// Reply is a worker's response to an attempt.
-type Reply struct {
+// WorkerResponse is a worker's response to an attempt.
+type WorkerResponse struct {
 	status  int
 	header  http.Header
 	length  int64
@@ -207,8 +209,8 @@
 	pause   Millis
 }
 
-// ReplyConfig configures a [Reply].
-type ReplyConfig struct {
+// WorkerResponseConfig configures a [WorkerResponse].
+type WorkerResponseConfig struct {
 	Status int
 	// Header holds the headers to forward to the client.
 	Header http.Header
@@ -222,47 +224,47 @@
 	Load WorkerLoad
 	// Limit is the request rate that the worker reports to accept.
 	Limit RateLimit
-	// Leaving says that the worker is shutting down.
-	Leaving bool
-	// Pause is the backoff that the worker requests from this gateway.
-	Pause Millis
+	// ShuttingDown says that the worker is shutting down.
+	ShuttingDown bool
+	// Backoff is the backoff that the worker requests from this gateway.
+	Backoff Millis
 }
 
-// NewReply returns the response that c describes.
-func NewReply(c ReplyConfig) Reply {
-	return Reply{
+// NewWorkerResponse returns the response that c describes.
+func NewWorkerResponse(c WorkerResponseConfig) WorkerResponse {
+	return WorkerResponse{
 		status: c.Status, header: c.Header, length: c.Length, body: c.Body, refused: c.Refused, load: c.Load, limit: c.Limit,
-		leaving: c.Leaving, pause: c.Pause,
+		leaving: c.ShuttingDown, pause: c.Backoff,
 	}
 }
 
 // Status returns the HTTP status.
-func (r Reply) Status() int { return r.status }
+func (r WorkerResponse) Status() int { return r.status }
 
 // Header returns the headers to forward to the client.
-func (r Reply) Header() http.Header { return r.header }
+func (r WorkerResponse) Header() http.Header { return r.header }
 
 // Length returns the length of the body, -1 if unknown.
-func (r Reply) Length() int64 { return r.length }
+func (r WorkerResponse) Length() int64 { return r.length }
 
 // Body returns the body, to be read once and closed.
-func (r Reply) Body() io.ReadCloser { return r.body }
+func (r WorkerResponse) Body() io.ReadCloser { return r.body }
 
 // Refused reports that the attempt did not run and will not run.
-func (r Reply) Refused() bool { return r.refused }
+func (r WorkerResponse) Refused() bool { return r.refused }
 
 // Load returns the load reported by the worker.
-func (r Reply) Load() WorkerLoad { return r.load }
+func (r WorkerResponse) Load() WorkerLoad { return r.load }
 
 // Limit returns the request rate that the worker reports to accept.
-func (r Reply) Limit() RateLimit { return r.limit }
+func (r WorkerResponse) Limit() RateLimit { return r.limit }
 
 // EngineState is the state that an engine reports on request.
 type EngineState struct {
 	// Role is the current role.
 	Role Role
-	// Busy says that an order is being carried out.
-	Busy bool
+	// Reconfiguring says that an order is being carried out.
+	Reconfiguring bool
 	// Orders counts the orders accepted since the engine started.
 	Orders int64
 	// Load is some hundred milliseconds old.
@@ -275,28 +277,28 @@
 	Role Role
 	// Holder is the machine that gives the order.
 	Holder string
-	// Fence is the fencing token of its lease.
-	Fence int64
-	// After is the expected number of orders that the engine has accepted; with another
+	// FencingToken is the fencing token of its lease.
+	FencingToken int64
+	// ExpectedOrders is the expected number of orders that the engine has accepted; with another
 	// number the engine refuses.
-	After int64
+	ExpectedOrders int64
 }
 
-// Workers sends attempts and orders to targets that are called directly. An error says
-// through [RanOf] whether the target may have run the attempt.
-type Workers interface {
+// WorkerClient sends attempts and orders to targets that are called directly. An error says
+// through [ExecutionOf] whether the target may have run the attempt.
+type WorkerClient interface {
 	// Run makes one attempt at a worker; the request leaves this process at most once.
-	Run(ctx context.Context, w Worker, a Ask, s Sending) (Reply, error)
+	Run(ctx context.Context, w Worker, a Request, s AttemptOptions) (WorkerResponse, error)
 	// Prefill makes an engine process the prompt and hold its KV cache. A response with
 	// status 200 has no body.
-	Prefill(ctx context.Context, w Worker, a Ask, s Sending) (KVCache, Reply, error)
-	// Free releases a KV cache that will not be used.
-	Free(ctx context.Context, k KVCache) error
-	// Move copies the KV cache of the stream that runs for a at one engine to another,
+	Prefill(ctx context.Context, w Worker, a Request, s AttemptOptions) (KVCacheRef, WorkerResponse, error)
+	// ReleaseCache releases a KV cache that will not be used.
+	ReleaseCache(ctx context.Context, k KVCacheRef) error
+	// MoveStream copies the KV cache of the stream that runs for a at one engine to another,
 	// and ends the stream at the first, whose response breaks off. The stream can
 	// continue with the returned cache after the last event received. An error marked
 	// [ErrNotFound] says that the stream does not run there any more.
-	Move(ctx context.Context, from Worker, a Ask, to Worker) (KVCache, error)
+	MoveStream(ctx context.Context, from Worker, a Request, to Worker) (KVCacheRef, error)
 	// State requests the state of an engine.
 	State(ctx context.Context, w Worker) (EngineState, error)
 	// Order sends an order to an engine and reports whether it was accepted, now or
@@ -304,25 +306,25 @@
 	Order(ctx context.Context, w Worker, o RoleOrder) (bool, error)
 }
 
-// Duty identifies the holder of a lease that acts on behalf of all gateways.
-type Duty struct {
+// LeaderLease identifies the holder of a lease that acts on behalf of all gateways.
+type LeaderLease struct {
 	// Holder is the machine, Fence the fencing token of its lease.
-	Holder string
-	Fence  int64
+	Holder       string
+	FencingToken int64
 }
 
-// Duties are the platform calls that one gateway at a time makes on behalf of all.
-type Duties interface {
+// LeaderActions are the platform calls that one gateway at a time makes on behalf of all.
+type LeaderActions interface {
 	// Scale sets the number of workers of a service in a data centre.
-	Scale(ctx context.Context, d Duty, service, zone string, workers int) error
+	Scale(ctx context.Context, d LeaderLease, service, zone string, workers int) error
 	// ReportUsage reports the number of requests of each account that began in a
 	// window. An error marked [ErrDenied] says that this report will never be accepted.
 	// Exact repeats have no effect.
-	ReportUsage(ctx context.Context, d Duty, window int64, counts map[string]int64) error
+	ReportUsage(ctx context.Context, d LeaderLease, window int64, counts map[string]int64) error
 }
 
-// Feed is the change feed of the platform's store.
-type Feed interface {
+// ChangeFeed is the change feed of the platform's store.
+type ChangeFeed interface {
 	// Snapshot returns all rows of a table and the version from which to follow it.
 	Snapshot(ctx context.Context, table string) ([]Row, int64, error)
 	// Changes returns the rows changed after a version, removed ones without a value,
@@ -335,22 +337,22 @@
 	Era() int64
 }
 
-// Directory decodes the rows that the operator and the workers write to the platform's
+// RowDecoder decodes the rows that the operator and the workers write to the platform's
 // store.
-type Directory interface {
-	// Config decodes the operator's config.
-	Config(value []byte) (OperatorConfig, error)
-	// Member decodes a worker's row. A row that was corrupted by another writer is an
+type RowDecoder interface {
+	// DecodeConfig decodes the operator's config.
+	DecodeConfig(value []byte) (OperatorConfig, error)
+	// DecodeMember decodes a worker's row. A row that was corrupted by another writer is an
 	// error and identifies no worker.
-	Member(row Row) (Member, error)
+	DecodeMember(row Row) (Member, error)
 }
 
 // Ingress is the protocol between clients and the gateway.
 type Ingress interface {
 	// Decode reads a request with its whole body of at most maxBody bytes.
-	Decode(r *http.Request, maxBody int64) (Ask, error)
-	// Head writes the status and headers of a worker's response.
-	Head(w http.ResponseWriter, response Reply)
-	// Refuse writes a final response that the gateway generates itself.
-	Refuse(w http.ResponseWriter, a Ask, f *Failure)
+	Decode(r *http.Request, maxBody int64) (Request, error)
+	// WriteHeader writes the status and headers of a worker's response.
+	WriteHeader(w http.ResponseWriter, response WorkerResponse)
+	// WriteError writes a final response that the gateway generates itself.
+	WriteError(w http.ResponseWriter, a Request, f *Failure)
 }
--- a/pkg/kumquatlug/health/health.go
+++ b/pkg/kumquatlug/health/health.go
@@ -32,34 +32,34 @@
 // Config holds the parameters of a [Group]. The zero value of each field selects
 // its default.
 type Config struct {
-	// HeartbeatEvery is the interval between two heartbeats to a target. Default
+	// HeartbeatInterval is the interval between two heartbeats to a target. Default
 	// 1,000 ms: 20 targets with reports of 142 bytes use 2.8 KB of the 5 KB per
 	// second that a node may use for control traffic. With cache events, set
 	// 2,000.
-	HeartbeatEvery kumquatlug.Millis
+	HeartbeatInterval kumquatlug.Millis
 	// HeartbeatTimeout is how long a gateway waits for the response to a
 	// heartbeat before it counts it as missed. Default 1,000 ms: a thousand round
 	// trips between data centres, which only a stopped process or a broken link
 	// exceeds.
 	HeartbeatTimeout kumquatlug.Millis
-	// MissedLimit is the number of consecutive missed heartbeats after which a
+	// MissedHeartbeatLimit is the number of consecutive missed heartbeats after which a
 	// target counts as dead. Default 3: with the defaults above a dead target is
 	// ejected within 4 s, and a pause of 2 s only reduces its weight.
-	MissedLimit int
+	MissedHeartbeatLimit int
 	// FailureLimit is the number of consecutive failed calls after which a target
 	// is ejected. Default 5: its weight is 1/32 by then, and a target that fails
 	// one call in five is ejected only once in 3,000 calls.
 	FailureLimit int
-	// EjectPart is the maximum fraction of the group that is ejected at the same
+	// MaxEjectedFraction is the maximum fraction of the group that is ejected at the same
 	// time; in a group of two or more at least one target may be. Default 0.34:
 	// one of three data centres may be lost completely, while more than that is
 	// more likely a fault of the gateway itself.
-	EjectPart float64
-	// ProbeAfter is the wait before an ejected target is probed; it doubles with
+	MaxEjectedFraction float64
+	// ProbeDelay is the wait before an ejected target is probed; it doubles with
 	// each consecutive ejection, up to ProbeLimit. Defaults 5 s and 60 s: an
 	// engine restarts in tens of seconds, and one probe a minute costs nothing.
-	ProbeAfter kumquatlug.Millis
-	ProbeLimit kumquatlug.Millis
+	ProbeDelay    kumquatlug.Millis
+	MaxProbeDelay kumquatlug.Millis
 	// SlowStart is the time over which a target that returns to service grows to
 	// its full share. Default 10 s: its caches are empty, and in that time ten
 	// reports show how it copes with the load.
@@ -70,14 +70,14 @@
 }
 
 func (c Config) withDefaults() Config {
-	c.HeartbeatEvery = cmp.Or(c.HeartbeatEvery, kumquatlug.Second)
+	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, kumquatlug.Second)
 	c.HeartbeatTimeout = cmp.Or(c.HeartbeatTimeout, kumquatlug.Second)
-	c.ProbeAfter = cmp.Or(c.ProbeAfter, 5*kumquatlug.Second)
-	c.ProbeLimit = cmp.Or(c.ProbeLimit, kumquatlug.Minute)
+	c.ProbeDelay = cmp.Or(c.ProbeDelay, 5*kumquatlug.Second)
+	c.MaxProbeDelay = cmp.Or(c.MaxProbeDelay, kumquatlug.Minute)
 	c.SlowStart = cmp.Or(c.SlowStart, 10*kumquatlug.Second)
-	c.MissedLimit = cmp.Or(c.MissedLimit, 3)
+	c.MissedHeartbeatLimit = cmp.Or(c.MissedHeartbeatLimit, 3)
 	c.FailureLimit = cmp.Or(c.FailureLimit, 5)
-	c.EjectPart = cmp.Or(c.EjectPart, 0.34)
+	c.MaxEjectedFraction = cmp.Or(c.MaxEjectedFraction, 0.34)
 	c.Tolerance = cmp.Or(c.Tolerance, 1.25)
 	return c
 }
@@ -143,8 +143,8 @@
 	return &Group{config: c.withDefaults(), targets: map[string]*target{}, medianRatio: 1}
 }
 
-// HeartbeatEvery returns the interval between two heartbeats to a target.
-func (g *Group) HeartbeatEvery() kumquatlug.Millis { return g.config.HeartbeatEvery }
+// HeartbeatInterval returns the interval between two heartbeats to a target.
+func (g *Group) HeartbeatInterval() kumquatlug.Millis { return g.config.HeartbeatInterval }
 
 // HeartbeatTimeout returns how long to wait for the response to a heartbeat.
 func (g *Group) HeartbeatTimeout() kumquatlug.Millis { return g.config.HeartbeatTimeout }
@@ -166,14 +166,14 @@
 	g.names = slices.DeleteFunc(g.names, func(n string) bool { return n == name })
 }
 
-// Heartbeat records that a target responded to a heartbeat. A target that was
+// HeartbeatAnswered records that a target responded to a heartbeat. A target that was
 // ejected as dead begins its slow start.
-func (g *Group) Heartbeat(now kumquatlug.Millis, name string) {
+func (g *Group) HeartbeatAnswered(now kumquatlug.Millis, name string) {
 	t, ok := g.targets[name]
 	if !ok {
 		return
 	}
-	wasDead := t.missedHeartbeats >= g.config.MissedLimit
+	wasDead := t.missedHeartbeats >= g.config.MissedHeartbeatLimit
 	t.missedHeartbeats = 0
 	if wasDead && t.consecutiveFailures < g.config.FailureLimit {
 		g.startSlowStart(now, t)
@@ -187,18 +187,18 @@
 		return
 	}
 	t.missedHeartbeats++
-	if t.missedHeartbeats >= g.config.MissedLimit {
+	if t.missedHeartbeats >= g.config.MissedHeartbeatLimit {
 		g.eject(now, t)
 	}
 }
 
-// Outcome records how a call ended: whether the target succeeded, and the ratio
+// RecordOutcome records how a call ended: whether the target succeeded, and the ratio
 // of the time it took to the time expected at full weight. Relative to the time
 // expected at its current weight, a slow target would look healthy as soon as it
 // receives less work, and would get its full share back. A refusal for lack of
 // capacity, an error of the caller and a call that the caller cancelled must not
 // be recorded. The ratio of a failed call is ignored.
-func (g *Group) Outcome(now kumquatlug.Millis, name string, ok bool, ratio float64) {
+func (g *Group) RecordOutcome(now kumquatlug.Millis, name string, ok bool, ratio float64) {
 	t, found := g.targets[name]
 	if !found {
 		return
@@ -224,7 +224,7 @@
 
 func (g *Group) recordSuccess(now kumquatlug.Millis, t *target, ratio float64) {
 	t.consecutiveFailures = 0
-	if t.ejected && t.missedHeartbeats < g.config.MissedLimit {
+	if t.ejected && t.missedHeartbeats < g.config.MissedHeartbeatLimit {
 		g.startSlowStart(now, t)
 	}
 	if !t.ejected && !t.slowStarting {
@@ -264,7 +264,7 @@
 	if len(g.targets) < 2 {
 		return 0
 	}
-	return max(int(g.config.EjectPart*float64(len(g.targets))), 1)
+	return max(int(g.config.MaxEjectedFraction*float64(len(g.targets))), 1)
 }
 
 // Eject ejects a target that is known to be unresponsive, without waiting for
@@ -302,7 +302,7 @@
 	if !t.ejected {
 		return StateServing
 	}
-	if t.missedHeartbeats >= g.config.MissedLimit || now-t.ejectedAt < g.probeWait(t) {
+	if t.missedHeartbeats >= g.config.MissedHeartbeatLimit || now-t.ejectedAt < g.probeWait(t) {
 		return StateEjected
 	}
 	return StateProbing
@@ -311,11 +311,11 @@
 // probeWait returns the wait before the target is probed, which doubles with each
 // consecutive ejection.
 func (g *Group) probeWait(t *target) kumquatlug.Millis {
-	wait := g.config.ProbeAfter
-	for i := 1; i < t.consecutiveEjections && wait < g.config.ProbeLimit; i++ {
+	wait := g.config.ProbeDelay
+	for i := 1; i < t.consecutiveEjections && wait < g.config.MaxProbeDelay; i++ {
 		wait *= 2
 	}
-	return min(wait, g.config.ProbeLimit)
+	return min(wait, g.config.MaxProbeDelay)
 }
 
 // Weight returns the fraction of its fair share that a target should receive,
--- a/pkg/kumquatlug/health/health_test.go
+++ b/pkg/kumquatlug/health/health_test.go
@@ -17,7 +17,7 @@
 	g := New(Config{})
 	for i := range n {
 		g.Add(targetName(i))
-		g.Outcome(0, targetName(i), true, 1)
+		g.RecordOutcome(0, targetName(i), true, 1)
 	}
 	return g
 }
@@ -31,7 +31,7 @@
 	g := newGroup(6)
 	last := 1.0
 	for i := range 40 {
-		g.Outcome(kumquatlug.Millis(i), targetName(0), true, 3)
+		g.RecordOutcome(kumquatlug.Millis(i), targetName(0), true, 3)
 		weight := g.Weight(kumquatlug.Millis(i), targetName(0))
 		if weight > last || last-weight > 0.3 {
 			t.Fatalf("after %d slow responses the weight changed from %.2f to %.2f", i+1, last, weight)
@@ -54,7 +54,7 @@
 	// receive less work exactly when there is most.
 	g := newGroup(6)
 	for i := range 60 {
-		g.Outcome(kumquatlug.Millis(i), targetName(i%6), true, 8)
+		g.RecordOutcome(kumquatlug.Millis(i), targetName(i%6), true, 8)
 	}
 	for i := range 6 {
 		if w := g.Weight(60, targetName(i)); w != 1 {
@@ -77,7 +77,7 @@
 		t.Errorf("%d of 12 targets are ejected, want 4", n)
 	}
 	for i := range 12 {
-		g.Heartbeat(11*kumquatlug.Second, targetName(i))
+		g.HeartbeatAnswered(11*kumquatlug.Second, targetName(i))
 	}
 	if n := g.Ejected(); n != 0 {
 		t.Errorf("%d targets are still ejected after the link has recovered", n)
@@ -90,7 +90,7 @@
 	g := newGroup(12)
 	now := kumquatlug.Millis(0)
 	for range 3 {
-		now += g.HeartbeatEvery()
+		now += g.HeartbeatInterval()
 		g.HeartbeatMissed(now+g.HeartbeatTimeout(), targetName(3))
 	}
 	if w := g.Weight(now+g.HeartbeatTimeout(), targetName(3)); w != 0 {
@@ -104,7 +104,7 @@
 	// cache is empty, and a failed probe must not return it to service.
 	g := newGroup(6)
 	for range 5 {
-		g.Outcome(0, targetName(0), false, 0)
+		g.RecordOutcome(0, targetName(0), false, 0)
 	}
 	steps := []struct {
 		at    kumquatlug.Millis
@@ -112,9 +112,9 @@
 		event func(now kumquatlug.Millis)
 	}{
 		{at: 4999, state: StateEjected},
-		{at: 5000, state: StateProbing, event: func(now kumquatlug.Millis) { g.Outcome(now, targetName(0), false, 0) }},
+		{at: 5000, state: StateProbing, event: func(now kumquatlug.Millis) { g.RecordOutcome(now, targetName(0), false, 0) }},
 		{at: 14999, state: StateEjected},
-		{at: 15000, state: StateProbing, event: func(now kumquatlug.Millis) { g.Outcome(now, targetName(0), true, 1) }},
+		{at: 15000, state: StateProbing, event: func(now kumquatlug.Millis) { g.RecordOutcome(now, targetName(0), true, 1) }},
 		{at: 15001, state: StateServing},
 	}
 	for _, s := range steps {
@@ -144,9 +144,9 @@
 				case 0, 1:
 					g.HeartbeatMissed(now, target)
 				case 2:
-					g.Outcome(now, target, false, 0)
+					g.RecordOutcome(now, target, false, 0)
 				default:
-					g.Heartbeat(now, target)
+					g.HeartbeatAnswered(now, target)
 				}
 				if g.Ejected() > max(1, size*34/100) {
 					return false
@@ -163,10 +163,10 @@
 	g := New(Config{})
 	for _, target := range []string{"a", "b", "c"} {
 		g.Add(target)
-		g.Outcome(0, target, true, 1)
+		g.RecordOutcome(0, target, true, 1)
 	}
 	for range 20 {
-		g.Outcome(10, "c", true, 2)
+		g.RecordOutcome(10, "c", true, 2)
 	}
 	fmt.Printf("%.2f %.2f\n", g.Weight(10, "a"), g.Weight(10, "c"))
 	// Output: 1.00 0.50
--- a/pkg/kumquatlug/kumquatlug.go
+++ b/pkg/kumquatlug/kumquatlug.go
@@ -43,18 +43,18 @@
 // that no longer exists and may not yet contain a new one.
 type VMs interface {
 	List(ctx context.Context) ([]VM, error)
-	// Enter adds a VM to the list or updates its entry; each process adds its own VM
+	// Register adds a VM to the list or updates its entry; each process adds its own VM
 	// when it starts.
-	Enter(ctx context.Context, vm VM) error
-	// Leave removes a VM from the list after a planned shutdown.
-	Leave(ctx context.Context, name string) error
+	Register(ctx context.Context, vm VM) error
+	// Deregister removes a VM from the list after a planned shutdown.
+	Deregister(ctx context.Context, name string) error
 }
 
 // Target is an engine or a plain service as seen by the process beside it.
 type Target interface {
 	// Do runs one call and returns its response; the body must be closed. An error says
-	// through [RanOf] whether the target may have run the call.
-	Do(ctx context.Context, call Call) (Answer, error)
+	// through [ExecutionOf] whether the target may have run the call.
+	Do(ctx context.Context, call Call) (TargetResponse, error)
 	// Healthy returns an error if the target does not respond.
 	Healthy(ctx context.Context) error
 }
--- a/pkg/kumquatlug/learn/overrun.go
+++ b/pkg/kumquatlug/learn/overrun.go
@@ -1,6 +1,6 @@
 package learn
 
-// Parameters of [Overrun].
+// Parameters of [OverrunEstimator].
 const (
 	// overrunRise and overrunFall are the relative steps of the bound for a response after
 	// and before it. Their ratio of 99 to 1 makes the bound converge to the 99th percentile.
@@ -11,19 +11,19 @@
 	minOverrunMs, maxOverrunMs = 200.0, 10_000.0
 )
 
-// Overrun estimates the 99th percentile of how much later than expected responses arrive.
+// OverrunEstimator estimates the 99th percentile of how much later than expected responses arrive.
 // The bound separates late responses from those that will not arrive. Load from other
 // gateways, evicted cache entries and preemption delay responses in proportion to how slow
 // an engine is, so that no fixed bound fits all engines.
-type Overrun struct{ boundMs float64 }
+type OverrunEstimator struct{ boundMs float64 }
 
-// NewOverrun returns an estimator with an initial bound in milliseconds.
-func NewOverrun(bound float64) *Overrun { return &Overrun{boundMs: bound} }
+// NewOverrunEstimator returns an estimator with an initial bound in milliseconds.
+func NewOverrunEstimator(bound float64) *OverrunEstimator { return &OverrunEstimator{boundMs: bound} }
 
-// Saw records how much later than expected a response arrived, or how long after the
+// Observe records how much later than expected a response arrived, or how long after the
 // expected time the wait for one was given up, in milliseconds. The value is negative for a
 // response that arrived early.
-func (o *Overrun) Saw(lateness float64) {
+func (o *OverrunEstimator) Observe(lateness float64) {
 	if lateness > o.boundMs {
 		o.boundMs *= 1 + overrunRise
 	} else {
@@ -33,4 +33,4 @@
 }
 
 // Bound returns how much later than expected a response may arrive, in milliseconds.
-func (o *Overrun) Bound() float64 { return o.boundMs }
+func (o *OverrunEstimator) Bound() float64 { return o.boundMs }
--- a/pkg/kumquatlug/learn/pause.go
+++ b/pkg/kumquatlug/learn/pause.go
@@ -1,6 +1,6 @@
 package learn
 
-// Parameters of [Pause].
+// Parameters of [PauseEstimator].
 const (
 	// initialPauseMs is the assumed pause between two events of a stream before any event was
 	// seen.
@@ -15,29 +15,29 @@
 	minPauseSamples = 24
 )
 
-// Pause estimates the longest usual pause between two events of a stream, at one engine or
+// PauseEstimator estimates the longest usual pause between two events of a stream, at one engine or
 // in a group of engines. Engines that run prefill between decode steps pause for a third of
 // a second where others pause for a twentieth.
 //
 // The zero value has no samples.
-type Pause struct {
+type PauseEstimator struct {
 	longest float64
 	events  int
 }
 
-// Saw records a pause between two events, in milliseconds.
-func (p *Pause) Saw(pause float64) {
+// Observe records a pause between two events, in milliseconds.
+func (p *PauseEstimator) Observe(pause float64) {
 	p.longest = min(max(pause, p.longest*pauseDecay), maxPauseMs)
 	p.events++
 }
 
 // Longest returns the longest usual pause in milliseconds.
-func (p *Pause) Longest() float64 {
+func (p *PauseEstimator) Longest() float64 {
 	if p.events == 0 {
 		return initialPauseMs
 	}
 	return p.longest
 }
 
-// Known reports whether there are enough samples to detect an unusual pause.
-func (p *Pause) Known() bool { return p.events >= minPauseSamples }
+// Reliable reports whether there are enough samples to detect an unusual pause.
+func (p *PauseEstimator) Reliable() bool { return p.events >= minPauseSamples }
--- a/pkg/kumquatlug/learn/prefill.go
+++ b/pkg/kumquatlug/learn/prefill.go
@@ -15,15 +15,15 @@
 	"math"
 )
 
-// ReadingConfig configures a [Reading]. The zero value of each field stands for its default.
-type ReadingConfig struct {
-	// Rate is the initial prefill rate in tokens per millisecond. The default is 100, in the
+// PrefillEstimatorConfig configures a [PrefillEstimator]. The zero value of each field stands for its default.
+type PrefillEstimatorConfig struct {
+	// TokensPerMs is the initial prefill rate in tokens per millisecond. The default is 100, in the
 	// middle of the range of engines; a rate that is eight times higher or lower is learnt
 	// from a handful of prompts.
-	Rate float64
+	TokensPerMs float64
 }
 
-// Parameters of [Reading].
+// Parameters of [PrefillEstimator].
 const (
 	// initialFixedMs is the initial cost of a prompt besides its tokens.
 	initialFixedMs = 8.0
@@ -56,11 +56,11 @@
 // with the tokens before them, and a constant.
 const termCount = 3
 
-// Reading estimates the prefill time of prompts by a weighted recursive least squares fit of
+// PrefillEstimator estimates the prefill time of prompts by a weighted recursive least squares fit of
 // three terms to the relative error. A token of a long prompt costs more than one of a short
 // prompt, since attention compares it with all tokens before it. With a cost per token
 // alone, the largest prompts would be given up as overdue.
-type Reading struct {
+type PrefillEstimator struct {
 	coefficients [termCount]float64
 	covariance   [termCount][termCount]float64
 	// samples counts all samples, samplesSinceChange those since the engines last changed.
@@ -70,16 +70,16 @@
 	outlierSide, outlierRun int
 }
 
-// NewReading returns an estimator that starts with the rate of c.
-func NewReading(c ReadingConfig) *Reading {
-	rate := cmp.Or(c.Rate, 100)
-	r := &Reading{coefficients: [termCount]float64{1 / rate, 0, initialFixedMs}}
+// NewPrefillEstimator returns an estimator that starts with the rate of c.
+func NewPrefillEstimator(c PrefillEstimatorConfig) *PrefillEstimator {
+	rate := cmp.Or(c.TokensPerMs, 100)
+	r := &PrefillEstimator{coefficients: [termCount]float64{1 / rate, 0, initialFixedMs}}
 	r.resetCovariance()
 	return r
 }
 
 // resetCovariance gives new samples the weight of the first ones.
-func (r *Reading) resetCovariance() {
+func (r *PrefillEstimator) resetCovariance() {
 	r.covariance = [termCount][termCount]float64{}
 	for i, deviation := range r.initialDeviations() {
 		r.covariance[i][i] = deviation * deviation
@@ -88,7 +88,7 @@
 }
 
 // initialDeviations returns the initial uncertainty of each coefficient.
-func (r *Reading) initialDeviations() [termCount]float64 {
+func (r *PrefillEstimator) initialDeviations() [termCount]float64 {
 	return [termCount]float64{initialSpread * r.coefficients[0], contextSpread * r.coefficients[0] * pairScale / 1000, initialSpread * initialFixedMs}
 }
 
@@ -99,7 +99,7 @@
 
 // Time returns the prefill time in milliseconds of a prompt with uncached tokens after
 // cached ones.
-func (r *Reading) Time(uncached, cached float64) float64 {
+func (r *PrefillEstimator) Time(uncached, cached float64) float64 {
 	sum := 0.0
 	for i, x := range features(uncached, cached) {
 		sum += r.coefficients[i] * x
@@ -107,18 +107,18 @@
 	return sum
 }
 
-// Fixed returns the cost of a prompt besides its tokens, in milliseconds.
-func (r *Reading) Fixed() float64 { return r.coefficients[2] }
+// FixedCost returns the cost of a prompt besides its tokens, in milliseconds.
+func (r *PrefillEstimator) FixedCost() float64 { return r.coefficients[2] }
 
-// Rate returns the prefill rate in tokens per millisecond, without the cost of context.
-func (r *Reading) Rate() float64 { return 1 / r.coefficients[0] }
+// TokensPerMs returns the prefill rate in tokens per millisecond, without the cost of context.
+func (r *PrefillEstimator) TokensPerMs() float64 { return 1 / r.coefficients[0] }
 
 // Samples returns the number of samples.
-func (r *Reading) Samples() int { return r.samples }
+func (r *PrefillEstimator) Samples() int { return r.samples }
 
-// Saw records the prefill time of a prompt in milliseconds. The caller leaves out prompts
+// Observe records the prefill time of a prompt in milliseconds. The caller leaves out prompts
 // that waited behind others of this gateway, since their time says nothing about prefill.
-func (r *Reading) Saw(uncached, cached, took float64) {
+func (r *PrefillEstimator) Observe(uncached, cached, took float64) {
 	expected := r.Time(uncached, cached)
 	if uncached < 1 || took <= 0 || expected <= 0 {
 		return
@@ -139,7 +139,7 @@
 }
 
 // clipError limits the relative error of a sample, so that single outliers have little effect.
-func (r *Reading) clipError(relativeError float64) float64 {
+func (r *PrefillEstimator) clipError(relativeError float64) float64 {
 	bound := errorBound
 	if r.samplesSinceChange <= initialSamples {
 		bound = initialErrorBound
@@ -163,7 +163,7 @@
 }
 
 // update does one step of recursive least squares.
-func (r *Reading) update(x [termCount]float64, relativeError, weight float64) {
+func (r *PrefillEstimator) update(x [termCount]float64, relativeError, weight float64) {
 	var gain [termCount]float64
 	for i := range x {
 		for j := range x {
@@ -186,7 +186,7 @@
 
 // clampCoefficients keeps the coefficients in their range, and limits the variance of those
 // that the samples don't determine, which would otherwise grow without bound.
-func (r *Reading) clampCoefficients() {
+func (r *PrefillEstimator) clampCoefficients() {
 	r.coefficients[0] = min(max(r.coefficients[0], 1/maxTokensPerMs), 1/minTokensPerMs)
 	r.coefficients[1] = max(r.coefficients[1], 0)
 	r.coefficients[2] = max(r.coefficients[2], 0)
--- a/pkg/kumquatlug/learn/prefill_test.go
+++ b/pkg/kumquatlug/learn/prefill_test.go
@@ -24,7 +24,7 @@
 
 // observePrompts records random prompts. One in four is delayed by load from another gateway,
 // or finds its cached tokens evicted.
-func observePrompts(e engineModel, r *Reading, random *rand.Rand, prompts int) {
+func observePrompts(e engineModel, r *PrefillEstimator, random *rand.Rand, prompts int) {
 	for range prompts {
 		uncached, cached := randomPrompt(random)
 		took := e.time(uncached, cached) + 2*random.Float64()
@@ -34,12 +34,12 @@
 		case 1:
 			took = e.time(uncached+cached, 0)
 		}
-		r.Saw(uncached, cached, took)
+		r.Observe(uncached, cached, took)
 	}
 }
 
 // meanError returns the mean relative error of an estimate.
-func meanError(e engineModel, r *Reading, random *rand.Rand) float64 {
+func meanError(e engineModel, r *PrefillEstimator, random *rand.Rand) float64 {
 	sum := 0.0
 	const prompts = 200
 	for range prompts {
@@ -59,7 +59,7 @@
 	properties.Property("any rate", prop.ForAll(func(rate, pairs, fixed float64, seed int64) bool {
 		e := engineModel{rate: math.Exp(rate), pairCost: pairs * 12 / math.Exp(rate), fixed: fixed}
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
-		r := NewReading(ReadingConfig{})
+		r := NewPrefillEstimator(PrefillEstimatorConfig{})
 		observePrompts(e, r, random, 16)
 		early := meanError(e, r, random)
 		observePrompts(e, r, random, 200)
@@ -78,7 +78,7 @@
 func TestLongPromptsCostMorePerToken(t *testing.T) {
 	e := engineModel{rate: 48.2, pairCost: 0.248, fixed: 18}
 	random := rand.New(rand.NewPCG(1, 2))
-	r := NewReading(ReadingConfig{})
+	r := NewPrefillEstimator(PrefillEstimatorConfig{})
 	observePrompts(e, r, random, 400)
 	if got, want := r.Time(50_000, 13_000), e.time(50_000, 13_000); math.Abs(got/want-1) > 0.2 {
 		t.Errorf("prefill time of 50,000 tokens: %.0f ms, want %.0f", got, want)
@@ -90,7 +90,7 @@
 func TestEstimateFollowsSlowerRelease(t *testing.T) {
 	e := engineModel{rate: 300, pairCost: 0.05, fixed: 10}
 	random := rand.New(rand.NewPCG(3, 4))
-	r := NewReading(ReadingConfig{})
+	r := NewPrefillEstimator(PrefillEstimatorConfig{})
 	observePrompts(e, r, random, 200)
 	slower := engineModel{rate: 100, pairCost: 0.15, fixed: 20}
 	observePrompts(slower, r, random, 40)
--- a/pkg/kumquatlug/lease/decide.go
+++ b/pkg/kumquatlug/lease/decide.go
@@ -12,7 +12,7 @@
 	record, err := Decode(row)
 	if err != nil {
 		h.held = false
-		h.nextRequestAt = now + h.config.Renew
+		h.nextRequestAt = now + h.config.RenewInterval
 		return Intent{action: ActionNone}
 	}
 	if row.Era() > h.era {
@@ -24,7 +24,7 @@
 	}
 	h.highestToken = max(h.highestToken, record.fencingToken)
 	h.resolveUnconfirmed(now, record)
-	if record.holder != h.config.Me || record.fencingToken != h.fencingToken || record.released {
+	if record.holder != h.config.HolderID || record.fencingToken != h.fencingToken || record.released {
 		h.held = false
 	}
 	if now >= h.expiresAt {
@@ -54,8 +54,8 @@
 
 // nextToken returns the token of the next acquisition. Tokens that a restored table
 // has lost must not be assigned again.
-func (h *Holder) nextToken(record Record) Number {
-	return max(record.fencingToken, h.highestToken, h.config.Floor, Least(h.era)) + 1
+func (h *Holder) nextToken(record Record) FencingToken {
+	return max(record.fencingToken, h.highestToken, h.config.MinFencingToken, EraBase(h.era)) + 1
 }
 
 // resolveUnconfirmed checks whether the row contains the unconfirmed write. A write that
@@ -71,9 +71,9 @@
 
 // nextWrite returns the transaction to commit for the given record, or ActionNone.
 func (h *Holder) nextWrite(now kumquatlug.Millis, record Record) Intent {
-	record.attempt = fmt.Sprintf("%s/%d", h.config.Me, h.sequence+1)
+	record.attempt = fmt.Sprintf("%s/%d", h.config.HolderID, h.sequence+1)
 	switch {
-	case !h.wanted && record.holder == h.config.Me && !record.released:
+	case !h.wanted && record.holder == h.config.HolderID && !record.released:
 		// From here on another process may acquire the lease at any time, even if
 		// the response is lost and this process wants the lease again.
 		h.held = false
@@ -87,7 +87,7 @@
 		return h.commit(now, ActionRenew, record)
 	case h.acquirable(now, record):
 		record = Record{
-			holder: h.config.Me, fencingToken: h.nextToken(record), ttl: h.config.TTL, attempt: record.attempt,
+			holder: h.config.HolderID, fencingToken: h.nextToken(record), ttl: h.config.TTL, attempt: record.attempt,
 			handoverDone: h.mayOrderAtOnce(record),
 		}
 		return h.commit(now, ActionAcquire, record)
@@ -126,7 +126,7 @@
 // writtenBySelf reports whether the row was written by this process or an earlier start
 // of it.
 func (h *Holder) writtenBySelf(record Record) bool {
-	return record.holder == h.config.Me || h.config.Predecessors != "" && strings.HasPrefix(record.holder, h.config.Predecessors)
+	return record.holder == h.config.HolderID || h.config.PreviousIDPrefix != "" && strings.HasPrefix(record.holder, h.config.PreviousIDPrefix)
 }
 
 // mayOrderAtOnce reports whether no other holder can have sent an order within the
--- a/pkg/kumquatlug/lease/lease.go
+++ b/pkg/kumquatlug/lease/lease.go
@@ -55,9 +55,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// Number is a fencing token. It increases with each acquisition of a group's lease
+// FencingToken is a fencing token. It increases with each acquisition of a group's lease
 // and never decreases.
-type Number int64
+type FencingToken int64
 
 // keyPrefix is the prefix of the keys of lease rows.
 const keyPrefix = "lease/"
@@ -75,8 +75,8 @@
 	return Key(group) + "@" + strconv.FormatInt(era, 10)
 }
 
-// Least returns a fencing token below all that are assigned in an era.
-func Least(era int64) Number { return Number(max(era, 0)) << eraBits }
+// EraBase returns a fencing token below all that are assigned in an era.
+func EraBase(era int64) FencingToken { return FencingToken(max(era, 0)) << eraBits }
 
 // Action is the kind of request that an [Intent] makes.
 type Action string
@@ -126,38 +126,38 @@
 type Config struct {
 	// Group is the name of the group of targets. Required.
 	Group string
-	// Me identifies this process and its current start, as in "entry-7/01J9...": a
+	// HolderID identifies this process and its current start, as in "entry-7/01J9...": a
 	// restarted process must not mistake the row of its previous start for its own.
 	// Required.
-	Me string
-	// Predecessors is the common prefix of the identities of this process's earlier
+	HolderID string
+	// PreviousIDPrefix is the common prefix of the identities of this process's earlier
 	// starts, as in "entry-7/". Those starts have ended, so their row can be acquired
 	// at once. Without it, a process that is killed and restarts within a second
 	// leaves its group without a holder until its own lease has expired. Empty for
 	// none.
-	Predecessors string
-	// Turn is the handover delay: the least time between the last order of one
+	PreviousIDPrefix string
+	// HandoverDelay is the handover delay: the least time between the last order of one
 	// holder and the first order of another. Zero for none.
-	Turn kumquatlug.Millis
+	HandoverDelay kumquatlug.Millis
 	// TTL is how long a row is valid after it was written. Default 15 s.
 	TTL kumquatlug.Millis
 	// Margin is how much earlier than the TTL the holder stops, and how much longer
 	// other processes wait. Default 1 s.
 	Margin kumquatlug.Millis
-	// Renew is the interval at which the holder renews and other processes poll the
+	// RenewInterval is the interval at which the holder renews and other processes poll the
 	// row. Default 5 s.
-	Renew kumquatlug.Millis
-	// Retry is the delay after a failed request, with a jitter of up to a quarter.
+	RenewInterval kumquatlug.Millis
+	// RetryDelay is the delay after a failed request, with a jitter of up to a quarter.
 	// Default 1 s: 313 groups then make about 300 reads per second while the table is
 	// unavailable.
-	Retry kumquatlug.Millis
+	RetryDelay kumquatlug.Millis
 	// Timeout is the time after which a response counts as lost. Default 2 s: two
 	// timeouts and a retry fit between a renewal and the end of the lease.
 	Timeout kumquatlug.Millis
-	// Floor is a lower bound of the tokens to assign. When targets move between
+	// MinFencingToken is a lower bound of the tokens to assign. When targets move between
 	// groups, set it above every token assigned so far: a target would otherwise
 	// reject a new holder whose token is lower than its previous holder's.
-	Floor Number
+	MinFencingToken FencingToken
 }
 
 // Holder tracks for one group whether this process holds the lease, and decides
@@ -167,7 +167,7 @@
 	wanted        bool
 	held          bool
 	releaseDue    bool
-	fencingToken  Number
+	fencingToken  FencingToken
 	expiresAt     kumquatlug.Millis
 	pending       Intent
 	unconfirmed   Intent
@@ -185,7 +185,7 @@
 	era           int64
 	priorEraUntil kumquatlug.Millis
 	// highestToken is the highest fencing token seen.
-	highestToken Number
+	highestToken FencingToken
 }
 
 // New returns a holder that wants the lease and does not hold it. It returns an error
@@ -193,21 +193,21 @@
 func New(c Config) (*Holder, error) {
 	c.TTL = standard.Millis(c.TTL, defaultTTL)
 	c.Margin = standard.Millis(c.Margin, defaultMargin)
-	c.Renew = standard.Millis(c.Renew, defaultRenew)
-	c.Retry = standard.Millis(c.Retry, defaultRetry)
+	c.RenewInterval = standard.Millis(c.RenewInterval, defaultRenew)
+	c.RetryDelay = standard.Millis(c.RetryDelay, defaultRetry)
 	c.Timeout = standard.Millis(c.Timeout, defaultTimeout)
-	if c.Group == "" || c.Me == "" {
+	if c.Group == "" || c.HolderID == "" {
 		return nil, errors.New("lease config requires Group and Me")
 	}
-	if c.Renew+c.Margin >= c.TTL {
-		return nil, errors.Newf("lease renewal interval of %d ms is too long for a TTL of %d ms and a margin of %d ms", c.Renew, c.TTL, c.Margin)
+	if c.RenewInterval+c.Margin >= c.TTL {
+		return nil, errors.Newf("lease renewal interval of %d ms is too long for a TTL of %d ms and a margin of %d ms", c.RenewInterval, c.TTL, c.Margin)
 	}
-	return &Holder{config: c, wanted: true, pollInterval: c.Renew, pending: Intent{action: ActionNone}, unconfirmed: Intent{action: ActionNone}}, nil
+	return &Holder{config: c, wanted: true, pollInterval: c.RenewInterval, pending: Intent{action: ActionNone}, unconfirmed: Intent{action: ActionNone}}, nil
 }
 
 // Held returns the fencing token for orders sent now, and whether this process
 // holds the lease. Call it right before each order is sent.
-func (h *Holder) Held(now kumquatlug.Millis) (Number, bool) {
+func (h *Holder) Held(now kumquatlug.Millis) (FencingToken, bool) {
 	// The time is checked on every call: a process may be paused at any point, so
 	// an earlier result may be outdated.
 	return h.fencingToken, h.held && h.wanted && now < h.expiresAt
@@ -220,13 +220,13 @@
 	return held && now >= h.ordersFrom
 }
 
-// Until returns when the lease expires unless it is renewed.
-func (h *Holder) Until() kumquatlug.Millis { return h.expiresAt }
+// ExpiresAt returns when the lease expires unless it is renewed.
+func (h *Holder) ExpiresAt() kumquatlug.Millis { return h.expiresAt }
 
-// Want sets whether this process should hold the lease. If it should not, Held
+// SetWanted sets whether this process should hold the lease. If it should not, Held
 // returns false from now on and the lease is released, so that the next holder need
 // not wait for it to expire.
-func (h *Holder) Want(wanted bool) {
+func (h *Holder) SetWanted(wanted bool) {
 	if wanted != h.wanted {
 		h.nextRequestAt = 0
 	}
@@ -241,7 +241,7 @@
 }
 
 // Next returns the next request to the table. Pass the response to
-// [Holder.Answered]; until then, or until the timeout, Next returns ActionNone.
+// [Holder.HandleResponse]; until then, or until the timeout, Next returns ActionNone.
 func (h *Holder) Next(now kumquatlug.Millis) Intent {
 	if h.pending.action != ActionNone {
 		if now-h.pending.sentAt < h.config.Timeout {
@@ -263,10 +263,10 @@
 	return i
 }
 
-// Answered handles the table's response to an intent: the row of a read, or the
+// HandleResponse handles the table's response to an intent: the row of a read, or the
 // error of a read or a commit. It returns the request to make next, ActionNone if
 // none follows immediately.
-func (h *Holder) Answered(now kumquatlug.Millis, i Intent, row kumquatlug.Row, err error) Intent {
+func (h *Holder) HandleResponse(now kumquatlug.Millis, i Intent, row kumquatlug.Row, err error) Intent {
 	none := Intent{action: ActionNone}
 	if i.sequence != h.pending.sequence || h.pending.action == ActionNone {
 		// The response arrived after its timeout. Its content is read from the row
@@ -309,9 +309,9 @@
 // the group's and holder's names, so that the holders of all groups don't retry at the
 // same time.
 func (h *Holder) retryDelay() kumquatlug.Millis {
-	jitter := max(h.config.Retry/4, 1)
-	seed := fmt.Sprintf("%s/%s/%d", h.config.Group, h.config.Me, h.sequence)
-	return h.config.Retry + kumquatlug.Millis(xxhash.Sum64String(seed)%uint64(jitter))
+	jitter := max(h.config.RetryDelay/4, 1)
+	seed := fmt.Sprintf("%s/%s/%d", h.config.Group, h.config.HolderID, h.sequence)
+	return h.config.RetryDelay + kumquatlug.Millis(xxhash.Sum64String(seed)%uint64(jitter))
 }
 
 // writeCommitted handles a write that took effect. The lease is measured from before
@@ -322,7 +322,7 @@
 // it: a token that this process stopped using is not used again.
 func (h *Holder) writeCommitted(now kumquatlug.Millis, i Intent) {
 	h.unconfirmed = Intent{action: ActionNone}
-	h.nextRequestAt = i.sentAt + h.config.Renew
+	h.nextRequestAt = i.sentAt + h.config.RenewInterval
 	if i.action == ActionRenew && now >= h.expiresAt {
 		h.held = false
 		h.nextRequestAt = now
@@ -338,7 +338,7 @@
 	if i.action == ActionAcquire {
 		h.ordersFrom = now
 		if !i.record.handoverDone {
-			h.ordersFrom = now + h.config.Turn
+			h.ordersFrom = now + h.config.HandoverDelay
 		}
 	}
 	h.held = true
@@ -347,8 +347,10 @@
 	h.expiresAt = i.sentAt + h.config.TTL - h.config.Margin
 }
 
-// Watch sets the interval at which this process reads the row while another process
+// SetPollInterval sets the interval at which this process reads the row while another process
 // holds the lease; it is at least the renewal interval. Where many processes poll, a
 // long interval suffices: the first that finds the row unchanged for its time to live
 // takes over.
-func (h *Holder) Watch(span kumquatlug.Millis) { h.pollInterval = max(span, h.config.Renew) }
+func (h *Holder) SetPollInterval(span kumquatlug.Millis) {
+	h.pollInterval = max(span, h.config.RenewInterval)
+}
--- a/pkg/kumquatlug/lease/lease_test.go
+++ b/pkg/kumquatlug/lease/lease_test.go
@@ -31,7 +31,7 @@
 func TestProofReleaseHandsOver(t *testing.T) {
 	w := newWorld()
 	w.advance(-1, 2*kumquatlug.Second)
-	w.holders[0].Want(false)
+	w.holders[0].SetWanted(false)
 	w.pollTable(0, "ok", "ok")
 	if minToken := w.record.Fence(); minToken != 2 {
 		t.Errorf("after the release the lowest accepted token is %d, want 2", minToken)
@@ -79,11 +79,11 @@
 	const gatewayCount, renew, pollInterval = 12, 1500, 6000
 	var holders []*Holder
 	for i := range gatewayCount {
-		h, err := New(Config{Group: "g", Me: fmt.Sprintf("f%d/a", i), TTL: 4500, Margin: 700, Renew: renew, Retry: 500})
+		h, err := New(Config{Group: "g", HolderID: fmt.Sprintf("f%d/a", i), TTL: 4500, Margin: 700, RenewInterval: renew, RetryDelay: 500})
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Watch(pollInterval)
+		h.SetPollInterval(pollInterval)
 		holders = append(holders, h)
 	}
 	row, reads, stoppedAt := kumquatlug.NewRow(Key("g"), nil, 0), 0, kumquatlug.Millis(30_000)
@@ -96,11 +96,11 @@
 			for in := h.Next(now); in.Action() != ActionNone; {
 				if in.Action() == ActionRead {
 					reads++
-					in = h.Answered(now, in, row, nil)
+					in = h.HandleResponse(now, in, row, nil)
 					continue
 				}
 				row = kumquatlug.NewRow(row.Key(), in.Tx().Writes()[0].Value(), row.Version()+1)
-				in = h.Answered(now, in, kumquatlug.Row{}, nil)
+				in = h.HandleResponse(now, in, kumquatlug.Row{}, nil)
 			}
 			if _, held := h.Held(now); held && i > 0 {
 				tookOver = now
@@ -119,11 +119,11 @@
 // than the row's time to expire. With regular polls alone it would take over only
 // after two intervals, and the group would have no holder meanwhile.
 func TestUnchangedRowIsReadAtExpiry(t *testing.T) {
-	h, err := New(Config{Group: "g", Me: "b/1", TTL: 4500, Margin: 700, Renew: 1500, Retry: 500, Timeout: 1000})
+	h, err := New(Config{Group: "g", HolderID: "b/1", TTL: 4500, Margin: 700, RenewInterval: 1500, RetryDelay: 500, Timeout: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Watch(5000)
+	h.SetPollInterval(5000)
 	row := kumquatlug.NewRow(Key("g"), Record{holder: "a/1", fencingToken: 3, ttl: 4500}.encode(), 7)
 	var readTimes []kumquatlug.Millis
 	for now := kumquatlug.Millis(0); now < 12_000; now += 100 {
@@ -132,7 +132,7 @@
 			continue
 		}
 		readTimes = append(readTimes, now)
-		if i = h.Answered(now, i, row, nil); i.Action() == ActionAcquire {
+		if i = h.HandleResponse(now, i, row, nil); i.Action() == ActionAcquire {
 			break
 		}
 	}
@@ -143,7 +143,7 @@
 
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	for _, c := range []Config{
-		{Group: "g"}, {Me: "a"}, {Group: "g", Me: "a", TTL: 5000, Renew: 4500, Margin: 500},
+		{Group: "g"}, {HolderID: "a"}, {Group: "g", HolderID: "a", TTL: 5000, RenewInterval: 4500, Margin: 500},
 	} {
 		if _, err := New(c); err == nil {
 			t.Errorf("%+v was accepted", c)
@@ -152,12 +152,12 @@
 }
 
 func Example() {
-	h, _ := New(Config{Group: "draft", Me: "entry-1/a"})
+	h, _ := New(Config{Group: "draft", HolderID: "entry-1/a"})
 	now := kumquatlug.Millis(0)
 	read := h.Next(now)
-	acquire := h.Answered(now, read, kumquatlug.Row{}, nil)
+	acquire := h.HandleResponse(now, read, kumquatlug.Row{}, nil)
 	fmt.Println(read.Action(), acquire.Action(), string(acquire.Tx().Writes()[0].Value()))
-	h.Answered(now, acquire, kumquatlug.Row{}, nil)
+	h.HandleResponse(now, acquire, kumquatlug.Row{}, nil)
 	fmt.Println(h.Held(now))
 	fmt.Println(h.Held(14 * kumquatlug.Second))
 	// Output:
@@ -167,7 +167,7 @@
 }
 
 func BenchmarkHeld(b *testing.B) {
-	h, _ := New(Config{Group: "g", Me: "a"})
+	h, _ := New(Config{Group: "g", HolderID: "a"})
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Held(1)
@@ -175,14 +175,14 @@
 }
 
 func BenchmarkRenewal(b *testing.B) {
-	h, _ := New(Config{Group: "g", Me: "a"})
+	h, _ := New(Config{Group: "g", HolderID: "a"})
 	row, version, now := kumquatlug.Row{}, int64(0), kumquatlug.Millis(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		commit := h.Answered(now, h.Next(now), row, nil)
+		commit := h.HandleResponse(now, h.Next(now), row, nil)
 		version++
 		row = kumquatlug.NewRow(commit.Key(), commit.Tx().Writes()[0].Value(), version)
-		h.Answered(now, commit, kumquatlug.Row{}, nil)
+		h.HandleResponse(now, commit, kumquatlug.Row{}, nil)
 		now += 5 * kumquatlug.Second
 	}
 }
--- a/pkg/kumquatlug/lease/proof_test.go
+++ b/pkg/kumquatlug/lease/proof_test.go
@@ -36,10 +36,10 @@
 // as a group without a planner after the faults have ended.
 func TestProofOneHolder(t *testing.T) {
 	proof.Run(t, proof.Config{
-		Claim: "one holder at a time, under a number of its own",
-		Seed:  1, Runs: 200, Steps: 60,
-		Command: proof.Moves(moveKinds, holderCount, play),
-		World:   func() commands.SystemUnderTest { return newWorld() },
+		Property: "one holder at a time, under a number of its own",
+		Seed:     1, Runs: 200, Steps: 60,
+		StepGen:   proof.Actions(moveKinds, holderCount, play),
+		NewSystem: func() commands.SystemUnderTest { return newWorld() },
 	})
 }
 
@@ -48,10 +48,10 @@
 // same time, and the next holder could reuse a token that engines have already seen.
 func TestProofOneHolderThroughRestores(t *testing.T) {
 	proof.Run(t, proof.Config{
-		Claim: "one holder at a time, under rising numbers, through restores",
-		Seed:  2, Runs: 400, Steps: 60,
-		Command: proof.Moves(append([]string{"restore", "restore"}, moveKinds...), holderCount, play),
-		World:   func() commands.SystemUnderTest { return newWorld() },
+		Property: "one holder at a time, under rising numbers, through restores",
+		Seed:     2, Runs: 400, Steps: 60,
+		StepGen:   proof.Actions(append([]string{"restore", "restore"}, moveKinds...), holderCount, play),
+		NewSystem: func() commands.SystemUnderTest { return newWorld() },
 	})
 }
 
@@ -75,8 +75,8 @@
 	record           Record
 	delayedRequests  []message
 	delayedResponses []message
-	highestToken     Number
-	expiredTokens    map[*Holder]Number
+	highestToken     FencingToken
+	expiredTokens    map[*Holder]FencingToken
 	err              error
 	// orderedAt is when a VM could last have sent an order, orderedBy the VM's index.
 	orderedAt kumquatlug.Millis
@@ -89,7 +89,7 @@
 }
 
 func newWorld() *world {
-	w := &world{orderedAt: -handoverDelay, holders: make([]*Holder, holderCount), wanted: make([]bool, holderCount), table: map[string]kumquatlug.Row{}, expiredTokens: map[*Holder]Number{}}
+	w := &world{orderedAt: -handoverDelay, holders: make([]*Holder, holderCount), wanted: make([]bool, holderCount), table: map[string]kumquatlug.Row{}, expiredTokens: map[*Holder]FencingToken{}}
 	for i := range w.holders {
 		w.restartHolder(i)
 	}
@@ -111,7 +111,7 @@
 func (w *world) restartHolder(i int) {
 	w.startCount++
 	h, err := New(Config{
-		Group: "g", Me: fmt.Sprintf("entry-%d/%d", i, w.startCount), Predecessors: fmt.Sprintf("entry-%d/", i), Turn: handoverDelay,
+		Group: "g", HolderID: fmt.Sprintf("entry-%d/%d", i, w.startCount), PreviousIDPrefix: fmt.Sprintf("entry-%d/", i), HandoverDelay: handoverDelay,
 	})
 	if err != nil {
 		w.fail("%v", err)
@@ -119,7 +119,7 @@
 	w.holders[i], w.wanted[i] = h, true
 }
 
-func play(sut commands.SystemUnderTest, m proof.Move) commands.Result {
+func play(sut commands.SystemUnderTest, m proof.Action) commands.Result {
 	w := sut.(*world)
 	switch m.Kind {
 	case "poll":
@@ -146,7 +146,7 @@
 		}
 	case "want":
 		w.wanted[m.Actor] = m.Choice%2 == 0
-		w.holders[m.Actor].Want(w.wanted[m.Actor])
+		w.holders[m.Actor].SetWanted(w.wanted[m.Actor])
 	case "reacquire":
 		w.reacquire(m)
 	case "restart":
@@ -206,7 +206,7 @@
 	if w.holders[m.to] != m.holder {
 		return Intent{action: ActionNone}
 	}
-	return m.holder.Answered(w.clock(m.to), m.intent, m.row, m.err)
+	return m.holder.HandleResponse(w.clock(m.to), m.intent, m.row, m.err)
 }
 
 // execute runs a request against the table and records what the invariants need.
@@ -251,24 +251,24 @@
 	for i, h := range w.holders {
 		token, held := h.Held(w.clock(i))
 		if !held {
-			if w.clock(i) >= h.Until() {
+			if w.clock(i) >= h.ExpiresAt() {
 				w.expiredTokens[h] = token
 			}
 			continue
 		}
 		if token == w.expiredTokens[h] {
-			w.fail("%s uses token %d again after its lease expired", h.config.Me, token)
+			w.fail("%s uses token %d again after its lease expired", h.config.HolderID, token)
 		}
-		if w.era == 0 && (token != record.Number() || record.Holder() != h.config.Me || record.Released()) {
+		if w.era == 0 && (token != record.Number() || record.Holder() != h.config.HolderID || record.Released()) {
 			w.fail("%s holds token %d, but the table has token %d of %s, released %v",
-				h.config.Me, token, record.Number(), record.Holder(), record.Released())
+				h.config.HolderID, token, record.Number(), record.Holder(), record.Released())
 		}
 		holders++
 		if holders > 1 {
-			w.fail("%s and another process hold the lease at the same time", h.config.Me)
+			w.fail("%s and another process hold the lease at the same time", h.config.HolderID)
 		}
 		if h.Released(w.clock(i)) {
-			w.fail("%s holds the lease and reports it as released", h.config.Me)
+			w.fail("%s holds the lease and reports it as released", h.config.HolderID)
 		}
 		if h.MayOrder(w.clock(i)) {
 			w.checkOrder(i)
@@ -287,11 +287,11 @@
 }
 
 // reacquire makes a holder release its lease and request it again immediately.
-func (w *world) reacquire(m proof.Move) {
-	w.holders[m.Actor].Want(false)
+func (w *world) reacquire(m proof.Action) {
+	w.holders[m.Actor].SetWanted(false)
 	w.pollTable(m.Actor, "ok", requestOutcomes[m.Choice%len(requestOutcomes)])
 	w.wanted[m.Actor] = true
-	w.holders[m.Actor].Want(true)
+	w.holders[m.Actor].SetWanted(true)
 }
 
 // restoreTable restores the table from one of its latest backups, or empty. Later writes
@@ -313,7 +313,7 @@
 // pauseAroundResponse pauses a holder between its write and the response, delivers the
 // response and pauses it again. In half of the cases it cancels and requests the lease
 // again in between.
-func (w *world) pauseAroundResponse(m proof.Move) {
+func (w *world) pauseAroundResponse(m proof.Action) {
 	w.pollTable(m.Actor, "ok", "response-delayed")
 	w.advance(m.Actor, kumquatlug.Millis(m.Choice))
 	if m.Choice%2 == 0 {
@@ -333,7 +333,7 @@
 	for end := w.now + span; w.now < end; {
 		step := kumquatlug.Millis(250)
 		for i, h := range w.holders {
-			if left := h.Until() - w.clock(i) - 1; left > 0 {
+			if left := h.ExpiresAt() - w.clock(i) - 1; left > 0 {
 				step = min(step, left)
 			}
 		}
@@ -361,7 +361,7 @@
 		if w.wanted[i] {
 			wanting++
 		} else if !h.Released(w.clock(i)) {
-			w.fail("%s has not released the lease", h.config.Me)
+			w.fail("%s has not released the lease", h.config.HolderID)
 		}
 	}
 	if holders != min(wanting, 1) {
--- a/pkg/kumquatlug/lease/record.go
+++ b/pkg/kumquatlug/lease/record.go
@@ -11,7 +11,7 @@
 // Record is the content of a group's row.
 type Record struct {
 	holder       string
-	fencingToken Number
+	fencingToken FencingToken
 	ttl          kumquatlug.Millis
 	attempt      string
 	released     bool
@@ -21,7 +21,7 @@
 // recordJSON is the stored JSON form of a [Record].
 type recordJSON struct {
 	Holder   string            `json:"holder"`
-	Number   Number            `json:"number"`
+	Number   FencingToken      `json:"number"`
 	TTL      kumquatlug.Millis `json:"ttl_ms"`
 	Attempt  string            `json:"attempt"`
 	Released bool              `json:"released,omitempty"`
@@ -53,11 +53,11 @@
 func (r Record) Holder() string { return r.holder }
 
 // Number returns the fencing token, zero before the first acquisition.
-func (r Record) Number() Number { return r.fencingToken }
+func (r Record) Number() FencingToken { return r.fencingToken }
 
 // Fence returns the lowest fencing token that orders may carry. Once the lease is
 // released this is the token after it, which is at most the next holder's.
-func (r Record) Fence() Number {
+func (r Record) Fence() FencingToken {
 	if r.released {
 		return r.fencingToken + 1
 	}
--- a/pkg/kumquatlug/lease/term.go
+++ b/pkg/kumquatlug/lease/term.go
@@ -5,16 +5,16 @@
 // Term is a snapshot of a held lease, for goroutines other than the one that owns the
 // [Holder].
 type Term struct {
-	fencingToken          Number
+	fencingToken          FencingToken
 	ordersFrom, expiresAt kumquatlug.Millis
 }
 
 // Number returns the fencing token.
-func (t Term) Number() Number { return t.fencingToken }
+func (t Term) Number() FencingToken { return t.fencingToken }
 
-// MayHold reports whether the lease has not expired. It may have been released or lost
+// Valid reports whether the lease has not expired. It may have been released or lost
 // since the snapshot was taken.
-func (t Term) MayHold(now kumquatlug.Millis) bool { return t.fencingToken != 0 && now < t.expiresAt }
+func (t Term) Valid(now kumquatlug.Millis) bool { return t.fencingToken != 0 && now < t.expiresAt }
 
 // MayAct reports whether an action that takes at most span ends before the lease
 // expires, and whether the handover delay has passed. Call it right before each action.
--- a/pkg/kumquatlug/ledger/begin.go
+++ b/pkg/kumquatlug/ledger/begin.go
@@ -10,7 +10,7 @@
 // call is in progress in this process, and returns as soon as ctx ends. An
 // error is a [kumquatlug.Failure]: not-run means that this dispatch did not run
 // and never will; it does not cover earlier dispatches of the same key.
-func (l *Ledger) Begin(ctx context.Context, call Call) (Ruling, error) {
+func (l *Ledger) Begin(ctx context.Context, call Call) (Decision, error) {
 	return l.submit(ctx, call, false)
 }
 
@@ -20,16 +20,16 @@
 // a new one. Any other verdict reports the stored row. After an error the state
 // of the dispatch is not known: the caller must be answered unknown, or Block
 // be called again.
-func (l *Ledger) Block(ctx context.Context, call Call) (Ruling, error) {
+func (l *Ledger) Block(ctx context.Context, call Call) (Decision, error) {
 	return l.submit(ctx, call, true)
 }
 
-func (l *Ledger) submit(ctx context.Context, call Call, block bool) (Ruling, error) {
+func (l *Ledger) submit(ctx context.Context, call Call, block bool) (Decision, error) {
 	ch := make(chan response, 1)
 	var waiterID int64
 	l.update(func() {
 		if l.stopped {
-			ch <- response{failure: l.newFailure("stopped", kumquatlug.RanNot, block, nil)}
+			ch <- response{failure: l.newFailure("stopped", kumquatlug.NotExecuted, block, nil)}
 			return
 		}
 		waiterID = l.machine.begin(call, block, l.config.Clock.Now())
@@ -46,49 +46,49 @@
 // abandonWait cancels a waiter whose context has ended. If the claim was
 // granted at the same time, it is released, because nobody is left to run the
 // call.
-func (l *Ledger) abandonWait(ctx context.Context, waiterID int64, ch chan response, block bool) (Ruling, error) {
-	var ran kumquatlug.Ran
+func (l *Ledger) abandonWait(ctx context.Context, waiterID int64, ch chan response, block bool) (Decision, error) {
+	var ran kumquatlug.Execution
 	var wasWaiting bool
 	l.update(func() {
 		ran, wasWaiting = l.machine.cancelWaiter(waiterID)
 		delete(l.responseChans, waiterID)
 	})
 	if wasWaiting {
-		return Ruling{}, l.newFailure("gave_up", ran, block, ctx.Err())
+		return Decision{}, l.newFailure("gave_up", ran, block, ctx.Err())
 	}
 	resp := <-ch
 	if resp.ruling.verdict != VerdictRun {
 		return l.completeRuling(ctx, resp)
 	}
-	if err := l.Abandon(resp.ruling.ticket, kumquatlug.RanNot); err != nil {
-		return Ruling{}, err
+	if err := l.Abandon(resp.ruling.ticket, kumquatlug.NotExecuted); err != nil {
+		return Decision{}, err
 	}
-	return Ruling{}, l.newFailure("gave_up", kumquatlug.RanNot, block, ctx.Err())
+	return Decision{}, l.newFailure("gave_up", kumquatlug.NotExecuted, block, ctx.Err())
 }
 
-func (l *Ledger) newFailure(reason string, ran kumquatlug.Ran, block bool, cause error) *kumquatlug.Failure {
+func (l *Ledger) newFailure(reason string, ran kumquatlug.Execution, block bool, cause error) *kumquatlug.Failure {
 	step := "claim"
 	if block {
 		step = "block"
-		ran = kumquatlug.RanUnknown
+		ran = kumquatlug.ExecutionUnknown
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Peer: "table", Reason: reason, Ran: ran, RetryAfter: l.config.RetryAfter, Cause: cause,
+		Step: step, Peer: "table", Reason: reason, Execution: ran, RetryAfter: l.config.RetryAfter, Cause: cause,
 	})
 }
 
-func (l *Ledger) completeRuling(ctx context.Context, resp response) (Ruling, error) {
+func (l *Ledger) completeRuling(ctx context.Context, resp response) (Decision, error) {
 	if resp.failure != nil {
-		return Ruling{}, resp.failure
+		return Decision{}, resp.failure
 	}
 	if resp.ruling.outcome.object == "" {
 		return resp.ruling, nil
 	}
 	body, err := l.config.Objects.Fetch(ctx, resp.ruling.outcome.object)
 	if err != nil {
-		return Ruling{}, kumquatlug.NewFailure(kumquatlug.FailureConfig{
-			Step: "fetch answer", Peer: "objects", Reason: ReasonObjects,
-			Ran: kumquatlug.RanDone, RetryAfter: l.config.RetryAfter, Cause: err,
+		return Decision{}, kumquatlug.NewFailure(kumquatlug.FailureConfig{
+			Step: "fetch answer", Peer: "objects", Reason: ReasonObjectsUnavailable,
+			Execution: kumquatlug.Executed, RetryAfter: l.config.RetryAfter, Cause: err,
 		})
 	}
 	resp.ruling.outcome.body = body
--- a/pkg/kumquatlug/ledger/concurrent_test.go
+++ b/pkg/kumquatlug/ledger/concurrent_test.go
@@ -95,13 +95,13 @@
 		return nil
 	}
 	if r.Intn(5) == 0 {
-		return l.Abandon(ruling.Ticket(), kumquatlug.RanNot)
+		return l.Abandon(ruling.Ticket(), kumquatlug.NotExecuted)
 	}
 	c.add(key)
 	if r.Intn(5) == 0 {
-		return l.Abandon(ruling.Ticket(), kumquatlug.RanUnknown)
+		return l.Abandon(ruling.Ticket(), kumquatlug.ExecutionUnknown)
 	}
-	return l.Finish(ruling.Ticket(), NewOutcome(200, nil, make([]byte, r.Intn(2*DefaultInline))))
+	return l.Finish(ruling.Ticket(), NewOutcome(200, nil, make([]byte, r.Intn(2*DefaultMaxInlineBytes))))
 }
 
 func TestClaimIsReleasedWhenCallerDisconnects(t *testing.T) {
@@ -118,7 +118,7 @@
 	})
 	ch <- <-ch
 	_, err := l.abandonWait(t.Context(), waiterID, ch, false)
-	if ran := kumquatlug.RanOf(err); ran != kumquatlug.RanNot {
+	if ran := kumquatlug.ExecutionOf(err); ran != kumquatlug.NotExecuted {
 		t.Errorf("ran = %q, want not-run", ran)
 	}
 	if err := l.Flush(t.Context()); err != nil {
--- a/pkg/kumquatlug/ledger/era.go
+++ b/pkg/kumquatlug/ledger/era.go
@@ -12,11 +12,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// The defaults of [KeeperConfig].
+// The defaults of [EraKeeperConfig].
 const (
-	DefaultTick  = 1 * kumquatlug.Minute
-	DefaultPage  = kumquatlug.MaxTxEntries
-	DefaultPages = 40
+	DefaultEraInterval = 1 * kumquatlug.Minute
+	DefaultPageSize    = kumquatlug.MaxTxEntries
+	DefaultMaxPages    = 40
 )
 
 // eraTimer measures the age of the current era. It counts only time during
@@ -59,8 +59,8 @@
 	return eraUpdate{era: era + 1, advance: true, writeDue: true}
 }
 
-// KeeperConfig configures a [Keeper].
-type KeeperConfig struct {
+// EraKeeperConfig configures a [EraKeeper].
+type EraKeeperConfig struct {
 	// Table stores the rows.
 	Table kumquatlug.Table
 	// Clock is the process's clock.
@@ -71,24 +71,24 @@
 	// Default 24 hours: a call that ended as unknown in the evening can be
 	// investigated, and sent again, the next working day.
 	Window kumquatlug.Millis
-	// Tick is the interval at which the keeper reads the era, in milliseconds.
+	// Interval is the interval at which the keeper reads the era, in milliseconds.
 	// Default 60000: each gateway makes two reads a minute, and all of them
 	// together about one write a minute. An era that ends minutes late does no
 	// harm.
-	Tick kumquatlug.Millis
-	// Page is the number of old rows that one transaction removes. Default 100,
+	Interval kumquatlug.Millis
+	// PageSize is the number of old rows that one transaction removes. Default 100,
 	// the maximum of a transaction.
-	Page int
-	// Pages is the maximum number of transactions of one sweep. Default 40:
+	PageSize int
+	// MaxPages is the maximum number of transactions of one sweep. Default 40:
 	// with 500 rows each every minute, 333 calls a second can be removed as
 	// fast as they arrive.
-	Pages int
+	MaxPages int
 }
 
-// Keeper advances the era and removes expired rows. Every gateway runs one; the
+// EraKeeper advances the era and removes expired rows. Every gateway runs one; the
 // first to commit in a tick does the work.
-type Keeper struct {
-	config  KeeperConfig
+type EraKeeper struct {
+	config  EraKeeperConfig
 	timer   eraTimer
 	txCount int64
 
@@ -97,25 +97,25 @@
 	eraKnown bool
 }
 
-// NewKeeper validates c and returns a keeper that has not read the era yet.
-func NewKeeper(c KeeperConfig) (*Keeper, error) {
+// NewEraKeeper validates c and returns a keeper that has not read the era yet.
+func NewEraKeeper(c EraKeeperConfig) (*EraKeeper, error) {
 	if c.Table == nil || c.Clock == nil || c.Incarnation == "" {
 		return nil, errors.New("an era keeper needs a table, a clock and an incarnation")
 	}
 	c.Window = cmp.Or(c.Window, DefaultWindow)
-	c.Tick = cmp.Or(c.Tick, DefaultTick)
-	c.Page = cmp.Or(c.Page, DefaultPage)
-	c.Pages = cmp.Or(c.Pages, DefaultPages)
-	if c.Tick > c.Window {
+	c.Interval = cmp.Or(c.Interval, DefaultEraInterval)
+	c.PageSize = cmp.Or(c.PageSize, DefaultPageSize)
+	c.MaxPages = cmp.Or(c.MaxPages, DefaultMaxPages)
+	if c.Interval > c.Window {
 		return nil, errors.New("an era keeper's tick can't be longer than its window")
 	}
-	return &Keeper{config: c, timer: eraTimer{window: c.Window, tick: c.Tick}}, nil
+	return &EraKeeper{config: c, timer: eraTimer{window: c.Window, tick: c.Interval}}, nil
 }
 
 // Dispatch returns the dispatch for the first attempt of a call. It reports
 // false while the era is not known; no non-idempotent call can be sent until
 // then.
-func (k *Keeper) Dispatch() (Dispatch, bool) {
+func (k *EraKeeper) Dispatch() (Dispatch, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return Dispatch{era: k.era}, k.eraKnown
@@ -123,9 +123,9 @@
 
 // Run calls Tick periodically until ctx ends. The next tick makes up for a
 // failed one; while the era is not known yet, it follows after a second.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *EraKeeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait := k.config.Tick
+		wait := k.config.Interval
 		if err := k.Tick(ctx); err != nil && !k.hasEra() {
 			wait = min(wait, kumquatlug.Second)
 		}
@@ -137,14 +137,14 @@
 	return nil
 }
 
-func (k *Keeper) hasEra() bool {
+func (k *EraKeeper) hasEra() bool {
 	_, ok := k.Dispatch()
 	return ok
 }
 
 // Tick reads the era, adds to its age, and sweeps if this keeper committed the
 // new age. It must not be called concurrently.
-func (k *Keeper) Tick(ctx context.Context) error {
+func (k *EraKeeper) Tick(ctx context.Context) error {
 	eraRow, err := k.config.Table.Get(ctx, eraKey)
 	if err != nil {
 		return errors.Wrap(err, "read the era")
@@ -179,14 +179,14 @@
 }
 
 // adoptEra sets the era if it is higher: reads may complete out of order.
-func (k *Keeper) adoptEra(era int64) {
+func (k *EraKeeper) adoptEra(era int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.era = max(k.era, era)
 	k.eraKnown = true
 }
 
-func (k *Keeper) commitUpdate(ctx context.Context, u eraUpdate, eraRow, clockRow kumquatlug.Row) error {
+func (k *EraKeeper) commitUpdate(ctx context.Context, u eraUpdate, eraRow, clockRow kumquatlug.Row) error {
 	k.txCount++
 	tx := kumquatlug.NewTx(fmt.Sprintf("%s-era-%d", k.config.Incarnation, k.txCount))
 	tx = tx.If(clockKey, clockRow.Version()).If(eraKey, eraRow.Version())
@@ -200,9 +200,9 @@
 // sweep removes rows of eras before the previous one. Nothing writes to those
 // any more, since every transaction on such rows is conditional on their era or
 // the one after it.
-func (k *Keeper) sweep(ctx context.Context, era int64) error {
-	for range k.config.Pages {
-		rows, err := k.config.Table.Scan(ctx, rowPrefix, "", k.config.Page)
+func (k *EraKeeper) sweep(ctx context.Context, era int64) error {
+	for range k.config.MaxPages {
+		rows, err := k.config.Table.Scan(ctx, rowPrefix, "", k.config.PageSize)
 		if err != nil {
 			return errors.Wrap(err, "read old claims")
 		}
--- a/pkg/kumquatlug/ledger/era_test.go
+++ b/pkg/kumquatlug/ledger/era_test.go
@@ -80,7 +80,7 @@
 	agent := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
 	setEra(t, table, 2)
 	_, err := agent.Begin(t.Context(), newTestCall("k", "body", NewDispatch(0, 0)))
-	if f := kumquatlug.FailureOf(err); f.Ran() != kumquatlug.RanNot || f.Reason() != "dispatch_too_old" {
+	if f := kumquatlug.FailureOf(err); f.Execution() != kumquatlug.NotExecuted || f.Reason() != "dispatch_too_old" {
 		t.Errorf("failure = %v", err)
 	}
 }
@@ -91,12 +91,12 @@
 	// gateway disconnects. The claim must be released and not granted to the
 	// late dispatch, whose caller was answered not-run.
 	table := newMemoryTable()
-	m := newStateMachine(Config{Target: "gazette-1", Incarnation: "a", Flush: 1}.withDefaults())
+	m := newStateMachine(Config{Target: "gazette-1", Incarnation: "a", FlushInterval: 1}.withDefaults())
 	resend := m.begin(newTestCall("k", "body", NewDispatch(0, 1)), false, 0)
 	performOp(m, table, m.nextOp(0), 0)
 	claim := m.nextOp(0)
 	late := m.begin(newTestCall("k", "body", NewDispatch(0, 0)), false, 0)
-	if ran, open := m.cancelWaiter(resend); ran != kumquatlug.RanNot || !open {
+	if ran, open := m.cancelWaiter(resend); ran != kumquatlug.NotExecuted || !open {
 		t.Errorf("cancelWaiter of the resend = %q, %v", ran, open)
 	}
 	performOp(m, table, claim, 0)
@@ -112,7 +112,7 @@
 }
 
 // tickKeeper runs one tick, which may conflict with another keeper's write.
-func tickKeeper(t *testing.T, k *Keeper) {
+func tickKeeper(t *testing.T, k *EraKeeper) {
 	t.Helper()
 	err := k.Tick(t.Context())
 	if err != nil && !errors.Is(err, kumquatlug.ErrConflict) {
@@ -126,17 +126,17 @@
 	// before the window ended and a late resend would run the call again.
 	table := newMemoryTable()
 	clocks := []*clock.Manual{clock.NewManual(7), clock.NewManual(500_000), clock.NewManual(0)}
-	keeper := func(i, incarnation int) *Keeper {
-		k, err := NewKeeper(KeeperConfig{
+	keeper := func(i, incarnation int) *EraKeeper {
+		k, err := NewEraKeeper(EraKeeperConfig{
 			Table: table, Clock: clocks[i], Incarnation: fmt.Sprint(i, incarnation),
-			Window: kumquatlug.Hour, Tick: kumquatlug.Minute,
+			Window: kumquatlug.Hour, Interval: kumquatlug.Minute,
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return k
 	}
-	keepers := []*Keeper{keeper(0, 0), keeper(1, 0), keeper(2, 0)}
+	keepers := []*EraKeeper{keeper(0, 0), keeper(1, 0), keeper(2, 0)}
 	var began, now kumquatlug.Millis
 	var era int64
 	for step := range 1000 {
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	c := clock.NewManual(0)
-	k, err := NewKeeper(KeeperConfig{Table: table, Clock: c, Incarnation: "e", Page: 3})
+	k, err := NewEraKeeper(EraKeeperConfig{Table: table, Clock: c, Incarnation: "e", PageSize: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/kumquatlug/ledger/ledger.go
+++ b/pkg/kumquatlug/ledger/ledger.go
@@ -66,14 +66,14 @@
 // # How long a key is remembered
 //
 // Rows are stored in buckets by era. An era lasts for the keeper's window
-// ([KeeperConfig.Window]). A row is looked up in the current era and the previous
+// ([EraKeeperConfig.Window]). A row is looked up in the current era and the previous
 // one, so a key is remembered for at least one window and at most two. Each
 // transaction is conditional on an unchanged era row. A dispatch is accepted
 // only in the era in which it was sent and the next one, so that it can't
 // outlive the row that blocks it. A sweep reads only the oldest buckets, where
 // all rows have expired, so its cost doesn't grow with the number of remembered
 // keys. Eras advance by the sum of time spans that the gateways measure on their
-// own monotonic clocks ([Keeper]); clocks are never compared.
+// own monotonic clocks ([EraKeeper]); clocks are never compared.
 //
 // # Rates
 //
@@ -98,22 +98,22 @@
 
 // Defaults of [Config].
 const (
-	DefaultWindow     = 24 * kumquatlug.Hour
-	DefaultFlush      = 10 * kumquatlug.Millis(1)
-	DefaultTimeout    = 2 * kumquatlug.Second
-	DefaultPause      = 1 * kumquatlug.Second
-	DefaultRetryAfter = 5 * kumquatlug.Second
-	DefaultBatch      = 33
-	DefaultKept       = 1024
-	DefaultInline     = 8 << 10
+	DefaultWindow         = 24 * kumquatlug.Hour
+	DefaultFlushInterval  = 10 * kumquatlug.Millis(1)
+	DefaultTimeout        = 2 * kumquatlug.Second
+	DefaultBackoff        = 1 * kumquatlug.Second
+	DefaultRetryAfter     = 5 * kumquatlug.Second
+	DefaultBatchSize      = 33
+	DefaultMaxCachedCalls = 1024
+	DefaultMaxInlineBytes = 8 << 10
 )
 
 // Reasons of refusals that apply to all targets.
 const (
-	// ReasonTable: the table is unavailable, so nothing can be claimed.
-	ReasonTable = "table_unavailable"
-	// ReasonObjects: the object store that holds a large response is unavailable.
-	ReasonObjects = "objects_unavailable"
+	// ReasonTableUnavailable: the table is unavailable, so nothing can be claimed.
+	ReasonTableUnavailable = "table_unavailable"
+	// ReasonObjectsUnavailable: the object store that holds a large response is unavailable.
+	ReasonObjectsUnavailable = "objects_unavailable"
 )
 
 // maxConcurrentReads is the maximum number of concurrent reads after a
@@ -136,46 +136,46 @@
 	// Incarnation is unique to this start of the process. Claims of another
 	// incarnation at the same target belong to a process that has ended.
 	Incarnation string
-	// Flush is the minimum time in milliseconds between the starts of two
+	// FlushInterval is the minimum time in milliseconds between the starts of two
 	// transactions. A single call is not delayed by it. Default 10: at most a
 	// hundred transactions a second, so that three publication workers stay
 	// within several hundred writes a second. With n busy targets, n/300
 	// seconds keeps the same bound.
-	Flush kumquatlug.Millis
+	FlushInterval kumquatlug.Millis
 	// Timeout is the limit of one read or transaction, in milliseconds; after
 	// that its response counts as lost. Default 2000: far above a healthy
 	// table's milliseconds, and still short enough for an interactive caller to
 	// get a refusal in time.
 	Timeout kumquatlug.Millis
-	// Pause is the time without table operations after a failure, in
+	// Backoff is the time without table operations after a failure, in
 	// milliseconds; calls are refused at once in the meantime. Default 1000: an
 	// outage costs the table one request a second from each process, and its
 	// end is noticed within a second.
-	Pause kumquatlug.Millis
+	Backoff kumquatlug.Millis
 	// RetryAfter is the minimum retry delay reported to a refused caller, in
 	// milliseconds. Default 5000: outages are long, and callers that retry
 	// every second would be a load of their own.
 	RetryAfter kumquatlug.Millis
-	// Batch is the maximum number of calls in one transaction. Default 33: with
+	// BatchSize is the maximum number of calls in one transaction. Default 33: with
 	// two conditions and one row each, and the condition on the era, a
 	// transaction reaches its limit of a hundred entries.
-	Batch int
-	// Kept is the number of settled calls kept in memory, so that an early
+	BatchSize int
+	// MaxCachedCalls is the number of settled calls kept in memory, so that an early
 	// resend costs no transaction. Default 1024: 8 MB at Inline bytes each.
-	Kept int
-	// Inline is the size in bytes above which the body of a response goes to the
+	MaxCachedCalls int
+	// MaxInlineBytes is the size in bytes above which the body of a response goes to the
 	// object store. Default 8192: a receipt fits, a document does not.
-	Inline int
+	MaxInlineBytes int
 }
 
 func (c Config) withDefaults() Config {
-	c.Flush = cmp.Or(c.Flush, DefaultFlush)
+	c.FlushInterval = cmp.Or(c.FlushInterval, DefaultFlushInterval)
 	c.Timeout = cmp.Or(c.Timeout, DefaultTimeout)
-	c.Pause = cmp.Or(c.Pause, DefaultPause)
+	c.Backoff = cmp.Or(c.Backoff, DefaultBackoff)
 	c.RetryAfter = cmp.Or(c.RetryAfter, DefaultRetryAfter)
-	c.Batch = cmp.Or(c.Batch, DefaultBatch)
-	c.Kept = cmp.Or(c.Kept, DefaultKept)
-	c.Inline = cmp.Or(c.Inline, DefaultInline)
+	c.BatchSize = cmp.Or(c.BatchSize, DefaultBatchSize)
+	c.MaxCachedCalls = cmp.Or(c.MaxCachedCalls, DefaultMaxCachedCalls)
+	c.MaxInlineBytes = cmp.Or(c.MaxInlineBytes, DefaultMaxInlineBytes)
 	return c
 }
 
@@ -314,7 +314,7 @@
 // even during an outage. If the process is killed before the write, a resend
 // gets unknown instead of the response; the call never runs again.
 func (l *Ledger) Finish(t Ticket, o Outcome) error {
-	upload := len(o.body) > l.config.Inline
+	upload := len(o.body) > l.config.MaxInlineBytes
 	var err error
 	l.update(func() {
 		err = l.machine.finish(t, o, upload)
@@ -344,14 +344,14 @@
 		select {
 		case <-l.runEnded:
 			return
-		case <-time.After(l.config.Pause.Duration()):
+		case <-time.After(l.config.Backoff.Duration()):
 		}
 	}
 }
 
 // Abandon ends a ticket without an outcome. With RanNot the key is freed for a
 // resend; otherwise its state is permanently unknown.
-func (l *Ledger) Abandon(t Ticket, ran kumquatlug.Ran) error {
+func (l *Ledger) Abandon(t Ticket, ran kumquatlug.Execution) error {
 	var err error
 	l.update(func() { err = l.machine.abandon(t, ran) })
 	return err
--- a/pkg/kumquatlug/ledger/ledger_test.go
+++ b/pkg/kumquatlug/ledger/ledger_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	l, err := New(Config{
 		Table: table, Objects: objects, Clock: clock.NewMonotonic(),
-		Target: target, Incarnation: incarnation, Flush: 1, Pause: 1,
+		Target: target, Incarnation: incarnation, FlushInterval: 1, Backoff: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -40,10 +40,10 @@
 }
 
 func newTestCall(key, body string, d Dispatch) Call {
-	return NewCall(CallConfig{Caller: "registry", Key: key, Body: body, Dispatch: d})
+	return NewCall(CallConfig{Caller: "registry", Key: key, Fingerprint: body, Dispatch: d})
 }
 
-func wantVerdict(t *testing.T, r Ruling, err error, verdict Verdict) Ruling {
+func wantVerdict(t *testing.T, r Decision, err error, verdict Verdict) Decision {
 	t.Helper()
 	if err != nil || r.Verdict() != verdict {
 		t.Fatalf("verdict = %q, error %v, want %q", r.Verdict(), err, verdict)
@@ -55,7 +55,7 @@
 	// The caller's connection breaks after the call ran, and it sends the call
 	// again. A label change routes the resend to another target, which would
 	// run it a second time if there were no row.
-	for _, size := range []int{10, DefaultInline + 1} {
+	for _, size := range []int{10, DefaultMaxInlineBytes + 1} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			table, objects := newMemoryTable(), newMemoryObjects()
 			first := startLedger(t, table, objects, "gazette-1", "a")
@@ -76,7 +76,7 @@
 			}
 			for _, l := range []*Ledger{first, second} {
 				r, err = l.Begin(ctx, newTestCall("k", "body", Dispatch{}))
-				o := wantVerdict(t, r, err, VerdictAnswer).Outcome()
+				o := wantVerdict(t, r, err, VerdictResponse).Outcome()
 				if o.Status() != 201 || !bytes.Equal(o.Body(), body) {
 					t.Errorf("response = %d with %d bytes", o.Status(), len(o.Body()))
 				}
@@ -128,7 +128,7 @@
 	l := startLedger(t, table, newMemoryObjects(), "gazette-1", "a")
 	_, err := l.Begin(t.Context(), newTestCall("k", "body", Dispatch{}))
 	f := kumquatlug.FailureOf(err)
-	if f.Ran() != kumquatlug.RanNot || f.RetryAfter() < DefaultRetryAfter {
+	if f.Execution() != kumquatlug.NotExecuted || f.RetryAfter() < DefaultRetryAfter {
 		t.Errorf("failure = %v, retry after %d ms", f, f.RetryAfter())
 	}
 }
@@ -189,7 +189,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- l.Run(ctx) }()
-	posting := NewCall(CallConfig{Caller: "registry", Key: "decree-7", Body: "hash"})
+	posting := NewCall(CallConfig{Caller: "registry", Key: "decree-7", Fingerprint: "hash"})
 	r, _ := l.Begin(ctx, posting)
 	fmt.Println(r.Verdict())
 	_ = l.Finish(r.Ticket(), NewOutcome(201, nil, []byte("published")))
--- a/pkg/kumquatlug/ledger/proof_test.go
+++ b/pkg/kumquatlug/ledger/proof_test.go
@@ -80,10 +80,10 @@
 	// a call that ran, or the response of a different call.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
-		Claim: "at most one run, and not-run is true",
-		Seed:  5, Runs: 600, Steps: 200,
-		Command: proof.Events(eventKinds, applyEvent),
-		World:   func() commands.SystemUnderTest { return newSimulation(counts) },
+		Property: "at most one run, and not-run is true",
+		Seed:     5, Runs: 600, Steps: 200,
+		StepGen:   proof.Events(eventKinds, applyEvent),
+		NewSystem: func() commands.SystemUnderTest { return newSimulation(counts) },
 	})
 	t.Logf("%v", counts)
 	for _, end := range []string{"run", "answer", "not-run", "unknown", "conflict"} {
--- a/pkg/kumquatlug/ledger/refuse.go
+++ b/pkg/kumquatlug/ledger/refuse.go
@@ -9,7 +9,7 @@
 // startBackoff stops table operations for Config.Pause.
 func (m *stateMachine) startBackoff(now kumquatlug.Millis) {
 	m.tableFailing = true
-	m.backoffUntil = now + m.config.Pause
+	m.backoffUntil = now + m.config.Backoff
 }
 
 func (m *stateMachine) refuseAll(now kumquatlug.Millis) {
@@ -24,7 +24,7 @@
 // claim whose write may still take effect is kept, to be released.
 func (m *stateMachine) refuseWaiters(tc *trackedCall, now kumquatlug.Millis) {
 	for _, w := range tc.waiters {
-		m.refuse(w, ReasonTable, now)
+		m.refuse(w, ReasonTableUnavailable, now)
 	}
 	tc.waiters = nil
 	switch {
@@ -39,14 +39,14 @@
 // refuse answers w with a failure. A claim that was not granted runs nothing,
 // so a Begin is refused as not-run; after a Block the state is still unknown.
 func (m *stateMachine) refuse(w waiter, reason string, now kumquatlug.Millis) {
-	ran := kumquatlug.RanNot
+	ran := kumquatlug.NotExecuted
 	step := "claim"
 	if w.block {
-		ran = kumquatlug.RanUnknown
+		ran = kumquatlug.ExecutionUnknown
 		step = "block"
 	}
 	m.responses = append(m.responses, response{waiterID: w.id, failure: kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Peer: "table", Reason: reason, Ran: ran, Status: http.StatusServiceUnavailable,
+		Step: step, Peer: "table", Reason: reason, Execution: ran, Status: http.StatusServiceUnavailable,
 		RetryAfter: max(m.config.RetryAfter, m.backoffUntil-now), Cause: kumquatlug.ErrUnavailable,
 	})})
 }
--- a/pkg/kumquatlug/ledger/resolve.go
+++ b/pkg/kumquatlug/ledger/resolve.go
@@ -78,7 +78,7 @@
 		}
 		tc.phase = phaseRunning
 		tc.waiters = append(tc.waiters[:i:i], tc.waiters[i+1:]...)
-		m.respond(w, Ruling{verdict: VerdictRun, ticket: Ticket{id: tc.id, claim: tc.claim}})
+		m.respond(w, Decision{verdict: VerdictRun, ticket: Ticket{id: tc.id, claim: tc.claim}})
 		return
 	}
 	m.startRelease(tc)
@@ -105,7 +105,7 @@
 	for _, w := range waiters {
 		d := w.call.dispatch
 		if w.block && d.epoch < epoch && d.era <= era && era-d.era <= 1 {
-			m.respond(w, Ruling{verdict: VerdictBlocked, dispatch: NewDispatch(m.era, epoch)})
+			m.respond(w, Decision{verdict: VerdictBlocked, dispatch: NewDispatch(m.era, epoch)})
 			continue
 		}
 		m.submit(w, now)
@@ -221,7 +221,7 @@
 	m.drop(tc)
 	for _, w := range waiters {
 		if !w.block && w.call.dispatch.epoch < stored.Epoch {
-			m.respond(w, Ruling{verdict: VerdictStale, dispatch: NewDispatch(w.call.dispatch.era, stored.Epoch)})
+			m.respond(w, Decision{verdict: VerdictStale, dispatch: NewDispatch(w.call.dispatch.era, stored.Epoch)})
 			continue
 		}
 		m.submit(w, now)
--- a/pkg/kumquatlug/ledger/row.go
+++ b/pkg/kumquatlug/ledger/row.go
@@ -76,9 +76,9 @@
 	Caller string
 	// Key is the caller's idempotency key.
 	Key string
-	// Body is a hash of everything that identifies the operation: kind, method,
+	// Fingerprint is a hash of everything that identifies the operation: kind, method,
 	// path and body. A different hash under the same key is a conflict.
-	Body string
+	Fingerprint string
 	// Dispatch is the dispatch that the call was sent with.
 	Dispatch Dispatch
 }
@@ -86,15 +86,15 @@
 // NewCall returns the call that c describes.
 func NewCall(c CallConfig) Call {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d/%s%s", len(c.Caller), c.Caller, c.Key))
-	return Call{id: hex.EncodeToString(sum[:16]), body: c.Body, dispatch: c.Dispatch}
+	return Call{id: hex.EncodeToString(sum[:16]), body: c.Fingerprint, dispatch: c.Dispatch}
 }
 
 // ID returns the id of the call's row: 128 bits of a hash of caller and key, so
 // that no account can reach another's rows with a crafted key.
 func (c Call) ID() string { return c.id }
 
-// Body returns the hash of the operation that the call requests.
-func (c Call) Body() string { return c.body }
+// Fingerprint returns the hash of the operation that the call requests.
+func (c Call) Fingerprint() string { return c.body }
 
 // Dispatch returns the dispatch that the call was sent with.
 func (c Call) Dispatch() Dispatch { return c.dispatch }
--- a/pkg/kumquatlug/ledger/row_test.go
+++ b/pkg/kumquatlug/ledger/row_test.go
@@ -39,7 +39,7 @@
 		}
 		m := newStateMachine(Config{Target: "gazette-1", Incarnation: "b"}.withDefaults())
 		m.begin(c, false, 0)
-		for now := kumquatlug.Millis(0); m.pending() > 0; now += DefaultFlush {
+		for now := kumquatlug.Millis(0); m.pending() > 0; now += DefaultFlushInterval {
 			if op := m.nextOp(now); op != nil {
 				performOp(m, table, op, now)
 			}
--- a/pkg/kumquatlug/ledger/simulation_faults_test.go
+++ b/pkg/kumquatlug/ledger/simulation_faults_test.go
@@ -158,7 +158,7 @@
 		s.applyDelayedTx(r)
 	}
 	for range 1000 {
-		s.now += DefaultPause
+		s.now += DefaultBackoff
 		for _, p := range s.processes() {
 			s.stepJob(p, r)
 			s.completeUpload(p)
--- a/pkg/kumquatlug/ledger/simulation_jobs_test.go
+++ b/pkg/kumquatlug/ledger/simulation_jobs_test.go
@@ -43,11 +43,11 @@
 	p.jobs = append(p.jobs[:i:i], p.jobs[i+1:]...)
 	switch {
 	case !j.ran:
-		s.requireNoError(p.machine.abandon(j.ticket, kumquatlug.RanNot))
-		s.deliverResponse(j.attempt, response{failure: p.machine.testFailure(kumquatlug.RanNot)}, r)
+		s.requireNoError(p.machine.abandon(j.ticket, kumquatlug.NotExecuted))
+		s.deliverResponse(j.attempt, response{failure: p.machine.testFailure(kumquatlug.NotExecuted)}, r)
 	case r.Intn(6) == 0:
-		s.requireNoError(p.machine.abandon(j.ticket, kumquatlug.RanUnknown))
-		s.deliverResponse(j.attempt, response{failure: p.machine.testFailure(kumquatlug.RanUnknown)}, r)
+		s.requireNoError(p.machine.abandon(j.ticket, kumquatlug.ExecutionUnknown))
+		s.deliverResponse(j.attempt, response{failure: p.machine.testFailure(kumquatlug.ExecutionUnknown)}, r)
 	default:
 		s.finishJob(p, j, r)
 	}
@@ -62,7 +62,7 @@
 		s.objects[j.ticket.claim] = j.responseBody
 		p.uploads = append(p.uploads, j.ticket)
 	}
-	s.deliverResponse(j.attempt, response{ruling: Ruling{verdict: VerdictAnswer, outcome: o}}, r)
+	s.deliverResponse(j.attempt, response{ruling: Decision{verdict: VerdictResponse, outcome: o}}, r)
 }
 
 func (s *simulation) completeUpload(p *process) {
--- a/pkg/kumquatlug/ledger/simulation_test.go
+++ b/pkg/kumquatlug/ledger/simulation_test.go
@@ -100,7 +100,7 @@
 
 func (s *simulation) start(name string, target int) *process {
 	s.starts++
-	c := Config{Target: name, Incarnation: fmt.Sprintf("%s.%d", name, s.starts), Kept: 2, Batch: 2}
+	c := Config{Target: name, Incarnation: fmt.Sprintf("%s.%d", name, s.starts), MaxCachedCalls: 2, BatchSize: 2}
 	return &process{
 		name: name, target: target, machine: newStateMachine(c.withDefaults()), waiting: map[int64]*attempt{}, era: s.era(),
 	}
@@ -212,7 +212,7 @@
 }
 
 func (p *process) submit(a *attempt, d Dispatch, block bool, now kumquatlug.Millis) {
-	c := NewCall(CallConfig{Caller: "registry", Key: a.key, Body: a.body, Dispatch: d})
+	c := NewCall(CallConfig{Caller: "registry", Key: a.key, Fingerprint: a.body, Dispatch: d})
 	p.waiting[p.machine.begin(c, block, now)] = a
 }
 
@@ -228,8 +228,8 @@
 			s.handleBlockResponse(a, resp)
 		case resp.failure == nil && resp.ruling.verdict == VerdictRun && r.Intn(8) == 0:
 			// The caller has just disconnected.
-			s.requireNoError(p.machine.abandon(resp.ruling.ticket, kumquatlug.RanNot))
-			s.deliverResponse(a, response{failure: p.machine.testFailure(kumquatlug.RanNot)}, r)
+			s.requireNoError(p.machine.abandon(resp.ruling.ticket, kumquatlug.NotExecuted))
+			s.deliverResponse(a, response{failure: p.machine.testFailure(kumquatlug.NotExecuted)}, r)
 		case resp.failure == nil && resp.ruling.verdict == VerdictRun:
 			p.jobs = append(p.jobs, &job{ticket: resp.ruling.ticket, attempt: a})
 		default:
@@ -238,8 +238,8 @@
 	}
 }
 
-func (m *stateMachine) testFailure(ran kumquatlug.Ran) *kumquatlug.Failure {
-	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "claim", Reason: "gave_up", Ran: ran})
+func (m *stateMachine) testFailure(ran kumquatlug.Execution) *kumquatlug.Failure {
+	return kumquatlug.NewFailure(kumquatlug.FailureConfig{Step: "claim", Reason: "gave_up", Execution: ran})
 }
 
 func (s *simulation) requireNoError(err error) {
@@ -256,7 +256,7 @@
 		return
 	}
 	if resp.failure != nil {
-		s.handleRefusal(a, resp.failure.Ran())
+		s.handleRefusal(a, resp.failure.Execution())
 		return
 	}
 	switch resp.ruling.verdict {
@@ -277,9 +277,9 @@
 
 // handleRefusal reports not-run only if no dispatch of the attempt is
 // unaccounted for.
-func (s *simulation) handleRefusal(a *attempt, ran kumquatlug.Ran) {
+func (s *simulation) handleRefusal(a *attempt, ran kumquatlug.Execution) {
 	switch {
-	case ran != kumquatlug.RanNot:
+	case ran != kumquatlug.NotExecuted:
 		s.recordOutcome(a, "unknown")
 	case a.unaccounted:
 		s.startBlock(a)
@@ -288,9 +288,9 @@
 	}
 }
 
-func (s *simulation) handleRuling(a *attempt, r Ruling) {
+func (s *simulation) handleRuling(a *attempt, r Decision) {
 	switch r.verdict {
-	case VerdictAnswer:
+	case VerdictResponse:
 		responseBody := string(r.outcome.body)
 		if r.outcome.object != "" {
 			responseBody = s.objects[r.outcome.object]
--- a/pkg/kumquatlug/ledger/statemachine.go
+++ b/pkg/kumquatlug/ledger/statemachine.go
@@ -11,7 +11,7 @@
 // response is the result for one waiter.
 type response struct {
 	waiterID int64
-	ruling   Ruling
+	ruling   Decision
 	failure  *kumquatlug.Failure
 }
 
@@ -131,7 +131,7 @@
 		return
 	}
 	if now < m.backoffUntil || (m.tableFailing && m.inFlight != nil) {
-		m.refuse(w, ReasonTable, now)
+		m.refuse(w, ReasonTableUnavailable, now)
 		return
 	}
 	if tc != nil {
@@ -161,9 +161,9 @@
 func (m *stateMachine) submitToRunning(tc *trackedCall, w waiter) bool {
 	switch {
 	case w.block:
-		m.respond(w, Ruling{verdict: VerdictElsewhere, holder: m.holder})
+		m.respond(w, Decision{verdict: VerdictElsewhere, holder: m.holder})
 	case w.call.body != tc.body:
-		m.respond(w, Ruling{verdict: VerdictConflict})
+		m.respond(w, Decision{verdict: VerdictConflict})
 	default:
 		tc.waiters = append(tc.waiters, w)
 	}
@@ -212,12 +212,12 @@
 }
 
 // abandon ends a ticket without an outcome.
-func (m *stateMachine) abandon(t Ticket, ran kumquatlug.Ran) error {
+func (m *stateMachine) abandon(t Ticket, ran kumquatlug.Execution) error {
 	tc, err := m.runningCall(t)
 	if err != nil {
 		return err
 	}
-	if ran == kumquatlug.RanNot {
+	if ran == kumquatlug.NotExecuted {
 		m.startRelease(tc)
 		return nil
 	}
@@ -249,7 +249,7 @@
 // cancelWaiter removes a waiter whose caller has disconnected, and returns
 // whether the call may have run. It reports false if the waiter was answered
 // before.
-func (m *stateMachine) cancelWaiter(waiterID int64) (kumquatlug.Ran, bool) {
+func (m *stateMachine) cancelWaiter(waiterID int64) (kumquatlug.Execution, bool) {
 	for _, tc := range m.order {
 		for i, w := range tc.waiters {
 			if w.id != waiterID {
@@ -257,12 +257,12 @@
 			}
 			tc.waiters = append(tc.waiters[:i:i], tc.waiters[i+1:]...)
 			if w.block || tc.phase == phaseRunning {
-				return kumquatlug.RanUnknown, true
+				return kumquatlug.ExecutionUnknown, true
 			}
-			return kumquatlug.RanNot, true
+			return kumquatlug.NotExecuted, true
 		}
 	}
-	return kumquatlug.RanUnknown, false
+	return kumquatlug.ExecutionUnknown, false
 }
 
 // takeResponses returns the responses since the last call and clears them.
@@ -290,7 +290,7 @@
 	tc.writeUncertain = false
 	tc.currentRow, tc.previousRow = kumquatlug.Row{}, kumquatlug.Row{}
 	m.cached = append(m.cached, tc)
-	if len(m.cached) > m.config.Kept {
+	if len(m.cached) > m.config.MaxCachedCalls {
 		m.evictCached(m.cached[0])
 	}
 }
@@ -335,19 +335,19 @@
 
 // rulingFor returns the ruling for c that follows from a settled or foreign
 // row.
-func (m *stateMachine) rulingFor(r row, c Call) Ruling {
+func (m *stateMachine) rulingFor(r row, c Call) Decision {
 	holder := Holder{target: r.Target, incarnation: r.Incarnation}
 	switch {
 	case r.Body != "" && r.Body != c.body:
-		return Ruling{verdict: VerdictConflict}
+		return Decision{verdict: VerdictConflict}
 	case r.State == stateDone:
-		return Ruling{verdict: VerdictAnswer, outcome: r.outcome()}
+		return Decision{verdict: VerdictResponse, outcome: r.outcome()}
 	case r.State == stateClaimed && r.Target != m.config.Target:
-		return Ruling{verdict: VerdictElsewhere, holder: holder}
+		return Decision{verdict: VerdictElsewhere, holder: holder}
 	default:
 		// This includes a claim by an earlier incarnation of this target: that
 		// process has ended and may have run the call.
-		return Ruling{verdict: VerdictUnknown, holder: holder}
+		return Decision{verdict: VerdictUnknown, holder: holder}
 	}
 }
 
@@ -358,6 +358,6 @@
 	tc.waiters = nil
 }
 
-func (m *stateMachine) respond(w waiter, r Ruling) {
+func (m *stateMachine) respond(w waiter, r Decision) {
 	m.responses = append(m.responses, response{waiterID: w.id, ruling: r})
 }
--- a/pkg/kumquatlug/ledger/tableop.go
+++ b/pkg/kumquatlug/ledger/tableop.go
@@ -34,7 +34,7 @@
 	}
 	m.lastWasRead = !op.isWrite()
 	if op.isWrite() {
-		m.nextWriteAt = now + m.config.Flush
+		m.nextWriteAt = now + m.config.FlushInterval
 	}
 	m.inFlight = op
 	return op
@@ -72,7 +72,7 @@
 	}
 	op := &tableOp{reads: []string{eraKey}}
 	for _, tc := range m.order {
-		if tc.phase != phaseRead || len(op.calls) == m.config.Batch {
+		if tc.phase != phaseRead || len(op.calls) == m.config.BatchSize {
 			continue
 		}
 		op.calls = append(op.calls, tc)
@@ -102,7 +102,7 @@
 	m.lastWriteID++
 	op := &tableOp{tx: kumquatlug.NewTx(fmt.Sprintf("%s-%d", m.config.Incarnation, m.lastWriteID)).If(eraKey, m.eraVersion)}
 	for _, tc := range m.order {
-		if tc.phase != phaseWrite || len(op.calls) == m.config.Batch {
+		if tc.phase != phaseWrite || len(op.calls) == m.config.BatchSize {
 			continue
 		}
 		if !m.stillNeeded(tc, now) {
@@ -156,7 +156,7 @@
 	m.drop(tc)
 	for _, w := range waiters {
 		if w.block && m.era-w.call.dispatch.era > 1 {
-			m.respond(w, Ruling{verdict: VerdictUnknown})
+			m.respond(w, Decision{verdict: VerdictUnknown})
 			continue
 		}
 		m.submit(w, now)
--- a/pkg/kumquatlug/ledger/verdict.go
+++ b/pkg/kumquatlug/ledger/verdict.go
@@ -8,8 +8,8 @@
 	// VerdictRun: this process holds the claim; run the call once, then pass
 	// its ticket to Finish or Abandon.
 	VerdictRun Verdict = "run"
-	// VerdictAnswer: the call ran and this is its response.
-	VerdictAnswer Verdict = "answer"
+	// VerdictResponse: the call ran and this is its response.
+	VerdictResponse Verdict = "answer"
 	// VerdictConflict: the key was used for a different call.
 	VerdictConflict Verdict = "conflict"
 	// VerdictUnknown: whether the call ran can't be known; it never runs again.
@@ -33,8 +33,8 @@
 	claim string
 }
 
-// Ruling is a verdict with the data that belongs to it.
-type Ruling struct {
+// Decision is a verdict with the data that belongs to it.
+type Decision struct {
 	verdict  Verdict
 	ticket   Ticket
 	outcome  Outcome
@@ -43,18 +43,18 @@
 }
 
 // Verdict returns the verdict.
-func (r Ruling) Verdict() Verdict { return r.verdict }
+func (r Decision) Verdict() Verdict { return r.verdict }
 
 // Ticket returns the right to run the call. It is set only with VerdictRun.
-func (r Ruling) Ticket() Ticket { return r.ticket }
+func (r Decision) Ticket() Ticket { return r.ticket }
 
-// Outcome returns the stored response. It is set only with VerdictAnswer.
-func (r Ruling) Outcome() Outcome { return r.outcome }
+// Outcome returns the stored response. It is set only with VerdictResponse.
+func (r Decision) Outcome() Outcome { return r.outcome }
 
 // Holder returns the process that holds the claim. It is meaningful only with
 // VerdictElsewhere.
-func (r Ruling) Holder() Holder { return r.holder }
+func (r Decision) Holder() Holder { return r.holder }
 
 // Dispatch returns the dispatch to send the call with again. It is set only
 // with VerdictStale and VerdictBlocked.
-func (r Ruling) Dispatch() Dispatch { return r.dispatch }
+func (r Decision) Dispatch() Dispatch { return r.dispatch }
--- a/pkg/kumquatlug/limit/callers.go
+++ b/pkg/kumquatlug/limit/callers.go
@@ -26,8 +26,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// CallerTerms are the limits of one account over the whole system.
-type CallerTerms struct {
+// CallerLimits are the limits of one account over the whole system.
+type CallerLimits struct {
 	// Rate is in tokens per second; zero means no limit.
 	Rate int64
 	// Burst is the bucket size in tokens. Default: ten seconds of Rate, so that a page
@@ -44,10 +44,10 @@
 type CallersConfig struct {
 	// Default applies to callers without limits of their own; its zero value means no
 	// limits.
-	Default CallerTerms
-	// Entries is the number of gateways over which the load balancer spreads callers.
+	Default CallerLimits
+	// Gateways is the number of gateways over which the load balancer spreads callers.
 	// Default 1.
-	Entries int
+	Gateways int
 	// MaxRetryAfter bounds the retry delay of a refusal, before a jitter of up to half
 	// of it. Default one minute.
 	MaxRetryAfter kumquatlug.Millis
@@ -59,7 +59,7 @@
 // concurrency.
 type Callers struct {
 	config CallersConfig
-	limits map[string]CallerTerms
+	limits map[string]CallerLimits
 	usage  map[string]*callerUsage
 }
 
@@ -77,21 +77,21 @@
 
 // NewCallers returns a limiter without any usage.
 func NewCallers(c CallersConfig) *Callers {
-	if c.Entries < 1 {
-		c.Entries = 1
+	if c.Gateways < 1 {
+		c.Gateways = 1
 	}
 	c.MaxRetryAfter = standard.Millis(c.MaxRetryAfter, kumquatlug.Minute)
 	if c.Random == nil {
 		c.Random = rand.New(rand.NewPCG(1, 1))
 	}
-	return &Callers{config: c, limits: make(map[string]CallerTerms), usage: make(map[string]*callerUsage)}
+	return &Callers{config: c, limits: make(map[string]CallerLimits), usage: make(map[string]*callerUsage)}
 }
 
-// SetTerms sets the limits of one caller in place of the default.
-func (c *Callers) SetTerms(name string, t CallerTerms) { c.limits[name] = t }
+// SetLimits sets the limits of one caller in place of the default.
+func (c *Callers) SetLimits(name string, t CallerLimits) { c.limits[name] = t }
 
-// SetEntries sets the number of gateways that share the callers, at least one.
-func (c *Callers) SetEntries(n int) { c.config.Entries = max(n, 1) }
+// SetGateways sets the number of gateways that share the callers, at least one.
+func (c *Callers) SetGateways(n int) { c.config.Gateways = max(n, 1) }
 
 // Reason is the short stable code of a refusal.
 type Reason string
@@ -104,33 +104,33 @@
 	ReasonConcurrency Reason = "caller_concurrency"
 )
 
-// Verdict is the decision on a caller's request; the zero value admits it.
-type Verdict struct {
+// Decision is the decision on a caller's request; the zero value admits it.
+type Decision struct {
 	reason     Reason
 	retryAfter kumquatlug.Millis
 }
 
-// Passed reports whether the request is admitted.
-func (v Verdict) Passed() bool { return v.reason == "" }
+// Admitted reports whether the request is admitted.
+func (v Decision) Admitted() bool { return v.reason == "" }
 
 // Reason returns why the request is refused, empty if it is admitted.
-func (v Verdict) Reason() Reason { return v.reason }
+func (v Decision) Reason() Reason { return v.reason }
 
 // RetryAfter returns the delay after which a retry may succeed.
-func (v Verdict) RetryAfter() kumquatlug.Millis { return v.retryAfter }
+func (v Decision) RetryAfter() kumquatlug.Millis { return v.retryAfter }
 
 // Failure returns the refusal as an error for the caller with status 429, marked as not
 // run.
-func (v Verdict) Failure() *kumquatlug.Failure {
+func (v Decision) Failure() *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "limit caller", Reason: string(v.reason), Ran: kumquatlug.RanNot,
+		Step: "limit caller", Reason: string(v.reason), Execution: kumquatlug.NotExecuted,
 		Status: http.StatusTooManyRequests, RetryAfter: v.retryAfter,
 	})
 }
 
 // Begin admits and counts a request with an estimated cost in tokens, or refuses it.
 // Every admitted request must be ended once with [Callers.End].
-func (c *Callers) Begin(now kumquatlug.Millis, name string, cost int64) Verdict {
+func (c *Callers) Begin(now kumquatlug.Millis, name string, cost int64) Decision {
 	t := c.localLimits(name)
 	u := c.refilledUsage(now, name, t)
 	if t.Concurrency > 0 && u.running >= t.Concurrency {
@@ -143,7 +143,7 @@
 	if t.Rate > 0 {
 		u.milliTokens -= cost * milliTokensPerToken
 	}
-	return Verdict{}
+	return Decision{}
 }
 
 // End ends an admitted request: duration is how long it was in flight, estimated the
@@ -169,7 +169,7 @@
 
 // localLimits returns this gateway's share of a caller's limits. Shares are rounded up,
 // so that a limit allows at least one request.
-func (c *Callers) localLimits(name string) CallerTerms {
+func (c *Callers) localLimits(name string) CallerLimits {
 	t, ok := c.limits[name]
 	if !ok {
 		t = c.config.Default
@@ -177,14 +177,14 @@
 	if t.Rate > 0 && t.Burst <= 0 {
 		t.Burst = t.Rate * defaultBurstSeconds
 	}
-	n := c.config.Entries
+	n := c.config.Gateways
 	t.Rate = (t.Rate + int64(n) - 1) / int64(n)
 	t.Burst = (t.Burst + int64(n) - 1) / int64(n)
 	t.Concurrency = (t.Concurrency + n - 1) / n
 	return t
 }
 
-func (c *Callers) refilledUsage(now kumquatlug.Millis, name string, t CallerTerms) *callerUsage {
+func (c *Callers) refilledUsage(now kumquatlug.Millis, name string, t CallerLimits) *callerUsage {
 	u, ok := c.usage[name]
 	if !ok {
 		u = &callerUsage{milliTokens: t.Burst * milliTokensPerToken, refilledAt: now}
@@ -194,7 +194,7 @@
 	return u
 }
 
-func (u *callerUsage) refill(now kumquatlug.Millis, t CallerTerms) {
+func (u *callerUsage) refill(now kumquatlug.Millis, t CallerLimits) {
 	elapsed := int64(now - u.refilledAt)
 	if elapsed <= 0 {
 		return
@@ -211,7 +211,7 @@
 // wait returns the time until cost is available, zero if it is now. A request larger
 // than the whole burst is admitted when the bucket is full, and the debt is refilled
 // afterwards; otherwise it could never be admitted.
-func (u *callerUsage) wait(t CallerTerms, cost int64) kumquatlug.Millis {
+func (u *callerUsage) wait(t CallerLimits, cost int64) kumquatlug.Millis {
 	if t.Rate <= 0 {
 		return 0
 	}
@@ -223,19 +223,19 @@
 }
 
 // expectedFreeIn estimates when one of the requests in flight ends.
-func (u *callerUsage) expectedFreeIn(t CallerTerms) kumquatlug.Millis {
+func (u *callerUsage) expectedFreeIn(t CallerLimits) kumquatlug.Millis {
 	return kumquatlug.Millis(u.meanHeldMs / float64(t.Concurrency))
 }
 
-func (c *Callers) refuse(reason Reason, wait kumquatlug.Millis) Verdict {
+func (c *Callers) refuse(reason Reason, wait kumquatlug.Millis) Decision {
 	wait = min(max(wait, kumquatlug.Second), c.config.MaxRetryAfter)
 	wait += kumquatlug.Millis(c.config.Random.Int64N(int64(wait)/2 + 1))
-	return Verdict{reason: reason, retryAfter: wait}
+	return Decision{reason: reason, retryAfter: wait}
 }
 
-// Forget removes callers that have nothing in flight and a full bucket, so that memory
+// EvictIdle removes callers that have nothing in flight and a full bucket, so that memory
 // is bounded by the recently active callers. Call it periodically.
-func (c *Callers) Forget(now kumquatlug.Millis) {
+func (c *Callers) EvictIdle(now kumquatlug.Millis) {
 	for name, u := range c.usage {
 		t := c.localLimits(name)
 		u.refill(now, t)
--- a/pkg/kumquatlug/limit/concurrency.go
+++ b/pkg/kumquatlug/limit/concurrency.go
@@ -122,7 +122,7 @@
 // gateway's own share, the first to have more would keep it, and callers of another
 // gateway would wait in a full queue.
 func (t *Targets) increaseStep(g *targetState) float64 {
-	gateways := float64(t.config.Entries)
+	gateways := float64(t.config.Gateways)
 	batch := max(float64(g.totalRunning), 1)
 	if g.totalRunning == 0 {
 		batch = g.limit * gateways
--- a/pkg/kumquatlug/limit/limit_test.go
+++ b/pkg/kumquatlug/limit/limit_test.go
@@ -21,10 +21,10 @@
 
 func ExampleCallers() {
 	c := NewCallers(CallersConfig{})
-	c.SetTerms("desk", CallerTerms{Rate: 100, Burst: 1000})
-	fmt.Println(c.Begin(0, "desk", 900).Passed())
+	c.SetLimits("desk", CallerLimits{Rate: 100, Burst: 1000})
+	fmt.Println(c.Begin(0, "desk", 900).Admitted())
 	fmt.Println(c.Begin(0, "desk", 900).Reason())
-	fmt.Println(c.Begin(8*kumquatlug.Second, "desk", 900).Passed())
+	fmt.Println(c.Begin(8*kumquatlug.Second, "desk", 900).Admitted())
 	// Output:
 	// true
 	// caller_rate
@@ -34,14 +34,14 @@
 func TestCallerNeverExceedsItsRate(t *testing.T) {
 	p := properties(t)
 	p.Property("admitted tokens stay within burst plus rate times time", prop.ForAll(func(ops []uint64) string {
-		c := NewCallers(CallersConfig{Default: CallerTerms{Rate: 100, Burst: 1000, Concurrency: 4}})
+		c := NewCallers(CallersConfig{Default: CallerLimits{Rate: 100, Burst: 1000, Concurrency: 4}})
 		now, passed, running := kumquatlug.Millis(0), int64(0), 0
 		for _, op := range ops {
 			now += kumquatlug.Millis(op % 977)
 			if cost := int64(op % 613); op%3 > 0 {
-				if v := c.Begin(now, "a", cost); v.Passed() {
+				if v := c.Begin(now, "a", cost); v.Admitted() {
 					passed, running = passed+cost, running+1
-				} else if v.RetryAfter() < kumquatlug.Second || v.Failure().Ran() != kumquatlug.RanNot {
+				} else if v.RetryAfter() < kumquatlug.Second || v.Failure().Execution() != kumquatlug.NotExecuted {
 					return "refusal without a retry delay, or not marked as not run"
 				}
 			} else if running > 0 {
@@ -60,7 +60,7 @@
 func TestRetryAfterIsJittered(t *testing.T) {
 	// A hundred clients of one account are refused at the same moment. With the same
 	// retry delay they would all retry at once and be refused again.
-	c := NewCallers(CallersConfig{Default: CallerTerms{Concurrency: 1}})
+	c := NewCallers(CallersConfig{Default: CallerLimits{Concurrency: 1}})
 	c.Begin(0, "a", 1)
 	seconds := map[kumquatlug.Millis]int{}
 	for range 100 {
@@ -76,13 +76,13 @@
 func TestCallerIsChargedActualTokens(t *testing.T) {
 	// Guards against a client that requests little output and uses much: charged by its
 	// estimates, it would get many times its rate.
-	c := NewCallers(CallersConfig{Default: CallerTerms{Rate: 100, Burst: 1000}})
+	c := NewCallers(CallersConfig{Default: CallerLimits{Rate: 100, Burst: 1000}})
 	c.Begin(0, "a", 10)
 	c.End(0, "a", 50, 10, 5000)
-	if c.Begin(30*kumquatlug.Second, "a", 10).Passed() {
+	if c.Begin(30*kumquatlug.Second, "a", 10).Admitted() {
 		t.Error("admitted before 5,000 used tokens were refilled at 100 per second")
 	}
-	if !c.Begin(41*kumquatlug.Second, "a", 10).Passed() {
+	if !c.Begin(41*kumquatlug.Second, "a", 10).Admitted() {
 		t.Error("refused after they were refilled")
 	}
 }
@@ -107,7 +107,7 @@
 func runToSteadyState(e simulatedEngine, gateways int, overloadAt int) (batch, imbalance float64) {
 	var all []*Targets
 	for n := range gateways {
-		l := NewTargets(TargetsConfig{Entries: gateways, Random: rand.New(rand.NewPCG(uint64(n), 1))})
+		l := NewTargets(TargetsConfig{Gateways: gateways, Random: rand.New(rand.NewPCG(uint64(n), 1))})
 		l.Add("x")
 		all = append(all, l)
 	}
@@ -176,7 +176,7 @@
 func TestShortPatienceLowersTolerance(t *testing.T) {
 	// A batch size that suits documents is too slow for short questions. With the same
 	// tolerance for both, the target fills with responses that arrive too late.
-	l := NewTargets(TargetsConfig{Floor: 1})
+	l := NewTargets(TargetsConfig{Baseline: 1})
 	for _, c := range []struct {
 		patience kumquatlug.Millis
 		want     float64
@@ -186,7 +186,7 @@
 		{patience: 100, want: minTolerance},
 	} {
 		var k Ticket
-		l.Tolerate(&k, c.patience, 1000)
+		l.SetTolerance(&k, c.patience, 1000)
 		if d := k.tolerance - c.want; d > 0.001 || d < -0.001 {
 			t.Errorf("patience %d ms for 1000 ms of work: tolerance %.3f, want %.3f", c.patience, k.tolerance, c.want)
 		}
@@ -196,7 +196,7 @@
 func TestPendingBoundHoldsBackLongPrompts(t *testing.T) {
 	// Prompts sent early wait inside the engine, out of reach of fair queueing, and a
 	// short question that comes later queues behind them.
-	l := NewTargets(TargetsConfig{MaxPending: 8000})
+	l := NewTargets(TargetsConfig{MaxPendingTokens: 8000})
 	l.Add("x")
 	first := l.Begin(0, "x", 5000)
 	if l.Room("x", 5000) {
@@ -219,14 +219,14 @@
 	l.Add("x")
 	l.Begin(1000, "x", 300)
 	l.Begin(2000, "x", 300)
-	l.Report(2500, "x", Load{Asked: 2500, Age: 1000, Used: 300, Total: 1000})
+	l.Report(2500, "x", Load{RequestedAt: 2500, Age: 1000, Used: 300, Total: 1000})
 	if !l.Room("x", 400) {
 		t.Error("refused 400 tokens; 300 reported and 300 begun since leave 400 of 1000")
 	}
 	if l.Room("x", 401) {
 		t.Error("admitted 401 tokens with 400 free")
 	}
-	l.Report(2600, "x", Load{Asked: 2600, Age: 2600, Used: 0, Total: 1000})
+	l.Report(2600, "x", Load{RequestedAt: 2600, Age: 2600, Used: 0, Total: 1000})
 	if l.Room("x", 401) {
 		t.Error("an older report replaced a newer one")
 	}
@@ -258,7 +258,7 @@
 func sentOnOneReport(used, cost int64, seed uint64) int64 {
 	sent := int64(0)
 	for n := range uint64(10) {
-		l := NewTargets(TargetsConfig{Entries: 10, Random: rand.New(rand.NewPCG(seed, n))})
+		l := NewTargets(TargetsConfig{Gateways: 10, Random: rand.New(rand.NewPCG(seed, n))})
 		l.Add("x")
 		l.Report(0, "x", Load{Used: used, Total: 10_000})
 		for l.Room("x", cost) {
@@ -279,7 +279,7 @@
 	l.Remove("x")
 	l.Sample(1, &k, 1, 1)
 	l.End(1, k, OutcomeEnded)
-	if l.Free("x") != 0 || l.Running("x") != 0 {
+	if l.FreeSlots("x") != 0 || l.Running("x") != 0 {
 		t.Error("a removed target is still counted")
 	}
 }
@@ -303,7 +303,7 @@
 func BenchmarkCallers(b *testing.B) {
 	for _, callers := range []int{1, 740} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) {
-			c := NewCallers(CallersConfig{Default: CallerTerms{Rate: 1 << 30, Concurrency: 100}})
+			c := NewCallers(CallersConfig{Default: CallerLimits{Rate: 1 << 30, Concurrency: 100}})
 			names := make([]string, callers)
 			for n := range names {
 				names[n] = fmt.Sprint("caller-", n)
--- a/pkg/kumquatlug/limit/memory.go
+++ b/pkg/kumquatlug/limit/memory.go
@@ -46,7 +46,7 @@
 // update applies a load report and reports whether it is at least as new as the last
 // one.
 func (m *kvMemory) update(l Load) bool {
-	measuredAt := l.Asked - l.Age
+	measuredAt := l.RequestedAt - l.Age
 	if m.known && measuredAt < m.measuredAt {
 		return false
 	}
@@ -81,7 +81,7 @@
 	if free < m.unreportedTokens+cost {
 		return false
 	}
-	share := free / int64(c.Entries)
+	share := free / int64(c.Gateways)
 	if share >= m.unreportedTokens+cost {
 		return true
 	}
--- a/pkg/kumquatlug/limit/targets.go
+++ b/pkg/kumquatlug/limit/targets.go
@@ -10,13 +10,13 @@
 
 // Default values; the reasons are documented at the fields of [TargetsConfig].
 const (
-	DefaultInitial   = 16
-	DefaultMin       = 1
-	DefaultMax       = 256
-	DefaultTolerance = 3.0
-	DefaultWindow    = 250
-	DefaultHighWater = 0.9
-	DefaultPending   = 16_000
+	DefaultInitial          = 16
+	DefaultMin              = 1
+	DefaultMax              = 256
+	DefaultTolerance        = 3.0
+	DefaultWindowMs         = 250
+	DefaultHighWater        = 0.9
+	DefaultMaxPendingTokens = 16_000
 )
 
 // TargetsConfig configures [Targets]. Concurrency values are for a whole target; each
@@ -33,15 +33,15 @@
 	Max int
 	// Tolerance is the factor by which a target's latency for the same work may exceed
 	// its baseline before the limit is decreased, unless a request has a shorter time
-	// limit of its own ([Targets.Tolerate]). Default 3: in a well filled batch, with
+	// limit of its own ([Targets.SetTolerance]). Default 3: in a well filled batch, with
 	// prompts run in between, a request takes two to three times as long as alone;
 	// beyond that it is queueing.
 	Tolerance float64
-	// Floor is the baseline latency per unit of work of a target, if known: 1 if work
+	// Baseline is the baseline latency per unit of work of a target, if known: 1 if work
 	// is given as the time that it takes on an idle target. By default the baseline is
 	// learned, which takes an idle period: a target that is full from the first request
 	// on never shows it.
-	Floor float64
+	Baseline float64
 	// Window is the minimum time between two changes of a limit; it is longer where
 	// responses or chunks of streams take longer, so that a change takes effect before
 	// the next one. Default 250 ms, a few rounds of a batch.
@@ -50,14 +50,14 @@
 	// outputs grow while they are generated, and an engine that runs out of memory
 	// preempts unfinished requests.
 	HighWater float64
-	// MaxPending bounds the tokens sent to a target that it has not started to respond
+	// MaxPendingTokens bounds the tokens sent to a target that it has not started to respond
 	// to (see [Targets.Sample]); one request is always allowed. Default 16,000: two
 	// seconds of prompts for a mid-sized model, enough to keep the engine busy until
 	// the next request. Requests that wait inside the engine can no longer be reordered
 	// fairly or refused in time, so they wait here instead.
-	MaxPending int64
-	// Entries is the number of gateways that send to the same targets. Default 1.
-	Entries int
+	MaxPendingTokens int64
+	// Gateways is the number of gateways that send to the same targets. Default 1.
+	Gateways int
 	// Random is the seeded source for rounding shares smaller than one request.
 	// Gateways need different seeds. Default: seeds 1 and 1.
 	Random *rand.Rand
@@ -70,11 +70,11 @@
 	if c.Tolerance <= 1 {
 		c.Tolerance = DefaultTolerance
 	}
-	c.Window = standard.Millis(c.Window, DefaultWindow)
+	c.Window = standard.Millis(c.Window, DefaultWindowMs)
 	c.HighWater = standard.Float(c.HighWater, DefaultHighWater)
-	c.MaxPending = standard.Int64(c.MaxPending, DefaultPending)
-	if c.Entries < 1 {
-		c.Entries = 1
+	c.MaxPendingTokens = standard.Int64(c.MaxPendingTokens, DefaultMaxPendingTokens)
+	if c.Gateways < 1 {
+		c.Gateways = 1
 	}
 	if c.Random == nil {
 		c.Random = rand.New(rand.NewPCG(1, 1))
@@ -95,15 +95,15 @@
 
 // Add starts tracking a target, or a new incarnation of it.
 func (t *Targets) Add(name string) {
-	share := float64(t.config.Initial) / float64(t.config.Entries)
-	t.targets[name] = &targetState{limit: max(share, float64(t.config.Min)), baseline: t.config.Floor}
+	share := float64(t.config.Initial) / float64(t.config.Gateways)
+	t.targets[name] = &targetState{limit: max(share, float64(t.config.Min)), baseline: t.config.Baseline}
 }
 
 // Remove stops tracking a target.
 func (t *Targets) Remove(name string) { delete(t.targets, name) }
 
-// SetEntries sets the number of gateways that share the targets, at least one.
-func (t *Targets) SetEntries(n int) { t.config.Entries = max(n, 1) }
+// SetGateways sets the number of gateways that share the targets, at least one.
+func (t *Targets) SetGateways(n int) { t.config.Gateways = max(n, 1) }
 
 // Ticket is one request in flight at a target.
 type Ticket struct {
@@ -143,8 +143,8 @@
 	}
 	g.markStarted(k)
 	g.addSample(now, float64(latency), work, work*t.toleranceOf(k))
-	if t.config.Floor > 0 {
-		g.baseline = t.config.Floor
+	if t.config.Baseline > 0 {
+		g.baseline = t.config.Baseline
 	}
 	t.adjustLimit(now, g)
 }
@@ -168,12 +168,12 @@
 	minTolerance = 1.2
 )
 
-// Tolerate sets the latency factor of a request from the time that its caller waits
+// SetTolerance sets the latency factor of a request from the time that its caller waits
 // (patience) and the time that it takes alone on an idle target. A batch size that
 // suits long documents is too slow for short questions: with one tolerance for all, the
 // target would fill with responses that arrive too late, and the queue before it would
 // be empty, so that its order would have no effect.
-func (t *Targets) Tolerate(k *Ticket, patience, alone kumquatlug.Millis) {
+func (t *Targets) SetTolerance(k *Ticket, patience, alone kumquatlug.Millis) {
 	allowed := maxPatienceShare * float64(patience) / float64(max(alone, 1))
 	k.tolerance = min(max(allowed, minTolerance), t.config.Tolerance)
 }
@@ -207,9 +207,9 @@
 type Load struct {
 	// Age is how old the load was when it was requested, in milliseconds.
 	Age kumquatlug.Millis
-	// Asked is when this gateway requested it, on this gateway's clock. Requests that
+	// RequestedAt is when this gateway requested it, on this gateway's clock. Requests that
 	// this gateway began after Asked - Age are not in the report.
-	Asked kumquatlug.Millis
+	RequestedAt kumquatlug.Millis
 	// Running is the number of requests of all gateways that run at the target; zero
 	// means unknown.
 	Running int64
@@ -227,7 +227,7 @@
 	}
 	g.totalRunning, g.waiting = l.Running, l.Waiting
 	g.reportDraw = t.config.Random.Float64()
-	if l.Waiting > int64(t.config.Entries) {
+	if l.Waiting > int64(t.config.Gateways) {
 		g.overloaded = true
 		t.adjustLimit(now, g)
 	}
@@ -239,8 +239,8 @@
 	return ok && t.free(g) > 0 && t.fitsPending(g, cost) && g.memory.hasRoom(t.config, g.reportDraw, cost)
 }
 
-// Free returns how many more requests the concurrency limit allows.
-func (t *Targets) Free(name string) int {
+// FreeSlots returns how many more requests the concurrency limit allows.
+func (t *Targets) FreeSlots(name string) int {
 	g, ok := t.targets[name]
 	if !ok {
 		return 0
@@ -269,7 +269,7 @@
 	return pending == 0 || pending+cost <= t.pendingShare()
 }
 
-func (t *Targets) pendingShare() int64 { return t.config.MaxPending / int64(t.config.Entries) }
+func (t *Targets) pendingShare() int64 { return t.config.MaxPendingTokens / int64(t.config.Gateways) }
 
 // sizeClass separates small requests from large ones.
 type sizeClass int
@@ -292,6 +292,6 @@
 }
 
 func (t *Targets) maxLimit() float64 {
-	share := float64(t.config.Max) / float64(t.config.Entries)
+	share := float64(t.config.Max) / float64(t.config.Gateways)
 	return max(share, float64(t.config.Min))
 }
--- a/pkg/kumquatlug/membership/membership.go
+++ b/pkg/kumquatlug/membership/membership.go
@@ -27,29 +27,29 @@
 const (
 	// StateNew: listed, no heartbeat answered yet.
 	StateNew State = "new"
-	// StateUp: a heartbeat was answered, and fewer than MissedForDown were missed since.
+	// StateUp: a heartbeat was answered, and fewer than DownAfterMissed were missed since.
 	StateUp State = "up"
-	// StateDown: the last MissedForDown heartbeats or more were not answered.
+	// StateDown: the last DownAfterMissed heartbeats or more were not answered.
 	StateDown State = "down"
 )
 
 // Parameters of heartbeats.
 const (
-	// MissedForDown is the number of consecutive missed heartbeats after which a target is down.
-	MissedForDown = 3
+	// DownAfterMissed is the number of consecutive missed heartbeats after which a target is down.
+	DownAfterMissed = 3
 	// MinInterval is the shortest interval of the heartbeats to one target.
 	MinInterval = kumquatlug.Second
 	// HeartbeatBytes is the size of a heartbeat and its response on the wire.
 	HeartbeatBytes = 580
-	// ControlBytes is the limit for heartbeats in bytes per second, out of the 5 KB per second
+	// MaxHeartbeatBytesPerSecond is the limit for heartbeats in bytes per second, out of the 5 KB per second
 	// that a node may use for control traffic.
-	ControlBytes = 4_000
+	MaxHeartbeatBytesPerSecond = 4_000
 )
 
 // Interval returns the interval of the heartbeats to one target for a gateway that sends them
-// to this many, so that all together stay within ControlBytes.
+// to this many, so that all together stay within MaxHeartbeatBytesPerSecond.
 func Interval(targets int) kumquatlug.Millis {
-	spread := kumquatlug.Millis(targets) * kumquatlug.Second * HeartbeatBytes / ControlBytes
+	spread := kumquatlug.Millis(targets) * kumquatlug.Second * HeartbeatBytes / MaxHeartbeatBytesPerSecond
 	return max(MinInterval, spread)
 }
 
@@ -88,8 +88,8 @@
 // Incarnation returns the ID of the agent's process, empty before the first answered heartbeat.
 func (m Member) Incarnation() string { return m.incarnation }
 
-// HeardAt returns when the last heartbeat was answered, zero if none was.
-func (m Member) HeardAt() kumquatlug.Millis { return m.lastAnsweredAt }
+// LastAnsweredAt returns when the last heartbeat was answered, zero if none was.
+func (m Member) LastAnsweredAt() kumquatlug.Millis { return m.lastAnsweredAt }
 
 // Leaving reports whether the VM is leaving according to the platform's list.
 func (m Member) Leaving() bool { return m.vm.State() == kumquatlug.VMLeaving }
@@ -105,10 +105,10 @@
 	return &Members{members: map[string]*Member{}}
 }
 
-// Listed updates the members from the platform's list; only target VMs count. A member that
+// SetVMs updates the members from the platform's list; only target VMs count. A member that
 // is no longer listed is kept while it answers heartbeats, since the list may be wrong and the
 // target has calls in flight. It is removed when it is not up.
-func (m *Members) Listed(vms []kumquatlug.VM) {
+func (m *Members) SetVMs(vms []kumquatlug.VM) {
 	for _, member := range m.members {
 		member.listed = false
 	}
@@ -147,9 +147,9 @@
 	sort.Strings(m.names)
 }
 
-// Heard records an answered heartbeat. It returns the change, and whether the target came up
+// HeartbeatAnswered records an answered heartbeat. It returns the change, and whether the target came up
 // or its agent was restarted.
-func (m *Members) Heard(now kumquatlug.Millis, name, incarnation string) (Change, bool) {
+func (m *Members) HeartbeatAnswered(now kumquatlug.Millis, name, incarnation string) (Change, bool) {
 	member, known := m.members[name]
 	if !known {
 		return Change{}, false
@@ -163,15 +163,15 @@
 	return change, change.from != StateUp || restarted
 }
 
-// Missed records a heartbeat that was not answered. It returns the change, and whether the
+// HeartbeatMissed records a heartbeat that was not answered. It returns the change, and whether the
 // target went down.
-func (m *Members) Missed(name string) (Change, bool) {
+func (m *Members) HeartbeatMissed(name string) (Change, bool) {
 	member, known := m.members[name]
 	if !known {
 		return Change{}, false
 	}
 	member.missedHeartbeats++
-	if member.missedHeartbeats < MissedForDown || member.state == StateDown {
+	if member.missedHeartbeats < DownAfterMissed || member.state == StateDown {
 		return Change{}, false
 	}
 	change := Change{name: name, from: member.state, to: StateDown}
--- a/pkg/kumquatlug/membership/roster.go
+++ b/pkg/kumquatlug/membership/roster.go
@@ -28,8 +28,8 @@
 	State   kumquatlug.VMState `json:"state"`
 }
 
-// Enter writes a VM's row.
-func (r *Roster) Enter(ctx context.Context, vm kumquatlug.VM) error {
+// Register writes a VM's row.
+func (r *Roster) Register(ctx context.Context, vm kumquatlug.VM) error {
 	text, err := json.Marshal(vmRow{Role: vm.Role(), Address: vm.Address(), Zone: vm.Zone(), State: vm.State()})
 	if err != nil {
 		return errors.Wrap(err, "encode the VM's row")
@@ -38,8 +38,8 @@
 	return errors.Wrap(r.table.Commit(ctx, tx), "write the VM's row")
 }
 
-// Leave deletes a VM's row.
-func (r *Roster) Leave(ctx context.Context, name string) error {
+// Deregister deletes a VM's row.
+func (r *Roster) Deregister(ctx context.Context, name string) error {
 	return errors.Wrap(r.table.Commit(ctx, kumquatlug.NewTx("vm-"+name).Delete(vmKeyPrefix+name)), "delete the VM's row")
 }
 
