--- a/pkg/kumquatlug/operatorconfig.go
+++ b/pkg/kumquatlug/operatorconfig.go
@@ -2,19 +2,19 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Repeat says whether a request may be retried after it may have run.
-type Repeat string
+// RetryPolicy says whether a request may be retried after it may have run.
+type RetryPolicy string
 
 // The retry policies of routes.
 const (
-	// RepeatFree: the request may run more than once.
-	RepeatFree Repeat = "idempotent"
-	// RepeatNever: the request runs at most once per attempt of the client.
-	RepeatNever Repeat = "once"
+	// RetryIdempotent: the request may run more than once.
+	RetryIdempotent RetryPolicy = "idempotent"
+	// RetryNever: the request runs at most once per attempt of the client.
+	RetryNever RetryPolicy = "once"
 )
 
-// Share is a service and its weight among the services of a route.
-type Share struct {
+// WeightedService is a service and its weight among the services of a route.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -24,27 +24,27 @@
 	Name   string
 	Host   string
 	Prefix string
-	// Repeat says whether a request may run more than once from its start.
-	Repeat Repeat
+	// RetryPolicy says whether a request may run more than once from its start.
+	RetryPolicy RetryPolicy
 	// Stream says that the response is a stream of events.
 	Stream bool
 	// Resumable says that a stream may continue at another worker.
 	Resumable bool
-	// Prompted says that requests carry prompts whose shared parts are worth routing to
+	// HasPrompts says that requests carry prompts whose shared parts are worth routing to
 	// the same engine.
-	Prompted bool
-	// Shares are the services of the route with their weights.
-	Shares []Share
-	// Workers is the maximum number of workers tried per attempt of a client.
-	Workers int
+	HasPrompts bool
+	// Services are the services of the route with their weights.
+	Services []WeightedService
+	// MaxWorkers is the maximum number of workers tried per attempt of a client.
+	MaxWorkers int
 	// Priority ranks routes, 0 first.
 	Priority int
 	// Public says that requests need no key.
 	Public bool
-	// Target is the latency within which a response has its full value, Timeout the
+	// LatencyTarget is the latency within which a response has its full value, Timeout the
 	// longest that a client is kept waiting, Gap the longest pause between events; zero
 	// for none.
-	Target, Timeout, Gap Millis
+	LatencyTarget, Timeout, MaxEventGap Millis
 }
 
 // Route is one routing rule of the config.
@@ -68,15 +68,17 @@
 // Resumable reports whether a stream may continue at another worker.
 func (r Route) Resumable() bool { return r.c.Resumable }
 
-// Prompted reports whether requests carry prompts.
-func (r Route) Prompted() bool { return r.c.Prompted }
+// HasPrompts reports whether requests carry prompts.
+func (r Route) HasPrompts() bool { return r.c.HasPrompts }
 
 // Repeatable reports whether a request may run more than once.
-func (r Route) Repeatable() bool { return r.c.Repeat == RepeatFree || r.c.Stream && r.c.Resumable }
+func (r Route) Repeatable() bool {
+	return r.c.RetryPolicy == RetryIdempotent || r.c.Stream && r.c.Resumable
+}
 
-// Workers returns the maximum number of workers tried per attempt of a client, at least
+// MaxWorkers returns the maximum number of workers tried per attempt of a client, at least
 // one.
-func (r Route) Workers() int { return max(r.c.Workers, 1) }
+func (r Route) MaxWorkers() int { return max(r.c.MaxWorkers, 1) }
 
 // Public reports whether requests need no key.
 func (r Route) Public() bool { return r.c.Public }
@@ -84,30 +86,30 @@
 // Priority returns the route's rank, 0 first.
 func (r Route) Priority() int { return r.c.Priority }
 
-// Target returns the latency within which a response has its full value, zero for none.
-func (r Route) Target() Millis { return r.c.Target }
+// LatencyTarget returns the latency within which a response has its full value, zero for none.
+func (r Route) LatencyTarget() Millis { return r.c.LatencyTarget }
 
 // Timeout returns the longest that a client is kept waiting, zero for no limit.
 func (r Route) Timeout() Millis { return r.c.Timeout }
 
-// Gap returns the longest pause between events, zero for none.
-func (r Route) Gap() Millis { return r.c.Gap }
+// MaxEventGap returns the longest pause between events, zero for none.
+func (r Route) MaxEventGap() Millis { return r.c.MaxEventGap }
 
 // Service returns the service for the request with this id, chosen by weight. The
 // choice depends only on the id, so that a retried request stays with its service.
 func (r Route) Service(id string) string {
 	total := 0
-	for _, s := range r.c.Shares {
+	for _, s := range r.c.Services {
 		total += s.Weight
 	}
 	if total <= 0 {
-		if len(r.c.Shares) == 0 {
+		if len(r.c.Services) == 0 {
 			return ""
 		}
-		return r.c.Shares[0].Service
+		return r.c.Services[0].Service
 	}
 	remaining := int(xxhash.Sum64String(id) % uint64(total))
-	for _, s := range r.c.Shares {
+	for _, s := range r.c.Services {
 		if remaining -= s.Weight; remaining < 0 {
 			return s.Service
 		}
@@ -119,15 +121,15 @@
 type ServiceConfig struct {
 	Name       string
 	HealthPath string
-	// Connections limits the connections to one worker, from all gateways together.
-	Connections int
+	// MaxConnections limits the connections to one worker, from all gateways together.
+	MaxConnections int
 	// Engine says that the workers are language-model engines.
 	Engine bool
 	// Slots is the number of requests that an engine runs at once, Memory the number of
 	// tokens that its KV cache holds, Switch the time that a role change takes.
-	Slots  int
-	Memory int
-	Switch Millis
+	Slots            int
+	KVCapacityTokens int
+	RoleChangeTime   Millis
 	// Scaling bounds the number of workers in each data centre; zero if the operator
 	// sets that number.
 	Scaling Scaling
@@ -136,8 +138,8 @@
 // Scaling holds the least and the greatest number of workers of a service in one data
 // centre, and the time that a new worker takes until it serves.
 type Scaling struct {
-	Least, Most int
-	Boot        Millis
+	MinWorkers, MaxWorkers int
+	BootTime               Millis
 }
 
 // Service is a group of workers.
@@ -152,8 +154,8 @@
 // HealthPath returns the path of the health check.
 func (s Service) HealthPath() string { return s.c.HealthPath }
 
-// Connections returns the limit on connections to one worker.
-func (s Service) Connections() int { return s.c.Connections }
+// MaxConnections returns the limit on connections to one worker.
+func (s Service) MaxConnections() int { return s.c.MaxConnections }
 
 // Engine reports whether the workers are language-model engines.
 func (s Service) Engine() bool { return s.c.Engine }
@@ -161,11 +163,11 @@
 // Slots returns the number of requests that one engine runs at once.
 func (s Service) Slots() int { return s.c.Slots }
 
-// Memory returns the number of tokens that one engine's KV cache holds.
-func (s Service) Memory() int { return s.c.Memory }
+// KVCapacityTokens returns the number of tokens that one engine's KV cache holds.
+func (s Service) KVCapacityTokens() int { return s.c.KVCapacityTokens }
 
-// Switch returns the time that a role change takes.
-func (s Service) Switch() Millis { return s.c.Switch }
+// RoleChangeTime returns the time that a role change takes.
+func (s Service) RoleChangeTime() Millis { return s.c.RoleChangeTime }
 
 // Scaling returns the bounds on the number of workers; Most is zero if the operator
 // sets that number.
@@ -186,10 +188,10 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed says that requests must carry keys. Accounts are then all accounts that may
+	// KeysRequired says that requests must carry keys. Accounts are then all accounts that may
 	// be used, one entry per key.
-	Keyed    bool
-	Accounts []Caller
+	KeysRequired bool
+	Accounts     []Caller
 }
 
 // MemberState says whether a worker takes new work.
@@ -213,9 +215,9 @@
 	Slots int
 	// Role is the role of an engine, empty for a plain service.
 	Role Role
-	// Born distinguishes two starts under the same name, in Unix milliseconds of the
+	// StartedAt distinguishes two starts under the same name, in Unix milliseconds of the
 	// worker's own clock; zero if unknown.
-	Born int64
-	// Cold is the remaining time that it is slow after its start.
-	Cold Millis
+	StartedAt int64
+	// WarmupRemaining is the remaining time that it is slow after its start.
+	WarmupRemaining Millis
 }
--- a/pkg/kumquatlug/order/engine_test.go
+++ b/pkg/kumquatlug/order/engine_test.go
@@ -7,14 +7,14 @@
 	gate, s := w.gate, w.gate.Next(w.now)
 	var answer, failure func()
 	switch s.Action() {
-	case StepRead:
-		state := NewState(w.engine.changing == nil && !w.engine.reloading, Fact{VerbRole, w.engine.role}, Fact{VerbAdapter, "none"})
-		answer = func() { gate.Read(s, state) }
-		failure = func() { gate.ReadFailed(s) }
-	case StepFence:
+	case StepReadState:
+		state := NewState(w.engine.changing == nil && !w.engine.reloading, Property{VerbRole, w.engine.role}, Property{VerbAdapter, "none"})
+		answer = func() { gate.StateRead(s, state) }
+		failure = func() { gate.StateReadFailed(s) }
+	case StepReadFencingToken:
 		token := w.leaseToken
-		answer = func() { gate.Fenced(s, token) }
-		failure = func() { gate.FenceFailed(s) }
+		answer = func() { gate.FencingTokenRead(s, token) }
+		failure = func() { gate.FencingTokenReadFailed(s) }
 	case StepRun:
 		w.checkFinished()
 		w.startOrder(s)
@@ -54,7 +54,7 @@
 	if id.Incarnation() != w.incarnation {
 		w.fail("order %s ran at incarnation %d", id, w.incarnation)
 	}
-	if o.Verb().Away() && w.engine.calls > 0 {
+	if o.Verb().TakesOffline() && w.engine.calls > 0 {
 		w.fail("order %s interrupted %d calls", id, w.engine.calls)
 	}
 	w.ran[id], w.lastRan = true, id
@@ -62,10 +62,10 @@
 }
 
 func (w *world) beginCall() {
-	if !w.gate.Begin() {
+	if !w.gate.BeginCall() {
 		return
 	}
-	if w.engine.changing != nil && w.engine.changing.Verb().Away() {
+	if w.engine.changing != nil && w.engine.changing.Verb().TakesOffline() {
 		w.fail("a call started during %s", w.engine.changing.ID())
 	}
 	if w.engine.reloading && !w.crashUnnoticed {
@@ -77,7 +77,7 @@
 func (w *world) endCall() {
 	if w.engine.calls > 0 {
 		w.engine.calls--
-		w.gate.End()
+		w.gate.EndCall()
 	}
 }
 
@@ -98,12 +98,12 @@
 	w.runningStep = nil
 	if late {
 		w.messages = append(w.messages, message{
-			deliver: func() { gate.Ran(s, OutcomeApplied) },
-			onLoss:  func() { gate.Ran(s, OutcomeUnknown) },
+			deliver: func() { gate.RunFinished(s, OutcomeApplied) },
+			onLoss:  func() { gate.RunFinished(s, OutcomeUnknown) },
 		})
 		return
 	}
-	gate.Ran(s, OutcomeApplied)
+	gate.RunFinished(s, OutcomeApplied)
 }
 
 // crash stops the engine and all its calls. The engine restarts at once or after a
--- a/pkg/kumquatlug/order/gate.go
+++ b/pkg/kumquatlug/order/gate.go
@@ -6,10 +6,10 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultMaxTokenAge is the default of [GateConfig.FenceAge].
+// defaultMaxTokenAge is the default of [GateConfig.MaxFencingTokenAge].
 const defaultMaxTokenAge = kumquatlug.Second
 
-// defaultMaxRemembered is the default of [GateConfig.Remember]. Only a resend of
+// defaultMaxRemembered is the default of [GateConfig.MaxRemembered]. Only a resend of
 // the last order is likely, since a sender issues one at a time; 64 entries take
 // a few kilobytes.
 const defaultMaxRemembered = 64
@@ -19,15 +19,15 @@
 	// Incarnation is the agent's current incarnation, from the table. Required,
 	// at least 1.
 	Incarnation Incarnation
-	// Remember is the number of completed orders whose outcomes are kept to answer
+	// MaxRemembered is the number of completed orders whose outcomes are kept to answer
 	// resends. Default 64.
-	Remember int
-	// FenceAge is the maximum age of the fencing token read from the table when
+	MaxRemembered int
+	// MaxFencingTokenAge is the maximum age of the fencing token read from the table when
 	// an order is sent to the engine, measured from before the read was issued.
 	// Default 1 s: above the duration of a slow read and far below a lease's time
 	// to live. It costs one table read per order. While the table is unavailable
 	// no order runs, but no lease can be renewed then either.
-	FenceAge kumquatlug.Millis
+	MaxFencingTokenAge kumquatlug.Millis
 }
 
 // finishedOrder is the record of a completed order.
@@ -43,11 +43,11 @@
 const (
 	// StepNone: there is nothing to do now.
 	StepNone StepAction = "none"
-	// StepRead: read the engine's state; see [Gate.Read].
-	StepRead StepAction = "read"
-	// StepFence: read the group's fencing token from the table; see [Gate.Fenced].
-	StepFence StepAction = "fence"
-	// StepRun: send the order to the engine; see [Gate.Ran].
+	// StepReadState: read the engine's state; see [Gate.StateRead].
+	StepReadState StepAction = "read"
+	// StepReadFencingToken: read the group's fencing token from the table; see [Gate.FencingTokenRead].
+	StepReadFencingToken StepAction = "fence"
+	// StepRun: send the order to the engine; see [Gate.RunFinished].
 	StepRun StepAction = "run"
 )
 
@@ -72,7 +72,7 @@
 	config       GateConfig
 	tokenRead    bool
 	tokenReadAt  kumquatlug.Millis
-	highestToken lease.Number
+	highestToken lease.FencingToken
 	lastID       ID
 	stateKnown   bool
 	blocked      bool
@@ -87,12 +87,12 @@
 // NewGate returns a gate that accepts no orders and no calls until the fencing
 // token and the engine's state have been read.
 func NewGate(c GateConfig) *Gate {
-	c.Remember = standard.Int(c.Remember, defaultMaxRemembered)
-	c.FenceAge = standard.Millis(c.FenceAge, defaultMaxTokenAge)
+	c.MaxRemembered = standard.Int(c.MaxRemembered, defaultMaxRemembered)
+	c.MaxFencingTokenAge = standard.Millis(c.MaxFencingTokenAge, defaultMaxTokenAge)
 	return &Gate{config: c, blocked: true, pending: Step{action: StepNone}}
 }
 
-// Fenced handles the result of a StepFence: [lease.Record.Fence] of the group's
+// FencingTokenRead handles the result of a StepReadFencingToken: [lease.Record.Fence] of the group's
 // row. No order is accepted before the first result.
 //
 // An agent that restarted has lost the tokens it had seen. If it accepted the
@@ -101,21 +101,21 @@
 // order runs: the next holder owns the lease for a while before its first message
 // arrives, and an order of the previous holder may have waited long for calls in
 // flight.
-func (g *Gate) Fenced(s Step, token lease.Number) {
+func (g *Gate) FencingTokenRead(s Step, token lease.FencingToken) {
 	if !g.completePending(s) {
 		return
 	}
 	g.tokenRead, g.tokenReadAt = true, s.issuedAt
-	g.Raise(token)
+	g.ObserveFencingToken(token)
 }
 
-// FenceFailed handles a failed StepFence. [Gate.Next] repeats the read.
-func (g *Gate) FenceFailed(s Step) { g.completePending(s) }
+// FencingTokenReadFailed handles a failed StepReadFencingToken. [Gate.Next] repeats the read.
+func (g *Gate) FencingTokenReadFailed(s Step) { g.completePending(s) }
 
-// Raise records a fencing token learned from another source, such as a new
+// ObserveFencingToken records a fencing token learned from another source, such as a new
 // holder's report. An order with a lower token that has not been sent to the
 // engine is superseded, since its sender no longer holds the lease.
-func (g *Gate) Raise(token lease.Number) {
+func (g *Gate) ObserveFencingToken(token lease.FencingToken) {
 	if token <= g.highestToken {
 		return
 	}
@@ -126,7 +126,7 @@
 }
 
 // Number returns the highest fencing token seen.
-func (g *Gate) Number() lease.Number { return g.highestToken }
+func (g *Gate) Number() lease.FencingToken { return g.highestToken }
 
 // Phase returns the target's current phase.
 func (g *Gate) Phase() Phase {
@@ -134,7 +134,7 @@
 	case !g.stateKnown:
 		return PhaseUnknown
 	case g.current == nil:
-		return PhaseSettled
+		return PhaseIdle
 	case g.sent:
 		return PhaseRunning
 	default:
@@ -160,9 +160,9 @@
 	}
 	// An order accepted earlier is answered before the tokens are compared, even
 	// if its sender has lost the lease: the reply has no further effect, and
-	// VerdictOld would mean that the order never took effect.
+	// VerdictStale would mean that the order never took effect.
 	if outcome, ok := g.recordedOutcome(o.id); ok {
-		return VerdictSettled, outcome
+		return VerdictCompleted, outcome
 	}
 	if g.current != nil && g.current.id == o.id {
 		return VerdictAccepted, ""
@@ -171,12 +171,12 @@
 		return VerdictNotReady, ""
 	}
 	if o.id.fencingToken < g.highestToken {
-		return VerdictOld, ""
+		return VerdictStale, ""
 	}
-	g.Raise(o.id.fencingToken)
+	g.ObserveFencingToken(o.id.fencingToken)
 	switch {
 	case !o.id.after(g.lastID):
-		return VerdictOld, ""
+		return VerdictStale, ""
 	case g.current != nil:
 		return VerdictBusy, ""
 	case !g.stateKnown:
@@ -203,18 +203,18 @@
 	case g.pending.action != StepNone:
 		return Step{action: StepNone}
 	case !g.stateKnown:
-		return g.issue(Step{action: StepRead}, now)
+		return g.issue(Step{action: StepReadState}, now)
 	case !g.tokenRead:
-		return g.issue(Step{action: StepFence}, now)
+		return g.issue(Step{action: StepReadFencingToken}, now)
 	case g.current == nil || g.sent:
 		return Step{action: StepNone}
-	case g.current.verb.Away() && g.inFlight > 0:
+	case g.current.verb.TakesOffline() && g.inFlight > 0:
 		// There is no time limit: a caller whose long response is cut by a planned
 		// change would have to start again. The number of calls in flight only
 		// falls, since no new call starts.
 		return Step{action: StepNone}
-	case now-g.tokenReadAt > g.config.FenceAge:
-		return g.issue(Step{action: StepFence}, now)
+	case now-g.tokenReadAt > g.config.MaxFencingTokenAge:
+		return g.issue(Step{action: StepReadFencingToken}, now)
 	}
 	g.sent = true
 	return g.issue(Step{action: StepRun, order: *g.current}, now)
@@ -237,24 +237,24 @@
 	return true
 }
 
-// Ran handles the result of a StepRun: OutcomeApplied, OutcomeNotApplied, or
+// RunFinished handles the result of a StepRun: OutcomeApplied, OutcomeNotApplied, or
 // OutcomeUnknown if the connection closed without a response. The caller must not
 // set a timeout: a paused engine may not have read the order yet, and would run it
 // after its state was read.
-func (g *Gate) Ran(s Step, outcome Outcome) {
+func (g *Gate) RunFinished(s Step, outcome Outcome) {
 	if !g.completePending(s) {
 		return
 	}
 	if outcome == OutcomeUnknown {
-		g.invalidateState(s.order.verb.Away())
+		g.invalidateState(s.order.verb.TakesOffline())
 		return
 	}
 	g.finishCurrent(outcome)
 }
 
-// Read handles the result of a StepRead. If the engine is applying a change,
+// StateRead handles the result of a StepReadState. If the engine is applying a change,
 // [Gate.Next] repeats the read.
-func (g *Gate) Read(s Step, state State) {
+func (g *Gate) StateRead(s Step, state State) {
 	if !g.completePending(s) || !state.settled {
 		return
 	}
@@ -262,15 +262,15 @@
 	if g.current == nil || !g.sent {
 		return
 	}
-	if state.Holds(*g.current) {
+	if state.Satisfies(*g.current) {
 		g.finishCurrent(OutcomeApplied)
 	} else {
 		g.finishCurrent(OutcomeNotApplied)
 	}
 }
 
-// ReadFailed handles a failed StepRead. [Gate.Next] repeats the read.
-func (g *Gate) ReadFailed(s Step) { g.completePending(s) }
+// StateReadFailed handles a failed StepReadState. [Gate.Next] repeats the read.
+func (g *Gate) StateReadFailed(s Step) { g.completePending(s) }
 
 // Crashed records that the engine stopped or restarted by itself. Whether an order
 // in progress took effect is then read from the engine, never assumed.
@@ -286,29 +286,29 @@
 
 func (g *Gate) finishCurrent(outcome Outcome) {
 	g.finished = append(g.finished, finishedOrder{id: g.current.id, outcome: outcome})
-	if len(g.finished) > g.config.Remember {
+	if len(g.finished) > g.config.MaxRemembered {
 		g.finished = append([]finishedOrder(nil), g.finished[1:]...)
 	}
 	g.current, g.sent = nil, false
 }
 
-// Begin reports whether a call may start at the engine, and counts it as in
+// BeginCall reports whether a call may start at the engine, and counts it as in
 // flight. False means that the call was not run, because an order takes the engine
 // offline or the engine's state has not been read since.
-func (g *Gate) Begin() bool {
-	if g.blocked || (g.current != nil && g.current.verb.Away()) {
+func (g *Gate) BeginCall() bool {
+	if g.blocked || (g.current != nil && g.current.verb.TakesOffline()) {
 		return false
 	}
 	g.inFlight++
 	return true
 }
 
-// End records that a call has ended, successfully or not.
-func (g *Gate) End() {
+// EndCall records that a call has ended, successfully or not.
+func (g *Gate) EndCall() {
 	if g.inFlight > 0 {
 		g.inFlight--
 	}
 }
 
-// InHand returns the number of calls in flight.
-func (g *Gate) InHand() int { return g.inFlight }
+// InFlight returns the number of calls in flight.
+func (g *Gate) InFlight() int { return g.inFlight }
--- a/pkg/kumquatlug/order/order.go
+++ b/pkg/kumquatlug/order/order.go
@@ -38,12 +38,12 @@
 // a sequence number. It is unique among the orders to a target.
 type ID struct {
 	incarnation  Incarnation
-	fencingToken lease.Number
+	fencingToken lease.FencingToken
 	sequence     int64
 }
 
 // NewID returns an order ID. The sequence starts at 1 for each fencing token.
-func NewID(incarnation Incarnation, token lease.Number, sequence int64) ID {
+func NewID(incarnation Incarnation, token lease.FencingToken, sequence int64) ID {
 	return ID{incarnation: incarnation, fencingToken: token, sequence: sequence}
 }
 
@@ -66,7 +66,7 @@
 func (i ID) Incarnation() Incarnation { return i.incarnation }
 
 // Number returns the fencing token.
-func (i ID) Number() lease.Number { return i.fencingToken }
+func (i ID) Number() lease.FencingToken { return i.fencingToken }
 
 // Sequence returns the order's sequence number under its fencing token.
 func (i ID) Sequence() int64 { return i.sequence }
@@ -93,8 +93,8 @@
 	VerbAdapter Verb = "adapter"
 )
 
-// Away reports whether the engine serves no calls while it applies the order.
-func (v Verb) Away() bool { return v != VerbAdapter }
+// TakesOffline reports whether the engine serves no calls while it applies the order.
+func (v Verb) TakesOffline() bool { return v != VerbAdapter }
 
 // Order is a request to change one property of a target.
 type Order struct {
@@ -117,9 +117,9 @@
 // Argument returns the new value: a role, model, version or adapter.
 func (o Order) Argument() string { return o.argument }
 
-// Fact is one property of an engine's state, such as verb "role" with argument
+// Property is one property of an engine's state, such as verb "role" with argument
 // "decode". A state may hold several facts with the same verb.
-type Fact struct {
+type Property struct {
 	Verb     Verb
 	Argument string
 }
@@ -127,20 +127,20 @@
 // State is an engine's state as the engine reports it.
 type State struct {
 	settled bool
-	facts   []Fact
+	facts   []Property
 }
 
 // NewState returns a state. settled is false while the engine is applying a
 // change, including one that the agent has no record of.
-func NewState(settled bool, facts ...Fact) State {
+func NewState(settled bool, facts ...Property) State {
 	return State{settled: settled, facts: facts}
 }
 
-// Settled reports whether the engine is not applying a change.
-func (s State) Settled() bool { return s.settled }
+// Idle reports whether the engine is not applying a change.
+func (s State) Idle() bool { return s.settled }
 
-// Holds reports whether the state matches what o requests.
-func (s State) Holds(o Order) bool {
+// Satisfies reports whether the state matches what o requests.
+func (s State) Satisfies(o Order) bool {
 	for _, f := range s.facts {
 		if f.Verb == o.verb && f.Argument == o.argument {
 			return true
@@ -173,11 +173,11 @@
 const (
 	// VerdictAccepted: the order is accepted now, or was before and is in progress.
 	VerdictAccepted Verdict = "accepted"
-	// VerdictSettled: the order has completed; see [Reply.Outcome].
-	VerdictSettled Verdict = "settled"
-	// VerdictOld: the order comes from a process that has lost the lease, or a
+	// VerdictCompleted: the order has completed; see [Reply.Outcome].
+	VerdictCompleted Verdict = "settled"
+	// VerdictStale: the order comes from a process that has lost the lease, or a
 	// later order has been accepted. A resend cannot succeed.
-	VerdictOld Verdict = "old"
+	VerdictStale Verdict = "old"
 	// VerdictOtherIncarnation: the order is for another incarnation of the agent.
 	VerdictOtherIncarnation Verdict = "other-incarnation"
 	// VerdictBusy: another order is in progress.
@@ -191,22 +191,22 @@
 type Reply struct {
 	verdict      Verdict
 	outcome      Outcome
-	fencingToken lease.Number
+	fencingToken lease.FencingToken
 }
 
 // NewReply returns a reply decoded from a message.
-func NewReply(verdict Verdict, outcome Outcome, token lease.Number) Reply {
+func NewReply(verdict Verdict, outcome Outcome, token lease.FencingToken) Reply {
 	return Reply{verdict: verdict, outcome: outcome, fencingToken: token}
 }
 
 // Verdict returns the gate's decision.
 func (r Reply) Verdict() Verdict { return r.verdict }
 
-// Outcome returns how the order ended, empty unless the verdict is VerdictSettled.
+// Outcome returns how the order ended, empty unless the verdict is VerdictCompleted.
 func (r Reply) Outcome() Outcome { return r.outcome }
 
 // Number returns the highest fencing token that the gate has seen.
-func (r Reply) Number() lease.Number { return r.fencingToken }
+func (r Reply) Number() lease.FencingToken { return r.fencingToken }
 
 // Phase is a target's progress on its current order.
 type Phase string
@@ -215,8 +215,8 @@
 const (
 	// PhaseUnknown: the engine's state has not been read since it became uncertain.
 	PhaseUnknown Phase = "unknown"
-	// PhaseSettled: no order is in progress; the target can accept one.
-	PhaseSettled Phase = "settled"
+	// PhaseIdle: no order is in progress; the target can accept one.
+	PhaseIdle Phase = "settled"
 	// PhaseDraining: an order waits for calls in flight and has not been sent to
 	// the engine.
 	PhaseDraining Phase = "draining"
--- a/pkg/kumquatlug/order/order_test.go
+++ b/pkg/kumquatlug/order/order_test.go
@@ -9,10 +9,10 @@
 )
 
 // newReadyGate returns a gate that accepts orders under token.
-func newReadyGate(token lease.Number) *Gate {
+func newReadyGate(token lease.FencingToken) *Gate {
 	g := NewGate(GateConfig{Incarnation: 1})
-	g.Read(g.Next(0), NewState(true))
-	g.Fenced(g.Next(0), token)
+	g.StateRead(g.Next(0), NewState(true))
+	g.FencingTokenRead(g.Next(0), token)
 	return g
 }
 
@@ -21,7 +21,7 @@
 // engine could meet the next role change.
 func TestDrainHasNoTimeLimit(t *testing.T) {
 	g := newReadyGate(1)
-	if !g.Begin() {
+	if !g.BeginCall() {
 		t.Fatal("an idle engine refused a call")
 	}
 	o := NewOrder(NewID(1, 1, 1), VerbRole, "decode")
@@ -29,11 +29,11 @@
 		t.Fatalf("verdict %s, want accepted", v)
 	}
 	now := 8 * kumquatlug.Hour
-	if s := g.Next(now); s.Action() != StepNone || g.Begin() {
+	if s := g.Next(now); s.Action() != StepNone || g.BeginCall() {
 		t.Fatalf("with a call in flight the next step is %s or another call is accepted", s.Action())
 	}
-	g.End()
-	g.Fenced(g.Next(now), 1)
+	g.EndCall()
+	g.FencingTokenRead(g.Next(now), 1)
 	if s := g.Next(now); s.Action() != StepRun || s.Order().ID() != o.ID() {
 		t.Fatalf("after the drain the next step is %s", s.Action())
 	}
@@ -48,16 +48,16 @@
 	g.Offer(o)
 	run := g.Next(0)
 	g.Crashed()
-	g.Ran(run, OutcomeApplied)
-	if g.Phase() != PhaseUnknown || g.Begin() {
+	g.RunFinished(run, OutcomeApplied)
+	if g.Phase() != PhaseUnknown || g.BeginCall() {
 		t.Fatalf("phase %s after a crash, or calls are accepted", g.Phase())
 	}
-	g.Read(g.Next(0), NewState(false))
+	g.StateRead(g.Next(0), NewState(false))
 	if g.Phase() != PhaseUnknown {
 		t.Fatalf("phase %s while the engine is still restarting", g.Phase())
 	}
-	g.Read(g.Next(0), NewState(true, Fact{VerbRole, "both"}))
-	if r := g.Offer(o); r.Verdict() != VerdictSettled || r.Outcome() != OutcomeNotApplied {
+	g.StateRead(g.Next(0), NewState(true, Property{VerbRole, "both"}))
+	if r := g.Offer(o); r.Verdict() != VerdictCompleted || r.Outcome() != OutcomeNotApplied {
 		t.Fatalf("verdict %s, outcome %q, want settled and not-applied", r.Verdict(), r.Outcome())
 	}
 }
@@ -75,18 +75,18 @@
 func Example() {
 	gate := NewGate(GateConfig{Incarnation: 4})
 	sender := NewSender(SenderConfig{})
-	sender.Granted(7)
+	sender.LeaseAcquired(7)
 
-	gate.Read(gate.Next(0), NewState(true, Fact{VerbRole, "both"}))
-	gate.Fenced(gate.Next(0), 7)
-	sender.Heard(Report{Target: "vm-1", Incarnation: 4, Number: gate.Number(), Phase: gate.Phase()})
+	gate.StateRead(gate.Next(0), NewState(true, Property{VerbRole, "both"}))
+	gate.FencingTokenRead(gate.Next(0), 7)
+	sender.HandleReport(Report{Target: "vm-1", Incarnation: 4, Number: gate.Number(), Phase: gate.Phase()})
 
-	o, _ := sender.Give("vm-1", VerbRole, "decode")
+	o, _ := sender.Issue("vm-1", VerbRole, "decode")
 	fmt.Println(o.ID(), gate.Offer(o).Verdict())
 
 	run := gate.Next(0)
-	gate.Ran(run, OutcomeApplied)
-	ended, _ := sender.Answered("vm-1", o.ID(), gate.Offer(o))
+	gate.RunFinished(run, OutcomeApplied)
+	ended, _ := sender.HandleReply("vm-1", o.ID(), gate.Offer(o))
 	fmt.Println(run.Action(), ended.Outcome())
 
 	old := NewOrder(NewID(4, 6, 1), VerbRole, "prefill")
@@ -101,8 +101,8 @@
 	g := newReadyGate(1)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Begin()
-		g.End()
+		g.BeginCall()
+		g.EndCall()
 	}
 }
 
@@ -113,6 +113,6 @@
 	for b.Loop() {
 		sequence++
 		g.Offer(NewOrder(NewID(1, 1, sequence), VerbRole, "decode"))
-		g.Ran(g.Next(0), OutcomeApplied)
+		g.RunFinished(g.Next(0), OutcomeApplied)
 	}
 }
--- a/pkg/kumquatlug/order/proof_test.go
+++ b/pkg/kumquatlug/order/proof_test.go
@@ -31,10 +31,10 @@
 // response that a planned change cut off.
 func TestProofOrdersNeverConflict(t *testing.T) {
 	proof.Run(t, proof.Config{
-		Claim: "orders have authority, come one at a time and cut no work",
-		Seed:  1, Runs: 300, Steps: 100,
-		Command: proof.Moves(moveKinds, senderCount, play),
-		World:   func() commands.SystemUnderTest { return newWorld() },
+		Property: "orders have authority, come one at a time and cut no work",
+		Seed:     1, Runs: 300, Steps: 100,
+		StepGen:   proof.Actions(moveKinds, senderCount, play),
+		NewSystem: func() commands.SystemUnderTest { return newWorld() },
 	})
 }
 
@@ -57,10 +57,10 @@
 // invariants need.
 type world struct {
 	now            kumquatlug.Millis
-	leaseToken     lease.Number
-	leaseLostAt    map[lease.Number]kumquatlug.Millis
+	leaseToken     lease.FencingToken
+	leaseLostAt    map[lease.FencingToken]kumquatlug.Millis
 	senders        []*Sender
-	senderTokens   []lease.Number
+	senderTokens   []lease.FencingToken
 	gate           *Gate
 	incarnation    Incarnation
 	engine         engine
@@ -77,7 +77,7 @@
 
 func newWorld() *world {
 	w := &world{
-		leaseLostAt: map[lease.Number]kumquatlug.Millis{}, senderTokens: make([]lease.Number, senderCount),
+		leaseLostAt: map[lease.FencingToken]kumquatlug.Millis{}, senderTokens: make([]lease.FencingToken, senderCount),
 		engine: engine{role: "both"}, ran: map[ID]bool{}, issued: map[ID]Order{}, outcomes: map[ID]Outcome{}, confirmed: map[ID]bool{},
 	}
 	for range senderCount {
@@ -94,7 +94,7 @@
 	}
 }
 
-func play(sut commands.SystemUnderTest, m proof.Move) commands.Result {
+func play(sut commands.SystemUnderTest, m proof.Action) commands.Result {
 	w := sut.(*world)
 	switch m.Kind {
 	case "grant":
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func (w *world) playTargetMove(m proof.Move) {
+func (w *world) playTargetMove(m proof.Action) {
 	switch m.Kind {
 	case "step":
 		w.step(m.Choice%4 == 0, false)
@@ -149,7 +149,7 @@
 		w.finishChange(m.Choice%3 == 0)
 	case "disconnect":
 		if w.runningStep != nil {
-			w.gate.Ran(*w.runningStep, OutcomeUnknown)
+			w.gate.RunFinished(*w.runningStep, OutcomeUnknown)
 			w.runningStep = nil
 		}
 	case "crash":
@@ -166,7 +166,7 @@
 	w.leaseLostAt[w.leaseToken] = w.now
 	w.leaseToken++
 	w.senderTokens[i] = w.leaseToken
-	w.senders[i].Granted(w.leaseToken)
+	w.senders[i].LeaseAcquired(w.leaseToken)
 }
 
 func (w *world) issueOrder(i, choice int) {
@@ -176,7 +176,7 @@
 		verb, argument = VerbAdapter, "a"
 	}
 	_, outstanding := w.senders[i].Outstanding(target)
-	o, err := w.senders[i].Give(target, verb, argument)
+	o, err := w.senders[i].Issue(target, verb, argument)
 	if err != nil {
 		return
 	}
@@ -189,7 +189,7 @@
 // sendStaleOrder sends an order of an earlier holder or of a sender that ignores the
 // protocol. Its sequence numbers are above those that the senders reach.
 func (w *world) sendStaleOrder(choice int) {
-	token := lease.Number(choice)%w.leaseToken + 1
+	token := lease.FencingToken(choice)%w.leaseToken + 1
 	o := NewOrder(NewID(w.incarnation, token, int64(1000+len(w.issued))), VerbRole, "prefill")
 	w.issued[o.ID()] = o
 	w.messages = append(w.messages, message{deliver: func() { w.gate.Offer(o) }})
@@ -197,7 +197,7 @@
 
 // runOrder issues an order of the lease holder and, unless something blocks it,
 // leaves it running at the engine.
-func (w *world) runOrder(m proof.Move) {
+func (w *world) runOrder(m proof.Action) {
 	i := w.holder()
 	w.step(false, false)
 	w.step(false, false)
@@ -238,7 +238,7 @@
 // handleReply passes a reply to its sender and compares the result with the gate's.
 func (w *world) handleReply(i int, id ID, reply Reply) {
 	w.checkFinished()
-	ended, ok := w.senders[i].Answered(target, id, reply)
+	ended, ok := w.senders[i].HandleReply(target, id, reply)
 	if !ok || ended.Outcome() == OutcomeUnknown {
 		return
 	}
@@ -250,7 +250,7 @@
 
 func (w *world) report(i int) {
 	r := Report{Target: target, Incarnation: w.incarnation, Number: w.gate.Number(), Phase: w.gate.Phase()}
-	w.messages = append(w.messages, message{deliver: func() { w.senders[i].Heard(r) }})
+	w.messages = append(w.messages, message{deliver: func() { w.senders[i].HandleReport(r) }})
 }
 
 func (w *world) takeMessage(choice int) message {
@@ -339,16 +339,16 @@
 	w.grantLease(holder)
 	w.runUndisturbed(w.engine.calls + 8)
 	s := w.senders[holder]
-	o, err := s.Give(target, VerbRole, "decode")
+	o, err := s.Issue(target, VerbRole, "decode")
 	if err != nil {
 		w.fail("no order can be issued: %v, phase %s", err, w.gate.Phase())
 		return
 	}
 	w.issued[o.ID()] = o
 	w.runUndisturbed(6)
-	if !w.confirmed[o.ID()] || w.engine.role != "decode" || !w.gate.Begin() {
+	if !w.confirmed[o.ID()] || w.engine.role != "decode" || !w.gate.BeginCall() {
 		w.fail("order %s is not applied: the engine is %s, phase %s", o.ID(), w.engine.role, w.gate.Phase())
 		return
 	}
-	w.gate.End()
+	w.gate.EndCall()
 }
--- a/pkg/kumquatlug/order/sender.go
+++ b/pkg/kumquatlug/order/sender.go
@@ -10,25 +10,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/standard"
 )
 
-// defaultResendInterval is the default of [SenderConfig.Resend]. It is twice an
+// defaultResendInterval is the default of [SenderConfig.ResendInterval]. It is twice an
 // agent's report interval: the reports show a drain, so resends during it are rare.
 const defaultResendInterval = 2 * kumquatlug.Second
 
-// Errors of [Sender.Give].
+// Errors of [Sender.Issue].
 var (
 	// ErrNoLease is returned when the sender has no fencing token or has lost the
 	// lease.
 	ErrNoLease = errors.New("lease on the group is not held")
-	// ErrUnsettled is returned when an order to the target is outstanding or the
+	// ErrTargetNotReady is returned when an order to the target is outstanding or the
 	// target's state is unknown.
-	ErrUnsettled = errors.New("target has an order in progress or its state is unknown")
+	ErrTargetNotReady = errors.New("target has an order in progress or its state is unknown")
 )
 
 // SenderConfig configures a [Sender].
 type SenderConfig struct {
-	// Resend is the interval at which an order without a final reply is sent
+	// ResendInterval is the interval at which an order without a final reply is sent
 	// again. Default 2 s.
-	Resend kumquatlug.Millis
+	ResendInterval kumquatlug.Millis
 }
 
 // Report is the state of a gate, as an agent includes it in each load report.
@@ -38,26 +38,26 @@
 	// Incarnation is the agent's current incarnation.
 	Incarnation Incarnation
 	// Number is the highest fencing token that the gate has seen.
-	Number lease.Number
+	Number lease.FencingToken
 	// Phase is the target's current phase.
 	Phase Phase
 }
 
-// Settlement is the final result of an order, as its sender knows it.
-type Settlement struct {
+// Result is the final result of an order, as its sender knows it.
+type Result struct {
 	target  string
 	order   Order
 	outcome Outcome
 }
 
 // Target returns the target of the order.
-func (s Settlement) Target() string { return s.target }
+func (s Result) Target() string { return s.target }
 
 // Order returns the order.
-func (s Settlement) Order() Order { return s.order }
+func (s Result) Order() Order { return s.order }
 
 // Outcome returns how the order ended.
-func (s Settlement) Outcome() Outcome { return s.outcome }
+func (s Result) Outcome() Outcome { return s.outcome }
 
 // Outgoing is an order to be sent to a target.
 type Outgoing struct {
@@ -86,21 +86,21 @@
 // completed. It is not safe for concurrent use.
 type Sender struct {
 	config       SenderConfig
-	fencingToken lease.Number
+	fencingToken lease.FencingToken
 	leaseHeld    bool
 	targets      map[string]*targetState
 }
 
 // NewSender returns a sender that holds no lease.
 func NewSender(c SenderConfig) *Sender {
-	c.Resend = standard.Millis(c.Resend, defaultResendInterval)
+	c.ResendInterval = standard.Millis(c.ResendInterval, defaultResendInterval)
 	return &Sender{config: c, targets: make(map[string]*targetState)}
 }
 
-// Granted records the fencing token of a newly acquired lease. Outstanding orders
+// LeaseAcquired records the fencing token of a newly acquired lease. Outstanding orders
 // under earlier tokens are dropped. The gates let them complete before they accept
 // another.
-func (s *Sender) Granted(token lease.Number) {
+func (s *Sender) LeaseAcquired(token lease.FencingToken) {
 	if token <= s.fencingToken {
 		return
 	}
@@ -111,11 +111,11 @@
 	}
 }
 
-// Heard handles an agent's report. A new incarnation ends an outstanding order with
+// HandleReport handles an agent's report. A new incarnation ends an outstanding order with
 // OutcomeUnknown, returned with true: the previous process has ended and can start
 // nothing, and the new one rejects orders for the previous one and reads the
 // engine's state.
-func (s *Sender) Heard(r Report) (Settlement, bool) {
+func (s *Sender) HandleReport(r Report) (Result, bool) {
 	s.observeToken(r.Number)
 	t := s.targets[r.Target]
 	if t == nil {
@@ -123,11 +123,11 @@
 		s.targets[r.Target] = t
 	}
 	if r.Incarnation < t.incarnation {
-		return Settlement{}, false
+		return Result{}, false
 	}
 	t.phase = r.Phase
 	if r.Incarnation == t.incarnation {
-		return Settlement{}, false
+		return Result{}, false
 	}
 	t.incarnation, t.sequence = r.Incarnation, 0
 	return s.finish(r.Target, OutcomeUnknown)
@@ -136,22 +136,22 @@
 // observeToken handles a fencing token seen in a message. A token higher than
 // the sender's own means that the lease was lost, even if it has not yet expired by
 // the local clock.
-func (s *Sender) observeToken(token lease.Number) {
+func (s *Sender) observeToken(token lease.FencingToken) {
 	if token > s.fencingToken {
 		s.leaseHeld = false
 	}
 }
 
-// Give creates an order for target, to be sent through [Sender.Due]. The error is
-// ErrNoLease or ErrUnsettled. A refused order is not queued, since it may be
+// Issue creates an order for target, to be sent through [Sender.Due]. The error is
+// ErrNoLease or ErrTargetNotReady. A refused order is not queued, since it may be
 // outdated when the target can accept one.
-func (s *Sender) Give(target string, verb Verb, argument string) (Order, error) {
+func (s *Sender) Issue(target string, verb Verb, argument string) (Order, error) {
 	if !s.leaseHeld {
 		return Order{}, ErrNoLease
 	}
 	t := s.targets[target]
-	if t == nil || t.outstanding != nil || t.phase != PhaseSettled {
-		return Order{}, ErrUnsettled
+	if t == nil || t.outstanding != nil || t.phase != PhaseIdle {
+		return Order{}, ErrTargetNotReady
 	}
 	t.sequence++
 	o := NewOrder(NewID(t.incarnation, s.fencingToken, t.sequence), verb, argument)
@@ -171,13 +171,13 @@
 // Due returns the orders to send now, sorted by target name, and marks them as
 // sent. token and held are the current result of [lease.Holder.Held]; if the lease
 // is not held under the sender's token, Due returns nothing.
-func (s *Sender) Due(now kumquatlug.Millis, token lease.Number, held bool) []Outgoing {
+func (s *Sender) Due(now kumquatlug.Millis, token lease.FencingToken, held bool) []Outgoing {
 	if !held || !s.leaseHeld || token != s.fencingToken {
 		return nil
 	}
 	var due []Outgoing
 	for target, t := range s.targets {
-		if t.outstanding == nil || (t.sent && now-t.sentAt < s.config.Resend) {
+		if t.outstanding == nil || (t.sent && now-t.sentAt < s.config.ResendInterval) {
 			continue
 		}
 		t.sent, t.sentAt = true, now
@@ -187,32 +187,32 @@
 	return due
 }
 
-// Answered handles a gate's reply to an order and returns the order's result if it
+// HandleReply handles a gate's reply to an order and returns the order's result if it
 // has completed. A late reply to an order that is no longer outstanding is ignored.
-func (s *Sender) Answered(target string, id ID, r Reply) (Settlement, bool) {
+func (s *Sender) HandleReply(target string, id ID, r Reply) (Result, bool) {
 	s.observeToken(r.fencingToken)
 	t := s.targets[target]
 	if t == nil || t.outstanding == nil || t.outstanding.id != id {
-		return Settlement{}, false
+		return Result{}, false
 	}
 	switch r.verdict {
-	case VerdictSettled:
+	case VerdictCompleted:
 		return s.finish(target, r.outcome)
-	case VerdictOld:
+	case VerdictStale:
 		// The gate never accepted the order, or no longer has its record.
 		return s.finish(target, OutcomeUnknown)
 	default:
 		// Accepted, busy or not ready: the order is resent until it completes.
-		return Settlement{}, false
+		return Result{}, false
 	}
 }
 
-func (s *Sender) finish(target string, outcome Outcome) (Settlement, bool) {
+func (s *Sender) finish(target string, outcome Outcome) (Result, bool) {
 	t := s.targets[target]
 	if t.outstanding == nil {
-		return Settlement{}, false
+		return Result{}, false
 	}
-	ended := Settlement{target: target, order: *t.outstanding, outcome: outcome}
+	ended := Result{target: target, order: *t.outstanding, outcome: outcome}
 	t.outstanding = nil
 	// The last report may predate the order, so the phase is unknown until the
 	// next one.
--- a/pkg/kumquatlug/placement/attempt.go
+++ b/pkg/kumquatlug/placement/attempt.go
@@ -7,8 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/learn"
 )
 
-// Ticket tracks one attempt in flight at a worker.
-type Ticket struct {
+// Attempt tracks one attempt in flight at a worker.
+type Attempt struct {
 	worker          *worker
 	id              string
 	born            int64
@@ -34,46 +34,46 @@
 }
 
 // Born returns the start time of the worker's incarnation, as in its row.
-func (t *Ticket) Born() int64 { return t.born }
+func (t *Attempt) Born() int64 { return t.born }
 
 // Worker returns the worker's name.
-func (t *Ticket) Worker() string { return t.id }
+func (t *Attempt) Worker() string { return t.id }
 
 // Outcome is how an attempt ended, as far as that concerns the worker.
 type Outcome string
 
 // The outcomes of attempts.
 const (
-	// OutcomeGood: the worker served the request.
-	OutcomeGood Outcome = "good"
+	// OutcomeServed: the worker served the request.
+	OutcomeServed Outcome = "good"
 	// OutcomeFailed: the worker broke off, was unreachable or responded with a failure.
 	OutcomeFailed Outcome = "failed"
 	// OutcomeRefused: the worker did not accept the request, because it is full or
 	// changes its role.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeSilent: the end says nothing about the worker, as when the client
+	// OutcomeNeutral: the end says nothing about the worker, as when the client
 	// disconnects.
-	OutcomeSilent Outcome = "silent"
+	OutcomeNeutral Outcome = "silent"
 )
 
 // Begin records that an attempt is sent to the worker of a choice after the choice's
 // delay.
-func (p *Placer) Begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt) *Ticket {
+func (p *Placer) Begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt) *Attempt {
 	if w, known := p.workers[c.worker.ID()]; known && !c.prefillOnly && !c.reserved {
 		// The limit counted a prompt to prefill when it was submitted.
-		w.limit.Send(now)
+		w.limit.Reserve(now)
 	}
 	return p.begin(now, c, prompt, "", 0)
 }
 
 // begin is Begin for an attempt whose permit a coordinator granted under key.
-func (p *Placer) begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt, coordinator string, key uint64) *Ticket {
+func (p *Placer) begin(now kumquatlug.Millis, c Choice, prompt kumquatlug.Prompt, coordinator string, key uint64) *Attempt {
 	w, known := p.workers[c.worker.ID()]
 	if !known {
-		return &Ticket{id: c.worker.ID(), ended: true}
+		return &Attempt{id: c.worker.ID(), ended: true}
 	}
-	t := &Ticket{
-		worker: w, id: c.worker.ID(), born: w.member.Born, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.waitMs - c.delayMs, sentAt: now + c.Delay(),
+	t := &Attempt{
+		worker: w, id: c.worker.ID(), born: w.member.StartedAt, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.waitMs - c.delayMs, sentAt: now + c.Delay(),
 		coordinator: coordinator, permitKey: key,
 		uncachedTokens: c.uncachedTokens, cachedTokens: max(float64(prompt.Input())-c.uncachedTokens, 0), engineIdle: w.prefills == 0 && p.otherRequestsAt(now, w) < 1,
 	}
@@ -116,33 +116,33 @@
 	}
 }
 
-// Read records that the prompt has been prefilled: output has begun.
-func (p *Placer) Read(now kumquatlug.Millis, t *Ticket) {
+// PrefillDone records that the prompt has been prefilled: output has begun.
+func (p *Placer) PrefillDone(now kumquatlug.Millis, t *Attempt) {
 	if t.ended || t.prefillDone {
 		return
 	}
 	t.prefillDone = true
 	if !t.worker.unresponsive && now >= t.sentAt {
-		p.overrunFor(t).Saw(float64(now-t.sentAt) - p.expectedFirstOutputMs(t))
+		p.overrunFor(t).Observe(float64(now-t.sentAt) - p.expectedFirstOutputMs(t))
 	}
 	t.worker.prefillTokens = max(0, t.worker.prefillTokens-t.effectiveTokens)
 }
 
 // End records that an attempt is no longer in flight.
-func (p *Placer) End(now kumquatlug.Millis, t *Ticket, o Outcome) {
+func (p *Placer) End(now kumquatlug.Millis, t *Attempt, o Outcome) {
 	if t.ended {
 		return
 	}
-	p.Read(now, t)
+	p.PrefillDone(now, t)
 	t.ended = true
 	t.worker.removeAttempt(t)
-	if o == OutcomeGood || o == OutcomeRefused {
+	if o == OutcomeServed || o == OutcomeRefused {
 		p.markResponsive(now, t.id, t.worker)
 	}
 	if t.prefillOnly {
 		t.worker.prefills--
 		if t.coordinator != "" {
-			p.sendRelease(t.coordinator, kumquatlug.Turn{Engine: t.id, Key: t.permitKey})
+			p.sendRelease(t.coordinator, kumquatlug.Permit{Engine: t.id, Key: t.permitKey})
 		}
 	} else {
 		t.worker.running--
@@ -152,22 +152,22 @@
 		t.worker.backOff(now)
 		return
 	}
-	if o == OutcomeSilent || p.workers[t.id] != t.worker {
+	if o == OutcomeNeutral || p.workers[t.id] != t.worker {
 		return
 	}
 	t.worker.refusals = 0
 	took := float64(now - t.sentAt)
-	if o == OutcomeGood && t.prefillOnly {
+	if o == OutcomeServed && t.prefillOnly {
 		p.learnPrefill(t, took)
 	}
-	if o == OutcomeGood && t.worker.member.Role == "" {
+	if o == OutcomeServed && t.worker.member.Role == "" {
 		p.meanPlainMs += ewmaWeight * (took - p.meanPlainMs)
 	}
-	if o == OutcomeGood && t.worker.member.Role == kumquatlug.RoleDecode {
+	if o == OutcomeServed && t.worker.member.Role == kumquatlug.RoleDecode {
 		p.meanRunMs += ewmaWeight * (took - p.meanRunMs)
-		p.tokenTime.Saw(took, float64(t.maxOutputTokens))
+		p.tokenTime.Observe(took, float64(t.maxOutputTokens))
 	}
-	p.health.Outcome(now, t.id, o == OutcomeGood, p.latencyRatio(t, took))
+	p.health.RecordOutcome(now, t.id, o == OutcomeServed, p.latencyRatio(t, took))
 }
 
 // maxRunFactor is the greatest run time as a multiple of the usual one: outputs are
@@ -175,43 +175,43 @@
 // takes longer, too.
 const maxRunFactor = 3
 
-// Takes returns an upper bound of the time that nearly all requests take at an engine,
+// MaxDuration returns an upper bound of the time that nearly all requests take at an engine,
 // by the maximum number of tokens to generate: until the first output, and from then
 // on.
-func (p *Placer) Takes(output int) kumquatlug.Millis {
-	return kumquatlug.Millis(p.overrun.Bound()) + p.Runs(output)
+func (p *Placer) MaxDuration(output int) kumquatlug.Millis {
+	return kumquatlug.Millis(p.overrun.Bound()) + p.MaxDecodeTime(output)
 }
 
-// Runs returns the second part of [Placer.Takes]: the time that nearly all outputs
+// MaxDecodeTime returns the second part of [Placer.MaxDuration]: the time that nearly all outputs
 // take.
-func (p *Placer) Runs(output int) kumquatlug.Millis {
+func (p *Placer) MaxDecodeTime(output int) kumquatlug.Millis {
 	return kumquatlug.Millis(maxRunFactor * p.tokenTime.Value() * float64(output))
 }
 
-// Figure names an estimate about a service's workers.
-type Figure string
+// Estimate names an estimate about a service's workers.
+type Estimate string
 
 // The estimates, with their units.
 const (
-	// FigureRate is the number of prompt tokens that an engine prefills in a ms.
-	FigureRate Figure = "read_tokens_per_ms"
-	// FigurePause is the longest usual pause between two events of a stream, in ms.
-	FigurePause Figure = "pause_ms"
-	// FigureOverrun is how much later than expected a first output may arrive, in ms.
-	FigureOverrun Figure = "overrun_ms"
-	// FigureToken is the run time for each token of the maximum output, in ms.
-	FigureToken Figure = "token_ms"
+	// EstimatePrefillRate is the number of prompt tokens that an engine prefills in a ms.
+	EstimatePrefillRate Estimate = "read_tokens_per_ms"
+	// EstimatePause is the longest usual pause between two events of a stream, in ms.
+	EstimatePause Estimate = "pause_ms"
+	// EstimateOverrun is how much later than expected a first output may arrive, in ms.
+	EstimateOverrun Estimate = "overrun_ms"
+	// EstimateTokenTime is the run time for each token of the maximum output, in ms.
+	EstimateTokenTime Estimate = "token_ms"
 )
 
-// Learnt returns the current estimates.
-func (p *Placer) Learnt() map[Figure]float64 {
-	return map[Figure]float64{
-		FigureRate: p.prefillRate(), FigurePause: p.pauses.Longest(), FigureOverrun: p.overrun.Bound(), FigureToken: p.tokenTime.Value(),
+// Estimates returns the current estimates.
+func (p *Placer) Estimates() map[Estimate]float64 {
+	return map[Estimate]float64{
+		EstimatePrefillRate: p.prefillRate(), EstimatePause: p.pauses.Longest(), EstimateOverrun: p.overrun.Bound(), EstimateTokenTime: p.tokenTime.Value(),
 	}
 }
 
 // removeAttempt removes an attempt from those in flight.
-func (w *worker) removeAttempt(t *Ticket) {
+func (w *worker) removeAttempt(t *Attempt) {
 	at := slices.Index(w.attempts, t)
 	if at < 0 {
 		return
@@ -231,9 +231,9 @@
 
 // learnPrefill records how long a prefill took. Those at an idle engine show its rate;
 // all show how much longer a prefill takes under load, once the rate is known.
-func (p *Placer) learnPrefill(t *Ticket, took float64) {
+func (p *Placer) learnPrefill(t *Attempt, took float64) {
 	if t.engineIdle {
-		p.prefillModel.Saw(t.uncachedTokens, t.cachedTokens, took)
+		p.prefillModel.Observe(t.uncachedTokens, t.cachedTokens, took)
 	}
 	if t.expectedWaitMs < minExpectedMs || p.prefillModel.Samples() < minPrefillSamples {
 		return
@@ -251,7 +251,7 @@
 const minExpectedMs = 20.0
 
 // latencyRatio returns the ratio of the time that an attempt took to the expected time.
-func (p *Placer) latencyRatio(t *Ticket, took float64) float64 {
+func (p *Placer) latencyRatio(t *Attempt, took float64) float64 {
 	switch {
 	case t.prefillOnly:
 		return took / max(minExpectedMs, t.expectedWaitMs)
@@ -271,7 +271,7 @@
 )
 
 // overrunFor returns the overrun estimate for the kind of worker that t is at.
-func (p *Placer) overrunFor(t *Ticket) *learn.Overrun {
+func (p *Placer) overrunFor(t *Attempt) *learn.OverrunEstimator {
 	if t.worker.member.Role == "" {
 		return p.plainOverrun
 	}
@@ -282,10 +282,10 @@
 // wait.
 const attemptTimeoutFactor = 4
 
-// Patience returns how long the first output of an attempt may take before the attempt
+// AttemptTimeout returns how long the first output of an attempt may take before the attempt
 // is given up as lost. If a request is given up while its engine prefills it, it is
 // prefilled again at another one, which slows both down for all other requests.
-func (p *Placer) Patience(t *Ticket) kumquatlug.Millis {
+func (p *Placer) AttemptTimeout(t *Attempt) kumquatlug.Millis {
 	if t.worker == nil {
 		// The worker left a moment ago.
 		return kumquatlug.Millis(p.overrun.Bound())
--- a/pkg/kumquatlug/placement/choose.go
+++ b/pkg/kumquatlug/placement/choose.go
@@ -13,21 +13,21 @@
 	Prompt kumquatlug.Prompt
 	// Exclude lists workers that must not be chosen.
 	Exclude []string
-	// Target is when the first output is due for the request to have its full value,
+	// FirstOutputDue is when the first output is due for the request to have its full value,
 	// Until when the client gives up; zero for never.
-	Target kumquatlug.Millis
-	Until  kumquatlug.Millis
-	// Worth is the value of the request relative to the mean of its route; zero means
+	FirstOutputDue kumquatlug.Millis
+	Deadline       kumquatlug.Millis
+	// Value is the value of the request relative to the mean of its route; zero means
 	// 1.
-	Worth float64
-	// Begun says that the client already has part of the response: refusing the request
+	Value float64
+	// ResponseStarted says that the client already has part of the response: refusing the request
 	// now truncates that response, however late the rest is.
-	Begun bool
+	ResponseStarted bool
 	// CacheZone is the data centre that holds the prompt's KV cache, empty if there is
 	// none.
 	CacheZone string
-	// Place is what was reserved for decoding when the prompt entered.
-	Place Place
+	// Reservation is what was reserved for decoding when the prompt entered.
+	Reservation Reservation
 }
 
 // Choice is the result of a [Query].
@@ -45,13 +45,13 @@
 	delayMs float64
 	// reservation is what is reserved for decoding. reserved says that the worker's
 	// rate limit already counts the attempt.
-	reservation Place
+	reservation Reservation
 	reserved    bool
 }
 
-// Place returns what is reserved for decoding a prompt that is prefilled at another
+// Reservation returns what is reserved for decoding a prompt that is prefilled at another
 // engine.
-func (c Choice) Place() Place { return c.reservation }
+func (c Choice) Reservation() Reservation { return c.reservation }
 
 // Zone returns the worker's data centre.
 func (c Choice) Zone() string { return c.zone }
@@ -59,9 +59,9 @@
 // Worker returns the worker to call.
 func (c Choice) Worker() kumquatlug.Worker { return c.worker }
 
-// Apart reports whether the worker only prefills the prompt, so that another one has to
+// PrefillOnly reports whether the worker only prefills the prompt, so that another one has to
 // be chosen for decoding.
-func (c Choice) Apart() bool { return c.prefillOnly }
+func (c Choice) PrefillOnly() bool { return c.prefillOnly }
 
 // Wait returns the expected time until the first output.
 func (c Choice) Wait() kumquatlug.Millis { return kumquatlug.Millis(c.waitMs) }
@@ -80,8 +80,8 @@
 		!slices.Contains(q.Exclude, id) && p.health.Weight(now, id) > 0
 }
 
-// Plain chooses the worker of a plain service with the shortest expected wait.
-func (p *Placer) Plain(now kumquatlug.Millis, q Query) (Choice, bool) {
+// ChoosePlain chooses the worker of a plain service with the shortest expected wait.
+func (p *Placer) ChoosePlain(now kumquatlug.Millis, q Query) (Choice, bool) {
 	var best Choice
 	minCost, found := math.Inf(1), false
 	limited := newLimitedWorkers()
@@ -106,10 +106,10 @@
 	return p.bestOrDelay(now, best, found, limited), found
 }
 
-// Prompt chooses where a prompt is prefilled: at an engine that only prefills, or at
+// ChoosePrompt chooses where a prompt is prefilled: at an engine that only prefills, or at
 // the one that then decodes.
-func (p *Placer) Prompt(now kumquatlug.Millis, q Query) (Choice, bool) {
-	output, outputFound := p.Output(now, Query{Prompt: q.Prompt, Target: q.Target, Until: q.Until})
+func (p *Placer) ChoosePrompt(now kumquatlug.Millis, q Query) (Choice, bool) {
+	output, outputFound := p.ChooseDecode(now, Query{Prompt: q.Prompt, FirstOutputDue: q.FirstOutputDue, Deadline: q.Deadline})
 	if !outputFound {
 		return output, false
 	}
@@ -148,7 +148,7 @@
 		tokens := p.effectiveTokens(uncached, q.Prompt)
 		wait := (p.backlogTokens(now, w) + tokens) / p.prefillRate() * p.slowdown / weight
 		recomputed := uncached - p.unsharedTokens(q.Prompt)
-		cost := wait + p.config.AwayPrice*recomputed/p.prefillRate() + p.zonePenalty(w)
+		cost := wait + p.config.RecomputePenalty*recomputed/p.prefillRate() + p.zonePenalty(w)
 		if cost < minCost {
 			minCost = cost
 			best = Choice{
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	return best, minCost + p.config.TransferCost, true
+	return best, minCost + p.config.TransferCostMs, true
 }
 
 // canPrefill reports whether an engine may be given a prompt to prefill only. One whose
@@ -176,7 +176,7 @@
 		}
 		uncached, rate := p.uncachedTokens(now, w, q.Prompt, false), p.prefillRate()
 		if w.member.Role == kumquatlug.RoleDecode {
-			rate *= p.config.MixedPart
+			rate *= p.config.MixedPrefillFraction
 		}
 		tokens := p.effectiveTokens(uncached, q.Prompt)
 		prefill := tokens / rate
@@ -189,7 +189,7 @@
 		weight := p.health.Weight(now, w.member.Worker.ID())
 		slotLoad := (float64(w.running) + p.otherRequestsAt(now, w)) / float64(max(w.member.Slots, 1))
 		blockedMs := max(0, uncached-smallPrefillTokens) / rate
-		cost := (wait+p.batchCostMs(now, w, q.Prompt))/weight + p.config.MixedPrice*slotLoad*blockedMs + p.zonePenalty(w)
+		cost := (wait+p.batchCostMs(now, w, q.Prompt))/weight + p.config.MixedPrefillPenalty*slotLoad*blockedMs + p.zonePenalty(w)
 		if cost < minCost {
 			minCost, found = cost, true
 			best = Choice{worker: w.member.Worker, uncachedTokens: uncached, effectiveTokens: tokens, waitMs: wait, delayMs: delay}
@@ -198,9 +198,9 @@
 	return p.bestOrDelay(now, best, found, limited), minCost, found
 }
 
-// Output chooses the engine that decodes from a KV cache that was prefilled at another
+// ChooseDecode chooses the engine that decodes from a KV cache that was prefilled at another
 // one.
-func (p *Placer) Output(now kumquatlug.Millis, q Query) (Choice, bool) {
+func (p *Placer) ChooseDecode(now kumquatlug.Millis, q Query) (Choice, bool) {
 	if c, reserved := p.reservedChoice(now, q); reserved {
 		return c, true
 	}
--- a/pkg/kumquatlug/placement/cluster_test.go
+++ b/pkg/kumquatlug/placement/cluster_test.go
@@ -14,7 +14,7 @@
 // gateways after a millisecond.
 type gatewayCluster struct {
 	gateways     []*Placer
-	coordinators []*coordinator.Fronts
+	coordinators []*coordinator.Gateways
 	engines      map[string]*prefillEngine
 	scheduled    map[kumquatlug.Millis][]func(kumquatlug.Millis)
 	random       *rand.Rand
@@ -60,7 +60,7 @@
 type prefillJob struct {
 	key     uint64
 	gateway int
-	ticket  *Ticket
+	ticket  *Attempt
 }
 
 // The prefill rate of the simulated engines, in tokens per ms, and the target latency
@@ -82,7 +82,7 @@
 	}
 	for i := range gateways {
 		// The penalty rules out prefill beside the streams of the decode engine.
-		config := Config{Zone: "a", MixedPrice: 1e9}
+		config := Config{Zone: "a", MixedPrefillPenalty: 1e9}
 		if coordinated {
 			known := coordinator.New(names[i])
 			known.Set(names)
@@ -91,7 +91,7 @@
 		}
 		p := New(config)
 		p.Sync(0, clusterEngines(engines))
-		if choice, found := p.Output(0, Query{Prompt: chatPrompt(0)}); found {
+		if choice, found := p.ChooseDecode(0, Query{Prompt: chatPrompt(0)}); found {
 			p.Begin(0, choice, chatPrompt(0))
 		}
 		c.gateways = append(c.gateways, p)
@@ -141,24 +141,24 @@
 	own := min(int(2000*math.Exp(c.random.NormFloat64())), 30_000)
 	text := kumquatlug.NewPrompt(append(document(int(key)%40, int(key)).Shared(), kumquatlug.NewPart(fmt.Sprint("own", key), own)), 6300+own, 104)
 	c.prompts[key] = &promptRecord{gateway: gateway, arrivedAt: now, text: text}
-	q := Query{Prompt: text, Target: now + targetLatencyMs, Until: now + clientTimeoutMs}
-	result, choice, ticket := c.gateways[gateway].Enter(now, key, q)
+	q := Query{Prompt: text, FirstOutputDue: now + targetLatencyMs, Deadline: now + clientTimeoutMs}
+	result, choice, ticket := c.gateways[gateway].Submit(now, key, q)
 	switch result {
-	case EntrySent:
+	case SubmissionSent:
 		c.send(now, gateway, key, choice, ticket)
-	case EntryRefused, EntryNobody:
+	case SubmissionRefused, SubmissionNoEngine:
 		c.finish(now, key, true)
 	}
 	c.pump(now, gateway)
 }
 
 // send delivers a prompt to its engine.
-func (c *gatewayCluster) send(now kumquatlug.Millis, gateway int, key uint64, choice Choice, ticket *Ticket) {
+func (c *gatewayCluster) send(now kumquatlug.Millis, gateway int, key uint64, choice Choice, ticket *Attempt) {
 	c.prompts[key].sentAt = now
 	c.nextMilli(now, func(at kumquatlug.Millis) {
 		e, isPrefill := c.engines[choice.Worker().ID()]
 		if !isPrefill {
-			c.gateways[gateway].End(at, ticket, OutcomeGood)
+			c.gateways[gateway].End(at, ticket, OutcomeServed)
 			c.finish(at, key, false)
 			return
 		}
@@ -195,7 +195,7 @@
 			if c.offline[i] {
 				continue
 			}
-			p.Remind(now)
+			p.RetryRequests(now)
 			c.pump(now, i)
 		}
 	}
@@ -213,7 +213,7 @@
 			if c.offline[finished.gateway] {
 				return
 			}
-			c.gateways[finished.gateway].End(at, finished.ticket, OutcomeGood)
+			c.gateways[finished.gateway].End(at, finished.ticket, OutcomeServed)
 			c.finish(at, finished.key, false)
 			c.pump(at, finished.gateway)
 		})
@@ -226,8 +226,8 @@
 		c.handleDue(now, gateway, due)
 	}
 	for _, m := range c.gateways[gateway].Outbox() {
-		to := c.gatewayIndex(m.Front)
-		m.Front = gatewayName(gateway)
+		to := c.gatewayIndex(m.Gateway)
+		m.Gateway = gatewayName(gateway)
 		if c.random.Float64() < c.lossRate {
 			continue
 		}
@@ -253,16 +253,16 @@
 }
 
 // deliver passes a message to a gateway.
-func (c *gatewayCluster) deliver(now kumquatlug.Millis, from, to int, m kumquatlug.TurnMessage) {
+func (c *gatewayCluster) deliver(now kumquatlug.Millis, from, to int, m kumquatlug.PermitMessage) {
 	if c.offline[from] || c.offline[to] {
 		return
 	}
 	p := c.gateways[to]
-	switch m.Turn.Step {
-	case kumquatlug.TurnAsked, kumquatlug.TurnOver:
-		p.Requested(now, m)
+	switch m.Permit.Step {
+	case kumquatlug.PermitRequested, kumquatlug.PermitReleased:
+		p.HandleRequest(now, m)
 	default:
-		if due, ended := p.Answered(now, m); ended {
+		if due, ended := p.HandleReply(now, m); ended {
 			c.handleDue(now, to, due)
 		}
 	}
--- a/pkg/kumquatlug/placement/coordinate.go
+++ b/pkg/kumquatlug/placement/coordinate.go
@@ -70,19 +70,19 @@
 	return float64(max(left, 0))
 }
 
-// Requested handles a message that another gateway sends to this one as a coordinator.
+// HandleRequest handles a message that another gateway sends to this one as a coordinator.
 // Responses are put into the [Placer.Outbox].
-func (p *Placer) Requested(now kumquatlug.Millis, m kumquatlug.TurnMessage) {
-	r := remoteKey{gateway: m.Front, key: m.Turn.Key}
-	w, known := p.workers[m.Turn.Engine]
-	if m.Turn.Step == kumquatlug.TurnOver {
+func (p *Placer) HandleRequest(now kumquatlug.Millis, m kumquatlug.PermitMessage) {
+	r := remoteKey{gateway: m.Gateway, key: m.Permit.Key}
+	w, known := p.workers[m.Permit.Engine]
+	if m.Permit.Step == kumquatlug.PermitReleased {
 		if known {
 			w.releaseRemote(r)
 		}
 		return
 	}
 	if !known || !p.coordinates(now, w) || !p.eligible(now, w, Query{}, kumquatlug.RolePrefill) {
-		p.respond(r, m.Turn.Engine, kumquatlug.TurnUnknown, 0)
+		p.respond(r, m.Permit.Engine, kumquatlug.PermitNotCoordinator, 0)
 		return
 	}
 	if at := slices.IndexFunc(w.permits, func(t remotePermit) bool { return t.remote == r }); at >= 0 {
@@ -91,10 +91,10 @@
 	}
 	if queued := w.findRemote(r); queued != nil {
 		queued.renewedAt = now
-		p.respond(r, m.Turn.Engine, kumquatlug.TurnQueued, 0)
+		p.respond(r, m.Permit.Engine, kumquatlug.PermitQueued, 0)
 		return
 	}
-	p.submitRemote(now, w, r, m.Turn)
+	p.submitRemote(now, w, r, m.Permit)
 }
 
 // findRemote returns the queued prompt of another gateway, nil if there is none.
@@ -108,37 +108,37 @@
 }
 
 // submitRemote queues a prompt of another gateway, or refuses it.
-func (p *Placer) submitRemote(now kumquatlug.Millis, w *worker, r remoteKey, t kumquatlug.Turn) {
-	q := Query{Prompt: t.Prompt, Worth: t.Worth, Until: now + t.Patience, Begun: t.Begun}
-	if t.Timed {
-		q.Target = now + t.Target
+func (p *Placer) submitRemote(now kumquatlug.Millis, w *worker, r remoteKey, t kumquatlug.Permit) {
+	q := Query{Prompt: t.Prompt, Value: t.Value, Deadline: now + t.ClientTimeout, ResponseStarted: t.ResponseStarted}
+	if t.HasLatencyTarget {
+		q.FirstOutputDue = now + t.LatencyTarget
 	}
 	queued := &queuedPrompt{
-		remote: r, renewedAt: now, query: q, maxLateHold: t.Patience,
+		remote: r, renewedAt: now, query: q, maxLateHold: t.ClientTimeout,
 		choice: Choice{worker: w.member.Worker, prefillOnly: true},
 	}
 	p.estimateTokens(w, queued)
-	full := len(w.queue) >= maxRemotePrompts && !t.Begun
+	full := len(w.queue) >= maxRemotePrompts && !t.ResponseStarted
 	if full || !p.mayQueue(now, w, queued) {
 		p.refuseRemote(now, w, queued)
 		return
 	}
 	w.enqueue(queued)
 	if !p.hasCapacity(now, w) {
-		p.respond(r, t.Engine, kumquatlug.TurnQueued, 0)
+		p.respond(r, t.Engine, kumquatlug.PermitQueued, 0)
 	}
 }
 
 // respond sends another gateway the state of its prompt.
-func (p *Placer) respond(r remoteKey, engine string, step kumquatlug.TurnStep, wait kumquatlug.Millis) {
-	p.send(r.gateway, kumquatlug.Turn{Step: step, Engine: engine, Key: r.key, Wait: wait})
+func (p *Placer) respond(r remoteKey, engine string, step kumquatlug.PermitStep, wait kumquatlug.Millis) {
+	p.send(r.gateway, kumquatlug.Permit{Step: step, Engine: engine, Key: r.key, Wait: wait})
 }
 
 // refuseRemote refuses another gateway a permit, because its prompt can't be prefilled
 // in time.
 func (p *Placer) refuseRemote(now kumquatlug.Millis, w *worker, queued *queuedPrompt) {
 	wait := (p.inFlightTokens(now, w) + w.queuedTokens() + queued.choice.effectiveTokens) / p.prefillRate() * p.slowdown
-	p.respond(queued.remote, w.member.Worker.ID(), kumquatlug.TurnRefused, kumquatlug.Millis(wait))
+	p.respond(queued.remote, w.member.Worker.ID(), kumquatlug.PermitRefused, kumquatlug.Millis(wait))
 }
 
 // grantRemote grants another gateway the permit for a prompt.
@@ -160,8 +160,8 @@
 // sendPermit sends a permit to another gateway. It names the engine, because the prompt
 // may have been sent elsewhere, and its gateway then has to release the permit.
 func (p *Placer) sendPermit(w *worker, t remotePermit) {
-	p.send(t.remote.gateway, kumquatlug.Turn{
-		Step: kumquatlug.TurnGranted, Engine: w.member.Worker.ID(), Key: t.remote.key, Wait: t.expectedWait, Alone: t.engineIdle, Fresh: t.uncachedTokens,
+	p.send(t.remote.gateway, kumquatlug.Permit{
+		Step: kumquatlug.PermitGranted, Engine: w.member.Worker.ID(), Key: t.remote.key, Wait: t.expectedWait, EngineIdle: t.engineIdle, UncachedTokens: t.uncachedTokens,
 	})
 }
 
@@ -208,7 +208,7 @@
 		if queued.remote.gateway == "" {
 			return false
 		}
-		p.respond(queued.remote, w.member.Worker.ID(), kumquatlug.TurnUnknown, 0)
+		p.respond(queued.remote, w.member.Worker.ID(), kumquatlug.PermitNotCoordinator, 0)
 		return true
 	})
 }
--- a/pkg/kumquatlug/placement/cost.go
+++ b/pkg/kumquatlug/placement/cost.go
@@ -25,7 +25,7 @@
 	if w.member.Zone == p.config.Zone {
 		return 0
 	}
-	return p.config.ZonePrice
+	return p.config.ZonePenaltyMs
 }
 
 // backlogTokens returns the number of tokens to prefill at w before a new prompt. It
@@ -38,7 +38,7 @@
 }
 
 // prefillRate returns the number of tokens that an engine prefills in a ms.
-func (p *Placer) prefillRate() float64 { return p.prefillModel.Rate() }
+func (p *Placer) prefillRate() float64 { return p.prefillModel.TokensPerMs() }
 
 // effectiveTokens returns the number of tokens without context that take as long to
 // prefill as the uncached tokens of a prompt.
@@ -46,13 +46,13 @@
 	if uncached <= 0 {
 		return 0
 	}
-	ms := p.prefillModel.Time(uncached, max(float64(prompt.Input())-uncached, 0)) - p.prefillModel.Fixed()
+	ms := p.prefillModel.Time(uncached, max(float64(prompt.Input())-uncached, 0)) - p.prefillModel.FixedCost()
 	return ms * p.prefillRate()
 }
 
 // handoffMs returns how much longer an engine's response to a prefill takes than the
 // prefill itself, in milliseconds.
-func (p *Placer) handoffMs() float64 { return p.prefillModel.Fixed() + p.config.TransferCost }
+func (p *Placer) handoffMs() float64 { return p.prefillModel.FixedCost() + p.config.TransferCostMs }
 
 // unsharedTokens returns the number of tokens of a prompt that no other request shares.
 func (p *Placer) unsharedTokens(prompt kumquatlug.Prompt) float64 {
--- a/pkg/kumquatlug/placement/limit.go
+++ b/pkg/kumquatlug/placement/limit.go
@@ -41,10 +41,10 @@
 // after them would be late, too.
 func (q Query) maxWaitForLimitMs(now kumquatlug.Millis, firstOutputMs float64) float64 {
 	longest := lateLimitWaitMs
-	switch inTime := float64(q.Target-now) - firstOutputMs; {
-	case q.Begun:
+	switch inTime := float64(q.FirstOutputDue-now) - firstOutputMs; {
+	case q.ResponseStarted:
 		longest = startedLimitWaitMs
-	case q.Target == 0:
+	case q.FirstOutputDue == 0:
 		longest = maxLimitWaitMs
 	case inTime > lateLimitWaitMs:
 		longest = min(inTime, maxLimitWaitMs)
@@ -70,9 +70,9 @@
 	return Choice{delayMs: minDelayMs}
 }
 
-// Pause stops sending requests to the worker of an attempt for the backoff that it
+// BackOff stops sending requests to the worker of an attempt for the backoff that it
 // requested. Prompts queued for the worker are moved to others.
-func (p *Placer) Pause(now kumquatlug.Millis, t *Ticket, span kumquatlug.Millis) {
+func (p *Placer) BackOff(now kumquatlug.Millis, t *Attempt, span kumquatlug.Millis) {
 	w := t.worker
 	if w == nil || p.workers[t.id] != w || span <= 0 {
 		return
@@ -81,47 +81,47 @@
 	p.displaceQueue(w)
 }
 
-// Place is a reservation of one request within an engine's rate limit at a given time.
+// Reservation is a reservation of one request within an engine's rate limit at a given time.
 // It is made for decoding a prompt before the prompt is prefilled: otherwise all
 // prompts prefilled at the same time would count on the same request, and be prefilled
 // in vain.
-type Place struct {
+type Reservation struct {
 	worker string
 	at     kumquatlug.Millis
 }
 
 // reservationFor returns the reservation of a choice, the zero value at an engine
 // without a rate limit.
-func (p *Placer) reservationFor(now kumquatlug.Millis, c Choice) Place {
+func (p *Placer) reservationFor(now kumquatlug.Millis, c Choice) Reservation {
 	id := c.worker.ID()
-	if w, known := p.workers[id]; !known || !w.limit.Named() {
-		return Place{}
+	if w, known := p.workers[id]; !known || !w.limit.Limited() {
+		return Reservation{}
 	}
-	return Place{worker: id, at: now + c.Delay()}
+	return Reservation{worker: id, at: now + c.Delay()}
 }
 
 // reserve counts a prompt in the rate limit of the engine that prefills it, and in that
 // of the engine where decoding is reserved.
 func (p *Placer) reserve(now kumquatlug.Millis, prefillWorker *worker, c Choice) {
-	prefillWorker.limit.Send(now)
+	prefillWorker.limit.Reserve(now)
 	if w, known := p.workers[c.reservation.worker]; known {
-		w.limit.Send(now)
+		w.limit.Reserve(now)
 	}
 }
 
 // reservedChoice returns the engine of a reservation, as long as it may be used.
 func (p *Placer) reservedChoice(now kumquatlug.Millis, q Query) (Choice, bool) {
-	w, known := p.workers[q.Place.worker]
+	w, known := p.workers[q.Reservation.worker]
 	if !known || !p.eligible(now, w, q, kumquatlug.RoleDecode) {
 		return Choice{}, false
 	}
-	delay := max(0, float64(q.Place.at-now))
+	delay := max(0, float64(q.Reservation.at-now))
 	wait := delay + p.slotWaitMs(now, w, q.Prompt)
 	return Choice{worker: w.member.Worker, waitMs: wait, delayMs: delay, reserved: true}, true
 }
 
-// LimitNews is a change of the rate limit that a worker advertises, or its end.
-type LimitNews struct {
+// LimitChange is a change of the rate limit that a worker advertises, or its end.
+type LimitChange struct {
 	worker    string
 	named     bool
 	perSecond float64
@@ -129,43 +129,43 @@
 }
 
 // Worker returns the worker's name.
-func (n LimitNews) Worker() string { return n.worker }
+func (n LimitChange) Worker() string { return n.worker }
 
-// Named reports whether the worker advertises a rate limit.
-func (n LimitNews) Named() bool { return n.named }
+// HasLimit reports whether the worker advertises a rate limit.
+func (n LimitChange) HasLimit() bool { return n.named }
 
 // PerSecond returns the requests per second that the worker accepts from all gateways.
-func (n LimitNews) PerSecond() float64 { return n.perSecond }
+func (n LimitChange) PerSecond() float64 { return n.perSecond }
 
 // Sent returns the number of requests that this gateway has sent to the worker since it
 // first learned of a limit.
-func (n LimitNews) Sent() int { return n.sent }
+func (n LimitChange) Sent() int { return n.sent }
 
-// Limited records the rate limit in the response to an attempt, and reports whether the
+// RecordLimit records the rate limit in the response to an attempt, and reports whether the
 // limit has changed. ok says that the worker served the request.
-func (p *Placer) Limited(now kumquatlug.Millis, t *Ticket, limit kumquatlug.RateLimit, ok bool) (LimitNews, bool) {
+func (p *Placer) RecordLimit(now kumquatlug.Millis, t *Attempt, limit kumquatlug.RateLimit, ok bool) (LimitChange, bool) {
 	if t.worker == nil || p.workers[t.id] != t.worker {
-		return LimitNews{}, false
+		return LimitChange{}, false
 	}
 	l := t.worker.limit
-	if !l.Hear(now, ratelimit.Answer{Says: limit, SentAt: t.sentAt, Prompt: t.prefillOnly, Good: ok}) {
-		return LimitNews{}, false
+	if !l.HandleResponse(now, ratelimit.Response{RateLimit: limit, SentAt: t.sentAt, PrefillOnly: t.prefillOnly, Processed: ok}) {
+		return LimitChange{}, false
 	}
-	return LimitNews{worker: t.id, named: l.Named(), perSecond: l.PerSecond(), sent: l.Sent()}, true
+	return LimitChange{worker: t.id, named: l.Limited(), perSecond: l.PerSecond(), sent: l.Sent()}, true
 }
 
-// StillTakes reports whether a delayed attempt may still be sent to its worker.
-func (p *Placer) StillTakes(now kumquatlug.Millis, t *Ticket) bool {
+// StillAccepts reports whether a delayed attempt may still be sent to its worker.
+func (p *Placer) StillAccepts(now kumquatlug.Millis, t *Attempt) bool {
 	w := t.worker
 	return w != nil && p.workers[t.id] == w && !w.unresponsive && p.eligible(now, w, Query{}, w.member.Role)
 }
 
 // Limits returns the workers that have a rate limit.
-func (p *Placer) Limits() []LimitNews {
-	var all []LimitNews
+func (p *Placer) Limits() []LimitChange {
+	var all []LimitChange
 	for _, w := range p.ordered {
-		if w.limit.Named() {
-			all = append(all, LimitNews{
+		if w.limit.Limited() {
+			all = append(all, LimitChange{
 				worker: w.member.Worker.ID(), named: true, perSecond: w.limit.PerSecond(), sent: w.limit.Sent(),
 			})
 		}
--- a/pkg/kumquatlug/placement/limit_test.go
+++ b/pkg/kumquatlug/placement/limit_test.go
@@ -11,7 +11,7 @@
 // some advertise a rate limit in the responses to their first attempts.
 func newLimitedPlacer(members []kumquatlug.Member, limits map[string]float64) *Placer {
 	shares := ratelimit.NewShares("front-0")
-	shares.Meet(nil)
+	shares.AddGateways(nil)
 	p := New(Config{Zone: "a", Shares: shares})
 	p.Sync(0, members)
 	for _, m := range members {
@@ -21,15 +21,15 @@
 		}
 		c := Choice{worker: m.Worker, prefillOnly: m.Role == kumquatlug.RolePrefill}
 		t := p.Begin(0, c, document(0, 0))
-		p.Limited(1, t, kumquatlug.NewRateLimit(perSecond), true)
-		p.End(1, t, OutcomeGood)
+		p.RecordLimit(1, t, kumquatlug.NewRateLimit(perSecond), true)
+		p.End(1, t, OutcomeServed)
 	}
 	return p
 }
 
 // countSent plays requests, one every 10 ms for four seconds, and counts by worker
 // those that are sent in that time, and those refused.
-func countSent(p *Placer, choose func(now kumquatlug.Millis, key uint64) (Choice, *Ticket)) (sent map[string]int, refused int) {
+func countSent(p *Placer, choose func(now kumquatlug.Millis, key uint64) (Choice, *Attempt)) (sent map[string]int, refused int) {
 	sent = map[string]int{}
 	const begin, end = 2000, 6000
 	for now := kumquatlug.Millis(begin); now < end; now += 10 {
@@ -41,16 +41,16 @@
 		case now+c.Delay() < end:
 			sent[c.Worker().ID()]++
 		}
-		p.End(now+c.Delay()+9, ticket, OutcomeGood)
+		p.End(now+c.Delay()+9, ticket, OutcomeServed)
 	}
 	return sent, refused
 }
 
 // plainChooser chooses a worker for a plain request that is due in 300 ms and may take
 // 4 s.
-func plainChooser(p *Placer) func(kumquatlug.Millis, uint64) (Choice, *Ticket) {
-	return func(now kumquatlug.Millis, _ uint64) (Choice, *Ticket) {
-		c, found := p.Plain(now, Query{Target: now + 300, Until: now + 4000})
+func plainChooser(p *Placer) func(kumquatlug.Millis, uint64) (Choice, *Attempt) {
+	return func(now kumquatlug.Millis, _ uint64) (Choice, *Attempt) {
+		c, found := p.ChoosePlain(now, Query{FirstOutputDue: now + 300, Deadline: now + 4000})
 		if !found {
 			return c, nil
 		}
@@ -76,7 +76,7 @@
 	members := []kumquatlug.Member{member("s0", "a", "", 6), member("s1", "a", "", 6)}
 	p := newLimitedPlacer(members, map[string]float64{"s0": 12, "s1": 8})
 	inTime, late := 0, 0
-	sent, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Ticket) {
+	sent, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Attempt) {
 		c, ticket := plainChooser(p)(now, key)
 		switch {
 		case ticket == nil && c.Delay() <= 0:
@@ -101,29 +101,29 @@
 func TestEngineRateLimitsHoldOnEveryPlacementPath(t *testing.T) {
 	p := newLimitedPlacer(engines(3, 3), map[string]float64{"r0": 3, "g0": 5})
 	outputs := map[string]int{}
-	prefilled, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Ticket) {
+	prefilled, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Attempt) {
 		prompt := document(int(key), int(key))
 		if key%40 == 0 {
 			prompt = chatPrompt(int(key))
 		}
-		q := Query{Prompt: prompt, Target: now + 200, Until: now + 2000}
-		result, c, ticket := p.Enter(now, key, q)
-		if result == EntryWaits {
+		q := Query{Prompt: prompt, FirstOutputDue: now + 200, Deadline: now + 2000}
+		result, c, ticket := p.Submit(now, key, q)
+		if result == SubmissionQueued {
 			due := p.Due(now + 200)
 			if len(due) == 0 {
 				t.Fatal("a prompt stays queued")
 			}
 			c, ticket = due[0].Choice(), due[0].Ticket()
 		}
-		if ticket != nil && c.Apart() {
-			out, found := p.Output(now, q)
+		if ticket != nil && c.PrefillOnly() {
+			out, found := p.ChooseDecode(now, q)
 			if !found {
 				t.Fatal("no engine decodes")
 			}
 			if now+out.Delay() < 6000 {
 				outputs[out.Worker().ID()]++
 			}
-			p.End(now+out.Delay()+9, p.Begin(now, out, prompt), OutcomeGood)
+			p.End(now+out.Delay()+9, p.Begin(now, out, prompt), OutcomeServed)
 		}
 		return c, ticket
 	})
--- a/pkg/kumquatlug/placement/liveness.go
+++ b/pkg/kumquatlug/placement/liveness.go
@@ -60,32 +60,32 @@
 	maxUnresponsiveFraction = 0.5
 )
 
-// Fallen is a worker that became unresponsive.
-type Fallen struct {
+// UnresponsiveWorker is a worker that became unresponsive.
+type UnresponsiveWorker struct {
 	worker    string
 	silentFor kumquatlug.Millis
-	attempts  []*Ticket
+	attempts  []*Attempt
 }
 
 // Worker returns the worker's name.
-func (f Fallen) Worker() string { return f.worker }
+func (f UnresponsiveWorker) Worker() string { return f.worker }
 
-// Quiet returns how long nothing had come from the worker.
-func (f Fallen) Quiet() kumquatlug.Millis { return f.silentFor }
+// SilentFor returns how long nothing had come from the worker.
+func (f UnresponsiveWorker) SilentFor() kumquatlug.Millis { return f.silentFor }
 
 // Attempts returns this gateway's attempts in flight there.
-func (f Fallen) Attempts() []*Ticket { return f.attempts }
+func (f UnresponsiveWorker) Attempts() []*Attempt { return f.attempts }
 
-// Heard records that output of an attempt arrived.
-func (p *Placer) Heard(now kumquatlug.Millis, t *Ticket) {
+// RecordOutput records that output of an attempt arrived.
+func (p *Placer) RecordOutput(now kumquatlug.Millis, t *Attempt) {
 	if t.ended {
 		return
 	}
 	w := t.worker
 	if t.lastOutputAt != 0 {
 		pause := float64(now - t.lastOutputAt)
-		w.pauses.Saw(pause)
-		p.pauses.Saw(pause)
+		w.pauses.Observe(pause)
+		p.pauses.Observe(pause)
 	}
 	t.lastOutputAt = now
 	p.markResponsive(now, t.id, w)
@@ -97,13 +97,13 @@
 	w.lastSeenAt = now
 	if w.unresponsive && p.workers[id] == w {
 		w.unresponsive = false
-		p.health.Outcome(now, id, true, 0)
+		p.health.RecordOutcome(now, id, true, 0)
 	}
 }
 
-// Silent excludes the workers that have become unresponsive and returns them. It has to
+// CheckLiveness excludes the workers that have become unresponsive and returns them. It has to
 // be called every few hundredths of a second.
-func (p *Placer) Silent(now kumquatlug.Millis) []Fallen {
+func (p *Placer) CheckLiveness(now kumquatlug.Millis) []UnresponsiveWorker {
 	stalled := now-p.livenessCheckedAt > maxCheckGap
 	p.livenessCheckedAt = now
 	if stalled {
@@ -112,7 +112,7 @@
 		}
 		return nil
 	}
-	var fallen []Fallen
+	var fallen []UnresponsiveWorker
 	if p.gatewayPartitioned(now) {
 		return nil
 	}
@@ -125,46 +125,46 @@
 }
 
 // ejectUnresponsive excludes an unresponsive worker from new requests.
-func (p *Placer) ejectUnresponsive(now kumquatlug.Millis, w *worker) Fallen {
+func (p *Placer) ejectUnresponsive(now kumquatlug.Millis, w *worker) UnresponsiveWorker {
 	id := w.member.Worker.ID()
 	w.unresponsive = true
 	p.health.Eject(now, id)
 	p.displaceQueue(w)
-	return Fallen{worker: id, silentFor: now - w.lastSeenAt, attempts: slices.Clone(w.attempts)}
+	return UnresponsiveWorker{worker: id, silentFor: now - w.lastSeenAt, attempts: slices.Clone(w.attempts)}
 }
 
-// Use is what a worker does, as far as its gateway can see.
-type Use string
+// Activity is what a worker does, as far as its gateway can see.
+type Activity string
 
-// The values of [Use].
+// The values of [Activity].
 const (
-	// UseSilent: the worker is excluded as unresponsive.
-	UseSilent Use = "silent"
-	// UseIdle: no gateway has requests in flight there.
-	UseIdle Use = "idle"
-	// UseBusy: some gateway has.
-	UseBusy Use = "busy"
+	// ActivityUnresponsive: the worker is excluded as unresponsive.
+	ActivityUnresponsive Activity = "silent"
+	// ActivityIdle: no gateway has requests in flight there.
+	ActivityIdle Activity = "idle"
+	// ActivityBusy: some gateway has.
+	ActivityBusy Activity = "busy"
 )
 
-// InUse returns what each worker does, by name.
-func (p *Placer) InUse(now kumquatlug.Millis) map[string]Use {
-	all := map[string]Use{}
+// Activities returns what each worker does, by name.
+func (p *Placer) Activities(now kumquatlug.Millis) map[string]Activity {
+	all := map[string]Activity{}
 	for id, w := range p.workers {
 		switch {
 		case w.unresponsive:
-			all[id] = UseSilent
+			all[id] = ActivityUnresponsive
 		case len(w.attempts) == 0 && len(w.permits) == 0 && p.otherRequestsAt(now, w) < 1:
-			all[id] = UseIdle
+			all[id] = ActivityIdle
 		default:
-			all[id] = UseBusy
+			all[id] = ActivityBusy
 		}
 	}
 	return all
 }
 
-// Stalled returns single streams that have stalled at workers that respond otherwise.
-func (p *Placer) Stalled(now kumquatlug.Millis) []*Ticket {
-	var stalled []*Ticket
+// StalledStreams returns single streams that have stalled at workers that respond otherwise.
+func (p *Placer) StalledStreams(now kumquatlug.Millis) []*Attempt {
+	var stalled []*Attempt
 	for _, w := range p.ordered {
 		for _, t := range w.attempts {
 			if t.lastOutputAt != 0 && now-t.lastOutputAt > streamStallTimeout {
@@ -175,7 +175,7 @@
 	return stalled
 }
 
-// Suspects returns the engines to probe now. The results are passed to [Placer.Asked].
+// Suspects returns the engines to probe now. The results are passed to [Placer.RecordProbe].
 func (p *Placer) Suspects(now kumquatlug.Millis) []kumquatlug.Worker {
 	var suspects []kumquatlug.Worker
 	for _, w := range p.ordered {
@@ -194,22 +194,22 @@
 	return suspects
 }
 
-// Asked records whether an engine responded to a probe. One that did not is
+// RecordProbe records whether an engine responded to a probe. One that did not is
 // unresponsive, unless something has come from it since the probe.
-func (p *Placer) Asked(now kumquatlug.Millis, id string, responded bool) (Fallen, bool) {
+func (p *Placer) RecordProbe(now kumquatlug.Millis, id string, responded bool) (UnresponsiveWorker, bool) {
 	w, known := p.workers[id]
 	switch {
 	case !known:
-		return Fallen{}, false
+		return UnresponsiveWorker{}, false
 	case responded:
 		if quiet := float64(w.probedAt - w.lastSeenAt); w.startedCount() > 1 && quiet > w.pauses.Longest() {
 			// The engine works, and only pauses for so long.
-			w.pauses.Saw(quiet)
+			w.pauses.Observe(quiet)
 		}
 		p.markResponsive(now, id, w)
-		return Fallen{}, false
+		return UnresponsiveWorker{}, false
 	case w.unresponsive || w.lastSeenAt >= w.probedAt || p.gatewayPartitioned(now):
-		return Fallen{}, false
+		return UnresponsiveWorker{}, false
 	}
 	return p.ejectUnresponsive(now, w), true
 }
@@ -249,7 +249,7 @@
 	streams := w.startedCount()
 	tooQuiet := quiet > p.silenceLimitMs(w)
 	switch {
-	case streams > 1 && tooQuiet && p.pauses.Known():
+	case streams > 1 && tooQuiet && p.pauses.Reliable():
 		return livenessUnresponsive
 	case streams > 1 && tooQuiet:
 		return livenessSuspect
@@ -266,10 +266,10 @@
 // prompts that this gateway gave it to prefill meanwhile.
 func (p *Placer) silenceLimitMs(w *worker) float64 {
 	pause := w.pauses.Longest()
-	if !w.pauses.Known() {
+	if !w.pauses.Reliable() {
 		pause = max(pause, p.pauses.Longest())
 	}
-	return pause + streamMarginMs + w.prefillTokens/(p.prefillRate()*p.config.MixedPart)
+	return pause + streamMarginMs + w.prefillTokens/(p.prefillRate()*p.config.MixedPrefillFraction)
 }
 
 // plainLiveness is liveness for a worker of a plain service.
@@ -294,7 +294,7 @@
 
 // expectedFirstOutputMs returns the expected time until the first output of an attempt,
 // in milliseconds.
-func (p *Placer) expectedFirstOutputMs(t *Ticket) float64 {
+func (p *Placer) expectedFirstOutputMs(t *Attempt) float64 {
 	if t.worker.member.Role == "" {
 		return t.expectedWaitMs + p.meanPlainMs
 	}
--- a/pkg/kumquatlug/placement/liveness_test.go
+++ b/pkg/kumquatlug/placement/liveness_test.go
@@ -13,7 +13,7 @@
 // evenly offset within that interval.
 type streamSim struct {
 	p       *Placer
-	streams []*Ticket
+	streams []*Attempt
 	// stoppedAt holds the time from which an engine sends nothing more.
 	stoppedAt map[string]kumquatlug.Millis
 	// detectedAt is when each engine was reported unresponsive, attempts the number of
@@ -30,7 +30,7 @@
 	}
 	s.p.Sync(0, engines(1, decodeEngines))
 	for i := range streams {
-		c, found := s.p.Output(0, Query{Prompt: chatPrompt(i)})
+		c, found := s.p.ChooseDecode(0, Query{Prompt: chatPrompt(i)})
 		if !found {
 			t.Fatal("no engine")
 		}
@@ -49,13 +49,13 @@
 		for i, t := range s.streams {
 			at, stopped := s.stoppedAt[t.id]
 			if int(now)%pause == i*pause/len(s.streams) && (!stopped || now < at) {
-				s.p.Heard(now, t)
+				s.p.RecordOutput(now, t)
 			}
 		}
 		if now%checkInterval != 0 {
 			continue
 		}
-		for _, f := range s.p.Silent(now) {
+		for _, f := range s.p.CheckLiveness(now) {
 			s.detectedAt[f.Worker()] = now
 			s.attempts[f.Worker()] = len(f.Attempts())
 		}
@@ -78,10 +78,10 @@
 	if len(s.detectedAt) != 1 || s.attempts["g1"] != 6 {
 		t.Errorf("unresponsive: %v with %v attempts", s.detectedAt, s.attempts)
 	}
-	if c, _ := s.p.Output(at, Query{Prompt: chatPrompt(99)}); c.Worker().ID() == "g1" {
+	if c, _ := s.p.ChooseDecode(at, Query{Prompt: chatPrompt(99)}); c.Worker().ID() == "g1" {
 		t.Error("a new stream is sent to the unresponsive engine")
 	}
-	s.p.Asked(at+500, "g1", true)
+	s.p.RecordProbe(at+500, "g1", true)
 	if s.p.health.Weight(at+500, "g1") == 0 {
 		t.Error("an engine that responds to a probe is still excluded")
 	}
@@ -112,19 +112,19 @@
 	for name, responds := range map[string]bool{"busy": true, "frozen": false} {
 		p := New(Config{Zone: "a"})
 		p.Sync(0, engines(2, 1))
-		result, c, _ := p.Enter(0, 1, Query{Prompt: document(1, 1), Until: 2000})
-		if result != EntrySent {
+		result, c, _ := p.Submit(0, 1, Query{Prompt: document(1, 1), Deadline: 2000})
+		if result != SubmissionSent {
 			t.Fatalf("%s: %s", name, result)
 		}
 		engine := c.Worker().ID()
 		for key := uint64(2); key < 6; key++ {
-			if result, _, _ := p.Enter(1, key, Query{Prompt: document(1, int(key)), Until: 2000}); result != EntryWaits {
+			if result, _, _ := p.Submit(1, key, Query{Prompt: document(1, int(key)), Deadline: 2000}); result != SubmissionQueued {
 				t.Fatalf("%s: next prompt: %s", name, result)
 			}
 		}
 		now, probedAt := kumquatlug.Millis(0), kumquatlug.Millis(0)
 		for ; now < 400 && probedAt == 0; now += checkInterval {
-			if fallen := p.Silent(now); len(fallen) != 0 {
+			if fallen := p.CheckLiveness(now); len(fallen) != 0 {
 				t.Fatalf("%s: unresponsive after %d ms without a probe", name, now)
 			}
 			if suspects := p.Suspects(now); len(suspects) == 1 && suspects[0].ID() == engine {
@@ -134,7 +134,7 @@
 		if probedAt == 0 || probedAt > 250 {
 			t.Fatalf("%s: probed after %d ms", name, probedAt)
 		}
-		fallen, ejected := p.Asked(now, engine, responds)
+		fallen, ejected := p.RecordProbe(now, engine, responds)
 		if ejected == responds {
 			t.Errorf("%s: ejected: %v", name, ejected)
 		}
@@ -158,13 +158,13 @@
 	for _, calls := range []int{1, 2} {
 		p := New(Config{Zone: "a"})
 		p.Sync(0, []kumquatlug.Member{member("s1", "a", "", 6), member("s2", "a", "", 6)})
-		c, _ := p.Plain(0, Query{Exclude: []string{"s2"}})
+		c, _ := p.ChoosePlain(0, Query{Exclude: []string{"s2"}})
 		for range calls {
 			p.Begin(0, c, kumquatlug.Prompt{})
 		}
-		var fallen []Fallen
+		var fallen []UnresponsiveWorker
 		for now := kumquatlug.Millis(0); now < 800; now += checkInterval {
-			fallen = append(fallen, p.Silent(now)...)
+			fallen = append(fallen, p.CheckLiveness(now)...)
 		}
 		if len(fallen) != calls-1 {
 			t.Errorf("%d overdue attempts: %d workers unresponsive", calls, len(fallen))
@@ -180,11 +180,11 @@
 	stalled := s.streams[0]
 	s.streams = s.streams[1:]
 	s.play(1000, 2000, neverFrozen)
-	if got := s.p.Stalled(2000); len(got) != 0 {
+	if got := s.p.StalledStreams(2000); len(got) != 0 {
 		t.Errorf("stalled after a second: %d streams", len(got))
 	}
 	s.play(2000, 2300, neverFrozen)
-	if got := s.p.Stalled(2300); len(got) != 1 || got[0] != stalled {
+	if got := s.p.StalledStreams(2300); len(got) != 1 || got[0] != stalled {
 		t.Errorf("stalled: %d streams", len(got))
 	}
 	if len(s.detectedAt) != 0 {
@@ -198,16 +198,16 @@
 func TestPausingEngineIsNotEjected(t *testing.T) {
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 1))
-	var streams []*Ticket
+	var streams []*Attempt
 	for i := range 3 {
-		c, _ := p.Output(0, Query{Prompt: chatPrompt(i)})
+		c, _ := p.ChooseDecode(0, Query{Prompt: chatPrompt(i)})
 		streams = append(streams, p.Begin(0, c, chatPrompt(i)))
 	}
 	probes := 0
 	for now, next, step := kumquatlug.Millis(1), kumquatlug.Millis(1), 0; now < 20_000; now++ {
 		if now == next {
 			for _, s := range streams {
-				p.Heard(now, s)
+				p.RecordOutput(now, s)
 			}
 			next += 60
 			if step++; step%8 == 0 {
@@ -217,12 +217,12 @@
 		if now%checkInterval != 0 {
 			continue
 		}
-		if fallen := p.Silent(now); len(fallen) != 0 {
-			t.Fatalf("unresponsive at %d ms, after %d ms without events", now, fallen[0].Quiet())
+		if fallen := p.CheckLiveness(now); len(fallen) != 0 {
+			t.Fatalf("unresponsive at %d ms, after %d ms without events", now, fallen[0].SilentFor())
 		}
 		for _, w := range p.Suspects(now) {
 			probes++
-			p.Asked(now+1, w.ID(), true)
+			p.RecordProbe(now+1, w.ID(), true)
 		}
 	}
 	if probes > 4 {
--- a/pkg/kumquatlug/placement/permits.go
+++ b/pkg/kumquatlug/placement/permits.go
@@ -44,12 +44,12 @@
 }
 
 // send puts a message to another gateway into the outbox.
-func (p *Placer) send(gateway string, t kumquatlug.Turn) {
-	p.outbox = append(p.outbox, kumquatlug.TurnMessage{Front: gateway, Turn: t})
+func (p *Placer) send(gateway string, t kumquatlug.Permit) {
+	p.outbox = append(p.outbox, kumquatlug.PermitMessage{Gateway: gateway, Permit: t})
 }
 
 // Outbox returns and removes the messages to other gateways that have to be sent now.
-func (p *Placer) Outbox() []kumquatlug.TurnMessage {
+func (p *Placer) Outbox() []kumquatlug.PermitMessage {
 	out := p.outbox
 	p.outbox = nil
 	return out
@@ -61,7 +61,7 @@
 		return ""
 	}
 	id := w.member.Worker.ID()
-	if p.config.Coordinators.Coordinates(now, id) {
+	if p.config.Coordinators.IsCoordinator(now, id) {
 		return ""
 	}
 	return p.config.Coordinators.Coordinator(now, id)
@@ -69,7 +69,7 @@
 
 // coordinates reports whether this gateway orders the prompts of all gateways at w.
 func (p *Placer) coordinates(now kumquatlug.Millis, w *worker) bool {
-	return p.config.Coordinators != nil && p.config.Coordinators.Coordinates(now, w.member.Worker.ID())
+	return p.config.Coordinators != nil && p.config.Coordinators.IsCoordinator(now, w.member.Worker.ID())
 }
 
 // requestPermit requests a permit for a prompt from a coordinator.
@@ -84,10 +84,10 @@
 	a.sentAt = now
 	a.unanswered++
 	q := a.prompt.query
-	p.send(a.coordinator, kumquatlug.Turn{
-		Step: kumquatlug.TurnAsked, Engine: a.worker.member.Worker.ID(), Key: a.prompt.key,
-		Prompt: q.Prompt, Worth: q.Worth,
-		Target: q.Target - now, Timed: q.Target != 0, Patience: q.timeLeft(now), Begun: q.Begun,
+	p.send(a.coordinator, kumquatlug.Permit{
+		Step: kumquatlug.PermitRequested, Engine: a.worker.member.Worker.ID(), Key: a.prompt.key,
+		Prompt: q.Prompt, Value: q.Value,
+		LatencyTarget: q.FirstOutputDue - now, HasLatencyTarget: q.FirstOutputDue != 0, ClientTimeout: q.timeLeft(now), ResponseStarted: q.ResponseStarted,
 	})
 }
 
@@ -97,29 +97,29 @@
 	a.worker.requestedTokens -= a.prompt.choice.effectiveTokens
 }
 
-// Answered handles the response of a coordinator. It returns the prompt when its permit
+// HandleReply handles the response of a coordinator. It returns the prompt when its permit
 // is granted or refused.
-func (p *Placer) Answered(now kumquatlug.Millis, m kumquatlug.TurnMessage) (Due, bool) {
-	a, known := p.permitRequests[m.Turn.Key]
+func (p *Placer) HandleReply(now kumquatlug.Millis, m kumquatlug.PermitMessage) (Due, bool) {
+	a, known := p.permitRequests[m.Permit.Key]
 	if !known || !a.matches(m) {
-		if m.Turn.Step == kumquatlug.TurnGranted {
+		if m.Permit.Step == kumquatlug.PermitGranted {
 			// The prompt was sent elsewhere meanwhile; the engine is free for the next
 			// one.
-			p.sendRelease(m.Front, m.Turn)
+			p.sendRelease(m.Gateway, m.Permit)
 		}
 		return Due{}, false
 	}
-	p.config.Coordinators.Answered(m.Front)
-	switch m.Turn.Step {
-	case kumquatlug.TurnQueued:
+	p.config.Coordinators.PeerResponded(m.Gateway)
+	switch m.Permit.Step {
+	case kumquatlug.PermitQueued:
 		a.unanswered, a.queued = 0, true
 		return Due{}, false
-	case kumquatlug.TurnGranted:
+	case kumquatlug.PermitGranted:
 		p.removeRequest(a)
-		return p.beginGranted(now, a, m.Turn), true
-	case kumquatlug.TurnRefused:
+		return p.beginGranted(now, a, m.Permit), true
+	case kumquatlug.PermitRefused:
 		p.removeRequest(a)
-		a.prompt.choice.waitMs = float64(m.Turn.Wait)
+		a.prompt.choice.waitMs = float64(m.Permit.Wait)
 		return Due{key: a.prompt.key, choice: a.prompt.choice}, true
 	}
 	// The gateways disagree on who coordinates the engine, so this one's own queue is
@@ -133,33 +133,33 @@
 // matches reports whether a message is the response to the last request: from this
 // coordinator, and for this engine. Coordinators of an older software version name no
 // engine.
-func (a *permitRequest) matches(m kumquatlug.TurnMessage) bool {
-	engine := m.Turn.Engine
-	return a.coordinator == m.Front && (engine == "" || engine == a.worker.member.Worker.ID())
+func (a *permitRequest) matches(m kumquatlug.PermitMessage) bool {
+	engine := m.Permit.Engine
+	return a.coordinator == m.Gateway && (engine == "" || engine == a.worker.member.Worker.ID())
 }
 
 // beginGranted begins the attempt for a prompt whose permit is granted.
-func (p *Placer) beginGranted(now kumquatlug.Millis, a *permitRequest, permit kumquatlug.Turn) Due {
+func (p *Placer) beginGranted(now kumquatlug.Millis, a *permitRequest, permit kumquatlug.Permit) Due {
 	queued := a.prompt
 	queued.choice.waitMs = float64(permit.Wait) + p.handoffMs()
-	queued.choice.uncachedTokens = float64(permit.Fresh)
+	queued.choice.uncachedTokens = float64(permit.UncachedTokens)
 	queued.choice.effectiveTokens = p.effectiveTokens(queued.choice.uncachedTokens, queued.query.Prompt)
 	p.addLoad(now, a.worker, queued)
 	t := p.begin(now, queued.choice, queued.query.Prompt, a.coordinator, queued.key)
 	// Only the coordinator can determine whether other prompts are prefilled first. If
 	// this one were taken to be alone, its engine would look slow.
-	t.engineIdle = permit.Alone
+	t.engineIdle = permit.EngineIdle
 	return Due{key: queued.key, choice: queued.choice, ticket: t}
 }
 
 // sendRelease sends the release of a permit to a coordinator.
-func (p *Placer) sendRelease(coordinator string, t kumquatlug.Turn) {
-	p.send(coordinator, kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: t.Engine, Key: t.Key})
+func (p *Placer) sendRelease(coordinator string, t kumquatlug.Permit) {
+	p.send(coordinator, kumquatlug.Permit{Step: kumquatlug.PermitReleased, Engine: t.Engine, Key: t.Key})
 }
 
-// Remind sends requests without a response again, and gives up coordinators that left
+// RetryRequests sends requests without a response again, and gives up coordinators that left
 // one unanswered twice. It has to be called every few hundredths of a second.
-func (p *Placer) Remind(now kumquatlug.Millis) {
+func (p *Placer) RetryRequests(now kumquatlug.Millis) {
 	for _, a := range p.requestsInOrder() {
 		after := requestRetryAfter
 		if a.queued && a.unanswered == 0 {
@@ -188,7 +188,7 @@
 // abandonCoordinator requeues all prompts that wait for permits of a coordinator that
 // is unresponsive.
 func (p *Placer) abandonCoordinator(now kumquatlug.Millis, coordinator string) {
-	p.config.Coordinators.Missed(now, coordinator)
+	p.config.Coordinators.PeerTimedOut(now, coordinator)
 	for _, a := range p.requestsInOrder() {
 		if a.coordinator == coordinator {
 			p.removeRequest(a)
@@ -204,7 +204,7 @@
 		if a.worker == w {
 			p.removeRequest(a)
 			p.displaced = append(p.displaced, a.prompt)
-			p.sendRelease(a.coordinator, kumquatlug.Turn{Engine: w.member.Worker.ID(), Key: a.prompt.key})
+			p.sendRelease(a.coordinator, kumquatlug.Permit{Engine: w.member.Worker.ID(), Key: a.prompt.key})
 		}
 	}
 }
@@ -213,6 +213,6 @@
 func (p *Placer) cancelRequest(key uint64) {
 	if a, known := p.permitRequests[key]; known {
 		p.removeRequest(a)
-		p.sendRelease(a.coordinator, kumquatlug.Turn{Engine: a.worker.member.Worker.ID(), Key: key})
+		p.sendRelease(a.coordinator, kumquatlug.Permit{Engine: a.worker.member.Worker.ID(), Key: key})
 	}
 }
--- a/pkg/kumquatlug/placement/permits_test.go
+++ b/pkg/kumquatlug/placement/permits_test.go
@@ -80,14 +80,14 @@
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[at]
 	for key := range uint64(maxPrefills + 1) {
-		p.Requested(10, kumquatlug.TurnMessage{Front: "front-9", Turn: kumquatlug.Turn{
-			Step: kumquatlug.TurnAsked, Engine: "p0", Key: key, Prompt: document(1, int(key)), Patience: 2000, Timed: true, Target: 200,
+		p.HandleRequest(10, kumquatlug.PermitMessage{Gateway: "front-9", Permit: kumquatlug.Permit{
+			Step: kumquatlug.PermitRequested, Engine: "p0", Key: key, Prompt: document(1, int(key)), ClientTimeout: 2000, HasLatencyTarget: true, LatencyTarget: 200,
 		}})
 	}
 	p.Due(10)
 	granted := 0
 	for _, m := range p.Outbox() {
-		if m.Turn.Step == kumquatlug.TurnGranted {
+		if m.Permit.Step == kumquatlug.PermitGranted {
 			granted++
 		}
 	}
@@ -106,20 +106,20 @@
 	c := newGatewayCluster(2, 1, true)
 	requester := 1 - c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[requester]
-	if result, _, _ := p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005}); result != EntryWaits {
+	if result, _, _ := p.Submit(5, 7, Query{Prompt: document(1, 1), FirstOutputDue: 205, Deadline: 2005}); result != SubmissionQueued {
 		t.Fatalf("submission: %q", result)
 	}
 	p.Outbox()
-	p.Leave(7)
+	p.Cancel(7)
 	out := p.Outbox()
-	if len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Key != 7 || p.Waiting() != 0 {
+	if len(out) != 1 || out[0].Permit.Step != kumquatlug.PermitReleased || out[0].Permit.Key != 7 || p.Waiting() != 0 {
 		t.Errorf("sent %+v, %d queued", out, p.Waiting())
 	}
 	// A permit that was already sent is released, too.
-	if _, ended := p.Answered(9, kumquatlug.TurnMessage{Front: gatewayName(1 - requester), Turn: kumquatlug.Turn{Step: kumquatlug.TurnGranted, Engine: "p0", Key: 7}}); ended {
+	if _, ended := p.HandleReply(9, kumquatlug.PermitMessage{Gateway: gatewayName(1 - requester), Permit: kumquatlug.Permit{Step: kumquatlug.PermitGranted, Engine: "p0", Key: 7}}); ended {
 		t.Error("a cancelled prompt was sent")
 	}
-	if out = p.Outbox(); len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Engine != "p0" {
+	if out = p.Outbox(); len(out) != 1 || out[0].Permit.Step != kumquatlug.PermitReleased || out[0].Permit.Engine != "p0" {
 		t.Errorf("sent %+v", out)
 	}
 }
@@ -130,18 +130,18 @@
 func TestLatePermitIsReleased(t *testing.T) {
 	coordinator, request := newCoordinator()
 	granted := request(10, 1, 7)[0]
-	if granted.Step != kumquatlug.TurnGranted || granted.Engine != "p0" {
+	if granted.Step != kumquatlug.PermitGranted || granted.Engine != "p0" {
 		t.Fatalf("granted %+v", granted)
 	}
 	gateway := New(Config{Zone: "a"})
-	if _, ended := gateway.Answered(20, kumquatlug.TurnMessage{Front: "front-0", Turn: granted}); ended {
+	if _, ended := gateway.HandleReply(20, kumquatlug.PermitMessage{Gateway: "front-0", Permit: granted}); ended {
 		t.Fatal("a prompt that went elsewhere was sent")
 	}
 	out := gateway.Outbox()
-	if len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Engine != "p0" {
+	if len(out) != 1 || out[0].Permit.Step != kumquatlug.PermitReleased || out[0].Permit.Engine != "p0" {
 		t.Fatalf("sent %+v", out)
 	}
-	coordinator.Requested(21, kumquatlug.TurnMessage{Front: "front-9", Turn: out[0].Turn})
+	coordinator.HandleRequest(21, kumquatlug.PermitMessage{Gateway: "front-9", Permit: out[0].Permit})
 	if w := coordinator.workers["p0"]; len(w.permits) != 0 || w.prefills != 0 || w.prefillTokens != 0 {
 		t.Errorf("%d permits, %d in flight, %.0f tokens", len(w.permits), w.prefills, w.prefillTokens)
 	}
@@ -154,15 +154,15 @@
 	c := newGatewayCluster(2, 1, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[1-at]
-	if result, _, _ := p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005}); result != EntryWaits {
+	if result, _, _ := p.Submit(5, 7, Query{Prompt: document(1, 1), FirstOutputDue: 205, Deadline: 2005}); result != SubmissionQueued {
 		t.Fatalf("submission: %q", result)
 	}
 	p.Outbox()
-	permit := kumquatlug.Turn{Step: kumquatlug.TurnGranted, Engine: "p9", Key: 7}
-	if _, ended := p.Answered(9, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: permit}); ended {
+	permit := kumquatlug.Permit{Step: kumquatlug.PermitGranted, Engine: "p9", Key: 7}
+	if _, ended := p.HandleReply(9, kumquatlug.PermitMessage{Gateway: gatewayName(at), Permit: permit}); ended {
 		t.Error("a permit for another engine was accepted")
 	}
-	if out := p.Outbox(); len(out) != 1 || out[0].Turn.Step != kumquatlug.TurnOver || out[0].Turn.Engine != "p9" {
+	if out := p.Outbox(); len(out) != 1 || out[0].Permit.Step != kumquatlug.PermitReleased || out[0].Permit.Engine != "p9" {
 		t.Errorf("sent %+v", out)
 	}
 	if p.Waiting() != 1 {
@@ -178,15 +178,15 @@
 	c := newGatewayCluster(2, 1, true)
 	at := c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))
 	p := c.gateways[1-at]
-	p.Enter(5, 7, Query{Prompt: document(1, 1), Target: 205, Until: 2005})
-	request := p.Outbox()[0].Turn
-	c.coordinators[at].Leave()
-	c.gateways[at].Requested(6, kumquatlug.TurnMessage{Front: gatewayName(1 - at), Turn: request})
-	response := c.gateways[at].Outbox()[0].Turn
-	if response.Step != kumquatlug.TurnUnknown {
+	p.Submit(5, 7, Query{Prompt: document(1, 1), FirstOutputDue: 205, Deadline: 2005})
+	request := p.Outbox()[0].Permit
+	c.coordinators[at].StopCoordinating()
+	c.gateways[at].HandleRequest(6, kumquatlug.PermitMessage{Gateway: gatewayName(1 - at), Permit: request})
+	response := c.gateways[at].Outbox()[0].Permit
+	if response.Step != kumquatlug.PermitNotCoordinator {
 		t.Fatalf("response %q", response.Step)
 	}
-	p.Answered(7, kumquatlug.TurnMessage{Front: gatewayName(at), Turn: response})
+	p.HandleReply(7, kumquatlug.PermitMessage{Gateway: gatewayName(at), Permit: response})
 	due := p.Due(7)
 	if len(due) != 1 || due[0].Key() != 7 || due[0].Ticket() == nil {
 		t.Errorf("due %+v", due)
@@ -225,7 +225,7 @@
 	p := New(Config{Zone: "a"})
 	p.Sync(0, []kumquatlug.Member{clusterEngine("d0", kumquatlug.RoleDecode), clusterEngine("d1", kumquatlug.RoleDecode), clusterEngine("p0", kumquatlug.RolePrefill)})
 	for i := range 200 {
-		p.Report(kumquatlug.Millis(i), "d0", kumquatlug.NewWorkerLoad(6, 0, 12))
+		p.ReportLoad(kumquatlug.Millis(i), "d0", kumquatlug.NewWorkerLoad(6, 0, 12))
 	}
 	if others := p.otherRequestsAt(5000, p.workers["d1"]); others < 5 {
 		t.Errorf("%.1f requests estimated at a decode engine without a report", others)
@@ -237,17 +237,17 @@
 
 // newCoordinator returns the gateway that coordinates p0, and a function that requests
 // a permit for a prompt of a prefix from another gateway.
-func newCoordinator() (*Placer, func(now kumquatlug.Millis, prefix, key int) []kumquatlug.Turn) {
+func newCoordinator() (*Placer, func(now kumquatlug.Millis, prefix, key int) []kumquatlug.Permit) {
 	c := newGatewayCluster(2, 1, true)
 	p := c.gateways[c.gatewayIndex(c.coordinators[0].Coordinator(0, "p0"))]
-	return p, func(now kumquatlug.Millis, prefix, key int) []kumquatlug.Turn {
-		p.Requested(now, kumquatlug.TurnMessage{Front: "front-9", Turn: kumquatlug.Turn{
-			Step: kumquatlug.TurnAsked, Engine: "p0", Key: uint64(key), Prompt: document(prefix, key), Patience: 2000,
+	return p, func(now kumquatlug.Millis, prefix, key int) []kumquatlug.Permit {
+		p.HandleRequest(now, kumquatlug.PermitMessage{Gateway: "front-9", Permit: kumquatlug.Permit{
+			Step: kumquatlug.PermitRequested, Engine: "p0", Key: uint64(key), Prompt: document(prefix, key), ClientTimeout: 2000,
 		}})
 		p.Due(now)
-		var replies []kumquatlug.Turn
+		var replies []kumquatlug.Permit
 		for _, m := range p.Outbox() {
-			replies = append(replies, m.Turn)
+			replies = append(replies, m.Permit)
 		}
 		return replies
 	}
@@ -255,7 +255,7 @@
 
 // releasePrompt releases the permit of a prompt that has been prefilled.
 func releasePrompt(p *Placer, now kumquatlug.Millis, key int) {
-	p.Requested(now, kumquatlug.TurnMessage{Front: "front-9", Turn: kumquatlug.Turn{Step: kumquatlug.TurnOver, Engine: "p0", Key: uint64(key)}})
+	p.HandleRequest(now, kumquatlug.PermitMessage{Gateway: "front-9", Permit: kumquatlug.Permit{Step: kumquatlug.PermitReleased, Engine: "p0", Key: uint64(key)}})
 }
 
 // At startup engines have nothing cached, and later unused parts are evicted. If a
@@ -264,13 +264,13 @@
 // what had been prefilled for them would be prefilled again elsewhere.
 func TestCoordinatorTracksEngineCache(t *testing.T) {
 	p, request := newCoordinator()
-	p.SetMemory(30_000)
+	p.SetKVCapacity(30_000)
 	whole, own := document(1, 1).Input(), int(p.unsharedTokens(document(1, 2)))
-	if got := request(10, 1, 1)[0].Fresh; got != whole {
+	if got := request(10, 1, 1)[0].UncachedTokens; got != whole {
 		t.Errorf("first prompt of a prefix: %d tokens to prefill, want %d", got, whole)
 	}
 	releasePrompt(p, 50, 1)
-	if got := request(60, 1, 2)[0].Fresh; got != own {
+	if got := request(60, 1, 2)[0].UncachedTokens; got != own {
 		t.Errorf("second prompt: %d tokens to prefill, want %d", got, own)
 	}
 	releasePrompt(p, 80, 2)
@@ -278,7 +278,7 @@
 		request(kumquatlug.Millis(key*100), key, key)
 		releasePrompt(p, kumquatlug.Millis(key*100+50), key)
 	}
-	if got := request(900, 1, 9)[0].Fresh; got <= own {
+	if got := request(900, 1, 9)[0].UncachedTokens; got <= own {
 		t.Errorf("after five other prefixes: %d tokens to prefill", got)
 	}
 }
@@ -290,8 +290,8 @@
 func TestPermitReportsWhetherEngineIsIdle(t *testing.T) {
 	_, request := newCoordinator()
 	first, second := request(10, 1, 1)[0], request(11, 1, 2)[0]
-	if !first.Alone || second.Alone {
-		t.Errorf("engine idle: first prompt %v, second %v", first.Alone, second.Alone)
+	if !first.EngineIdle || second.EngineIdle {
+		t.Errorf("engine idle: first prompt %v, second %v", first.EngineIdle, second.EngineIdle)
 	}
 	if second.Wait <= first.Wait {
 		t.Errorf("expected wait: first prompt %d ms, second %d ms", first.Wait, second.Wait)
--- a/pkg/kumquatlug/placement/placement.go
+++ b/pkg/kumquatlug/placement/placement.go
@@ -45,26 +45,26 @@
 type Config struct {
 	// Zone is the gateway's data centre.
 	Zone string
-	// Reading is the prefill performance assumed of engines until it has been measured.
-	Reading learn.ReadingConfig
-	// MixedPart is the fraction of its prefill rate that an engine has left while it
+	// Prefill is the prefill performance assumed of engines until it has been measured.
+	Prefill learn.PrefillEstimatorConfig
+	// MixedPrefillFraction is the fraction of its prefill rate that an engine has left while it
 	// decodes. Default 0.5, as the engines' protocol states.
-	MixedPart float64
-	// AwayPrice is the cost of prefilling a shared prefix again, as a multiple of the
+	MixedPrefillFraction float64
+	// RecomputePenalty is the cost of prefilling a shared prefix again, as a multiple of the
 	// time it takes. Default 24: a repeated prefill also evicts other prefixes from the
 	// cache.
-	AwayPrice float64
-	// MixedPrice is the cost of a prefill at a decode engine whose slots are all taken,
+	RecomputePenalty float64
+	// MixedPrefillPenalty is the cost of a prefill at a decode engine whose slots are all taken,
 	// as a multiple of the time it takes: every stream there pauses meanwhile. Default
 	// 60.
-	MixedPrice float64
-	// ZonePrice is the cost of a worker in another data centre, in milliseconds.
+	MixedPrefillPenalty float64
+	// ZonePenaltyMs is the cost of a worker in another data centre, in milliseconds.
 	// Default 3: a few round trips of 1 ms, and traffic that is billed; any real queue
 	// outweighs it.
-	ZonePrice float64
-	// TransferCost is the cost of transferring a KV cache, in milliseconds: two round
+	ZonePenaltyMs float64
+	// TransferCostMs is the cost of transferring a KV cache, in milliseconds: two round
 	// trips and the copy. Default 4.
-	TransferCost float64
+	TransferCostMs float64
 	// Coordinators names the gateway that orders the prompts at an engine; nil where
 	// each gateway orders only its own.
 	Coordinators kumquatlug.Coordinators
@@ -76,11 +76,11 @@
 }
 
 func (c Config) withDefaults() Config {
-	c.MixedPart = cmp.Or(c.MixedPart, 0.5)
-	c.AwayPrice = cmp.Or(c.AwayPrice, 24)
-	c.MixedPrice = cmp.Or(c.MixedPrice, 60)
-	c.ZonePrice = cmp.Or(c.ZonePrice, 3)
-	c.TransferCost = cmp.Or(c.TransferCost, 4)
+	c.MixedPrefillFraction = cmp.Or(c.MixedPrefillFraction, 0.5)
+	c.RecomputePenalty = cmp.Or(c.RecomputePenalty, 24)
+	c.MixedPrefillPenalty = cmp.Or(c.MixedPrefillPenalty, 60)
+	c.ZonePenaltyMs = cmp.Or(c.ZonePenaltyMs, 3)
+	c.TransferCostMs = cmp.Or(c.TransferCostMs, 4)
 	return c
 }
 
@@ -171,9 +171,9 @@
 	// attempts are the attempts in flight for this gateway. lastSeenAt is when anything
 	// last came from the worker, pauses are those between two events of a stream, and
 	// unresponsive says that the worker is excluded because nothing came from it.
-	attempts     []*Ticket
+	attempts     []*Attempt
 	lastSeenAt   kumquatlug.Millis
-	pauses       learn.Pause
+	pauses       learn.PauseEstimator
 	unresponsive bool
 	// probedAt is when the last liveness probe was sent.
 	probedAt kumquatlug.Millis
@@ -208,7 +208,7 @@
 	prefillEngines int
 	health         *health.Group
 	// prefillModel estimates how long an engine takes to prefill a prompt.
-	prefillModel *learn.Reading
+	prefillModel *learn.PrefillEstimator
 	// meanPrefillTokens is the mean number of tokens that a prompt leaves to prefill,
 	// meanPlainMs the mean run time of a plain request.
 	meanPrefillTokens float64
@@ -222,13 +222,13 @@
 	meanOtherRequests float64
 	meanRunMs         float64
 	// pauses are those between two events of a stream at any engine.
-	pauses learn.Pause
+	pauses learn.PauseEstimator
 	// overrun is how much later than expected the first output of an engine arrives,
 	// plainOverrun the same for a response of a plain worker.
-	overrun, plainOverrun *learn.Overrun
+	overrun, plainOverrun *learn.OverrunEstimator
 	// tokenTime is the run time of a request for each token of its maximum output, in
 	// ms.
-	tokenTime *learn.PerUnit
+	tokenTime *learn.RatioEstimator
 	// slowdown is the ratio of actual to expected prefill time.
 	slowdown float64
 	prunedAt kumquatlug.Millis
@@ -241,7 +241,7 @@
 	displaced      []*queuedPrompt
 	permitRequests map[uint64]*permitRequest
 	// outbox holds messages to other gateways.
-	outbox   []kumquatlug.TurnMessage
+	outbox   []kumquatlug.PermitMessage
 	averages pressureAverages
 	// livenessCheckedAt is when workers were last checked for being unresponsive.
 	livenessCheckedAt kumquatlug.Millis
@@ -252,9 +252,9 @@
 	c = c.withDefaults()
 	return &Placer{
 		config: c, workers: map[string]*worker{}, permitRequests: map[uint64]*permitRequest{}, health: health.New(c.Health), meanPrefillTokens: 3000, meanPlainMs: initialPlainMs,
-		meanRunMs: initialRunMs, meanKVTokens: initialKVTokens, slowdown: 1, prefillModel: learn.NewReading(c.Reading),
-		tokenTime: learn.NewPerUnit(initialTokenMs, initialOutputTokens),
-		overrun:   learn.NewOverrun(initialOverrunMs), plainOverrun: learn.NewOverrun(initialPlainOverrunMs),
+		meanRunMs: initialRunMs, meanKVTokens: initialKVTokens, slowdown: 1, prefillModel: learn.NewPrefillEstimator(c.Prefill),
+		tokenTime: learn.NewRatioEstimator(initialTokenMs, initialOutputTokens),
+		overrun:   learn.NewOverrunEstimator(initialOverrunMs), plainOverrun: learn.NewOverrunEstimator(initialPlainOverrunMs),
 	}
 }
 
@@ -262,20 +262,20 @@
 // restarted under the same name has nothing cached. Sync returns the streams in flight
 // at workers that leave: such a worker serves for a few more seconds, and streams that
 // are not moved by then break off.
-func (p *Placer) Sync(now kumquatlug.Millis, members []kumquatlug.Member) []*Ticket {
-	var streams []*Ticket
+func (p *Placer) Sync(now kumquatlug.Millis, members []kumquatlug.Member) []*Attempt {
+	var streams []*Attempt
 	seen := map[string]bool{}
 	for _, m := range members {
 		id := m.Worker.ID()
 		seen[id] = true
 		w, known := p.workers[id]
-		if known && (w.member.Born != m.Born || w.member.Role != m.Role || m.State != kumquatlug.MemberReady) {
+		if known && (w.member.StartedAt != m.StartedAt || w.member.Role != m.Role || m.State != kumquatlug.MemberReady) {
 			p.displaceQueue(w)
 		}
 		if known && w.member.State == kumquatlug.MemberReady && m.State != kumquatlug.MemberReady {
 			streams = append(streams, w.startedAttempts()...)
 		}
-		if !known || w.member.Born != m.Born || w.member.Worker != m.Worker {
+		if !known || w.member.StartedAt != m.StartedAt || w.member.Worker != m.Worker {
 			hash := xxhash.Sum64String(id)
 			w = &worker{hash: hash, cachedParts: map[string]cachedPart{}, limit: ratelimit.New(p.config.Shares, hash)}
 			p.workers[id] = w
@@ -317,8 +317,8 @@
 	p.withdrawRequests(w)
 }
 
-// Report records the load that a worker reported in a response.
-func (p *Placer) Report(now kumquatlug.Millis, id string, load kumquatlug.WorkerLoad) {
+// ReportLoad records the load that a worker reported in a response.
+func (p *Placer) ReportLoad(now kumquatlug.Millis, id string, load kumquatlug.WorkerLoad) {
 	w, known := p.workers[id]
 	if !known || !load.Known() {
 		return
@@ -328,5 +328,5 @@
 	p.meanOtherRequests += ewmaWeight * (w.otherRequests - p.meanOtherRequests)
 }
 
-// SetMemory sets the KV memory of an engine, in tokens.
-func (p *Placer) SetMemory(tokens int) { p.kvCapacityTokens = float64(tokens) }
+// SetKVCapacity sets the KV memory of an engine, in tokens.
+func (p *Placer) SetKVCapacity(tokens int) { p.kvCapacityTokens = float64(tokens) }
--- a/pkg/kumquatlug/placement/placement_test.go
+++ b/pkg/kumquatlug/placement/placement_test.go
@@ -42,7 +42,7 @@
 
 func mustPlacePrompt(t *testing.T, p *Placer, now kumquatlug.Millis, prompt kumquatlug.Prompt) Choice {
 	t.Helper()
-	c, found := p.Prompt(now, Query{Prompt: prompt})
+	c, found := p.ChoosePrompt(now, Query{Prompt: prompt})
 	if !found {
 		t.Fatal("no engine")
 	}
@@ -91,7 +91,7 @@
 	p.Sync(0, engines(8, 4))
 	type job struct {
 		ends   float64
-		ticket *Ticket
+		ticket *Attempt
 	}
 	freeAt := map[string]float64{}
 	cached := map[string]map[string]bool{}
@@ -103,7 +103,7 @@
 		running := jobs[:0]
 		for _, j := range jobs {
 			if j.ends <= at {
-				p.End(now, j.ticket, OutcomeGood)
+				p.End(now, j.ticket, OutcomeServed)
 			} else {
 				running = append(running, j)
 			}
@@ -113,7 +113,7 @@
 		choice := mustPlacePrompt(t, p, now, prompt)
 		id := choice.Worker().ID()
 		uncached, rate := 2890.0, 236.0
-		if !choice.Apart() {
+		if !choice.PrefillOnly() {
 			rate = 118
 		}
 		for _, part := range prompt.Shared() {
@@ -141,7 +141,7 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	nextPrefix := func(int) int { return random.IntN(446) }
 	affine, _ := replayPrompts(t, Config{}, nextPrefix, 147, 30_000)
-	byLoad, _ := replayPrompts(t, Config{AwayPrice: 0.001}, nextPrefix, 147, 30_000)
+	byLoad, _ := replayPrompts(t, Config{RecomputePenalty: 0.001}, nextPrefix, 147, 30_000)
 	t.Logf("tokens prefilled per document: %.0f at owners, %.0f by load", affine, byLoad)
 	if affine > 3500 || affine >= byLoad {
 		t.Errorf("%.0f tokens prefilled per document, %.0f by load alone", affine, byLoad)
@@ -174,12 +174,12 @@
 	}
 	for i := range 6 {
 		c := mustPlacePrompt(t, p, 0, document(i, i))
-		if !c.Apart() {
+		if !c.PrefillOnly() {
 			t.Fatalf("document %d is prefilled at an engine with 40 streams", i)
 		}
 		p.Begin(0, c, document(i, i))
 	}
-	if c := mustPlacePrompt(t, p, 0, chatPrompt(99)); c.Apart() {
+	if c := mustPlacePrompt(t, p, 0, chatPrompt(99)); c.PrefillOnly() {
 		t.Error("a short prompt is sent to a prefill engine")
 	}
 }
@@ -214,11 +214,11 @@
 	now, failed := kumquatlug.Millis(1000), 0
 	for range 300 {
 		now += 5
-		c, found := p.Plain(now, Query{})
+		c, found := p.ChoosePlain(now, Query{})
 		if !found {
 			t.Fatal("no worker")
 		}
-		ticket, outcome := p.Begin(now, c, kumquatlug.Prompt{}), OutcomeGood
+		ticket, outcome := p.Begin(now, c, kumquatlug.Prompt{}), OutcomeServed
 		if c.Worker().ID() == "x" {
 			outcome = OutcomeFailed
 			failed++
@@ -237,7 +237,7 @@
 	members := engines(1, 1)
 	p.Sync(0, members)
 	old := p.Begin(0, mustPlacePrompt(t, p, 0, document(1, 1)), document(1, 1))
-	members[0].Born = 9
+	members[0].StartedAt = 9
 	p.Sync(10, members)
 	if c := mustPlacePrompt(t, p, 10, document(2, 2)); c.Wait() > 100 {
 		t.Errorf("expected wait %d ms at a worker that has just started", c.Wait())
@@ -254,14 +254,14 @@
 	draining := member("x", "", "", 6)
 	draining.State = kumquatlug.MemberDraining
 	p.Sync(0, []kumquatlug.Member{draining, member("y", "", "", 6)})
-	if c, found := p.Plain(0, Query{}); !found || c.Worker().ID() != "y" {
+	if c, found := p.ChoosePlain(0, Query{}); !found || c.Worker().ID() != "y" {
 		t.Errorf("chose %+v (found: %v), want y", c, found)
 	}
-	if _, found := p.Plain(0, Query{Exclude: []string{"y"}}); found {
+	if _, found := p.ChoosePlain(0, Query{Exclude: []string{"y"}}); found {
 		t.Error("an excluded or leaving worker is chosen")
 	}
 	p.Sync(0, engines(2, 0))
-	if _, found := p.Prompt(0, Query{Prompt: document(1, 1)}); found {
+	if _, found := p.ChoosePrompt(0, Query{Prompt: document(1, 1)}); found {
 		t.Error("a prompt is prefilled though no engine can decode")
 	}
 }
@@ -272,15 +272,15 @@
 	p.Sync(0, []kumquatlug.Member{member("far", "b", kumquatlug.RoleDecode, 8), member("near", "a", kumquatlug.RoleDecode, 8)})
 	at := map[string]int{}
 	for i := range 14 {
-		c, _ := p.Output(0, Query{Prompt: chatPrompt(i)})
+		c, _ := p.ChooseDecode(0, Query{Prompt: chatPrompt(i)})
 		at[c.Worker().ID()]++
 		p.Begin(0, c, chatPrompt(i))
 	}
 	if at["near"] < 4 || at["far"] < 4 {
 		t.Errorf("requests by engine: %v", at)
 	}
-	p.Report(0, "near", kumquatlug.NewWorkerLoad(60, 0, 64))
-	if c, _ := p.Output(0, Query{Prompt: chatPrompt(99)}); c.Worker().ID() != "far" {
+	p.ReportLoad(0, "near", kumquatlug.NewWorkerLoad(60, 0, 64))
+	if c, _ := p.ChooseDecode(0, Query{Prompt: chatPrompt(99)}); c.Worker().ID() != "far" {
 		t.Error("an engine that is full of other gateways' requests is chosen")
 	}
 }
@@ -293,7 +293,7 @@
 	at := map[string]int{}
 	for i := range 40 {
 		c := mustPlacePrompt(t, p, 0, document(i, i))
-		if c.Apart() {
+		if c.PrefillOnly() {
 			t.Fatal("a prompt is only prefilled where no engine decodes for another")
 		}
 		at[c.Worker().ID()]++
@@ -312,20 +312,20 @@
 	p.Sync(0, engines(1, 1))
 	now := kumquatlug.Millis(0)
 	for i := range 40 {
-		c, _ := p.Output(now, Query{Prompt: chatPrompt(i)})
+		c, _ := p.ChooseDecode(now, Query{Prompt: chatPrompt(i)})
 		ticket := p.Begin(now, c, chatPrompt(i))
-		p.Read(now+50, ticket)
+		p.PrefillDone(now+50, ticket)
 		now += 18_400
-		p.End(now, ticket, OutcomeGood)
+		p.End(now, ticket, OutcomeServed)
 	}
-	if got := p.Takes(1000) - p.Takes(0); got < 3*3500 || got > 3*4200 {
+	if got := p.MaxDuration(1000) - p.MaxDuration(0); got < 3*3500 || got > 3*4200 {
 		t.Errorf("%d ms for 1,000 tokens that take 4 ms each on average", got)
 	}
-	before := p.Takes(0)
+	before := p.MaxDuration(0)
 	for range 10 {
-		p.overrun.Saw(8000)
+		p.overrun.Observe(8000)
 	}
-	if got := p.Takes(0); got < before+2000 {
+	if got := p.MaxDuration(0); got < before+2000 {
 		t.Errorf("%d ms after ten first outputs arrived eight seconds late", got)
 	}
 }
--- a/pkg/kumquatlug/placement/pressure.go
+++ b/pkg/kumquatlug/placement/pressure.go
@@ -27,39 +27,39 @@
 	decodeEnginesForecast float64
 }
 
-// Reading returns the fraction of the prefill engines that have prompts in flight.
-func (p Pressure) Reading() float64 { return p.prefillUtilization }
+// PrefillUtilization returns the fraction of the prefill engines that have prompts in flight.
+func (p Pressure) PrefillUtilization() float64 { return p.prefillUtilization }
 
-// Late returns the fraction of the long prompts that were refused or could not be
+// LateFraction returns the fraction of the long prompts that were refused or could not be
 // prefilled within their target latency.
-func (p Pressure) Late() float64 { return p.lateFraction }
+func (p Pressure) LateFraction() float64 { return p.lateFraction }
 
-// Taken returns how many engines' worth of slots the requests at decode engines take,
+// DecodeEnginesUsed returns how many engines' worth of slots the requests at decode engines take,
 // including waiting ones.
-func (p Pressure) Taken() float64 { return p.decodeEnginesUsed }
+func (p Pressure) DecodeEnginesUsed() float64 { return p.decodeEnginesUsed }
 
-// Coming returns how many they will take, by the trend, when a role change that is
+// DecodeEnginesForecast returns how many they will take, by the trend, when a role change that is
 // ordered now takes effect.
-func (p Pressure) Coming() float64 { return p.decodeEnginesForecast }
+func (p Pressure) DecodeEnginesForecast() float64 { return p.decodeEnginesForecast }
 
-// Beside is the work in flight at a worker, as one gateway sees it.
-type Beside struct {
+// WorkInFlight is the work in flight at a worker, as one gateway sees it.
+type WorkInFlight struct {
 	tokens, requests int
 }
 
 // Tokens returns the number of tokens to prefill there for this gateway.
-func (b Beside) Tokens() int { return b.tokens }
+func (b WorkInFlight) Tokens() int { return b.tokens }
 
 // Requests returns the estimated number of requests of all gateways that run there.
-func (b Beside) Requests() int { return b.requests }
+func (b WorkInFlight) Requests() int { return b.requests }
 
-// Beside returns the work in flight at a worker.
-func (p *Placer) Beside(now kumquatlug.Millis, id string) Beside {
+// InFlight returns the work in flight at a worker.
+func (p *Placer) InFlight(now kumquatlug.Millis, id string) WorkInFlight {
 	w, known := p.workers[id]
 	if !known {
-		return Beside{}
+		return WorkInFlight{}
 	}
-	return Beside{tokens: int(w.prefillTokens), requests: w.running + int(math.Round(p.otherRequestsAt(now, w)))}
+	return WorkInFlight{tokens: int(w.prefillTokens), requests: w.running + int(math.Round(p.otherRequestsAt(now, w)))}
 }
 
 // pressureAverages holds the averages behind a [Pressure].
@@ -148,9 +148,9 @@
 // wait.
 func (o Occupancy) Busy() float64 { return o.busy }
 
-// Occupied returns the occupancy by data centre, from this gateway's requests in flight
+// Occupancy returns the occupancy by data centre, from this gateway's requests in flight
 // and the load that workers report for the others.
-func (p *Placer) Occupied(now kumquatlug.Millis) map[string]Occupancy {
+func (p *Placer) Occupancy(now kumquatlug.Millis) map[string]Occupancy {
 	zones := map[string]Occupancy{}
 	for _, w := range p.ordered {
 		if w.member.State != kumquatlug.MemberReady {
--- a/pkg/kumquatlug/placement/queue.go
+++ b/pkg/kumquatlug/placement/queue.go
@@ -69,35 +69,35 @@
 	renewedAt kumquatlug.Millis
 }
 
-// Entry is the result of submitting a prompt.
-type Entry string
+// Submission is the result of submitting a prompt.
+type Submission string
 
-// The results of [Placer.Enter].
+// The results of [Placer.Submit].
 const (
-	// EntrySent: the prompt is sent to its engine now.
-	EntrySent Entry = "sent"
-	// EntryWaits: the prompt waits in its engine's queue; see [Placer.Due].
-	EntryWaits Entry = "waits"
-	// EntryRefused: no engine can prefill the prompt in time.
-	EntryRefused Entry = "refused"
-	// EntryNobody: no engine is available.
-	EntryNobody Entry = "nobody"
+	// SubmissionSent: the prompt is sent to its engine now.
+	SubmissionSent Submission = "sent"
+	// SubmissionQueued: the prompt waits in its engine's queue; see [Placer.Due].
+	SubmissionQueued Submission = "waits"
+	// SubmissionRefused: no engine can prefill the prompt in time.
+	SubmissionRefused Submission = "refused"
+	// SubmissionNoEngine: no engine is available.
+	SubmissionNoEngine Submission = "nobody"
 )
 
-// Enter submits a new prompt. The key identifies it among the queued ones. With
-// EntrySent the ticket is of an attempt that has begun; with EntryRefused the choice
+// Submit submits a new prompt. The key identifies it among the queued ones. With
+// SubmissionSent the ticket is of an attempt that has begun; with SubmissionRefused the choice
 // holds the expected wait.
-func (p *Placer) Enter(now kumquatlug.Millis, key uint64, q Query) (Entry, Choice, *Ticket) {
+func (p *Placer) Submit(now kumquatlug.Millis, key uint64, q Query) (Submission, Choice, *Attempt) {
 	return p.submit(now, &queuedPrompt{key: key, query: q, maxLateHold: q.timeLeft(now) / lateHoldDivisor})
 }
 
 // submit sends a prompt to its engine, or queues it for the engine, or requests a
 // permit from the gateway that coordinates the engine.
-func (p *Placer) submit(now kumquatlug.Millis, queued *queuedPrompt) (Entry, Choice, *Ticket) {
+func (p *Placer) submit(now kumquatlug.Millis, queued *queuedPrompt) (Submission, Choice, *Attempt) {
 	q := queued.query
-	c, found := p.Prompt(now, q)
+	c, found := p.ChoosePrompt(now, q)
 	if !found {
-		return EntryNobody, c, nil
+		return SubmissionNoEngine, c, nil
 	}
 	w := p.workers[c.worker.ID()]
 	if c.prefillOnly {
@@ -115,27 +115,27 @@
 	if coordinator := p.coordinator(now, w); c.prefillOnly && coordinator != "" && !queued.skipCoordinator {
 		p.reserve(now, w, c)
 		p.requestPermit(now, coordinator, w, queued)
-		return EntryWaits, c, nil
+		return SubmissionQueued, c, nil
 	}
 	if !c.prefillOnly || len(w.queue) == 0 && p.hasCapacity(now, w) {
-		if c.Wait() >= q.timeLeft(now) && !q.Begun {
+		if c.Wait() >= q.timeLeft(now) && !q.ResponseStarted {
 			if c.prefillOnly {
 				p.averages.latePrompts++
 			}
-			return EntryRefused, c, nil
+			return SubmissionRefused, c, nil
 		}
 		if c.prefillOnly {
 			p.reserve(now, w, c)
 			p.addLoad(now, w, queued)
 		}
-		return EntrySent, c, p.Begin(now, c, q.Prompt)
+		return SubmissionSent, c, p.Begin(now, c, q.Prompt)
 	}
 	if !p.mayQueue(now, w, queued) {
-		return EntryRefused, c, nil
+		return SubmissionRefused, c, nil
 	}
 	p.reserve(now, w, c)
 	w.enqueue(queued)
-	return EntryWaits, c, nil
+	return SubmissionQueued, c, nil
 }
 
 // enqueue inserts a prompt into a queue: those that can be in time by density, then the
@@ -155,10 +155,10 @@
 
 // timeLeft returns the time until the client gives up.
 func (q Query) timeLeft(now kumquatlug.Millis) kumquatlug.Millis {
-	if q.Until == 0 {
+	if q.Deadline == 0 {
 		return math.MaxInt64
 	}
-	return q.Until - now
+	return q.Deadline - now
 }
 
 // hasCapacity reports whether an engine may be given one more prompt. If this gateway
@@ -202,11 +202,11 @@
 // ahead of it. It is false for a prompt whose response has begun: the first output is
 // past, and the prompt goes first.
 func (p *Placer) willBeLate(now kumquatlug.Millis, w *worker, queued *queuedPrompt, ahead float64) bool {
-	if queued.query.Target == 0 || queued.query.Begun {
+	if queued.query.FirstOutputDue == 0 || queued.query.ResponseStarted {
 		return false
 	}
 	expectedWait := (p.inFlightTokens(now, w) + ahead + queued.choice.effectiveTokens) / p.prefillRate() * p.slowdown
-	return float64(queued.query.Target-now) < expectedWait+postPrefillMs
+	return float64(queued.query.FirstOutputDue-now) < expectedWait+postPrefillMs
 }
 
 // markLate marks a prompt as late.
@@ -269,7 +269,7 @@
 type Due struct {
 	key    uint64
 	choice Choice
-	ticket *Ticket
+	ticket *Attempt
 }
 
 // Key returns the key under which the prompt was submitted.
@@ -279,7 +279,7 @@
 func (d Due) Choice() Choice { return d.choice }
 
 // Ticket returns the attempt that has begun, nil for a prompt that is given up.
-func (d Due) Ticket() *Ticket { return d.ticket }
+func (d Due) Ticket() *Attempt { return d.ticket }
 
 // Due returns the prompts to send now and those that can't be served in time any more.
 // It has to be called after each event and, while prompts are queued, every few
@@ -317,7 +317,7 @@
 	for _, queued := range displaced {
 		queued.late = false
 		result, c, ticket := p.submit(now, queued)
-		if result != EntryWaits {
+		if result != SubmissionQueued {
 			due = append(due, Due{key: queued.key, choice: c, ticket: ticket})
 		}
 	}
@@ -375,14 +375,14 @@
 // valueDensity returns the value of a prompt per token to prefill. One whose response
 // has begun goes first, as its client sees a stalled stream.
 func valueDensity(q Query, tokens float64) float64 {
-	if q.Begun {
+	if q.ResponseStarted {
 		return math.Inf(1)
 	}
-	return cmp.Or(q.Worth, 1) / (tokens + promptOverheadTokens)
+	return cmp.Or(q.Value, 1) / (tokens + promptOverheadTokens)
 }
 
-// Leave removes a prompt from the queues after its client has disconnected.
-func (p *Placer) Leave(key uint64) {
+// Cancel removes a prompt from the queues after its client has disconnected.
+func (p *Placer) Cancel(key uint64) {
 	isLocal := func(queued *queuedPrompt) bool { return queued.key == key && queued.remote.gateway == "" }
 	p.displaced = slices.DeleteFunc(p.displaced, isLocal)
 	p.cancelRequest(key)
--- a/pkg/kumquatlug/placement/queue_test.go
+++ b/pkg/kumquatlug/placement/queue_test.go
@@ -25,7 +25,7 @@
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 1))
 	for i := range 50 {
-		c, found := p.Output(0, Query{Prompt: chatPrompt(i)})
+		c, found := p.ChooseDecode(0, Query{Prompt: chatPrompt(i)})
 		if !found {
 			t.Fatal("no engine")
 		}
@@ -37,14 +37,14 @@
 	}
 	type prefillJob struct {
 		key    uint64
-		ticket *Ticket
+		ticket *Attempt
 	}
 	var r overloadResult
 	var engineQueue []prefillJob
 	jobs := map[uint64]job{}
 	random := rand.New(rand.NewPCG(7, 8))
 	freeAt, nextAt, key := 0.0, 0.0, uint64(0)
-	start := func(now kumquatlug.Millis, k uint64, ticket *Ticket) {
+	start := func(now kumquatlug.Millis, k uint64, ticket *Attempt) {
 		engineQueue = append(engineQueue, prefillJob{key: k, ticket: ticket})
 		if len(engineQueue) == 1 {
 			freeAt = float64(now) + float64(jobs[k].prompt.Input()-6300)/236
@@ -54,7 +54,7 @@
 		for len(engineQueue) > 0 && freeAt <= float64(now) {
 			finished := engineQueue[0]
 			engineQueue = engineQueue[1:]
-			p.End(now, finished.ticket, OutcomeGood)
+			p.End(now, finished.ticket, OutcomeServed)
 			if now-jobs[finished.key].arrived+postPrefillMs <= 200 {
 				r.inTime++
 			} else {
@@ -71,17 +71,17 @@
 			shared := document(int(key)%40, int(key)).Shared()
 			prompt := kumquatlug.NewPrompt(append(slices.Clone(shared), kumquatlug.NewPart("own", own)), 6300+own, 104)
 			jobs[key] = job{arrived: now, prompt: prompt}
-			q := Query{Prompt: prompt, Target: now + 200, Until: now + 2000}
+			q := Query{Prompt: prompt, FirstOutputDue: now + 200, Deadline: now + 2000}
 			if !queueing {
-				c, _ := p.Prompt(now, q)
+				c, _ := p.ChoosePrompt(now, q)
 				start(now, key, p.Begin(now, c, prompt))
 				continue
 			}
-			result, _, ticket := p.Enter(now, key, q)
+			result, _, ticket := p.Submit(now, key, q)
 			switch result {
-			case EntrySent:
+			case SubmissionSent:
 				start(now, key, ticket)
-			case EntryRefused:
+			case SubmissionRefused:
 				r.refused++
 			}
 		}
@@ -128,7 +128,7 @@
 	p.Sync(0, engines(2, 1))
 	var waits []uint64
 	for key := uint64(1); key <= 60; key++ {
-		if result, _, _ := p.Enter(0, key, Query{Prompt: document(1, int(key)), Until: 5000}); result == EntryWaits {
+		if result, _, _ := p.Submit(0, key, Query{Prompt: document(1, int(key)), Deadline: 5000}); result == SubmissionQueued {
 			waits = append(waits, key)
 		}
 	}
@@ -152,7 +152,7 @@
 			t.Error("a prompt is sent to the engine that left")
 		}
 	}
-	p.Leave(waits[len(waits)-1])
+	p.Cancel(waits[len(waits)-1])
 	if n := p.Waiting(); n >= len(waits) {
 		t.Errorf("%d of %d are still queued", n, len(waits))
 	}
@@ -162,15 +162,15 @@
 // of them were assumed to have as many prompts there, the two prompts of this gateway
 // would look like an overload, and the third would be refused at an idle engine.
 func TestOtherGatewaysDoNotCountAsOverload(t *testing.T) {
-	p := New(Config{Reading: learn.ReadingConfig{Rate: 236}})
+	p := New(Config{Prefill: learn.PrefillEstimatorConfig{TokensPerMs: 236}})
 	p.Sync(0, engines(1, 1))
 	for i := range 40 {
-		c, _ := p.Output(0, Query{Prompt: chatPrompt(i)})
+		c, _ := p.ChooseDecode(0, Query{Prompt: chatPrompt(i)})
 		p.Begin(0, c, chatPrompt(i))
 	}
 	for i := range 3 {
-		result, c, _ := p.Enter(0, uint64(i), Query{Prompt: document(1, i), Target: 200, Until: 2000})
-		if result == EntryRefused || result == EntryNobody {
+		result, c, _ := p.Submit(0, uint64(i), Query{Prompt: document(1, i), FirstOutputDue: 200, Deadline: 2000})
+		if result == SubmissionRefused || result == SubmissionNoEngine {
 			t.Errorf("prompt %d was refused with an expected wait of %d ms", i, c.Wait())
 		}
 	}
@@ -183,15 +183,15 @@
 // the prompt were refused as overload, the client would see half a response and a
 // broken connection, though three seconds are left to prefill it again.
 func TestStartedResponseIsNotRefusedUnderOverload(t *testing.T) {
-	p := New(Config{Reading: learn.ReadingConfig{Rate: 50}})
+	p := New(Config{Prefill: learn.PrefillEstimatorConfig{TokensPerMs: 50}})
 	p.Sync(0, engines(1, 1))
 	for key := uint64(1); key <= 30; key++ {
-		p.Enter(0, key, Query{Prompt: document(1, int(key)), Target: 600, Until: 5000})
+		p.Submit(0, key, Query{Prompt: document(1, int(key)), FirstOutputDue: 600, Deadline: 5000})
 	}
-	if result, _, _ := p.Enter(0, 40, Query{Prompt: document(1, 40), Target: 20, Until: 60}); result != EntryRefused {
+	if result, _, _ := p.Submit(0, 40, Query{Prompt: document(1, 40), FirstOutputDue: 20, Deadline: 60}); result != SubmissionRefused {
 		t.Fatalf("late prompt without output: %s", result)
 	}
-	if result, _, _ := p.Enter(0, 50, Query{Prompt: document(1, 50), Target: 100, Until: 3000, Begun: true}); result != EntryWaits {
+	if result, _, _ := p.Submit(0, 50, Query{Prompt: document(1, 50), FirstOutputDue: 100, Deadline: 3000, ResponseStarted: true}); result != SubmissionQueued {
 		t.Fatalf("prompt with a started response: %s", result)
 	}
 	for _, due := range p.Due(400) {
@@ -211,29 +211,29 @@
 // half. By the load of the last instant alone the engine would always look full, and
 // the prompt would be refused.
 func TestFewLargePromptsDoNotLookLikeAFullEngine(t *testing.T) {
-	p := New(Config{Reading: learn.ReadingConfig{Rate: 50}})
+	p := New(Config{Prefill: learn.PrefillEstimatorConfig{TokensPerMs: 50}})
 	p.Sync(0, engines(1, 1))
 	largePrompt := func(i int) kumquatlug.Prompt {
 		return kumquatlug.NewPrompt([]kumquatlug.Part{kumquatlug.NewPart("s", 9000), kumquatlug.NewPart(fmt.Sprint("g", i), 20_000)}, 29_000, 50)
 	}
 	for i := range 50 {
-		c, _ := p.Output(0, Query{Prompt: chatPrompt(i)})
+		c, _ := p.ChooseDecode(0, Query{Prompt: chatPrompt(i)})
 		p.Begin(0, c, chatPrompt(i))
 	}
-	now, last := kumquatlug.Millis(1), (*Ticket)(nil)
+	now, last := kumquatlug.Millis(1), (*Attempt)(nil)
 	for i := range 3 {
 		if last != nil {
-			p.End(now, last, OutcomeGood)
+			p.End(now, last, OutcomeServed)
 		}
-		result, _, ticket := p.Enter(now, uint64(i+1), Query{Prompt: largePrompt(i), Target: now + 800, Until: now + 5000})
-		if result != EntrySent {
+		result, _, ticket := p.Submit(now, uint64(i+1), Query{Prompt: largePrompt(i), FirstOutputDue: now + 800, Deadline: now + 5000})
+		if result != SubmissionSent {
 			t.Fatalf("prompt %d: %s", i, result)
 		}
 		last = ticket
 		now += 450
 	}
 	now -= 400
-	if result, _, _ := p.Enter(now, 9, Query{Prompt: document(1, 9), Target: now + 50, Until: now + 1500}); result != EntryWaits {
+	if result, _, _ := p.Submit(now, 9, Query{Prompt: document(1, 9), FirstOutputDue: now + 50, Deadline: now + 1500}); result != SubmissionQueued {
 		t.Errorf("late prompt: %s", result)
 	}
 }
--- a/pkg/kumquatlug/placement/rolechange.go
+++ b/pkg/kumquatlug/placement/rolechange.go
@@ -6,11 +6,11 @@
 // requests at most: three seconds for the change, and a few to finish its requests.
 const roleChangeTimeout = 8 * kumquatlug.Second
 
-// Announce sets the roles to which engines are about to change. Engines that are no
+// SetRoleChanges sets the roles to which engines are about to change. Engines that are no
 // longer named get requests as before. Prompts that are queued for a changing engine
 // are moved to others. Announce returns the streams in flight there, and whether any
 // role is new.
-func (p *Placer) Announce(now kumquatlug.Millis, roles map[string]kumquatlug.Role) (streams []*Ticket, news bool) {
+func (p *Placer) SetRoleChanges(now kumquatlug.Millis, roles map[string]kumquatlug.Role) (streams []*Attempt, news bool) {
 	for _, w := range p.ordered {
 		role := roles[w.member.Worker.ID()]
 		if role == w.nextRole {
@@ -28,8 +28,8 @@
 }
 
 // startedAttempts returns the attempts in flight that have produced output.
-func (w *worker) startedAttempts() []*Ticket {
-	var streams []*Ticket
+func (w *worker) startedAttempts() []*Attempt {
+	var streams []*Attempt
 	for _, t := range w.attempts {
 		if t.lastOutputAt != 0 {
 			streams = append(streams, t)
--- a/pkg/kumquatlug/placement/unknownengine_test.go
+++ b/pkg/kumquatlug/placement/unknownengine_test.go
@@ -33,13 +33,13 @@
 func countTimedOut(e simEngine, seed uint64) (early, late, sent int) {
 	type attempt struct {
 		ends   float64
-		ticket *Ticket
+		ticket *Attempt
 	}
 	const span, settled = 30_000.0, 3000.0
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 1))
 	for i := range 50 {
-		c, _ := p.Output(0, Query{Prompt: chatPrompt(i)})
+		c, _ := p.ChooseDecode(0, Query{Prompt: chatPrompt(i)})
 		p.Begin(0, c, chatPrompt(i))
 	}
 	random := rand.New(rand.NewPCG(seed, 3))
@@ -51,7 +51,7 @@
 		running := inFlight[:0]
 		for _, a := range inFlight {
 			if a.ends <= now {
-				p.End(kumquatlug.Millis(a.ends), a.ticket, OutcomeGood)
+				p.End(kumquatlug.Millis(a.ends), a.ticket, OutcomeServed)
 			} else {
 				running = append(running, a)
 			}
@@ -63,13 +63,13 @@
 			continue
 		}
 		c := placePromptOrPanic(p, at, kumquatlug.NewPrompt(append(document(1, n).Shared(), kumquatlug.NewPart("own", int(own))), 6300+int(own), 104))
-		if !c.Apart() {
+		if !c.PrefillOnly() {
 			continue
 		}
 		ticket := p.Begin(at, c, document(1, n))
 		ends := e.prefill(now, own, 6300)
 		sent++
-		if ends-now > float64(p.Patience(ticket)) {
+		if ends-now > float64(p.AttemptTimeout(ticket)) {
 			if now < settled {
 				early++
 			} else {
@@ -100,7 +100,7 @@
 }
 
 func placePromptOrPanic(p *Placer, now kumquatlug.Millis, prompt kumquatlug.Prompt) Choice {
-	c, found := p.Prompt(now, Query{Prompt: prompt})
+	c, found := p.ChoosePrompt(now, Query{Prompt: prompt})
 	if !found {
 		panic("no engine")
 	}
--- a/pkg/kumquatlug/planner/baseline.go
+++ b/pkg/kumquatlug/planner/baseline.go
@@ -12,14 +12,14 @@
 
 var _ kumquatlug.RolePlanner = Static{}
 
-// Offered implements [kumquatlug.RolePlanner].
-func (Static) Offered(kumquatlug.Millis, kumquatlug.Offer) {}
+// RecordDemand implements [kumquatlug.RolePlanner].
+func (Static) RecordDemand(kumquatlug.Millis, kumquatlug.Demand) {}
 
 // Report implements [kumquatlug.RolePlanner].
 func (Static) Report(kumquatlug.Millis, kumquatlug.EngineReport) {}
 
-// Refused implements [kumquatlug.RolePlanner].
-func (Static) Refused(kumquatlug.Millis, string) {}
+// OrderRefused implements [kumquatlug.RolePlanner].
+func (Static) OrderRefused(kumquatlug.Millis, string) {}
 
 // Remove implements [kumquatlug.RolePlanner].
 func (Static) Remove(kumquatlug.Millis, string) {}
@@ -34,13 +34,13 @@
 	// and 0.7.
 	High float64
 	Low  float64
-	// Every is the minimum time between two changes. Default 10 s.
-	Every kumquatlug.Millis
-	// Span is the time constant of the moving average of the demand. Default 10 s.
-	Span kumquatlug.Millis
-	// AwayPart is the maximum share of the group that changes roles concurrently.
+	// MinInterval is the minimum time between two changes. Default 10 s.
+	MinInterval kumquatlug.Millis
+	// AverageSpan is the time constant of the moving average of the demand. Default 10 s.
+	AverageSpan kumquatlug.Millis
+	// MaxChangingShare is the maximum share of the group that changes roles concurrently.
 	// Default 0.2.
-	AwayPart float64
+	MaxChangingShare float64
 	// PrefillRate and DecodeRate are as in [Config].
 	PrefillRate float64
 	DecodeRate  float64
@@ -62,22 +62,24 @@
 func NewThreshold(c ThresholdConfig) *Threshold {
 	c.High = cmp.Or(c.High, 0.9)
 	c.Low = cmp.Or(c.Low, 0.7)
-	c.Every = cmp.Or(c.Every, 10*kumquatlug.Second)
-	c.Span = cmp.Or(c.Span, 10*kumquatlug.Second)
-	c.AwayPart = cmp.Or(c.AwayPart, 0.2)
+	c.MinInterval = cmp.Or(c.MinInterval, 10*kumquatlug.Second)
+	c.AverageSpan = cmp.Or(c.AverageSpan, 10*kumquatlug.Second)
+	c.MaxChangingShare = cmp.Or(c.MaxChangingShare, 0.2)
 	c.PrefillRate = cmp.Or(c.PrefillRate, 8000)
 	c.DecodeRate = cmp.Or(c.DecodeRate, 1500)
-	return &Threshold{config: c, group: newGroup(c.PrefillRate, c.DecodeRate), demand: newDemand(c.Span, c.Span)}
+	return &Threshold{config: c, group: newGroup(c.PrefillRate, c.DecodeRate), demand: newDemand(c.AverageSpan, c.AverageSpan)}
 }
 
-// Offered implements [kumquatlug.RolePlanner].
-func (t *Threshold) Offered(now kumquatlug.Millis, o kumquatlug.Offer) { t.demand.offered(now, o) }
+// RecordDemand implements [kumquatlug.RolePlanner].
+func (t *Threshold) RecordDemand(now kumquatlug.Millis, o kumquatlug.Demand) {
+	t.demand.offered(now, o)
+}
 
 // Report implements [kumquatlug.RolePlanner].
 func (t *Threshold) Report(now kumquatlug.Millis, e kumquatlug.EngineReport) { t.group.report(now, e) }
 
-// Refused implements [kumquatlug.RolePlanner].
-func (t *Threshold) Refused(_ kumquatlug.Millis, target string) { t.group.refused(target) }
+// OrderRefused implements [kumquatlug.RolePlanner].
+func (t *Threshold) OrderRefused(_ kumquatlug.Millis, target string) { t.group.refused(target) }
 
 // Remove implements [kumquatlug.RolePlanner].
 func (t *Threshold) Remove(_ kumquatlug.Millis, target string) { t.group.remove(target) }
@@ -85,7 +87,7 @@
 // Plan implements [kumquatlug.RolePlanner].
 func (t *Threshold) Plan(now kumquatlug.Millis) []kumquatlug.RoleChange {
 	prefill, decode := t.group.split()
-	if t.moved && now-t.movedAt < t.config.Every || prefill == 0 || decode == 0 {
+	if t.moved && now-t.movedAt < t.config.MinInterval || prefill == 0 || decode == 0 {
 		return nil
 	}
 	offered := t.demand.estimate()
@@ -104,5 +106,5 @@
 
 func (t *Threshold) move(now kumquatlug.Millis, from, to kumquatlug.Role, reason string) []kumquatlug.RoleChange {
 	t.moved, t.movedAt = true, now
-	return t.group.orderChanges(now, from, to, 1, maxConcurrentChanges(t.config.AwayPart, t.group.size()), 0, reason)
+	return t.group.orderChanges(now, from, to, 1, maxConcurrentChanges(t.config.MaxChangingShare, t.group.size()), 0, reason)
 }
--- a/pkg/kumquatlug/planner/demand.go
+++ b/pkg/kumquatlug/planner/demand.go
@@ -61,17 +61,17 @@
 	return &demand{fast: fast, slow: slow}
 }
 
-func (d *demand) offered(now kumquatlug.Millis, o kumquatlug.Offer) {
-	if o.Span <= 0 {
+func (d *demand) offered(now kumquatlug.Millis, o kumquatlug.Demand) {
+	if o.Period <= 0 {
 		return
 	}
-	s := d.source(now, o.Entry)
+	s := d.source(now, o.Gateway)
 	s.reportedAt = now
-	seconds := float64(o.Span) / float64(kumquatlug.Second)
+	seconds := float64(o.Period) / float64(kumquatlug.Second)
 	r := rates{prefill: o.PrefillTokens / seconds, decode: o.DecodeTokens / seconds}
-	s.fast.add(r, float64(o.Span))
-	s.fastSmoothed.add(s.fast.mean(), float64(o.Span))
-	s.slow.add(r, float64(o.Span))
+	s.fast.add(r, float64(o.Period))
+	s.fastSmoothed.add(s.fast.mean(), float64(o.Period))
+	s.slow.add(r, float64(o.Period))
 }
 
 func (d *demand) source(now kumquatlug.Millis, gateway string) *gatewayDemand {
--- a/pkg/kumquatlug/planner/first_roles.go
+++ b/pkg/kumquatlug/planner/first_roles.go
@@ -4,7 +4,7 @@
 
 // firstRolesDivisor sets how many engines are assigned their first role concurrently:
 // one in five, while the others continue to run both phases. It is the same share as
-// the default of Config.AwayPart. Assigning one engine at a time took more than a
+// the default of Config.MaxChangingShare. Assigning one engine at a time took more than a
 // minute for twelve engines.
 const firstRolesDivisor = 5
 
@@ -18,9 +18,9 @@
 	counts := map[kumquatlug.Role]int{}
 	changing := 0
 	for _, e := range engines {
-		if e.Going != "" {
+		if e.PendingRole != "" {
 			changing++
-			counts[e.Going]++
+			counts[e.PendingRole]++
 			continue
 		}
 		counts[e.Role]++
@@ -30,7 +30,7 @@
 		if changing >= max(1, len(engines)/firstRolesDivisor) {
 			break
 		}
-		if e.Going != "" || e.Role == kumquatlug.RolePrefill || e.Role == kumquatlug.RoleDecode {
+		if e.PendingRole != "" || e.Role == kumquatlug.RolePrefill || e.Role == kumquatlug.RoleDecode {
 			continue
 		}
 		to := kumquatlug.RoleDecode
--- a/pkg/kumquatlug/planner/first_roles_test.go
+++ b/pkg/kumquatlug/planner/first_roles_test.go
@@ -38,7 +38,7 @@
 
 func TestFirstRolesWaitForPendingChanges(t *testing.T) {
 	engines := []kumquatlug.EngineReport{
-		{Target: "e1", Role: kumquatlug.RoleBoth, Going: kumquatlug.RoleDecode},
+		{Target: "e1", Role: kumquatlug.RoleBoth, PendingRole: kumquatlug.RoleDecode},
 		{Target: "e2", Role: kumquatlug.RoleBoth},
 	}
 	if changes := FirstRoles(engines); len(changes) != 0 {
--- a/pkg/kumquatlug/planner/group.go
+++ b/pkg/kumquatlug/planner/group.go
@@ -61,8 +61,8 @@
 	}
 	g.observe(known, e)
 	known.reportedAt = e.TakenAt
-	known.inFlight = e.InHand
-	known.adoptOrder(now, e.Going)
+	known.inFlight = e.InFlight
+	known.adoptOrder(now, e.PendingRole)
 	return known.setRole(now, e.Role)
 }
 
--- a/pkg/kumquatlug/planner/planner.go
+++ b/pkg/kumquatlug/planner/planner.go
@@ -33,54 +33,54 @@
 
 // Config configures a [Goodput] planner. A zero field selects its default.
 type Config struct {
-	// Price is the cost of a role change, as a multiple of the work that the engine
+	// ChangeCost is the cost of a role change, as a multiple of the work that the engine
 	// would have done while it is offline. Default 1: the lost work alone. A
 	// deployment where every change is a risk sets it higher.
-	Price float64
-	// Enough is the share of the best split's goodput above which nothing more is
+	ChangeCost float64
+	// SufficientShare is the share of the best split's goodput above which nothing more is
 	// changed. Default 1. A deployment where every change is a risk sets it lower:
 	// close to the best split the last engines gain little, and a split that is good
 	// enough for both extremes of a shifting mix avoids the changes to each.
-	Enough float64
-	// Away is the initial estimate of how long a role change takes an engine offline,
+	SufficientShare float64
+	// ChangeTime is the initial estimate of how long a role change takes an engine offline,
 	// used until changes have been measured. Default 10 s, for the drain and the
 	// change.
-	Away kumquatlug.Millis
+	ChangeTime kumquatlug.Millis
 	// Horizon is the time over which the gain of a change must exceed its cost.
 	// Default 3 min: the mix shifts within minutes, so a gain does not last longer.
 	Horizon kumquatlug.Millis
-	// Dwell is the minimum time between two changes of an engine, and between two
+	// MinDwell is the minimum time between two changes of an engine, and between two
 	// changes of the group in opposite directions. Default 1 min.
-	Dwell kumquatlug.Millis
-	// LeastGain is the minimum gain of a change, as a share of the demand, whatever
+	MinDwell kumquatlug.Millis
+	// MinGain is the minimum gain of a change, as a share of the demand, whatever
 	// its cost. Default 0.02: the averages of demand that varies by 20% between
 	// reports have an error of 1 to 2%.
-	LeastGain float64
-	// AwayPart is the maximum share of the group that changes roles concurrently. One
+	MinGain float64
+	// MaxChangingShare is the maximum share of the group that changes roles concurrently. One
 	// engine is always allowed. Default 0.2: two of twelve.
-	AwayPart float64
-	// Knee is the sharpness of the goodput curve of a side where its load reaches its
+	MaxChangingShare float64
+	// KneeSharpness is the sharpness of the goodput curve of a side where its load reaches its
 	// capacity: at that point the side serves 2^(-1/Knee) of its load. Default 8,
 	// which is 92%: some calls then miss their deadlines, and the last engine moved
 	// to a side gains less than the first. A planner that expected a side to serve its
 	// full load at capacity would stop before reaching it, and one that counted on a
 	// fixed share of the capacity would value the last engine as highly as the first.
-	Knee float64
-	// Fast and Slow are the time constants of the moving averages. Defaults 20 s and
+	KneeSharpness float64
+	// FastSpan and Slow are the time constants of the moving averages. Defaults 20 s and
 	// 3 min: the fast one detects a shift within half a minute, the slow one is stable
 	// for demand that varies by 20% between reports.
-	Fast kumquatlug.Millis
-	Slow kumquatlug.Millis
-	// Stale is the age above which a report counts as missing. Default 10 s: ten
+	FastSpan kumquatlug.Millis
+	SlowSpan kumquatlug.Millis
+	// StaleAfter is the age above which a report counts as missing. Default 10 s: ten
 	// reports in a row.
-	Stale kumquatlug.Millis
-	// Gone is the time after which an unresponsive gateway is dropped, because its
+	StaleAfter kumquatlug.Millis
+	// DropAfter is the time after which an unresponsive gateway is dropped, because its
 	// callers use other gateways by then. Default 1 min: the load balancer has moved
 	// them long before.
-	Gone kumquatlug.Millis
-	// Quorum is the minimum share of engines with fresh reports. Default 0.75: the
+	DropAfter kumquatlug.Millis
+	// MinFreshShare is the minimum share of engines with fresh reports. Default 0.75: the
 	// planner freezes if one data centre of three is missing.
-	Quorum float64
+	MinFreshShare float64
 	// PrefillRate and DecodeRate are the initial estimates of the tokens per second
 	// that an engine processes in each role, used until they have been learned from
 	// engines with a queue. Defaults 8,000 and 1,500.
@@ -89,19 +89,19 @@
 }
 
 func (c Config) withDefaults() Config {
-	c.Price = cmp.Or(c.Price, 1)
-	c.Enough = cmp.Or(c.Enough, 1)
-	c.Away = cmp.Or(c.Away, 10*kumquatlug.Second)
+	c.ChangeCost = cmp.Or(c.ChangeCost, 1)
+	c.SufficientShare = cmp.Or(c.SufficientShare, 1)
+	c.ChangeTime = cmp.Or(c.ChangeTime, 10*kumquatlug.Second)
 	c.Horizon = cmp.Or(c.Horizon, 3*kumquatlug.Minute)
-	c.Dwell = cmp.Or(c.Dwell, kumquatlug.Minute)
-	c.LeastGain = cmp.Or(c.LeastGain, 0.02)
-	c.AwayPart = cmp.Or(c.AwayPart, 0.2)
-	c.Knee = cmp.Or(c.Knee, 8)
-	c.Fast = cmp.Or(c.Fast, 20*kumquatlug.Second)
-	c.Slow = cmp.Or(c.Slow, 3*kumquatlug.Minute)
-	c.Stale = cmp.Or(c.Stale, 10*kumquatlug.Second)
-	c.Gone = cmp.Or(c.Gone, kumquatlug.Minute)
-	c.Quorum = cmp.Or(c.Quorum, 0.75)
+	c.MinDwell = cmp.Or(c.MinDwell, kumquatlug.Minute)
+	c.MinGain = cmp.Or(c.MinGain, 0.02)
+	c.MaxChangingShare = cmp.Or(c.MaxChangingShare, 0.2)
+	c.KneeSharpness = cmp.Or(c.KneeSharpness, 8)
+	c.FastSpan = cmp.Or(c.FastSpan, 20*kumquatlug.Second)
+	c.SlowSpan = cmp.Or(c.SlowSpan, 3*kumquatlug.Minute)
+	c.StaleAfter = cmp.Or(c.StaleAfter, 10*kumquatlug.Second)
+	c.DropAfter = cmp.Or(c.DropAfter, kumquatlug.Minute)
+	c.MinFreshShare = cmp.Or(c.MinFreshShare, 0.75)
 	c.PrefillRate = cmp.Or(c.PrefillRate, 8000)
 	c.DecodeRate = cmp.Or(c.DecodeRate, 1500)
 	return c
@@ -122,8 +122,8 @@
 	StateWarming State = "warming"
 	// StateFrozenEngines: too few engines have reported recently.
 	StateFrozenEngines State = "frozen-engines"
-	// StateFrozenEntries: a gateway has not reported its demand recently.
-	StateFrozenEntries State = "frozen-entries"
+	// StateFrozenGateways: a gateway has not reported its demand recently.
+	StateFrozenGateways State = "frozen-entries"
 )
 
 // Goodput is a planner that changes the split when the gain in goodput exceeds the
@@ -145,13 +145,13 @@
 func New(c Config) *Goodput {
 	c = c.withDefaults()
 	return &Goodput{
-		config: c, group: newGroup(c.PrefillRate, c.DecodeRate), demand: newDemand(c.Fast, c.Slow),
-		state: StateWarming, changeMs: float64(c.Away),
+		config: c, group: newGroup(c.PrefillRate, c.DecodeRate), demand: newDemand(c.FastSpan, c.SlowSpan),
+		state: StateWarming, changeMs: float64(c.ChangeTime),
 	}
 }
 
-// Offered implements [kumquatlug.RolePlanner].
-func (g *Goodput) Offered(now kumquatlug.Millis, o kumquatlug.Offer) { g.demand.offered(now, o) }
+// RecordDemand implements [kumquatlug.RolePlanner].
+func (g *Goodput) RecordDemand(now kumquatlug.Millis, o kumquatlug.Demand) { g.demand.offered(now, o) }
 
 // Report implements [kumquatlug.RolePlanner]. A report that shows an engine in its
 // new role updates the mean duration of a change.
@@ -164,8 +164,8 @@
 // changeMsWeight is the weight of one change in the mean duration of changes.
 const changeMsWeight = 0.25
 
-// Refused implements [kumquatlug.RolePlanner].
-func (g *Goodput) Refused(_ kumquatlug.Millis, target string) { g.group.refused(target) }
+// OrderRefused implements [kumquatlug.RolePlanner].
+func (g *Goodput) OrderRefused(_ kumquatlug.Millis, target string) { g.group.refused(target) }
 
 // Remove implements [kumquatlug.RolePlanner].
 func (g *Goodput) Remove(_ kumquatlug.Millis, target string) { g.group.remove(target) }
@@ -191,13 +191,13 @@
 // readiness returns StateSteady if the available reports suffice for a decision, else
 // the state that prevents one.
 func (g *Goodput) readiness(now kumquatlug.Millis) State {
-	g.demand.dropUnresponsive(now, g.config.Gone)
+	g.demand.dropUnresponsive(now, g.config.DropAfter)
 	switch {
-	case !g.group.enoughReports(now, g.config.Stale, g.config.Quorum):
+	case !g.group.enoughReports(now, g.config.StaleAfter, g.config.MinFreshShare):
 		return StateFrozenEngines
-	case g.demand.anyUnresponsive(now, g.config.Stale):
-		return StateFrozenEntries
-	case g.demand.age(now) < g.config.Fast*2:
+	case g.demand.anyUnresponsive(now, g.config.StaleAfter):
+		return StateFrozenGateways
+	case g.demand.age(now) < g.config.FastSpan*2:
 		return StateWarming
 	default:
 		return StateSteady
@@ -212,7 +212,7 @@
 	offered := g.demand.estimate()
 	load := g.load(offered)
 	current := g.goodput(prefill, decode, load)
-	sufficient := g.config.Enough * g.bestGoodput(prefill+decode, load)
+	sufficient := g.config.SufficientShare * g.bestGoodput(prefill+decode, load)
 	best, bestGain, bestNet := 0, 0.0, 0.0
 	for move := 1; move < max(prefill, decode) && current < sufficient; move++ {
 		reached := false
@@ -223,7 +223,7 @@
 			next := g.goodput(prefill+signed, decode-signed, load)
 			reached = reached || next >= sufficient
 			net := (next-current)*load.sum()*float64(g.config.Horizon) - g.moveCost(move)
-			if next-current >= g.config.LeastGain && net > bestNet {
+			if next-current >= g.config.MinGain && net > bestNet {
 				best, bestGain, bestNet = signed, next-current, net
 			}
 		}
@@ -245,7 +245,7 @@
 
 // moveCost returns the cost of moving engines, in milliseconds of one engine's work.
 func (g *Goodput) moveCost(move int) float64 {
-	return g.config.Price * g.changeMs * float64(move)
+	return g.config.ChangeCost * g.changeMs * float64(move)
 }
 
 // load is the demand on each side, in units of one engine's capacity.
@@ -276,7 +276,7 @@
 		return 1
 	}
 	headroom := float64(engines) / load
-	return headroom / math.Pow(1+math.Pow(headroom, g.config.Knee), 1/g.config.Knee)
+	return headroom / math.Pow(1+math.Pow(headroom, g.config.KneeSharpness), 1/g.config.KneeSharpness)
 }
 
 // orderMove selects the engines to change, subject to the dwell time and the limit on
@@ -286,12 +286,12 @@
 	if move < 0 {
 		from, to, move = to, from, -move
 	}
-	if g.changedTo != "" && g.changedTo != to && now-g.changedAt < g.config.Dwell {
+	if g.changedTo != "" && g.changedTo != to && now-g.changedAt < g.config.MinDwell {
 		g.state = StateDwelling
 		return nil
 	}
 	reason := fmt.Sprintf("%d to %s wins %.1f%% of the demand", move, to, 100*gain)
-	changes := g.group.orderChanges(now, from, to, move, maxConcurrentChanges(g.config.AwayPart, g.group.size()), g.config.Dwell, reason)
+	changes := g.group.orderChanges(now, from, to, move, maxConcurrentChanges(g.config.MaxChangingShare, g.group.size()), g.config.MinDwell, reason)
 	if len(changes) == 0 {
 		if g.state == StateSteady {
 			g.state = StateDwelling
--- a/pkg/kumquatlug/planner/planner_test.go
+++ b/pkg/kumquatlug/planner/planner_test.go
@@ -15,7 +15,7 @@
 // highCostConfig is for a deployment where role changes are expensive, defaultConfig for
 // one where queueing calls are.
 var (
-	highCostConfig = Config{Price: 4, Enough: 0.9, Dwell: 2 * kumquatlug.Minute}
+	highCostConfig = Config{ChangeCost: 4, SufficientShare: 0.9, MinDwell: 2 * kumquatlug.Minute}
 	defaultConfig  = Config{}
 )
 
@@ -84,7 +84,7 @@
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(31))
 	properties.Property("the limit holds and both sides keep an engine", prop.ForAll(
 		func(seed uint64, size int, loss float64, loads []float64) bool {
-			s := newSimGroup(New(Config{Dwell: 5 * kumquatlug.Second}), seed, size, size/2)
+			s := newSimGroup(New(Config{MinDwell: 5 * kumquatlug.Second}), seed, size, size/2)
 			s.reportLoss = loss
 			for _, l := range loads {
 				s.run(60, l*float64(size), (1-l)*float64(size))
@@ -110,7 +110,7 @@
 		frozen              State
 	}{
 		"all reporting":             {},
-		"one gateway unresponsive":  {unresponsiveGateway: true, frozen: StateFrozenEntries},
+		"one gateway unresponsive":  {unresponsiveGateway: true, frozen: StateFrozenGateways},
 		"four engines unresponsive": {unresponsiveEngines: 4, frozen: StateFrozenEngines},
 		"two engines unresponsive":  {unresponsiveEngines: 2},
 	}
@@ -137,9 +137,9 @@
 	unresponsiveEngines int
 }
 
-func (p *lossyPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
-	if !p.dropOffers || o.Entry != "entry0" {
-		p.Goodput.Offered(now, o)
+func (p *lossyPlanner) RecordDemand(now kumquatlug.Millis, o kumquatlug.Demand) {
+	if !p.dropOffers || o.Gateway != "entry0" {
+		p.Goodput.RecordDemand(now, o)
 	}
 }
 
@@ -165,22 +165,22 @@
 // into one.
 type batchingPlanner struct {
 	*Goodput
-	batch kumquatlug.Offer
+	batch kumquatlug.Demand
 }
 
-func (p *batchingPlanner) Offered(now kumquatlug.Millis, o kumquatlug.Offer) {
-	if o.Entry != "entry0" {
+func (p *batchingPlanner) RecordDemand(now kumquatlug.Millis, o kumquatlug.Demand) {
+	if o.Gateway != "entry0" {
 		o.PrefillTokens = 0
-		p.Goodput.Offered(now, o)
+		p.Goodput.RecordDemand(now, o)
 		return
 	}
-	p.batch.Entry = o.Entry
-	p.batch.Span += o.Span
+	p.batch.Gateway = o.Gateway
+	p.batch.Period += o.Period
 	p.batch.PrefillTokens += 3 * o.PrefillTokens
 	p.batch.DecodeTokens += o.DecodeTokens
-	if p.batch.Span >= 8*kumquatlug.Second {
-		p.Goodput.Offered(now, p.batch)
-		p.batch = kumquatlug.Offer{}
+	if p.batch.Period >= 8*kumquatlug.Second {
+		p.Goodput.RecordDemand(now, p.batch)
+		p.batch = kumquatlug.Demand{}
 	}
 }
 
@@ -206,7 +206,7 @@
 func TestCostlyChangeIsNotMade(t *testing.T) {
 	// The configured cost of a change is more than half a day of an engine's work. A
 	// gain that lasts minutes must not outweigh it.
-	s := runMixShifts(newSimGroup(New(Config{Price: 5000}), 7, 12, 4))
+	s := runMixShifts(newSimGroup(New(Config{ChangeCost: 5000}), 7, 12, 4))
 	if s.changes != 0 {
 		t.Errorf("%d changes", s.changes)
 	}
@@ -222,7 +222,7 @@
 	for _, e := range s.engines {
 		if e.pendingRole != "" {
 			e.pendingRole = ""
-			s.planner.Refused(s.now, e.name)
+			s.planner.OrderRefused(s.now, e.name)
 		}
 	}
 	if n := s.planner.(*Goodput).group.changing(); n != 0 {
@@ -250,7 +250,7 @@
 }
 
 func ExampleNew() {
-	careful := New(Config{Price: 4, Enough: 0.9, Dwell: 2 * kumquatlug.Minute})
+	careful := New(Config{ChangeCost: 4, SufficientShare: 0.9, MinDwell: 2 * kumquatlug.Minute})
 	fmt.Println(careful.Plan(0), careful.State())
 	// Output: [] frozen-engines
 }
@@ -298,7 +298,7 @@
 	now := kumquatlug.Millis(0)
 	offer := func(prefill, decode float64) {
 		now += kumquatlug.Second
-		d.offered(now, kumquatlug.Offer{Entry: "entry", Span: kumquatlug.Second, PrefillTokens: prefill, DecodeTokens: decode})
+		d.offered(now, kumquatlug.Demand{Gateway: "entry", Period: kumquatlug.Second, PrefillTokens: prefill, DecodeTokens: decode})
 	}
 	for range 300 {
 		offer(9000, 3000)
--- a/pkg/kumquatlug/planner/simulation_test.go
+++ b/pkg/kumquatlug/planner/simulation_test.go
@@ -95,8 +95,8 @@
 		if s.random.Float64() < s.reportLoss {
 			continue
 		}
-		s.planner.Offered(s.now, kumquatlug.Offer{
-			Entry: fmt.Sprint("entry", i), Span: kumquatlug.Second,
+		s.planner.RecordDemand(s.now, kumquatlug.Demand{
+			Gateway: fmt.Sprint("entry", i), Period: kumquatlug.Second,
 			PrefillTokens: prefill * simPrefillRate / 3, DecodeTokens: decode * simDecodeRate / 3,
 		})
 	}
@@ -108,7 +108,7 @@
 			continue
 		}
 		s.planner.Report(s.now, kumquatlug.EngineReport{
-			Target: e.name, Role: e.role, Going: e.pendingRole, TakenAt: s.now - kumquatlug.Second, InHand: s.random.IntN(40),
+			Target: e.name, Role: e.role, PendingRole: e.pendingRole, TakenAt: s.now - kumquatlug.Second, InFlight: s.random.IntN(40),
 		})
 	}
 }
--- a/pkg/kumquatlug/planner/split.go
+++ b/pkg/kumquatlug/planner/split.go
@@ -7,7 +7,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// SplitEngine is the input of [KeepSplit] for one engine.
+// SplitEngine is the input of [MaintainSplit] for one engine.
 type SplitEngine struct {
 	// Target is the engine's name, Zone its data centre.
 	Target string
@@ -18,11 +18,11 @@
 	// just started. Idle engines are changed first, since others would have to hand
 	// over their calls.
 	Idle bool
-	// Fixed is set if the engine recently refused an order. It is not changed.
-	Fixed bool
+	// Refused is set if the engine recently refused an order. It is not changed.
+	Refused bool
 }
 
-// KeepSplit returns the changes that bring a group to a fixed share of prefill engines,
+// MaintainSplit returns the changes that bring a group to a fixed share of prefill engines,
 // between 0 and 1, and maintain it as engines join and leave. It returns at most 16
 // changes.
 //
@@ -31,7 +31,7 @@
 // fails or restarts in another role leaves one side short. Decode engines are spread
 // over the data centres, so that gateways find one nearby. At least one engine remains on
 // each side.
-func KeepSplit(engines []SplitEngine, share float64) []kumquatlug.RoleChange {
+func MaintainSplit(engines []SplitEngine, share float64) []kumquatlug.RoleChange {
 	if len(engines) < 2 {
 		return nil
 	}
@@ -83,7 +83,7 @@
 	}
 	best := -1
 	for i, e := range engines {
-		if e.Role != role || e.Fixed {
+		if e.Role != role || e.Refused {
 			continue
 		}
 		if best < 0 || e.Idle != engines[best].Idle && e.Idle ||
--- a/pkg/kumquatlug/planner/split_test.go
+++ b/pkg/kumquatlug/planner/split_test.go
@@ -35,17 +35,17 @@
 func TestSplitIsKeptAfterEngineLoss(t *testing.T) {
 	for _, have := range [][2]int{{4, 8}, {8, 4}, {8, 0}, {0, 8}, {1, 1}, {0, 2}, {12, 0}} {
 		engines := splitEngines(have[0], have[1])
-		applyChanges(engines, KeepSplit(engines, 0.667))
+		applyChanges(engines, MaintainSplit(engines, 0.667))
 		n := len(engines)
 		prefill := countRole(engines, kumquatlug.RolePrefill)
 		if prefill < 1 || prefill == n || n >= 6 && (prefill < n*6/10 || prefill > n*7/10) {
 			t.Errorf("%v: %d of %d engines run prefill", have, prefill, n)
 		}
-		if again := KeepSplit(engines, 0.667); len(again) != 0 {
+		if again := MaintainSplit(engines, 0.667); len(again) != 0 {
 			t.Errorf("%v: %d more changes of a balanced split", have, len(again))
 		}
 	}
-	if changes := KeepSplit(splitEngines(0, 1), 0.667); changes != nil {
+	if changes := MaintainSplit(splitEngines(0, 1), 0.667); changes != nil {
 		t.Error("the only engine is changed")
 	}
 }
@@ -54,7 +54,7 @@
 // centres cross to it.
 func TestDecodeEnginesAreSpreadOverDataCentres(t *testing.T) {
 	engines := splitEngines(0, 12)
-	applyChanges(engines, KeepSplit(engines, 0.75))
+	applyChanges(engines, MaintainSplit(engines, 0.75))
 	zones := map[string]int{}
 	for _, e := range engines {
 		if e.Role == kumquatlug.RoleDecode {
@@ -72,14 +72,14 @@
 func TestIdleEngineIsChangedFirst(t *testing.T) {
 	engines := splitEngines(7, 6)
 	engines[12].Idle = true
-	changes := KeepSplit(engines, 0.667)
+	changes := MaintainSplit(engines, 0.667)
 	if len(changes) != 2 || changes[0].Target() != engines[12].Target {
 		t.Errorf("%v", changes)
 	}
 	for i := range engines {
-		engines[i].Fixed = true
+		engines[i].Refused = true
 	}
-	if changes := KeepSplit(engines, 0.667); len(changes) != 0 {
+	if changes := MaintainSplit(engines, 0.667); len(changes) != 0 {
 		t.Errorf("engines that refuse orders are changed: %v", changes)
 	}
 }
--- a/pkg/kumquatlug/planner/swing_test.go
+++ b/pkg/kumquatlug/planner/swing_test.go
@@ -22,7 +22,7 @@
 	prefillEngines   int
 }
 
-func (d loadReplay) play(s *Swing, span kumquatlug.Millis) replayResult {
+func (d loadReplay) play(s *AdaptiveSplit, span kumquatlug.Millis) replayResult {
 	const step = 50 * kumquatlug.Millis(1)
 	const changeTime = 3 * kumquatlug.Second
 	r := replayResult{prefillEngines: 8}
@@ -43,12 +43,12 @@
 		slowOccupied = decay*slowOccupied + (1-decay)*slotDemand
 		r.waited += max(0, slotDemand-float64(decodeEngines)) * float64(step) / 1000
 		r.unserved += max(0, prefillDemand-float64(r.prefillEngines)) * float64(step) / 1000
-		view := SwingView{
-			Readers: r.prefillEngines + pending[0], Writers: decodeEngines + pending[1],
-			Reading: min(1, prefillDemand/float64(r.prefillEngines)), Taken: occupied, Coming: max(0, occupied+(occupied-slowOccupied)/1300*3000),
+		view := SplitLoad{
+			PrefillEngines: r.prefillEngines + pending[0], DecodeEngines: decodeEngines + pending[1],
+			PrefillUtilization: min(1, prefillDemand/float64(r.prefillEngines)), OccupiedSlots: occupied, ExpectedSlots: max(0, occupied+(occupied-slowOccupied)/1300*3000),
 		}
-		if s.Look(now, view) && pending == [2]int{} {
-			wanted := int(math.Round(s.Part() * 12))
+		if s.Update(now, view) && pending == [2]int{} {
+			wanted := int(math.Round(s.PrefillShare() * 12))
 			moved := wanted - r.prefillEngines
 			r.changes++
 			changeDoneAt = now + changeTime
@@ -95,8 +95,8 @@
 // must follow, and return in time for the prompts.
 func TestSplitFollowsLoadSwing(t *testing.T) {
 	replay := loadReplay{streams: ramp(4.9, 1), prefill: squareWave(2, 7)}
-	fixed := replay.play(NewSwing(SwingConfig{Part: 0.667, More: 0.001}), 112_000)
-	adaptive := replay.play(NewSwing(SwingConfig{Part: 0.667}), 112_000)
+	fixed := replay.play(NewAdaptiveSplit(AdaptiveSplitConfig{BasePrefillShare: 0.667, MaxExtraDecodeShare: 0.001}), 112_000)
+	adaptive := replay.play(NewAdaptiveSplit(AdaptiveSplitConfig{BasePrefillShare: 0.667}), 112_000)
 	t.Logf("fixed %+v, adaptive %+v", fixed, adaptive)
 	if adaptive.waited > 0.4*fixed.waited {
 		t.Errorf("streams waited %.1f engine-seconds, %.1f with a fixed split", adaptive.waited, fixed.waited)
@@ -115,7 +115,7 @@
 	wave := func(now kumquatlug.Millis) float64 {
 		return 1.9 + math.Sin(2*math.Pi*float64(now)/5600)
 	}
-	r := loadReplay{streams: wave, prefill: squareWave(3, 6)}.play(NewSwing(SwingConfig{Part: 0.667}), 120_000)
+	r := loadReplay{streams: wave, prefill: squareWave(3, 6)}.play(NewAdaptiveSplit(AdaptiveSplitConfig{BasePrefillShare: 0.667}), 120_000)
 	if r.changes != 0 {
 		t.Errorf("%d changes", r.changes)
 	}
@@ -125,7 +125,7 @@
 // delay prompts, which have a higher value.
 func TestBusyPrefillEnginesAreNotTaken(t *testing.T) {
 	replay := loadReplay{streams: ramp(5, 1), prefill: func(kumquatlug.Millis) float64 { return 7.5 }}
-	if r := replay.play(NewSwing(SwingConfig{Part: 0.667}), 56_000); r.changes != 0 {
+	if r := replay.play(NewAdaptiveSplit(AdaptiveSplitConfig{BasePrefillShare: 0.667}), 56_000); r.changes != 0 {
 		t.Errorf("%d changes", r.changes)
 	}
 }
--- a/pkg/kumquatlug/quarantine/fleet_test.go
+++ b/pkg/kumquatlug/quarantine/fleet_test.go
@@ -41,8 +41,8 @@
 type fleet struct {
 	now          kumquatlug.Millis
 	random       *rand.Rand
-	gateways     []*Register
-	agents       []*Register
+	gateways     []*Registry
+	agents       []*Registry
 	gates        []*Gate
 	incarnations []int
 	downUntil    []kumquatlug.Millis
@@ -107,8 +107,8 @@
 	}
 }
 
-func (f *fleet) sendNotices(link string, from, to *Register) {
-	notices, version := from.Known(f.now, f.cursors[link])
+func (f *fleet) sendNotices(link string, from, to *Registry) {
+	notices, version := from.NoticesSince(f.now, f.cursors[link])
 	f.cursors[link] = version
 	to.Merge(f.now, notices)
 }
@@ -124,7 +124,7 @@
 		}
 		r.state = "accepted"
 		r.giveUpAt = 0
-		if f.gateways[r.gateway].Ask(f.now, r.fingerprint).Refused() {
+		if f.gateways[r.gateway].Check(f.now, r.fingerprint).Refused() {
 			f.refuse(r)
 		}
 	case "accepted":
@@ -144,7 +144,7 @@
 }
 
 func (f *fleet) dispatch(r *testRequest) {
-	o := f.gateways[r.gateway].Ask(f.now, r.fingerprint)
+	o := f.gateways[r.gateway].Check(f.now, r.fingerprint)
 	switch {
 	case o.Standing() == StandingQuarantined, o.Standing() == StandingHeld && o.Wait() == 0:
 		f.refuse(r)
@@ -166,7 +166,7 @@
 }
 
 func (f *fleet) start(r *testRequest) {
-	a := Arrival{ID: r.id, Fingerprint: r.fingerprint}
+	a := StartRequest{ID: r.id, Fingerprint: r.fingerprint}
 	v := f.gates[r.target].Begin(f.now, a)
 	if v == VerdictClaim {
 		holder := f.claims[r.fingerprint]
@@ -217,7 +217,7 @@
 			continue
 		}
 		if r.state == "running" {
-			f.gateways[r.gateway].Crashed(f.now, c, []Held{{Fingerprint: r.fingerprint, Starting: r.steps < 3}})
+			f.gateways[r.gateway].Crashed(f.now, c, []InFlightCall{{Fingerprint: r.fingerprint, Starting: r.steps < 3}})
 		}
 		r.state = "accepted"
 		r.target = -1
--- a/pkg/kumquatlug/quarantine/gate.go
+++ b/pkg/kumquatlug/quarantine/gate.go
@@ -29,8 +29,8 @@
 	VerdictRefuse Verdict = "refuse"
 )
 
-// Arrival is a call that is to start at a target.
-type Arrival struct {
+// StartRequest is a call that is to start at a target.
+type StartRequest struct {
 	// ID identifies the call among those at the target.
 	ID string
 	// Fingerprint is the fingerprint of the call.
@@ -55,7 +55,7 @@
 
 // Gate tracks the calls in flight at one target. Each agent has one.
 type Gate struct {
-	register *Register
+	register *Registry
 	calls    map[string]*inFlightCall
 	// pendingSuspect is the id of a suspect that waits for other calls to
 	// finish starting. No other call may start before it, or it would never
@@ -74,13 +74,13 @@
 
 // NewGate returns a gate for a target without calls in flight, which reads and
 // updates r.
-func NewGate(r *Register) *Gate {
+func NewGate(r *Registry) *Gate {
 	return &Gate{register: r, calls: map[string]*inFlightCall{}}
 }
 
 // Begin decides whether a call may start now.
-func (g *Gate) Begin(now kumquatlug.Millis, a Arrival) Verdict {
-	o := g.register.Ask(now, a.Fingerprint)
+func (g *Gate) Begin(now kumquatlug.Millis, a StartRequest) Verdict {
+	o := g.register.Check(now, a.Fingerprint)
 	if o.Refused() {
 		g.Abandon(a.ID)
 		return VerdictRefuse
@@ -101,7 +101,7 @@
 // beginSuspect lets a suspect start if it is the only one here and no other
 // call is starting: of two that start together, neither can be proven to have
 // caused a crash, and one of them is unrelated to it.
-func (g *Gate) beginSuspect(now kumquatlug.Millis, a Arrival) Verdict {
+func (g *Gate) beginSuspect(now kumquatlug.Millis, a StartRequest) Verdict {
 	allowed := a.Urgent || !g.suspectInFlight(now)
 	if !allowed || (g.pendingSuspect != "" && g.pendingSuspect != a.ID) {
 		return VerdictElsewhere
@@ -149,11 +149,11 @@
 
 // Crashed records that the target's incarnation crashed with all calls in
 // flight, and returns those calls ordered by id.
-func (g *Gate) Crashed(now kumquatlug.Millis, c Crash) []Held {
-	held := make([]Held, 0, len(g.calls))
+func (g *Gate) Crashed(now kumquatlug.Millis, c Crash) []InFlightCall {
+	held := make([]InFlightCall, 0, len(g.calls))
 	for _, id := range g.sortedIDs() {
 		call := g.calls[id]
-		held = append(held, Held{
+		held = append(held, InFlightCall{
 			Fingerprint: call.fingerprint, Starting: call.starting,
 			Proven: call.isolatedStart && (call.starting || len(g.calls) == 1),
 		})
--- a/pkg/kumquatlug/quarantine/notice.go
+++ b/pkg/kumquatlug/quarantine/notice.go
@@ -75,11 +75,11 @@
 	return nil
 }
 
-// Known returns notices of all records that changed after a version, and the
+// NoticesSince returns notices of all records that changed after a version, and the
 // version to pass next time; zero returns all. A peer that is up to date
 // receives nothing until something changes, so that gossip is free while
 // nothing crashes.
-func (r *Register) Known(now kumquatlug.Millis, after int64) ([]Notice, int64) {
+func (r *Registry) NoticesSince(now kumquatlug.Millis, after int64) ([]Notice, int64) {
 	var notices []Notice
 	for _, f := range r.sortedFingerprints() {
 		rec := r.records[f]
@@ -94,7 +94,7 @@
 // Notice returns the notice of one fingerprint, and reports false if there is
 // none. A gateway sends it along with a suspect, so that the agent isolates the
 // call even if no heartbeat has delivered the notice yet.
-func (r *Register) Notice(now kumquatlug.Millis, f Fingerprint) (Notice, bool) {
+func (r *Registry) Notice(now kumquatlug.Millis, f Fingerprint) (Notice, bool) {
 	rec, ok := r.records[f]
 	if !ok || rec.expiresAt <= now {
 		return Notice{}, false
@@ -103,7 +103,7 @@
 }
 
 // newNotice converts the times of the marks to ages.
-func (r *Register) newNotice(now kumquatlug.Millis, f Fingerprint, rec *record) Notice {
+func (r *Registry) newNotice(now kumquatlug.Millis, f Fingerprint, rec *record) Notice {
 	n := Notice{fingerprint: f, proven: rec.proven, remaining: rec.expiresAt - now}
 	for _, m := range rec.marks {
 		m.at = now - m.at
@@ -115,7 +115,7 @@
 // Merge merges notices of another register. Crashes are merged as sets, and
 // marks stay cleared and records proven once they are; the order of merges does
 // not matter.
-func (r *Register) Merge(now kumquatlug.Millis, notices []Notice) {
+func (r *Registry) Merge(now kumquatlug.Millis, notices []Notice) {
 	for _, n := range notices {
 		if n.remaining <= 0 {
 			continue
@@ -128,7 +128,7 @@
 	r.evictRecords(now)
 }
 
-func (r *Register) mergeNotice(now kumquatlug.Millis, n Notice) {
+func (r *Registry) mergeNotice(now kumquatlug.Millis, n Notice) {
 	rec := r.record(now, n.fingerprint)
 	for _, m := range n.marks {
 		m.at = now - m.at
@@ -138,5 +138,5 @@
 		rec.proven = true
 		r.markChanged(now, rec)
 	}
-	r.extend(now, rec, now+min(n.remaining, r.config.Period))
+	r.extend(now, rec, now+min(n.remaining, r.config.Retention))
 }
--- a/pkg/kumquatlug/quarantine/quarantine.go
+++ b/pkg/kumquatlug/quarantine/quarantine.go
@@ -11,7 +11,7 @@
 //   - At most one suspect is in flight at a target, and while it starts (until
 //     its first output) nothing else starts there; see [Gate].
 //   - It runs only under a claim in the platform's table, so that one copy of
-//     it runs in the whole fleet, whichever gateway accepted it (see [Arrival]
+//     it runs in the whole fleet, whichever gateway accepted it (see [StartRequest]
 //     for when the table is unavailable).
 //   - If the target crashes while only the suspect was starting, or while it
 //     was the only call there, it is proven to be the cause. It is quarantined,
@@ -29,7 +29,7 @@
 //
 // Let n be the number of copies of a request that started as ordinary calls
 // before the notice of its first crash reached their agents, which takes two
-// heartbeats ([Config.Settle]). However often and through whichever gateway it
+// heartbeats ([Config.SettleDelay]). However often and through whichever gateway it
 // is sent, the request crashes at most
 //
 //   - two targets, if n is 1: one where it runs as an ordinary call, and one in
@@ -47,7 +47,7 @@
 //     moment, one of which crashes late in its output.
 //
 // A request that is sent continuously stays quarantined, because each attempt
-// extends its quarantine. After [Config.Period] without one it is forgotten and
+// extends its quarantine. After [Config.Retention] without one it is forgotten and
 // the bound applies anew; the engine may have been fixed since.
 //
 // # Unrelated neighbours
@@ -58,7 +58,7 @@
 // remain. A neighbour of two requests that both crash late in their output, so
 // that neither can be proven to be the cause, is held until its gateway gives
 // up. So is a call that could not wait to be the only suspect at its target
-// ([Arrival.Urgent]) and ran there with a suspect that crashes late.
+// ([StartRequest.Urgent]) and ran there with a suspect that crashes late.
 //
 // The types of this package are not safe for concurrent use.
 package quarantine
@@ -103,8 +103,8 @@
 // Incarnation returns the incarnation of the target that crashed.
 func (c Crash) Incarnation() string { return c.incarnation }
 
-// Held is a call that was in flight at a crash.
-type Held struct {
+// InFlightCall is a call that was in flight at a crash.
+type InFlightCall struct {
 	// Fingerprint is the fingerprint of the call.
 	Fingerprint Fingerprint
 	// Starting reports whether the call had produced no output yet.
@@ -124,64 +124,64 @@
 	// run.
 	StandingSuspect Standing = "suspect"
 	// StandingHeld: it was in flight at two crashes. It does not run unless the
-	// cause of one of them is proven; a caller may wait for [Opinion.Wait].
+	// cause of one of them is proven; a caller may wait for [Assessment.Wait].
 	StandingHeld Standing = "held"
 	// StandingQuarantined: it is proven to have crashed a target. It is refused
 	// at once.
 	StandingQuarantined Standing = "quarantined"
 )
 
-// Opinion is the state of a fingerprint as returned by a [Register].
-type Opinion struct {
+// Assessment is the state of a fingerprint as returned by a [Registry].
+type Assessment struct {
 	standing  Standing
 	wait      kumquatlug.Millis
 	remaining kumquatlug.Millis
 }
 
 // Standing returns the standing of the fingerprint.
-func (o Opinion) Standing() Standing { return o.standing }
+func (o Assessment) Standing() Standing { return o.standing }
 
 // Wait returns, in milliseconds, for a suspect how long to wait before it is
 // sent, and for a held fingerprint how long waiting may still help.
-func (o Opinion) Wait() kumquatlug.Millis { return o.wait }
+func (o Assessment) Wait() kumquatlug.Millis { return o.wait }
 
 // Remaining returns how long the standing lasts without further events, in
 // milliseconds.
-func (o Opinion) Remaining() kumquatlug.Millis { return o.remaining }
+func (o Assessment) Remaining() kumquatlug.Millis { return o.remaining }
 
 // Refused reports whether a new request with the fingerprint must be refused at
 // once.
-func (o Opinion) Refused() bool {
+func (o Assessment) Refused() bool {
 	return o.standing == StandingHeld || o.standing == StandingQuarantined
 }
 
-// Config configures a [Register]. The zero value of each field selects its
+// Config configures a [Registry]. The zero value of each field selects its
 // default.
 type Config struct {
-	// Period is how long a crash is remembered after the request was last seen,
+	// Retention is how long a crash is remembered after the request was last seen,
 	// in milliseconds. Default 1 h: a caller's program retries within minutes,
 	// and a wrong quarantine ends within the morning.
-	Period kumquatlug.Millis
-	// Settle is the delay in milliseconds before a suspect that had produced no
+	Retention kumquatlug.Millis
+	// SettleDelay is the delay in milliseconds before a suspect that had produced no
 	// output at the crash is sent again. Default 2.5 s: its notices need two
 	// heartbeats of a second each, target to gateway and gateway to target, and
 	// transmission time. Calls that had produced output are nearly all
 	// unrelated to the crash and are not delayed.
-	Settle kumquatlug.Millis
-	// Hold is how long a call that was in flight at two crashes may usefully
+	SettleDelay kumquatlug.Millis
+	// HoldTime is how long a call that was in flight at two crashes may usefully
 	// wait, in milliseconds. Default 10 s: the request that caused them waits
 	// for Settle, queues for an isolated run and crashes within that time.
-	Hold kumquatlug.Millis
-	// Records is the maximum number of fingerprints remembered. Default 4,096:
+	HoldTime kumquatlug.Millis
+	// MaxRecords is the maximum number of fingerprints remembered. Default 4,096:
 	// 0.8 MB at 200 bytes each, or fifty suspects for each of eighty crashes
 	// within the period.
-	Records int
+	MaxRecords int
 }
 
 func (c Config) withDefaults() Config {
-	c.Period = cmp.Or(c.Period, kumquatlug.Hour)
-	c.Settle = cmp.Or(c.Settle, 2500)
-	c.Hold = cmp.Or(c.Hold, 10*kumquatlug.Second)
-	c.Records = cmp.Or(c.Records, 4096)
+	c.Retention = cmp.Or(c.Retention, kumquatlug.Hour)
+	c.SettleDelay = cmp.Or(c.SettleDelay, 2500)
+	c.HoldTime = cmp.Or(c.HoldTime, 10*kumquatlug.Second)
+	c.MaxRecords = cmp.Or(c.MaxRecords, 4096)
 	return c
 }
--- a/pkg/kumquatlug/quarantine/quarantine_test.go
+++ b/pkg/kumquatlug/quarantine/quarantine_test.go
@@ -96,10 +96,10 @@
 	// Two calls were in flight at a crash. If they started together with others
 	// at the next target, a second crash would prove nothing about any of them.
 	r := New(Config{})
-	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "x"}, {Fingerprint: "y"}})
+	r.Crashed(0, NewCrash("a", "1"), []InFlightCall{{Fingerprint: "x"}, {Fingerprint: "y"}})
 	g := NewGate(r)
 	begin := func(id, fingerprint string, claimed, urgent bool) Verdict {
-		return g.Begin(1, Arrival{ID: id, Fingerprint: Fingerprint(fingerprint), Claimed: claimed, Urgent: urgent})
+		return g.Begin(1, StartRequest{ID: id, Fingerprint: Fingerprint(fingerprint), Claimed: claimed, Urgent: urgent})
 	}
 	steps := []struct {
 		name string
@@ -131,16 +131,16 @@
 	// at two unrelated crashes. If the first still counted after the request
 	// finished, the second would hold it for an hour.
 	r := New(Config{})
-	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "x"}, {Fingerprint: "y"}})
-	if got := r.Ask(1, "x").Standing(); got != StandingSuspect {
+	r.Crashed(0, NewCrash("a", "1"), []InFlightCall{{Fingerprint: "x"}, {Fingerprint: "y"}})
+	if got := r.Check(1, "x").Standing(); got != StandingSuspect {
 		t.Fatalf("after one crash it is %s", got)
 	}
 	r.Finished(1000, "x")
-	r.Crashed(kumquatlug.Minute, NewCrash("b", "1"), []Held{{Fingerprint: "x"}, {Fingerprint: "z"}})
-	if got := r.Ask(kumquatlug.Minute, "x").Standing(); got != StandingSuspect {
+	r.Crashed(kumquatlug.Minute, NewCrash("b", "1"), []InFlightCall{{Fingerprint: "x"}, {Fingerprint: "z"}})
+	if got := r.Check(kumquatlug.Minute, "x").Standing(); got != StandingSuspect {
 		t.Errorf("after finishing and a second crash it is %s", got)
 	}
-	if got := r.Ask(kumquatlug.Minute, "y").Standing(); got != StandingSuspect {
+	if got := r.Check(kumquatlug.Minute, "y").Standing(); got != StandingSuspect {
 		t.Errorf("the request that did not finish is %s", got)
 	}
 }
@@ -150,14 +150,14 @@
 	// were counted by report and not by the target's incarnation, one crash
 	// would count twice and hold every call that was in flight.
 	r := New(Config{})
-	held := []Held{{Fingerprint: "x", Starting: true}}
+	held := []InFlightCall{{Fingerprint: "x", Starting: true}}
 	r.Crashed(0, NewCrash("a", "1"), held)
 	r.Crashed(10, NewCrash("a", "1"), held)
-	if got := r.Ask(20, "x"); got.Standing() != StandingSuspect || got.Wait() != 2480 {
+	if got := r.Check(20, "x"); got.Standing() != StandingSuspect || got.Wait() != 2480 {
 		t.Errorf("it is %s with a wait of %d ms", got.Standing(), got.Wait())
 	}
-	r.Void(30, NewCrash("a", "1"))
-	if got := r.Ask(30, "x").Standing(); got != StandingFree {
+	r.ClearCrash(30, NewCrash("a", "1"))
+	if got := r.Check(30, "x").Standing(); got != StandingFree {
 		t.Errorf("after Void it is %s", got)
 	}
 }
@@ -166,16 +166,16 @@
 	// Every ten minutes a caller sends a request that is proven to crash
 	// targets. If its quarantine expired in between, it would crash two targets
 	// each hour.
-	r := New(Config{Period: kumquatlug.Hour})
-	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "x", Proven: true}})
+	r := New(Config{Retention: kumquatlug.Hour})
+	r.Crashed(0, NewCrash("a", "1"), []InFlightCall{{Fingerprint: "x", Proven: true}})
 	now := kumquatlug.Millis(0)
 	for range 100 {
 		now += 10 * kumquatlug.Minute
-		if got := r.Ask(now, "x").Standing(); got != StandingQuarantined {
+		if got := r.Check(now, "x").Standing(); got != StandingQuarantined {
 			t.Fatalf("after %d ms it is %s", now, got)
 		}
 	}
-	if got := r.Ask(now+kumquatlug.Hour, "x").Standing(); got != StandingFree {
+	if got := r.Check(now+kumquatlug.Hour, "x").Standing(); got != StandingFree {
 		t.Errorf("after an hour without requests it is %s", got)
 	}
 }
@@ -183,19 +183,19 @@
 func TestRegisterIsBounded(t *testing.T) {
 	// Many crashes with many calls in flight must not fill the memory of a
 	// small VM, and must not evict the quarantined request.
-	r := New(Config{Records: 50})
-	r.Crashed(0, NewCrash("a", "1"), []Held{{Fingerprint: "proven", Proven: true}})
+	r := New(Config{MaxRecords: 50})
+	r.Crashed(0, NewCrash("a", "1"), []InFlightCall{{Fingerprint: "proven", Proven: true}})
 	for i := range 400 {
-		r.Crashed(kumquatlug.Millis(i), NewCrash("b", fmt.Sprint(i)), []Held{{Fingerprint: Fingerprint(fmt.Sprint(i))}})
+		r.Crashed(kumquatlug.Millis(i), NewCrash("b", fmt.Sprint(i)), []InFlightCall{{Fingerprint: Fingerprint(fmt.Sprint(i))}})
 	}
-	if r.Len() != 50 || !r.Ask(400, "proven").Refused() {
-		t.Errorf("%d records, proven request is %s", r.Len(), r.Ask(400, "proven").Standing())
+	if r.Len() != 50 || !r.Check(400, "proven").Refused() {
+		t.Errorf("%d records, proven request is %s", r.Len(), r.Check(400, "proven").Standing())
 	}
 }
 
 func TestNoticeTextRoundTrip(t *testing.T) {
 	r := New(Config{})
-	r.Crashed(5, NewCrash("a", "1"), []Held{{Fingerprint: "x", Starting: true, Proven: true}})
+	r.Crashed(5, NewCrash("a", "1"), []InFlightCall{{Fingerprint: "x", Starting: true, Proven: true}})
 	sent, ok := r.Notice(10, "x")
 	text, err := sent.MarshalText()
 	if err != nil || !ok {
@@ -213,22 +213,22 @@
 func BenchmarkAsk(b *testing.B) {
 	r := New(Config{})
 	for i := range 4000 {
-		r.Crashed(0, NewCrash("b", fmt.Sprint(i)), []Held{{Fingerprint: Fingerprint(fmt.Sprint(i))}})
+		r.Crashed(0, NewCrash("b", fmt.Sprint(i)), []InFlightCall{{Fingerprint: Fingerprint(fmt.Sprint(i))}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Ask(1, "nobody")
+		r.Check(1, "nobody")
 	}
 }
 
-func ExampleRegister() {
+func ExampleRegistry() {
 	r := New(Config{})
 	chat := kumquatlug.NewKind(kumquatlug.ProtocolEngine, "chat")
 	f := NewFingerprint("kochi", chat, []byte("a prompt"))
-	r.Crashed(0, NewCrash("engine-3", "incarnation-1"), []Held{{Fingerprint: f}})
-	fmt.Println(r.Ask(10, f).Standing())
-	r.Crashed(20, NewCrash("engine-5", "incarnation-9"), []Held{{Fingerprint: f, Proven: true}})
-	fmt.Println(r.Ask(30, f).Standing())
+	r.Crashed(0, NewCrash("engine-3", "incarnation-1"), []InFlightCall{{Fingerprint: f}})
+	fmt.Println(r.Check(10, f).Standing())
+	r.Crashed(20, NewCrash("engine-5", "incarnation-9"), []InFlightCall{{Fingerprint: f, Proven: true}})
+	fmt.Println(r.Check(30, f).Standing())
 	// Output:
 	// suspect
 	// quarantined
@@ -284,10 +284,10 @@
 	r := New(Config{})
 	for i := range 6 {
 		c := NewCrash(fmt.Sprint("t", random.IntN(3)), "1")
-		var held []Held
+		var held []InFlightCall
 		for f := range 5 {
 			if random.IntN(2) == 0 {
-				held = append(held, Held{Fingerprint: Fingerprint(fmt.Sprint(f)), Proven: random.IntN(12) == 0})
+				held = append(held, InFlightCall{Fingerprint: Fingerprint(fmt.Sprint(f)), Proven: random.IntN(12) == 0})
 			}
 		}
 		r.Crashed(kumquatlug.Millis(i+seed), c, held)
@@ -295,11 +295,11 @@
 			r.Finished(kumquatlug.Millis(i+seed), Fingerprint(fmt.Sprint(random.IntN(5))))
 		}
 	}
-	notices, _ := r.Known(50, 0)
+	notices, _ := r.NoticesSince(50, 0)
 	return notices
 }
 
-func allStandings(r *Register) map[Fingerprint]Standing {
+func allStandings(r *Registry) map[Fingerprint]Standing {
 	all := map[Fingerprint]Standing{}
 	for f := range r.records {
 		all[f] = r.peekStanding(100, f)
