--- a/pkg/kumquatlug/quarantine/register.go
+++ b/pkg/kumquatlug/quarantine/register.go
@@ -47,22 +47,22 @@
 	return nil
 }
 
-// Register records which fingerprints were in flight at which crashes. Every
+// Registry records which fingerprints were in flight at which crashes. Every
 // gateway and every agent has one; notices synchronize them.
-type Register struct {
+type Registry struct {
 	config  Config
 	records map[Fingerprint]*record
 	version int64
 }
 
 // New returns an empty register.
-func New(c Config) *Register {
-	return &Register{config: c.withDefaults(), records: map[Fingerprint]*record{}}
+func New(c Config) *Registry {
+	return &Registry{config: c.withDefaults(), records: map[Fingerprint]*record{}}
 }
 
 // Crashed records that a target crashed with these calls in flight. A gateway
 // reports its own interrupted calls; the agent reports all.
-func (r *Register) Crashed(now kumquatlug.Millis, c Crash, held []Held) {
+func (r *Registry) Crashed(now kumquatlug.Millis, c Crash, held []InFlightCall) {
 	for _, h := range held {
 		rec := r.record(now, h.Fingerprint)
 		r.addMark(now, rec, crashMark{crash: c, starting: h.Starting, at: now})
@@ -79,7 +79,7 @@
 
 // Finished records that a call ended with a complete response. That clears its
 // fingerprint, since a request that crashes each target never finishes.
-func (r *Register) Finished(now kumquatlug.Millis, f Fingerprint) {
+func (r *Registry) Finished(now kumquatlug.Millis, f Fingerprint) {
 	rec, ok := r.records[f]
 	if !ok || rec.proven {
 		return
@@ -89,9 +89,9 @@
 	}
 }
 
-// Void clears a crash that was reported in error: the incarnation still
+// ClearCrash clears a crash that was reported in error: the incarnation still
 // answers, for example after a network partition.
-func (r *Register) Void(now kumquatlug.Millis, c Crash) {
+func (r *Registry) ClearCrash(now kumquatlug.Millis, c Crash) {
 	for _, rec := range r.records {
 		if m := rec.findMark(c); m != nil {
 			r.clearMark(now, rec, m)
@@ -99,36 +99,36 @@
 	}
 }
 
-// Lift removes a fingerprint from this register, for example on an operator's
+// Remove removes a fingerprint from this register, for example on an operator's
 // order.
-func (r *Register) Lift(f Fingerprint) {
+func (r *Registry) Remove(f Fingerprint) {
 	delete(r.records, f)
 }
 
-// Ask returns the state of a fingerprint. It counts as a sign that the request
+// Check returns the state of a fingerprint. It counts as a sign that the request
 // is still being sent, and extends a hold or a quarantine.
-func (r *Register) Ask(now kumquatlug.Millis, f Fingerprint) Opinion {
+func (r *Registry) Check(now kumquatlug.Millis, f Fingerprint) Assessment {
 	rec, ok := r.records[f]
 	if !ok || rec.expiresAt <= now {
-		return Opinion{standing: StandingFree}
+		return Assessment{standing: StandingFree}
 	}
 	o := r.opinion(now, rec)
 	if o.Refused() {
-		r.extend(now, rec, now+r.config.Period)
+		r.extend(now, rec, now+r.config.Retention)
 		o.remaining = rec.expiresAt - now
 	}
 	return o
 }
 
-func (r *Register) opinion(now kumquatlug.Millis, rec *record) Opinion {
-	o := Opinion{standing: StandingFree, remaining: rec.expiresAt - now}
+func (r *Registry) opinion(now kumquatlug.Millis, rec *record) Assessment {
+	o := Assessment{standing: StandingFree, remaining: rec.expiresAt - now}
 	open := rec.openCrashes()
 	switch {
 	case rec.proven:
 		o.standing = StandingQuarantined
 	case open >= 2:
 		o.standing = StandingHeld
-		o.wait = r.timeLeft(now, rec, r.config.Hold)
+		o.wait = r.timeLeft(now, rec, r.config.HoldTime)
 	case open == 1:
 		o.standing = StandingSuspect
 		o.wait = r.settleWait(now, rec)
@@ -138,17 +138,17 @@
 
 // settleWait returns how long a suspect must still wait for its notices to
 // spread.
-func (r *Register) settleWait(now kumquatlug.Millis, rec *record) kumquatlug.Millis {
+func (r *Registry) settleWait(now kumquatlug.Millis, rec *record) kumquatlug.Millis {
 	for _, m := range rec.marks {
 		if !m.cleared && m.starting {
-			return r.timeLeft(now, rec, r.config.Settle)
+			return r.timeLeft(now, rec, r.config.SettleDelay)
 		}
 	}
 	return 0
 }
 
 // timeLeft returns the remainder of span since the last open crash.
-func (r *Register) timeLeft(now kumquatlug.Millis, rec *record, span kumquatlug.Millis) kumquatlug.Millis {
+func (r *Registry) timeLeft(now kumquatlug.Millis, rec *record, span kumquatlug.Millis) kumquatlug.Millis {
 	last := kumquatlug.Millis(0)
 	for _, m := range rec.marks {
 		if !m.cleared {
@@ -160,17 +160,17 @@
 
 // record returns the record of f, or a new one if there is none or it has
 // expired.
-func (r *Register) record(now kumquatlug.Millis, f Fingerprint) *record {
+func (r *Registry) record(now kumquatlug.Millis, f Fingerprint) *record {
 	rec, ok := r.records[f]
 	if !ok || rec.expiresAt <= now {
-		rec = &record{expiresAt: now + r.config.Period}
+		rec = &record{expiresAt: now + r.config.Retention}
 		r.records[f] = rec
 	}
 	return rec
 }
 
 // addMark adds m to the record or merges it with the mark of the same crash.
-func (r *Register) addMark(now kumquatlug.Millis, rec *record, m crashMark) {
+func (r *Registry) addMark(now kumquatlug.Millis, rec *record, m crashMark) {
 	known := rec.findMark(m.crash)
 	if known == nil {
 		rec.marks = append(rec.marks, m)
@@ -186,7 +186,7 @@
 	}
 }
 
-func (r *Register) clearMark(now kumquatlug.Millis, rec *record, m *crashMark) {
+func (r *Registry) clearMark(now kumquatlug.Millis, rec *record, m *crashMark) {
 	if m.cleared {
 		return
 	}
@@ -196,7 +196,7 @@
 
 // applyProof clears crashes whose cause is proven: if f is proven, for the
 // other fingerprints, else for f.
-func (r *Register) applyProof(now kumquatlug.Millis, f Fingerprint) {
+func (r *Registry) applyProof(now kumquatlug.Millis, f Fingerprint) {
 	rec, ok := r.records[f]
 	if !ok {
 		return
@@ -212,7 +212,7 @@
 	}
 }
 
-func (r *Register) isExplained(c Crash) bool {
+func (r *Registry) isExplained(c Crash) bool {
 	for _, rec := range r.records {
 		if rec.proven && rec.findMark(c) != nil {
 			return true
@@ -224,7 +224,7 @@
 // clearNeighbours clears all other fingerprints of the crashes at which a
 // proven one was in flight. Otherwise its neighbours would remain suspects, run
 // one at a time at each target, until their deadlines.
-func (r *Register) clearNeighbours(now kumquatlug.Millis, proven Fingerprint) {
+func (r *Registry) clearNeighbours(now kumquatlug.Millis, proven Fingerprint) {
 	for _, m := range r.records[proven].marks {
 		for f, rec := range r.records {
 			if f == proven {
@@ -238,19 +238,19 @@
 }
 
 // markChanged schedules the record for announcement and restarts its period.
-func (r *Register) markChanged(now kumquatlug.Millis, rec *record) {
+func (r *Registry) markChanged(now kumquatlug.Millis, rec *record) {
 	r.version++
 	rec.changedVersion = r.version
 	rec.announcedAt = now
-	rec.expiresAt = max(rec.expiresAt, now+r.config.Period)
+	rec.expiresAt = max(rec.expiresAt, now+r.config.Retention)
 }
 
 // extend extends the lifetime of a record. It is announced only when an eighth
 // of the period has passed since the last announcement, since otherwise each
 // resend would send a notice to every node.
-func (r *Register) extend(now kumquatlug.Millis, rec *record, expires kumquatlug.Millis) {
+func (r *Registry) extend(now kumquatlug.Millis, rec *record, expires kumquatlug.Millis) {
 	rec.expiresAt = max(rec.expiresAt, expires)
-	if now-rec.announcedAt < r.config.Period/8 {
+	if now-rec.announcedAt < r.config.Retention/8 {
 		return
 	}
 	rec.announcedAt = now
@@ -260,18 +260,18 @@
 
 // evictRecords removes expired records, then, beyond the maximum, those that
 // expire first. Refused fingerprints are removed last.
-func (r *Register) evictRecords(now kumquatlug.Millis) {
+func (r *Registry) evictRecords(now kumquatlug.Millis) {
 	for f, rec := range r.records {
 		if rec.expiresAt <= now {
 			delete(r.records, f)
 		}
 	}
-	for len(r.records) > r.config.Records {
+	for len(r.records) > r.config.MaxRecords {
 		r.evictOne(now)
 	}
 }
 
-func (r *Register) evictOne(now kumquatlug.Millis) {
+func (r *Registry) evictOne(now kumquatlug.Millis) {
 	var first Fingerprint
 	var found *record
 	for f, rec := range r.records {
@@ -283,7 +283,7 @@
 }
 
 // evictedBefore reports whether a is evicted before b.
-func (r *Register) evictedBefore(now kumquatlug.Millis, a, b *record) bool {
+func (r *Registry) evictedBefore(now kumquatlug.Millis, a, b *record) bool {
 	refusedA, refusedB := r.opinion(now, a).Refused(), r.opinion(now, b).Refused()
 	if refusedA != refusedB {
 		return refusedB
@@ -292,11 +292,11 @@
 }
 
 // Len returns the number of remembered fingerprints.
-func (r *Register) Len() int { return len(r.records) }
+func (r *Registry) Len() int { return len(r.records) }
 
 // sortedFingerprints returns the fingerprints in order, so that notices do not
 // depend on map order.
-func (r *Register) sortedFingerprints() []Fingerprint {
+func (r *Registry) sortedFingerprints() []Fingerprint {
 	list := make([]Fingerprint, 0, len(r.records))
 	for f := range r.records {
 		list = append(list, f)
@@ -306,7 +306,7 @@
 }
 
 // peekStanding returns the standing of f without extending its record.
-func (r *Register) peekStanding(now kumquatlug.Millis, f Fingerprint) Standing {
+func (r *Registry) peekStanding(now kumquatlug.Millis, f Fingerprint) Standing {
 	rec, ok := r.records[f]
 	if !ok || rec.expiresAt <= now {
 		return StandingFree
--- a/pkg/kumquatlug/quarantine/suspects.go
+++ b/pkg/kumquatlug/quarantine/suspects.go
@@ -6,25 +6,25 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// SuspectsConfig configures [Suspects]. The zero value of each field selects
+// CrashCounterConfig configures [CrashCounter]. The zero value of each field selects
 // its default.
-type SuspectsConfig struct {
+type CrashCounterConfig struct {
 	// Limit is the number of crashes after which a request is refused. Default
 	// 3: a request whose response was lost twice by chance has another try, and
 	// one that crashes its worker each time crashes three.
 	Limit int
-	// Period is how long a crash counts, in milliseconds. Default 1 min: a
+	// Retention is how long a crash counts, in milliseconds. Default 1 min: a
 	// client's program retries within seconds, and a wrong refusal ends soon.
-	Period kumquatlug.Millis
-	// Most is the maximum number of requests remembered. Default 4,096: 0.8 MB
+	Retention kumquatlug.Millis
+	// MaxRequests is the maximum number of requests remembered. Default 4,096: 0.8 MB
 	// at 200 bytes each.
-	Most int
+	MaxRequests int
 }
 
-// Suspects counts the crashes of each request for a gateway that calls targets
+// CrashCounter counts the crashes of each request for a gateway that calls targets
 // directly. There is no agent that records which requests were in flight at a
 // crash, so the only evidence is a connection that ends without a response; a
-// [Register], which knows the neighbours, is more exact.
+// [Registry], which knows the neighbours, is more exact.
 //
 // It contains the damage of a request that crashes each worker that runs it.
 // Retried by its gateway and sent again by its client, through every gateway in
@@ -32,8 +32,8 @@
 // its crashes to the others.
 //
 // Suspects are not safe for concurrent use.
-type Suspects struct {
-	config  SuspectsConfig
+type CrashCounter struct {
+	config  CrashCounterConfig
 	reports map[Fingerprint][]crashReport
 }
 
@@ -43,49 +43,49 @@
 	at kumquatlug.Millis
 }
 
-// NewSuspects returns a Suspects without crashes.
-func NewSuspects(c SuspectsConfig) *Suspects {
+// NewCrashCounter returns a Suspects without crashes.
+func NewCrashCounter(c CrashCounterConfig) *CrashCounter {
 	c.Limit = cmp.Or(c.Limit, 3)
-	c.Period = cmp.Or(c.Period, kumquatlug.Minute)
-	c.Most = cmp.Or(c.Most, 4096)
-	return &Suspects{config: c, reports: map[Fingerprint][]crashReport{}}
+	c.Retention = cmp.Or(c.Retention, kumquatlug.Minute)
+	c.MaxRequests = cmp.Or(c.MaxRequests, 4096)
+	return &CrashCounter{config: c, reports: map[Fingerprint][]crashReport{}}
 }
 
-// Any reports whether there is any suspect. If not, a gateway need not compute
+// HasCrashes reports whether there is any suspect. If not, a gateway need not compute
 // the fingerprint of each request.
-func (s *Suspects) Any() bool { return len(s.reports) > 0 }
+func (s *CrashCounter) HasCrashes() bool { return len(s.reports) > 0 }
 
 // Crashed records a crash of f under a unique name. A repeated report of the
 // same name counts once.
-func (s *Suspects) Crashed(now kumquatlug.Millis, f Fingerprint, name string) {
+func (s *CrashCounter) Crashed(now kumquatlug.Millis, f Fingerprint, name string) {
 	for _, seen := range s.reports[f] {
 		if seen.id == name {
 			return
 		}
 	}
-	if len(s.reports) >= s.config.Most {
-		s.Forget(now)
+	if len(s.reports) >= s.config.MaxRequests {
+		s.RemoveExpired(now)
 	}
-	if len(s.reports) < s.config.Most || s.reports[f] != nil {
+	if len(s.reports) < s.config.MaxRequests || s.reports[f] != nil {
 		s.reports[f] = append(s.reports[f], crashReport{id: name, at: now})
 	}
 }
 
 // Refused reports whether a request has reached the limit of crashes.
-func (s *Suspects) Refused(now kumquatlug.Millis, f Fingerprint) bool {
+func (s *CrashCounter) Refused(now kumquatlug.Millis, f Fingerprint) bool {
 	n := 0
 	for _, seen := range s.reports[f] {
-		if now-seen.at < s.config.Period {
+		if now-seen.at < s.config.Retention {
 			n++
 		}
 	}
 	return n >= s.config.Limit
 }
 
-// Forget removes the requests whose crashes no longer count.
-func (s *Suspects) Forget(now kumquatlug.Millis) {
+// RemoveExpired removes the requests whose crashes no longer count.
+func (s *CrashCounter) RemoveExpired(now kumquatlug.Millis) {
 	for f, all := range s.reports {
-		if now-all[len(all)-1].at >= s.config.Period {
+		if now-all[len(all)-1].at >= s.config.Retention {
 			delete(s.reports, f)
 		}
 	}
--- a/pkg/kumquatlug/quarantine/suspects_test.go
+++ b/pkg/kumquatlug/quarantine/suspects_test.go
@@ -11,7 +11,7 @@
 // gateways in turn. Each reports to the others; after three crashes all
 // gateways refuse it, and the rest of the group stays up.
 func TestCrashingRequestIsRefusedByEveryGateway(t *testing.T) {
-	gateways := []*Suspects{NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{})}
+	gateways := []*CrashCounter{NewCrashCounter(CrashCounterConfig{}), NewCrashCounter(CrashCounterConfig{}), NewCrashCounter(CrashCounterConfig{})}
 	f := Fingerprint("bad")
 	crashes := 0
 	for i := range 30 {
@@ -32,7 +32,7 @@
 // The same crash is reported twice, by the gateway that saw it and by the
 // store. It must count once, and not at all after Period.
 func TestCrashCountsOnceAndExpires(t *testing.T) {
-	s := NewSuspects(SuspectsConfig{Most: 2})
+	s := NewCrashCounter(CrashCounterConfig{MaxRequests: 2})
 	for range 5 {
 		s.Crashed(0, "f", "one")
 	}
@@ -49,8 +49,8 @@
 	if len(s.reports) != 2 {
 		t.Errorf("%d requests remembered, want 2", len(s.reports))
 	}
-	s.Forget(2 * kumquatlug.Minute)
-	if s.Any() {
+	s.RemoveExpired(2 * kumquatlug.Minute)
+	if s.HasCrashes() {
 		t.Error("expired crashes are kept")
 	}
 }
--- a/pkg/kumquatlug/ratelimit/ratelimit.go
+++ b/pkg/kumquatlug/ratelimit/ratelimit.go
@@ -57,35 +57,35 @@
 	rampDuration = 10 * kumquatlug.Second
 )
 
-// Answer is what a response states about the limit.
-type Answer struct {
-	Says kumquatlug.RateLimit
+// Response is what a response states about the limit.
+type Response struct {
+	RateLimit kumquatlug.RateLimit
 	// SentAt is when the request was sent.
 	SentAt kumquatlug.Millis
-	// Prompt reports a prefill-only response, which may lack a limit that others state.
-	Prompt bool
-	// Good reports that the worker processed the request. The lack of a limit in any other
+	// PrefillOnly reports a prefill-only response, which may lack a limit that others state.
+	PrefillOnly bool
+	// Processed reports that the worker processed the request. The lack of a limit in any other
 	// response does not end a limit.
-	Good bool
+	Processed bool
 }
 
-// Hear applies a response and reports whether the limit changed. A response to a request that
+// HandleResponse applies a response and reports whether the limit changed. A response to a request that
 // was sent before the limit was last stated can only lower it.
-func (l *Limit) Hear(now kumquatlug.Millis, a Answer) bool {
+func (l *Limit) HandleResponse(now kumquatlug.Millis, a Response) bool {
 	newer := !l.limited || a.SentAt >= l.statedAt
 	switch {
-	case a.Says.Named():
-		rate := a.Says.PerSecond()
+	case a.RateLimit.Limited():
+		rate := a.RateLimit.PerSecond()
 		if !newer {
 			rate = min(rate, l.perSecond)
 		}
-		l.statedAt, l.statedByPrefill = now, a.Prompt
+		l.statedAt, l.statedByPrefill = now, a.PrefillOnly
 		if l.limited && rate == l.perSecond {
 			return false
 		}
 		l.setRate(now, rate)
 		return true
-	case a.Says.None() && a.Good && l.limited && newer && l.endsLimit(now, a):
+	case a.RateLimit.Unlimited() && a.Processed && l.limited && newer && l.endsLimit(now, a):
 		l.limited, l.rampingUp, l.endedAt = false, true, now
 		return true
 	}
@@ -94,8 +94,8 @@
 
 // endsLimit reports whether the lack of a limit in a response ends the limit. A
 // prefill-only response may lack a limit that other responses state.
-func (l *Limit) endsLimit(now kumquatlug.Millis, a Answer) bool {
-	return !a.Prompt || l.statedByPrefill || now-l.statedAt >= decodeLimitHold
+func (l *Limit) endsLimit(now kumquatlug.Millis, a Response) bool {
+	return !a.PrefillOnly || l.statedByPrefill || now-l.statedAt >= decodeLimitHold
 }
 
 // setRate sets the limit. At a new limit each gateway delays its first request by a different
@@ -147,8 +147,8 @@
 	return max(0, remaining)
 }
 
-// Send reserves the slot of the next request, which the caller sends after the delay.
-func (l *Limit) Send(now kumquatlug.Millis) {
+// Reserve reserves the slot of the next request, which the caller sends after the delay.
+func (l *Limit) Reserve(now kumquatlug.Millis) {
 	if !l.active(now) {
 		return
 	}
@@ -174,8 +174,8 @@
 	return math.Exp2(-float64(now-l.endedAt) / float64(rampDoublingTime))
 }
 
-// Named reports whether the worker is known to have a limit.
-func (l *Limit) Named() bool { return l.limited }
+// Limited reports whether the worker is known to have a limit.
+func (l *Limit) Limited() bool { return l.limited }
 
 // PerSecond returns the limit in requests per second, for all gateways together.
 func (l *Limit) PerSecond() float64 { return l.perSecond }
--- a/pkg/kumquatlug/ratelimit/shares.go
+++ b/pkg/kumquatlug/ratelimit/shares.go
@@ -52,9 +52,9 @@
 	return &Shares{name: name, hash: xxhash.Sum64String(name), gateways: map[string]uint64{}}
 }
 
-// Meet adds the names of gateways. Gateways are never removed: one that is unreachable from
+// AddGateways adds the names of gateways. Gateways are never removed: one that is unreachable from
 // here may still reach the workers.
-func (s *Shares) Meet(names []string) {
+func (s *Shares) AddGateways(names []string) {
 	for _, name := range append(names, s.name) {
 		if _, known := s.gateways[name]; !known {
 			s.gateways[name] = xxhash.Sum64String(name)
@@ -63,8 +63,8 @@
 	}
 }
 
-// SetNew sets the time until which other gateways may not count this one.
-func (s *Shares) SetNew(until kumquatlug.Millis) { s.newUntil = until }
+// SetUncountedUntil sets the time until which other gateways may not count this one.
+func (s *Shares) SetUncountedUntil(until kumquatlug.Millis) { s.newUntil = until }
 
 // pacing is how a gateway spaces its requests to one worker.
 type pacing struct {
--- a/pkg/kumquatlug/ratelimit/simulation_test.go
+++ b/pkg/kumquatlug/ratelimit/simulation_test.go
@@ -78,7 +78,7 @@
 // pendingResponse is a response in transit.
 type pendingResponse struct {
 	arrivesAt kumquatlug.Millis
-	response  Answer
+	response  Response
 }
 
 type arrival struct {
@@ -112,9 +112,9 @@
 			names = append(names, fmt.Sprint("front-", other))
 		}
 	}
-	g.shares.Meet(names)
+	g.shares.AddGateways(names)
 	if s.joinedAt(gateway) >= 0 {
-		g.shares.SetNew(s.joinedAt(gateway) + 22*kumquatlug.Second)
+		g.shares.SetUncountedUntil(s.joinedAt(gateway) + 22*kumquatlug.Second)
 	}
 	g.limit = New(g.shares, xxhash.Sum64String(worker))
 	s.gateways[gateway] = g
@@ -149,8 +149,8 @@
 		if response.arrivesAt > now {
 			return false
 		}
-		g.limit.Hear(now, response.response)
-		if g.limit.Named() {
+		g.limit.HandleResponse(now, response.response)
+		if g.limit.Limited() {
 			g.limit.pacing = s.division(g.shares, g.limit.worker, g.limit.perSecond)
 			if g.limitedAt == 0 {
 				g.limitedAt = now
@@ -166,7 +166,7 @@
 	if g.limit.Delay(now) > 0 {
 		return
 	}
-	g.limit.Send(now)
+	g.limit.Reserve(now)
 	perSecond, limited := s.limit(now)
 	stated := kumquatlug.NoRateLimit()
 	if limited {
@@ -176,7 +176,7 @@
 		}
 	}
 	at := now + 1 + kumquatlug.Millis(60*s.random.ExpFloat64())
-	g.pending = append(g.pending, pendingResponse{arrivesAt: at, response: Answer{Says: stated, SentAt: now, Good: true}})
+	g.pending = append(g.pending, pendingResponse{arrivesAt: at, response: Response{RateLimit: stated, SentAt: now, Processed: true}})
 	s.arrivals = append(s.arrivals, arrival{
 		at: now, counted: limited && g.limitedAt > 0 && now-g.limitedAt >= knownFor, limit: perSecond,
 	})
--- a/pkg/kumquatlug/retry/retry.go
+++ b/pkg/kumquatlug/retry/retry.go
@@ -41,55 +41,55 @@
 
 // Config configures a [Policy]. The zero value of each field but Source means its default.
 type Config struct {
-	// Source is the source of randomness for the backoff; required.
-	Source rand.Source
-	// Ratio is the number of retries that each call adds to the budget. The default of 0.2
+	// RandomSource is the source of randomness for the backoff; required.
+	RandomSource rand.Source
+	// RetriesPerCall is the number of retries that each call adds to the budget. The default of 0.2
 	// limits the additional load to a fifth, and covers the loss of one target of twelve
 	// with all its calls in flight.
-	Ratio float64
-	// Floor is the number of retries per second that are added regardless of the calls. With
+	RetriesPerCall float64
+	// MinRetriesPerSecond is the number of retries per second that are added regardless of the calls. With
 	// the default of 1 an idle gateway can still retry.
-	Floor float64
-	// Reserve is the maximum of the budget, in retries. The default of 50 covers the streams
+	MinRetriesPerSecond float64
+	// MaxBudget is the maximum of the budget, in retries. The default of 50 covers the streams
 	// in flight at one target that crashes.
-	Reserve float64
-	// Attempts is the maximum number of attempts per call. With the default of 4 and one
+	MaxBudget float64
+	// MaxAttempts is the maximum number of attempts per call. With the default of 4 and one
 	// target in ten failing, one call in 10,000 fails at all of them.
-	Attempts int
-	// Refusals is the maximum number of refusals per call. The default of 16 covers a subset
+	MaxAttempts int
+	// MaxRefusals is the maximum number of refusals per call. The default of 16 covers a subset
 	// of 20 targets of which a third shuts down at once, with two attempts at each.
-	Refusals int
-	// Base and Limit define the backoff before an attempt: it is drawn uniformly from zero to
+	MaxRefusals int
+	// BaseBackoff and Limit define the backoff before an attempt: it is drawn uniformly from zero to
 	// Base, doubled with each previous attempt up to Limit. The defaults are 50 ms and 2 s:
 	// about the time until a load report shows the failure, and until the load of the group
 	// is stable again after it.
-	Base  kumquatlug.Millis
-	Limit kumquatlug.Millis
+	BaseBackoff kumquatlug.Millis
+	MaxBackoff  kumquatlug.Millis
 }
 
 func (c Config) withDefaults() Config {
-	c.Ratio = cmp.Or(c.Ratio, 0.2)
-	c.Floor = cmp.Or(c.Floor, 1)
-	c.Reserve = cmp.Or(c.Reserve, 50)
-	c.Attempts = cmp.Or(c.Attempts, 4)
-	c.Refusals = cmp.Or(c.Refusals, 16)
-	c.Base = cmp.Or(c.Base, 50)
-	c.Limit = cmp.Or(c.Limit, 2*kumquatlug.Second)
+	c.RetriesPerCall = cmp.Or(c.RetriesPerCall, 0.2)
+	c.MinRetriesPerSecond = cmp.Or(c.MinRetriesPerSecond, 1)
+	c.MaxBudget = cmp.Or(c.MaxBudget, 50)
+	c.MaxAttempts = cmp.Or(c.MaxAttempts, 4)
+	c.MaxRefusals = cmp.Or(c.MaxRefusals, 16)
+	c.BaseBackoff = cmp.Or(c.BaseBackoff, 50)
+	c.MaxBackoff = cmp.Or(c.MaxBackoff, 2*kumquatlug.Second)
 	return c
 }
 
-// Verdict is the action to take on a failed call.
-type Verdict string
+// Action is the action to take on a failed call.
+type Action string
 
 // The verdicts.
 const (
-	// VerdictRetry: send the call again from the start.
-	VerdictRetry Verdict = "retry"
-	// VerdictResume: send the call to another target, which resumes the stream after the
+	// ActionRetry: send the call again from the start.
+	ActionRetry Action = "retry"
+	// ActionResume: send the call to another target, which resumes the stream after the
 	// tokens already sent.
-	VerdictResume Verdict = "resume"
-	// VerdictStop: return the final error to the caller.
-	VerdictStop Verdict = "stop"
+	ActionResume Action = "resume"
+	// ActionStop: return the final error to the caller.
+	ActionStop Action = "stop"
 )
 
 // Reason is the reason of a verdict.
@@ -101,8 +101,8 @@
 	ReasonNotRun Reason = "not-run"
 	// ReasonRepeatable: the call may run twice.
 	ReasonRepeatable Reason = "repeatable"
-	// ReasonCut: the stream was interrupted and can be resumed at another target.
-	ReasonCut Reason = "cut"
+	// ReasonStreamInterrupted: the stream was interrupted and can be resumed at another target.
+	ReasonStreamInterrupted Reason = "cut"
 	// ReasonMayHaveRun: the call may have run and must not be repeated.
 	ReasonMayHaveRun Reason = "may-have-run"
 	// ReasonAttempts: the call has used up its attempts.
@@ -115,8 +115,8 @@
 
 // Attempt describes a call whose last attempt failed.
 type Attempt struct {
-	// Ran is whether the last attempt ran, as far as known.
-	Ran kumquatlug.Ran
+	// Execution is whether the last attempt ran, as far as known.
+	Execution kumquatlug.Execution
 	// Repeatable reports that the call may run twice.
 	Repeatable bool
 	// Resumable reports that the response is a stream that another target can resume after
@@ -138,13 +138,13 @@
 
 // Decision is what to do after an [Attempt].
 type Decision struct {
-	verdict Verdict
+	verdict Action
 	reason  Reason
 	wait    kumquatlug.Millis
 }
 
-// Verdict returns the action to take.
-func (d Decision) Verdict() Verdict { return d.verdict }
+// Action returns the action to take.
+func (d Decision) Action() Action { return d.verdict }
 
 // Reason returns the reason of the verdict.
 func (d Decision) Reason() Reason { return d.reason }
@@ -172,14 +172,14 @@
 // New returns a policy with a full budget.
 func New(c Config) *Policy {
 	c = c.withDefaults()
-	return &Policy{config: c, random: rand.New(c.Source), budget: c.Reserve}
+	return &Policy{config: c, random: rand.New(c.RandomSource), budget: c.MaxBudget}
 }
 
-// Accepted records that a call was accepted, and adds to the budget.
-func (p *Policy) Accepted(now kumquatlug.Millis) {
+// RecordCall records that a call was accepted, and adds to the budget.
+func (p *Policy) RecordCall(now kumquatlug.Millis) {
 	p.advance(now)
 	p.recentCalls++
-	p.addBudget(p.config.Ratio)
+	p.addBudget(p.config.RetriesPerCall)
 }
 
 // advance decays recentCalls and adds Floor for the elapsed time.
@@ -191,11 +191,11 @@
 	span := float64(max(now-p.updatedAt, 0))
 	p.updatedAt = max(p.updatedAt, now)
 	p.recentCalls *= math.Exp(-span / float64(rateWindow))
-	p.addBudget(p.config.Floor * span / float64(kumquatlug.Second))
+	p.addBudget(p.config.MinRetriesPerSecond * span / float64(kumquatlug.Second))
 }
 
 func (p *Policy) addBudget(retries float64) {
-	p.budget = min(p.budget+retries, p.config.Reserve)
+	p.budget = min(p.budget+retries, p.config.MaxBudget)
 }
 
 // Budget returns the number of available retries; a negative one is the number of granted
@@ -205,28 +205,28 @@
 	return p.budget
 }
 
-// Next decides what to do with a failed call. The retry of a verdict other than VerdictStop
+// Next decides what to do with a failed call. The retry of a verdict other than ActionStop
 // is already charged to the budget.
 func (p *Policy) Next(now kumquatlug.Millis, a Attempt) Decision {
 	p.advance(now)
 	verdict, reason := nextAction(a)
-	if verdict == VerdictStop {
-		return Decision{verdict: VerdictStop, reason: reason}
+	if verdict == ActionStop {
+		return Decision{verdict: ActionStop, reason: reason}
 	}
-	refused := a.Refused && a.Ran == kumquatlug.RanNot
-	if a.Attempts >= p.config.Attempts || a.Refusals >= p.config.Refusals {
-		return Decision{verdict: VerdictStop, reason: ReasonAttempts}
+	refused := a.Refused && a.Execution == kumquatlug.NotExecuted
+	if a.Attempts >= p.config.MaxAttempts || a.Refusals >= p.config.MaxRefusals {
+		return Decision{verdict: ActionStop, reason: ReasonAttempts}
 	}
 	wait := p.backoff(a, refused)
 	if a.Elapsed+wait >= a.Deadline {
-		return Decision{verdict: VerdictStop, reason: ReasonDeadline}
+		return Decision{verdict: ActionStop, reason: ReasonDeadline}
 	}
 	if refused {
 		return Decision{verdict: verdict, reason: reason, wait: wait}
 	}
 	wait = max(wait, p.budgetWait())
 	if a.Elapsed+wait >= a.Deadline {
-		return Decision{verdict: VerdictStop, reason: ReasonBudget}
+		return Decision{verdict: ActionStop, reason: ReasonBudget}
 	}
 	p.budget--
 	return Decision{verdict: verdict, reason: reason, wait: wait}
@@ -235,16 +235,16 @@
 // nextAction returns whether the call may be sent again, regardless of attempts, budget and
 // deadline. After a lost response the target may have run the call, and running a payment
 // twice is worse than reporting an unknown outcome to the caller.
-func nextAction(a Attempt) (Verdict, Reason) {
+func nextAction(a Attempt) (Action, Reason) {
 	switch {
 	case a.Resumable:
-		return VerdictResume, ReasonCut
-	case a.Ran == kumquatlug.RanNot:
-		return VerdictRetry, ReasonNotRun
+		return ActionResume, ReasonStreamInterrupted
+	case a.Execution == kumquatlug.NotExecuted:
+		return ActionRetry, ReasonNotRun
 	case a.Repeatable:
-		return VerdictRetry, ReasonRepeatable
+		return ActionRetry, ReasonRepeatable
 	default:
-		return VerdictStop, ReasonMayHaveRun
+		return ActionStop, ReasonMayHaveRun
 	}
 }
 
@@ -258,11 +258,11 @@
 	if doublings < 0 {
 		return 0
 	}
-	bound := p.config.Base
-	for i := 0; i < doublings && bound < p.config.Limit; i++ {
+	bound := p.config.BaseBackoff
+	for i := 0; i < doublings && bound < p.config.MaxBackoff; i++ {
 		bound *= 2
 	}
-	return kumquatlug.Millis(p.random.Int64N(int64(min(bound, p.config.Limit)) + 1))
+	return kumquatlug.Millis(p.random.Int64N(int64(min(bound, p.config.MaxBackoff)) + 1))
 }
 
 // immediateRefusals is the number of refusals of a call that are retried without a wait.
@@ -274,7 +274,7 @@
 	if shortfall <= 0 {
 		return 0
 	}
-	retriesPerMilli := p.config.Floor/float64(kumquatlug.Second) + p.config.Ratio*p.callRate()
+	retriesPerMilli := p.config.MinRetriesPerSecond/float64(kumquatlug.Second) + p.config.RetriesPerCall*p.callRate()
 	return kumquatlug.Millis(math.Ceil(shortfall / retriesPerMilli))
 }
 
--- a/pkg/kumquatlug/retry/sharedbudget.go
+++ b/pkg/kumquatlug/retry/sharedbudget.go
@@ -6,17 +6,17 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// SharedConfig configures a [Shared] budget.
-type SharedConfig struct {
+// SharedBudgetConfig configures a [SharedBudget] budget.
+type SharedBudgetConfig struct {
 	// Ratio and Floor limit what all gateways together send besides the first attempt of each
 	// request: in any Window, Ratio times the number of requests, plus Floor. The default of
 	// Window is 10 seconds; Ratio and Floor have none.
-	Ratio  float64
-	Floor  int
-	Window kumquatlug.Millis
+	Ratio      float64
+	MinRetries int
+	Window     kumquatlug.Millis
 }
 
-// windowBuckets is the number of buckets in the window of a [Shared]. The window that is
+// windowBuckets is the number of buckets in the window of a [SharedBudget]. The window that is
 // counted is up to one bucket longer than Window, never shorter.
 const windowBuckets = 20
 
@@ -24,14 +24,14 @@
 // have just started and are not counted yet.
 const usableFraction = 0.8
 
-// Shared is one gateway's share of a retry budget that all gateways use without coordination.
+// SharedBudget is one gateway's share of a retry budget that all gateways use without coordination.
 //
 // When a failure makes all gateways retry at once, each could stay within a budget of its own
 // while all together send far more than the workers can take. Each gateway therefore counts
 // its retries in a sliding window and stops at its share: Ratio times its own requests, plus
 // Floor divided by the number of gateways. It is not safe for concurrent use.
-type Shared struct {
-	config     SharedConfig
+type SharedBudget struct {
+	config     SharedBudgetConfig
 	gateways   int
 	buckets    [windowBuckets + 1]bucketCounts
 	lastBucket int64
@@ -42,17 +42,17 @@
 	requests, retries int
 }
 
-// NewShared returns the budget of the only gateway; see [Shared.SetFronts].
-func NewShared(c SharedConfig) *Shared {
+// NewSharedBudget returns the budget of the only gateway; see [SharedBudget.SetGateways].
+func NewSharedBudget(c SharedBudgetConfig) *SharedBudget {
 	c.Window = cmp.Or(c.Window, rateWindow)
-	return &Shared{config: c, gateways: 1}
+	return &SharedBudget{config: c, gateways: 1}
 }
 
-// SetFronts sets the number of gateways that share the budget.
-func (s *Shared) SetFronts(count int) { s.gateways = max(count, 1) }
+// SetGateways sets the number of gateways that share the budget.
+func (s *SharedBudget) SetGateways(count int) { s.gateways = max(count, 1) }
 
 // advance moves the window to now.
-func (s *Shared) advance(now kumquatlug.Millis) {
+func (s *SharedBudget) advance(now kumquatlug.Millis) {
 	bucket := int64(now) * windowBuckets / int64(s.config.Window)
 	if bucket-s.lastBucket > windowBuckets {
 		s.buckets = [windowBuckets + 1]bucketCounts{}
@@ -64,30 +64,30 @@
 	}
 }
 
-// Request records a client's request.
-func (s *Shared) Request(now kumquatlug.Millis) {
+// RecordRequest records a client's request.
+func (s *SharedBudget) RecordRequest(now kumquatlug.Millis) {
 	s.advance(now)
 	s.buckets[s.lastBucket%(windowBuckets+1)].requests++
 }
 
-// Note records a retry that was sent without a successful Take. It counts against later ones.
-func (s *Shared) Note(now kumquatlug.Millis) {
+// RecordRetry records a retry that was sent without a successful Take. It counts against later ones.
+func (s *SharedBudget) RecordRetry(now kumquatlug.Millis) {
 	s.advance(now)
 	s.buckets[s.lastBucket%(windowBuckets+1)].retries++
 }
 
-// Take charges one retry to the budget, and reports false if the share is used up.
-func (s *Shared) Take(now kumquatlug.Millis) bool {
+// Allow charges one retry to the budget, and reports false if the share is used up.
+func (s *SharedBudget) Allow(now kumquatlug.Millis) bool {
 	s.advance(now)
 	var sum bucketCounts
 	for _, c := range s.buckets {
 		sum.requests += c.requests
 		sum.retries += c.retries
 	}
-	share := s.config.Ratio*float64(sum.requests) + float64(s.config.Floor)/float64(s.gateways)
+	share := s.config.Ratio*float64(sum.requests) + float64(s.config.MinRetries)/float64(s.gateways)
 	if float64(sum.retries+1) > usableFraction*share {
 		return false
 	}
-	s.Note(now)
+	s.RecordRetry(now)
 	return true
 }
--- a/pkg/kumquatlug/retry/sharedbudget_test.go
+++ b/pkg/kumquatlug/retry/sharedbudget_test.go
@@ -10,21 +10,21 @@
 // send more retries than the ratio and the floor allow, wherever the window begins.
 func TestSharedBudgetHoldsInEveryWindow(t *testing.T) {
 	const gateways, window, floor = 3, 10 * kumquatlug.Second, 52
-	c := SharedConfig{Ratio: 0.2, Floor: floor, Window: window}
-	var all []*Shared
+	c := SharedBudgetConfig{Ratio: 0.2, MinRetries: floor, Window: window}
+	var all []*SharedBudget
 	for range gateways {
-		s := NewShared(c)
-		s.SetFronts(gateways)
+		s := NewSharedBudget(c)
+		s.SetGateways(gateways)
 		all = append(all, s)
 	}
 	var retries, requests []kumquatlug.Millis
 	for now := kumquatlug.Millis(0); now < 40*kumquatlug.Second; now += 10 {
 		for _, s := range all {
 			if now%50 == 0 {
-				s.Request(now)
+				s.RecordRequest(now)
 				requests = append(requests, now)
 			}
-			if s.Take(now) {
+			if s.Allow(now) {
 				retries = append(retries, now)
 			}
 		}
@@ -50,15 +50,15 @@
 
 // The retries of an earlier window must not count after an idle minute.
 func TestSharedBudgetWindowSlides(t *testing.T) {
-	s := NewShared(SharedConfig{Floor: 10, Window: 10_000})
+	s := NewSharedBudget(SharedBudgetConfig{MinRetries: 10, Window: 10_000})
 	taken := 0
-	for s.Take(0) {
+	for s.Allow(0) {
 		taken++
 	}
 	if taken != 8 {
 		t.Errorf("%d retries at once, want four fifths of the floor", taken)
 	}
-	if s.Take(9_000) || !s.Take(70_000) {
+	if s.Allow(9_000) || !s.Allow(70_000) {
 		t.Error("the window does not slide")
 	}
 }
--- a/pkg/kumquatlug/roles.go
+++ b/pkg/kumquatlug/roles.go
@@ -4,12 +4,12 @@
 // output (decode). Implementations take events and the time as input and return orders;
 // an instance belongs to one goroutine.
 type RolePlanner interface {
-	// Offered records the demand that arrived at one gateway.
-	Offered(now Millis, o Offer)
+	// RecordDemand records the demand that arrived at one gateway.
+	RecordDemand(now Millis, o Demand)
 	// Report records an engine's report.
 	Report(now Millis, e EngineReport)
-	// Refused records that an order was refused and the engine keeps its role.
-	Refused(now Millis, target string)
+	// OrderRefused records that an order was refused and the engine keeps its role.
+	OrderRefused(now Millis, target string)
 	// Remove removes an engine that is withdrawn or lost.
 	Remove(now Millis, target string)
 	// Plan returns the role changes to order now. An engine with a pending order counts
@@ -17,13 +17,13 @@
 	Plan(now Millis) []RoleChange
 }
 
-// Offer is the work that callers sent to one gateway in a period, whether it was
+// Demand is the work that callers sent to one gateway in a period, whether it was
 // admitted or not.
-type Offer struct {
-	// Entry is the gateway's name.
-	Entry string
-	// Span is the length of the period, which ends now.
-	Span Millis
+type Demand struct {
+	// Gateway is the gateway's name.
+	Gateway string
+	// Period is the length of the period, which ends now.
+	Period Millis
 	// PrefillTokens and DecodeTokens are the tokens to process and to generate.
 	PrefillTokens float64
 	DecodeTokens  float64
@@ -35,14 +35,14 @@
 	Target string
 	// Role is the engine's current role.
 	Role Role
-	// Going is the role of an order that is still pending, whoever gave it; empty for
+	// PendingRole is the role of an order that is still pending, whoever gave it; empty for
 	// none.
-	Going Role
+	PendingRole Role
 	// TakenAt is the time of the report, on the reader's clock.
 	TakenAt Millis
-	// InHand and Waiting are the numbers of calls in flight and queued.
-	InHand  int
-	Waiting int
+	// InFlight and Waiting are the numbers of calls in flight and queued.
+	InFlight int
+	Waiting  int
 	// PrefillRate and DecodeRate are the tokens per second that it processes and
 	// generates.
 	PrefillRate float64
--- a/pkg/kumquatlug/routes/routes.go
+++ b/pkg/kumquatlug/routes/routes.go
@@ -22,14 +22,14 @@
 	services map[string]kumquatlug.Service
 	limits   kumquatlug.Limits
 	// accounts is nil if requests carry no keys.
-	accounts *accounts.Book
+	accounts *accounts.Index
 }
 
 // NewTable returns the table of a config.
 func NewTable(c kumquatlug.OperatorConfig) *Table {
 	t := &Table{version: c.Version, byHost: map[string][]kumquatlug.Route{}, services: map[string]kumquatlug.Service{}, limits: c.Limits}
-	if c.Keyed {
-		t.accounts = accounts.NewBook(c.Accounts)
+	if c.KeysRequired {
+		t.accounts = accounts.NewIndex(c.Accounts)
 	}
 	for _, r := range c.Routes {
 		t.byHost[r.Host()] = append(t.byHost[r.Host()], r)
@@ -51,7 +51,7 @@
 func (t *Table) Limits() kumquatlug.Limits { return t.limits }
 
 // Accounts returns the accounts by key, nil if requests carry no keys.
-func (t *Table) Accounts() *accounts.Book { return t.accounts }
+func (t *Table) Accounts() *accounts.Index { return t.accounts }
 
 // Service returns a service by its name.
 func (t *Table) Service(name string) (kumquatlug.Service, bool) {
--- a/pkg/kumquatlug/routes/routes_test.go
+++ b/pkg/kumquatlug/routes/routes_test.go
@@ -6,8 +6,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-func newRoute(host, prefix string, shares ...kumquatlug.Share) kumquatlug.Route {
-	return kumquatlug.NewRoute(kumquatlug.RouteConfig{Name: host + prefix, Host: host, Prefix: prefix, Shares: shares})
+func newRoute(host, prefix string, shares ...kumquatlug.WeightedService) kumquatlug.Route {
+	return kumquatlug.NewRoute(kumquatlug.RouteConfig{Name: host + prefix, Host: host, Prefix: prefix, Services: shares})
 }
 
 func TestLongestPrefixWins(t *testing.T) {
@@ -30,7 +30,7 @@
 // The weights of a route move requests from one service to another. A request that is sent
 // again must stay at its service.
 func TestRequestsFollowWeights(t *testing.T) {
-	r := newRoute("h", "/", kumquatlug.Share{Service: "old", Weight: 90}, kumquatlug.Share{Service: "new", Weight: 10})
+	r := newRoute("h", "/", kumquatlug.WeightedService{Service: "old", Weight: 90}, kumquatlug.WeightedService{Service: "new", Weight: 10})
 	counts := map[string]int{}
 	for i := range 5000 {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676))
@@ -42,7 +42,7 @@
 	if counts["new"] < 350 || counts["new"] > 650 {
 		t.Errorf("requests by service: %v", counts)
 	}
-	if s := newRoute("h", "/", kumquatlug.Share{Service: "only"}).Service("x"); s != "only" {
+	if s := newRoute("h", "/", kumquatlug.WeightedService{Service: "only"}).Service("x"); s != "only" {
 		t.Errorf("without weights: %q", s)
 	}
 	if s := newRoute("h", "/").Service("x"); s != "" {
--- a/pkg/kumquatlug/routing/cache.go
+++ b/pkg/kumquatlug/routing/cache.go
@@ -155,12 +155,12 @@
 // a target's cache, an average over about a hundred events.
 const eventTrustWeight = 1.0 / 64
 
-// Cached applies a cache event of a target: it holds the prefix, or has evicted it.
+// ApplyCacheEvent applies a cache event of a target: it holds the prefix, or has evicted it.
 // Events arrive late and with gaps. A gap may hide evictions, and the router would then
 // queue calls at a target for a prefix that was evicted. The trust in the target's
 // cache therefore falls with the fraction of events lost, down to nothing after a long
-// silence, and rises with responses that confirm it ([Router.Hit]).
-func (r *Router) Cached(name string, prefix uint64, sequence int64, evicted bool) {
+// silence, and rises with responses that confirm it ([Router.RecordCacheHit]).
+func (r *Router) ApplyCacheEvent(name string, prefix uint64, sequence int64, evicted bool) {
 	t, ok := r.targets[name]
 	if !ok || (t.hasEvent && sequence <= t.eventSequence) {
 		return
@@ -178,8 +178,8 @@
 	r.cache.add(t.slot, prefix)
 }
 
-// Forget clears the cached prefixes of a target, for example after its restart.
-func (r *Router) Forget(name string) {
+// ClearCache clears the cached prefixes of a target, for example after its restart.
+func (r *Router) ClearCache(name string) {
 	t, ok := r.targets[name]
 	if !ok {
 		return
@@ -192,9 +192,9 @@
 // responseTrustWeight is the weight of one response in the trust in a target's cache.
 const responseTrustWeight = 0.2
 
-// Hit records that, of the tokens expected in the target's cache (see [Choice.Cached]),
+// RecordCacheHit records that, of the tokens expected in the target's cache (see [Choice.Cached]),
 // the response reported this many as cached.
-func (r *Router) Hit(name string, expected, cached int) {
+func (r *Router) RecordCacheHit(name string, expected, cached int) {
 	t, ok := r.targets[name]
 	if !ok || expected <= 0 {
 		return
--- a/pkg/kumquatlug/routing/load.go
+++ b/pkg/kumquatlug/routing/load.go
@@ -65,7 +65,7 @@
 	// reportedStreams is the number of running streams in the last report.
 	reportedStreams int
 	state           State
-	assignments     []Duty
+	assignments     []Assignment
 	weight          float64
 	prefillRate     float64
 	decodeRate      float64
--- a/pkg/kumquatlug/routing/pick.go
+++ b/pkg/kumquatlug/routing/pick.go
@@ -68,14 +68,14 @@
 // Finish returns the expected time to the end of the response.
 func (c Choice) Finish() kumquatlug.Millis { return c.finish }
 
-// Stated returns the expected time to the end of the response at the speed that the
+// FinishAtFullWeight returns the expected time to the end of the response at the speed that the
 // target reports, ignoring its weight. Judge the target's health by this one: by
 // Finish, a slow target would look healthy as soon as its weight is right, and would
 // get its full share again.
-func (c Choice) Stated() kumquatlug.Millis { return c.stated }
+func (c Choice) FinishAtFullWeight() kumquatlug.Millis { return c.stated }
 
 // Cached returns how many tokens of the prompt the target is believed to hold; pass it
-// to [Router.Hit] when the response says how many it did.
+// to [Router.RecordCacheHit] when the response says how many it did.
 func (c Choice) Cached() int { return c.cached }
 
 // slotMatch is the scratch record of a slot during one decision.
--- a/pkg/kumquatlug/routing/policies_test.go
+++ b/pkg/kumquatlug/routing/policies_test.go
@@ -55,7 +55,7 @@
 	// A gateway that connects to only 20 of 100 engines must not keep its callers
 	// waiting while engines outside its subset are idle.
 	for seed := range uint64(3) {
-		subset, all := simulateMixed(seed, 16, 100, DefaultSubset, 0.9, routerPolicy), simulateMixed(seed, 16, 100, 100, 0.9, routerPolicy)
+		subset, all := simulateMixed(seed, 16, 100, DefaultSubsetSize, 0.9, routerPolicy), simulateMixed(seed, 16, 100, 100, 0.9, routerPolicy)
 		if subset.waitPercentile(0.5) > 1.1*all.waitPercentile(0.5) || subset.waitPercentile(0.99) > 1.1*all.waitPercentile(0.99) {
 			t.Errorf("seed %d: wait p50 %.0f ms and p99 %.0f ms, with all engines %.0f and %.0f",
 				seed, subset.waitPercentile(0.5), subset.waitPercentile(0.99), all.waitPercentile(0.5), all.waitPercentile(0.99))
--- a/pkg/kumquatlug/routing/routing.go
+++ b/pkg/kumquatlug/routing/routing.go
@@ -50,8 +50,8 @@
 	StateAway State = "away"
 )
 
-// Duty is one kind of work assigned to a target, and its role in it.
-type Duty struct {
+// Assignment is one kind of work assigned to a target, and its role in it.
+type Assignment struct {
 	Kind kumquatlug.Kind
 	Role kumquatlug.Role
 }
@@ -63,8 +63,8 @@
 	Zone string
 	// State is whether it takes new work; empty means StateReady.
 	State State
-	// Duties are the kinds of work that the selectors assign to it.
-	Duties []Duty
+	// Assignments are the kinds of work that the selectors assign to it.
+	Assignments []Assignment
 	// PrefillRate is the prompt tokens per second that it processes when busy; zero
 	// means Config.PrefillRate until a report says otherwise.
 	PrefillRate float64
@@ -76,8 +76,8 @@
 // Config configures a [Router]. The zero value of each field but Source selects its
 // default.
 type Config struct {
-	// Source is the source of randomness of the choices; required.
-	Source rand.Source
+	// RandomSource is the source of randomness of the choices; required.
+	RandomSource rand.Source
 	// Zone is the data centre of this gateway.
 	Zone string
 	// ZonePenalty is the cost added for a target in another data centre. Default 5 ms:
@@ -184,7 +184,7 @@
 	c = c.withDefaults()
 	return &Router{
 		config:   c,
-		random:   rand.New(c.Source),
+		random:   rand.New(c.RandomSource),
 		targets:  map[string]*target{},
 		pools:    map[kumquatlug.Kind]*pool{},
 		cache:    newPrefixIndex(c.PrefixKeys),
@@ -214,7 +214,7 @@
 		t.decodeRate = c.DecodeRate
 	}
 	t.updateSpeed()
-	r.setAssignments(t, c.Duties)
+	r.setAssignments(t, c.Assignments)
 }
 
 func (r *Router) addTarget(now kumquatlug.Millis, name string) *target {
@@ -235,7 +235,7 @@
 }
 
 // setAssignments adds t to the pools of its kinds.
-func (r *Router) setAssignments(t *target, assignments []Duty) {
+func (r *Router) setAssignments(t *target, assignments []Assignment) {
 	if slices.Equal(t.assignments, assignments) {
 		return
 	}
@@ -291,9 +291,9 @@
 	}
 }
 
-// SetEntries sets the number of gateways that send to each target, including this one
-// (see [Replicas]); the load balancer is assumed to spread callers evenly over them.
-func (r *Router) SetEntries(n int) {
+// SetGateways sets the number of gateways that send to each target, including this one
+// (see [GatewaysPerTarget]); the load balancer is assumed to spread callers evenly over them.
+func (r *Router) SetGateways(n int) {
 	r.gateways = max(n, 1)
 }
 
@@ -305,7 +305,7 @@
 		return
 	}
 	if t.incarnation != "" && t.incarnation != l.Incarnation {
-		r.Forget(name)
+		r.ClearCache(name)
 	}
 	t.applyReport(now, l, r.config.BatchSlowdown)
 }
--- a/pkg/kumquatlug/routing/routing_test.go
+++ b/pkg/kumquatlug/routing/routing_test.go
@@ -13,9 +13,9 @@
 
 // routerWithTargets returns a router in data centre a with n targets in the same one.
 func routerWithTargets(n int) *Router {
-	r := New(Config{Source: rand.NewPCG(1, 1), Zone: "a"})
+	r := New(Config{RandomSource: rand.NewPCG(1, 1), Zone: "a"})
 	for i := range n {
-		r.Set(0, Candidate{Name: targetName(i), Zone: "a", Duties: []Duty{{Kind: chat, Role: kumquatlug.RoleBoth}}})
+		r.Set(0, Candidate{Name: targetName(i), Zone: "a", Assignments: []Assignment{{Kind: chat, Role: kumquatlug.RoleBoth}}})
 	}
 	return r
 }
@@ -95,18 +95,18 @@
 	r := routerWithTargets(2)
 	prefix := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	for i, key := range prefix {
-		r.Cached(targetName(0), key, int64(i+1), false)
+		r.ApplyCacheEvent(targetName(0), key, int64(i+1), false)
 	}
 	sendCalls(r, targetName(0), 1, 1500)
 	if c := pick(t, r, query(2048, prefix...)); c.Target() != targetName(0) {
 		t.Fatalf("before the gap: sent to %s", c.Target())
 	}
-	r.Cached(targetName(0), 99, 40, false)
+	r.ApplyCacheEvent(targetName(0), 99, 40, false)
 	if c := pick(t, r, query(2048, prefix...)); c.Target() != targetName(1) {
 		t.Errorf("after the gap: sent to %s", c.Target())
 	}
 	for range 20 {
-		r.Hit(targetName(0), 2048, 2048)
+		r.RecordCacheHit(targetName(0), 2048, 2048)
 	}
 	if c := pick(t, r, query(2048, prefix...)); c.Target() != targetName(0) {
 		t.Errorf("after confirming responses: sent to %s", c.Target())
@@ -116,9 +116,9 @@
 func TestEvictedPrefixIsNotCounted(t *testing.T) {
 	r := routerWithTargets(3)
 	for i, key := range []uint64{1, 2, 3} {
-		r.Cached(targetName(2), key, int64(i+1), false)
+		r.ApplyCacheEvent(targetName(2), key, int64(i+1), false)
 	}
-	r.Cached(targetName(2), 2, 4, true)
+	r.ApplyCacheEvent(targetName(2), 2, 4, true)
 	if c := pick(t, r, query(768, 1, 2, 3)); c.Cached() != 256 {
 		t.Errorf("%d tokens believed cached, want the 256 of the first block", c.Cached())
 	}
@@ -132,7 +132,7 @@
 	for seed := range uint64(3) {
 		r := routerWithTargets(10)
 		r.random = rand.New(rand.NewPCG(seed, 5))
-		r.SetEntries(3)
+		r.SetGateways(3)
 		c := pick(t, r, query(4096, 71, 72, 73))
 		places = append(places, c.Target())
 		if c.Wait() != idle {
@@ -153,7 +153,7 @@
 	// With equal targets in two data centres, an idle call stays local, but a local
 	// queue must not hold callers while the other target is idle.
 	r := routerWithTargets(1)
-	r.Set(0, Candidate{Name: "far", Zone: "b", Duties: []Duty{{Kind: chat, Role: kumquatlug.RoleBoth}}})
+	r.Set(0, Candidate{Name: "far", Zone: "b", Assignments: []Assignment{{Kind: chat, Role: kumquatlug.RoleBoth}}})
 	if c := pick(t, r, query(500)); c.Target() != targetName(0) {
 		t.Errorf("with both idle: sent to %s", c.Target())
 	}
@@ -180,7 +180,7 @@
 func (r roomAt) Room(name string) bool { return r[name] }
 
 func TestIneligibleTargetsAreNotPicked(t *testing.T) {
-	decode := []Duty{{Kind: chat, Role: kumquatlug.RoleDecode}}
+	decode := []Assignment{{Kind: chat, Role: kumquatlug.RoleDecode}}
 	cases := map[string]struct {
 		change func(r *Router)
 		query  Query
@@ -193,12 +193,12 @@
 		"other kind":       {query: Query{Kind: kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft"), Role: kumquatlug.RoleBoth}},
 		"both may decode":  {query: Query{Kind: chat, Role: kumquatlug.RoleDecode, Exclude: []string{targetName(1), targetName(2)}}, want: targetName(0)},
 		"decode is not both": {
-			change: func(r *Router) { r.Set(0, Candidate{Name: targetName(0), Duties: decode}) },
+			change: func(r *Router) { r.Set(0, Candidate{Name: targetName(0), Assignments: decode}) },
 			query:  Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{targetName(1), targetName(2)}},
 		},
 		"draining": {
 			change: func(r *Router) {
-				r.Set(0, Candidate{Name: targetName(0), State: StateDraining, Duties: r.targets[targetName(0)].assignments})
+				r.Set(0, Candidate{Name: targetName(0), State: StateDraining, Assignments: r.targets[targetName(0)].assignments})
 			},
 			query: Query{Kind: chat, Role: kumquatlug.RoleBoth, Exclude: []string{targetName(1), targetName(2)}},
 		},
@@ -229,8 +229,8 @@
 	r := routerWithTargets(1)
 	full := pick(t, r, query(1000))
 	r.SetWeight(targetName(0), 0.5)
-	if half := pick(t, r, query(1000)); half.Stated() != full.Finish() || half.Finish() != 2*full.Finish() {
-		t.Errorf("at half weight: finish %d ms, stated %d ms; at full weight %d ms", half.Finish(), half.Stated(), full.Finish())
+	if half := pick(t, r, query(1000)); half.FinishAtFullWeight() != full.Finish() || half.Finish() != 2*full.Finish() {
+		t.Errorf("at half weight: finish %d ms, stated %d ms; at full weight %d ms", half.Finish(), half.FinishAtFullWeight(), full.Finish())
 	}
 	r = routerWithTargets(4)
 	r.SetWeight(targetName(0), 0.5)
@@ -256,7 +256,7 @@
 // of which half are known.
 func busyRouter(n int) (*Router, Query) {
 	r := routerWithTargets(n)
-	r.SetEntries(8)
+	r.SetGateways(8)
 	keys := make([]uint64, 16)
 	for i := range keys {
 		keys[i] = rendezvous.Mix(uint64(i) + 1)
@@ -294,15 +294,15 @@
 	r := routerWithTargets(100)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		r.Cached(targetName(i%100), rendezvous.Mix(uint64(i/3)), int64(i/100+1), false)
+		r.ApplyCacheEvent(targetName(i%100), rendezvous.Mix(uint64(i/3)), int64(i/100+1), false)
 	}
 }
 
 func ExampleRouter_Pick() {
 	draft := kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
-	r := New(Config{Source: rand.NewPCG(1, 2), Zone: "a"})
+	r := New(Config{RandomSource: rand.NewPCG(1, 2), Zone: "a"})
 	for _, name := range []string{"engine-1", "engine-2"} {
-		r.Set(0, Candidate{Name: name, Zone: "a", Duties: []Duty{{Kind: draft, Role: kumquatlug.RoleBoth}}})
+		r.Set(0, Candidate{Name: name, Zone: "a", Assignments: []Assignment{{Kind: draft, Role: kumquatlug.RoleBoth}}})
 	}
 	r.Sent(0, "engine-1", Call{ID: "document", PrefillTokens: 30000, DecodeTokens: 200})
 	c, _ := r.Pick(5, Query{Kind: draft, Role: kumquatlug.RoleBoth, PrefillTokens: 800, DecodeTokens: 100}, nil)
--- a/pkg/kumquatlug/routing/simulation_test.go
+++ b/pkg/kumquatlug/routing/simulation_test.go
@@ -78,10 +78,10 @@
 		targets[i] = s.engines[i].name
 	}
 	for i := range gateways {
-		r := New(Config{Source: rand.NewPCG(seed, uint64(i))})
-		r.SetEntries(Replicas(gateways, engines, subset))
+		r := New(Config{RandomSource: rand.NewPCG(seed, uint64(i))})
+		r.SetGateways(GatewaysPerTarget(gateways, engines, subset))
 		for _, name := range Subset(names, names[i], targets, subset) {
-			r.Set(0, Candidate{Name: name, PrefillRate: simPrefillRate, Duties: []Duty{{Kind: chat, Role: kumquatlug.RoleBoth}}})
+			r.Set(0, Candidate{Name: name, PrefillRate: simPrefillRate, Assignments: []Assignment{{Kind: chat, Role: kumquatlug.RoleBoth}}})
 		}
 		s.routers = append(s.routers, r)
 		s.openCalls = append(s.openCalls, map[string]int{})
@@ -142,7 +142,7 @@
 	s.openCalls[gateway][name]++
 	s.schedule(e.busyUntil, func(now kumquatlug.Millis) {
 		r.Progress(now, name, id, 1)
-		r.Hit(name, expected, hit)
+		r.RecordCacheHit(name, expected, hit)
 	})
 	s.schedule(e.busyUntil+kumquatlug.Millis(20*q.DecodeTokens), func(now kumquatlug.Millis) {
 		r.Finished(now, name, id)
@@ -206,7 +206,7 @@
 					if s.random.Float64() < s.eventLoss {
 						continue
 					}
-					r.Cached(e.name, v.key, v.sequence, v.evicted)
+					r.ApplyCacheEvent(e.name, v.key, v.sequence, v.evicted)
 				}
 			}
 		})
@@ -228,7 +228,7 @@
 
 // greedyPolicy takes the least expected finish and ignores other gateways.
 func greedyPolicy(s *simulation, gateway int, now kumquatlug.Millis, q Query) (string, int) {
-	s.routers[gateway].SetEntries(1)
+	s.routers[gateway].SetGateways(1)
 	return routerPolicy(s, gateway, now, q)
 }
 
--- a/pkg/kumquatlug/routing/subset.go
+++ b/pkg/kumquatlug/routing/subset.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/rendezvous"
 )
 
-// DefaultSubset is the number of targets of a group that a gateway connects to. The
+// DefaultSubsetSize is the number of targets of a group that a gateway connects to. The
 // larger size to design for has 2,300 nodes in front of 10,000 targets and allows 5 KB
 // per second and node for control traffic. A report is 142 bytes, 242 with four cache
 // events (the size of one marshalled): 20 targets once a second are 2.8 to 4.8 KB, HTTP
@@ -21,7 +21,7 @@
 // with all of them. The cost is cache reuse: a prompt that arrives through all gateways
 // is assigned to one target in each subset. Where many callers share long prompts and
 // the fleet is small, use all targets.
-const DefaultSubset = 20
+const DefaultSubsetSize = 20
 
 // Subset returns the targets that gateway self connects to, in name order. Each target
 // selects the same number of gateways, the first of its rendezvous order, such that a
@@ -32,7 +32,7 @@
 	if len(targets) <= size || len(gateways) == 0 {
 		return sortedCopy(targets)
 	}
-	replicas := Replicas(len(gateways), len(targets), size)
+	replicas := GatewaysPerTarget(len(gateways), len(targets), size)
 	hashes := hashAll(gateways)
 	selfHash := xxhash.Sum64String(self)
 	subset := make([]string, 0, 2*size)
@@ -48,9 +48,9 @@
 	return subset
 }
 
-// Replicas returns the number of gateways that connect to each target when subsets have
-// about size targets; pass it to [Router.SetEntries].
-func Replicas(gateways, targets, size int) int {
+// GatewaysPerTarget returns the number of gateways that connect to each target when subsets have
+// about size targets; pass it to [Router.SetGateways].
+func GatewaysPerTarget(gateways, targets, size int) int {
 	if targets <= size {
 		return gateways
 	}
@@ -85,10 +85,10 @@
 	return subset
 }
 
-// ServiceOrder returns the targets in the rendezvous order of a run-once key. All
+// RunOnceOrder returns the targets in the rendezvous order of a run-once key. All
 // gateways compute the same order from the same targets, so that a retried call reaches
 // the agent that knows the key.
-func ServiceOrder(key string, targets []string) []string {
+func RunOnceOrder(key string, targets []string) []string {
 	return rendezvousOrder(xxhash.Sum64String(key), targets)
 }
 
--- a/pkg/kumquatlug/routing/subset_test.go
+++ b/pkg/kumquatlug/routing/subset_test.go
@@ -38,7 +38,7 @@
 		func(gateways, targets int) bool {
 			const size = 20
 			chosen, counts := subsets(names("e", gateways), names("t", targets), size)
-			least := min(Replicas(gateways, targets, size), gateways)
+			least := min(GatewaysPerTarget(gateways, targets, size), gateways)
 			for _, target := range names("t", targets) {
 				// A gateway selected too rarely adds targets of its own.
 				if counts[target] < least || counts[target] > least+2 {
@@ -94,12 +94,12 @@
 	properties.Property("the other targets keep their order when one is removed", prop.ForAll(
 		func(key string, n, gone int) bool {
 			all := names("t", n)
-			order := ServiceOrder(key, all)
+			order := RunOnceOrder(key, all)
 			gone %= n
 			rest := slices.Delete(slices.Clone(all), gone, gone+1)
 			slices.Reverse(rest)
 			want := slices.DeleteFunc(order, func(t string) bool { return t == all[gone] })
-			return slices.Equal(ServiceOrder(key, rest), want)
+			return slices.Equal(RunOnceOrder(key, rest), want)
 		},
 		gen.AnyString(), gen.IntRange(1, 15), gen.IntRange(0, 14),
 	))
@@ -109,6 +109,6 @@
 func BenchmarkSubset(b *testing.B) {
 	gateways, targets := names("e", 2300), names("t", 10000)
 	for b.Loop() {
-		Subset(gateways, gateways[0], targets, DefaultSubset)
+		Subset(gateways, gateways[0], targets, DefaultSubsetSize)
 	}
 }
--- a/pkg/kumquatlug/scaling/scaling.go
+++ b/pkg/kumquatlug/scaling/scaling.go
@@ -33,11 +33,11 @@
 	minTrendSpan = 3 * kumquatlug.Second
 )
 
-// View is the load of a service in one data centre.
-type View struct {
+// Load is the load of a service in one data centre.
+type Load struct {
 	// Workers is the number of workers that accept requests, Busy their load, in workers.
-	Workers int
-	Busy    float64
+	Workers     int
+	BusyWorkers float64
 }
 
 // sample is a view and the number of workers needed for it.
@@ -47,8 +47,8 @@
 	needed int
 }
 
-// Zone scales one service in one data centre. It is not safe for concurrent use.
-type Zone struct {
+// Scaler scales one service in one data centre. It is not safe for concurrent use.
+type Scaler struct {
 	bounds  kumquatlug.Scaling
 	samples []sample
 	// ordered is the number of workers last ordered at orderedAt, zero before the first order.
@@ -57,16 +57,16 @@
 }
 
 // New returns a Zone without samples.
-func New(bounds kumquatlug.Scaling) *Zone { return &Zone{bounds: bounds} }
+func New(bounds kumquatlug.Scaling) *Scaler { return &Scaler{bounds: bounds} }
 
 // SetBounds sets the bounds after a config change.
-func (z *Zone) SetBounds(bounds kumquatlug.Scaling) { z.bounds = bounds }
+func (z *Scaler) SetBounds(bounds kumquatlug.Scaling) { z.bounds = bounds }
 
-// Look records a view and returns the number of workers, and whether it must be ordered.
-func (z *Zone) Look(now kumquatlug.Millis, v View) (int, bool) {
-	hold := max(minHold, holdBootTimes*z.bounds.Boot)
+// Update records a view and returns the number of workers, and whether it must be ordered.
+func (z *Scaler) Update(now kumquatlug.Millis, v Load) (int, bool) {
+	hold := max(minHold, holdBootTimes*z.bounds.BootTime)
 	z.samples = slices.DeleteFunc(z.samples, func(s sample) bool { return now-s.at > hold })
-	z.samples = append(z.samples, sample{at: now, busy: v.Busy, needed: z.neededWorkers(now, v)})
+	z.samples = append(z.samples, sample{at: now, busy: v.BusyWorkers, needed: z.neededWorkers(now, v)})
 	peak := slices.MaxFunc(z.samples, func(a, b sample) int { return cmp.Compare(a.needed, b.needed) })
 	current := z.ordered
 	if current == 0 {
@@ -75,9 +75,9 @@
 	wanted := z.clamp(peak.needed)
 	sinceOrder := now - z.orderedAt
 	switch {
-	case current > z.bounds.Most || current < z.bounds.Least:
+	case current > z.bounds.MaxWorkers || current < z.bounds.MinWorkers:
 		return wanted, true
-	case wanted > current && (z.ordered == 0 || sinceOrder >= max(minOrderInterval, z.bounds.Boot/2)):
+	case wanted > current && (z.ordered == 0 || sinceOrder >= max(minOrderInterval, z.bounds.BootTime/2)):
 		return wanted, true
 	case wanted < current && now-z.samples[0].at >= hold-hold/10 && (z.ordered == 0 || sinceOrder >= hold):
 		return wanted, true
@@ -87,17 +87,17 @@
 
 // neededWorkers returns the number of workers for the load expected when a worker ordered now
 // has started.
-func (z *Zone) neededWorkers(now kumquatlug.Millis, v View) int {
-	forecast := v.Busy
+func (z *Scaler) neededWorkers(now kumquatlug.Millis, v Load) int {
+	forecast := v.BusyWorkers
 	if first, seen := z.oldestSince(now - trendSpan); seen && now-first.at >= minTrendSpan {
-		growth := (v.Busy - first.busy) / float64(now-first.at)
-		forecast += max(0, growth) * float64(z.bounds.Boot)
+		growth := (v.BusyWorkers - first.busy) / float64(now-first.at)
+		forecast += max(0, growth) * float64(z.bounds.BootTime)
 	}
 	return int(math.Ceil(forecast / maxUtilization))
 }
 
 // oldestSince returns the oldest sample taken at or after a time.
-func (z *Zone) oldestSince(from kumquatlug.Millis) (sample, bool) {
+func (z *Scaler) oldestSince(from kumquatlug.Millis) (sample, bool) {
 	at := slices.IndexFunc(z.samples, func(s sample) bool { return s.at >= from })
 	if at < 0 {
 		return sample{}, false
@@ -105,7 +105,7 @@
 	return z.samples[at], true
 }
 
-func (z *Zone) clamp(n int) int { return min(max(n, z.bounds.Least), z.bounds.Most) }
+func (z *Scaler) clamp(n int) int { return min(max(n, z.bounds.MinWorkers), z.bounds.MaxWorkers) }
 
-// Ordered records that n workers were ordered.
-func (z *Zone) Ordered(now kumquatlug.Millis, n int) { z.ordered, z.orderedAt = n, now }
+// RecordOrder records that n workers were ordered.
+func (z *Scaler) RecordOrder(now kumquatlug.Millis, n int) { z.ordered, z.orderedAt = n, now }
--- a/pkg/kumquatlug/scaling/scaling_test.go
+++ b/pkg/kumquatlug/scaling/scaling_test.go
@@ -15,7 +15,7 @@
 	workerSeconds, overloadedSeconds float64
 }
 
-func simulate(load func(now kumquatlug.Millis) float64, span kumquatlug.Millis, decide func(now kumquatlug.Millis, v View) (int, bool)) result {
+func simulate(load func(now kumquatlug.Millis) float64, span kumquatlug.Millis, decide func(now kumquatlug.Millis, v Load) (int, bool)) result {
 	type pendingStart struct {
 		at kumquatlug.Millis
 		n  int
@@ -32,7 +32,7 @@
 		for _, s := range starts {
 			total += s.n
 		}
-		if n, order := decide(now, View{Workers: workers, Busy: min(busy, float64(workers))}); order && n != total {
+		if n, order := decide(now, Load{Workers: workers, BusyWorkers: min(busy, float64(workers))}); order && n != total {
 			r.orders++
 			if n > total {
 				starts = append(starts, pendingStart{now + boot, n - total})
@@ -60,17 +60,17 @@
 // Load peaks once a minute. Workers ordered for the current load would start when the peak is
 // nearly over and be removed before the next one.
 func TestWorkersStartBeforePeak(t *testing.T) {
-	bounds := kumquatlug.Scaling{Least: 1, Most: 20, Boot: boot}
+	bounds := kumquatlug.Scaling{MinWorkers: 1, MaxWorkers: 20, BootTime: boot}
 	z := New(bounds)
-	predictive := simulate(waves, 300*kumquatlug.Second, func(now kumquatlug.Millis, v View) (int, bool) {
-		n, order := z.Look(now, v)
+	predictive := simulate(waves, 300*kumquatlug.Second, func(now kumquatlug.Millis, v Load) (int, bool) {
+		n, order := z.Update(now, v)
 		if order {
-			z.Ordered(now, n)
+			z.RecordOrder(now, n)
 		}
 		return n, order
 	})
-	reactive := simulate(waves, 300*kumquatlug.Second, func(_ kumquatlug.Millis, v View) (int, bool) {
-		return min(max(int(v.Busy/maxUtilization+1), 1), 20), true
+	reactive := simulate(waves, 300*kumquatlug.Second, func(_ kumquatlug.Millis, v Load) (int, bool) {
+		return min(max(int(v.BusyWorkers/maxUtilization+1), 1), 20), true
 	})
 	if predictive.overloadedSeconds > reactive.overloadedSeconds/4 || predictive.orders > reactive.orders/4 {
 		t.Errorf("predictive %+v, reactive %+v", predictive, reactive)
@@ -79,9 +79,9 @@
 
 // A constant load that the present workers can serve must cause no order.
 func TestSteadyLoadNeedsNoOrder(t *testing.T) {
-	z := New(kumquatlug.Scaling{Least: 2, Most: 10, Boot: boot})
+	z := New(kumquatlug.Scaling{MinWorkers: 2, MaxWorkers: 10, BootTime: boot})
 	for now := kumquatlug.Millis(0); now < 100*kumquatlug.Second; now += kumquatlug.Second {
-		if n, order := z.Look(now, View{Workers: 5, Busy: 3.4}); order {
+		if n, order := z.Update(now, Load{Workers: 5, BusyWorkers: 3.4}); order {
 			t.Fatalf("%d workers ordered at %d ms", n, now)
 		}
 	}
@@ -90,26 +90,26 @@
 // The load falls for good, and later the bounds do. The number of workers is lowered after a
 // delay for the load, and at once for the bounds.
 func TestScaleDownIsDelayed(t *testing.T) {
-	z := New(kumquatlug.Scaling{Least: 2, Most: 10, Boot: boot})
+	z := New(kumquatlug.Scaling{MinWorkers: 2, MaxWorkers: 10, BootTime: boot})
 	orderedAt := kumquatlug.Millis(0)
 	for now := kumquatlug.Millis(0); now < 100*kumquatlug.Second && orderedAt == 0; now += kumquatlug.Second {
 		busy := 5.0
 		if now > 10*kumquatlug.Second {
 			busy = 0.2
 		}
-		if n, order := z.Look(now, View{Workers: 8, Busy: busy}); order {
+		if n, order := z.Update(now, Load{Workers: 8, BusyWorkers: busy}); order {
 			if n != 2 {
 				t.Errorf("%d ordered", n)
 			}
-			z.Ordered(now, n)
+			z.RecordOrder(now, n)
 			orderedAt = now
 		}
 	}
 	if orderedAt < 38*kumquatlug.Second || orderedAt > 50*kumquatlug.Second {
 		t.Errorf("number lowered at %d ms", orderedAt)
 	}
-	z.SetBounds(kumquatlug.Scaling{Least: 1, Most: 1, Boot: boot})
-	if n, order := z.Look(orderedAt+kumquatlug.Second, View{Workers: 2, Busy: 0.2}); !order || n != 1 {
+	z.SetBounds(kumquatlug.Scaling{MinWorkers: 1, MaxWorkers: 1, BootTime: boot})
+	if n, order := z.Update(orderedAt+kumquatlug.Second, Load{Workers: 2, BusyWorkers: 0.2}); !order || n != 1 {
 		t.Errorf("got %d, %v, want 1, true", n, order)
 	}
 }
--- a/pkg/kumquatlug/selector/selector.go
+++ b/pkg/kumquatlug/selector/selector.go
@@ -190,16 +190,16 @@
 	Match string `json:"match"`
 	// Repeatable reports that every call of a plain service may run twice.
 	Repeatable bool `json:"repeatable,omitempty"`
-	// Deadline is the time of a call whose caller sets no deadline; zero means DefaultDeadline.
-	Deadline kumquatlug.Millis `json:"deadline_ms,omitempty"`
+	// Timeout is the time of a call whose caller sets no deadline; zero means DefaultTimeout.
+	Timeout kumquatlug.Millis `json:"deadline_ms,omitempty"`
 	// Priority is the priority of the work, from LowestPriority to HighestPriority.
 	Priority int `json:"priority,omitempty"`
 }
 
-// DefaultDeadline is the time of a call if neither selector nor caller sets one. Two minutes
+// DefaultTimeout is the time of a call if neither selector nor caller sets one. Two minutes
 // cover a long summary of 4,000 tokens at a slow 30 ms per token, and are below the usual
 // timeouts of load balancers.
-const DefaultDeadline = 2 * kumquatlug.Minute
+const DefaultTimeout = 2 * kumquatlug.Minute
 
 // The range of priorities, the same as in package admission.
 const (
@@ -222,15 +222,15 @@
 	if c.Priority < LowestPriority || c.Priority > HighestPriority {
 		return Selector{}, errors.Newf("selector %q: a priority is %d to %d", c.Name, LowestPriority, HighestPriority)
 	}
-	if c.Deadline < 0 {
+	if c.Timeout < 0 {
 		return Selector{}, errors.Newf("selector %q: a deadline can't be negative", c.Name)
 	}
-	if c.Deadline == 0 {
-		c.Deadline = DefaultDeadline
+	if c.Timeout == 0 {
+		c.Timeout = DefaultTimeout
 	}
 	return Selector{
 		name: c.Name, kind: kumquatlug.NewKind(c.Protocol, c.Kind), role: c.Role, match: match,
-		repeatable: c.Repeatable, deadline: c.Deadline, priority: c.Priority,
+		repeatable: c.Repeatable, deadline: c.Timeout, priority: c.Priority,
 	}, nil
 }
 
@@ -272,8 +272,8 @@
 // Repeatable reports whether every call of the service may run twice.
 func (s Selector) Repeatable() bool { return s.repeatable }
 
-// Deadline returns the time of a call whose caller sets no deadline.
-func (s Selector) Deadline() kumquatlug.Millis { return s.deadline }
+// Timeout returns the time of a call whose caller sets no deadline.
+func (s Selector) Timeout() kumquatlug.Millis { return s.deadline }
 
 // Priority returns the priority of the work; higher priorities are served first.
 func (s Selector) Priority() int { return s.priority }
@@ -305,8 +305,8 @@
 	LabelZone = "zone"
 )
 
-// With returns the labels combined with the name and zone of the target.
-func (l Labels) With(name, zone string) Labels {
+// WithPlatform returns the labels combined with the name and zone of the target.
+func (l Labels) WithPlatform(name, zone string) Labels {
 	all := Labels{LabelName: name, LabelZone: zone}
 	for key, value := range l {
 		all[key] = value
--- a/pkg/kumquatlug/stream/model_test.go
+++ b/pkg/kumquatlug/stream/model_test.go
@@ -20,7 +20,7 @@
 // the text that the caller has received. The oracle's response consists of
 // tokenAt(0) to tokenAt(responseLength-1).
 type model struct {
-	assembler  *Answer
+	assembler  *Assembler
 	attempt    int
 	startIndex map[int]int
 	received   strings.Builder
@@ -29,7 +29,7 @@
 }
 
 func newModel() *model {
-	a, err := New(Config{Request: requestID, Ahead: responseLength})
+	a, err := New(Config{Request: requestID, MaxReorderTokens: responseLength})
 	if err != nil {
 		panic(err)
 	}
@@ -50,16 +50,16 @@
 	m.startIndex[attempt] = max(0, position-repeat)
 }
 
-func (m *model) apply(s Step, repeat int) {
+func (m *model) apply(s Result, repeat int) {
 	for _, token := range s.Tokens() {
 		m.received.WriteString(token)
 	}
-	switch s.Verdict() {
-	case VerdictResume:
+	switch s.Action() {
+	case ActionResume:
 		m.startAttempt(repeat)
-	case VerdictWhole:
+	case ActionComplete:
 		m.complete = true
-	case VerdictFailed:
+	case ActionFail:
 		m.failed = true
 	}
 }
@@ -97,7 +97,7 @@
 	attempt, eventRequestID, suffix := m.attempt, requestID, ""
 	switch e.Kind {
 	case "next":
-		firstIndex = len(m.assembler.Sent())
+		firstIndex = len(m.assembler.SentTokens())
 	case "late":
 		attempt = 1 + random.Intn(m.attempt)
 		firstIndex = random.Intn(responseLength)
@@ -110,7 +110,7 @@
 	case "diverge":
 		firstIndex, suffix = 0, "x"
 	case "disconnect":
-		m.apply(m.assembler.Cut(requestID, 1+random.Intn(m.attempt)), random.Intn(3))
+		m.apply(m.assembler.ConnectionClosed(requestID, 1+random.Intn(m.attempt)), random.Intn(3))
 		return m.violation()
 	case "end":
 		m.apply(m.assembler.End(NewEnd(requestID, m.attempt, responseLength, "stop", Usage{})), random.Intn(3))
@@ -121,7 +121,7 @@
 		}
 		return m.violation()
 	}
-	if e.Kind == "diverge" && len(m.assembler.Sent()) == 0 {
+	if e.Kind == "diverge" && len(m.assembler.SentTokens()) == 0 {
 		return m.violation()
 	}
 	var tokens []string
@@ -139,11 +139,11 @@
 	// partial response for a complete one.
 	completed, failed := 0, 0
 	proof.Run(t, proof.Config{
-		Claim: "the caller receives exactly the oracle's response",
-		Seed:  5, Runs: 300, Steps: 40,
-		Command: proof.Events(eventKinds, applyEvent),
-		World:   func() commands.SystemUnderTest { return newModel() },
-		End: func(sut commands.SystemUnderTest) {
+		Property: "the caller receives exactly the oracle's response",
+		Seed:     5, Runs: 300, Steps: 40,
+		StepGen:   proof.Events(eventKinds, applyEvent),
+		NewSystem: func() commands.SystemUnderTest { return newModel() },
+		Cleanup: func(sut commands.SystemUnderTest) {
 			m := sut.(*model)
 			if m.complete {
 				completed++
--- a/pkg/kumquatlug/stream/stream.go
+++ b/pkg/kumquatlug/stream/stream.go
@@ -9,7 +9,7 @@
 // like a short response. If all were forwarded as they arrive, tokens of the
 // response would be lost or duplicated, and the caller could not detect it.
 //
-// An [Answer] indexes the tokens of the whole response and forwards each index
+// An [Assembler] indexes the tokens of the whole response and forwards each index
 // once, in order. Chunks of an earlier attempt or of another request are
 // dropped. An out-of-order chunk is held until the tokens before it arrive. A
 // stream is complete only when its end marker has arrived and every token before
@@ -30,63 +30,63 @@
 
 // The defaults of [Config].
 const (
-	DefaultAttempts = 4
-	DefaultAhead    = 256
+	DefaultMaxAttempts      = 4
+	DefaultMaxReorderTokens = 256
 )
 
-// Config holds the parameters of an [Answer].
+// Config holds the parameters of an [Assembler].
 type Config struct {
 	// Request is the id of the request; events with another id are dropped.
 	Request string
-	// Attempts is the maximum number of attempts. Default 4: a request that
+	// MaxAttempts is the maximum number of attempts. Default 4: a request that
 	// crashes engines itself is quarantined after two, and another request on the
 	// same engines, which both crashes can interrupt, still has a third attempt
 	// and one in reserve.
-	Attempts int
-	// Ahead is the maximum distance, in tokens, from the next missing token to the
+	MaxAttempts int
+	// MaxReorderTokens is the maximum distance, in tokens, from the next missing token to the
 	// beginning of a chunk that is held for it. Default 256: at 29 ms per token that is seven seconds of output,
 	// after which the missing token won't arrive; the held tokens take a few
 	// kilobytes.
-	Ahead int
+	MaxReorderTokens int
 }
 
-// Verdict is what the caller of an [Answer] does after an event.
-type Verdict string
+// Action is what the caller of an [Assembler] does after an event.
+type Action string
 
 // The verdicts.
 const (
-	// VerdictForward: send the step's tokens to the caller and continue reading.
-	VerdictForward Verdict = "forward"
-	// VerdictDrop: send nothing. The event was late, a duplicate or of another
+	// ActionForward: send the step's tokens to the caller and continue reading.
+	ActionForward Action = "forward"
+	// ActionDrop: send nothing. The event was late, a duplicate or of another
 	// request, or it is held until earlier tokens arrive.
-	VerdictDrop Verdict = "drop"
-	// VerdictResume: the attempt ended without its end marker, or was broken off.
+	ActionDrop Action = "drop"
+	// ActionResume: the attempt ended without its end marker, or was broken off.
 	// Start another one at the step's position; later events of this one are
 	// dropped.
-	VerdictResume Verdict = "resume"
-	// VerdictWhole: send the step's tokens and the end; the response is complete.
-	VerdictWhole Verdict = "whole"
-	// VerdictFailed: no attempt is left, or the response was aborted. It must be
+	ActionResume Action = "resume"
+	// ActionComplete: send the step's tokens and the end; the response is complete.
+	ActionComplete Action = "whole"
+	// ActionFail: no attempt is left, or the response was aborted. It must be
 	// ended as broken off, never as if it were complete.
-	VerdictFailed Verdict = "failed"
+	ActionFail Action = "failed"
 )
 
-// Step is the result of one event.
-type Step struct {
-	verdict  Verdict
+// Result is the result of one event.
+type Result struct {
+	verdict  Action
 	tokens   []string
 	position int
 }
 
-// Verdict returns what to do next.
-func (s Step) Verdict() Verdict { return s.verdict }
+// Action returns what to do next.
+func (s Result) Action() Action { return s.verdict }
 
 // Tokens returns the tokens to send to the caller now, in order.
-func (s Step) Tokens() []string { return s.tokens }
+func (s Result) Tokens() []string { return s.tokens }
 
 // ResumeAt returns the number of tokens that the caller has, which is the
 // zero-based index of the token with which the next attempt begins.
-func (s Step) ResumeAt() int { return s.position }
+func (s Result) ResumeAt() int { return s.position }
 
 // Chunk is a part of a response as an engine sent it.
 type Chunk struct {
@@ -116,14 +116,14 @@
 	return Usage{prompt: prompt, cached: cached, output: output}
 }
 
-// Prompt returns the number of tokens of the prompt.
-func (u Usage) Prompt() int { return u.prompt }
+// PromptTokens returns the number of tokens of the prompt.
+func (u Usage) PromptTokens() int { return u.prompt }
 
-// Cached returns the number of tokens of the prompt that the engine had cached.
-func (u Usage) Cached() int { return u.cached }
+// CachedTokens returns the number of tokens of the prompt that the engine had cached.
+func (u Usage) CachedTokens() int { return u.cached }
 
-// Output returns the number of tokens of the response.
-func (u Usage) Output() int { return u.output }
+// OutputTokens returns the number of tokens of the response.
+func (u Usage) OutputTokens() int { return u.output }
 
 // End is the end marker of an engine's stream.
 type End struct {
@@ -152,9 +152,9 @@
 	return Usage{prompt: e.usage.prompt, cached: min(e.usage.cached, e.usage.prompt), output: e.totalTokens}
 }
 
-// Answer assembles one response. It is not safe for concurrent use: the goroutine
+// Assembler assembles one response. It is not safe for concurrent use: the goroutine
 // that serves the request owns it.
-type Answer struct {
+type Assembler struct {
 	config             Config
 	attempt            int
 	attemptActive      bool
@@ -166,22 +166,22 @@
 	otherRequestEvents int
 }
 
-// New checks c and returns an [Answer] without any attempt. It returns an error if the id of the
+// New checks c and returns an [Assembler] without any attempt. It returns an error if the id of the
 // request is empty.
-func New(c Config) (*Answer, error) {
+func New(c Config) (*Assembler, error) {
 	if c.Request == "" {
 		return nil, errors.New("an answer needs the id of its request")
 	}
-	c.Attempts = cmp.Or(c.Attempts, DefaultAttempts)
-	c.Ahead = cmp.Or(c.Ahead, DefaultAhead)
-	return &Answer{config: c, outOfOrder: map[int]string{}}, nil
+	c.MaxAttempts = cmp.Or(c.MaxAttempts, DefaultMaxAttempts)
+	c.MaxReorderTokens = cmp.Or(c.MaxReorderTokens, DefaultMaxReorderTokens)
+	return &Assembler{config: c, outOfOrder: map[int]string{}}, nil
 }
 
 // Start begins the next attempt and returns its number, from one, and the
 // position, in tokens, at which its engine must continue. It reports false if the
 // response has ended or no attempt is left.
-func (a *Answer) Start() (attempt, position int, ok bool) {
-	if a.ended || a.attempt >= a.config.Attempts {
+func (a *Assembler) Start() (attempt, position int, ok bool) {
+	if a.ended || a.attempt >= a.config.MaxAttempts {
 		return 0, 0, false
 	}
 	a.attempt++
@@ -192,9 +192,9 @@
 }
 
 // Chunk handles a received chunk.
-func (a *Answer) Chunk(c Chunk) Step {
+func (a *Assembler) Chunk(c Chunk) Result {
 	if !a.isCurrent(c.request, c.attempt) {
-		return a.newStep(VerdictDrop, nil)
+		return a.newStep(ActionDrop, nil)
 	}
 	if !a.consistent(c) {
 		return a.endAttempt()
@@ -209,9 +209,9 @@
 // End handles a received end marker. A marker that arrives before the last tokens
 // is held until they arrive. If the connection closes first, the tokens were lost
 // and the attempt is broken off.
-func (a *Answer) End(e End) Step {
+func (a *Assembler) End(e End) Result {
 	if !a.isCurrent(e.request, e.attempt) {
-		return a.newStep(VerdictDrop, nil)
+		return a.newStep(ActionDrop, nil)
 	}
 	if a.minLength() > e.totalTokens {
 		return a.endAttempt()
@@ -221,7 +221,7 @@
 }
 
 // minLength returns the minimum length of the response, given the tokens received.
-func (a *Answer) minLength() int {
+func (a *Assembler) minLength() int {
 	length := len(a.sent)
 	for index := range a.outOfOrder {
 		length = max(length, index+1)
@@ -231,43 +231,43 @@
 
 // completeIfDelivered completes the response if all tokens before the end marker
 // were forwarded.
-func (a *Answer) completeIfDelivered(tokens []string) Step {
+func (a *Assembler) completeIfDelivered(tokens []string) Result {
 	if len(a.sent) < a.endMarker.totalTokens {
 		return a.forwardOrDrop(tokens)
 	}
 	a.attemptActive = false
 	a.ended = true
-	return a.newStep(VerdictWhole, tokens)
+	return a.newStep(ActionComplete, tokens)
 }
 
-func (a *Answer) forwardOrDrop(tokens []string) Step {
+func (a *Assembler) forwardOrDrop(tokens []string) Result {
 	if len(tokens) == 0 {
-		return a.newStep(VerdictDrop, nil)
+		return a.newStep(ActionDrop, nil)
 	}
-	return a.newStep(VerdictForward, tokens)
+	return a.newStep(ActionForward, tokens)
 }
 
-// Cut handles the end of an attempt's connection, with or without an error. After
+// ConnectionClosed handles the end of an attempt's connection, with or without an error. After
 // a complete response it has no effect; before that the attempt is broken off.
-func (a *Answer) Cut(request string, attempt int) Step {
+func (a *Assembler) ConnectionClosed(request string, attempt int) Result {
 	if !a.isCurrent(request, attempt) {
-		return a.newStep(VerdictDrop, nil)
+		return a.newStep(ActionDrop, nil)
 	}
 	return a.endAttempt()
 }
 
 // Abort ends a response that is not complete, if its caller has disconnected or no
 // engine may be tried.
-func (a *Answer) Abort() Step {
+func (a *Assembler) Abort() Result {
 	a.attemptActive = false
 	a.ended = true
 	a.endMarker = nil
-	return a.newStep(VerdictFailed, nil)
+	return a.newStep(ActionFail, nil)
 }
 
 // isCurrent reports whether an event belongs to this request and to the active
 // attempt. Otherwise it counts the event as late or as one of another request.
-func (a *Answer) isCurrent(request string, attempt int) bool {
+func (a *Assembler) isCurrent(request string, attempt int) bool {
 	if request != a.config.Request {
 		a.otherRequestEvents++
 		return false
@@ -282,8 +282,8 @@
 // consistent reports whether c agrees with everything received: no different token
 // at a known index, none after the end, and a beginning that is not too far ahead
 // of the next missing token.
-func (a *Answer) consistent(c Chunk) bool {
-	if c.firstIndex < 0 || c.firstIndex > len(a.sent)+a.config.Ahead {
+func (a *Assembler) consistent(c Chunk) bool {
+	if c.firstIndex < 0 || c.firstIndex > len(a.sent)+a.config.MaxReorderTokens {
 		return false
 	}
 	if a.endMarker != nil && c.firstIndex+len(c.tokens) > a.endMarker.totalTokens {
@@ -297,7 +297,7 @@
 	return true
 }
 
-func (a *Answer) receivedToken(index int) (string, bool) {
+func (a *Assembler) receivedToken(index int) (string, bool) {
 	if index < len(a.sent) {
 		return a.sent[index], true
 	}
@@ -306,7 +306,7 @@
 }
 
 // accept stores the new tokens of c and returns those that can be forwarded now.
-func (a *Answer) accept(c Chunk) []string {
+func (a *Assembler) accept(c Chunk) []string {
 	firstSent := len(a.sent)
 	for i, token := range c.tokens {
 		switch index := c.firstIndex + i; {
@@ -324,7 +324,7 @@
 }
 
 // pruneOutOfOrder removes the held tokens that were sent, from index firstSent on.
-func (a *Answer) pruneOutOfOrder(firstSent int) {
+func (a *Assembler) pruneOutOfOrder(firstSent int) {
 	if len(a.outOfOrder) == 0 {
 		return
 	}
@@ -333,39 +333,39 @@
 	}
 }
 
-func (a *Answer) endAttempt() Step {
+func (a *Assembler) endAttempt() Result {
 	a.attemptActive = false
 	a.endMarker = nil
 	clear(a.outOfOrder)
-	if a.attempt >= a.config.Attempts {
+	if a.attempt >= a.config.MaxAttempts {
 		a.ended = true
-		return a.newStep(VerdictFailed, nil)
+		return a.newStep(ActionFail, nil)
 	}
-	return a.newStep(VerdictResume, nil)
+	return a.newStep(ActionResume, nil)
 }
 
-func (a *Answer) newStep(v Verdict, tokens []string) Step {
-	return Step{verdict: v, tokens: tokens, position: len(a.sent)}
+func (a *Assembler) newStep(v Action, tokens []string) Result {
+	return Result{verdict: v, tokens: tokens, position: len(a.sent)}
 }
 
-// Sent returns the tokens that the caller has, for the engine that continues. The
+// SentTokens returns the tokens that the caller has, for the engine that continues. The
 // slice must not be changed.
-func (a *Answer) Sent() []string { return a.sent }
+func (a *Assembler) SentTokens() []string { return a.sent }
 
 // Attempt returns the number of the latest attempt, zero before the first.
-func (a *Answer) Attempt() int { return a.attempt }
+func (a *Assembler) Attempt() int { return a.attempt }
 
-// Ended returns the end marker of a complete response, and false if the response is
+// EndMarker returns the end marker of a complete response, and false if the response is
 // not complete.
-func (a *Answer) Ended() (End, bool) {
+func (a *Assembler) EndMarker() (End, bool) {
 	if !a.ended || a.endMarker == nil {
 		return End{}, false
 	}
 	return *a.endMarker, true
 }
 
-// Late returns the number of events that arrived after their attempt had ended.
-func (a *Answer) Late() int { return a.lateEvents }
+// LateEvents returns the number of events that arrived after their attempt had ended.
+func (a *Assembler) LateEvents() int { return a.lateEvents }
 
-// Foreign returns the number of events that belonged to another request.
-func (a *Answer) Foreign() int { return a.otherRequestEvents }
+// OtherRequestEvents returns the number of events that belonged to another request.
+func (a *Assembler) OtherRequestEvents() int { return a.otherRequestEvents }
--- a/pkg/kumquatlug/stream/stream_test.go
+++ b/pkg/kumquatlug/stream/stream_test.go
@@ -8,7 +8,7 @@
 
 const requestID = "r-1"
 
-func startAssembler(t *testing.T, c Config) *Answer {
+func startAssembler(t *testing.T, c Config) *Assembler {
 	t.Helper()
 	c.Request = requestID
 	a, err := New(c)
@@ -21,10 +21,10 @@
 	return a
 }
 
-func expectStep(t *testing.T, s Step, v Verdict, tokens string, position int) {
+func expectStep(t *testing.T, s Result, v Action, tokens string, position int) {
 	t.Helper()
-	if got := strings.Join(s.Tokens(), ""); s.Verdict() != v || got != tokens || s.ResumeAt() != position {
-		t.Errorf("step = %q with tokens %q at position %d, want %q with %q at %d", s.Verdict(), got, s.ResumeAt(), v, tokens, position)
+	if got := strings.Join(s.Tokens(), ""); s.Action() != v || got != tokens || s.ResumeAt() != position {
+		t.Errorf("step = %q with tokens %q at position %d, want %q with %q at %d", s.Action(), got, s.ResumeAt(), v, tokens, position)
 	}
 }
 
@@ -32,58 +32,58 @@
 	// An engine crashes in the middle of a response. Another engine continues while
 	// chunks of the first one still arrive. The caller must receive each token once.
 	a := startAssembler(t, Config{})
-	expectStep(t, a.Chunk(NewChunk(requestID, 1, 0, "a", "b")), VerdictForward, "ab", 2)
-	expectStep(t, a.Cut(requestID, 1), VerdictResume, "", 2)
+	expectStep(t, a.Chunk(NewChunk(requestID, 1, 0, "a", "b")), ActionForward, "ab", 2)
+	expectStep(t, a.ConnectionClosed(requestID, 1), ActionResume, "", 2)
 	if attempt, position, ok := a.Start(); attempt != 2 || position != 2 || !ok {
 		t.Fatalf("Start() = %d, %d, %v, want attempt 2 at position 2", attempt, position, ok)
 	}
-	expectStep(t, a.Chunk(NewChunk(requestID, 1, 2, "c", "d")), VerdictDrop, "", 2)
-	expectStep(t, a.Chunk(NewChunk("r-2", 2, 2, "x")), VerdictDrop, "", 2)
-	expectStep(t, a.Chunk(NewChunk(requestID, 2, 1, "b", "c")), VerdictForward, "c", 3)
-	expectStep(t, a.Chunk(NewChunk(requestID, 2, 4, "e")), VerdictDrop, "", 3)
-	expectStep(t, a.End(NewEnd(requestID, 2, 5, "stop", NewUsage(7, 9, 3))), VerdictDrop, "", 3)
-	expectStep(t, a.Chunk(NewChunk(requestID, 2, 3, "d")), VerdictWhole, "de", 5)
-	expectStep(t, a.Cut(requestID, 2), VerdictDrop, "", 5)
-	e, ok := a.Ended()
+	expectStep(t, a.Chunk(NewChunk(requestID, 1, 2, "c", "d")), ActionDrop, "", 2)
+	expectStep(t, a.Chunk(NewChunk("r-2", 2, 2, "x")), ActionDrop, "", 2)
+	expectStep(t, a.Chunk(NewChunk(requestID, 2, 1, "b", "c")), ActionForward, "c", 3)
+	expectStep(t, a.Chunk(NewChunk(requestID, 2, 4, "e")), ActionDrop, "", 3)
+	expectStep(t, a.End(NewEnd(requestID, 2, 5, "stop", NewUsage(7, 9, 3))), ActionDrop, "", 3)
+	expectStep(t, a.Chunk(NewChunk(requestID, 2, 3, "d")), ActionComplete, "de", 5)
+	expectStep(t, a.ConnectionClosed(requestID, 2), ActionDrop, "", 5)
+	e, ok := a.EndMarker()
 	if !ok || e.Reason() != "stop" || e.Usage() != NewUsage(7, 7, 5) {
 		t.Errorf("end marker = %+v, %v", e, ok)
 	}
-	if a.Late() != 2 || a.Foreign() != 1 {
-		t.Errorf("late events %d, want 2; events of another request %d, want 1", a.Late(), a.Foreign())
+	if a.LateEvents() != 2 || a.OtherRequestEvents() != 1 {
+		t.Errorf("late events %d, want 2; events of another request %d, want 1", a.LateEvents(), a.OtherRequestEvents())
 	}
 }
 
 func TestCorruptAttemptsEndAndResume(t *testing.T) {
 	// A stream is corrupted between engine and gateway. Each kind of corruption
 	// looks like an ordinary response to a reader that only forwards.
-	cases := map[string]func(a *Answer) Step{
-		"end marker before the last token": func(a *Answer) Step {
+	cases := map[string]func(a *Assembler) Result{
+		"end marker before the last token": func(a *Assembler) Result {
 			a.End(NewEnd(requestID, 1, 3, "stop", Usage{}))
-			return a.Cut(requestID, 1)
+			return a.ConnectionClosed(requestID, 1)
 		},
-		"end marker below the number of tokens sent": func(a *Answer) Step {
+		"end marker below the number of tokens sent": func(a *Assembler) Result {
 			return a.End(NewEnd(requestID, 1, 1, "stop", Usage{}))
 		},
-		"token after the end": func(a *Answer) Step {
+		"token after the end": func(a *Assembler) Result {
 			a.End(NewEnd(requestID, 1, 3, "stop", Usage{}))
 			return a.Chunk(NewChunk(requestID, 1, 2, "c", "d"))
 		},
-		"different token at a known index": func(a *Answer) Step {
+		"different token at a known index": func(a *Assembler) Result {
 			return a.Chunk(NewChunk(requestID, 1, 1, "x", "c"))
 		},
-		"token too far ahead": func(a *Answer) Step {
+		"token too far ahead": func(a *Assembler) Result {
 			return a.Chunk(NewChunk(requestID, 1, 7, "h"))
 		},
 	}
 	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := startAssembler(t, Config{Ahead: 4, Attempts: 2})
+			a := startAssembler(t, Config{MaxReorderTokens: 4, MaxAttempts: 2})
 			a.Chunk(NewChunk(requestID, 1, 0, "a", "b"))
-			expectStep(t, corrupt(a), VerdictResume, "", 2)
+			expectStep(t, corrupt(a), ActionResume, "", 2)
 			if _, position, ok := a.Start(); position != 2 || !ok {
 				t.Fatalf("Start() at position %d, %v, want position 2", position, ok)
 			}
-			expectStep(t, a.Cut(requestID, 2), VerdictFailed, "", 2)
+			expectStep(t, a.ConnectionClosed(requestID, 2), ActionFail, "", 2)
 			if _, _, ok := a.Start(); ok {
 				t.Error("Start began a third attempt, although two are allowed")
 			}
@@ -91,14 +91,14 @@
 	}
 }
 
-func ExampleAnswer() {
+func ExampleAssembler() {
 	a, _ := New(Config{Request: "r-1"})
 	attempt, _, _ := a.Start()
 	fmt.Println(a.Chunk(NewChunk("r-1", attempt, 0, "one", "garment")).Tokens())
-	fmt.Println(a.Cut("r-1", attempt).Verdict())
+	fmt.Println(a.ConnectionClosed("r-1", attempt).Action())
 	attempt, position, _ := a.Start()
 	fmt.Println(attempt, position, a.Chunk(NewChunk("r-1", attempt, position, "left")).Tokens())
-	fmt.Println(a.End(NewEnd("r-1", attempt, 3, "stop", Usage{})).Verdict())
+	fmt.Println(a.End(NewEnd("r-1", attempt, 3, "stop", Usage{})).Action())
 	// Output:
 	// [one garment]
 	// resume
--- a/pkg/kumquatlug/target.go
+++ b/pkg/kumquatlug/target.go
@@ -63,10 +63,10 @@
 // VMRole is the kind of process that runs on a VM.
 type VMRole string
 
-// The roles of VMs: VMEntry runs a gateway, VMTarget a target with its agent.
+// The roles of VMs: VMGateway runs a gateway, VMTarget a target with its agent.
 const (
-	VMEntry  VMRole = "entry"
-	VMTarget VMRole = "target"
+	VMGateway VMRole = "entry"
+	VMTarget  VMRole = "target"
 )
 
 // VM is one entry of the platform's list.
@@ -134,23 +134,23 @@
 // Body returns the body to send, nil for none.
 func (c Call) Body() io.Reader { return c.body }
 
-// Answer is a target's response.
-type Answer struct {
+// TargetResponse is a target's response.
+type TargetResponse struct {
 	status int
 	header http.Header
 	body   io.ReadCloser
 }
 
-// NewAnswer returns a response whose body the receiver closes.
-func NewAnswer(status int, header http.Header, body io.ReadCloser) Answer {
-	return Answer{status: status, header: header, body: body}
+// NewTargetResponse returns a response whose body the receiver closes.
+func NewTargetResponse(status int, header http.Header, body io.ReadCloser) TargetResponse {
+	return TargetResponse{status: status, header: header, body: body}
 }
 
 // Status returns the HTTP status.
-func (a Answer) Status() int { return a.status }
+func (a TargetResponse) Status() int { return a.status }
 
 // Header returns the target's headers.
-func (a Answer) Header() http.Header { return a.header }
+func (a TargetResponse) Header() http.Header { return a.header }
 
 // Body returns the body, to be read once and closed.
-func (a Answer) Body() io.ReadCloser { return a.body }
+func (a TargetResponse) Body() io.ReadCloser { return a.body }
--- a/pkg/kumquatlug/usage/reporter.go
+++ b/pkg/kumquatlug/usage/reporter.go
@@ -19,10 +19,10 @@
 	// follows.
 	TallyPrefix = "usage/"
 	// ReportPrefix starts the keys of finalized reports that are not yet known to be
-	// sent; the number of the window follows. NextKey is the key of the row that names
+	// sent; the number of the window follows. NextWindowKey is the key of the row that names
 	// the next window to finalize.
-	ReportPrefix = "report/"
-	NextKey      = ReportPrefix + "next"
+	ReportPrefix  = "report/"
+	NextWindowKey = ReportPrefix + "next"
 )
 
 const (
@@ -31,7 +31,7 @@
 	firstScanDelay = 700 * kumquatlug.Millis(1)
 	// scanInterval is the interval between scans while tallies are incomplete.
 	scanInterval = 800 * kumquatlug.Millis(1)
-	// sendReserveDivisor divides [Windows.Due]: the result is the time before the due
+	// sendReserveDivisor divides [Windows.MaxReportDelay]: the result is the time before the due
 	// time that is reserved for finalizing and sending a report.
 	sendReserveDivisor = 4
 	// catchUpTimeout is how long gateways have, from the first scan of an old window
@@ -69,12 +69,12 @@
 const (
 	// ActionNone: make no call now.
 	ActionNone Action = "none"
-	// ActionLoad: scan all rows under [ReportPrefix].
-	ActionLoad Action = "load"
-	// ActionLook: scan all rows under [TallyPrefix].
-	ActionLook Action = "look"
-	// ActionFix: commit the intent's transaction.
-	ActionFix Action = "fix"
+	// ActionScanReports: scan all rows under [ReportPrefix].
+	ActionScanReports Action = "load"
+	// ActionScanTallies: scan all rows under [TallyPrefix].
+	ActionScanTallies Action = "look"
+	// ActionFinalize: commit the intent's transaction.
+	ActionFinalize Action = "fix"
 	// ActionSend: send the intent's report.
 	ActionSend Action = "send"
 )
@@ -99,9 +99,9 @@
 // Report returns the report to send, or the one that the transaction stores.
 func (i Intent) Report() Report { return i.report }
 
-// Missing returns the number of gateways whose tallies were incomplete for the window
+// MissingGateways returns the number of gateways whose tallies were incomplete for the window
 // when it was finalized.
-func (i Intent) Missing() int { return i.missingGateways }
+func (i Intent) MissingGateways() int { return i.missingGateways }
 
 // Reporter decides which calls the lease holder makes to finalize and send reports. It
 // is not safe for concurrent use.
@@ -143,9 +143,9 @@
 	return &Reporter{windows: w, incarnation: incarnation, unconfirmed: map[Window]Report{}}
 }
 
-// Hold sets the fencing token of the lease that this gateway holds, zero for none. A
+// SetFencingToken sets the fencing token of the lease that this gateway holds, zero for none. A
 // new token has the reporter read the store again.
-func (r *Reporter) Hold(fencingToken int64) {
+func (r *Reporter) SetFencingToken(fencingToken int64) {
 	if fencingToken == r.fencingToken {
 		return
 	}
@@ -155,11 +155,11 @@
 	}
 }
 
-// Open returns the number of finalized windows that are not known to be sent.
-func (r *Reporter) Open() int { return len(r.unsent) }
+// UnsentReports returns the number of finalized windows that are not known to be sent.
+func (r *Reporter) UnsentReports() int { return len(r.unsent) }
 
-// Next returns the call to make now. Pass its outcome to [Reporter.Loaded],
-// [Reporter.Looked], [Reporter.Fixed] or [Reporter.Sent].
+// Next returns the call to make now. Pass its outcome to [Reporter.ReportsScanned],
+// [Reporter.TalliesScanned], [Reporter.Finalized] or [Reporter.Sent].
 func (r *Reporter) Next(now kumquatlug.Millis) Intent {
 	none := Intent{action: ActionNone}
 	switch {
@@ -169,18 +169,18 @@
 		if now < r.nextReadAt {
 			return none
 		}
-		return Intent{action: ActionLoad}
+		return Intent{action: ActionScanReports}
 	case r.tallies != nil && r.readyToFinalize(now):
 		return r.finalize()
 	case now >= r.nextReadAt && now >= r.windows.End(r.nextWindow)+firstScanDelay:
-		return Intent{action: ActionLook}
+		return Intent{action: ActionScanTallies}
 	case len(r.unsent) > 0 && now >= r.nextSendAt:
 		return Intent{action: ActionSend, report: r.unsent[0]}
 	}
 	return none
 }
 
-// Stored forms of the row at NextKey and of a report.
+// Stored forms of the row at NextWindowKey and of a report.
 type (
 	nextWindowRow struct {
 		Window Window `json:"window"`
@@ -190,9 +190,9 @@
 	}
 )
 
-// DecodeNext decodes the row at [NextKey] and returns the first window that is not
+// DecodeNextWindow decodes the row at [NextWindowKey] and returns the first window that is not
 // finalized. It returns zero if the row doesn't exist, as no window is finalized then.
-func DecodeNext(row kumquatlug.Row) (Window, error) {
+func DecodeNextWindow(row kumquatlug.Row) (Window, error) {
 	if !row.Exists() {
 		return 0, nil
 	}
@@ -201,9 +201,9 @@
 	return decoded.Window, errors.Wrap(err, "decode the next window")
 }
 
-// Loaded handles the result of [ActionLoad], the rows under [ReportPrefix]. A row that
+// ReportsScanned handles the result of [ActionScanReports], the rows under [ReportPrefix]. A row that
 // can't be decoded can't be sent; it is skipped and returned as an error.
-func (r *Reporter) Loaded(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
+func (r *Reporter) ReportsScanned(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
 	if err != nil {
 		r.nextReadAt = now + r.nextBackoff()
 		return errors.Wrap(err, "scan the reports")
@@ -226,8 +226,8 @@
 }
 
 func (r *Reporter) loadRow(row kumquatlug.Row) error {
-	if row.Key() == NextKey {
-		next, err := DecodeNext(row)
+	if row.Key() == NextWindowKey {
+		next, err := DecodeNextWindow(row)
 		if err == nil {
 			r.nextWindow, r.nextVersion = next, row.Version()
 			r.finalizedBefore = max(r.finalizedBefore, next)
@@ -251,9 +251,9 @@
 	return nil
 }
 
-// Looked handles the result of [ActionLook], the rows under [TallyPrefix]. A row that
+// TalliesScanned handles the result of [ActionScanTallies], the rows under [TallyPrefix]. A row that
 // can't be decoded is skipped and returned as an error.
-func (r *Reporter) Looked(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
+func (r *Reporter) TalliesScanned(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
 	r.nextReadAt = now + scanInterval
 	if err != nil {
 		r.nextReadAt = now + r.nextBackoff()
@@ -309,7 +309,7 @@
 		// A gateway that writes its first tally may have requests in an earlier window.
 		return false
 	}
-	deadline := max(r.windows.End(r.nextWindow)+r.windows.Due-r.windows.Due/sendReserveDivisor, firstScan+catchUpTimeout)
+	deadline := max(r.windows.End(r.nextWindow)+r.windows.MaxReportDelay-r.windows.MaxReportDelay/sendReserveDivisor, firstScan+catchUpTimeout)
 	return r.missingGateways() == 0 || now >= deadline
 }
 
@@ -337,7 +337,7 @@
 		counts.add(t.counts[r.nextWindow])
 	}
 	r.txSequence++
-	i := Intent{action: ActionFix, report: Report{window: r.nextWindow, counts: counts}, missingGateways: r.missingGateways()}
+	i := Intent{action: ActionFinalize, report: Report{window: r.nextWindow, counts: counts}, missingGateways: r.missingGateways()}
 	i.deletedKeys = append(i.deletedKeys, r.sentKeys...)
 	for key, t := range r.tallies {
 		if (t.final || r.stale(t)) && !r.hasOpenWindows(t) {
@@ -347,8 +347,8 @@
 	r.pending = i.report
 	slices.Sort(i.deletedKeys)
 	i.deletedKeys = i.deletedKeys[:min(len(i.deletedKeys), maxDeletesPerTx)]
-	i.tx = kumquatlug.NewTx(fmt.Sprintf("%s/usage/%d", r.incarnation, r.txSequence)).If(NextKey, r.nextVersion).
-		Put(NextKey, encode(nextWindowRow{Window: r.nextWindow + 1})).
+	i.tx = kumquatlug.NewTx(fmt.Sprintf("%s/usage/%d", r.incarnation, r.txSequence)).If(NextWindowKey, r.nextVersion).
+		Put(NextWindowKey, encode(nextWindowRow{Window: r.nextWindow + 1})).
 		If(reportKey(r.nextWindow), 0).Put(reportKey(r.nextWindow), encode(reportRow{Counts: counts}))
 	for _, key := range i.deletedKeys {
 		i.tx = i.tx.Delete(key)
@@ -374,9 +374,9 @@
 	return text
 }
 
-// Fixed handles the result of [ActionFix]. The store is read again in any case: after a
+// Finalized handles the result of [ActionFinalize]. The store is read again in any case: after a
 // failure the transaction may have taken effect, or that of another lease holder.
-func (r *Reporter) Fixed(now kumquatlug.Millis, err error) {
+func (r *Reporter) Finalized(now kumquatlug.Millis, err error) {
 	r.loaded, r.tallies = false, nil
 	if err != nil {
 		r.nextReadAt = now + r.nextBackoff()
--- a/pkg/kumquatlug/usage/restore.go
+++ b/pkg/kumquatlug/usage/restore.go
@@ -26,11 +26,11 @@
 	r.nextWindow = max(storedNext, r.finalizedBefore)
 }
 
-// Again returns the transaction that rewrites the reports that this gateway finalized
+// RestoreTx returns the transaction that rewrites the reports that this gateway finalized
 // or read and does not know to be sent, and whether there is anything to write. It is
 // needed after the store was restored from an older copy, whichever gateway holds the
 // lease now. Existing are the rows under [ReportPrefix]; they are left unchanged.
-func (r *Reporter) Again(now kumquatlug.Millis, existing []kumquatlug.Row) (kumquatlug.Tx, bool) {
+func (r *Reporter) RestoreTx(now kumquatlug.Millis, existing []kumquatlug.Row) (kumquatlug.Tx, bool) {
 	r.txSequence++
 	if now < r.pendingUntil {
 		r.recordFinalized(r.pending)
--- a/pkg/kumquatlug/usage/simulation_test.go
+++ b/pkg/kumquatlug/usage/simulation_test.go
@@ -55,7 +55,7 @@
 	s.leaseHolder = -1
 	for gateway, r := range s.reporters {
 		rows, err := s.scan(gateway, ReportPrefix)
-		if tx, needed := r.Again(s.now, rows); err == nil && needed {
+		if tx, needed := r.RestoreTx(s.now, rows); err == nil && needed {
 			_ = s.commit(gateway, tx)
 		}
 	}
@@ -132,7 +132,7 @@
 
 // recordRequest counts a request at a gateway and in the expected counts.
 func (s *simulation) recordRequest(gateway int, account string) {
-	s.counters[gateway].Began(s.now, account)
+	s.counters[gateway].Record(s.now, account)
 	k := testWindows.At(s.now)
 	if s.recorded[k] == nil {
 		s.recorded[k] = map[string]int64{}
@@ -150,31 +150,31 @@
 			s.t.Fatal(err)
 		}
 		if s.commit(gateway, kumquatlug.NewTx("t").Put(fmt.Sprintf("%s%d.%d", TallyPrefix, gateway, s.restarts[gateway]), text)) == nil {
-			s.counters[gateway].Told(tally)
+			s.counters[gateway].Stored(tally)
 		}
-		if s.counters[gateway].Old(s.now) && !s.storeDown && !s.disconnected[gateway] {
-			next, err := DecodeNext(s.rows[NextKey])
+		if s.counters[gateway].ShouldCheckFinalized(s.now) && !s.storeDown && !s.disconnected[gateway] {
+			next, err := DecodeNextWindow(s.rows[NextWindowKey])
 			if err != nil {
 				s.t.Fatal(err)
 			}
-			s.counters[gateway].Fixed(next)
+			s.counters[gateway].DropFinalized(next)
 		}
 	}
 	r := s.reporters[gateway]
-	r.Hold(fencingToken)
+	r.SetFencingToken(fencingToken)
 	for range 8 {
 		i := r.Next(s.now)
 		switch i.Action() {
 		case ActionNone:
 			return
-		case ActionLoad:
+		case ActionScanReports:
 			rows, err := s.scan(gateway, ReportPrefix)
-			_ = r.Loaded(s.now, rows, err)
-		case ActionLook:
+			_ = r.ReportsScanned(s.now, rows, err)
+		case ActionScanTallies:
 			rows, err := s.scan(gateway, TallyPrefix)
-			_ = r.Looked(s.now, rows, err)
-		case ActionFix:
-			r.Fixed(s.now, s.commit(gateway, i.Tx()))
+			_ = r.TalliesScanned(s.now, rows, err)
+		case ActionFinalize:
+			r.Finalized(s.now, s.commit(gateway, i.Tx()))
 		case ActionSend:
 			r.Sent(s.now, i.Report(), s.receive(i.Report()))
 		}
@@ -212,7 +212,7 @@
 		t.Error(violation)
 	}
 	for k, counts := range s.recorded {
-		if testWindows.End(k)+testWindows.Due > s.now {
+		if testWindows.End(k)+testWindows.MaxReportDelay > s.now {
 			continue
 		}
 		got, reported := s.received[k]
--- a/pkg/kumquatlug/usage/usage.go
+++ b/pkg/kumquatlug/usage/usage.go
@@ -30,7 +30,7 @@
 type Windows struct {
 	// Span is the length of a window. Due is the maximum delay of a report after the
 	// end of its window.
-	Span, Due kumquatlug.Millis
+	Span, MaxReportDelay kumquatlug.Millis
 }
 
 // At returns the window that contains a time.
@@ -78,8 +78,8 @@
 	return &Counter{windows: w, counts: map[Window]Counts{}, storedAt: map[Window]kumquatlug.Millis{}}
 }
 
-// Began counts a request of an account that begins at now.
-func (c *Counter) Began(now kumquatlug.Millis, account string) {
+// Record counts a request of an account that begins at now.
+func (c *Counter) Record(now kumquatlug.Millis, account string) {
 	k := c.windows.At(now)
 	if c.counts[k] == nil {
 		c.counts[k] = Counts{}
@@ -117,8 +117,8 @@
 	return t
 }
 
-// Told records that a tally has been stored.
-func (c *Counter) Told(t Tally) {
+// Stored records that a tally has been stored.
+func (c *Counter) Stored(t Tally) {
 	for k := range t.counts {
 		if _, stored := c.storedAt[k]; !stored && t.countedUntil >= c.windows.End(k) {
 			c.storedAt[k] = t.countedUntil
@@ -130,22 +130,22 @@
 // store is queried for which windows are finalized.
 const minPastDueWindows = 3
 
-// Old reports whether several windows were stored so long ago that they have most
+// ShouldCheckFinalized reports whether several windows were stored so long ago that they have most
 // likely been reported. While no gateway holds the lease they are not reported and
-// must stay in the tally, so the caller reads [NextKey] before they are dropped.
-func (c *Counter) Old(now kumquatlug.Millis) bool {
+// must stay in the tally, so the caller reads [NextWindowKey] before they are dropped.
+func (c *Counter) ShouldCheckFinalized(now kumquatlug.Millis) bool {
 	pastDue := 0
 	for _, storedAt := range c.storedAt {
-		if now-storedAt > c.windows.Due {
+		if now-storedAt > c.windows.MaxReportDelay {
 			pastDue++
 		}
 	}
 	return pastDue >= minPastDueWindows
 }
 
-// Fixed records next as the first window that is not finalized, and drops the earlier
+// DropFinalized records next as the first window that is not finalized, and drops the earlier
 // windows whose counts are stored completely.
-func (c *Counter) Fixed(next Window) {
+func (c *Counter) DropFinalized(next Window) {
 	c.finalizedBefore = max(c.finalizedBefore, next)
 	for k := range c.storedAt {
 		if k < next {
@@ -166,9 +166,9 @@
 	counts          map[Window]Counts
 }
 
-// Left reports whether the tally is final: no counts of that gateway will follow,
+// Final reports whether the tally is final: no counts of that gateway will follow,
 // unless it writes again.
-func (t Tally) Left() bool { return t.final }
+func (t Tally) Final() bool { return t.final }
 
 // Complete reports whether the tally contains all requests of a window at its gateway.
 func (t Tally) Complete(w Windows, k Window) bool { return t.final || t.countedUntil >= w.End(k) }
--- a/pkg/kumquatlug/usage/usage_test.go
+++ b/pkg/kumquatlug/usage/usage_test.go
@@ -13,7 +13,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-var testWindows = Windows{Span: 5000, Due: 10_000}
+var testWindows = Windows{Span: 5000, MaxReportDelay: 10_000}
 
 // Guards against gateways that number windows differently, and against a request at
 // the very end of a window that is counted in the next one.
@@ -33,23 +33,23 @@
 func TestTallyKeepsWindowsUntilFinalized(t *testing.T) {
 	c := NewCounter(testWindows)
 	for k := range 18 {
-		c.Began(kumquatlug.Millis(k)*5000, "north")
+		c.Record(kumquatlug.Millis(k)*5000, "north")
 	}
 	now := kumquatlug.Millis(18 * 5000)
 	if tally := c.Tally(now, false); len(tally.counts) != 18 {
 		t.Fatalf("the tally has %d windows, want 18", len(tally.counts))
 	}
-	c.Told(c.Tally(now, false))
-	if c.Old(now+testWindows.Due) || !c.Old(now+testWindows.Due+1) {
+	c.Stored(c.Tally(now, false))
+	if c.ShouldCheckFinalized(now+testWindows.MaxReportDelay) || !c.ShouldCheckFinalized(now+testWindows.MaxReportDelay+1) {
 		t.Error("Old reports windows before their due time, or never")
 	}
-	c.Fixed(16)
+	c.DropFinalized(16)
 	if tally := c.Tally(now, false); len(tally.counts) != 2 {
 		t.Errorf("the tally has %d windows, want the 2 that are not finalized", len(tally.counts))
 	}
-	c.Fixed(18)
+	c.DropFinalized(18)
 	for k := range 60 {
-		c.Began(kumquatlug.Millis(100+k)*5000, "north")
+		c.Record(kumquatlug.Millis(100+k)*5000, "north")
 	}
 	if tally := c.Tally(now, false); len(tally.counts) != maxTallyWindows || tally.counts[159]["north"] != 1 {
 		t.Errorf("the tally has %d windows, want the latest 24", len(tally.counts))
@@ -156,13 +156,13 @@
 // must a row that can't be decoded.
 func TestPermanentlyRejectedReportIsDropped(t *testing.T) {
 	r := NewReporter(testWindows, "me")
-	r.Hold(1)
+	r.SetFencingToken(1)
 	r.Next(0)
 	rows := []kumquatlug.Row{
 		kumquatlug.NewRow(ReportPrefix+"4", []byte(`{"counts":{"a":1}}`), 3), kumquatlug.NewRow(ReportPrefix+"3", []byte(`{"counts":{}}`), 2),
 		kumquatlug.NewRow(ReportPrefix+"next", []byte(`{"window":5}`), 4), kumquatlug.NewRow(ReportPrefix+"x", []byte(`{}`), 5),
 	}
-	if err := r.Loaded(26_000, rows, nil); err == nil {
+	if err := r.ReportsScanned(26_000, rows, nil); err == nil {
 		t.Error("no error for a row that can't be decoded")
 	}
 	first := r.Next(26_000)
@@ -206,7 +206,7 @@
 			return s.violations[0]
 		}
 		for k := range s.recorded {
-			if _, reported := s.received[k]; !reported && testWindows.End(k)+testWindows.Due < s.now {
+			if _, reported := s.received[k]; !reported && testWindows.End(k)+testWindows.MaxReportDelay < s.now {
 				return fmt.Sprintf("window %d was not reported", k)
 			}
 		}
@@ -223,7 +223,7 @@
 	s.run(13_000, allGateways)
 	s.receiverDown = true
 	s.run(6_000, allGateways)
-	finalized := s.reporters[0].Open()
+	finalized := s.reporters[0].UnsentReports()
 	s.restarts[0]++
 	s.counters[0] = NewCounter(testWindows)
 	s.reporters[0] = NewReporter(testWindows, "front-0b")
@@ -263,7 +263,7 @@
 			return s.violations[0]
 		}
 		for k := range s.recorded {
-			if _, reported := s.received[k]; !reported && testWindows.End(k)+testWindows.Due < s.now {
+			if _, reported := s.received[k]; !reported && testWindows.End(k)+testWindows.MaxReportDelay < s.now {
 				return fmt.Sprintf("window %d was not reported", k)
 			}
 		}
--- a/pkg/kumquatlug/workerload.go
+++ b/pkg/kumquatlug/workerload.go
@@ -29,12 +29,12 @@
 // Slots returns how many requests may run at once.
 func (l WorkerLoad) Slots() int { return l.slots }
 
-// Leaving reports that the worker is shutting down.
-func (r Reply) Leaving() bool { return r.leaving }
+// ShuttingDown reports that the worker is shutting down.
+func (r WorkerResponse) ShuttingDown() bool { return r.leaving }
 
-// Pause returns how long the worker wants no more requests from this gateway, zero if
+// Backoff returns how long the worker wants no more requests from this gateway, zero if
 // it does not say.
-func (r Reply) Pause() Millis { return r.pause }
+func (r WorkerResponse) Backoff() Millis { return r.pause }
 
 // RateLimit is the request rate that a worker reports to accept from all gateways
 // together. The zero value means that it reports nothing.
@@ -52,11 +52,11 @@
 // NoRateLimit returns the report that there is no limit.
 func NoRateLimit() RateLimit { return RateLimit{known: true} }
 
-// Named reports whether there is a limit.
-func (l RateLimit) Named() bool { return l.limited }
+// Limited reports whether there is a limit.
+func (l RateLimit) Limited() bool { return l.limited }
 
-// None reports whether the worker said that there is no limit.
-func (l RateLimit) None() bool { return l.known && !l.limited }
+// Unlimited reports whether the worker said that there is no limit.
+func (l RateLimit) Unlimited() bool { return l.known && !l.limited }
 
 // PerSecond returns the limit in requests per second.
 func (l RateLimit) PerSecond() float64 { return l.perSecond }
--- a/test/front/accounts_test.go
+++ b/test/front/accounts_test.go
@@ -33,23 +33,23 @@
 // header. Every attempt must carry the right account and no key, and keys must not
 // appear in the log or the metrics, where a reader could use them to act for the account.
 func TestWorkersReceiveAccountButNoKey(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 1, Decode: 1, Plain: 2, Events: 4, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PrefillEngines: 1, DecodeEngines: 1, PlainWorkers: 2, Events: 4, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}, "south": {southKey}})
 	p := newGateway(t, s, "front-1")
 	spoofed := map[string]string{"tenant": "south", "Connection": "close, Tenant, Key"}
-	requireComplete(t, p.doWithKey(northKey, http.MethodPost, site.PathPost+"x", "n1", spoofed), fleet.Body("n1"))
-	requireComplete(t, p.doWithKey(northKey, http.MethodGet, site.PathLook+"x", "n2", spoofed), fleet.Body("n2"))
-	requireComplete(t, p.doWithKey(northKey, http.MethodPost, site.PathLong+"x", "n3", longPromptHeaders("n3")), streamBody("n3", 4))
-	requireComplete(t, p.doWithKey(southKey, http.MethodPost, site.PathPost+"x", "s1", nil), fleet.Body("s1"))
-	if got := p.doWithKey("none-secret-3", http.MethodPost, site.PathPost+"x", "x1", nil); got.status != http.StatusUnauthorized {
+	requireComplete(t, p.doWithKey(northKey, http.MethodPost, site.PathNonIdempotent+"x", "n1", spoofed), fleet.ResponseBody("n1"))
+	requireComplete(t, p.doWithKey(northKey, http.MethodGet, site.PathIdempotent+"x", "n2", spoofed), fleet.ResponseBody("n2"))
+	requireComplete(t, p.doWithKey(northKey, http.MethodPost, site.PathResumable+"x", "n3", longPromptHeaders("n3")), streamBody("n3", 4))
+	requireComplete(t, p.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "s1", nil), fleet.ResponseBody("s1"))
+	if got := p.doWithKey("none-secret-3", http.MethodPost, site.PathNonIdempotent+"x", "x1", nil); got.status != http.StatusUnauthorized {
 		t.Errorf("unknown key: got %+v", got)
 	}
 	if got := p.post("x2"); got.status != http.StatusUnauthorized {
 		t.Errorf("no key: got %+v", got)
 	}
 	attempts := 0
-	for _, w := range append(s.Engines, s.Plain...) {
-		for _, h := range w.Received() {
+	for _, w := range append(s.Engines, s.PlainWorkers...) {
+		for _, h := range w.ReceivedHeaders() {
 			attempts++
 			account := map[byte]string{'n': "north", 's': "south"}[h.Get("Attempt-Id")[0]]
 			if account == "" || h.Get("Tenant") != account || len(h.Values("Tenant")) != 1 {
@@ -80,8 +80,8 @@
 	p.flags = []string{"--log-level", "debug", "--metrics-listen", net.JoinHostPort("127.0.0.1", strconv.Itoa(n+30_000))}
 	p.start()
 	p.waitReady()
-	requireComplete(t, p.doWithKey(northKey, http.MethodPost, site.PathPost+"x", "n5", nil), fleet.Body("n5"))
-	p.doWithKey("none-secret-3", http.MethodPost, site.PathPost+"x", "x3", nil)
+	requireComplete(t, p.doWithKey(northKey, http.MethodPost, site.PathNonIdempotent+"x", "n5", nil), fleet.ResponseBody("n5"))
+	p.doWithKey("none-secret-3", http.MethodPost, site.PathNonIdempotent+"x", "x3", nil)
 	response, err := http.Get("http://" + p.flags[3] + "/metrics")
 	if err != nil {
 		t.Fatal(err)
@@ -100,17 +100,17 @@
 // last key. A gateway that kept the old config would serve clients without access for
 // as long as it runs.
 func TestRevokedKeysAreRejected(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey, "north-secret-9"}, "south": {southKey}})
 	p := newGateway(t, s, "front-1")
-	requireComplete(t, p.doWithKey(southKey, http.MethodPost, site.PathPost+"x", "s1", nil), fleet.Body("s1"))
+	requireComplete(t, p.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "s1", nil), fleet.ResponseBody("s1"))
 	s.SetAccounts(map[string][]string{"north": {northKey, southKey}, "south": {}})
 	eventually(t, "the change takes effect", func() bool { return len(p.log("config in force")) == 2 })
-	requireComplete(t, p.doWithKey(southKey, http.MethodPost, site.PathPost+"x", "n2", nil), fleet.Body("n2"))
-	if got := p.doWithKey("north-secret-9", http.MethodPost, site.PathPost+"x", "x", nil); got.status != http.StatusUnauthorized {
+	requireComplete(t, p.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "n2", nil), fleet.ResponseBody("n2"))
+	if got := p.doWithKey("north-secret-9", http.MethodPost, site.PathNonIdempotent+"x", "x", nil); got.status != http.StatusUnauthorized {
 		t.Errorf("revoked key: got %+v", got)
 	}
-	for _, h := range s.Plain[0].Received() {
+	for _, h := range s.PlainWorkers[0].ReceivedHeaders() {
 		if want := map[string]string{"s1": "south", "n2": "north"}[h.Get("Attempt-Id")]; h.Get("Tenant") != want {
 			t.Errorf("attempt %s carries account %q", h.Get("Attempt-Id"), h.Get("Tenant"))
 		}
@@ -121,29 +121,29 @@
 // is revoked. The gateway must get the change from its peer; relying on the store alone,
 // it would accept the key for as long as the store refuses it.
 func TestGatewayCutOffFromStoreGetsConfigFromPeer(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}, "south": {southKey}})
 	isolated, connected := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
-	requireComplete(t, isolated.doWithKey(southKey, http.MethodPost, site.PathPost+"x", "s1", nil), fleet.Body("s1"))
+	requireComplete(t, isolated.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "s1", nil), fleet.ResponseBody("s1"))
 	eventually(t, "the gateways know each other", func() bool { return len(connected.log("fronts met", `"there":2`)) > 0 })
-	s.TurnAway("front-1", true)
+	s.SetStoreBlocked("front-1", true)
 	changed := time.Now()
 	s.SetAccounts(map[string][]string{"north": {northKey}, "south": {"south-secret-4"}})
 	eventually(t, "the key is rejected", func() bool {
-		return isolated.doWithKey(southKey, http.MethodPost, site.PathPost+"x", "x", nil).status == http.StatusUnauthorized
+		return isolated.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "x", nil).status == http.StatusUnauthorized
 	})
 	if took := time.Since(changed); took > 3*time.Second {
 		t.Errorf("the change took effect after %v", took)
 	}
-	requireComplete(t, isolated.doWithKey("south-secret-4", http.MethodPost, site.PathPost+"x", "s2", nil), fleet.Body("s2"))
+	requireComplete(t, isolated.doWithKey("south-secret-4", http.MethodPost, site.PathNonIdempotent+"x", "s2", nil), fleet.ResponseBody("s2"))
 	if len(isolated.log("config from another front")) != 1 {
 		t.Errorf("the log does not name the source of the config: %v", isolated.log("config"))
 	}
 	// Once the store serves it again, it uses the newest config and never an older one.
 	s.SetAccounts(map[string][]string{"north": {northKey}})
-	s.TurnAway("front-1", false)
+	s.SetStoreBlocked("front-1", false)
 	eventually(t, "the next change takes effect", func() bool {
-		return isolated.doWithKey("south-secret-4", http.MethodPost, site.PathPost+"x", "x", nil).status == http.StatusUnauthorized
+		return isolated.doWithKey("south-secret-4", http.MethodPost, site.PathNonIdempotent+"x", "x", nil).status == http.StatusUnauthorized
 	})
 	if len(isolated.log("older config")) != 0 || len(isolated.log("secret")) != 0 {
 		t.Error("the log mentions an older config or contains a key")
@@ -154,17 +154,17 @@
 // the store nor a peer confirms its config, and accept them again as soon as the store
 // serves it. A gateway with a peer that can read the store keeps serving.
 func TestStaleGatewayFailsClosed(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
 	s.FailClosed = true
 	p := newGateway(t, s, "front-1")
-	s.TurnAway("front-1", true)
+	s.SetStoreBlocked("front-1", true)
 	eventually(t, "every key is denied", func() bool {
-		return p.doWithKey(northKey, http.MethodPost, site.PathPost+"x", "x", nil).status == http.StatusServiceUnavailable
+		return p.doWithKey(northKey, http.MethodPost, site.PathNonIdempotent+"x", "x", nil).status == http.StatusServiceUnavailable
 	})
 	eventually(t, "the log states the reason", func() bool { return len(p.log("keys_stale")) > 0 })
-	s.TurnAway("front-1", false)
+	s.SetStoreBlocked("front-1", false)
 	eventually(t, "the client is served again", func() bool {
-		return p.doWithKey(northKey, http.MethodPost, site.PathPost+"x", "x", nil).status == http.StatusOK
+		return p.doWithKey(northKey, http.MethodPost, site.PathNonIdempotent+"x", "x", nil).status == http.StatusOK
 	})
 }
--- a/test/front/draining_test.go
+++ b/test/front/draining_test.go
@@ -16,7 +16,7 @@
 // The store does not respond while one worker of each kind announces its shutdown in its
 // responses. Requests sent to it more than two seconds later fail with the worker.
 func TestStoppingWorkerGetsNoRequestsDuringStoreOutage(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 3, Decode: 3, Plain: 3, Events: 2, Pause: 10 * time.Millisecond})
+	s := newSite(t, site.Config{PrefillEngines: 3, DecodeEngines: 3, PlainWorkers: 3, Events: 2, EventDelay: 10 * time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	clients := slices.Concat(gateways, gateways, gateways)
 	stop := make(chan struct{})
@@ -24,9 +24,9 @@
 	longPrompts := startLoad(clients, 30*time.Millisecond, stop, "long", (*process).longPrompt)
 	sleep(time.Second)
 	s.Store.SetFault(rowstoreFault("silent"))
-	stopping := []*fleet.Worker{s.Plain[0], s.Engines[0], s.Engines[3]}
+	stopping := []*fleet.Worker{s.PlainWorkers[0], s.Engines[0], s.Engines[3]}
 	for _, w := range stopping {
-		w.Leave()
+		w.AnnounceShutdown()
 	}
 	for _, w := range stopping {
 		for _, p := range gateways {
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, w := range stopping {
-		if lateRequests := w.Most(announced.Add(shutdownGracePeriod), time.Minute); lateRequests > 0 {
+		if lateRequests := w.MaxArrivals(announced.Add(shutdownGracePeriod), time.Minute); lateRequests > 0 {
 			t.Errorf("%s received %d requests more than %v after all gateways learned of its shutdown", s.ID(w), lateRequests, shutdownGracePeriod)
 		}
 	}
@@ -52,15 +52,15 @@
 // restarted. Both must stop sending to a worker that shuts down: one learns of it from
 // responses alone, the other from the store alone.
 func TestGatewayCutOffFromStoreStopsUsingStoppingWorker(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 3, Pause: 10 * time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 3, EventDelay: 10 * time.Millisecond})
 	isolated, restarted := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
 	stop := make(chan struct{})
 	lookups := startLoad([]*process{isolated, isolated, isolated}, 20*time.Millisecond, stop, "look", (*process).lookup)
 	sleep(500 * time.Millisecond)
-	s.TurnAway("front-1", true)
-	s.Plain[0].Leave()
-	s.Announce(s.Plain[0], "draining")
-	eventually(t, "the gateway learns of the shutdown", func() bool { return len(isolated.log("worker leaves", s.ID(s.Plain[0]))) > 0 })
+	s.SetStoreBlocked("front-1", true)
+	s.PlainWorkers[0].AnnounceShutdown()
+	s.WriteWorkerRow(s.PlainWorkers[0], "draining")
+	eventually(t, "the gateway learns of the shutdown", func() bool { return len(isolated.log("worker leaves", s.ID(s.PlainWorkers[0]))) > 0 })
 	announced := time.Now()
 	restarted.kill()
 	restarted.start()
@@ -74,7 +74,7 @@
 			t.Errorf("%s: %d succeeded, %d failed, last failure %+v", kind, result.succeeded, result.failed, result.lastFailure)
 		}
 	}
-	if lateRequests := s.Plain[0].Most(announced.Add(shutdownGracePeriod), time.Minute); lateRequests > 0 {
+	if lateRequests := s.PlainWorkers[0].MaxArrivals(announced.Add(shutdownGracePeriod), time.Minute); lateRequests > 0 {
 		t.Errorf("the worker received %d requests more than %v after the gateway learned of its shutdown", lateRequests, shutdownGracePeriod)
 	}
 }
--- a/test/front/front_test.go
+++ b/test/front/front_test.go
@@ -24,20 +24,20 @@
 // must be complete and carry the worker's stamp, plain requests must run once, and the
 // long prompt must be prefilled on a prefill engine first.
 func TestRequestsWithoutFaults(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 2, Decode: 1, Plain: 2, Events: 5, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PrefillEngines: 2, DecodeEngines: 1, PlainWorkers: 2, Events: 5, EventDelay: time.Millisecond})
 	for _, name := range []string{"front-1", "front-2"} {
 		p := newGateway(t, s, name)
-		requireComplete(t, p.post(name+"-post"), fleet.Body(name+"-post"))
-		requireComplete(t, p.lookup(name+"-look"), fleet.Body(name+"-look"))
+		requireComplete(t, p.post(name+"-post"), fleet.ResponseBody(name+"-post"))
+		requireComplete(t, p.lookup(name+"-look"), fleet.ResponseBody(name+"-look"))
 		requireComplete(t, p.longPrompt(name+"-long"), streamBody(name+"-long", 5))
 		requireComplete(t, p.chat(name+"-chat"), streamBody(name+"-chat", 5))
 		for _, kind := range []string{"-post", "-look"} {
-			if n := totalRuns(s.Plain, name+kind); n != 1 {
+			if n := totalRuns(s.PlainWorkers, name+kind); n != 1 {
 				t.Errorf("%s ran %d times", name+kind, n)
 			}
 		}
 	}
-	if s.Engines[0].Prompts()+s.Engines[1].Prompts() != 2 {
+	if s.Engines[0].Prefills()+s.Engines[1].Prefills() != 2 {
 		t.Error("the long prompts were not prefilled on separate engines")
 	}
 	if got := newGateway(t, s, "front-3").do(context.Background(), http.MethodGet, "/none/", "none", nil); got.status != http.StatusNotFound {
@@ -49,18 +49,18 @@
 // it after two seconds are lost, so that users would see failures during every planned
 // change.
 func TestDrainingWorkerGetsNoRequests(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 2, EventDelay: time.Millisecond})
 	p := newGateway(t, s, "front-1")
-	s.Announce(s.Plain[0], "draining")
+	s.WriteWorkerRow(s.PlainWorkers[0], "draining")
 	eventually(t, "the gateway reads the worker's state", func() bool { return len(p.log(`"draining"`)) > 0 })
-	before := len(s.Plain[0].Runs())
+	before := len(s.PlainWorkers[0].Runs())
 	for i := range 20 {
-		requireComplete(t, p.post(fmt.Sprintf("post-%d", i)), fleet.Body(fmt.Sprintf("post-%d", i)))
+		requireComplete(t, p.post(fmt.Sprintf("post-%d", i)), fleet.ResponseBody(fmt.Sprintf("post-%d", i)))
 	}
-	if after := len(s.Plain[0].Runs()); after != before {
+	if after := len(s.PlainWorkers[0].Runs()); after != before {
 		t.Errorf("the draining worker received %d requests", after-before)
 	}
-	s.Remove(s.Plain[1])
+	s.DeleteWorkerRow(s.PlainWorkers[1])
 	eventually(t, "no worker is left", func() bool {
 		got := p.post("nobody")
 		return got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
@@ -70,33 +70,33 @@
 // The operator removes a route and adds one. A gateway that kept the old config would
 // run requests that are no longer allowed and refuse those that are.
 func TestConfigChangeTakesEffect(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: time.Millisecond})
 	p := newGateway(t, s, "front-1")
 	s.SetConfig(func(routes map[string]site.Route) {
-		delete(routes, site.PathPost)
-		routes["/added/"] = site.Route{"kind": "idempotent", "service": site.Desk, "timeout_ms": 1000, "max_attempts": 2}
+		delete(routes, site.PathNonIdempotent)
+		routes["/added/"] = site.Route{"kind": "idempotent", "service": site.PlainService, "timeout_ms": 1000, "max_attempts": 2}
 	})
 	eventually(t, "the new version takes effect", func() bool { return len(p.log("config in force")) == 2 })
 	if got := p.post("gone"); got.status != http.StatusNotFound {
 		t.Errorf("removed route: status %d", got.status)
 	}
 	id := "added"
-	requireComplete(t, p.do(context.Background(), http.MethodGet, "/added/1", id, nil), fleet.Body(id))
+	requireComplete(t, p.do(context.Background(), http.MethodGet, "/added/1", id, nil), fleet.ResponseBody(id))
 }
 
 // The store commits calls and loses the responses, then refuses calls, resets connections
 // and stops responding. Requests must not be affected, and changes made during the fault
 // must take effect once it ends.
 func TestStoreFaultsDoNotAffectRequests(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: time.Millisecond})
 	p := newGateway(t, s, "front-1")
 	for i, fault := range []string{"lost", "busy", "reset", "silent"} {
 		s.Store.SetFault(rowstoreFault(fault))
 		id := fmt.Sprintf("post-%d", i)
-		requireComplete(t, p.post(id), fleet.Body(id))
+		requireComplete(t, p.post(id), fleet.ResponseBody(id))
 		before := len(p.log("config in force"))
 		s.SetConfig(nil)
-		s.Store.Forget()
+		s.Store.CompactHistory()
 		sleep(200 * time.Millisecond)
 		s.Store.SetFault(rowstoreFault(""))
 		eventually(t, "the config written during the fault takes effect after "+fault, func() bool {
@@ -110,7 +110,7 @@
 // immediately those that it can't finish. An aborted connection would be an error for a
 // user during every update.
 func TestGracefulStopUnderLoad(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 1, Decode: 1, Plain: 2, Events: 8, Pause: 20 * time.Millisecond})
+	s := newSite(t, site.Config{PrefillEngines: 1, DecodeEngines: 1, PlainWorkers: 2, Events: 8, EventDelay: 20 * time.Millisecond})
 	p := newGateway(t, s, "front-1")
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -159,7 +159,7 @@
 // All gateways are killed at once and restarted. They keep no state on their machines and
 // must serve again within seconds from the store alone.
 func TestAllGatewaysRestartAfterKill(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 1, Decode: 1, Plain: 1, Events: 3, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PrefillEngines: 1, DecodeEngines: 1, PlainWorkers: 1, Events: 3, EventDelay: time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	for _, p := range gateways {
 		p.kill()
@@ -170,7 +170,7 @@
 	}
 	for _, p := range gateways {
 		p.waitReady()
-		requireComplete(t, p.post(p.name+"-again"), fleet.Body(p.name+"-again"))
+		requireComplete(t, p.post(p.name+"-again"), fleet.ResponseBody(p.name+"-again"))
 	}
 	t.Logf("both gateways served again after %v", time.Since(started))
 }
@@ -179,13 +179,13 @@
 // the engines into four for prefill and two for decode. The gateways must not alternate in
 // sending orders.
 func TestOnlyLeaseHolderSendsOrders(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 2, Decode: 4, Plain: 1, Events: 1})
+	s := newSite(t, site.Config{PrefillEngines: 2, DecodeEngines: 4, PlainWorkers: 1, Events: 1})
 	newGateway(t, s, "front-1")
 	newGateway(t, s, "front-2")
 	eventually(t, "four engines run prefill", func() bool {
 		prefill := 0
 		for _, e := range s.Engines {
-			s.Announce(e, "ready")
+			s.WriteWorkerRow(e, "ready")
 			if e.Stage() == "prefill" {
 				prefill++
 			}
@@ -206,7 +206,7 @@
 // SIGHUP makes the gateway read its settings file again. Open connections must survive:
 // the next request on the same connection is answered.
 func TestReloadKeepsConnections(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 1})
+	s := newSite(t, site.Config{PlainWorkers: 1})
 	p := newGateway(t, s, "front-1")
 	c, err := net.Dial("tcp", p.clientAddr)
 	if err != nil {
@@ -215,12 +215,12 @@
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for i := range 2 {
-		fmt.Fprintf(c, "GET %sx HTTP/1.1\r\nHost: %s\r\nAttempt-Id: kept-%d\r\n\r\n", site.PathLook, site.Host, i)
+		fmt.Fprintf(c, "GET %sx HTTP/1.1\r\nHost: %s\r\nAttempt-Id: kept-%d\r\n\r\n", site.PathIdempotent, site.Host, i)
 		got, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, _ := io.ReadAll(got.Body); string(body) != fleet.Body(fmt.Sprintf("kept-%d", i)) {
+		if body, _ := io.ReadAll(got.Body); string(body) != fleet.ResponseBody(fmt.Sprintf("kept-%d", i)) {
 			t.Fatalf("body %.100q", body)
 		}
 		p.signal(syscall.SIGHUP)
@@ -232,9 +232,9 @@
 // the other one must refuse the request, too; otherwise the two keep crashing one worker
 // after the other. Other requests are served.
 func TestCrashingRequestIsRefusedByEveryGateway(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 2})
+	s := newSite(t, site.Config{PlainWorkers: 2})
 	first, second := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
-	for _, w := range s.Plain {
+	for _, w := range s.PlainWorkers {
 		w.SetFault(fleet.FaultLost)
 	}
 	for i := range 3 {
@@ -245,13 +245,13 @@
 	eventually(t, "the other gateway refuses the request", func() bool {
 		return second.post("bad-again").status == http.StatusServiceUnavailable
 	})
-	for _, w := range s.Plain {
+	for _, w := range s.PlainWorkers {
 		w.SetFault(fleet.FaultNone)
 	}
-	if got := first.post("bad-last"); got.status != http.StatusServiceUnavailable || totalRuns(s.Plain, "bad-last") != 0 {
-		t.Errorf("status %d, ran %d times", got.status, totalRuns(s.Plain, "bad-last"))
+	if got := first.post("bad-last"); got.status != http.StatusServiceUnavailable || totalRuns(s.PlainWorkers, "bad-last") != 0 {
+		t.Errorf("status %d, ran %d times", got.status, totalRuns(s.PlainWorkers, "bad-last"))
 	}
-	requireComplete(t, second.lookup("good"), fleet.Body("good"))
+	requireComplete(t, second.lookup("good"), fleet.ResponseBody("good"))
 }
 
 // A settings file and a flag are invalid. "check" must report all errors at once without
@@ -281,7 +281,7 @@
 // move to the other engines instead, through both gateways, and every user must get a
 // complete stream without repetition.
 func TestStreamsMoveWhenEngineChangesRole(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 4, Decode: 2, Events: 400, Pause: 10 * time.Millisecond})
+	s := newSite(t, site.Config{PrefillEngines: 4, DecodeEngines: 2, Events: 400, EventDelay: 10 * time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -306,13 +306,13 @@
 		return n == streams
 	})
 	for _, e := range s.Engines[:3] {
-		s.Remove(e)
+		s.DeleteWorkerRow(e)
 	}
 	eventually(t, "one of the two decode engines changed its role", func() bool { return s.Engines[4].Stage() != s.Engines[5].Stage() })
 	group.Wait()
 	moved := 0
 	for _, e := range s.Engines {
-		moved += e.Moved()
+		moved += e.MovedStreams()
 	}
 	if moved == 0 {
 		t.Error("no stream was moved")
--- a/test/front/limits_test.go
+++ b/test/front/limits_test.go
@@ -75,7 +75,7 @@
 // times as much. Exceeding the limit would crash the worker and fail its requests; the
 // other workers have capacity for the whole load.
 func TestGatewaysTogetherStayWithinWorkerLimit(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 3, Decode: 3, Plain: 3, Events: 2, Pause: 10 * time.Millisecond})
+	s := newSite(t, site.Config{PrefillEngines: 3, DecodeEngines: 3, PlainWorkers: 3, Events: 2, EventDelay: 10 * time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2"), newGateway(t, s, "front-3")}
 	for _, p := range gateways {
 		// A restarted gateway uses its full share of the limit.
@@ -88,7 +88,7 @@
 	lookups := startLoad(clients, 20*time.Millisecond, stop, "look", (*process).lookup)
 	longPrompts := startLoad(clients, 30*time.Millisecond, stop, "long", (*process).longPrompt)
 	sleep(time.Second)
-	limits := map[*fleet.Worker]float64{s.Plain[0]: 4, s.Engines[0]: 3, s.Engines[3]: 5}
+	limits := map[*fleet.Worker]float64{s.PlainWorkers[0]: 4, s.Engines[0]: 3, s.Engines[3]: 5}
 	for w, perSecond := range limits {
 		w.SetLimit(perSecond)
 	}
@@ -101,7 +101,7 @@
 		}
 	}
 	for w, perSecond := range limits {
-		if most := w.Most(announced.Add(limitGracePeriod), limitWindow); most > maxRequests(perSecond) {
+		if most := w.MaxArrivals(announced.Add(limitGracePeriod), limitWindow); most > maxRequests(perSecond) {
 			t.Errorf("%s with limit %v/s: %d requests in %v, want at most %d", s.ID(w), perSecond, most, limitWindow, maxRequests(perSecond))
 		}
 		for _, p := range gateways {
--- a/test/front/peers_test.go
+++ b/test/front/peers_test.go
@@ -21,7 +21,7 @@
 // newThreeGateways starts a site with ten engines and three gateways that know each other.
 func newThreeGateways(t *testing.T) []*process {
 	t.Helper()
-	s := newSite(t, site.Config{Prefill: 8, Decode: 2, Plain: 1, Events: 2, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PrefillEngines: 8, DecodeEngines: 2, PlainWorkers: 1, Events: 2, EventDelay: time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2"), newGateway(t, s, "front-3")}
 	eventually(t, "gateways know each other", func() bool {
 		for _, p := range gateways {
@@ -48,7 +48,7 @@
 			for i := range count / 4 {
 				id := fmt.Sprintf("%s-%d-%d", name, worker, i)
 				started := time.Now()
-				got := p.do(context.Background(), http.MethodPost, site.PathLong+"x", id, map[string]string{
+				got := p.do(context.Background(), http.MethodPost, site.PathResumable+"x", id, map[string]string{
 					"Model": "m", "Token-Count": "9190,104", "Prefix-Hash": fmt.Sprintf("aa:2520,%s%d:3780,%s:2890", chain, i, id),
 				})
 				took := time.Since(started)
--- a/test/front/process_test.go
+++ b/test/front/process_test.go
@@ -72,7 +72,7 @@
 // newGateway starts a gateway and waits until it is ready.
 func newGateway(t *testing.T, s *site.Site, name string) *process {
 	t.Helper()
-	settings, clientAddr, readyAddr, err := s.Settings(name)
+	settings, clientAddr, readyAddr, err := s.GatewaySettings(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,23 +220,23 @@
 
 // post sends a request that may run only once.
 func (p *process) post(id string) response {
-	return p.do(context.Background(), http.MethodPost, site.PathPost+"x", id, nil)
+	return p.do(context.Background(), http.MethodPost, site.PathNonIdempotent+"x", id, nil)
 }
 
 // lookup sends an idempotent request.
 func (p *process) lookup(id string) response {
-	return p.do(context.Background(), http.MethodGet, site.PathLook+"x?y=1", id, nil)
+	return p.do(context.Background(), http.MethodGet, site.PathIdempotent+"x?y=1", id, nil)
 }
 
 // longPrompt sends a prompt that is long enough for a separate prefill; its stream may resume
 // on another engine.
 func (p *process) longPrompt(id string) response {
-	return p.do(context.Background(), http.MethodPost, site.PathLong+"x", id, longPromptHeaders(id))
+	return p.do(context.Background(), http.MethodPost, site.PathResumable+"x", id, longPromptHeaders(id))
 }
 
 // chat sends a short prompt whose stream may not resume.
 func (p *process) chat(id string) response {
-	return p.do(context.Background(), http.MethodPost, site.PathChat+"x", id, map[string]string{
+	return p.do(context.Background(), http.MethodPost, site.PathNonResumable+"x", id, map[string]string{
 		"Model": "m", "Token-Count": "220,400", "Prefix-Hash": "cc:80," + id + ":140",
 	})
 }
--- a/test/front/restore_test.go
+++ b/test/front/restore_test.go
@@ -29,13 +29,13 @@
 // the removal and the fencing token of the orders must not be reverted, and no request may
 // fail.
 func TestRestoredStoreRevertsNothing(t *testing.T) {
-	s := newSite(t, site.Config{Prefill: 2, Decode: 2, Plain: 3, Events: 2, Pause: 10 * time.Millisecond})
-	snapshot := s.Store.Copy()
+	s := newSite(t, site.Config{PrefillEngines: 2, DecodeEngines: 2, PlainWorkers: 3, Events: 2, EventDelay: 10 * time.Millisecond})
+	snapshot := s.Store.Snapshot()
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	eventually(t, "a gateway holds the lease", func() bool { return len(fencingTokens(t, gateways[0]))+len(fencingTokens(t, gateways[1])) > 0 })
-	s.SetConfig(func(routes map[string]site.Route) { delete(routes, site.PathChat) })
-	drained := s.Plain[0]
-	s.Announce(drained, "draining")
+	s.SetConfig(func(routes map[string]site.Route) { delete(routes, site.PathNonResumable) })
+	drained := s.PlainWorkers[0]
+	s.WriteWorkerRow(drained, "draining")
 	for _, p := range gateways {
 		eventually(t, p.name+" reads both changes", func() bool { return len(p.log("config in force")) > 1 && len(p.log(`"draining"`)) > 0 })
 	}
@@ -62,7 +62,7 @@
 			t.Errorf("%s: %d succeeded, %d failed, last failure %+v", kind, result.succeeded, result.failed, result.lastFailure)
 		}
 	}
-	if lateRequests := drained.Most(restored, time.Minute); lateRequests > 0 {
+	if lateRequests := drained.MaxArrivals(restored, time.Minute); lateRequests > 0 {
 		t.Errorf("the drained worker received %d requests after the restore", lateRequests)
 	}
 }
@@ -79,14 +79,14 @@
 // and reported. Each window must be reported once, with all its requests, under increasing
 // fencing tokens.
 func TestUsageSurvivesStoreRestore(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 2, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	eventually(t, "windows are reported", func() bool { return len(s.Cloud.Reports()) > 1 })
 	stop := make(chan struct{})
 	served := startPosts(t, gateways, northKey, "n", stop)
 	for range 2 {
-		snapshot := s.Store.Copy()
+		snapshot := s.Store.Snapshot()
 		sleep(2500 * time.Millisecond)
 		s.Store.Restore(snapshot, 500)
 		reported := len(s.Cloud.Reports())
@@ -94,8 +94,8 @@
 	}
 	close(stop)
 	want := served()
-	eventually(t, "all requests are reported", func() bool { return s.Cloud.Total("north") == want })
-	if broken := s.Cloud.Broken(); len(broken) != 0 {
+	eventually(t, "all requests are reported", func() bool { return s.Cloud.TotalRequests("north") == want })
+	if broken := s.Cloud.Violations(); len(broken) != 0 {
 		t.Errorf("rules broken: %v", broken)
 	}
 }
--- a/test/front/usage_test.go
+++ b/test/front/usage_test.go
@@ -29,7 +29,7 @@
 					return
 				case <-time.After(20 * time.Millisecond):
 				}
-				got := p.doWithKey(key, http.MethodPost, site.PathPost+"x", fmt.Sprintf("%s-%d-%d", name, n, i), nil)
+				got := p.doWithKey(key, http.MethodPost, site.PathNonIdempotent+"x", fmt.Sprintf("%s-%d-%d", name, n, i), nil)
 				if got.status == http.StatusOK {
 					mu.Lock()
 					served++
@@ -48,7 +48,7 @@
 // stops responding. Each window must be reported once, with all its requests; any
 // difference leads to wrong bills.
 func TestUsageIsReportedOnceDespiteServiceFaults(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 2, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}, "south": {southKey}})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	stop := make(chan struct{})
@@ -60,9 +60,9 @@
 	close(stop)
 	wantNorth, wantSouth := north(), south()
 	eventually(t, "all requests are reported", func() bool {
-		return s.Cloud.Total("north") == wantNorth && s.Cloud.Total("south") == wantSouth
+		return s.Cloud.TotalRequests("north") == wantNorth && s.Cloud.TotalRequests("south") == wantSouth
 	})
-	if violations := s.Cloud.Broken(); len(violations) != 0 {
+	if violations := s.Cloud.Violations(); len(violations) != 0 {
 		t.Errorf("rules broken: %v", violations)
 	}
 }
@@ -71,7 +71,7 @@
 // must report the counts that were already final unchanged, and no two holders may use the
 // same fencing token.
 func TestUsageSurvivesLossOfLeaseHolder(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 2, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2"), newGateway(t, s, "front-3")}
 	eventually(t, "windows are reported", func() bool { return len(s.Cloud.Reports()) > 1 })
@@ -94,16 +94,16 @@
 	gateways[holder].kill()
 	close(stop)
 	want := served()
-	eventually(t, "all requests are reported", func() bool { return s.Cloud.Total("north") == want })
-	if violations := s.Cloud.Broken(); len(violations) != 0 || s.Cloud.Holders() < 2 {
-		t.Errorf("%d holders, want at least 2; rules broken: %v", s.Cloud.Holders(), violations)
+	eventually(t, "all requests are reported", func() bool { return s.Cloud.TotalRequests("north") == want })
+	if violations := s.Cloud.Violations(); len(violations) != 0 || s.Cloud.ReportingHolders() < 2 {
+		t.Errorf("%d holders, want at least 2; rules broken: %v", s.Cloud.ReportingHolders(), violations)
 	}
 }
 
 // A gateway is stopped in the middle of a window. The report must include the requests that
 // it had counted.
 func TestStoppingGatewayReportsItsCounts(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 1, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
 	remaining, stopping := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
 	stop := make(chan struct{})
@@ -114,8 +114,8 @@
 	close(stop)
 	want := served()
 	<-stopping.done
-	eventually(t, "all requests are reported", func() bool { return s.Cloud.Total("north") == want })
-	if violations := s.Cloud.Broken(); len(violations) != 0 {
+	eventually(t, "all requests are reported", func() bool { return s.Cloud.TotalRequests("north") == want })
+	if violations := s.Cloud.Violations(); len(violations) != 0 {
 		t.Errorf("rules broken: %v", violations)
 	}
 }
@@ -123,9 +123,9 @@
 // More clients arrive than the workers have slots. The lease holder must order more
 // workers, once rather than every second, and no other gateway may order any.
 func TestWorkersAreAddedForGrowingLoad(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 1, Pause: 150 * time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: 150 * time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
-	s.Scale(4, 150*time.Millisecond)
+	s.EnableScaling(4, 150*time.Millisecond)
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	stop := make(chan struct{})
 	var served []func() int64
@@ -142,10 +142,10 @@
 			t.Error("a client got no successful response")
 		}
 	}
-	if n := s.Cloud.Scaled(); n > 4 {
+	if n := s.Cloud.ScaleOrders(); n > 4 {
 		t.Errorf("%d scaling orders, want at most 4", n)
 	}
-	if violations := s.Cloud.Broken(); len(violations) != 0 || len(gateways[0].log("workers ordered")) > 0 && len(gateways[1].log("workers ordered")) > 0 {
+	if violations := s.Cloud.Violations(); len(violations) != 0 || len(gateways[0].log("workers ordered")) > 0 && len(gateways[1].log("workers ordered")) > 0 {
 		t.Errorf("rules broken: %v", violations)
 	}
 }
@@ -153,7 +153,7 @@
 // The lease holder's writes reach the store, but no response comes back. It must not
 // continue as the holder, and its successor must not change counts that are final.
 func TestUsageSurvivesOneWayPartitionOfLeaseHolder(t *testing.T) {
-	s := newSite(t, site.Config{Plain: 2, Pause: time.Millisecond})
+	s := newSite(t, site.Config{PlainWorkers: 2, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
 	holder := newGateway(t, s, "front-1")
 	eventually(t, "the first gateway holds the lease", func() bool { return len(holder.log("lease won")) > 0 })
@@ -161,12 +161,12 @@
 	stop := make(chan struct{})
 	served := startPosts(t, []*process{other}, northKey, "n", stop)
 	sleep(1200 * time.Millisecond)
-	s.CutOneWay("front-1")
+	s.DropStoreResponses("front-1")
 	eventually(t, "the other gateway holds the lease", func() bool { return len(other.log("lease won")) > 0 })
 	close(stop)
 	want := served()
-	eventually(t, "all requests are reported", func() bool { return s.Cloud.Total("north") == want })
-	if violations := s.Cloud.Broken(); len(violations) != 0 {
+	eventually(t, "all requests are reported", func() bool { return s.Cloud.TotalRequests("north") == want })
+	if violations := s.Cloud.Violations(); len(violations) != 0 {
 		t.Errorf("rules broken: %v", violations)
 	}
 }
--- a/test/path/failure_test.go
+++ b/test/path/failure_test.go
@@ -295,7 +295,7 @@
 	}
 	paused.signal(syscall.SIGCONT)
 	for range sent {
-		if got := <-texts; got != engine.AnswerText("just woken", 3) {
+		if got := <-texts; got != engine.ResponseText("just woken", 3) {
 			t.Errorf("a caller of the resumed gateway got %q", got)
 		}
 	}
--- a/test/path/fleet_test.go
+++ b/test/path/fleet_test.go
@@ -274,9 +274,9 @@
 func (f *fleet) updateVM(name string, role kumquatlug.VMRole, address string) {
 	f.t.Helper()
 	store := platform.NewStore(platform.StoreConfig{
-		Address: f.platform, Pool: exchange.New(exchange.Config{Clock: clock.NewMonotonic(), Kept: 1}),
+		Address: f.platform, Pool: exchange.New(exchange.Config{Clock: clock.NewMonotonic(), MaxIdlePerAddress: 1}),
 	})
-	err := membership.NewRoster(store).Enter(f.t.Context(), kumquatlug.NewVM(kumquatlug.VMConfig{
+	err := membership.NewRoster(store).Register(f.t.Context(), kumquatlug.NewVM(kumquatlug.VMConfig{
 		Name: name, Role: role, Address: address, Zone: "a", State: kumquatlug.VMLive,
 	}))
 	if err != nil {
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -17,7 +17,7 @@
 // expectedText returns the completion of a chat with one user message, the same on every
 // engine.
 func expectedText(prompt string, maxTokens int) string {
-	return engine.AnswerText(engine.ChatPrompt([]engine.Message{{Role: "user", Content: prompt}}), maxTokens)
+	return engine.ResponseText(engine.ChatPrompt([]engine.Message{{Role: "user", Content: prompt}}), maxTokens)
 }
 
 // expectCompletion checks that the completion is complete and has the expected text.
