--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -60,10 +60,10 @@
 }
 
 func newAdmissionController(a *Agent) *admissionController {
-	register := quarantine.New(quarantine.Config{})
+	registry := quarantine.New(quarantine.Config{})
 	return &admissionController{
 		agent: a, changed: make(chan struct{}), drain: drain.New(drain.Config{StaleAfter: a.c.StaleAfter}),
-		suspectGate: quarantine.NewGate(register), registry: register,
+		suspectGate: quarantine.NewGate(registry), registry: registry,
 		calls: map[string]inFlightCall{}, startedByGateway: map[string]int64{},
 	}
 }
--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -26,16 +26,16 @@
 // expected state.
 type admissionModel struct {
 	*admissionController
-	clock          *clock.Manual
-	random         *rand.Rand
-	callIDs        []string
-	revision       int64
-	sequence       int64
-	engineChanging bool
-	role           string
-	stopped        bool
-	violation      string
-	counts         map[string]int
+	clock               *clock.Manual
+	random              *rand.Rand
+	callIDs             []string
+	revision            int64
+	sequence            int64
+	engineReconfiguring bool
+	role                string
+	stopped             bool
+	violation           string
+	counts              map[string]int
 }
 
 func newAdmissionModel(counts map[string]int) *admissionModel {
@@ -97,7 +97,7 @@
 	case "step":
 		m.runStep()
 	case "settle":
-		m.engineChanging = false
+		m.engineReconfiguring = false
 	case "label":
 		m.setLeavingLabel(m.random.IntN(6) == 0)
 	case "list":
@@ -132,7 +132,7 @@
 	if m.stopped {
 		m.fail("a call started after the stop")
 	}
-	if m.engineChanging {
+	if m.engineReconfiguring {
 		m.fail("a call started while the engine runs an order")
 	}
 	m.callIDs = append(m.callIDs, id)
@@ -162,7 +162,7 @@
 		m.fail("one crash was counted %d times", counted)
 	}
 	m.counts["crashes"]++
-	m.engineChanging, m.role = false, ""
+	m.engineReconfiguring, m.role = false, ""
 	for len(m.callIDs) > 0 {
 		m.finishCall(false)
 	}
@@ -170,10 +170,10 @@
 
 func (m *admissionModel) offerOrder() {
 	m.sequence++
-	number := lease.FencingToken(1 + m.random.IntN(3))
+	token := lease.FencingToken(1 + m.random.IntN(3))
 	role := []string{"prefill", "decode"}[m.random.IntN(2)]
 	m.updateOrders(func(kumquatlug.Millis) {
-		m.orderGate.Offer(order.NewOrder(order.NewID(1, number, m.sequence), order.VerbRole, role))
+		m.orderGate.Offer(order.NewOrder(order.NewID(1, token, m.sequence), order.VerbRole, role))
 	})
 }
 
@@ -184,7 +184,7 @@
 	m.updateOrders(func(now kumquatlug.Millis) { s = m.orderGate.Next(now) })
 	switch s.Action() {
 	case order.StepReadState:
-		state := order.NewState(!m.engineChanging, order.Property{Verb: order.VerbRole, Argument: m.role})
+		state := order.NewState(!m.engineReconfiguring, order.Property{Verb: order.VerbRole, Argument: m.role})
 		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.StateRead(s, state) })
 	case order.StepReadFencingToken:
 		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.FencingTokenRead(s, 1) })
@@ -193,7 +193,7 @@
 		if len(m.callIDs) > 0 {
 			m.fail("an order was sent to the engine with %d calls in flight", len(m.callIDs))
 		}
-		m.engineChanging, m.role = true, s.Order().Argument()
+		m.engineReconfiguring, m.role = true, s.Order().Argument()
 		m.updateOrders(func(kumquatlug.Millis) { m.orderGate.RunFinished(s, order.OutcomeUnknown) })
 	}
 }
@@ -209,7 +209,7 @@
 	if m.stopped && len(m.callIDs) == 0 && !m.drained() {
 		m.fail("the agent was stopped and has no calls in flight, but is not drained")
 	}
-	if m.engineChanging && m.targetState(true) == dispatch.TargetServing {
+	if m.engineReconfiguring && m.targetState(true) == dispatch.TargetServing {
 		m.fail("the agent reports an engine that runs an order as serving")
 	}
 }
@@ -218,8 +218,7 @@
 	// Calls start and end while orders arrive, the engine changes its role or crashes
 	// during a change, the target leaves by label or VM list, heartbeats stop, and the
 	// agent is stopped. Users would notice a response interrupted by a role change or a
-	// stop, an agent that never exits, or work sent in vain to an engine that is under
-	// an order.
+	// stop, an agent that never exits, or work sent in vain to a reconfiguring engine.
 	counts := map[string]int{}
 	proof.Run(t, proof.Config{
 		Property: "orders and stops never interrupt calls at the agent",
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -39,7 +39,7 @@
 	// engine, nil for a plain service.
 	Target kumquatlug.Target
 	Engine *engine.Engine
-	// ChecksFence reports whether the engine itself refuses outdated fencing numbers.
+	// ChecksFence reports whether the engine itself refuses outdated fencing tokens.
 	ChecksFence bool
 	Table       kumquatlug.Table
 	Objects     kumquatlug.Objects
@@ -47,9 +47,9 @@
 	// Address is the address at which gateways reach the agent. Default is the
 	// address of Listener.
 	Address string
-	// StaleAfter is the time without heartbeats after which the agent queries its state
-	// itself before it accepts new work, in milliseconds. Default is
-	// drain.AgentSilence.
+	// StaleAfter is the time without heartbeats after which the agent reads the table
+	// and the VM list itself before it accepts new work, in milliseconds. Default is
+	// drain.AgentStaleAfter.
 	StaleAfter kumquatlug.Millis
 	Clock      kumquatlug.Clock
 	Logger     *zap.Logger
@@ -134,14 +134,14 @@
 }
 
 // Run serves until ctx ends and then shuts down gracefully: it refuses new work as
-// not-run and completes the calls in flight, however long they take.
+// not executed and completes the calls in flight, however long they take.
 func (a *Agent) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var group run.Group
 	for _, task := range []func(context.Context) error{
 		a.follower.Run, a.monitor.run, a.refreshWhenStale, a.runOrders, a.work.ledger.Run,
-		a.presence().Run,
+		a.vmRegistration().Run,
 	} {
 		peer.AddTask(background, &group, task)
 	}
@@ -168,8 +168,8 @@
 	return mux
 }
 
-// presence returns the agent's registration in the list of VMs.
-func (a *Agent) presence() peer.Registration {
+// vmRegistration returns the agent's registration in the list of VMs.
+func (a *Agent) vmRegistration() peer.Registration {
 	address := a.c.Address
 	if address == "" {
 		address = a.c.Listener.Addr().String()
--- a/internal/agent/monitor.go
+++ b/internal/agent/monitor.go
@@ -13,7 +13,8 @@
 // Intervals and limits of the target monitor.
 const (
 	// healthCheckInterval is the interval at which the target's health and load are
-	// read. It is on the same VM, and a gateway sends at most one heartbeat a second.
+	// read. The target is on the same VM, and a gateway sends at most one heartbeat a
+	// second.
 	healthCheckInterval = 500 * time.Millisecond
 	// healthCheckTimeout bounds one check of health and load.
 	healthCheckTimeout = 2 * time.Second
@@ -140,10 +141,10 @@
 	m.current.events = all[max(0, len(all)-maxKeptCacheEvents):]
 }
 
-// refreshWhenStale queries the table and the VM list when no heartbeats have arrived for
-// a while. The state of an agent that was paused or has just started is of unknown
-// age, and the first gateway that reaches it may itself be disconnected. The agent
-// accepts no new work before the queries.
+// refreshWhenStale reads the table and the VM list when no heartbeats have arrived for a
+// while. The state of an agent that was paused or has just started is of unknown age,
+// and the first gateway that reaches it may itself be partitioned. The agent accepts no
+// new work before these reads.
 func (a *Agent) refreshWhenStale(ctx context.Context) error {
 	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -21,7 +21,7 @@
 	// orderPollInterval is the interval at which the gate's next step is requested.
 	orderPollInterval = 100 * time.Millisecond
 	// orderRetryDelay is the delay after a failed step, and between reads of the
-	// state of an engine that is changing.
+	// state of a reconfiguring engine.
 	orderRetryDelay = 500 * time.Millisecond
 	// registerRetryDelay is the delay after a failed attempt to register the start.
 	registerRetryDelay = time.Second
@@ -143,7 +143,7 @@
 	if s.Action() == order.StepReadState {
 		return a.readEngineState(ctx, s)
 	}
-	return a.readFencingNumber(ctx, s)
+	return a.readFencingToken(ctx, s)
 }
 
 func (a *Agent) readEngineState(ctx context.Context, s order.Step) bool {
@@ -159,12 +159,12 @@
 }
 
 // orderState treats an engine that lost its role in a crash as settled: it is not
-// changing, so the next order may be sent.
+// reconfiguring, so the next order may be sent.
 func orderState(c engine.Condition) order.State {
 	return order.NewState(c.State != engine.StateChanging, order.Property{Verb: order.VerbRole, Argument: string(c.Role)})
 }
 
-func (a *Agent) readFencingNumber(ctx context.Context, s order.Step) bool {
+func (a *Agent) readFencingToken(ctx context.Context, s order.Step) bool {
 	group := a.leaseGroup()
 	row, err := a.c.Table.Get(ctx, lease.Key(group))
 	if err == nil && row.Era() > 0 {
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -21,7 +21,7 @@
 	agent *Agent
 }
 
-// Report answers a heartbeat with the state of the target.
+// Report responds to a heartbeat with the state of the target.
 func (s *agentService) Report(
 	_ context.Context, r *connect.Request[peerv1.ReportRequest],
 ) (*connect.Response[peerv1.ReportResponse], error) {
@@ -63,8 +63,8 @@
 
 // maxCacheEventsPerReport bounds the cache events in a report, of 24 bytes each. With
 // 32 of them in each report of a gateway that watches twenty targets they are 270
-// bytes a second. A gateway that misses events detects the gap and trusts its view of
-// the cache less.
+// bytes a second. A gateway that misses events detects the gap and relies less on its
+// view of the cache.
 const maxCacheEventsPerReport = 32
 
 func eventsAfter(events []engine.CacheEvent, after int64) []*peerv1.CacheEvent {
--- a/internal/agent/run_once.go
+++ b/internal/agent/run_once.go
@@ -86,11 +86,11 @@
 	startedAt := h.agent.c.Clock.Now()
 	outcome, err := h.callTarget(ctx, targetCall(r, work))
 	if err != nil {
-		ran := kumquatlug.ExecutionOf(err)
-		if abandonErr := h.ledger.Abandon(ticket, ran); abandonErr != nil {
+		execution := kumquatlug.ExecutionOf(err)
+		if abandonErr := h.ledger.Abandon(ticket, execution); abandonErr != nil {
 			err = errors.WithSecondaryError(err, abandonErr)
 		}
-		h.refuseFailed(w, r, work, id, abandonFailure(err, ran, h.agent.c.Name))
+		h.refuseFailed(w, r, work, id, abandonFailure(err, execution, h.agent.c.Name))
 		return false
 	}
 	if err := h.ledger.Finish(ticket, outcome); err != nil {
@@ -105,8 +105,8 @@
 }
 
 // abandonFailure returns the failure of a run without an outcome.
-func abandonFailure(err error, ran kumquatlug.Execution, agentName string) *kumquatlug.Failure {
-	if ran == kumquatlug.NotExecuted {
+func abandonFailure(err error, execution kumquatlug.Execution, agentName string) *kumquatlug.Failure {
+	if execution == kumquatlug.NotExecuted {
 		return kumquatlug.FailureOf(err)
 	}
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
--- a/internal/agent/suspect.go
+++ b/internal/agent/suspect.go
@@ -22,8 +22,8 @@
 // claimSuspect obtains the claim that allows a single run of a suspect in the whole
 // fleet. Without it, two gateways that each send a copy of a request that crashes
 // targets would crash two more. While the table is unavailable, suspects run without
-// a claim: a second copy is then not prevented, but waiting would fail every
-// neighbour of every crash during the outage.
+// a claim: a second copy is then not prevented, but waiting would fail every request
+// that was in flight at a crash during the outage.
 func (a *Agent) claimSuspect(ctx context.Context, work peer.Work) *kumquatlug.Failure {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
--- a/internal/agent/work.go
+++ b/internal/agent/work.go
@@ -74,7 +74,7 @@
 }
 
 // configRefusal returns why the config in force forbids the work, empty if it doesn't.
-// A disconnected gateway routes by an older config and would continue to send work to
+// A partitioned gateway routes by an older config and would continue to send work to
 // a target that the operator has withdrawn; the agent's newer config refuses it. If
 // the agent's config is the older one, it refuses nothing and the agent pulls the
 // newer one.
--- a/internal/engine/decode.go
+++ b/internal/engine/decode.go
@@ -37,11 +37,11 @@
 	return true
 }
 
-func (s *scanner) want(want string) bool {
-	if !bytes.HasPrefix(s.rest, []byte(want)) {
+func (s *scanner) literal(literal string) bool {
+	if !bytes.HasPrefix(s.rest, []byte(literal)) {
 		return false
 	}
-	s.rest = s.rest[len(want):]
+	s.rest = s.rest[len(literal):]
 	return true
 }
 
@@ -176,7 +176,7 @@
 		case "delta":
 			return 2, s.delta(&c.Delta)
 		case "finish_reason":
-			if s.want("null") {
+			if s.literal("null") {
 				return 3, true
 			}
 			return 3, s.stringPointer(&c.FinishReason)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -77,7 +77,7 @@
 )
 
 // Condition is an engine's state, its role, its last order and the highest fencing
-// number that it has seen.
+// token that it has received.
 type Condition struct {
 	State State           `json:"state"`
 	Role  kumquatlug.Role `json:"role"`
--- a/internal/exchange/dial.go
+++ b/internal/exchange/dial.go
@@ -33,7 +33,7 @@
 )
 
 // Dialer returns a dialer whose connections fail by themselves when the peer is
-// gone: it sets a dial timeout, keep-alive probes and TCP_USER_TIMEOUT.
+// unreachable: it sets a dial timeout, keep-alive probes and TCP_USER_TIMEOUT.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: DialTimeout.Duration(),
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -61,7 +61,7 @@
 	Header http.Header
 	// Body is the complete body, nil for none.
 	Body []byte
-	// MatchesResponse reports whether a response is the one to this request; nil accepts
+	// MatchesResponse reports whether a response belongs to this request; nil accepts
 	// any.
 	MatchesResponse func(*http.Response) bool
 	// MaxIdleTime is the longest time that the connection may have been idle, zero for
@@ -103,8 +103,9 @@
 }
 
 // Do sends r once and returns its response once the head has been read. The caller
-// must close the body. Errors are [kumquatlug.Failure] values: RanNot when no
-// connection was made and no byte was sent, else RanUnknown.
+// must close the body. Errors are [kumquatlug.Failure] values:
+// [kumquatlug.NotExecuted] when no connection was made and no byte was sent, else
+// [kumquatlug.ExecutionUnknown].
 func (p *Pool) Do(ctx context.Context, r Request) (*http.Response, error) {
 	c, err := p.acquire(ctx, r)
 	if err != nil {
@@ -125,9 +126,9 @@
 	return response, nil
 }
 
-func failure(step, peer string, ran kumquatlug.Execution, cause error) error {
+func failure(step, peer string, execution kumquatlug.Execution, cause error) error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: step, Peer: peer, Reason: "peer_failed", Execution: ran, Status: http.StatusBadGateway, Cause: cause,
+		Step: step, Peer: peer, Reason: "peer_failed", Execution: execution, Status: http.StatusBadGateway, Cause: cause,
 	})
 }
 
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -105,7 +105,7 @@
 		}
 		_, err := doRequest(t, pool, newRequest(p, method, "2"))
 		if kumquatlug.ExecutionOf(err) != kumquatlug.ExecutionUnknown {
-			t.Errorf("%s: %v, want a failure with RanUnknown", method, err)
+			t.Errorf("%s: %v, want a failure with ExecutionUnknown", method, err)
 		}
 		if n := p.requests.Load(); n != 2 {
 			t.Errorf("%s: the peer got %d requests, want 2", method, n)
@@ -138,9 +138,9 @@
 				return
 			}
 			if previousID != "" {
-				writeResponse(c, previousID, "late answer")
+				writeResponse(c, previousID, "late response")
 			}
-			writeResponse(c, id, "answer to "+id)
+			writeResponse(c, id, "response to "+id)
 			previousID = id
 		}
 	})
@@ -148,7 +148,7 @@
 	for i := range 5 {
 		id := fmt.Sprint(i)
 		text, err := doRequest(t, pool, newRequest(p, http.MethodPost, id))
-		if err != nil || text != "answer to "+id {
+		if err != nil || text != "response to "+id {
 			t.Fatalf("request %s: %q, %v", id, text, err)
 		}
 	}
@@ -229,7 +229,7 @@
 
 // No process listens at the address. The request was not sent and the failure must
 // say so: only then may a request that runs at most once be sent to another peer.
-func TestRefusedConnectionReportsNotRun(t *testing.T) {
+func TestRefusedConnectionReportsNotExecuted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -238,7 +238,7 @@
 	_ = l.Close()
 	_, err = doRequest(t, newPool(), Request{Address: address, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}})
 	if kumquatlug.ExecutionOf(err) != kumquatlug.NotExecuted {
-		t.Errorf("%v, want a failure with RanNot", err)
+		t.Errorf("%v, want a failure with NotExecuted", err)
 	}
 }
 
@@ -310,6 +310,6 @@
 	}
 	pool.CloseIdle(func(string) bool { return false })
 	if len(pool.idle) != 0 {
-		t.Error("Sweep kept connections to addresses that keep rejected")
+		t.Error("CloseIdle kept connections to addresses that keep rejected")
 	}
 }
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -104,7 +104,7 @@
 	return connect.WithCompressMinBytes(minCompressBytes)
 }
 
-// ServerTimeouts sets limits on s that keep a slow or silent client from holding a
+// ServerTimeouts sets limits on s that keep a slow or unresponsive client from holding a
 // connection. A client a few milliseconds away sends its headers a thousand times
 // faster than the five seconds allowed.
 func ServerTimeouts(s *http.Server) *http.Server {
--- a/internal/peer/follower.go
+++ b/internal/peer/follower.go
@@ -66,7 +66,7 @@
 	headAge atomic.Int64
 }
 
-// Messages to the inbox besides config.Report.
+// Messages to the inbox besides config.HeadReport.
 type (
 	pullResult struct {
 		peer       string
@@ -77,9 +77,9 @@
 	}
 	sinceQuery struct {
 		revision config.Revision
-		reply    chan sinceReply
+		response chan sinceResponse
 	}
-	sinceReply struct {
+	sinceResponse struct {
 		changes []config.Change
 		found   bool
 	}
@@ -102,8 +102,8 @@
 // HeadAge returns how long ago the head was last confirmed.
 func (f *Follower) HeadAge() kumquatlug.Millis { return kumquatlug.Millis(f.headAge.Load()) }
 
-// ObserveRevision handles the revision that the peer with role at address reported. Its age
-// says how long ago it was confirmed to be the head; config.AgeUnknown confirms
+// ObserveRevision handles the revision that the peer with role at address reported. Its
+// age says how long ago it was confirmed to be the head; config.AgeUnknown confirms
 // nothing.
 func (f *Follower) ObserveRevision(role Role, address string, revision int64, age kumquatlug.Millis) {
 	report := config.HeadReport{Peer: peerName(role, address), Revision: config.Revision(revision), Age: age}
@@ -124,21 +124,21 @@
 	}
 }
 
-// peerName returns the name under which the adopter knows a peer.
+// peerName returns the name by which the adopter identifies a peer.
 func peerName(role Role, address string) string { return string(role) + "@" + address }
 
-// ChangesSince returns the changes after revision. It returns false if they are no longer
-// available and the whole state is needed.
+// ChangesSince returns the changes after revision. It returns false if they are no
+// longer available and the whole state is needed.
 func (f *Follower) ChangesSince(ctx context.Context, revision config.Revision) ([]config.Change, bool) {
-	query := sinceQuery{revision: revision, reply: make(chan sinceReply, 1)}
+	query := sinceQuery{revision: revision, response: make(chan sinceResponse, 1)}
 	select {
 	case f.inbox <- query:
 	case <-ctx.Done():
 		return nil, false
 	}
 	select {
-	case reply := <-query.reply:
-		return reply.changes, reply.found
+	case response := <-query.response:
+		return response.changes, response.found
 	case <-ctx.Done():
 		return nil, false
 	}
@@ -192,7 +192,7 @@
 		f.handlePull(m)
 	case sinceQuery:
 		changes, found := f.adopter.ChangesSince(m.revision)
-		m.reply <- sinceReply{changes: changes, found: found}
+		m.response <- sinceResponse{changes: changes, found: found}
 	}
 }
 
@@ -264,7 +264,7 @@
 		snapshot := config.NewState(config.Revision(response.Msg.GetRevision()), DecodeSets(response.Msg.GetSets()))
 		return pullResult{snapshot: snapshot, isSnapshot: true}
 	}
-	return pullResult{changes: changesFrom(response.Msg.GetChanges())}
+	return pullResult{changes: decodeChanges(response.Msg.GetChanges())}
 }
 
 func (f *Follower) handlePull(result pullResult) {
--- a/internal/peer/net.go
+++ b/internal/peer/net.go
@@ -14,8 +14,8 @@
 	d := &net.Dialer{
 		Timeout: timeout,
 		// A replaced VM sends no reset. Without probes, a stream that waits for its next
-		// token would wait forever; with them the connection fails after four probes
-		// without an answer, one per second.
+		// token would wait forever; with them the connection fails after four
+		// unanswered probes, one per second.
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: time.Second, Count: 4,
 		},
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -39,7 +39,7 @@
 
 // Every target VM stores an agent's key. With a stolen key it must not be possible to
 // send orders to other agents, which only gateways may do.
-func TestOnlyAllowsListedRoles(t *testing.T) {
+func TestRequireRoleRejectsOtherRoles(t *testing.T) {
 	authority, err := NewAuthority(time.Hour)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -31,7 +31,7 @@
 	response := &peerv1.PullResponse{Revision: int64(state.Revision())}
 	changes, found := s.follower.ChangesSince(ctx, config.Revision(r.Msg.GetSince()))
 	if found {
-		response.Changes = changesTo(changes)
+		response.Changes = encodeChanges(changes)
 		return connect.NewResponse(response), nil
 	}
 	response.Whole = true
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -31,7 +31,7 @@
 	return wire
 }
 
-func changesFrom(wire []*peerv1.ConfigChange) []config.Change {
+func decodeChanges(wire []*peerv1.ConfigChange) []config.Change {
 	changes := make([]config.Change, len(wire))
 	for i, c := range wire {
 		changes[i] = config.NewChange(config.Revision(c.GetRevision()), c.GetId(), c.GetAuthor(), DecodeSets(c.GetSets()))
@@ -39,7 +39,7 @@
 	return changes
 }
 
-func changesTo(changes []config.Change) []*peerv1.ConfigChange {
+func encodeChanges(changes []config.Change) []*peerv1.ConfigChange {
 	wire := make([]*peerv1.ConfigChange, len(changes))
 	for i, c := range changes {
 		wire[i] = &peerv1.ConfigChange{
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -59,18 +59,18 @@
 
 // Work is the metadata of a call that a gateway sends to an agent in headers.
 type Work struct {
-	request     string
-	attempt     int
-	kind        kumquatlug.Kind
-	caller      string
-	revision    int64
-	timeout     kumquatlug.Millis
-	once        bool
-	key         string
-	dispatch    string
-	fingerprint string
-	logical     int64
-	from        string
+	request       string
+	attempt       int
+	kind          kumquatlug.Kind
+	caller        string
+	revision      int64
+	timeout       kumquatlug.Millis
+	runOnce       bool
+	key           string
+	dispatch      string
+	fingerprint   string
+	logical       int64
+	senderAddress string
 }
 
 // WorkConfig holds the fields of a [Work].
@@ -103,7 +103,7 @@
 func NewWork(c WorkConfig) Work {
 	return Work{
 		request: c.Request, attempt: c.Attempt, kind: c.Kind, caller: c.Caller, revision: c.Revision,
-		timeout: c.Timeout, once: c.RunOnce, key: c.Key, dispatch: c.Dispatch, fingerprint: c.Fingerprint, logical: c.Logical, from: c.SenderAddress,
+		timeout: c.Timeout, runOnce: c.RunOnce, key: c.Key, dispatch: c.Dispatch, fingerprint: c.Fingerprint, logical: c.Logical, senderAddress: c.SenderAddress,
 	}
 }
 
@@ -127,7 +127,7 @@
 func (w Work) Timeout() kumquatlug.Millis { return w.timeout }
 
 // RunOnce reports whether the call must not be repeated.
-func (w Work) RunOnce() bool { return w.once }
+func (w Work) RunOnce() bool { return w.runOnce }
 
 // Key returns the idempotency key.
 func (w Work) Key() string { return w.key }
@@ -142,7 +142,7 @@
 func (w Work) Logical() int64 { return w.logical }
 
 // SenderAddress returns the address at which peers reach the sender.
-func (w Work) SenderAddress() string { return w.from }
+func (w Work) SenderAddress() string { return w.senderAddress }
 
 // Write sets the headers of a request to an agent.
 func (w Work) Write(h http.Header) {
@@ -153,9 +153,9 @@
 	h.Set(HeaderRevision, strconv.FormatInt(w.revision, 10))
 	h.Set(HeaderTimeout, strconv.FormatInt(int64(w.timeout), 10))
 	h.Set(HeaderFingerprint, w.fingerprint)
-	h.Set(HeaderFrom, w.from)
+	h.Set(HeaderFrom, w.senderAddress)
 	h.Set(HeaderLogical, strconv.FormatInt(w.logical, 10))
-	if !w.once {
+	if !w.runOnce {
 		return
 	}
 	h.Set(HeaderRunOnce, "true")
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -69,7 +69,7 @@
 	disableAutoRetry(request.Header)
 	response, err := s.client.Do(request) //nolint:bodyclose // the caller closes the body
 	if err != nil {
-		return kumquatlug.TargetResponse{}, targetFailure(s.baseURL, "target_failed", ranAfterError(err), err)
+		return kumquatlug.TargetResponse{}, targetFailure(s.baseURL, "target_failed", executionAfterError(err), err)
 	}
 	return kumquatlug.NewTargetResponse(response.StatusCode, response.Header, response.Body), nil
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-func ranAfterError(err error) kumquatlug.Execution {
+func executionAfterError(err error) kumquatlug.Execution {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
 		return kumquatlug.NotExecuted
@@ -98,9 +98,9 @@
 	return kumquatlug.ExecutionUnknown
 }
 
-func targetFailure(peer, reason string, ran kumquatlug.Execution, cause error) error {
+func targetFailure(peer, reason string, execution kumquatlug.Execution, cause error) error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "call target", Peer: peer, Reason: reason, Execution: ran, Status: http.StatusBadGateway, Cause: cause,
+		Step: "call target", Peer: peer, Reason: reason, Execution: execution, Status: http.StatusBadGateway, Cause: cause,
 	})
 }
 
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// closeAfterFirstRequest answers the first request on each connection and closes
+// closeAfterFirstRequest responds to the first request on each connection and closes
 // the connection when the second one arrives.
 func closeAfterFirstRequest(listener net.Listener, posts chan<- string) {
 	for {
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -46,8 +46,8 @@
 	RequestBlocked EventName = "request_blocked"
 )
 
-// Record holds the caller's part of an event, for [Ring.Add]. It must not contain
-// secrets: no key, no prompt, no body.
+// Record holds the fields of an event that are passed to [Ring.Add]; the ring sets the
+// others. It must not contain secrets: no key, no prompt, no body.
 type Record struct {
 	Name      EventName
 	RequestID string
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -13,10 +13,10 @@
 	sent := gateway.Add(Record{Name: Sent, RequestID: "r"})
 	agent.Witness(sent)
 	agent.Add(Record{Name: WorkBegun, RequestID: "r"})
-	a, _ := agent.After(0, "r")
-	a[0].WallMs -= 60_000
-	e, _ := gateway.After(0, "r")
-	merged := Merge(a, e)
+	agentEvents, _ := agent.After(0, "r")
+	agentEvents[0].WallMs -= 60_000
+	gatewayEvents, _ := gateway.After(0, "r")
+	merged := Merge(agentEvents, gatewayEvents)
 	if got := merged[0].GetName(); got != string(Sent) {
 		t.Fatalf("first event is %s, want %s", got, Sent)
 	}
--- a/pkg/kumquatlug/config/adopter.go
+++ b/pkg/kumquatlug/config/adopter.go
@@ -67,29 +67,30 @@
 	// Now is the start time in milliseconds.
 	Now kumquatlug.Millis
 	// Readers is the number of nodes of a data centre that poll the head, 3 by
-	// default: with one gone and one paused, the third still reads.
+	// default: with one failed and one paused, the third still reads.
 	Readers int
 	// MaxReaders bounds the number of readers while no read succeeds, 32 by
 	// default: ten data centres then use 320 of the table's 2,000 reads a second. A
 	// rack whose failure takes out all initial readers doesn't hold all of the 32
 	// highest-ranked nodes of a data centre.
 	MaxReaders int
-	// PollInterval is the interval between a reader's reads of the head, 1 s by default. A
-	// change is then in force after at most a poll, a heartbeat of 1 s and a pull: a
-	// fifth of the 16 s allowed.
+	// PollInterval is the interval between a reader's reads of the head, 1 s by
+	// default. A change is then in force after at most a poll, a heartbeat of 1 s and
+	// a pull: a fifth of the 16 s allowed.
 	PollInterval kumquatlug.Millis
-	// ReaderDoublingAge is the age of the head at which the number of readers doubles; it doubles
-	// again each time the same period passes. 2 s by default: a poll and a heartbeat
-	// together, which the age exceeds only when readers fail. Six readers after 2 s
-	// and 32 after 8 s stay within the 16 s allowed.
+	// ReaderDoublingAge is the age of the head at which the number of readers doubles;
+	// it doubles again each time the same period passes. 2 s by default: a poll and a
+	// heartbeat together, which the age exceeds only when readers fail. Six readers
+	// after 2 s and 32 after 8 s stay within the 16 s allowed.
 	ReaderDoublingAge kumquatlug.Millis
-	// FallbackAge is the age of the head from which any node may read it, 4 s by default.
-	// Otherwise a node that no peer contacts would never learn of a change although
-	// it reaches the table.
+	// FallbackAge is the age of the head from which any node may read it, 4 s by
+	// default. Otherwise a node that no peer contacts would never learn of a change
+	// although it reaches the table.
 	FallbackAge kumquatlug.Millis
-	// FallbackInterval is the interval between the reads of such a node, 10 s by default.
-	// The first reads are spread over the same period, so that a change is in force
-	// there within 14 s. While the table is unavailable, all nodes are in this mode:
+	// FallbackInterval is the interval between the reads of a node whose head has
+	// reached FallbackAge, 10 s by default. The first reads are spread over the same
+	// period, so that a change is in force there within 14 s. While the table is
+	// unavailable, all nodes are in this mode:
 	// 1,230 nodes of a data centre send 123 reads a second beside the 32 of the
 	// readers, and ten data centres 1,550 of the table's 2,000. The interval grows to
 	// half the head's age, at most a minute, so that a long outage costs a third of
@@ -98,11 +99,11 @@
 	// PullTimeout is the time after which the node pulls from another peer, 1 s by
 	// default.
 	PullTimeout kumquatlug.Millis
-	// StaleAge is the age of the head above which the node counts as cut off, 16 s by
-	// default: the time within which every change must be in force.
+	// StaleAge is the age of the head above which the node counts as partitioned, 16 s
+	// by default: the time within which every change must be in force.
 	StaleAge kumquatlug.Millis
-	// MaxRecentChanges is the number of changes retained for peers that pull, 1024 by default:
-	// 1.7 hours at 14,000 a day. A peer further behind gets the whole state.
+	// MaxRecentChanges is the number of changes retained for peers that pull, 1024 by
+	// default: 1.7 hours at 14,000 a day. A peer further behind gets the whole state.
 	MaxRecentChanges int
 }
 
@@ -121,8 +122,8 @@
 	sources         []string
 }
 
-// NewAdopter returns an adopter with the initial state c.Start. Zero settings take
-// their defaults.
+// NewAdopter returns an adopter with the state c.InitialState. Zero settings take their
+// defaults.
 func NewAdopter(c AdopterConfig) *Adopter {
 	c.Readers = standard.Int(c.Readers, defaultReaders)
 	c.MaxReaders = standard.Int(c.MaxReaders, defaultMaxReaders)
@@ -146,8 +147,9 @@
 // or a peer. Before the first confirmation it is the node's uptime.
 func (a *Adopter) Age(now kumquatlug.Millis) kumquatlug.Millis { return now - a.headConfirmedAt }
 
-// Stale reports whether the node is cut off from the head. Such a node continues to
-// serve and says so in its reports.
+// Stale reports whether the node is partitioned: neither the table nor a peer has
+// confirmed the head for StaleAge. Such a node continues to serve and includes the age
+// of its head in its reports.
 func (a *Adopter) Stale(now kumquatlug.Millis) bool { return a.Age(now) > a.c.StaleAge }
 
 // ObserveReport records a report about the head.
@@ -270,8 +272,9 @@
 	a.recentChanges = append(a.recentChanges, change)
 }
 
-// ChangesSince returns the changes after rev for a peer that pulls, and false when the peer is
-// too far behind and needs the whole state. The caller must not modify the slice.
+// ChangesSince returns the changes after rev for a peer that pulls, and false when the
+// peer is too far behind and needs the whole state. The caller must not modify the
+// slice.
 func (a *Adopter) ChangesSince(rev Revision) ([]Change, bool) {
 	if rev >= a.state.revision {
 		return nil, true
@@ -283,9 +286,9 @@
 	return a.recentChanges[int64(len(a.recentChanges))-missing:], true
 }
 
-// ShouldPoll reports whether the node must read the head from the table now. live names the
-// live nodes of its data centre, with or without itself. Each call that returns true
-// counts as a read.
+// ShouldPoll reports whether the node must read the head from the table now. live names
+// the live nodes of its data centre, with or without itself. Each call that returns
+// true counts as a read.
 func (a *Adopter) ShouldPoll(now kumquatlug.Millis, live []string) bool {
 	if now-a.lastPollAt < a.c.PollInterval {
 		return false
@@ -327,10 +330,10 @@
 	return true
 }
 
-// Validate validates the settings. It returns an error when Me is empty.
+// Validate returns an error when NodeName is empty.
 func (c AdopterConfig) Validate() error {
 	if c.NodeName == "" {
-		return errors.New("AdopterConfig.Me is required")
+		return errors.New("AdopterConfig.NodeName is required")
 	}
 	return nil
 }
--- a/pkg/kumquatlug/config/config.go
+++ b/pkg/kumquatlug/config/config.go
@@ -23,14 +23,14 @@
 //
 // A node that reaches neither the table nor a peer continues to serve with its last
 // state. The alternative, refusing work once the head has been unconfirmed for some
-// time, costs more: if one of four regions is cut off for five minutes, it refuses a
-// quarter of 31,000 requests a second, 2.3 million requests. Continuing to serve
+// time, costs more: if one of four regions is partitioned for five minutes, it refuses
+// a quarter of 31,000 requests a second, 2.3 million requests. Continuing to serve
 // risks the changes of these five minutes. At 14,000 changes a day these are 49, a
-// quarter of them to rows of the cut-off region; of 770 VMs replaced a day, 2.7 are
-// replaced in that time, so fewer than one target of the cut-off region. Even that
-// target loses nothing: the agent beside it reads the platform's VM list itself, and
-// a target may be removed only after its agent has reported the revision that marks
-// it as leaving. [Adopter.Stale] reports which nodes are cut off, for operators and
+// quarter of them to rows of the partitioned region; of 770 VMs replaced a day, 2.7
+// are replaced in that time, so fewer than one target of that region. Even that target
+// loses nothing: the agent beside it reads the platform's VM list itself, and a target
+// may be removed only after its agent has reported the revision that marks it as
+// leaving. [Adopter.Stale] reports whether a node is partitioned, for operators and
 // the timeline.
 package config
 
--- a/pkg/kumquatlug/config/proof_steps_test.go
+++ b/pkg/kumquatlug/config/proof_steps_test.go
@@ -85,7 +85,7 @@
 
 // commit sends a proposal and checks the result against the table. A result applies to
 // its own send only: if the response to one send was lost, a later send that fails with
-// ErrUnavailable doesn't tell the outcome of the first.
+// ErrUnavailable leaves the outcome of the first unknown.
 func (sim *simulation) commit(p Proposal) {
 	previous := sim.outcomes[p.ID()]
 	if sim.revisionByID[p.ID()] != 0 && p.Base() == 0 {
@@ -147,8 +147,8 @@
 	return false
 }
 
-// recordRefused records that the operator was told that nothing took effect; recordTx
-// fails if the change takes effect later.
+// recordRefused records that the operator got an error which means that nothing took
+// effect; recordTx fails if the change takes effect later.
 func (sim *simulation) recordRefused(p Proposal, err error) {
 	if revision, found := sim.revisionByID[p.ID()]; found {
 		sim.fail("change %s was committed as revision %d but reported as refused: %v", p.ID(), revision, err)
--- a/pkg/kumquatlug/config/proof_test.go
+++ b/pkg/kumquatlug/config/proof_test.go
@@ -310,12 +310,12 @@
 // checkNodes compares every node with the oracle.
 func (sim *simulation) checkNodes() {
 	for _, n := range sim.nodes {
-		holds := n.adopter.State()
-		if holds.Revision() < n.maxRevision {
-			sim.fail("%s reverted from revision %d to %d", n.name, n.maxRevision, holds.Revision())
+		state := n.adopter.State()
+		if state.Revision() < n.maxRevision {
+			sim.fail("%s reverted from revision %d to %d", n.name, n.maxRevision, state.Revision())
 		}
-		n.maxRevision = holds.Revision()
-		if int(n.maxRevision) >= len(sim.states) || !holds.Equal(sim.states[n.maxRevision]) {
+		n.maxRevision = state.Revision()
+		if int(n.maxRevision) >= len(sim.states) || !state.Equal(sim.states[n.maxRevision]) {
 			sim.fail("%s holds a state that differs from the committed revision %d", n.name, n.maxRevision)
 		}
 	}
--- a/pkg/kumquatlug/config/propagation_test.go
+++ b/pkg/kumquatlug/config/propagation_test.go
@@ -89,7 +89,7 @@
 
 // An operator marks a target as leaving, first without faults and then while the three
 // reader nodes are cut off from the table. Calls that are sent to the target after the
-// guaranteed 16 s may be cut off.
+// guaranteed 16 s may be interrupted.
 func TestChangePropagatesWithinSeconds(t *testing.T) {
 	for _, size := range []int{15, 300, 1230} {
 		dc := newDataCentre(size, rand.New(rand.NewSource(1)))
--- a/pkg/kumquatlug/config/state_test.go
+++ b/pkg/kumquatlug/config/state_test.go
@@ -77,21 +77,21 @@
 	}
 }
 
-func TestCheckRejectsUndecodableValues(t *testing.T) {
+func TestValidateSetRejectsUndecodableValues(t *testing.T) {
 	for _, s := range []Set{
 		NewSet("target/a", []byte("{")), NewSet("selector/a", []byte(`{"name":"a"}`)),
 		NewSet("caller/a", []byte("[]")), NewSet("other/a", []byte("{}")),
 	} {
 		if ValidateSet(s) == nil {
-			t.Errorf("Check accepted %s = %s", s.Key(), s.Value())
+			t.Errorf("ValidateSet accepted %s = %s", s.Key(), s.Value())
 		}
 	}
 }
 
-// An account is written that entries can't decode: it has no name, no hash, or a number
-// of the wrong type. If Check accepted the write, entries would skip the row and reject
-// the caller's key without a reason.
-func TestCheckRejectsInvalidCallers(t *testing.T) {
+// An account is written that gateways can't decode: it has no name, no hash, or a number
+// of the wrong type. If ValidateSet accepted the write, gateways would skip the row and
+// reject the caller's key without a reason.
+func TestValidateSetRejectsInvalidCallers(t *testing.T) {
 	hash := kumquatlug.HashKey("k")
 	cases := map[string]struct {
 		value string
--- a/pkg/kumquatlug/config/store.go
+++ b/pkg/kumquatlug/config/store.go
@@ -33,9 +33,9 @@
 	Table kumquatlug.Table
 	// Objects holds the snapshots. Required.
 	Objects kumquatlug.Objects
-	// RetainedChanges is the number of changes before the snapshot that stay in the log, 4096
-	// by default: seven hours at 14,000 changes a day, far longer than a reader lags
-	// or an operator waits to resend a proposal.
+	// RetainedChanges is the number of changes before the snapshot that stay in the
+	// log, 4096 by default: seven hours at 14,000 changes a day, far longer than a
+	// reader lags or an operator waits to resend a proposal.
 	RetainedChanges int
 	// PageRows is the maximum number of log rows of one read, 500 by default: 150 KB
 	// at about 300 bytes a row, which any table returns without delay.
@@ -100,9 +100,9 @@
 	return p, row.Version(), nil
 }
 
-// ChangesSince returns the changes after revision rev, in order and without gaps. The error is
-// marked [kumquatlug.ErrNotFound] when the log no longer reaches back to rev; use
-// [Store.Load] then.
+// ChangesSince returns the changes after revision rev, in order and without gaps. The
+// error is marked [kumquatlug.ErrNotFound] when the log no longer reaches back to rev;
+// use [Store.Load] then.
 func (s *Store) ChangesSince(ctx context.Context, rev Revision) ([]Change, error) {
 	var changes []Change
 	for after := rev; ; {
