--- a/internal/front/link_test.go
+++ b/internal/front/link_test.go
@@ -28,7 +28,7 @@
 type handlerRecorder struct {
 	permits chan kumquatlug.PermitMessage
 	joined  chan string
-	leaving chan string
+	left    chan string
 	// configVersion is the version of this gateway, configStates are the states received
 	// from others.
 	configVersion  atomic.Int64
@@ -39,14 +39,14 @@
 
 func newHandlerRecorder() *handlerRecorder {
 	return &handlerRecorder{
-		permits: make(chan kumquatlug.PermitMessage, 64), joined: make(chan string, 64), leaving: make(chan string, 64),
+		permits: make(chan kumquatlug.PermitMessage, 64), joined: make(chan string, 64), left: make(chan string, 64),
 		configStates: make(chan kumquatlug.ConfigState, 64), configRequests: make(chan kumquatlug.ConfigRequest, 64), configParts: make(chan kumquatlug.ConfigPart, 64),
 	}
 }
 
 func (h *handlerRecorder) PermitReceived(m kumquatlug.PermitMessage) { h.permits <- m }
 func (h *handlerRecorder) PeerJoined(gateway string)                 { h.joined <- gateway }
-func (h *handlerRecorder) PeerLeft(gateway string)                   { h.leaving <- gateway }
+func (h *handlerRecorder) PeerLeft(gateway string)                   { h.left <- gateway }
 
 func (h *handlerRecorder) ConfigState() kumquatlug.ConfigState {
 	return kumquatlug.ConfigState{Version: h.configVersion.Load(), Age: 40}
@@ -149,8 +149,8 @@
 	if got := first.nextPermit(t); got.Gateway != "second" || !reflect.DeepEqual(got.Permit, permitRequest(9)) {
 		t.Fatalf("first gateway received %+v", got)
 	}
-	if met := <-first.received.joined; met != "second" {
-		t.Errorf("first gateway met %q", met)
+	if joined := <-first.received.joined; joined != "second" {
+		t.Errorf("gateway %q joined", joined)
 	}
 	response := kumquatlug.Permit{Step: kumquatlug.PermitGranted, Service: "s", Key: 9, Prompt: receivedPrompt()}
 	first.Send(kumquatlug.PermitMessage{Gateway: "second", Permit: response})
@@ -246,16 +246,16 @@
 }
 
 // A gateway that shuts down for an update notifies the gateways that have contacted it.
-func TestLeaveNotifiesPeers(t *testing.T) {
+func TestShutdownNotifiesPeers(t *testing.T) {
 	stopping, other := newTestGateway(t, "stops", "127.0.0.1:0"), newTestGateway(t, "other", "127.0.0.1:0")
 	other.addPeers(stopping)
 	other.Send(kumquatlug.PermitMessage{Gateway: "stops", Permit: permitRequest(1)})
 	stopping.nextPermit(t)
 	stopping.AnnounceStop()
 	select {
-	case left := <-other.received.leaving:
-		if left != "stops" {
-			t.Errorf("gateway %q left", left)
+	case name := <-other.received.left:
+		if name != "stops" {
+			t.Errorf("gateway %q left", name)
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("no notice received within 5 s")
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -59,7 +59,7 @@
 	if failed != nil {
 		return failed
 	}
-	f.timings.permittedAt = f.g.c.Clock.Now()
+	f.timings.permitGrantedAt = f.g.c.Clock.Now()
 	if !choice.PrefillOnly() {
 		return f.run(ctx, choice, attempt, kumquatlug.KVCacheRef{})
 	}
@@ -162,7 +162,7 @@
 // awaitPermit waits until the prompt may be sent to an engine.
 func (f *inflight) awaitPermit(ctx context.Context) (*placement.Attempt, placement.Choice, *attemptFailure) {
 	p := f.g.scheduler.submit(f.g.c.Clock.Now(), f.service.Name(), f.placementQuery())
-	switch p.admission {
+	switch p.submission {
 	case placement.SubmissionSent:
 		return p.attempt, p.choice, nil
 	case placement.SubmissionNoEngine:
--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -23,18 +23,18 @@
 	if accountIndex == nil {
 		return kumquatlug.Caller{}, nil
 	}
-	account, verdict := accountIndex.Find(request.Credential())
+	account, keyStatus := accountIndex.Find(request.Credential())
 	switch {
 	case route.Public():
 		return account, nil
 	case g.c.FailClosed && g.configAge() > g.c.MaxRevocationDelay:
 		return kumquatlug.Caller{}, refusal("authenticate", "keys_stale", http.StatusServiceUnavailable, noConfigRetryAfter)
-	case verdict == accounts.KeyKnown:
+	case keyStatus == accounts.KeyKnown:
 		return account, nil
 	}
-	g.metrics.denied.WithLabelValues(string(verdict)).Inc()
-	denied := refusal("authenticate", string(verdict), http.StatusUnauthorized, 0)
-	if verdict == accounts.KeyUnknown {
+	g.metrics.denied.WithLabelValues(string(keyStatus)).Inc()
+	denied := refusal("authenticate", string(keyStatus), http.StatusUnauthorized, 0)
+	if keyStatus == accounts.KeyUnknown {
 		denied = g.deniedUnlessStale(denied)
 	}
 	return kumquatlug.Caller{}, denied
--- a/internal/gateway/auth_test.go
+++ b/internal/gateway/auth_test.go
@@ -163,9 +163,9 @@
 	}
 }
 
-// With FailClosed, a gateway without confirmation of its config for RevokeSpan serves no
-// request that needs a key, so that no key stays valid after its revocation. Otherwise
-// it keeps serving.
+// With FailClosed, a gateway without confirmation of its config for MaxRevocationDelay
+// serves no request that needs a key, so that no key stays valid after its revocation.
+// Otherwise it keeps serving.
 func TestStaleGatewayFailsClosed(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		w := respondingWorkers()
@@ -173,7 +173,7 @@
 		f.g.c.FailClosed, f.g.c.MaxRevocationDelay, f.g.c.MaxConfigDelay = closed, 5000, 3000
 		f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now() - 4500))
 		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != http.StatusOK {
-			t.Errorf("fail closed %v, within RevokeSpan: %+v", closed, response)
+			t.Errorf("fail closed %v, within MaxRevocationDelay: %+v", closed, response)
 		}
 		f.g.configConfirmedAt.Store(int64(f.g.c.BootClock.Now() - 5500))
 		want, sent := http.StatusOK, 2
@@ -181,7 +181,7 @@
 			want, sent = http.StatusServiceUnavailable, 1
 		}
 		if response := f.do(t.Context(), http.MethodPost, postRoute, "k1"); response.status != want {
-			t.Errorf("fail closed %v, after RevokeSpan: %+v", closed, response)
+			t.Errorf("fail closed %v, after MaxRevocationDelay: %+v", closed, response)
 		}
 		if response := f.do(t.Context(), http.MethodGet, "/open/"); response.status != http.StatusOK {
 			t.Errorf("fail closed %v, public route: %+v", closed, response)
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -205,16 +205,16 @@
 	w.WriteHeader(f.Status())
 }
 
-// jsonDirectory decodes the JSON rows that tests write.
-type jsonDirectory struct{}
+// jsonRowDecoder decodes the JSON rows that tests write.
+type jsonRowDecoder struct{}
 
-func (jsonDirectory) DecodeConfig(value []byte) (kumquatlug.OperatorConfig, error) {
+func (jsonRowDecoder) DecodeConfig(value []byte) (kumquatlug.OperatorConfig, error) {
 	var version int64
 	err := json.Unmarshal(value, &version)
 	return kumquatlug.OperatorConfig{Version: version}, err
 }
 
-func (jsonDirectory) DecodeMember(row kumquatlug.Row) (kumquatlug.Member, error) {
+func (jsonRowDecoder) DecodeMember(row kumquatlug.Row) (kumquatlug.Member, error) {
 	var role string
 	if err := json.Unmarshal(row.Value(), &role); err != nil {
 		return kumquatlug.Member{}, err
@@ -258,7 +258,7 @@
 	t.Helper()
 	now := clock.NewMonotonic()
 	g := New(Config{
-		Name: "n", Zone: "z", Incarnation: "i", Ingress: plainIngress{}, RowDecoder: jsonDirectory{}, Workers: w, Table: unavailableTable{},
+		Name: "n", Zone: "z", Incarnation: "i", Ingress: plainIngress{}, RowDecoder: jsonRowDecoder{}, Workers: w, Table: unavailableTable{},
 		Clock: now, BootClock: now, GracePeriod: 4000, HandoverDelay: 100,
 		RetryBudget:  retry.SharedBudgetConfig{MinRetries: retryFloor, Window: 10_000},
 		MaxBodyBytes: 1000,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,20 +41,20 @@
 	VM string
 	// Incarnation is unique to this start of the process.
 	Incarnation string
-	// ClientListener and Control are the listeners for clients and for the load balancer.
+	// ClientListener and ControlListener are the listeners for clients and for the load balancer.
 	ClientListener  net.Listener
 	ControlListener net.Listener
-	// ReadyPath is the path of the readiness check on Control.
+	// ReadyPath is the path of the readiness check on ControlListener.
 	ReadyPath string
 	// MetricsListener is the listener of the metrics endpoint, nil for none.
 	MetricsListener net.Listener
 
 	// Ingress decodes client requests and writes responses, Workers calls workers, and
-	// Directory decodes the rows of the operator and of the workers.
+	// RowDecoder decodes the rows of the operator and of the workers.
 	Ingress    kumquatlug.Ingress
 	Workers    kumquatlug.WorkerClient
 	RowDecoder kumquatlug.RowDecoder
-	// Table is the platform's store, Feed its change feed.
+	// Table is the platform's store, ChangeFeed its change feed.
 	Table      kumquatlug.Table
 	ChangeFeed kumquatlug.ChangeFeed
 	// Peers exchanges messages with peer gateways, nil if gateways do not communicate.
@@ -64,8 +64,8 @@
 	ConfigTable, ConfigKey, MemberTable string
 	// CrashTable is the table through which gateways share crash records.
 	CrashTable string
-	// PlanTable is the table in which the leader publishes which engines are about to
-	// change their role.
+	// PlanTable is the table in which the lease holder publishes which engines are about
+	// to change their role.
 	PlanTable string
 
 	// Clock is a monotonic clock.
@@ -86,7 +86,7 @@
 	// that a key or a route does not exist. Zero means no maximum.
 	MaxConfigDelay kumquatlug.Millis
 	// FailClosed makes a gateway that has had no confirmation from the store for
-	// RevokeSpan, in ms, refuse all requests that need a key.
+	// MaxRevocationDelay, in ms, refuse all requests that need a key.
 	FailClosed         bool
 	MaxRevocationDelay kumquatlug.Millis
 	// RetryBudget configures the retry budget that all gateways share per service.
@@ -98,8 +98,8 @@
 	// there are none.
 	LeaderActions kumquatlug.LeaderActions
 	// UsageWindows divides time into the windows in which requests are counted per
-	// account. With a zero Span nothing is reported. Wall returns the time since 1970,
-	// without jumps.
+	// account. With a zero Span nothing is reported. WallClock returns the time since
+	// 1970, without jumps.
 	UsageWindows usage.Windows
 	WallClock    kumquatlug.Clock
 	// ScalingEnabled enables ordering the number of workers.
@@ -132,7 +132,7 @@
 	// exitAt is when this gateway exits, zero while it is not shutting down.
 	exitAt   atomic.Int64
 	inFlight atomic.Int64
-	// configConfirmedAt is when the store last confirmed the config in force, by Awake.
+	// configConfirmedAt is when the store last confirmed the config in force, by BootClock.
 	configConfirmedAt atomic.Int64
 	// adoptMu is held while a config is applied. configFetch gets configs from peer
 	// gateways.
@@ -176,7 +176,7 @@
 )
 
 // Run serves until ctx ends, then completes the requests in flight. It returns the first
-// error of a listener or of Fronts, nil after a shutdown.
+// error of a listener or of Peers, nil after a shutdown.
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -62,9 +62,9 @@
 // timings holds when the steps of a request were completed, zero for those that were
 // not.
 type timings struct {
-	// permittedAt: the prompt got its permit. prefilledAt: a separate engine completed
+	// permitGrantedAt: the prompt got its permit. prefilledAt: a separate engine completed
 	// the prefill. firstOutputAt: the first output arrived.
-	permittedAt, prefilledAt, firstOutputAt kumquatlug.Millis
+	permitGrantedAt, prefilledAt, firstOutputAt kumquatlug.Millis
 	// lastOutputAt is when the last events were forwarded, longestPause the longest
 	// pause before any events.
 	lastOutputAt, longestPause kumquatlug.Millis
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -33,8 +33,8 @@
 // can have moved to another gateway.
 func (g *Gateway) leaderLease() (kumquatlug.LeaderLease, bool) {
 	term := g.leaseTerm()
-	duty := kumquatlug.LeaderLease{Holder: g.c.Name, FencingToken: int64(term.Number())}
-	return duty, term.MayAct(g.c.BootClock.Now(), leaderCallTimeout)
+	leaderLease := kumquatlug.LeaderLease{Holder: g.c.Name, FencingToken: int64(term.Number())}
+	return leaderLease, term.MayAct(g.c.BootClock.Now(), leaderCallTimeout)
 }
 
 // serviceZone is a service in one data centre.
@@ -76,18 +76,18 @@
 		occupancy := byZone[key.zone]
 		z.SetBounds(s.Scaling())
 		wanted, changed := z.Update(now, scaling.Load{Workers: occupancy.Workers(), BusyWorkers: occupancy.Busy()})
-		duty, allowed := g.leaderLease()
+		leaderLease, allowed := g.leaderLease()
 		if !changed || !allowed {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, leaderCallTimeout.Duration())
-		err := g.c.LeaderActions.Scale(call, duty, key.service, key.zone, wanted)
+		err := g.c.LeaderActions.Scale(call, leaderLease, key.service, key.zone, wanted)
 		cancel()
 		if err == nil {
 			z.RecordOrder(now, wanted)
 		}
 		g.c.Logger.Info("workers ordered", zap.String("service", key.service), zap.String("zone", key.zone),
 			zap.Int("wanted", wanted), zap.Int("workers", occupancy.Workers()), zap.Float64("busy", occupancy.Busy()),
-			zap.Int64("fence", duty.FencingToken), logs.Error(err))
+			zap.Int64("fence", leaderLease.FencingToken), logs.Error(err))
 	}
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -110,9 +110,9 @@
 // restoredAfterRemoval reports whether the row of a removed worker is back because the
 // store was restored from an older copy. A worker that still runs writes its row again,
 // which arrives as a change.
-func (m *members) restoredAfterRemoval(key string, born, era int64) bool {
+func (m *members) restoredAfterRemoval(key string, startedAt, era int64) bool {
 	removed, known := m.removed[key]
-	return known && removed.startedAt == born && era > removed.era
+	return known && removed.startedAt == startedAt && era > removed.era
 }
 
 func (m *members) publish(now kumquatlug.Millis) {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -21,7 +21,7 @@
 	denied        *prometheus.CounterVec
 	fencingToken  prometheus.Gauge
 	usageReports  *prometheus.CounterVec
-	// usageOpen counts windows whose usage is fixed and not known to be reported.
+	// usageOpen counts windows that are finalized and not known to be reported.
 	usageOpen prometheus.Gauge
 	// worstAccounts is the fraction of requests on time of the accounts with the lowest.
 	worstAccounts *prometheus.GaugeVec
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -20,20 +20,20 @@
 	}
 	close(descriptions)
 	fullName := regexp.MustCompile(`fqName: "([a-z_]+)"`)
-	there := map[string]bool{}
+	exists := map[string]bool{}
 	for d := range descriptions {
-		there[fullName.FindStringSubmatch(d.String())[1]] = true
+		exists[fullName.FindStringSubmatch(d.String())[1]] = true
 	}
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range regexp.MustCompile(`kumquatlug_gateway_[a-z_]+`).FindAllString(string(page), -1) {
-		if !there[name] {
+		if !exists[name] {
 			t.Errorf("OPERATIONS.md names %s, which does not exist", name)
 		}
 	}
-	for name := range there {
+	for name := range exists {
 		if !strings.Contains(string(page), name) {
 			t.Errorf("OPERATIONS.md does not name %s", name)
 		}
--- a/internal/gateway/prefill_test.go
+++ b/internal/gateway/prefill_test.go
@@ -97,14 +97,14 @@
 // separate prefill of a prompt is not a retry. If it were counted as one, each stream
 // would cost two retries, and half of them would break off for lack of budget.
 func TestResumedStreamCostsOneRetry(t *testing.T) {
-	const oneRepeat = 2
+	const oneRetry = 2
 	w := &fakeWorkers{run: func(_ context.Context, n int, _ workerCall) (kumquatlug.WorkerResponse, error) {
 		if n == 1 {
 			return truncatedResponse(events(1, 100), -1), nil
 		}
 		return streamResponse(101, 102), nil
 	}}
-	response := newTestGateway(t, w, oneRepeat).do(context.Background(), http.MethodPost, "/long/?tokens=220,9000")
+	response := newTestGateway(t, w, oneRetry).do(context.Background(), http.MethodPost, "/long/?tokens=220,9000")
 	if response.err != nil || response.body != events(1, 102) {
 		t.Errorf("%d bytes, %v", len(response.body), response.err)
 	}
@@ -123,14 +123,14 @@
 		}
 		return kumquatlug.NewKVCacheRef("10.0.0.1:1", "h"), wholeResponse(200, ""), nil
 	}
-	const repeats = 4
+	const retries = 4
 	f := newTestGateway(t, w, 5)
 	for range 10 {
 		f.do(context.Background(), http.MethodPost, longRoute)
 	}
 	// The first delivery and the first accepted prefill of each request are not retries.
-	if n, free := len(w.recorded()), 2*10; n > free+repeats {
-		t.Errorf("%d attempts for 10 requests with %d retries", n, repeats)
+	if n, free := len(w.recorded()), 2*10; n > free+retries {
+		t.Errorf("%d attempts for 10 requests with %d retries", n, retries)
 	}
 }
 
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -300,7 +300,7 @@
 				before = at
 			}
 		}
-		add("queued", f.timings.permittedAt)
+		add("queued", f.timings.permitGrantedAt)
 		add("read", f.timings.prefilledAt)
 		add("first", f.timings.firstOutputAt)
 		if f.timings.lastOutputAt != 0 {
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -232,11 +232,11 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	p := sc.service(service).placer
-	pick := p.ChoosePlain
+	choose := p.ChoosePlain
 	if s == stageOutput {
-		pick = p.ChooseDecode
+		choose = p.ChooseDecode
 	}
-	c, found := pick(now, q)
+	c, found := choose(now, q)
 	if !found {
 		return c, nil
 	}
@@ -245,9 +245,9 @@
 
 // pendingPrompt is a prompt that was submitted to the engines.
 type pendingPrompt struct {
-	admission placement.Submission
-	choice    placement.Choice
-	attempt   *placement.Attempt
+	submission placement.Submission
+	choice     placement.Choice
+	attempt    *placement.Attempt
 	// key and due are set while the prompt is queued.
 	key uint64
 	due chan placement.Due
@@ -260,8 +260,8 @@
 	state := sc.service(service)
 	sc.lastKey++
 	p := pendingPrompt{key: sc.lastKey}
-	p.admission, p.choice, p.attempt = state.placer.Submit(now, p.key, q)
-	if p.admission == placement.SubmissionQueued {
+	p.submission, p.choice, p.attempt = state.placer.Submit(now, p.key, q)
+	if p.submission == placement.SubmissionQueued {
 		p.due = make(chan placement.Due, 1)
 		state.waiting[p.key] = p.due
 	}
--- a/internal/gateway/transfer.go
+++ b/internal/gateway/transfer.go
@@ -131,9 +131,9 @@
 	})
 }
 
-// moveAtPercent is the percentage of LeaveSpan after which the streams of a worker that
-// shuts down are moved to other engines: a copy takes milliseconds, and gateways learn
-// of the shutdown some milliseconds late.
+// moveAtPercent is the percentage of WorkerGracePeriod after which the streams of a
+// worker that shuts down are moved to other engines: a copy takes milliseconds, and
+// gateways learn of the shutdown some milliseconds late.
 const moveAtPercent = 80
 
 // moveStreams moves streams to other engines and returns how many can be moved.
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -89,7 +89,7 @@
 // writeTally writes the counts. Within a window it does so only if they changed.
 func (g *Gateway) writeTally(ctx context.Context, timeout kumquatlug.Millis, windowEnded, final bool) {
 	u := &g.usage
-	g.dropFixedWindows(ctx)
+	g.dropFinalizedWindows(ctx)
 	u.mu.Lock()
 	tally := u.counter.Tally(g.c.WallClock.Now(), final)
 	due := u.changed || u.lastTallyOpen && (windowEnded || final)
@@ -116,8 +116,8 @@
 	u.lastTallyOpen = !tally.Final()
 }
 
-// dropFixedWindows removes the windows whose sums are fixed, if there are any old ones.
-func (g *Gateway) dropFixedWindows(ctx context.Context) {
+// dropFinalizedWindows removes the finalized windows, if there are any old ones.
+func (g *Gateway) dropFinalizedWindows(ctx context.Context) {
 	u := &g.usage
 	u.mu.Lock()
 	expired := u.counter.ShouldCheckFinalized(g.c.WallClock.Now())
@@ -141,7 +141,8 @@
 	u.counter.DropFinalized(next)
 }
 
-// reportUsage fixes and sends the counts of all gateways while this one holds the lease.
+// reportUsage finalizes windows and sends the counts of all gateways while this one holds
+// the lease.
 func (g *Gateway) reportUsage(ctx context.Context) {
 	r := usage.NewReporter(g.c.UsageWindows, g.c.Incarnation)
 	era := g.c.ChangeFeed.Era()
@@ -156,8 +157,8 @@
 	}
 }
 
-// rewriteReports writes the fixed reports again that the store may have lost when it was
-// restored from an older copy, and reports whether that succeeded.
+// rewriteReports writes the reports of finalized windows again that the store may have
+// lost when it was restored from an older copy, and reports whether that succeeded.
 func (g *Gateway) rewriteReports(ctx context.Context, r *usage.Reporter) bool {
 	rows, err := g.scan(ctx, usage.ReportPrefix)
 	if err == nil {
@@ -182,7 +183,7 @@
 		rows, err := g.scan(ctx, usage.TallyPrefix)
 		g.logUsageError("failed to read usage counts", r.TalliesScanned(g.c.WallClock.Now(), rows, err))
 	case usage.ActionFinalize:
-		g.fixWindow(ctx, r, i)
+		g.finalizeWindow(ctx, r, i)
 	case usage.ActionSend:
 		return g.sendReport(ctx, r, i.Report())
 	default:
@@ -203,8 +204,8 @@
 	}
 }
 
-// fixWindow writes the sum of a window, which no later holder changes.
-func (g *Gateway) fixWindow(ctx context.Context, r *usage.Reporter, i usage.Intent) {
+// finalizeWindow writes the sum of a window, which no later lease holder changes.
+func (g *Gateway) finalizeWindow(ctx context.Context, r *usage.Reporter, i usage.Intent) {
 	call, cancel := context.WithTimeout(ctx, storeCallTimeout.Duration())
 	defer cancel()
 	err := g.c.Table.Commit(call, i.Tx())
@@ -219,13 +220,13 @@
 // sendReport sends a report if it arrives before the lease can have moved to another
 // gateway, and reports whether it was sent.
 func (g *Gateway) sendReport(ctx context.Context, r *usage.Reporter, report usage.Report) bool {
-	duty, allowed := g.leaderLease()
+	leaderLease, allowed := g.leaderLease()
 	if !allowed {
 		return false
 	}
 	call, cancel := context.WithTimeout(ctx, leaderCallTimeout.Duration())
 	defer cancel()
-	err := g.c.LeaderActions.ReportUsage(call, duty, int64(report.Window()), report.Counts())
+	err := g.c.LeaderActions.ReportUsage(call, leaderLease, int64(report.Window()), report.Counts())
 	r.Sent(g.c.WallClock.Now(), report, err)
 	outcome := "sent"
 	switch {
@@ -235,7 +236,7 @@
 		outcome = "failed"
 	}
 	g.metrics.usageReports.WithLabelValues(outcome).Inc()
-	g.c.Logger.Info("usage report", windowField(report), zap.String("outcome", outcome), zap.Int64("fence", duty.FencingToken), logs.Error(err))
+	g.c.Logger.Info("usage report", windowField(report), zap.String("outcome", outcome), zap.Int64("fence", leaderLease.FencingToken), logs.Error(err))
 	return err == nil
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -196,8 +196,8 @@
 		if w.synced {
 			g.confirmConfig(g.c.BootClock.Now())
 		}
-		row, there := w.rows[g.c.ConfigKey]
-		if !there || row.Version() == adopted {
+		row, present := w.rows[g.c.ConfigKey]
+		if !present || row.Version() == adopted {
 			return
 		}
 		adopted = row.Version()
--- a/internal/gateway/workershutdown.go
+++ b/internal/gateway/workershutdown.go
@@ -32,7 +32,7 @@
 }
 
 // note records that a worker shuts down and reports whether that was not known before.
-func (d *shuttingDownWorkers) note(now kumquatlug.Millis, worker string, born int64) bool {
+func (d *shuttingDownWorkers) note(now kumquatlug.Millis, worker string, startedAt int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, worker := range d.byWorker {
@@ -40,10 +40,10 @@
 			delete(d.byWorker, id)
 		}
 	}
-	if worker, known := d.byWorker[worker]; known && worker.startedAt == born {
+	if worker, known := d.byWorker[worker]; known && worker.startedAt == startedAt {
 		return false
 	}
-	d.byWorker[worker] = shuttingDownWorker{startedAt: born, notedAt: now}
+	d.byWorker[worker] = shuttingDownWorker{startedAt: startedAt, notedAt: now}
 	return true
 }
 
--- a/internal/gateway/workershutdown_test.go
+++ b/internal/gateway/workershutdown_test.go
@@ -77,7 +77,7 @@
 // other worker.
 func TestAnyResponseMayAnnounceShutdown(t *testing.T) {
 	for name, response := range map[string]func() kumquatlug.WorkerResponse{
-		"answer": func() kumquatlug.WorkerResponse { return wholeResponse(http.StatusOK, "done") }, "refusal": refusedResponse,
+		"success": func() kumquatlug.WorkerResponse { return wholeResponse(http.StatusOK, "done") }, "refusal": refusedResponse,
 		"failure": func() kumquatlug.WorkerResponse { return wholeResponse(http.StatusInternalServerError, "") },
 	} {
 		w := &fakeWorkers{run: func(context.Context, int, workerCall) (kumquatlug.WorkerResponse, error) {
@@ -111,13 +111,13 @@
 	for range 4 {
 		f.do(context.Background(), http.MethodPost, longRoute)
 	}
-	read := map[string]int{}
+	prefills := map[string]int{}
 	for _, c := range w.recorded() {
 		if c.prefill {
-			read[c.worker]++
+			prefills[c.worker]++
 		}
 	}
-	if len(read) != 2 || read["p1"] != 1 || read["p2"] != 1 {
-		t.Errorf("prefills: %v", read)
+	if len(prefills) != 2 || prefills["p1"] != 1 || prefills["p2"] != 1 {
+		t.Errorf("prefills: %v", prefills)
 	}
 }
--- a/pkg/kumquatlug/coordinator/coordinator_test.go
+++ b/pkg/kumquatlug/coordinator/coordinator_test.go
@@ -39,7 +39,7 @@
 				t.Fatalf("%s chooses %s for %s, want %s", self, got, engineName(i), coordinator)
 			}
 			if newWithAllGateways(self).IsCoordinator(0, engineName(i)) != (self == coordinator) {
-				t.Fatalf("%s: wrong result of Coordinates for %s", self, engineName(i))
+				t.Fatalf("%s: wrong result of IsCoordinator for %s", self, engineName(i))
 			}
 		}
 	}
--- a/pkg/kumquatlug/health/health.go
+++ b/pkg/kumquatlug/health/health.go
@@ -3,10 +3,10 @@
 //
 // It handles targets that are slow (a throttled accelerator, a noisy neighbour
 // on the host), targets that fail every call at once and therefore look idle to
-// a load-based router, and targets that are dead. Without it a slow target
+// a load-based router, and unresponsive targets. Without it a slow target
 // delays its share of callers past their deadlines, a failing target attracts
-// all work of its group, and a dead target receives calls until each has timed
-// out. Overreacting is as harmful: if the gateway itself is disconnected, or all
+// all work of its group, and an unresponsive target receives calls until each has
+// timed out. Overreacting is as harmful: if the gateway itself is partitioned, or all
 // targets are slow under peak load, ejecting them leaves no capacity. Therefore
 //
 //   - the weight of a target follows its speed relative to the median of the
@@ -43,7 +43,7 @@
 	// exceeds.
 	HeartbeatTimeout kumquatlug.Millis
 	// MissedHeartbeatLimit is the number of consecutive missed heartbeats after which a
-	// target counts as dead. Default 3: with the defaults above a dead target is
+	// target counts as unresponsive. Default 3: with the defaults above such a target is
 	// ejected within 4 s, and a pause of 2 s only reduces its weight.
 	MissedHeartbeatLimit int
 	// FailureLimit is the number of consecutive failed calls after which a target
@@ -56,7 +56,7 @@
 	// more likely a fault of the gateway itself.
 	MaxEjectedFraction float64
 	// ProbeDelay is the wait before an ejected target is probed; it doubles with
-	// each consecutive ejection, up to ProbeLimit. Defaults 5 s and 60 s: an
+	// each consecutive ejection, up to MaxProbeDelay. Defaults 5 s and 60 s: an
 	// engine restarts in tens of seconds, and one probe a minute costs nothing.
 	ProbeDelay    kumquatlug.Millis
 	MaxProbeDelay kumquatlug.Millis
@@ -167,15 +167,15 @@
 }
 
 // HeartbeatAnswered records that a target responded to a heartbeat. A target that was
-// ejected as dead begins its slow start.
+// ejected as unresponsive begins its slow start.
 func (g *Group) HeartbeatAnswered(now kumquatlug.Millis, name string) {
 	t, ok := g.targets[name]
 	if !ok {
 		return
 	}
-	wasDead := t.missedHeartbeats >= g.config.MissedHeartbeatLimit
+	wasUnresponsive := t.missedHeartbeats >= g.config.MissedHeartbeatLimit
 	t.missedHeartbeats = 0
-	if wasDead && t.consecutiveFailures < g.config.FailureLimit {
+	if wasUnresponsive && t.consecutiveFailures < g.config.FailureLimit {
 		g.startSlowStart(now, t)
 	}
 }
@@ -247,7 +247,7 @@
 }
 
 // eject ejects a target unless maxEjected targets are ejected. Without the limit
-// a disconnected gateway would eject every target and refuse all callers,
+// a partitioned gateway would eject every target and refuse all callers,
 // although most targets still respond to other gateways.
 func (g *Group) eject(now kumquatlug.Millis, t *target) {
 	if t.ejected || g.Ejected() >= g.maxEjected() {
--- a/pkg/kumquatlug/health/health_test.go
+++ b/pkg/kumquatlug/health/health_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestDisconnectedGatewayKeepsMostTargets(t *testing.T) {
+func TestPartitionedGatewayKeepsMostTargets(t *testing.T) {
 	// The gateway's own link fails for some seconds, so every heartbeat is missed.
 	// If it ejected all targets, callers would be refused long after the link has
 	// recovered, and targets that still respond would be idle.
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestDeadTargetIsEjectedWithinSeconds(t *testing.T) {
+func TestUnresponsiveTargetIsEjectedWithinSeconds(t *testing.T) {
 	// A VM is lost. Until the gateway detects it, one call in twelve times out;
 	// three missed heartbeats must be enough.
 	g := newGroup(12)
--- a/pkg/kumquatlug/learn/overrun.go
+++ b/pkg/kumquatlug/learn/overrun.go
@@ -11,8 +11,8 @@
 	minOverrunMs, maxOverrunMs = 200.0, 10_000.0
 )
 
-// OverrunEstimator estimates the 99th percentile of how much later than expected responses arrive.
-// The bound separates late responses from those that will not arrive. Load from other
+// OverrunEstimator estimates the 99th percentile of how much later than expected responses
+// arrive. The bound separates late responses from those that will not arrive. Load from other
 // gateways, evicted cache entries and preemption delay responses in proportion to how slow
 // an engine is, so that no fixed bound fits all engines.
 type OverrunEstimator struct{ boundMs float64 }
--- a/pkg/kumquatlug/learn/pause.go
+++ b/pkg/kumquatlug/learn/pause.go
@@ -15,9 +15,9 @@
 	minPauseSamples = 24
 )
 
-// PauseEstimator estimates the longest usual pause between two events of a stream, at one engine or
-// in a group of engines. Engines that run prefill between decode steps pause for a third of
-// a second where others pause for a twentieth.
+// PauseEstimator estimates the longest usual pause between two events of a stream, at one
+// engine or in a group of engines. Engines that run prefill between decode steps pause for a
+// third of a second where others pause for a twentieth.
 //
 // The zero value has no samples.
 type PauseEstimator struct {
--- a/pkg/kumquatlug/learn/prefill.go
+++ b/pkg/kumquatlug/learn/prefill.go
@@ -15,7 +15,8 @@
 	"math"
 )
 
-// PrefillEstimatorConfig configures a [PrefillEstimator]. The zero value of each field stands for its default.
+// PrefillEstimatorConfig configures a [PrefillEstimator]. The zero value of each field stands
+// for its default.
 type PrefillEstimatorConfig struct {
 	// TokensPerMs is the initial prefill rate in tokens per millisecond. The default is 100, in the
 	// middle of the range of engines; a rate that is eight times higher or lower is learnt
@@ -56,9 +57,9 @@
 // with the tokens before them, and a constant.
 const termCount = 3
 
-// PrefillEstimator estimates the prefill time of prompts by a weighted recursive least squares fit of
-// three terms to the relative error. A token of a long prompt costs more than one of a short
-// prompt, since attention compares it with all tokens before it. With a cost per token
+// PrefillEstimator estimates the prefill time of prompts by a weighted recursive least squares
+// fit of three terms to the relative error. A token of a long prompt costs more than one of a
+// short prompt, since attention compares it with all tokens before it. With a cost per token
 // alone, the largest prompts would be given up as overdue.
 type PrefillEstimator struct {
 	coefficients [termCount]float64
--- a/pkg/kumquatlug/placement/attempt.go
+++ b/pkg/kumquatlug/placement/attempt.go
@@ -11,7 +11,7 @@
 type Attempt struct {
 	worker          *worker
 	id              string
-	born            int64
+	workerStartedAt int64
 	prefillOnly     bool
 	effectiveTokens float64
 	// uncachedTokens is the number of tokens to prefill and cachedTokens the number
@@ -34,7 +34,7 @@
 }
 
 // Born returns the start time of the worker's incarnation, as in its row.
-func (t *Attempt) Born() int64 { return t.born }
+func (t *Attempt) Born() int64 { return t.workerStartedAt }
 
 // Worker returns the worker's name.
 func (t *Attempt) Worker() string { return t.id }
@@ -73,7 +73,7 @@
 		return &Attempt{id: c.worker.ID(), ended: true}
 	}
 	t := &Attempt{
-		worker: w, id: c.worker.ID(), born: w.member.StartedAt, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.waitMs - c.delayMs, sentAt: now + c.Delay(),
+		worker: w, id: c.worker.ID(), workerStartedAt: w.member.StartedAt, prefillOnly: c.prefillOnly, effectiveTokens: c.effectiveTokens, expectedWaitMs: c.waitMs - c.delayMs, sentAt: now + c.Delay(),
 		coordinator: coordinator, permitKey: key,
 		uncachedTokens: c.uncachedTokens, cachedTokens: max(float64(prompt.Input())-c.uncachedTokens, 0), engineIdle: w.prefills == 0 && p.otherRequestsAt(now, w) < 1,
 	}
@@ -182,8 +182,8 @@
 	return kumquatlug.Millis(p.overrun.Bound()) + p.MaxDecodeTime(output)
 }
 
-// MaxDecodeTime returns the second part of [Placer.MaxDuration]: the time that nearly all outputs
-// take.
+// MaxDecodeTime returns the second part of [Placer.MaxDuration]: the time that nearly all
+// requests take from the first output on.
 func (p *Placer) MaxDecodeTime(output int) kumquatlug.Millis {
 	return kumquatlug.Millis(maxRunFactor * p.tokenTime.Value() * float64(output))
 }
@@ -287,7 +287,7 @@
 // prefilled again at another one, which slows both down for all other requests.
 func (p *Placer) AttemptTimeout(t *Attempt) kumquatlug.Millis {
 	if t.worker == nil {
-		// The worker left a moment ago.
+		// The worker was removed before the attempt began.
 		return kumquatlug.Millis(p.overrun.Bound())
 	}
 	expected := p.expectedFirstOutputMs(t)
--- a/pkg/kumquatlug/placement/choose.go
+++ b/pkg/kumquatlug/placement/choose.go
@@ -14,19 +14,19 @@
 	// Exclude lists workers that must not be chosen.
 	Exclude []string
 	// FirstOutputDue is when the first output is due for the request to have its full value,
-	// Until when the client gives up; zero for never.
+	// Deadline when the client gives up; zero for never.
 	FirstOutputDue kumquatlug.Millis
 	Deadline       kumquatlug.Millis
 	// Value is the value of the request relative to the mean of its route; zero means
 	// 1.
 	Value float64
-	// ResponseStarted says that the client already has part of the response: refusing the request
-	// now truncates that response, however late the rest is.
+	// ResponseStarted says that the client already has part of the response: refusing the
+	// request now truncates that response, however late the rest is.
 	ResponseStarted bool
 	// CacheZone is the data centre that holds the prompt's KV cache, empty if there is
 	// none.
 	CacheZone string
-	// Reservation is what was reserved for decoding when the prompt entered.
+	// Reservation is what was reserved for decoding when the prompt was submitted.
 	Reservation Reservation
 }
 
@@ -41,7 +41,7 @@
 	effectiveTokens float64
 	waitMs          float64
 	cost            float64
-	// delayMs is the part of wait that passes before the attempt is sent.
+	// delayMs is the part of waitMs that passes before the attempt is sent.
 	delayMs float64
 	// reservation is what is reserved for decoding. reserved says that the worker's
 	// rate limit already counts the attempt.
--- a/pkg/kumquatlug/placement/cluster_test.go
+++ b/pkg/kumquatlug/placement/cluster_test.go
@@ -60,7 +60,7 @@
 type prefillJob struct {
 	key     uint64
 	gateway int
-	ticket  *Attempt
+	attempt *Attempt
 }
 
 // The prefill rate of the simulated engines, in tokens per ms, and the target latency
@@ -142,10 +142,10 @@
 	text := kumquatlug.NewPrompt(append(document(int(key)%40, int(key)).Shared(), kumquatlug.NewPart(fmt.Sprint("own", key), own)), 6300+own, 104)
 	c.prompts[key] = &promptRecord{gateway: gateway, arrivedAt: now, text: text}
 	q := Query{Prompt: text, FirstOutputDue: now + targetLatencyMs, Deadline: now + clientTimeoutMs}
-	result, choice, ticket := c.gateways[gateway].Submit(now, key, q)
+	result, choice, attempt := c.gateways[gateway].Submit(now, key, q)
 	switch result {
 	case SubmissionSent:
-		c.send(now, gateway, key, choice, ticket)
+		c.send(now, gateway, key, choice, attempt)
 	case SubmissionRefused, SubmissionNoEngine:
 		c.finish(now, key, true)
 	}
@@ -153,17 +153,17 @@
 }
 
 // send delivers a prompt to its engine.
-func (c *gatewayCluster) send(now kumquatlug.Millis, gateway int, key uint64, choice Choice, ticket *Attempt) {
+func (c *gatewayCluster) send(now kumquatlug.Millis, gateway int, key uint64, choice Choice, attempt *Attempt) {
 	c.prompts[key].sentAt = now
 	c.nextMilli(now, func(at kumquatlug.Millis) {
 		e, isPrefill := c.engines[choice.Worker().ID()]
 		if !isPrefill {
-			c.gateways[gateway].End(at, ticket, OutcomeServed)
+			c.gateways[gateway].End(at, attempt, OutcomeServed)
 			c.finish(at, key, false)
 			return
 		}
 		c.prompts[key].tokens = e.cacheMisses(c.prompts[key].text)
-		e.queue = append(e.queue, &prefillJob{key: key, gateway: gateway, ticket: ticket})
+		e.queue = append(e.queue, &prefillJob{key: key, gateway: gateway, attempt: attempt})
 		c.maxEngineQueue = max(c.maxEngineQueue, len(e.queue))
 		if len(e.queue) == 1 {
 			e.freeAt = float64(at) + c.prompts[key].tokens/prefillTokensPerMs
@@ -213,7 +213,7 @@
 			if c.offline[finished.gateway] {
 				return
 			}
-			c.gateways[finished.gateway].End(at, finished.ticket, OutcomeServed)
+			c.gateways[finished.gateway].End(at, finished.attempt, OutcomeServed)
 			c.finish(at, finished.key, false)
 			c.pump(at, finished.gateway)
 		})
--- a/pkg/kumquatlug/placement/coordinate.go
+++ b/pkg/kumquatlug/placement/coordinate.go
@@ -196,14 +196,14 @@
 // they send their queued prompts to the engines' new coordinators.
 func (p *Placer) StopCoordinating() {
 	for _, w := range p.ordered {
-		w.queue = p.disownRemote(w)
+		w.queue = p.removeRemote(w)
 	}
 }
 
-// disownRemote removes the prompts of other gateways from the queue of a worker that
+// removeRemote removes the prompts of other gateways from the queue of a worker that
 // this gateway no longer coordinates or that no longer prefills, notifies those
 // gateways, and returns the local prompts.
-func (p *Placer) disownRemote(w *worker) []*queuedPrompt {
+func (p *Placer) removeRemote(w *worker) []*queuedPrompt {
 	return slices.DeleteFunc(w.queue, func(queued *queuedPrompt) bool {
 		if queued.remote.gateway == "" {
 			return false
--- a/pkg/kumquatlug/placement/limit.go
+++ b/pkg/kumquatlug/placement/limit.go
@@ -123,7 +123,7 @@
 // LimitChange is a change of the rate limit that a worker advertises, or its end.
 type LimitChange struct {
 	worker    string
-	named     bool
+	limited   bool
 	perSecond float64
 	sent      int
 }
@@ -132,7 +132,7 @@
 func (n LimitChange) Worker() string { return n.worker }
 
 // HasLimit reports whether the worker advertises a rate limit.
-func (n LimitChange) HasLimit() bool { return n.named }
+func (n LimitChange) HasLimit() bool { return n.limited }
 
 // PerSecond returns the requests per second that the worker accepts from all gateways.
 func (n LimitChange) PerSecond() float64 { return n.perSecond }
@@ -151,7 +151,7 @@
 	if !l.HandleResponse(now, ratelimit.Response{RateLimit: limit, SentAt: t.sentAt, PrefillOnly: t.prefillOnly, Processed: ok}) {
 		return LimitChange{}, false
 	}
-	return LimitChange{worker: t.id, named: l.Limited(), perSecond: l.PerSecond(), sent: l.Sent()}, true
+	return LimitChange{worker: t.id, limited: l.Limited(), perSecond: l.PerSecond(), sent: l.Sent()}, true
 }
 
 // StillAccepts reports whether a delayed attempt may still be sent to its worker.
@@ -166,7 +166,7 @@
 	for _, w := range p.ordered {
 		if w.limit.Limited() {
 			all = append(all, LimitChange{
-				worker: w.member.Worker.ID(), named: true, perSecond: w.limit.PerSecond(), sent: w.limit.Sent(),
+				worker: w.member.Worker.ID(), limited: true, perSecond: w.limit.PerSecond(), sent: w.limit.Sent(),
 			})
 		}
 	}
--- a/pkg/kumquatlug/placement/limit_test.go
+++ b/pkg/kumquatlug/placement/limit_test.go
@@ -33,15 +33,15 @@
 	sent = map[string]int{}
 	const begin, end = 2000, 6000
 	for now := kumquatlug.Millis(begin); now < end; now += 10 {
-		c, ticket := choose(now, uint64(now))
+		c, attempt := choose(now, uint64(now))
 		switch {
-		case ticket == nil:
+		case attempt == nil:
 			refused++
 			continue
 		case now+c.Delay() < end:
 			sent[c.Worker().ID()]++
 		}
-		p.End(now+c.Delay()+9, ticket, OutcomeServed)
+		p.End(now+c.Delay()+9, attempt, OutcomeServed)
 	}
 	return sent, refused
 }
@@ -77,16 +77,16 @@
 	p := newLimitedPlacer(members, map[string]float64{"s0": 12, "s1": 8})
 	inTime, late := 0, 0
 	sent, refused := countSent(p, func(now kumquatlug.Millis, key uint64) (Choice, *Attempt) {
-		c, ticket := plainChooser(p)(now, key)
+		c, attempt := plainChooser(p)(now, key)
 		switch {
-		case ticket == nil && c.Delay() <= 0:
+		case attempt == nil && c.Delay() <= 0:
 			t.Fatal("a refusal has no time after which to retry")
-		case ticket != nil && c.Delay() <= 600:
+		case attempt != nil && c.Delay() <= 600:
 			inTime++
-		case ticket != nil:
+		case attempt != nil:
 			late++
 		}
-		return c, ticket
+		return c, attempt
 	})
 	if sent["s0"] < 46 || sent["s0"] > 50 || sent["s1"] < 30 || sent["s1"] > 34 {
 		t.Errorf("sent %v; the limits allow 48 and 32", sent)
@@ -107,15 +107,15 @@
 			prompt = chatPrompt(int(key))
 		}
 		q := Query{Prompt: prompt, FirstOutputDue: now + 200, Deadline: now + 2000}
-		result, c, ticket := p.Submit(now, key, q)
+		result, c, attempt := p.Submit(now, key, q)
 		if result == SubmissionQueued {
 			due := p.Due(now + 200)
 			if len(due) == 0 {
 				t.Fatal("a prompt stays queued")
 			}
-			c, ticket = due[0].Choice(), due[0].Ticket()
+			c, attempt = due[0].Choice(), due[0].Ticket()
 		}
-		if ticket != nil && c.PrefillOnly() {
+		if attempt != nil && c.PrefillOnly() {
 			out, found := p.ChooseDecode(now, q)
 			if !found {
 				t.Fatal("no engine decodes")
@@ -125,7 +125,7 @@
 			}
 			p.End(now+out.Delay()+9, p.Begin(now, out, prompt), OutcomeServed)
 		}
-		return c, ticket
+		return c, attempt
 	})
 	if prefilled["r0"] > 13 || outputs["g0"]+prefilled["g0"] > 21 || refused > 0 {
 		t.Errorf("prefilled %v, decoded %v, refused %d; limits allow 12 and 20, and a burst of one", prefilled, outputs, refused)
--- a/pkg/kumquatlug/placement/liveness.go
+++ b/pkg/kumquatlug/placement/liveness.go
@@ -112,16 +112,16 @@
 		}
 		return nil
 	}
-	var fallen []UnresponsiveWorker
+	var unresponsive []UnresponsiveWorker
 	if p.gatewayPartitioned(now) {
 		return nil
 	}
 	for _, w := range p.ordered {
 		if !w.unresponsive && p.liveness(now, w) == livenessUnresponsive {
-			fallen = append(fallen, p.ejectUnresponsive(now, w))
+			unresponsive = append(unresponsive, p.ejectUnresponsive(now, w))
 		}
 	}
-	return fallen
+	return unresponsive
 }
 
 // ejectUnresponsive excludes an unresponsive worker from new requests.
--- a/pkg/kumquatlug/placement/liveness_test.go
+++ b/pkg/kumquatlug/placement/liveness_test.go
@@ -89,7 +89,7 @@
 
 // The gateway itself is frozen for a second, or is partitioned from all engines. Every
 // engine then looks unresponsive; if they were excluded, all requests would be refused.
-func TestFrozenOrIsolatedGatewayEjectsNoEngine(t *testing.T) {
+func TestFrozenOrPartitionedGatewayEjectsNoEngine(t *testing.T) {
 	s := newStreamSim(t, 4, 24)
 	s.play(0, 4000, func(now kumquatlug.Millis) bool { return now > 1000 && now < 2000 })
 	if len(s.detectedAt) != 0 {
@@ -124,7 +124,7 @@
 		}
 		now, probedAt := kumquatlug.Millis(0), kumquatlug.Millis(0)
 		for ; now < 400 && probedAt == 0; now += checkInterval {
-			if fallen := p.CheckLiveness(now); len(fallen) != 0 {
+			if unresponsive := p.CheckLiveness(now); len(unresponsive) != 0 {
 				t.Fatalf("%s: unresponsive after %d ms without a probe", name, now)
 			}
 			if suspects := p.Suspects(now); len(suspects) == 1 && suspects[0].ID() == engine {
@@ -134,15 +134,15 @@
 		if probedAt == 0 || probedAt > 250 {
 			t.Fatalf("%s: probed after %d ms", name, probedAt)
 		}
-		fallen, ejected := p.RecordProbe(now, engine, responds)
+		unresponsive, ejected := p.RecordProbe(now, engine, responds)
 		if ejected == responds {
 			t.Errorf("%s: ejected: %v", name, ejected)
 		}
 		if responds {
 			continue
 		}
-		if len(fallen.Attempts()) != 1 {
-			t.Errorf("%d attempts in flight", len(fallen.Attempts()))
+		if len(unresponsive.Attempts()) != 1 {
+			t.Errorf("%d attempts in flight", len(unresponsive.Attempts()))
 		}
 		for _, due := range p.Due(now) {
 			if due.Ticket() == nil || due.Choice().Worker().ID() == engine {
@@ -162,12 +162,12 @@
 		for range calls {
 			p.Begin(0, c, kumquatlug.Prompt{})
 		}
-		var fallen []UnresponsiveWorker
+		var unresponsive []UnresponsiveWorker
 		for now := kumquatlug.Millis(0); now < 800; now += checkInterval {
-			fallen = append(fallen, p.CheckLiveness(now)...)
+			unresponsive = append(unresponsive, p.CheckLiveness(now)...)
 		}
-		if len(fallen) != calls-1 {
-			t.Errorf("%d overdue attempts: %d workers unresponsive", calls, len(fallen))
+		if len(unresponsive) != calls-1 {
+			t.Errorf("%d overdue attempts: %d workers unresponsive", calls, len(unresponsive))
 		}
 	}
 }
@@ -217,8 +217,8 @@
 		if now%checkInterval != 0 {
 			continue
 		}
-		if fallen := p.CheckLiveness(now); len(fallen) != 0 {
-			t.Fatalf("unresponsive at %d ms, after %d ms without events", now, fallen[0].SilentFor())
+		if unresponsive := p.CheckLiveness(now); len(unresponsive) != 0 {
+			t.Fatalf("unresponsive at %d ms, after %d ms without events", now, unresponsive[0].SilentFor())
 		}
 		for _, w := range p.Suspects(now) {
 			probes++
--- a/pkg/kumquatlug/placement/permits.go
+++ b/pkg/kumquatlug/placement/permits.go
@@ -149,7 +149,7 @@
 	// Only the coordinator can determine whether other prompts are prefilled first. If
 	// this one were taken to be alone, its engine would look slow.
 	t.engineIdle = permit.EngineIdle
-	return Due{key: queued.key, choice: queued.choice, ticket: t}
+	return Due{key: queued.key, choice: queued.choice, attempt: t}
 }
 
 // sendRelease sends the release of a permit to a coordinator.
--- a/pkg/kumquatlug/placement/permits_test.go
+++ b/pkg/kumquatlug/placement/permits_test.go
@@ -245,11 +245,11 @@
 			Step: kumquatlug.PermitRequested, Engine: "p0", Key: uint64(key), Prompt: document(prefix, key), ClientTimeout: 2000,
 		}})
 		p.Due(now)
-		var replies []kumquatlug.Permit
+		var responses []kumquatlug.Permit
 		for _, m := range p.Outbox() {
-			replies = append(replies, m.Permit)
+			responses = append(responses, m.Permit)
 		}
-		return replies
+		return responses
 	}
 }
 
--- a/pkg/kumquatlug/placement/placement.go
+++ b/pkg/kumquatlug/placement/placement.go
@@ -112,7 +112,7 @@
 	// what each request ahead adds to the wait.
 	initialPlainMs = 40.0
 	// crossZoneCacheCostMs is the cost of transferring a KV cache to another data
-	// centre in addition to ZonePrice, in milliseconds: the cache of a long prompt is a
+	// centre in addition to ZonePenaltyMs, in milliseconds: the cache of a long prompt is a
 	// gigabyte and takes twice as long there, while the response is a few kilobytes.
 	crossZoneCacheCostMs = 9.0
 	// smallPrefillTokens is the largest prefill that doesn't noticeably delay the
@@ -214,7 +214,7 @@
 	meanPrefillTokens float64
 	meanPlainMs       float64
 	// meanKVTokens is the mean KV memory of one request at a decode engine, in tokens,
-	// and kvCapacity that of an engine; zero when it is not known.
+	// and kvCapacityTokens that of an engine; zero when it is not known.
 	meanKVTokens     float64
 	kvCapacityTokens float64
 	// meanOtherRequests is the mean number of requests of other gateways that workers
@@ -312,7 +312,7 @@
 
 // displaceQueue takes over the queue of a worker that no longer prefills.
 func (p *Placer) displaceQueue(w *worker) {
-	p.displaced = append(p.displaced, p.disownRemote(w)...)
+	p.displaced = append(p.displaced, p.removeRemote(w)...)
 	w.queue = nil
 	p.withdrawRequests(w)
 }
--- a/pkg/kumquatlug/placement/placement_test.go
+++ b/pkg/kumquatlug/placement/placement_test.go
@@ -90,8 +90,8 @@
 	p := New(c)
 	p.Sync(0, engines(8, 4))
 	type job struct {
-		ends   float64
-		ticket *Attempt
+		ends    float64
+		attempt *Attempt
 	}
 	freeAt := map[string]float64{}
 	cached := map[string]map[string]bool{}
@@ -103,7 +103,7 @@
 		running := jobs[:0]
 		for _, j := range jobs {
 			if j.ends <= at {
-				p.End(now, j.ticket, OutcomeServed)
+				p.End(now, j.attempt, OutcomeServed)
 			} else {
 				running = append(running, j)
 			}
@@ -127,7 +127,7 @@
 		}
 		freeAt[id] = math.Max(freeAt[id], at) + uncached/rate
 		longest = math.Max(longest, freeAt[id]-at)
-		jobs = append(jobs, job{ends: freeAt[id], ticket: p.Begin(now, choice, prompt)})
+		jobs = append(jobs, job{ends: freeAt[id], attempt: p.Begin(now, choice, prompt)})
 		tokens += uncached
 		n++
 	}
@@ -140,11 +140,11 @@
 func TestSharedPrefixesArePrefilledOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	nextPrefix := func(int) int { return random.IntN(446) }
-	affine, _ := replayPrompts(t, Config{}, nextPrefix, 147, 30_000)
+	atOwners, _ := replayPrompts(t, Config{}, nextPrefix, 147, 30_000)
 	byLoad, _ := replayPrompts(t, Config{RecomputePenalty: 0.001}, nextPrefix, 147, 30_000)
-	t.Logf("tokens prefilled per document: %.0f at owners, %.0f by load", affine, byLoad)
-	if affine > 3500 || affine >= byLoad {
-		t.Errorf("%.0f tokens prefilled per document, %.0f by load alone", affine, byLoad)
+	t.Logf("tokens prefilled per document: %.0f at owners, %.0f by load", atOwners, byLoad)
+	if atOwners > 3500 || atOwners >= byLoad {
+		t.Errorf("%.0f tokens prefilled per document, %.0f by load alone", atOwners, byLoad)
 	}
 }
 
@@ -195,10 +195,10 @@
 		now += 10
 		prompt := chatPrompt(i)
 		c := mustPlacePrompt(t, p, now, prompt)
-		ticket := p.Begin(now, c, prompt)
+		attempt := p.Begin(now, c, prompt)
 		if c.Worker().ID() == "g0" {
 			refusals++
-			p.End(now, ticket, OutcomeRefused)
+			p.End(now, attempt, OutcomeRefused)
 		}
 	}
 	if refusals > 8 {
@@ -218,12 +218,12 @@
 		if !found {
 			t.Fatal("no worker")
 		}
-		ticket, outcome := p.Begin(now, c, kumquatlug.Prompt{}), OutcomeServed
+		attempt, outcome := p.Begin(now, c, kumquatlug.Prompt{}), OutcomeServed
 		if c.Worker().ID() == "x" {
 			outcome = OutcomeFailed
 			failed++
 		}
-		p.End(now+30, ticket, outcome)
+		p.End(now+30, attempt, outcome)
 	}
 	if failed > 30 {
 		t.Errorf("%d of 300 requests went to the worker that fails", failed)
@@ -313,10 +313,10 @@
 	now := kumquatlug.Millis(0)
 	for i := range 40 {
 		c, _ := p.ChooseDecode(now, Query{Prompt: chatPrompt(i)})
-		ticket := p.Begin(now, c, chatPrompt(i))
-		p.PrefillDone(now+50, ticket)
+		attempt := p.Begin(now, c, chatPrompt(i))
+		p.PrefillDone(now+50, attempt)
 		now += 18_400
-		p.End(now, ticket, OutcomeServed)
+		p.End(now, attempt, OutcomeServed)
 	}
 	if got := p.MaxDuration(1000) - p.MaxDuration(0); got < 3*3500 || got > 3*4200 {
 		t.Errorf("%d ms for 1,000 tokens that take 4 ms each on average", got)
--- a/pkg/kumquatlug/placement/pressure.go
+++ b/pkg/kumquatlug/placement/pressure.go
@@ -34,12 +34,12 @@
 // prefilled within their target latency.
 func (p Pressure) LateFraction() float64 { return p.lateFraction }
 
-// DecodeEnginesUsed returns how many engines' worth of slots the requests at decode engines take,
-// including waiting ones.
+// DecodeEnginesUsed returns the number of decode engines whose slots the requests at decode
+// engines would fill, including waiting ones.
 func (p Pressure) DecodeEnginesUsed() float64 { return p.decodeEnginesUsed }
 
-// DecodeEnginesForecast returns how many they will take, by the trend, when a role change that is
-// ordered now takes effect.
+// DecodeEnginesForecast returns the same number as the trend predicts it for the time when a
+// role change that is ordered now takes effect.
 func (p Pressure) DecodeEnginesForecast() float64 { return p.decodeEnginesForecast }
 
 // WorkInFlight is the work in flight at a worker, as one gateway sees it.
--- a/pkg/kumquatlug/placement/queue.go
+++ b/pkg/kumquatlug/placement/queue.go
@@ -85,8 +85,8 @@
 )
 
 // Submit submits a new prompt. The key identifies it among the queued ones. With
-// SubmissionSent the ticket is of an attempt that has begun; with SubmissionRefused the choice
-// holds the expected wait.
+// SubmissionSent the attempt has begun; with SubmissionRefused the choice holds the expected
+// wait.
 func (p *Placer) Submit(now kumquatlug.Millis, key uint64, q Query) (Submission, Choice, *Attempt) {
 	return p.submit(now, &queuedPrompt{key: key, query: q, maxLateHold: q.timeLeft(now) / lateHoldDivisor})
 }
@@ -267,9 +267,9 @@
 
 // Due is a prompt that leaves the queue: it is sent, or given up.
 type Due struct {
-	key    uint64
-	choice Choice
-	ticket *Attempt
+	key     uint64
+	choice  Choice
+	attempt *Attempt
 }
 
 // Key returns the key under which the prompt was submitted.
@@ -279,7 +279,7 @@
 func (d Due) Choice() Choice { return d.choice }
 
 // Ticket returns the attempt that has begun, nil for a prompt that is given up.
-func (d Due) Ticket() *Attempt { return d.ticket }
+func (d Due) Ticket() *Attempt { return d.attempt }
 
 // Due returns the prompts to send now and those that can't be served in time any more.
 // It has to be called after each event and, while prompts are queued, every few
@@ -302,7 +302,7 @@
 			// The time in the queue is not part of what the engine takes.
 			queued.choice.waitMs = (p.inFlightTokens(now, w)+queued.choice.effectiveTokens)/p.prefillRate()*p.slowdown + p.handoffMs()
 			p.addLoad(now, w, queued)
-			due = append(due, Due{key: queued.key, choice: queued.choice, ticket: p.Begin(now, queued.choice, queued.query.Prompt)})
+			due = append(due, Due{key: queued.key, choice: queued.choice, attempt: p.Begin(now, queued.choice, queued.query.Prompt)})
 		}
 	}
 	return due
@@ -316,9 +316,9 @@
 	p.displaced = nil
 	for _, queued := range displaced {
 		queued.late = false
-		result, c, ticket := p.submit(now, queued)
+		result, c, attempt := p.submit(now, queued)
 		if result != SubmissionQueued {
-			due = append(due, Due{key: queued.key, choice: c, ticket: ticket})
+			due = append(due, Due{key: queued.key, choice: c, attempt: attempt})
 		}
 	}
 	return due
--- a/pkg/kumquatlug/placement/queue_test.go
+++ b/pkg/kumquatlug/placement/queue_test.go
@@ -36,16 +36,16 @@
 		prompt  kumquatlug.Prompt
 	}
 	type prefillJob struct {
-		key    uint64
-		ticket *Attempt
+		key     uint64
+		attempt *Attempt
 	}
 	var r overloadResult
 	var engineQueue []prefillJob
 	jobs := map[uint64]job{}
 	random := rand.New(rand.NewPCG(7, 8))
 	freeAt, nextAt, key := 0.0, 0.0, uint64(0)
-	start := func(now kumquatlug.Millis, k uint64, ticket *Attempt) {
-		engineQueue = append(engineQueue, prefillJob{key: k, ticket: ticket})
+	start := func(now kumquatlug.Millis, k uint64, attempt *Attempt) {
+		engineQueue = append(engineQueue, prefillJob{key: k, attempt: attempt})
 		if len(engineQueue) == 1 {
 			freeAt = float64(now) + float64(jobs[k].prompt.Input()-6300)/236
 		}
@@ -54,7 +54,7 @@
 		for len(engineQueue) > 0 && freeAt <= float64(now) {
 			finished := engineQueue[0]
 			engineQueue = engineQueue[1:]
-			p.End(now, finished.ticket, OutcomeServed)
+			p.End(now, finished.attempt, OutcomeServed)
 			if now-jobs[finished.key].arrived+postPrefillMs <= 200 {
 				r.inTime++
 			} else {
@@ -77,10 +77,10 @@
 				start(now, key, p.Begin(now, c, prompt))
 				continue
 			}
-			result, _, ticket := p.Submit(now, key, q)
+			result, _, attempt := p.Submit(now, key, q)
 			switch result {
 			case SubmissionSent:
-				start(now, key, ticket)
+				start(now, key, attempt)
 			case SubmissionRefused:
 				r.refused++
 			}
@@ -225,11 +225,11 @@
 		if last != nil {
 			p.End(now, last, OutcomeServed)
 		}
-		result, _, ticket := p.Submit(now, uint64(i+1), Query{Prompt: largePrompt(i), FirstOutputDue: now + 800, Deadline: now + 5000})
+		result, _, attempt := p.Submit(now, uint64(i+1), Query{Prompt: largePrompt(i), FirstOutputDue: now + 800, Deadline: now + 5000})
 		if result != SubmissionSent {
 			t.Fatalf("prompt %d: %s", i, result)
 		}
-		last = ticket
+		last = attempt
 		now += 450
 	}
 	now -= 400
--- a/pkg/kumquatlug/placement/rolechange.go
+++ b/pkg/kumquatlug/placement/rolechange.go
@@ -8,15 +8,15 @@
 
 // SetRoleChanges sets the roles to which engines are about to change. Engines that are no
 // longer named get requests as before. Prompts that are queued for a changing engine
-// are moved to others. Announce returns the streams in flight there, and whether any
-// role is new.
-func (p *Placer) SetRoleChanges(now kumquatlug.Millis, roles map[string]kumquatlug.Role) (streams []*Attempt, news bool) {
+// are moved to others. SetRoleChanges returns the streams in flight there, and whether
+// any role change is new.
+func (p *Placer) SetRoleChanges(now kumquatlug.Millis, roles map[string]kumquatlug.Role) (streams []*Attempt, changed bool) {
 	for _, w := range p.ordered {
 		role := roles[w.member.Worker.ID()]
 		if role == w.nextRole {
 			continue
 		}
-		news = true
+		changed = true
 		w.nextRole, w.roleChangeUntil = role, now+roleChangeTimeout
 		if !w.changingRole(now) {
 			continue
@@ -24,7 +24,7 @@
 		p.displaceQueue(w)
 		streams = append(streams, w.startedAttempts()...)
 	}
-	return streams, news
+	return streams, changed
 }
 
 // startedAttempts returns the attempts in flight that have produced output.
--- a/pkg/kumquatlug/placement/unknownengine_test.go
+++ b/pkg/kumquatlug/placement/unknownengine_test.go
@@ -31,11 +31,11 @@
 // attempts were given up while they were being prefilled: in the first three seconds,
 // and later.
 func countTimedOut(e simEngine, seed uint64) (early, late, sent int) {
-	type attempt struct {
-		ends   float64
-		ticket *Attempt
+	type pendingPrefill struct {
+		ends    float64
+		attempt *Attempt
 	}
-	const span, settled = 30_000.0, 3000.0
+	const span, earlyUntil = 30_000.0, 3000.0
 	p := New(Config{Zone: "a"})
 	p.Sync(0, engines(1, 1))
 	for i := range 50 {
@@ -44,14 +44,14 @@
 	}
 	random := rand.New(rand.NewPCG(seed, 3))
 	every := 2 * (2890/e.rate + e.fixedMs/4)
-	var inFlight []attempt
+	var inFlight []pendingPrefill
 	for now, n := 1.0, 0; now < span; n++ {
 		now += random.ExpFloat64() * every
 		at := kumquatlug.Millis(now)
 		running := inFlight[:0]
 		for _, a := range inFlight {
 			if a.ends <= now {
-				p.End(kumquatlug.Millis(a.ends), a.ticket, OutcomeServed)
+				p.End(kumquatlug.Millis(a.ends), a.attempt, OutcomeServed)
 			} else {
 				running = append(running, a)
 			}
@@ -66,17 +66,17 @@
 		if !c.PrefillOnly() {
 			continue
 		}
-		ticket := p.Begin(at, c, document(1, n))
+		attempt := p.Begin(at, c, document(1, n))
 		ends := e.prefill(now, own, 6300)
 		sent++
-		if ends-now > float64(p.AttemptTimeout(ticket)) {
-			if now < settled {
+		if ends-now > float64(p.AttemptTimeout(attempt)) {
+			if now < earlyUntil {
 				early++
 			} else {
 				late++
 			}
 		}
-		inFlight = append(inFlight, attempt{ends: ends, ticket: ticket})
+		inFlight = append(inFlight, pendingPrefill{ends: ends, attempt: attempt})
 	}
 	return early, late, sent
 }
--- a/pkg/kumquatlug/ratelimit/ratelimit.go
+++ b/pkg/kumquatlug/ratelimit/ratelimit.go
@@ -32,7 +32,7 @@
 	statedAt        kumquatlug.Millis
 	statedByPrefill bool
 	// sent counts the requests since the limit was first stated; the last one is scheduled at
-	// lastSentAt, in milliseconds.
+	// lastSentAtMs.
 	sent         int
 	lastSentAtMs float64
 	// pacing is how this gateway spaces its requests, computed at sharesVersion.
@@ -69,8 +69,8 @@
 	Processed bool
 }
 
-// HandleResponse applies a response and reports whether the limit changed. A response to a request that
-// was sent before the limit was last stated can only lower it.
+// HandleResponse applies a response and reports whether the limit changed. A response to a
+// request that was sent before the limit was last stated can only lower it.
 func (l *Limit) HandleResponse(now kumquatlug.Millis, a Response) bool {
 	newer := !l.limited || a.SentAt >= l.statedAt
 	switch {
--- a/pkg/kumquatlug/ratelimit/shares.go
+++ b/pkg/kumquatlug/ratelimit/shares.go
@@ -47,13 +47,13 @@
 }
 
 // NewShares returns the shares of the gateway with this name. It holds none until the first
-// call of Meet.
+// call of [Shares.AddGateways].
 func NewShares(name string) *Shares {
 	return &Shares{name: name, hash: xxhash.Sum64String(name), gateways: map[string]uint64{}}
 }
 
-// AddGateways adds the names of gateways. Gateways are never removed: one that is unreachable from
-// here may still reach the workers.
+// AddGateways adds the names of gateways. Gateways are never removed: one that is
+// unreachable from here may still reach the workers.
 func (s *Shares) AddGateways(names []string) {
 	for _, name := range append(names, s.name) {
 		if _, known := s.gateways[name]; !known {
--- a/pkg/kumquatlug/scaling/scaling.go
+++ b/pkg/kumquatlug/scaling/scaling.go
@@ -35,12 +35,12 @@
 
 // Load is the load of a service in one data centre.
 type Load struct {
-	// Workers is the number of workers that accept requests, Busy their load, in workers.
+	// Workers is the number of workers that accept requests, BusyWorkers their load, in workers.
 	Workers     int
 	BusyWorkers float64
 }
 
-// sample is a view and the number of workers needed for it.
+// sample is a load and the number of workers needed for it.
 type sample struct {
 	at     kumquatlug.Millis
 	busy   float64
@@ -56,13 +56,13 @@
 	orderedAt kumquatlug.Millis
 }
 
-// New returns a Zone without samples.
+// New returns a Scaler without samples.
 func New(bounds kumquatlug.Scaling) *Scaler { return &Scaler{bounds: bounds} }
 
 // SetBounds sets the bounds after a config change.
 func (z *Scaler) SetBounds(bounds kumquatlug.Scaling) { z.bounds = bounds }
 
-// Update records a view and returns the number of workers, and whether it must be ordered.
+// Update records the load and returns the number of workers, and whether it must be ordered.
 func (z *Scaler) Update(now kumquatlug.Millis, v Load) (int, bool) {
 	hold := max(minHold, holdBootTimes*z.bounds.BootTime)
 	z.samples = slices.DeleteFunc(z.samples, func(s sample) bool { return now-s.at > hold })
--- a/pkg/kumquatlug/usage/reporter.go
+++ b/pkg/kumquatlug/usage/reporter.go
@@ -143,8 +143,8 @@
 	return &Reporter{windows: w, incarnation: incarnation, unconfirmed: map[Window]Report{}}
 }
 
-// SetFencingToken sets the fencing token of the lease that this gateway holds, zero for none. A
-// new token has the reporter read the store again.
+// SetFencingToken sets the fencing token of the lease that this gateway holds, zero for
+// none. A new token makes the reporter read the store again.
 func (r *Reporter) SetFencingToken(fencingToken int64) {
 	if fencingToken == r.fencingToken {
 		return
@@ -201,8 +201,8 @@
 	return decoded.Window, errors.Wrap(err, "decode the next window")
 }
 
-// ReportsScanned handles the result of [ActionScanReports], the rows under [ReportPrefix]. A row that
-// can't be decoded can't be sent; it is skipped and returned as an error.
+// ReportsScanned handles the result of [ActionScanReports], the rows under [ReportPrefix].
+// A row that can't be decoded can't be sent; it is skipped and returned as an error.
 func (r *Reporter) ReportsScanned(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
 	if err != nil {
 		r.nextReadAt = now + r.nextBackoff()
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// TalliesScanned handles the result of [ActionScanTallies], the rows under [TallyPrefix]. A row that
-// can't be decoded is skipped and returned as an error.
+// TalliesScanned handles the result of [ActionScanTallies], the rows under [TallyPrefix].
+// A row that can't be decoded is skipped and returned as an error.
 func (r *Reporter) TalliesScanned(now kumquatlug.Millis, rows []kumquatlug.Row, err error) error {
 	r.nextReadAt = now + scanInterval
 	if err != nil {
--- a/pkg/kumquatlug/usage/restore.go
+++ b/pkg/kumquatlug/usage/restore.go
@@ -29,7 +29,7 @@
 // RestoreTx returns the transaction that rewrites the reports that this gateway finalized
 // or read and does not know to be sent, and whether there is anything to write. It is
 // needed after the store was restored from an older copy, whichever gateway holds the
-// lease now. Existing are the rows under [ReportPrefix]; they are left unchanged.
+// lease now. existing holds the rows under [ReportPrefix]; they are left unchanged.
 func (r *Reporter) RestoreTx(now kumquatlug.Millis, existing []kumquatlug.Row) (kumquatlug.Tx, bool) {
 	r.txSequence++
 	if now < r.pendingUntil {
@@ -44,7 +44,7 @@
 	return tx, needed
 }
 
-// recordFinalized records the report of a finalized window and forgets the reports of
+// recordFinalized records the report of a finalized window and drops the reports of
 // windows that are too old to be in a tally.
 func (r *Reporter) recordFinalized(report Report) {
 	r.finalizedBefore = max(r.finalizedBefore, report.window+1)
--- a/pkg/kumquatlug/usage/simulation_test.go
+++ b/pkg/kumquatlug/usage/simulation_test.go
@@ -24,7 +24,7 @@
 	storeDown, receiverDown                bool
 	lostCommitResponses, lostSendResponses int
 	counters                               []*Counter
-	disconnected                           []bool
+	partitioned                            []bool
 	// restarts counts the restarts at the address of each gateway.
 	restarts     []int
 	reporters    []*Reporter
@@ -40,7 +40,7 @@
 	for i := range gateways {
 		s.counters = append(s.counters, NewCounter(testWindows))
 		s.reporters = append(s.reporters, NewReporter(testWindows, fmt.Sprintf("front-%d", i)))
-		s.disconnected, s.restarts = append(s.disconnected, false), append(s.restarts, 0)
+		s.partitioned, s.restarts = append(s.partitioned, false), append(s.restarts, 0)
 	}
 	s.moveLease(0)
 	return s
@@ -68,7 +68,7 @@
 }
 
 func (s *simulation) scan(gateway int, prefix string) ([]kumquatlug.Row, error) {
-	if s.storeDown || s.disconnected[gateway] {
+	if s.storeDown || s.partitioned[gateway] {
 		return nil, kumquatlug.ErrUnavailable
 	}
 	var rows []kumquatlug.Row
@@ -81,7 +81,7 @@
 }
 
 func (s *simulation) commit(gateway int, tx kumquatlug.Tx) error {
-	if s.storeDown || s.disconnected[gateway] {
+	if s.storeDown || s.partitioned[gateway] {
 		return kumquatlug.ErrUnavailable
 	}
 	for _, c := range tx.Conditions() {
@@ -152,7 +152,7 @@
 		if s.commit(gateway, kumquatlug.NewTx("t").Put(fmt.Sprintf("%s%d.%d", TallyPrefix, gateway, s.restarts[gateway]), text)) == nil {
 			s.counters[gateway].Stored(tally)
 		}
-		if s.counters[gateway].ShouldCheckFinalized(s.now) && !s.storeDown && !s.disconnected[gateway] {
+		if s.counters[gateway].ShouldCheckFinalized(s.now) && !s.storeDown && !s.partitioned[gateway] {
 			next, err := DecodeNextWindow(s.rows[NextWindowKey])
 			if err != nil {
 				s.t.Fatal(err)
--- a/pkg/kumquatlug/usage/usage.go
+++ b/pkg/kumquatlug/usage/usage.go
@@ -1,7 +1,7 @@
 // Package usage decides how the requests of each client account are counted in
 // time windows and reported, each window once.
 //
-// Requests arrive at many gateways, which are killed, disconnected and replaced while
+// Requests arrive at many gateways, which are killed, partitioned and replaced while
 // they count. Each gateway keeps its counts in its own row of the platform's store, a
 // [Tally], and writes the row several times per window, so that a killed gateway loses
 // only a small part of one window. After a window has ended, the gateway that holds
@@ -28,8 +28,8 @@
 
 // Windows divides time into windows of equal length.
 type Windows struct {
-	// Span is the length of a window. Due is the maximum delay of a report after the
-	// end of its window.
+	// Span is the length of a window. MaxReportDelay is the maximum delay of a report
+	// after the end of its window.
 	Span, MaxReportDelay kumquatlug.Millis
 }
 
@@ -107,7 +107,7 @@
 	delete(c.storedAt, k)
 }
 
-// Tally returns the counts to store now. Last says that the gateway is shutting down. A
+// Tally returns the counts to store now; last says that the gateway is shutting down. A
 // tally without counts is final, too: no report has to wait for it.
 func (c *Counter) Tally(now kumquatlug.Millis, last bool) Tally {
 	t := Tally{countedUntil: now, finalizedBefore: c.finalizedBefore, final: last || len(c.counts) == 0, counts: make(map[Window]Counts, len(c.counts))}
@@ -130,9 +130,9 @@
 // store is queried for which windows are finalized.
 const minPastDueWindows = 3
 
-// ShouldCheckFinalized reports whether several windows were stored so long ago that they have most
-// likely been reported. While no gateway holds the lease they are not reported and
-// must stay in the tally, so the caller reads [NextWindowKey] before they are dropped.
+// ShouldCheckFinalized reports whether several windows were stored so long ago that they
+// have most likely been reported. While no gateway holds the lease they are not reported
+// and must stay in the tally, so the caller reads [NextWindowKey] before they are dropped.
 func (c *Counter) ShouldCheckFinalized(now kumquatlug.Millis) bool {
 	pastDue := 0
 	for _, storedAt := range c.storedAt {
@@ -175,7 +175,7 @@
 
 // tallyRow is the stored form of a [Tally].
 type tallyRow struct {
-	CountedUntilMS  kumquatlug.Millis `json:"through_ms"`
+	CountedUntilMs  kumquatlug.Millis `json:"through_ms"`
 	Final           bool              `json:"left,omitempty"`
 	FinalizedBefore Window            `json:"next,omitempty"`
 	Counts          map[Window]Counts `json:"counts"`
@@ -183,7 +183,7 @@
 
 // Encode returns the stored form of a tally.
 func (t Tally) Encode() ([]byte, error) {
-	text, err := json.Marshal(tallyRow{CountedUntilMS: t.countedUntil, Final: t.final, FinalizedBefore: t.finalizedBefore, Counts: t.counts})
+	text, err := json.Marshal(tallyRow{CountedUntilMs: t.countedUntil, Final: t.final, FinalizedBefore: t.finalizedBefore, Counts: t.counts})
 	return text, errors.Wrap(err, "encode a tally")
 }
 
@@ -193,5 +193,5 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		return Tally{}, errors.Wrap(err, "decode a tally")
 	}
-	return Tally{countedUntil: r.CountedUntilMS, final: r.Final, finalizedBefore: r.FinalizedBefore, counts: r.Counts}, nil
+	return Tally{countedUntil: r.CountedUntilMs, final: r.Final, finalizedBefore: r.FinalizedBefore, counts: r.Counts}, nil
 }
--- a/pkg/kumquatlug/usage/usage_test.go
+++ b/pkg/kumquatlug/usage/usage_test.go
@@ -41,7 +41,7 @@
 	}
 	c.Stored(c.Tally(now, false))
 	if c.ShouldCheckFinalized(now+testWindows.MaxReportDelay) || !c.ShouldCheckFinalized(now+testWindows.MaxReportDelay+1) {
-		t.Error("Old reports windows before their due time, or never")
+		t.Error("ShouldCheckFinalized reports windows before their due time, or never")
 	}
 	c.DropFinalized(16)
 	if tally := c.Tally(now, false); len(tally.counts) != 2 {
@@ -124,12 +124,12 @@
 
 // A gateway can't reach the store at the end of a window and reconnects before the
 // report is due. A report that doesn't wait for it would miss its requests.
-func TestReportWaitsForDisconnectedGateway(t *testing.T) {
+func TestReportWaitsForPartitionedGateway(t *testing.T) {
 	s := newSimulation(t, 4)
 	s.run(13_000, allGateways)
-	s.disconnected[3] = true
+	s.partitioned[3] = true
 	s.run(5_000, allGateways)
-	s.disconnected[3] = false
+	s.partitioned[3] = false
 	s.run(30_000, allGateways)
 	s.checkReports(t, 0)
 }
@@ -172,9 +172,9 @@
 	}
 }
 
-// Gateways freeze and disconnect, the store and the report receiver fail, responses are
-// lost and the lease moves. No window may be reported twice with different counts or
-// out of order, and in the end all must be reported.
+// Gateways freeze and are partitioned from the store, the store and the report receiver
+// fail, responses are lost and the lease moves. No window may be reported twice with
+// different counts or out of order, and in the end all must be reported.
 func TestReportsUnderRandomFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(25)
 	parameters.MinSuccessfulTests = 60
@@ -187,7 +187,7 @@
 		for range 12 {
 			s.storeDown, s.receiverDown = random.IntN(5) == 0, random.IntN(5) == 0
 			s.lostCommitResponses, s.lostSendResponses = random.IntN(3), random.IntN(3)
-			s.disconnected[random.IntN(4)] = random.IntN(2) == 0
+			s.partitioned[random.IntN(4)] = random.IntN(2) == 0
 			formerHolder, formerToken := s.leaseHolder, s.fencingToken
 			if random.IntN(3) == 0 {
 				s.moveLease(random.IntN(4))
@@ -200,7 +200,7 @@
 			frozen = random.IntN(8)
 		}
 		s.storeDown, s.receiverDown, s.lostCommitResponses, s.lostSendResponses = false, false, 0, 0
-		s.disconnected = make([]bool, 4)
+		s.partitioned = make([]bool, 4)
 		s.run(60_000, allGateways)
 		if len(s.violations) > 0 {
 			return s.violations[0]
