--- a/cmd/kumquatlug/configure.go
+++ b/cmd/kumquatlug/configure.go
@@ -152,7 +152,7 @@
 func newSelectorSetCommand() *cobra.Command {
 	var c selector.Config
 	var protocol, role string
-	var deadline int64
+	var timeoutMs int64
 	cmd := &cobra.Command{
 		Use:   "set NAME",
 		Short: "Set a selector",
@@ -167,11 +167,11 @@
 	flags.StringVar(&role, "role", "", "both, prefill or decode for engines; serve for services")
 	flags.StringVar(&c.Match, "match", "", `expression over labels, as in "pool=draft,zone!=b,gpu,!old"; empty matches all`)
 	flags.BoolVar(&c.Repeatable, "repeatable", false, "calls of the service are idempotent and may be retried")
-	flags.Int64Var(&deadline, "deadline-ms", 0, "timeout of calls without one of their own, in milliseconds; 0 means two minutes")
+	flags.Int64Var(&timeoutMs, "deadline-ms", 0, "timeout of calls without one of their own, in milliseconds; 0 means two minutes")
 	flags.IntVar(&c.Priority, "priority", 0, "-2 to 2; higher values are served first")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		c.Name, c.Protocol, c.Role = args[0], kumquatlug.Protocol(protocol), kumquatlug.Role(role)
-		c.Timeout = kumquatlug.Millis(deadline)
+		c.Timeout = kumquatlug.Millis(timeoutMs)
 		if c.Role == "" {
 			c.Role = defaultRole(c.Protocol)
 		}
--- a/cmd/kumquatlug/dev.go
+++ b/cmd/kumquatlug/dev.go
@@ -192,7 +192,7 @@
 func (s *devSettings) newGateway(ctx context.Context) (*entry.Entry, error) {
 	gatewaySettings := entrySettings{
 		nodeSettings: s.nodeSettingsFor("entry-1"), listen: s.listen, peerListen: "127.0.0.1:0", operatorListen: s.operatorListen,
-		operatorKeys: []string{"laptop=" + s.operatorKey}, vmListIntervalMillis: 500, rolePlanner: plannerStatic, maxBufferedBytes: caller.DefaultMaxTotalBodyBytes,
+		operatorKeys: []string{"laptop=" + s.operatorKey}, vmListIntervalMs: 500, rolePlanner: plannerStatic, maxBufferedBytes: caller.DefaultMaxTotalBodyBytes,
 	}
 	node, err := gatewaySettings.newNode()
 	if err != nil {
--- a/cmd/kumquatlug/entry.go
+++ b/cmd/kumquatlug/entry.go
@@ -24,15 +24,15 @@
 // entrySettings are the settings of the entry command, which runs a gateway.
 type entrySettings struct {
 	nodeSettings
-	listen, peerListen, operatorListen      string
-	peerAddress                             string
-	publicCert, publicKey                   string
-	operatorKeys                            []string
-	balancerLagMillis, vmListIntervalMillis int64
-	maxBodyBytes, maxBufferedBytes          int64
-	subsetSize                              int
-	rolePlanner                             string
-	roleChangeCost, sufficientShare         float64
+	listen, peerListen, operatorListen string
+	peerAddress                        string
+	publicCert, publicKey              string
+	operatorKeys                       []string
+	balancerLagMs, vmListIntervalMs    int64
+	maxBodyBytes, maxBufferedBytes     int64
+	subsetSize                         int
+	rolePlanner                        string
+	roleChangeCost, sufficientShare    float64
 }
 
 func (s *entrySettings) bind(flags *pflag.FlagSet) {
@@ -44,8 +44,8 @@
 	flags.StringVar(&s.publicCert, "public-cert", "", "certificate of the callers' and operators' APIs: PEM text or a file; empty means plain HTTP")
 	flags.StringVar(&s.publicKey, "public-key", "", "private key of --public-cert: PEM text or a file")
 	flags.StringSliceVar(&s.operatorKeys, "operator-keys", nil, "operators and their keys as name=key, comma-separated")
-	flags.Int64Var(&s.balancerLagMillis, "balancer-lag-ms", int64(drain.GatewayRefuseDelay), "how long a stopping gateway accepts requests after /readyz starts to fail, in milliseconds")
-	flags.Int64Var(&s.vmListIntervalMillis, "list-every-ms", 2000, "interval between reads of the list of VMs, in milliseconds")
+	flags.Int64Var(&s.balancerLagMs, "balancer-lag-ms", int64(drain.GatewayRefuseDelay), "how long a stopping gateway accepts requests after /readyz starts to fail, in milliseconds")
+	flags.Int64Var(&s.vmListIntervalMs, "list-every-ms", 2000, "interval between reads of the list of VMs, in milliseconds")
 	flags.Int64Var(&s.maxBodyBytes, "max-body-bytes", caller.DefaultMaxBodyBytes, "maximum size of a request body")
 	flags.Int64Var(&s.maxBufferedBytes, "max-held-bytes", caller.DefaultMaxTotalBodyBytes, "maximum total size of the bodies of requests in flight; they use three times that much memory")
 	flags.IntVar(&s.subsetSize, "subset", routing.DefaultSubsetSize, "maximum number of engines of a kind that this gateway connects to")
@@ -65,8 +65,8 @@
 	if (s.publicCert == "") != (s.publicKey == "") {
 		c.Add("public-cert", "both --public-cert and --public-key, or neither", "one of them is missing")
 	}
-	c.Between("balancer-lag-ms", "milliseconds", s.balancerLagMillis, 0, 10*int64(kumquatlug.Minute))
-	c.Between("list-every-ms", "milliseconds", s.vmListIntervalMillis, 100, int64(kumquatlug.Minute))
+	c.Between("balancer-lag-ms", "milliseconds", s.balancerLagMs, 0, 10*int64(kumquatlug.Minute))
+	c.Between("list-every-ms", "milliseconds", s.vmListIntervalMs, 100, int64(kumquatlug.Minute))
 	c.Between("max-body-bytes", "bytes", s.maxBodyBytes, 1<<10, 1<<30)
 	c.Between("max-held-bytes", "bytes, at least --max-body-bytes", s.maxBufferedBytes, s.maxBodyBytes, 1<<34)
 	c.Between("subset", "targets", int64(s.subsetSize), 1, 10_000)
@@ -174,7 +174,7 @@
 		Name: s.name, Zone: s.zone, CallerListener: listeners[0], PeerListener: listeners[1], OperatorListener: listeners[2],
 		PeerAddress: s.peerAddress, PeerKeys: node.keys, CallerTLS: public, OperatorKeys: hashes,
 		Table: store, Objects: store, VMs: membership.NewRoster(store), Clock: node.clock,
-		VMListInterval: kumquatlug.Millis(s.vmListIntervalMillis), BalancerLag: kumquatlug.Millis(s.balancerLagMillis), MaxBodyBytes: s.maxBodyBytes, MaxTotalBodyBytes: s.maxBufferedBytes,
+		VMListInterval: kumquatlug.Millis(s.vmListIntervalMs), BalancerLag: kumquatlug.Millis(s.balancerLagMs), MaxBodyBytes: s.maxBodyBytes, MaxTotalBodyBytes: s.maxBufferedBytes,
 		NewPlanner: s.newPlanner,
 		Dispatch:   dispatch.Config{Seed: s.randomSeed(), SubsetSize: s.subsetSize},
 		Logger:     node.logger, Registry: node.registry, Ring: node.ring,
--- a/cmd/kumquatlug/inspect.go
+++ b/cmd/kumquatlug/inspect.go
@@ -156,7 +156,7 @@
 const statusPollInterval = 200 * time.Millisecond
 
 func newWaitCommand() *cobra.Command {
-	var timeout int64
+	var timeoutMs int64
 	cmd := &cobra.Command{
 		Use:     "wait REVISION",
 		Short:   "Wait until every node applies a config revision",
@@ -164,7 +164,7 @@
 		Example: "  kumquatlug label t1 leaving=true   # prints: revision 42\n  kumquatlug wait 42",
 	}
 	s := bindServer(cmd)
-	cmd.Flags().Int64Var(&timeout, "timeout-ms", int64(30*kumquatlug.Second), "maximum time to wait, in milliseconds")
+	cmd.Flags().Int64Var(&timeoutMs, "timeout-ms", int64(30*kumquatlug.Second), "maximum time to wait, in milliseconds")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		revision, err := strconv.ParseInt(args[0], 10, 64)
 		if err != nil {
@@ -174,7 +174,7 @@
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(cmd.Context(), kumquatlug.Millis(timeout).Duration())
+		ctx, cancel := context.WithTimeout(cmd.Context(), kumquatlug.Millis(timeoutMs).Duration())
 		defer cancel()
 		return waitForRevision(ctx, cmd.OutOrStdout(), client, revision)
 	}
@@ -228,15 +228,15 @@
 		if err != nil {
 			return err
 		}
-		answer, err := client.Explain(cmd.Context(), kumquatlug.NewKind(kumquatlug.Protocol(protocol), args[0]))
+		response, err := client.Explain(cmd.Context(), kumquatlug.NewKind(kumquatlug.Protocol(protocol), args[0]))
 		if err != nil {
 			return err
 		}
 		if *output == formatJSON {
-			return writeJSON(cmd.OutOrStdout(), answer)
+			return writeJSON(cmd.OutOrStdout(), response)
 		}
 		rows := [][]string{{"TARGET", "TAKES IT", "SELECTOR", "WHY NOT"}}
-		for _, v := range answer.GetVerdicts() {
+		for _, v := range response.GetVerdicts() {
 			rows = append(rows, []string{v.GetTarget(), yesNo(v.GetEligible()), v.GetSelector(), v.GetReason()})
 		}
 		return writeTable(cmd.OutOrStdout(), rows)
@@ -267,14 +267,14 @@
 		if err != nil {
 			return err
 		}
-		answer, err := client.Timeline(cmd.Context(), request)
+		response, err := client.Timeline(cmd.Context(), request)
 		if err != nil {
 			return err
 		}
-		if len(answer.GetUnreachable()) > 0 {
-			fmt.Fprintln(cmd.ErrOrStderr(), "no answer from:", strings.Join(answer.GetUnreachable(), ", "))
+		if len(response.GetUnreachable()) > 0 {
+			fmt.Fprintln(cmd.ErrOrStderr(), "no answer from:", strings.Join(response.GetUnreachable(), ", "))
 		}
-		return writeTimeline(cmd.OutOrStdout(), format, answer.GetEvents())
+		return writeTimeline(cmd.OutOrStdout(), format, response.GetEvents())
 	}
 	return cmd
 }
--- a/cmd/kumquatlug/logs.go
+++ b/cmd/kumquatlug/logs.go
@@ -34,11 +34,11 @@
 		Example: `  cat front-*.log | kumquatlug story 8b5b283a6c523835
   cat front-*.log | kumquatlug story i-75ab547a63`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			story, err := logs.ReadTimeline(cmd.InOrStdin(), args[0])
+			timeline, err := logs.ReadTimeline(cmd.InOrStdin(), args[0])
 			if err != nil {
 				return err
 			}
-			return story.Print(cmd.OutOrStdout())
+			return timeline.Print(cmd.OutOrStdout())
 		},
 	}
 }
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -207,8 +207,7 @@
 }
 
 // Many callers send large bodies at once. Without a limit on their total size
-// they exhaust the memory of the entry node, and all responses in flight are
-// lost.
+// they exhaust the memory of the gateway, and all responses in flight are lost.
 func TestTotalBodyBytesAreBounded(t *testing.T) {
 	started, release := make(chan bool), make(chan bool)
 	backend := &fakeBackend{generate: func(_ context.Context, _ Generation, sink Sink) error {
@@ -239,7 +238,7 @@
 }
 
 // A client opens a connection and sends half a header. Without a timeout a few
-// thousand of these occupy every connection that the entry node may have.
+// thousand of these occupy every connection that the gateway may have.
 func TestSlowHeaderClosesConnection(t *testing.T) {
 	server := newServer(t, &fakeBackend{}, Config{})
 	conn := dial(t, server)
--- a/internal/caller/generation.go
+++ b/internal/caller/generation.go
@@ -61,8 +61,8 @@
 // Body returns the request body for an engine: the caller's own fields, but
 // always streamed, with token counts and starting after the first resume
 // tokens. Streaming every response lets an interrupted one continue at another
-// engine without losing or repeating a token, even if the caller did not ask
-// for a stream.
+// engine without losing or repeating a token, even if the caller did not
+// request a stream.
 func (g Generation) Body(resume, priority int64) ([]byte, error) {
 	fields := make(map[string]any, len(g.fields)+4)
 	for name, value := range g.fields {
@@ -102,7 +102,7 @@
 }
 
 // reservedFields are removed from callers' requests: with them a caller could
-// reorder other callers' work or ask for a partial response.
+// reorder other callers' work or request a partial response.
 var reservedFields = []string{"priority", "resume_tokens"}
 
 func badRequest(cause error) *kumquatlug.Failure {
--- a/internal/caller/service_call.go
+++ b/internal/caller/service_call.go
@@ -60,9 +60,9 @@
 // call.
 func (c ServiceCall) Key() string { return c.key }
 
-// HasCallerKey reports whether the caller supplied the key. A caller never repeats a
-// call under a generated key, because nobody else knows it; a second request
-// under such a key can only be a resend by this process.
+// HasCallerKey reports whether the caller supplied the key. A caller never
+// repeats a call under a generated key, because only this process knows it; a
+// second request under such a key can only be a resend by this process.
 func (c ServiceCall) HasCallerKey() bool { return c.callerKey }
 
 // Timeout returns the timeout that the caller requested, in milliseconds, or
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -40,16 +40,16 @@
 
 // Measurement measures a group of related slopes.
 type Measurement struct {
-	name  string
-	about string
-	run   func(ctx context.Context, c Config) ([]Slope, error)
+	name        string
+	description string
+	run         func(ctx context.Context, c Config) ([]Slope, error)
 }
 
 // Name returns the name that selects the measurement in [Run].
 func (m Measurement) Name() string { return m.name }
 
 // Description returns a one-line description.
-func (m Measurement) Description() string { return m.about }
+func (m Measurement) Description() string { return m.description }
 
 // Measurements returns all measurements, in the order of docs/CAPACITY.md.
 func Measurements() []Measurement {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -30,15 +30,15 @@
 		wire = binary.BigEndian.AppendUint16(wire, uint16(body))
 		wire = append(wire, make([]byte, body)...)
 	}
-	for _, pieceSize := range []int{1, 3, 5, 6, 1000, len(wire)} {
+	for _, chunkSize := range []int{1, 3, 5, 6, 1000, len(wire)} {
 		var parser recordParser
 		var payload, started int64
-		for offset := 0; offset < len(wire); offset += pieceSize {
-			c, b := parser.parse(wire[offset:min(offset+pieceSize, len(wire))])
+		for offset := 0; offset < len(wire); offset += chunkSize {
+			c, b := parser.parse(wire[offset:min(offset+chunkSize, len(wire))])
 			payload, started = payload+c, started+b
 		}
 		if payload != 83+16384 || started != 3 {
-			t.Errorf("pieces of %d bytes: %d records with %d bytes of payload", pieceSize, started, payload)
+			t.Errorf("chunks of %d bytes: %d records with %d bytes of payload", chunkSize, started, payload)
 		}
 	}
 }
--- a/internal/capacity/decisions.go
+++ b/internal/capacity/decisions.go
@@ -13,9 +13,9 @@
 // decisionBenchmark is a decision that is made many times by dispatchers of two
 // sizes.
 type decisionBenchmark struct {
-	what string
-	per  string
-	// sizes are the two numbers of objects of the kind that per names.
+	costName      string
+	countedObject string
+	// sizes are the two numbers of objects of the kind that countedObject names.
 	sizes [2]int
 	// iterations is how often the decision is made at each size.
 	iterations    int
@@ -60,7 +60,7 @@
 	}
 	id := 0
 	s, err := slopePerSize(decisionBenchmark{
-		what: "arrive and give up behind a queue", per: "queued request", sizes: [2]int{c.scaledSize(100, 5), c.scaledSize(900, 50)}, iterations: c.scaledSize(500, 20),
+		costName: "arrive and give up behind a queue", countedObject: "queued request", sizes: [2]int{c.scaledSize(100, 5), c.scaledSize(900, 50)}, iterations: c.scaledSize(500, 20),
 		newDispatcher: func(n int) (*fleetDispatcher, error) {
 			built, err := newLoadedDispatcher(n, 1)
 			if err != nil {
@@ -157,7 +157,7 @@
 }
 
 // slopePerRound returns the processor time in nanoseconds per call of round.
-func slopePerRound(what, per string, sizes [2]int, round func()) (Slope, error) {
+func slopePerRound(costName, countedObject string, sizes [2]int, round func()) (Slope, error) {
 	points := make([]Point, 0, len(sizes))
 	for _, size := range sizes {
 		took, err := minProcessorTime(func() error {
@@ -171,7 +171,7 @@
 		}
 		points = append(points, NewPoint(size, float64(took.Nanoseconds())))
 	}
-	return NewSlope(what, per, UnitProcessorNanos, points...)
+	return NewSlope(costName, countedObject, UnitProcessorNanos, points...)
 }
 
 // slopePerSize returns the processor time in nanoseconds that each further object adds
@@ -197,5 +197,5 @@
 		}
 		points = append(points, NewPoint(size, float64(took)/float64(time.Nanosecond)/float64(b.iterations)))
 	}
-	return NewSlope(b.what, b.per, UnitProcessorNanos, points...)
+	return NewSlope(b.costName, b.countedObject, UnitProcessorNanos, points...)
 }
--- a/internal/capacity/dispatcher.go
+++ b/internal/capacity/dispatcher.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/selector"
 )
 
-// draftKind is the kind of work that requests ask for.
+// draftKind is the kind of work of all requests.
 var draftKind = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
 
 // modelNames are the models of a fleet. Targets are assigned to them round-robin.
--- a/internal/capacity/heartbeat.go
+++ b/internal/capacity/heartbeat.go
@@ -67,7 +67,7 @@
 // after a start or a failure.
 func (s *deployment) measureConnections(ctx context.Context, c Config, t *connectionTraffic, address string) ([]Slope, error) {
 	return measureExchanges(exchangeConfig{
-		what: "heartbeat on a new connection", per: "heartbeat", sizes: []int{c.scaledSize(10, 1), c.scaledSize(60, 3)}, traffic: t,
+		costName: "heartbeat on a new connection", countedObject: "heartbeat", sizes: []int{c.scaledSize(10, 1), c.scaledSize(60, 3)}, traffic: t,
 		exchange: func() error {
 			dialer := peer.NewDialer(s.gatewayKeys)
 			defer dialer.Close()
@@ -107,16 +107,16 @@
 		return err
 	}
 	return measureExchanges(exchangeConfig{
-		what: "heartbeat, " + protocol, per: "heartbeat", sizes: []int{c.scaledSize(150, 3), c.scaledSize(950, 9)}, traffic: t, exchange: sendHeartbeat,
+		costName: "heartbeat, " + protocol, countedObject: "heartbeat", sizes: []int{c.scaledSize(150, 3), c.scaledSize(950, 9)}, traffic: t, exchange: sendHeartbeat,
 	})
 }
 
 // exchangeConfig describes a request and its response, which are measured repeatedly.
 type exchangeConfig struct {
-	what    string
-	per     string
-	sizes   []int
-	traffic *connectionTraffic
+	costName      string
+	countedObject string
+	sizes         []int
+	traffic       *connectionTraffic
 	// noTLS is set if the connection does not use TLS.
 	noTLS    bool
 	exchange func() error
@@ -147,29 +147,29 @@
 		nanos = append(nanos, NewPoint(size, float64(took.Nanoseconds())))
 	}
 	configs := []slopeConfig{
-		{c.what + ": wire, both ways, without TLS", c.per, UnitBytes, plaintextBytes},
-		{c.what + ": both ends", c.per, UnitProcessorNanos, nanos},
+		{c.costName + ": wire, both ways, without TLS", c.countedObject, UnitBytes, plaintextBytes},
+		{c.costName + ": both ends", c.countedObject, UnitProcessorNanos, nanos},
 	}
 	if !c.noTLS {
 		configs = append(configs,
-			slopeConfig{c.what + ": wire, both ways, with TLS", c.per, UnitBytes, wireBytes},
-			slopeConfig{c.what + ": records, both ways", c.per, UnitTLSRecords, records})
+			slopeConfig{c.costName + ": wire, both ways, with TLS", c.countedObject, UnitBytes, wireBytes},
+			slopeConfig{c.costName + ": records, both ways", c.countedObject, UnitTLSRecords, records})
 	}
 	return newSlopes(configs)
 }
 
 // slopeConfig holds the arguments of [NewSlope].
 type slopeConfig struct {
-	what   string
-	per    string
-	unit   Unit
-	points []Point
+	costName      string
+	countedObject string
+	unit          Unit
+	points        []Point
 }
 
 func newSlopes(configs []slopeConfig) ([]Slope, error) {
 	slopes := make([]Slope, 0, len(configs))
 	for _, c := range configs {
-		s, err := NewSlope(c.what, c.per, c.unit, c.points...)
+		s, err := NewSlope(c.costName, c.countedObject, c.unit, c.points...)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/capacity/idle.go
+++ b/internal/capacity/idle.go
@@ -38,10 +38,10 @@
 		}
 		nanosByGateways = append(nanosByGateways, NewPoint(n, r.processorNanos))
 	}
-	const silent = "agent that no entry asks, a second"
+	const idleAgent = "agent that no entry asks, a second"
 	slopes, err := newSlopes([]slopeConfig{
-		{silent + ", its engine's side of the looks included", "agent", UnitProcessorNanos, nanosByAgents},
-		{silent, "agent", UnitReads, readsByAgents},
+		{idleAgent + ", its engine's side of the looks included", "agent", UnitProcessorNanos, nanosByAgents},
+		{idleAgent, "agent", UnitReads, readsByAgents},
 		{"entry without work that speaks to 10 agents, a second, their side included", "entry", UnitProcessorNanos, nanosByGateways},
 	})
 	if err != nil {
@@ -62,14 +62,14 @@
 		if err := sleep(ctx, time.Duration(c.scaledSize(1000, 10))*time.Millisecond); err != nil {
 			return err
 		}
-		for _, millis := range []int{c.scaledSize(600, 100), c.scaledSize(6000, 300)} {
+		for _, spanMs := range []int{c.scaledSize(600, 100), c.scaledSize(6000, 300)} {
 			before := s.store.Counts()
-			if err := sleep(ctx, time.Duration(millis)*time.Millisecond); err != nil {
+			if err := sleep(ctx, time.Duration(spanMs)*time.Millisecond); err != nil {
 				return err
 			}
 			after := s.store.Counts()
-			reads = append(reads, NewPoint(millis, float64(after.Reads()-before.Reads())))
-			writes = append(writes, NewPoint(millis, float64(after.Writes()-before.Writes())))
+			reads = append(reads, NewPoint(spanMs, float64(after.Reads()-before.Reads())))
+			writes = append(writes, NewPoint(spanMs, float64(after.Writes()-before.Writes())))
 		}
 		return nil
 	})
@@ -121,7 +121,7 @@
 }
 
 // addGateways adds gateways that connect to all agents.
-func (s *deployment) addGateways(ctx context.Context, agents, entries int) error {
+func (s *deployment) addGateways(ctx context.Context, agents, gateways int) error {
 	sets, err := newFleetSets(fleetConfig{targets: agents, singleKind: true, disaggregated: true})
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 	if err := s.commitFirst(ctx, sets); err != nil {
 		return err
 	}
-	for i := range entries {
+	for i := range gateways {
 		if _, err := s.addGateway(fmt.Sprintf("entry-%04d", i), &connectionTraffic{}); err != nil {
 			return err
 		}
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -22,10 +22,10 @@
 
 // retainedBenchmark is a kind of object of which a process keeps many.
 type retainedBenchmark struct {
-	what  string
-	per   string
-	sizes [2]int
-	build func(n int) (any, error)
+	costName      string
+	countedObject string
+	sizes         [2]int
+	build         func(n int) (any, error)
 }
 
 // measureMemory measures the heap per retained object of each kind.
@@ -46,7 +46,7 @@
 		{"planner: lease of a group", "group", smallSizes, buildLeases},
 		{"planner: engine of a group", "engine", smallSizes, buildEngineReports},
 		{"agent: run-once key remembered", "key", [2]int{c.scaledSize(200, 5), c.scaledSize(1000, 20)}, func(n int) (any, error) {
-			return buildRunOnceKeys(ctx, n)
+			return buildCachedCalls(ctx, n)
 		}},
 	}
 	slopes := make([]Slope, 0, len(benchmarks))
@@ -65,11 +65,11 @@
 	for _, n := range b.sizes {
 		bytes, err := retainedHeap(func() (any, error) { return b.build(n) })
 		if err != nil {
-			return Slope{}, errors.Wrap(err, b.what)
+			return Slope{}, errors.Wrap(err, b.costName)
 		}
 		points = append(points, NewPoint(n, bytes))
 	}
-	return NewSlope(b.what, b.per, UnitHeapBytes, points...)
+	return NewSlope(b.costName, b.countedObject, UnitHeapBytes, points...)
 }
 
 func buildListedTargets(n int) (any, error) {
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -19,8 +19,8 @@
 
 // messageBenchmark is a message whose size grows with a count.
 type messageBenchmark struct {
-	what string
-	per  string
+	costName      string
+	countedObject string
 	// sizes are the two counts to measure.
 	sizes [2]int
 	build func(n int) (any, error)
@@ -63,7 +63,7 @@
 		}
 		points = append(points, NewPoint(n, float64(len(text))))
 	}
-	return NewSlope(m.what, m.per, UnitBytes, points...)
+	return NewSlope(m.costName, m.countedObject, UnitBytes, points...)
 }
 
 func encodeMessage(body any) ([]byte, error) {
--- a/internal/capacity/offer.go
+++ b/internal/capacity/offer.go
@@ -25,7 +25,7 @@
 	defer dialer.Close()
 	client := dialer.Gateway(e.peerAddress)
 	return measureExchanges(exchangeConfig{
-		what: "demand told to another entry", per: "offer", sizes: []int{c.scaledSize(200, 3), c.scaledSize(1200, 9)}, traffic: e.peerTraffic,
+		costName: "demand told to another entry", countedObject: "offer", sizes: []int{c.scaledSize(200, 3), c.scaledSize(1200, 9)}, traffic: e.peerTraffic,
 		exchange: func() error {
 			_, err := client.Offer(ctx, connect.NewRequest(&peerv1.OfferRequest{
 				Entry: "entry-0456", Kind: "draft", SpanMs: 2000, PrefillTokens: 13_412, DecodeTokens: 10_434,
--- a/internal/capacity/pull.go
+++ b/internal/capacity/pull.go
@@ -97,7 +97,7 @@
 	}
 	sizes := []int{c.scaledSize(200, 3), c.scaledSize(1200, 9)}
 	slopes, err := measureExchanges(exchangeConfig{
-		what: "pull of one change from a peer", per: "pull", sizes: sizes, traffic: t, exchange: func() error { return pull(1) },
+		costName: "pull of one change from a peer", countedObject: "pull", sizes: sizes, traffic: t, exchange: func() error { return pull(1) },
 	})
 	if err != nil {
 		return nil, err
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -35,37 +35,37 @@
 
 // Slope is the growth of a cost per counted object.
 type Slope struct {
-	measurement string
-	what        string
-	per         string
-	unit        Unit
-	points      []Point
-	value       float64
+	measurement   string
+	costName      string
+	countedObject string
+	unit          Unit
+	points        []Point
+	value         float64
 }
 
 // NewSlope returns the slope between the first and the last of points. It returns an
 // error if there are fewer than two points or both have the same size. The argument
-// what names the cost and per the counted object.
-func NewSlope(what, per string, unit Unit, points ...Point) (Slope, error) {
+// costName names the cost, countedObject the object by whose number it grows.
+func NewSlope(costName, countedObject string, unit Unit, points ...Point) (Slope, error) {
 	if len(points) < 2 {
-		return Slope{}, errors.Newf("%s: a slope needs at least two points", what)
+		return Slope{}, errors.Newf("%s: a slope needs at least two points", costName)
 	}
 	first, last := points[0], points[len(points)-1]
 	if first.size == last.size {
-		return Slope{}, errors.Newf("%s: first and last point have the same size %d", what, first.size)
+		return Slope{}, errors.Newf("%s: first and last point have the same size %d", costName, first.size)
 	}
 	value := (last.total - first.total) / float64(last.size-first.size)
-	return Slope{what: what, per: per, unit: unit, points: points, value: value}, nil
+	return Slope{costName: costName, countedObject: countedObject, unit: unit, points: points, value: value}, nil
 }
 
 // Measurement returns the name of the measurement that produced the slope.
 func (s Slope) Measurement() string { return s.measurement }
 
 // CostName names the cost.
-func (s Slope) CostName() string { return s.what }
+func (s Slope) CostName() string { return s.costName }
 
 // CountedObject names the counted object.
-func (s Slope) CountedObject() string { return s.per }
+func (s Slope) CountedObject() string { return s.countedObject }
 
 // Unit returns the unit of the value.
 func (s Slope) Unit() Unit { return s.unit }
@@ -99,7 +99,7 @@
 		Unit        Unit    `json:"unit"`
 		Value       float64 `json:"value"`
 		Points      []point `json:"points"`
-	}{s.measurement, s.what, s.per, s.unit, s.value, points})
+	}{s.measurement, s.costName, s.countedObject, s.unit, s.value, points})
 }
 
 // WriteText writes slopes as an aligned text table.
@@ -107,7 +107,7 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "MEASUREMENT\tWHAT\tVALUE\tUNIT\tPER\tSIZES")
 	for _, s := range slopes {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", s.measurement, s.what, formatValue(s.value), s.unit, s.per, s.Sizes())
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", s.measurement, s.costName, formatValue(s.value), s.unit, s.countedObject, s.Sizes())
 	}
 	return errors.Wrap(table.Flush(), "write the table")
 }
--- a/internal/capacity/stream.go
+++ b/internal/capacity/stream.go
@@ -46,7 +46,7 @@
 
 // streamPath is a path by which a client reads an engine's stream.
 type streamPath struct {
-	what    string
+	name    string
 	client  *http.Client
 	url     string
 	header  http.Header
@@ -115,14 +115,14 @@
 	for _, p := range paths {
 		// The warm-up streams open the connections that the measured ones use.
 		if err := p.readAll(ctx, warmupTokens); err != nil {
-			return nil, errors.Wrap(err, p.what)
+			return nil, errors.Wrap(err, p.name)
 		}
 		var bytes, nanos, betweenBytes []Point
 		for _, tokens := range sizes {
 			before, betweenBefore := p.traffic.snapshot(), agentTraffic.snapshot()
 			took, err := minProcessorTime(func() error { return p.readAll(ctx, tokens) })
 			if err != nil {
-				return nil, errors.Wrap(err, p.what)
+				return nil, errors.Wrap(err, p.name)
 			}
 			totalTokens := tokens * concurrentStreams
 			bytes = append(bytes, NewPoint(totalTokens, float64(p.traffic.snapshot().sub(before).wireBytes())/repetitions))
@@ -130,11 +130,11 @@
 			nanos = append(nanos, NewPoint(totalTokens, float64(took.Nanoseconds())))
 		}
 		configs := []slopeConfig{
-			{"stream, " + p.what + ": wire at the client", "token", UnitBytes, bytes},
-			{"stream, " + p.what + ": all processes", "token", UnitProcessorNanos, nanos},
+			{"stream, " + p.name + ": wire at the client", "token", UnitBytes, bytes},
+			{"stream, " + p.name + ": all processes", "token", UnitProcessorNanos, nanos},
 		}
-		if p.traffic != agentTraffic && p.what != paths[0].what {
-			configs = append(configs, slopeConfig{"stream, " + p.what + ": wire between the two, with TLS", "token", UnitBytes, betweenBytes})
+		if p.traffic != agentTraffic && p.name != paths[0].name {
+			configs = append(configs, slopeConfig{"stream, " + p.name + ": wire between the two, with TLS", "token", UnitBytes, betweenBytes})
 		}
 		more, err := newSlopes(configs)
 		if err != nil {
@@ -143,7 +143,7 @@
 		slopes = append(slopes, more...)
 		openStreams, err := p.measureOpen(ctx, c)
 		if err != nil {
-			return nil, errors.Wrap(err, p.what)
+			return nil, errors.Wrap(err, p.name)
 		}
 		slopes = append(slopes, openStreams)
 	}
@@ -169,7 +169,7 @@
 		}
 		points = append(points, NewPoint(n, bytes))
 	}
-	return NewSlope("stream, "+p.what+": heap and stacks of all processes", "open stream", UnitHeapBytes, points...)
+	return NewSlope("stream, "+p.name+": heap and stacks of all processes", "open stream", UnitHeapBytes, points...)
 }
 
 // readAll reads concurrentStreams streams of the same length concurrently.
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -19,9 +19,9 @@
 
 // tableBenchmark is an activity that repeatedly accesses the table.
 type tableBenchmark struct {
-	what  string
-	per   string
-	sizes [2]int
+	costName      string
+	countedObject string
+	sizes         [2]int
 	// seed fills a new table before operations are counted; it may be nil.
 	seed func(ctx context.Context, table *standin.Memory, n int) error
 	// run performs the activity n times.
@@ -46,7 +46,7 @@
 	for _, b := range benchmarks {
 		more, err := b.measure(ctx)
 		if err != nil {
-			return nil, errors.Wrap(err, b.what)
+			return nil, errors.Wrap(err, b.costName)
 		}
 		slopes = append(slopes, more...)
 	}
@@ -73,9 +73,9 @@
 		rows = append(rows, NewPoint(n, float64(after.RowsWritten()-before.RowsWritten())))
 	}
 	return newSlopes([]slopeConfig{
-		{b.what, b.per, UnitReads, reads},
-		{b.what, b.per, UnitWrites, writes},
-		{b.what, b.per, UnitRowsWritten, rows},
+		{b.costName, b.countedObject, UnitReads, reads},
+		{b.costName, b.countedObject, UnitWrites, writes},
+		{b.costName, b.countedObject, UnitRowsWritten, rows},
 	})
 }
 
@@ -151,9 +151,9 @@
 	return l, func() { cancel(); <-done }, nil
 }
 
-// runOnceCall claims the i-th call and stores its outcome. The call itself takes no
-// time.
-func runOnceCall(ctx context.Context, l *ledger.Ledger, i int) error {
+// callAtMostOnce claims the i-th non-idempotent call and stores its outcome. The call
+// itself takes no time.
+func callAtMostOnce(ctx context.Context, l *ledger.Ledger, i int) error {
 	call := ledger.NewCall(ledger.CallConfig{
 		Caller: "portal", Key: fmt.Sprintf("posting-%06d", i), Fingerprint: string(newFingerprint(i)), Dispatch: ledger.NewDispatch(0, 0),
 	})
@@ -174,7 +174,7 @@
 	}
 	defer stop()
 	for i := range n {
-		if err := runOnceCall(ctx, l, i); err != nil {
+		if err := callAtMostOnce(ctx, l, i); err != nil {
 			return err
 		}
 		if err := l.Flush(ctx); err != nil {
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// concurrentCalls is the number of run-once calls in flight at a busy service.
+// concurrentCalls is the number of non-idempotent calls in flight at a busy service.
 const concurrentCalls = 64
 
 func callConcurrently(ctx context.Context, table *standin.Memory, n int) error {
@@ -202,7 +202,7 @@
 	for worker := range concurrentCalls {
 		workers.Go(func() {
 			for i := worker; i < n; i += concurrentCalls {
-				if err := runOnceCall(ctx, l, i); err != nil {
+				if err := callAtMostOnce(ctx, l, i); err != nil {
 					errs <- err
 					return
 				}
@@ -218,8 +218,8 @@
 	}
 }
 
-// buildRunOnceKeys returns a ledger that caches n completed calls.
-func buildRunOnceKeys(ctx context.Context, n int) (any, error) {
+// buildCachedCalls returns a ledger that caches n completed calls.
+func buildCachedCalls(ctx context.Context, n int) (any, error) {
 	l, stop, err := openLedger(ctx, standin.NewMemory(), n)
 	if err != nil {
 		return nil, err
--- a/internal/capacity/tabletraffic.go
+++ b/internal/capacity/tabletraffic.go
@@ -37,14 +37,14 @@
 		return nil, err
 	}
 	sizes := []int{c.scaledSize(200, 3), c.scaledSize(1200, 9)}
-	slopes, err := measureExchanges(exchangeConfig{what: "config head read", per: "read", sizes: sizes, traffic: t, noTLS: true, exchange: func() error {
+	slopes, err := measureExchanges(exchangeConfig{costName: "config head read", countedObject: "read", sizes: sizes, traffic: t, noTLS: true, exchange: func() error {
 		_, err := store.Head(ctx)
 		return err
 	}})
 	if err != nil {
 		return nil, err
 	}
-	renewalSlopes, err := measureExchanges(exchangeConfig{what: "lease renewed", per: "renewal", sizes: sizes, traffic: t, noTLS: true, exchange: func() error {
+	renewalSlopes, err := measureExchanges(exchangeConfig{costName: "lease renewed", countedObject: "renewal", sizes: sizes, traffic: t, noTLS: true, exchange: func() error {
 		return readAndRenewLease(ctx, client)
 	}})
 	if err != nil {
--- a/internal/entry/background.go
+++ b/internal/entry/background.go
@@ -114,10 +114,10 @@
 	}
 }
 
-// initialPhase spreads the first heartbeats over an interval. Otherwise an
-// entry node that just started would send a heartbeat to all its targets at
-// once, and all entry nodes that start together would send theirs to the same
-// target at the same moment.
+// initialPhase spreads the first heartbeats over an interval. Otherwise a
+// gateway that just started would send a heartbeat to all its targets at once,
+// and all gateways that start together would send theirs to the same target at
+// the same moment.
 func (e *Entry) initialPhase(target string, interval kumquatlug.Millis) kumquatlug.Millis {
 	if interval <= membership.MinInterval {
 		return 0
@@ -125,7 +125,7 @@
 	return kumquatlug.Millis(xxhash.Sum64String(e.cfg.Name+"/"+target) % uint64(interval))
 }
 
-// watchedMembers returns the targets to which this entry node sends heartbeats.
+// watchedMembers returns the targets to which this gateway sends heartbeats.
 func (e *Entry) watchedMembers(ctx context.Context) []membership.Member {
 	var members []membership.Member
 	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) {
@@ -202,12 +202,12 @@
 	}
 }
 
-// isPrimary reports whether this entry node is the first in the rendezvous
-// order of a task that a single entry node performs.
+// isPrimary reports whether this gateway is the first in the rendezvous order
+// of a task that a single gateway performs.
 func (e *Entry) isPrimary(ctx context.Context, task string) bool {
-	var entries []string
-	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) { entries = append(entries, d.Gateways()...) })
-	order := routing.RunOnceOrder(task, entries)
+	var gateways []string
+	_ = e.loop.query(ctx, func(d *dispatch.Dispatcher) { gateways = append(gateways, d.Gateways()...) })
+	order := routing.RunOnceOrder(task, gateways)
 	return len(order) > 0 && order[0] == e.cfg.Name
 }
 
--- a/internal/entry/config_view.go
+++ b/internal/entry/config_view.go
@@ -45,8 +45,8 @@
 }
 
 // addSelector adds the policy of one selector. If several selectors route a
-// kind, the first one by name decides, but the kind is repeatable only if all
-// of them say so.
+// kind, the first one by name decides, but the kind is repeatable only if it is
+// so in all of them.
 func (v *configView) addSelector(s selector.Selector) {
 	existing, found := v.policies[s.Kind()]
 	if found {
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -34,34 +34,34 @@
 	}
 }
 
-// reportDemand sends the demand seen by this entry node to the entry nodes that
-// may hold the leases.
-func (c *roleController) reportDemand(ctx context.Context, span kumquatlug.Millis) {
+// reportDemand sends the demand seen by this gateway to the gateways that may
+// hold the leases.
+func (c *roleController) reportDemand(ctx context.Context, period kumquatlug.Millis) {
 	demand := map[string]dispatch.OfferedWork{}
-	var entries []string
+	var gateways []string
 	_ = c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) {
-		entries = append(entries, d.Gateways()...)
+		gateways = append(gateways, d.Gateways()...)
 		d.TakeOfferedWork(func(kind kumquatlug.Kind, o dispatch.OfferedWork) { demand[kind.Name()] = o })
 	})
 	addresses := map[string]string{}
-	for _, vm := range c.entry.otherEntries() {
+	for _, vm := range c.entry.peerGateways() {
 		addresses[vm.Name()] = vm.Address()
 	}
 	for kind, o := range demand {
-		offer := kumquatlug.Demand{
-			Gateway: c.entry.cfg.Name, Period: span, PrefillTokens: float64(o.PrefillTokens), DecodeTokens: float64(o.DecodeTokens),
+		ownDemand := kumquatlug.Demand{
+			Gateway: c.entry.cfg.Name, Period: period, PrefillTokens: float64(o.PrefillTokens), DecodeTokens: float64(o.DecodeTokens),
 		}
-		for i, name := range routing.RunOnceOrder(kind, entries) {
+		for i, name := range routing.RunOnceOrder(kind, gateways) {
 			if i >= leaseCandidates {
 				break
 			}
-			c.sendDemand(ctx, name, addresses[name], kind, offer)
+			c.sendDemand(ctx, name, addresses[name], kind, ownDemand)
 		}
 	}
 }
 
-func (c *roleController) sendDemand(ctx context.Context, entry, address, kind string, o kumquatlug.Demand) {
-	if entry == c.entry.cfg.Name {
+func (c *roleController) sendDemand(ctx context.Context, gateway, address, kind string, o kumquatlug.Demand) {
+	if gateway == c.entry.cfg.Name {
 		c.post(demandReport{kind, o})
 		return
 	}
@@ -72,17 +72,17 @@
 			Entry: o.Gateway, Kind: kind, SpanMs: int64(o.Period), PrefillTokens: o.PrefillTokens, DecodeTokens: o.DecodeTokens,
 		}))
 		if err != nil {
-			c.entry.cfg.Logger.Debug("failed to report demand", zap.String("peer", entry), timeline.ErrorField(err))
+			c.entry.cfg.Logger.Debug("failed to report demand", zap.String("peer", gateway), timeline.ErrorField(err))
 		}
 	}()
 }
 
-// demandService serves the demand reports of other entry nodes.
+// demandService serves the demand reports of peer gateways.
 type demandService struct {
 	controller *roleController
 }
 
-// Offer receives the demand seen by another entry node.
+// Offer receives the demand seen by a peer gateway.
 func (s *demandService) Offer(
 	_ context.Context, r *connect.Request[peerv1.OfferRequest],
 ) (*connect.Response[peerv1.OfferResponse], error) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry implements the entry node, the process that serves callers and
-// operators. It connects their APIs with the event loop that makes the
-// scheduling decisions, the heartbeats to agents, the platform's VM list and
-// the config.
+// Package entry implements the gateway that the entry command runs, the process
+// that serves callers and operators. It connects their APIs with the event loop
+// that makes the scheduling decisions, the heartbeats to agents, the platform's
+// VM list and the config.
 package entry
 
 import (
@@ -35,12 +35,13 @@
 	// centre.
 	Name string
 	Zone string
-	// CallerListener, Peers and Operators are the listeners for each of them.
+	// CallerListener, PeerListener and OperatorListener accept the connections
+	// of callers, peers and operators.
 	CallerListener   net.Listener
 	PeerListener     net.Listener
 	OperatorListener net.Listener
 	// PeerAddress is the address advertised to peers; empty means the address
-	// of Peers.
+	// of PeerListener.
 	PeerAddress string
 	// PeerKeys are the TLS keys for connections between nodes; nil means plain
 	// connections on loopback.
@@ -58,7 +59,7 @@
 	// VMListInterval is the interval between reads of the platform's VM list, in
 	// milliseconds.
 	VMListInterval kumquatlug.Millis
-	// BalancerLag is how long an entry node that is shutting down still accepts
+	// BalancerLag is how long a gateway that is shutting down still accepts
 	// requests after it reports that it is not ready, in milliseconds.
 	BalancerLag kumquatlug.Millis
 	// MaxBodyBytes is the maximum size of a caller's request body, in bytes; zero
@@ -75,7 +76,7 @@
 	Ring       *timeline.Ring
 }
 
-// Entry is an entry node, which runs behind the load balancer.
+// Entry is a gateway, which runs behind the load balancer.
 type Entry struct {
 	cfg         Config
 	incarnation string
@@ -95,7 +96,7 @@
 	inFlight    atomic.Int64
 }
 
-// New returns an entry node that is ready to run.
+// New returns a gateway that is ready to run.
 func New(c Config) (*Entry, error) {
 	e := &Entry{cfg: c, incarnation: kumquatlug.NewIncarnation(c.Name), address: c.PeerAddress, dialer: peer.NewDialer(c.PeerKeys), attempts: newAttemptTracker()}
 	if e.address == "" {
@@ -109,7 +110,7 @@
 	e.roles = newRoleController(e)
 	e.follower = peer.NewFollower(peer.FollowerConfig{
 		NodeName: c.Name, Dialer: e.dialer, Clock: c.Clock, Ring: c.Ring, Logger: c.Logger, Store: e.configStore,
-		LiveNodes: e.localEntries, OnState: e.applyConfig,
+		LiveNodes: e.localGateways, OnState: e.applyConfig,
 	})
 	return e, e.openLedger()
 }
@@ -133,9 +134,9 @@
 	e.loop.post(configChanged{state})
 }
 
-// localEntries returns the entry nodes of this data centre in the platform's VM
+// localGateways returns the gateways of this data centre in the platform's VM
 // list.
-func (e *Entry) localEntries() []string {
+func (e *Entry) localGateways() []string {
 	var names []string
 	for _, vm := range *e.listedVMs.Load() {
 		if vm.Role() == kumquatlug.VMGateway && vm.Zone() == e.cfg.Zone {
@@ -170,8 +171,7 @@
 	return peer.RunGroup(&group)
 }
 
-// presence returns the registration of this entry node in the platform's VM
-// list.
+// presence returns the registration of this gateway in the platform's VM list.
 func (e *Entry) presence() peer.Registration {
 	return peer.Registration{VMs: e.cfg.VMs, Logger: e.cfg.Logger, VM: kumquatlug.NewVM(kumquatlug.VMConfig{
 		Name: e.cfg.Name, Role: kumquatlug.VMGateway, Address: e.address, Zone: e.cfg.Zone, State: kumquatlug.VMLive,
@@ -238,7 +238,7 @@
 }
 
 // notReadyReason returns why the load balancer should route callers elsewhere,
-// or an empty string if the entry node is ready.
+// or an empty string if the gateway is ready.
 func (e *Entry) notReadyReason() string {
 	switch {
 	case e.draining.Load():
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -170,7 +170,7 @@
 		return failed, nil
 	}
 	if err := s.flush(); err != nil {
-		return nil, s.request.callerGone("write answer", err)
+		return nil, s.request.callerDisconnected("write answer", err)
 	}
 	drainBody(response.Body, end)
 	return nil, nil
@@ -179,8 +179,8 @@
 // drainBody reads the rest of the body after the [DONE] event, so that the
 // connection can be reused. A body closed before its end discards its
 // connection, and each request would pay for a new connection and its
-// handshake, which shows in the CPU time of entry nodes and agents. drainBody
-// calls end, which cancels the attempt, if the rest does not arrive within
+// handshake, which shows in the CPU time of gateways and agents. drainBody calls
+// end, which cancels the attempt, if the rest does not arrive within
 // trailerTimeout.
 func drainBody(body io.Reader, end func()) {
 	timer := time.AfterFunc(trailerTimeout, end)
@@ -191,7 +191,7 @@
 func (s *responseStream) attemptRefused(ctx context.Context, number int, refused *refusal) (*dispatch.AttemptFailure, error) {
 	s.assembler.ConnectionClosed(s.request.id, number)
 	if ctx.Err() != nil {
-		return nil, s.request.callerGone("send work", ctx.Err())
+		return nil, s.request.callerDisconnected("send work", ctx.Err())
 	}
 	failed := refused.attemptFailure()
 	failed.Resumable = true
@@ -229,17 +229,17 @@
 			return s.end(a, number)
 		}
 		if ctx.Err() != nil {
-			return nil, s.request.callerGone("read answer", ctx.Err())
+			return nil, s.request.callerDisconnected("read answer", ctx.Err())
 		}
 		if s.writeErr != nil {
-			return nil, s.request.callerGone("write answer", s.writeErr)
+			return nil, s.request.callerDisconnected("write answer", s.writeErr)
 		}
 		if err != nil {
 			s.assembler.ConnectionClosed(s.request.id, number)
 			return s.streamCut(a, err), nil
 		}
 		if err := s.relayChunk(number, chunk); err != nil {
-			return nil, s.request.callerGone("write answer", err)
+			return nil, s.request.callerDisconnected("write answer", err)
 		}
 	}
 }
@@ -363,10 +363,10 @@
 	}
 	s.request.finish(dispatch.Completion{OutputTokens: usage.CompletionTokens, CachedTokens: cached})
 	if err := s.sink.Chunk(s.render("", &reason)); err != nil {
-		return nil, s.request.callerGone("write answer", err)
+		return nil, s.request.callerDisconnected("write answer", err)
 	}
 	if err := s.sink.Chunk(engine.Chunk{Object: s.template.Object, Model: s.generation.Kind().Name(), Choices: []engine.Choice{}, Usage: usage}); err != nil {
-		return nil, s.request.callerGone("write answer", err)
+		return nil, s.request.callerDisconnected("write answer", err)
 	}
 	return nil, nil
 }
--- a/internal/entry/generate_test.go
+++ b/internal/entry/generate_test.go
@@ -14,7 +14,7 @@
 
 // A response body was closed after its [DONE] event with the last chunk still
 // unread. Its connection could not be reused and every request opened a new
-// one, so that entry nodes and agents spent most of their time on handshakes.
+// one, so that gateways and agents spent most of their time on handshakes.
 func TestConnectionIsReusedAfterDoneEvent(t *testing.T) {
 	var connections atomic.Int64
 	agent := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/entry/loop.go
+++ b/internal/entry/loop.go
@@ -22,8 +22,8 @@
 // Messages to the loop.
 type (
 	requestArrived struct {
-		request dispatch.RequestConfig
-		reply   chan dispatch.Decision
+		request   dispatch.RequestConfig
+		decisions chan dispatch.Decision
 	}
 	attemptFailed struct {
 		id     string
@@ -59,20 +59,20 @@
 	}
 )
 
-// loop is the event loop: the only goroutine that makes the entry node's
+// loop is the event loop: the only goroutine that makes the gateway's
 // scheduling decisions.
 type loop struct {
-	entry      *Entry
-	dispatcher *dispatch.Dispatcher
-	inbox      chan any
-	stopped    chan struct{}
-	replies    map[string]chan dispatch.Decision
+	entry         *Entry
+	dispatcher    *dispatch.Dispatcher
+	inbox         chan any
+	stopped       chan struct{}
+	decisionsByID map[string]chan dispatch.Decision
 }
 
 func newLoop(e *Entry) *loop {
 	return &loop{
 		entry: e, dispatcher: dispatch.New(e.cfg.Dispatch), inbox: make(chan any, inboxSize),
-		stopped: make(chan struct{}), replies: map[string]chan dispatch.Decision{},
+		stopped: make(chan struct{}), decisionsByID: map[string]chan dispatch.Decision{},
 	}
 }
 
@@ -134,19 +134,19 @@
 func (l *loop) handle(now kumquatlug.Millis, message any) []dispatch.Decision {
 	switch m := message.(type) {
 	case requestArrived:
-		l.replies[m.request.ID] = m.reply
+		l.decisionsByID[m.request.ID] = m.decisions
 		return l.dispatcher.Arrive(now, m.request)
 	case attemptFailed:
 		return l.dispatcher.AttemptFailed(now, m.id, m.failed)
 	case requestProgressed:
 		return l.dispatcher.Progress(now, m.id, m.tokens)
 	case requestFinished:
-		delete(l.replies, m.id)
+		delete(l.decisionsByID, m.id)
 		return l.dispatcher.Finished(now, m.id, m.done)
 	case prefillDone:
 		return l.dispatcher.PrefillDone(now, m.id)
 	case requestCancelled:
-		delete(l.replies, m.id)
+		delete(l.decisionsByID, m.id)
 		return l.dispatcher.Cancelled(now, m.id)
 	case configChanged:
 		l.entry.metrics.revision.Set(float64(m.state.Revision()))
@@ -193,13 +193,13 @@
 // most one unread decision, so that no send blocks.
 func (l *loop) deliver(decisions []dispatch.Decision) {
 	for _, d := range decisions {
-		reply, waiting := l.replies[d.ID()]
+		decisionChan, waiting := l.decisionsByID[d.ID()]
 		if !waiting {
 			continue
 		}
 		if d.Verdict() == dispatch.VerdictRefuse {
-			delete(l.replies, d.ID())
+			delete(l.decisionsByID, d.ID())
 		}
-		reply <- d
+		decisionChan <- d
 	}
 }
--- a/internal/entry/loop_test.go
+++ b/internal/entry/loop_test.go
@@ -7,8 +7,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// A query to the loop is abandoned while it waits in the inbox, as when an
-// entry node shuts down. If it ran later, it would write to variables that its
+// A query to the loop is abandoned while it waits in the inbox, as when a
+// gateway shuts down. If it ran later, it would write to variables that its
 // caller already reads: heartbeats would go to half a list of targets.
 func TestAbandonedQueryDoesNotRun(t *testing.T) {
 	l := &loop{inbox: make(chan any, 1), stopped: make(chan struct{})}
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug/dispatch"
 )
 
-// metrics are the Prometheus metrics of the entry node. The cardinality of
+// metrics are the Prometheus metrics of the gateway. The cardinality of
 // labels is bounded: kinds come from the config and reasons from constants, and
 // no label has the name of a caller.
 type metrics struct {
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -22,8 +22,8 @@
 
 var _ operator.Backend = (*Entry)(nil)
 
-// Change commits a proposal as the next revision and applies it on this entry
-// node.
+// Change commits a proposal as the next revision and applies it on this
+// gateway.
 func (e *Entry) Change(ctx context.Context, p config.Proposal) (config.Change, error) {
 	change, err := e.configStore.Commit(ctx, p)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return change, nil
 }
 
-// State returns the config in effect on this entry node.
+// State returns the config in effect on this gateway.
 func (e *Entry) State() config.State { return e.follower.State() }
 
 // Explain returns for each target whether it is eligible for a kind of work,
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(e.entryStatuses(ctx), nodes...), nil
+	return append(e.gatewayStatuses(ctx), nodes...), nil
 }
 
 func (e *Entry) targetStatuses(ctx context.Context) ([]*peerv1.NodeStatus, error) {
@@ -89,24 +89,24 @@
 	return string(m.State())
 }
 
-// entryStatuses queries every entry node in the platform's VM list for its
+// gatewayStatuses queries every gateway in the platform's VM list for its
 // revision.
-func (e *Entry) entryStatuses(ctx context.Context) []*peerv1.NodeStatus {
+func (e *Entry) gatewayStatuses(ctx context.Context) []*peerv1.NodeStatus {
 	var nodes []*peerv1.NodeStatus
 	own := &peerv1.NodeStatus{
 		Name: e.cfg.Name, Role: string(kumquatlug.VMGateway), Zone: e.cfg.Zone, Address: e.address, State: "up",
 		Revision: int64(e.State().Revision()), Running: e.inFlight.Load(),
 	}
 	nodes = append(nodes, own)
-	others := e.otherEntries()
+	others := e.peerGateways()
 	statuses := make([]*peerv1.NodeStatus, len(others))
 	e.fanOut(ctx, len(others), func(ctx context.Context, i int) {
-		statuses[i] = e.queryEntry(ctx, others[i])
+		statuses[i] = e.queryGateway(ctx, others[i])
 	})
 	return append(nodes, statuses...)
 }
 
-func (e *Entry) queryEntry(ctx context.Context, vm kumquatlug.VM) *peerv1.NodeStatus {
+func (e *Entry) queryGateway(ctx context.Context, vm kumquatlug.VM) *peerv1.NodeStatus {
 	node := &peerv1.NodeStatus{
 		Name: vm.Name(), Role: string(kumquatlug.VMGateway), Zone: vm.Zone(), Address: vm.Address(), State: "unreachable", HeartbeatAgeMs: -1,
 	}
@@ -119,8 +119,8 @@
 	return node
 }
 
-// otherEntries returns the other entry nodes in the platform's VM list.
-func (e *Entry) otherEntries() []kumquatlug.VM {
+// peerGateways returns the peer gateways in the platform's VM list.
+func (e *Entry) peerGateways() []kumquatlug.VM {
 	var others []kumquatlug.VM
 	for _, vm := range *e.listedVMs.Load() {
 		if vm.Role() == kumquatlug.VMGateway && vm.Name() != e.cfg.Name {
@@ -145,7 +145,7 @@
 // Timeline merges the events of all processes into one timeline, and names the
 // processes that could not be reached.
 func (e *Entry) Timeline(ctx context.Context, requestID string) (*peerv1.EventsResponse, error) {
-	vms := append(e.otherEntries(), e.targetVMs()...)
+	vms := append(e.peerGateways(), e.targetVMs()...)
 	responses := make([]*peerv1.EventsResponse, len(vms))
 	e.fanOut(ctx, len(vms), func(ctx context.Context, i int) {
 		response, err := e.dialer.Peer(peerRole(vms[i]), vms[i].Address()).Events(ctx,
--- a/internal/entry/prefill.go
+++ b/internal/entry/prefill.go
@@ -22,8 +22,7 @@
 func jsonHeader() http.Header { return http.Header{"Content-Type": {"application/json"}} }
 
 // prefill runs the prompt on one engine and keeps the handle with which another
-// engine fetches the KV cache. The cache itself never passes through an entry
-// node.
+// engine fetches the KV cache. The cache itself never passes through a gateway.
 func (s *responseStream) prefill(ctx context.Context, a dispatch.Attempt) (*dispatch.AttemptFailure, error) {
 	body, err := s.generation.Body(0, s.request.enginePriority())
 	if err != nil {
@@ -35,7 +34,7 @@
 		method: http.MethodPost, path: exportPath, header: jsonHeader(), body: body,
 	})
 	if ctx.Err() != nil {
-		return nil, s.request.callerGone("run prompt", ctx.Err())
+		return nil, s.request.callerDisconnected("run prompt", ctx.Err())
 	}
 	if refused != nil {
 		failed := refused.attemptFailure()
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -34,7 +34,7 @@
 	deadline    kumquatlug.Millis
 	policy      kindPolicy
 	fingerprint quarantine.Fingerprint
-	reply       chan dispatch.Decision
+	decisions   chan dispatch.Decision
 	// dispatched is set once the loop has granted an attempt.
 	dispatched bool
 	// active is set while the loop tracks the request.
@@ -53,7 +53,7 @@
 	}
 	return &request{
 		entry: e, id: id, kind: kind, account: account, arrival: now, deadline: now + timeout, policy: policy,
-		reply: make(chan dispatch.Decision, 1),
+		decisions: make(chan dispatch.Decision, 1),
 	}
 }
 
@@ -62,19 +62,19 @@
 	c.ID, c.Caller, c.Kind = r.id, r.account, r.kind
 	c.Arrival, c.Deadline, c.Priority, c.Fingerprint = r.arrival, r.deadline, r.policy.priority, r.fingerprint
 	r.active = true
-	r.entry.loop.post(requestArrived{request: c, reply: r.reply})
+	r.entry.loop.post(requestArrived{request: c, decisions: r.decisions})
 }
 
 // nextAttempt waits for the loop's next decision. An error is the final failure
 // to return to the caller.
 func (r *request) nextAttempt(ctx context.Context) (dispatch.Attempt, error) {
 	select {
-	case d := <-r.reply:
+	case d := <-r.decisions:
 		return r.handleDecision(d)
 	case <-ctx.Done():
-		return dispatch.Attempt{}, r.callerGone("wait", ctx.Err())
+		return dispatch.Attempt{}, r.callerDisconnected("wait", ctx.Err())
 	case <-r.entry.loop.stopped:
-		return dispatch.Attempt{}, r.callerGone("wait", context.Canceled)
+		return dispatch.Attempt{}, r.callerDisconnected("wait", context.Canceled)
 	}
 }
 
@@ -91,9 +91,9 @@
 	return d.Attempt(), nil
 }
 
-// callerGone returns the failure of a request whose caller has disconnected.
-// Nobody reads it as a response.
-func (r *request) callerGone(step string, cause error) error {
+// callerDisconnected returns the failure of a request whose caller has
+// disconnected. No caller receives it as a response.
+func (r *request) callerDisconnected(step string, cause error) error {
 	ran := kumquatlug.NotExecuted
 	if r.dispatched {
 		ran = kumquatlug.ExecutionUnknown
@@ -143,8 +143,8 @@
 
 // enginePriority returns the priority sent to the engine: first the priority of
 // the selector, then the earlier deadline, so that requests queued inside an
-// engine keep their order in the queue of the entry node. It uses the wall
-// clock because several entry nodes send to one engine.
+// engine keep their order in the queue of the gateway. It uses the wall clock
+// because several gateways send to one engine.
 func (r *request) enginePriority() int64 {
 	remaining := (r.deadline - r.entry.cfg.Clock.Now()).Duration()
 	return int64(r.policy.priority)*priorityStepSeconds - time.Now().Add(remaining).Unix()
--- a/internal/entry/role_orders.go
+++ b/internal/entry/role_orders.go
@@ -19,8 +19,8 @@
 	if !known || m.err != nil {
 		return
 	}
-	if settlement, ended := g.sender.HandleReply(m.target, m.id, m.reply); ended {
-		c.orderSettled(g, settlement)
+	if result, ended := g.sender.HandleReply(m.target, m.id, m.reply); ended {
+		c.orderSettled(g, result)
 	}
 }
 
@@ -34,20 +34,20 @@
 
 // syncOrders plans and sends orders while the lease is held.
 func (c *roleController) syncOrders(ctx context.Context, g *engineGroup) {
-	leaseNumber, held := g.holder.Held(c.now())
-	if held && leaseNumber != g.leaseNumber {
-		g.leaseNumber = leaseNumber
-		g.sender.LeaseAcquired(leaseNumber)
-		c.entry.cfg.Ring.Add(timeline.Record{Name: timeline.LeaseTaken, Peer: g.name, Detail: "number " + itoa(int64(leaseNumber))})
+	token, held := g.holder.Held(c.now())
+	if held && token != g.fencingToken {
+		g.fencingToken = token
+		g.sender.LeaseAcquired(token)
+		c.entry.cfg.Ring.Add(timeline.Record{Name: timeline.LeaseTaken, Peer: g.name, Detail: "number " + itoa(int64(token))})
 	}
-	if !held && g.leaseNumber != 0 {
-		g.leaseNumber = 0
+	if !held && g.fencingToken != 0 {
+		g.fencingToken = 0
 		c.entry.cfg.Ring.Add(timeline.Record{Name: timeline.LeaseLost, Peer: g.name})
 	}
 	if held {
 		c.issueOrders(g)
 	}
-	for _, out := range g.sender.Due(c.now(), leaseNumber, held) {
+	for _, out := range g.sender.Due(c.now(), token, held) {
 		c.sendOrder(ctx, g, out)
 	}
 }
--- a/internal/entry/roles.go
+++ b/internal/entry/roles.go
@@ -21,10 +21,9 @@
 	// groupRefreshInterval is the interval between reads of groups, engines and
 	// demand.
 	groupRefreshInterval = kumquatlug.Second
-	// demandReportInterval is the interval between an entry node's demand
-	// reports.
+	// demandReportInterval is the interval between a gateway's demand reports.
 	demandReportInterval = 2 * kumquatlug.Second
-	// leaseCandidates is the number of entry nodes that compete for a group's
+	// leaseCandidates is the number of gateways that compete for a group's
 	// lease: with one down and one paused, the third still takes over.
 	leaseCandidates = 3
 	// roleInboxSize is the capacity of the controller's inbox; messages that
@@ -40,12 +39,12 @@
 	name string
 	// kind is the model whose prefill and decode work is divided among the
 	// engines of the group.
-	kind        string
-	holder      *lease.Holder
-	sender      *order.Sender
-	planner     kumquatlug.RolePlanner
-	leaseNumber lease.FencingToken
-	engines     map[string]engineState
+	kind         string
+	holder       *lease.Holder
+	sender       *order.Sender
+	planner      kumquatlug.RolePlanner
+	fencingToken lease.FencingToken
+	engines      map[string]engineState
 	// reports are the last reports of the registered engines, in name order.
 	reports []kumquatlug.EngineReport
 }
@@ -58,7 +57,7 @@
 
 // Messages to the controller's goroutine.
 type (
-	leaseReply struct {
+	leaseResponse struct {
 		group  string
 		intent lease.Intent
 		row    kumquatlug.Row
@@ -108,9 +107,9 @@
 	}
 }
 
-// run handles messages and timer ticks until ctx ends. An entry node that shuts
-// down stops renewing its leases as soon as it reports that it is not ready
-// (see refresh), so that the next holder need not wait for them to expire.
+// run handles messages and timer ticks until ctx ends. A gateway that shuts down
+// stops renewing its leases as soon as it reports that it is not ready (see
+// refresh), so that the next holder need not wait for them to expire.
 func (c *roleController) run(ctx context.Context) error {
 	ticker := time.NewTicker(roleTickInterval)
 	defer ticker.Stop()
@@ -128,7 +127,7 @@
 
 func (c *roleController) handle(ctx context.Context, message any) {
 	switch m := message.(type) {
-	case leaseReply:
+	case leaseResponse:
 		if g, known := c.groups[m.group]; known {
 			c.execute(ctx, g, g.holder.HandleResponse(c.now(), m.intent, m.row, m.err))
 		}
@@ -161,9 +160,9 @@
 	state := c.entry.State()
 	engines := map[string]map[string]engineState{}
 	kinds := map[string]string{}
-	var entries, targets []string
+	var gateways, targets []string
 	err := c.entry.loop.query(ctx, func(d *dispatch.Dispatcher) {
-		entries = append(entries, d.Gateways()...)
+		gateways = append(gateways, d.Gateways()...)
 		for _, name := range d.Members() {
 			group := c.plannedGroup(state, d, name)
 			if group == "" {
@@ -184,7 +183,7 @@
 	for name, members := range engines {
 		g := c.ensureGroup(name)
 		g.kind = kinds[name]
-		g.holder.SetWanted(c.isLeaseCandidate(name, entries) && !c.entry.draining.Load())
+		g.holder.SetWanted(c.isLeaseCandidate(name, gateways) && !c.entry.draining.Load())
 		c.updateEngines(now, g, members)
 		if _, held := g.holder.Held(now); held {
 			for target := range members {
@@ -216,7 +215,7 @@
 	}
 	group, found := c.groupByTarget[target]
 	if !found {
-		if _, flexible := d.SwitchableKind(target); flexible {
+		if _, switchable := d.SwitchableKind(target); switchable {
 			group = d.Group(target)
 		}
 		c.groupByTarget[target] = group
@@ -224,8 +223,8 @@
 	return group
 }
 
-func (c *roleController) isLeaseCandidate(group string, entries []string) bool {
-	for i, name := range routing.RunOnceOrder(group, entries) {
+func (c *roleController) isLeaseCandidate(group string, gateways []string) bool {
+	for i, name := range routing.RunOnceOrder(group, gateways) {
 		if i < leaseCandidates && name == c.entry.cfg.Name {
 			return true
 		}
@@ -261,12 +260,12 @@
 	g.reports = g.reports[:0]
 	for _, name := range sortedNames(members) {
 		e := members[name]
-		settlement, ended := g.sender.HandleReport(order.Report{
+		result, ended := g.sender.HandleReport(order.Report{
 			Target: name, Incarnation: order.Incarnation(e.report.AgentStarts), Number: lease.FencingToken(e.report.FencingToken),
 			Phase: order.Phase(e.report.Phase),
 		})
 		if ended {
-			c.orderSettled(g, settlement)
+			c.orderSettled(g, result)
 		}
 		report := kumquatlug.EngineReport{
 			Target: name, Role: e.report.Role, PendingRole: c.orderedRole(g, name), TakenAt: e.report.SentAt - e.report.LoadAge,
@@ -290,7 +289,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 		defer cancel()
-		m := leaseReply{group: g.name, intent: i}
+		m := leaseResponse{group: g.name, intent: i}
 		if i.Action() == lease.ActionRead {
 			m.row, m.err = c.entry.cfg.Table.Get(ctx, i.Key())
 		} else {
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -32,8 +32,8 @@
 	path   string
 	header http.Header
 	body   []byte
-	// idempotencyKey and dispatchID identify the at-most-once claim of a call
-	// that is not repeatable. Both are empty for other requests.
+	// idempotencyKey and dispatchID identify the at-most-once claim of a
+	// non-idempotent call. Both are empty for other requests.
 	idempotencyKey string
 	dispatchID     string
 	// kvHandle identifies the KV cache of the prompt at the engine that
@@ -100,8 +100,8 @@
 	e.follower.ObserveRevision(peer.RoleAgent, a.Address(), peer.IntHeader(response.Header, peer.HeaderRevision), config.AgeUnknown)
 	if peer.IsAgentFailure(response) {
 		defer response.Body.Close()
-		f, mark := peer.ReadFailure(response)
-		return nil, &refusal{failure: f, dispatchID: mark, notices: noticesFrom(response.Header)}
+		f, dispatchID := peer.ReadFailure(response)
+		return nil, &refusal{failure: f, dispatchID: dispatchID, notices: noticesFrom(response.Header)}
 	}
 	return response, nil
 }
--- a/internal/entry/service_call.go
+++ b/internal/entry/service_call.go
@@ -27,9 +27,8 @@
 // sent to the caller. Most responses fit, and a hundred in flight take 6 MB.
 const prefetchBytes = 64 << 10
 
-// Call makes a call to a plain HTTP service. A call that is not repeatable is
-// sent with an at-most-once dispatch ID and is resent only if it is known not
-// to have run.
+// Call makes a call to a plain HTTP service. A non-idempotent call is sent with
+// an at-most-once dispatch ID and is resent only if it is known not to have run.
 func (e *Entry) Call(ctx context.Context, c caller.ServiceCall) (response kumquatlug.TargetResponse, err error) {
 	r := e.newRequest(c.ID(), c.Caller(), c.Kind(), c.Timeout())
 	r.fingerprint = quarantine.NewFingerprint(c.Caller().Name(), c.Kind(), fingerprintInput(c))
@@ -69,9 +68,9 @@
 	return false
 }
 
-// eraUnknown returns the refusal of a call that is not repeatable while the era
-// of dispatch IDs is unknown, as when the platform's table has been unavailable
-// since this entry node started.
+// eraUnknown returns the refusal of a non-idempotent call while the era of
+// dispatch IDs is unknown, as when the platform's table has been unavailable
+// since this gateway started.
 func eraUnknown() error {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
 		Step: "claim call", Peer: "platform", Reason: ledger.ReasonTableUnavailable, Execution: kumquatlug.NotExecuted,
@@ -92,7 +91,7 @@
 			return response, nil
 		}
 		if ctx.Err() != nil {
-			return kumquatlug.TargetResponse{}, r.callerGone("call", ctx.Err())
+			return kumquatlug.TargetResponse{}, r.callerDisconnected("call", ctx.Err())
 		}
 		if refused.dispatchID != "" {
 			out.dispatchID = refused.dispatchID
@@ -101,8 +100,8 @@
 	}
 }
 
-// attemptCall makes one attempt. If the outcome of a call that is not
-// repeatable is unknown, it resolves that outcome.
+// attemptCall makes one attempt. If the outcome of a non-idempotent call is
+// unknown, it resolves that outcome.
 func (r *request) attemptCall(ctx context.Context, a dispatch.Attempt, out agentRequest) (kumquatlug.TargetResponse, *refusal) {
 	response, refused := r.sendCall(ctx, a, out)
 	if refused == nil {
@@ -197,16 +196,17 @@
 }
 
 // unknownRetryDelay is the Retry-After of a call whose outcome is unknown. By
-// then a holder that was paused or partitioned is back, or is known to be gone.
+// then a holder that was paused or partitioned has recovered, or is known to be
+// down.
 const unknownRetryDelay = 5 * kumquatlug.Second
 
 // holderRetryDelays are the delays before each query to the holder of a claim.
-// Its agent may have dropped only one connection; if it does not come back
+// Its agent may have dropped only one connection; if it can't be reached again
 // within two seconds, the outcome of the run can't be known soon.
 var holderRetryDelays = []kumquatlug.Millis{0, 100, 400, 1500}
 
-// outcomeFromHolder asks the agent that holds the claim for the outcome of its
-// run.
+// outcomeFromHolder queries the agent that holds the claim for the outcome of
+// its run.
 func (r *request) outcomeFromHolder(ctx context.Context, a dispatch.Attempt, out agentRequest, target string) (kumquatlug.TargetResponse, *refusal) {
 	var last error
 	for _, wait := range holderRetryDelays {
@@ -239,8 +239,8 @@
 }
 
 // holderTimeout is how long to wait for a response from the holder of a claim.
-// Its run may take longer; the caller is then told that the outcome is not
-// known yet, and retries under the same key.
+// Its run may take longer; the caller then gets the error that the outcome is
+// not known yet, and retries under the same key.
 const holderTimeout = 10 * kumquatlug.Second
 
 func (r *request) sendCallToHolder(ctx context.Context, holder dispatch.Attempt, out agentRequest) (kumquatlug.TargetResponse, *refusal) {
@@ -293,7 +293,7 @@
 		b.request.finish(dispatch.Completion{})
 		b.request.close(nil)
 	} else {
-		b.request.close(b.request.callerGone("write answer", io.ErrUnexpectedEOF))
+		b.request.close(b.request.callerDisconnected("write answer", io.ErrUnexpectedEOF))
 	}
 	if b.release != nil {
 		b.release()
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -5,8 +5,8 @@
 // buffer and written by one goroutine. Lines that don't fit are dropped and counted, and
 // the count is written once there is room again.
 //
-// The package also reads log lines: [ReadTimeline] collects those about one request, worker or
-// VM, [ReadLosses] counts the requests that were answered late or not at all.
+// The package also reads log lines: [ReadTimeline] collects those about one request, worker
+// or VM, [ReadLosses] counts the requests that were answered late or not at all.
 package logs
 
 import (
--- a/internal/logs/losses.go
+++ b/internal/logs/losses.go
@@ -88,7 +88,7 @@
 
 // workerPauses counts the streams of one worker that paused too long. tokens and requests
 // are the sums over these streams of the tokens to prefill and the requests that the worker
-// processed besides.
+// processed at the same time.
 type workerPauses struct {
 	worker           string
 	count            int
@@ -130,7 +130,7 @@
 		l.addAnswered(line)
 	case "refused":
 		if line.numberField("status") < minErrorStatus && line.numberField("status") != 0 {
-			// A request that is not permitted is not a loss.
+			// A denied request is not a loss.
 			l.denied[line.stringField("reason")]++
 			return
 		}
--- a/internal/logs/story.go
+++ b/internal/logs/story.go
@@ -43,13 +43,13 @@
 }
 
 // Lines returns the lines in order of time.
-func (s Timeline) Lines() []Line { return s.lines }
+func (t Timeline) Lines() []Line { return t.lines }
 
 // ReadTimeline collects the log lines about a subject: a request by its id, a worker by its
 // name, or a VM by the lines that it wrote. Text before the first brace of a line, as log
 // collectors add it, is ignored.
 func ReadTimeline(input io.Reader, subject string) (Timeline, error) {
-	s := Timeline{subject: subject}
+	t := Timeline{subject: subject}
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for scanner.Scan() {
@@ -59,15 +59,15 @@
 		}
 		line, err := parseLine(data)
 		if err != nil {
-			s.unparsed++
+			t.unparsed++
 			continue
 		}
 		if line.mentions(subject) {
-			s.lines = append(s.lines, line)
+			t.lines = append(t.lines, line)
 		}
 	}
-	sort.SliceStable(s.lines, func(i, j int) bool { return s.lines[i].at.Before(s.lines[j].at) })
-	return s, errors.Wrap(scanner.Err(), "read the logs")
+	sort.SliceStable(t.lines, func(i, j int) bool { return t.lines[i].at.Before(t.lines[j].at) })
+	return t, errors.Wrap(scanner.Err(), "read the logs")
 }
 
 // parseLine parses one log line.
@@ -114,23 +114,23 @@
 
 // Print writes the lines with the time since the first one, then the outcome of a request.
 // It fails if there is no line.
-func (s Timeline) Print(out io.Writer) error {
-	if len(s.lines) == 0 {
-		return errors.Newf("no line names %q", s.subject)
+func (t Timeline) Print(out io.Writer) error {
+	if len(t.lines) == 0 {
+		return errors.Newf("no line names %q", t.subject)
 	}
-	first := s.lines[0].at
-	for _, l := range s.lines {
-		if _, err := fmt.Fprintf(out, "%8.3f s  %-16s %-20s %s\n", l.at.Sub(first).Seconds(), l.node, l.message, l.otherFields(s.subject)); err != nil {
+	first := t.lines[0].at
+	for _, l := range t.lines {
+		if _, err := fmt.Fprintf(out, "%8.3f s  %-16s %-20s %s\n", l.at.Sub(first).Seconds(), l.node, l.message, l.otherFields(t.subject)); err != nil {
 			return err
 		}
 	}
-	if verdict := s.outcome(); verdict != "" {
+	if verdict := t.outcome(); verdict != "" {
 		if _, err := fmt.Fprintf(out, "\n%s\n", verdict); err != nil {
 			return err
 		}
 	}
-	if s.unparsed > 0 {
-		_, err := fmt.Fprintf(out, "%d lines that name it could not be read\n", s.unparsed)
+	if t.unparsed > 0 {
+		_, err := fmt.Fprintf(out, "%d lines that name it could not be read\n", t.unparsed)
 		return err
 	}
 	return nil
@@ -155,13 +155,13 @@
 }
 
 // outcome describes the outcome of a request in one sentence, according to its last line.
-func (s Timeline) outcome() string {
-	last := s.lines[len(s.lines)-1]
-	if last.fields["request"] != s.subject {
+func (t Timeline) outcome() string {
+	last := t.lines[len(t.lines)-1]
+	if last.fields["request"] != t.subject {
 		return ""
 	}
 	attempts := 0
-	for _, l := range s.lines {
+	for _, l := range t.lines {
 		if worker, _ := l.fields["worker"].(string); worker != "" && l.fields["ran"] != "not-run" {
 			attempts++
 		}
--- a/internal/logs/story_test.go
+++ b/internal/logs/story_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// storyLines are log lines of two gateways with the prefixes that a collector adds.
-const storyLines = `  0.1 front-1 {"level":"info","ts":"2026-12-03T10:00:00.100Z","msg":"attempt failed","node":"front-1","request":"r1","worker":"w1","step":"run","reason":"worker_failed","ran":"unknown"}
+// timelineLines are log lines of two gateways with the prefixes that a collector adds.
+const timelineLines = `  0.1 front-1 {"level":"info","ts":"2026-12-03T10:00:00.100Z","msg":"attempt failed","node":"front-1","request":"r1","worker":"w1","step":"run","reason":"worker_failed","ran":"unknown"}
   0.2 front-1 {"level":"info","ts":"2026-12-03T10:00:00.250Z","msg":"answered","node":"front-1","request":"r1","worker":"w2","status":200,"steps":{"reader":"w3"}}
 not a line of ours about r1
 {"level":"info","ts":"2026-12-03T10:00:00.050Z","msg":"worker","node":"front-2","worker":"w1","state":"draining"}
@@ -15,9 +15,9 @@
 {"level":"info","ts":"2026-12-03T10:00:03.000Z","msg":"plan","node":"front-2","roles":{"w3":"prefill"}}
 `
 
-func storyText(t *testing.T, subject string) string {
+func timelineText(t *testing.T, subject string) string {
 	t.Helper()
-	s, err := ReadTimeline(strings.NewReader(storyLines), subject)
+	s, err := ReadTimeline(strings.NewReader(timelineLines), subject)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,8 +29,8 @@
 }
 
 // An engineer on call has the id of a failed request and the logs of all gateways. The
-// story must show which workers were tried and the outcome.
-func TestStoryByRequestWorkerAndVM(t *testing.T) {
+// timeline must show which workers were tried and the outcome.
+func TestTimelineByRequestWorkerAndVM(t *testing.T) {
 	for subject, want := range map[string][]string{
 		"r1": {"0.000 s  front-1", "attempt failed", `reason="worker_failed"`, "0.150 s", "answered", `worker="w2"`, "has the worker's answer", "1 lines"},
 		"r2": {"overload", "nothing ran and nothing will"},
@@ -38,18 +38,18 @@
 		"w1": {"0.000 s  front-2", `state="draining"`, "attempt failed"},
 		"w3": {"answered", "plan"},
 	} {
-		output := storyText(t, subject)
+		output := timelineText(t, subject)
 		for _, text := range want {
 			if !strings.Contains(output, text) {
 				t.Errorf("%s: %q is missing in\n%s", subject, text, output)
 			}
 		}
 	}
-	if output := storyText(t, "front-2"); strings.Count(output, "\n") != 4 {
-		t.Errorf("story of a VM:\n%s", output)
+	if output := timelineText(t, "front-2"); strings.Count(output, "\n") != 4 {
+		t.Errorf("timeline of a VM:\n%s", output)
 	}
-	s, err := ReadTimeline(strings.NewReader(storyLines), "nobody")
+	s, err := ReadTimeline(strings.NewReader(timelineLines), "nobody")
 	if err != nil || s.Print(&strings.Builder{}) == nil {
-		t.Errorf("story of an unknown subject: read error %v, or Tell returned nil", err)
+		t.Errorf("timeline of an unknown subject: read error %v, or Print returned nil", err)
 	}
 }
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -29,7 +29,7 @@
 // maxSeed is the largest seed of an [Event].
 const maxSeed = 1 << 40
 
-// maxChoice is the largest choice of a [Action].
+// maxChoice is the largest choice of an [Action].
 const maxChoice = 9999
 
 // Config describes a property-based test.
@@ -47,7 +47,7 @@
 	// NewSystem returns a new system under test for one run. Required.
 	NewSystem func() commands.SystemUnderTest
 	// Cleanup cleans up the system under test after its run. Optional.
-	Cleanup func(world commands.SystemUnderTest)
+	Cleanup func(system commands.SystemUnderTest)
 }
 
 // Run executes the test and fails t if a step violates the property.
@@ -89,7 +89,7 @@
 }
 
 // Step implements the parts of commands.Command that all steps share. A step that
-// is neither an [Event] nor a [Action] embeds it and adds Run and String. The system
+// is neither an [Event] nor an [Action] embeds it and adds Run and String. The system
 // under test holds the state itself, so a step is valid at any time.
 type Step struct{}
 
@@ -102,16 +102,16 @@
 // PostCondition implements commands.Command. A step's Run returns a violation as an
 // error or as a string; nil and the empty string mean that there is none.
 func (Step) PostCondition(_ commands.State, result commands.Result) *gopter.PropResult {
-	switch wrong := result.(type) {
+	switch violation := result.(type) {
 	case nil:
 		return &gopter.PropResult{Status: gopter.PropTrue}
 	case error:
-		return &gopter.PropResult{Status: gopter.PropError, Error: wrong}
+		return &gopter.PropResult{Status: gopter.PropError, Error: violation}
 	case string:
-		if wrong == "" {
+		if violation == "" {
 			return &gopter.PropResult{Status: gopter.PropTrue}
 		}
-		return &gopter.PropResult{Status: gopter.PropFalse, Labels: []string{wrong}}
+		return &gopter.PropResult{Status: gopter.PropFalse, Labels: []string{violation}}
 	default:
 		return &gopter.PropResult{Status: gopter.PropError, Error: errors.Newf("a step returned %T, want nil, an error or a string", result)}
 	}
@@ -157,28 +157,28 @@
 	Choice int
 }
 
-// String formats the move for failure messages.
-func (m Action) String() string { return fmt.Sprintf("%s(%d,%d)", m.Kind, m.Actor, m.Choice) }
+// String formats the action for failure messages.
+func (a Action) String() string { return fmt.Sprintf("%s(%d,%d)", a.Kind, a.Actor, a.Choice) }
 
-type moveStep struct {
+type actionStep struct {
 	Step
 	Action
 	run func(commands.SystemUnderTest, Action) commands.Result
 }
 
 // Run implements commands.Command.
-func (s moveStep) Run(system commands.SystemUnderTest) commands.Result {
+func (s actionStep) Run(system commands.SystemUnderTest) commands.Result {
 	return s.run(system, s.Action)
 }
 
-// Actions generates moves with a kind from kinds, the index of one of actors and a
+// Actions generates actions with a kind from kinds, the index of one of actors and a
 // choice. A kind that is listed several times is drawn more often in proportion.
-// Run applies the move to the system under test and returns a violation as described
+// Run applies the action to the system under test and returns a violation as described
 // at [Step.PostCondition].
-func Actions(kinds []string, actors int, run func(system commands.SystemUnderTest, m Action) commands.Result) gopter.Gen {
+func Actions(kinds []string, actors int, run func(system commands.SystemUnderTest, a Action) commands.Result) gopter.Gen {
 	return gopter.CombineGens(
 		gen.IntRange(0, len(kinds)-1), gen.IntRange(0, actors-1), gen.IntRange(0, maxChoice),
 	).Map(func(values []interface{}) commands.Command {
-		return moveStep{Action: Action{Kind: kinds[values[0].(int)], Actor: values[1].(int), Choice: values[2].(int)}, run: run}
+		return actionStep{Action: Action{Kind: kinds[values[0].(int)], Actor: values[1].(int), Choice: values[2].(int)}, run: run}
 	}).WithShrinker(gopter.NoShrinker)
 }
