--- a/pkg/kumquatlug/accounts/accounts.go
+++ b/pkg/kumquatlug/accounts/accounts.go
@@ -1,9 +1,9 @@
 // Package accounts looks up the client account of a request by its API key.
 //
-// Keys are added, moved and revoked while requests arrive at every gateway. A [Index] is an
-// immutable index of one version of the operator's config, and a lookup costs one hash and
-// one map access regardless of the number of keys. It holds only hashes of keys, so that a
-// memory dump reveals none.
+// Keys are added, moved and revoked while requests arrive at every gateway. An [Index] is
+// an immutable index of one version of the operator's config, and a lookup costs one hash
+// and one map access regardless of the number of keys. It holds only hashes of keys, so
+// that a memory dump reveals none.
 package accounts
 
 import "github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
@@ -11,7 +11,7 @@
 // KeyStatus is the result of checking the key of a request.
 type KeyStatus string
 
-// The verdicts.
+// The key statuses.
 const (
 	// KeyKnown: the key belongs to an account.
 	KeyKnown KeyStatus = "known"
--- a/pkg/kumquatlug/accounts/accounts_test.go
+++ b/pkg/kumquatlug/accounts/accounts_test.go
@@ -23,7 +23,7 @@
 	for _, c := range []struct {
 		keys    []string
 		account string
-		verdict KeyStatus
+		status  KeyStatus
 	}{
 		{nil, "", KeyMissing},
 		{[]string{""}, "", KeyMissing},
@@ -36,9 +36,9 @@
 		{[]string{"k1", "k1"}, "", KeyAmbiguous},
 		{[]string{kumquatlug.HashKey("k1")}, "", KeyUnknown},
 	} {
-		account, verdict := b.Find(kumquatlug.NewCredential(c.keys))
-		if account.Name() != c.account || verdict != c.verdict {
-			t.Errorf("%q: %q, %s; want %q, %s", c.keys, account.Name(), verdict, c.account, c.verdict)
+		account, status := b.Find(kumquatlug.NewCredential(c.keys))
+		if account.Name() != c.account || status != c.status {
+			t.Errorf("%q: %q, %s; want %q, %s", c.keys, account.Name(), status, c.account, c.status)
 		}
 	}
 }
@@ -50,12 +50,12 @@
 		for i := range callers {
 			callers[i] = newCaller(b, fmt.Sprintf("account-%d", i%740), fmt.Sprintf("key-%d", i))
 		}
-		book := NewIndex(callers)
+		index := NewIndex(callers)
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			values := []string{fmt.Sprintf("key-%d", keys-1)}
 			for b.Loop() {
-				if _, verdict := book.Find(kumquatlug.NewCredential(values)); verdict != KeyKnown {
-					b.Fatal(verdict)
+				if _, status := index.Find(kumquatlug.NewCredential(values)); status != KeyKnown {
+					b.Fatal(status)
 				}
 			}
 		})
--- a/pkg/kumquatlug/admission/bench_test.go
+++ b/pkg/kumquatlug/admission/bench_test.go
@@ -7,9 +7,9 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// BenchmarkOfferAndTake measures Offer, Next and Take of one request with other
-// requests waiting.
-func BenchmarkOfferAndTake(b *testing.B) {
+// BenchmarkOfferAndDequeue measures Offer, Peek and Dequeue of one request with
+// other requests waiting.
+func BenchmarkOfferAndDequeue(b *testing.B) {
 	for _, callers := range []int{1, 10, 100, 740} {
 		for _, waiting := range []int{100, 1000} {
 			b.Run(fmt.Sprintf("callers=%d/waiting=%d", callers, waiting), func(b *testing.B) {
--- a/pkg/kumquatlug/admission/estimate.go
+++ b/pkg/kumquatlug/admission/estimate.go
@@ -170,10 +170,11 @@
 
 // Observation describes one response, complete or cancelled.
 type Observation struct {
-	// PromptTokens and Output are in tokens.
+	// PromptTokens and OutputTokens are the lengths of prompt and output in
+	// tokens.
 	PromptTokens, OutputTokens int64
-	// TimeToFirstToken is the time from sending to the first token, Rest the time from the
-	// first to the last token.
+	// TimeToFirstToken is the time from sending to the first token, DecodeTime
+	// the time from the first to the last token.
 	TimeToFirstToken, DecodeTime kumquatlug.Millis
 	// Complete reports whether the response completed.
 	Complete bool
--- a/pkg/kumquatlug/admission/request.go
+++ b/pkg/kumquatlug/admission/request.go
@@ -126,7 +126,8 @@
 // never can.
 func (r Refusal) RetryAfter() kumquatlug.Millis { return r.retryAfter }
 
-// Failure returns the refusal as the error for the caller. Its Ran is RanNot.
+// Failure returns the refusal as the error for the caller. Its execution state
+// is NotExecuted.
 func (r Refusal) Failure() *kumquatlug.Failure {
 	status := http.StatusServiceUnavailable
 	switch r.reason {
--- a/pkg/kumquatlug/catchup/catchup_test.go
+++ b/pkg/kumquatlug/catchup/catchup_test.go
@@ -71,7 +71,7 @@
 
 // The gateway that announced a version fails before it sends the text, and another one is
 // requested. Parts of an older version must not be mixed with those of a newer one.
-func TestNextGatewayIsAskedAfterTimeouts(t *testing.T) {
+func TestNextGatewayIsTriedAfterTimeouts(t *testing.T) {
 	f := &Fetcher{}
 	f.RecordVersion(0, "front-2", 7)
 	requests := 0
--- a/pkg/kumquatlug/clock/clock.go
+++ b/pkg/kumquatlug/clock/clock.go
@@ -63,7 +63,7 @@
 }
 
 // Now returns the milliseconds since the origin.
-func (a *Boottime) Now() kumquatlug.Millis { return sinceBoot() - a.origin }
+func (b *Boottime) Now() kumquatlug.Millis { return sinceBoot() - b.origin }
 
 // Wall returns Unix time in milliseconds. It reads the time of day once, when it is created,
 // and advances with a clock that counts suspended time. The system's time of day may jump back
--- a/pkg/kumquatlug/dispatch/attempt.go
+++ b/pkg/kumquatlug/dispatch/attempt.go
@@ -31,7 +31,8 @@
 
 // AttemptFailure describes a failed attempt.
 type AttemptFailure struct {
-	// Failure is the error. Its Ran decides whether the request may be retried.
+	// Failure is the error. Its execution state decides whether the request may be
+	// retried.
 	Failure *kumquatlug.Failure
 	// Refused reports whether the agent refused the work before it started.
 	Refused bool
@@ -54,7 +55,7 @@
 		return d.serve(now)
 	}
 	d.release(now, r, limitOutcome(f))
-	d.register.Merge(now, f.Notices)
+	d.registry.Merge(now, f.Notices)
 	r.lastFailure = f.Failure
 	r.mayHaveRun = r.mayHaveRun || f.Failure.Execution() != kumquatlug.NotExecuted
 	if f.Permanent {
@@ -193,8 +194,8 @@
 
 // Completion describes a completed response.
 type Completion struct {
-	// OutputTokens is the number of output tokens. Cached is the number of prompt tokens
-	// that were in the target's prefix cache.
+	// OutputTokens is the number of output tokens. CachedTokens is the number of
+	// prompt tokens that were in the target's prefix cache.
 	OutputTokens int64
 	CachedTokens int64
 }
@@ -218,7 +219,7 @@
 	if len(r.c.PrefixKeys) > 0 {
 		d.router.RecordCacheHit(r.target, r.cached, int(done.CachedTokens))
 	}
-	d.register.Finished(now, r.fingerprint())
+	d.registry.Finished(now, r.fingerprint())
 	d.learnEstimate(now, r, done.OutputTokens, true)
 	d.learnLatencyRatio(now, r, done)
 	d.removeRequest(now, r, r.c.PrefillTokens+done.OutputTokens)
--- a/pkg/kumquatlug/dispatch/candidates.go
+++ b/pkg/kumquatlug/dispatch/candidates.go
@@ -10,7 +10,7 @@
 // updateTargets updates the subsets of all kinds, the watched targets and the
 // router's candidates.
 func (d *Dispatcher) updateTargets(now kumquatlug.Millis) {
-	duties := map[string][]routing.Assignment{}
+	assignments := map[string][]routing.Assignment{}
 	watched := map[string]bool{}
 	for _, kind := range d.kindOrder {
 		k := d.kinds[kind]
@@ -19,7 +19,7 @@
 		d.updateReady(now, k)
 		for _, name := range k.subset {
 			watched[name] = true
-			duties[name] = append(duties[name], d.duties(name, kind)...)
+			assignments[name] = append(assignments[name], d.assignments(name, kind)...)
 		}
 	}
 	for name := range d.extraWatched {
@@ -36,7 +36,7 @@
 		}
 		d.watched = append(d.watched, name)
 		d.addLimits(name)
-		d.setCandidate(now, name, duties[name])
+		d.setCandidate(now, name, assignments[name])
 	}
 	d.updateGatewayCount()
 }
@@ -136,19 +136,19 @@
 	return ""
 }
 
-func (d *Dispatcher) duties(name string, kind kumquatlug.Kind) []routing.Assignment {
-	var duties []routing.Assignment
+func (d *Dispatcher) assignments(name string, kind kumquatlug.Kind) []routing.Assignment {
+	var assignments []routing.Assignment
 	for _, s := range d.selectorsFor(name, kind) {
 		if roleMatches(s, d.reports[name].Role) {
-			duties = append(duties, routing.Assignment{Kind: kind, Role: s.Role()})
+			assignments = append(assignments, routing.Assignment{Kind: kind, Role: s.Role()})
 		}
 	}
-	return duties
+	return assignments
 }
 
-func (d *Dispatcher) setCandidate(now kumquatlug.Millis, name string, duties []routing.Assignment) {
+func (d *Dispatcher) setCandidate(now kumquatlug.Millis, name string, assignments []routing.Assignment) {
 	member, _ := d.members.Get(name)
-	candidate := routing.Candidate{Name: name, Zone: member.VM().Zone(), Assignments: duties, State: routing.StateReady}
+	candidate := routing.Candidate{Name: name, Zone: member.VM().Zone(), Assignments: assignments, State: routing.StateReady}
 	if d.unreadyReason(name) != "" {
 		candidate.State = routing.StateDraining
 	}
--- a/pkg/kumquatlug/dispatch/choose.go
+++ b/pkg/kumquatlug/dispatch/choose.go
@@ -35,7 +35,7 @@
 		ID: r.c.ID, Prefix: r.c.PrefixKeys, PrefillTokens: int(r.c.PrefillTokens) - cached, DecodeTokens: int(r.c.DecodeTokens),
 	})
 	attempt := Attempt{target: target, address: member.VM().Address(), number: r.attempts, revision: d.revision, role: r.c.Role}
-	attempt.notice, attempt.suspect = d.register.Notice(now, r.fingerprint())
+	attempt.notice, attempt.suspect = d.registry.Notice(now, r.fingerprint())
 	d.decisions = append(d.decisions, Decision{id: r.c.ID, verdict: VerdictSend, attempt: attempt})
 	return true
 }
--- a/pkg/kumquatlug/dispatch/configure.go
+++ b/pkg/kumquatlug/dispatch/configure.go
@@ -17,7 +17,7 @@
 	d.revision = state.Revision()
 	d.selectors, _ = config.Selectors(state)
 	d.readLabels(state)
-	d.readCallerTerms(state)
+	d.readCallerLimits(state)
 	d.updateKinds(now)
 	d.updateTargets(now)
 	return d.serve(now)
@@ -42,10 +42,10 @@
 	})
 }
 
-// readCallerTerms applies the rate and concurrency limits of the client accounts.
+// readCallerLimits applies the rate and concurrency limits of the client accounts.
 // The limits of deleted accounts are kept, since these accounts can't send
 // requests.
-func (d *Dispatcher) readCallerTerms(state config.State) {
+func (d *Dispatcher) readCallerLimits(state config.State) {
 	state.Range(config.PrefixCaller, func(_ string, value []byte) bool {
 		if account, err := kumquatlug.DecodeCaller(value); err == nil {
 			d.callers.SetLimits(account.Name(), limit.CallerLimits{
--- a/pkg/kumquatlug/dispatch/dispatch.go
+++ b/pkg/kumquatlug/dispatch/dispatch.go
@@ -45,7 +45,7 @@
 	latencyRatioGain = 0.02
 	// noticeSpreadTime is how long a suspect request waits for the notice of the
 	// crash to reach other gateways and agents: two heartbeats at the interval of
-	// an gateway with 15 targets, and their network delay.
+	// a gateway with 15 targets, and their network delay.
 	noticeSpreadTime = 5 * kumquatlug.Second
 	// freezeThreshold is the time without any event that counts as a freeze of the
 	// process. [Dispatcher.NextTick] requests a tick at least every second.
@@ -63,7 +63,7 @@
 	// gateways, or they make the same choices from the same reports.
 	Seed uint64
 	// SubsetSize is the number of targets per engine kind that this gateway uses; zero
-	// means routing.DefaultSubset.
+	// means routing.DefaultSubsetSize.
 	SubsetSize int
 	// The following configure the packages of the same names; zero values mean
 	// their defaults. Sources of randomness are set from Seed.
@@ -98,7 +98,7 @@
 	watched      []string
 	hasLimits    map[string]bool
 	extraWatched map[string]bool
-	register     *quarantine.Registry
+	registry     *quarantine.Registry
 	requests     map[string]*request
 	pending      []*request
 	decisions    []Decision
@@ -159,7 +159,7 @@
 		labels:    map[string]storedLabels{},
 		hasLimits: map[string]bool{},
 		kinds:     map[kumquatlug.Kind]*kindState{},
-		register:  quarantine.New(c.Quarantine),
+		registry:  quarantine.New(c.Quarantine),
 		requests:  map[string]*request{},
 	}
 }
@@ -222,7 +222,7 @@
 	if len(k.ready) == 0 && now-k.emptySince > NoTargetGrace {
 		return noTargetFailure()
 	}
-	if status := d.register.Check(now, r.fingerprint()); status.Refused() {
+	if status := d.registry.Check(now, r.fingerprint()); status.Refused() {
 		return quarantineFailure(status.Remaining())
 	}
 	verdict := d.callers.Begin(now, r.c.Caller.Name(), r.rateTokens())
--- a/pkg/kumquatlug/dispatch/dispatch_test.go
+++ b/pkg/kumquatlug/dispatch/dispatch_test.go
@@ -14,7 +14,7 @@
 
 var (
 	draftKind   = kumquatlug.NewKind(kumquatlug.ProtocolEngine, "draft")
-	postingKind = kumquatlug.NewKind(kumquatlug.ProtocolService, "gazette")
+	serviceKind = kumquatlug.NewKind(kumquatlug.ProtocolService, "gazette")
 )
 
 // harness drives a dispatcher with a manual clock and config.
@@ -31,7 +31,7 @@
 	h := &harness{Dispatcher: New(Config{Gateway: "e1", Zone: "a", Seed: 1}), t: t, now: 100_000}
 	h.configure(t,
 		selectorSet(t, selector.Config{Name: "drafts", Protocol: draftKind.Protocol(), Kind: draftKind.Name(), Role: kumquatlug.RoleBoth, Match: "pool=draft"}),
-		selectorSet(t, selector.Config{Name: "gazette", Protocol: postingKind.Protocol(), Kind: postingKind.Name(), Role: kumquatlug.RoleServe, Match: "pool=post"}),
+		selectorSet(t, selector.Config{Name: "gazette", Protocol: serviceKind.Protocol(), Kind: serviceKind.Name(), Role: kumquatlug.RoleServe, Match: "pool=post"}),
 	)
 	var vms []kumquatlug.VM
 	for i, name := range targets {
@@ -93,7 +93,7 @@
 	c := RequestConfig{
 		ID: id, Caller: h.caller, Kind: kind, Role: kumquatlug.RoleBoth, PrefillTokens: 100, DecodeTokens: 20, Arrival: h.now, Deadline: h.now + timeout,
 	}
-	if kind == postingKind {
+	if kind == serviceKind {
 		c.Role, c.RunOnceKey, c.DecodeTokens = kumquatlug.RoleServe, "portal/"+id, 0
 	}
 	return decisionFor(id, h.Arrive(h.now, c))
@@ -146,7 +146,7 @@
 // the refusal only after two minutes.
 func TestFinalRefusalIsReturnedAtOnce(t *testing.T) {
 	h := newHarness(t, "s1")
-	h.mustSend("p", postingKind)
+	h.mustSend("p", serviceKind)
 	decision, decided := decisionFor("p", h.AttemptFailed(h.now, "p", AttemptFailure{
 		Failure: newTestFailure(kumquatlug.NotExecuted, "key_reused", 422), Refused: true, Permanent: true,
 	}))
@@ -159,7 +159,7 @@
 // The call must be sent to the same agent again.
 func TestOnlyTargetIsRetriedAfterRefusal(t *testing.T) {
 	h := newHarness(t, "s1")
-	h.mustSend("p", postingKind)
+	h.mustSend("p", serviceKind)
 	decision, decided := h.failAttempt("p", AttemptFailure{Failure: newTestFailure(kumquatlug.NotExecuted, "stale_dispatch", 503), Refused: true}, 10*kumquatlug.Second)
 	if !decided || decision.Verdict() != VerdictSend || decision.Attempt().Target() != "s1" {
 		t.Fatalf("decided %v: %+v", decided, decision)
@@ -170,7 +170,7 @@
 // service could run it twice, and a 503 could make the client's library retry it.
 func TestCallThatMayHaveRunIsNotRetried(t *testing.T) {
 	h := newHarness(t, "s1", "s2")
-	h.mustSend("p", postingKind)
+	h.mustSend("p", serviceKind)
 	decision, decided := decisionFor("p", h.AttemptFailed(h.now, "p", AttemptFailure{Failure: newTestFailure(kumquatlug.ExecutionUnknown, "cut", 502)}))
 	if !decided || decision.Verdict() != VerdictRefuse {
 		t.Fatalf("decided %v: %+v", decided, decision)
--- a/pkg/kumquatlug/dispatch/model_test.go
+++ b/pkg/kumquatlug/dispatch/model_test.go
@@ -89,10 +89,10 @@
 	if !m.targets[target].takesWork() {
 		m.fail("%s: sent to %s, which takes no new work: %+v", d.ID(), target, *m.targets[target])
 	}
-	if (r.kind == postingKind) != (target[0] == 's') {
+	if (r.kind == serviceKind) != (target[0] == 's') {
 		m.fail("%s: sent to %s, which has another kind", d.ID(), target)
 	}
-	if r.kind == postingKind && r.mayHaveRun {
+	if r.kind == serviceKind && r.mayHaveRun {
 		m.fail("%s: sent again although it may have run", d.ID())
 	}
 	r.target = target
@@ -106,8 +106,8 @@
 	delete(m.requests, d.ID())
 }
 
-// pickRequest returns a random open request that is in flight or not, as asked. It
-// returns nil if there is none.
+// pickRequest returns a random open request that is in flight or not, as inFlight
+// says. It returns nil if there is none.
 func (m *modelChecker) pickRequest(inFlight bool) (string, *openRequest) {
 	var ids []string
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
@@ -183,7 +183,7 @@
 		Arrival: m.now, Deadline: m.now + kumquatlug.Millis(500+m.random.IntN(60_000)),
 	}
 	if m.random.IntN(3) == 0 {
-		c.Kind, c.Role, c.RunOnceKey = postingKind, kumquatlug.RoleServe, "portal/"+id
+		c.Kind, c.Role, c.RunOnceKey = serviceKind, kumquatlug.RoleServe, "portal/"+id
 	}
 	m.requests[id] = &openRequest{kind: c.Kind}
 	m.check(m.Arrive(m.now, c))
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestProofEveryRequestEndsOnceWithCorrectRan(t *testing.T) {
+func TestProofEveryRequestEndsOnceWithCorrectExecution(t *testing.T) {
 	// Requests arrive while targets leave by label or list, stop, miss heartbeats,
 	// refuse work and break off responses, and callers cancel. Violations are a
 	// request without exactly one final response, a run-once call that is retried
--- a/pkg/kumquatlug/dispatch/quarantine.go
+++ b/pkg/kumquatlug/dispatch/quarantine.go
@@ -27,7 +27,7 @@
 // of the crash spreads and while r is held: if a request that crashes targets were
 // sent to the next one at once, it would reach an agent without the notice.
 func (d *Dispatcher) checkQuarantine(now kumquatlug.Millis, r *request) (deferred bool, final *kumquatlug.Failure) {
-	status := d.register.Check(now, r.fingerprint())
+	status := d.registry.Check(now, r.fingerprint())
 	if status.Standing() != quarantine.StandingHeld {
 		r.heldUntil = 0
 	}
@@ -58,13 +58,13 @@
 
 // MergeNotices adds notices received from an agent.
 func (d *Dispatcher) MergeNotices(now kumquatlug.Millis, notices []quarantine.Notice) {
-	d.register.Merge(now, notices)
+	d.registry.Merge(now, notices)
 }
 
 // NoticesSince returns the notices that changed after a version, to send to an agent, and
 // the version for the next call.
 func (d *Dispatcher) NoticesSince(now kumquatlug.Millis, after int64) ([]quarantine.Notice, int64) {
-	return d.register.NoticesSince(now, after)
+	return d.registry.NoticesSince(now, after)
 }
 
 // deferSuspect defers r after its target refused it because of another suspect.
--- a/pkg/kumquatlug/dispatch/refuse.go
+++ b/pkg/kumquatlug/dispatch/refuse.go
@@ -56,7 +56,7 @@
 		return
 	}
 	d.removeRequest(now, r, 0)
-	d.refuse(id, r.withEarlierRan(f))
+	d.refuse(id, r.withEarlierExecution(f))
 }
 
 // removeRequest removes a request and charges its caller used tokens.
--- a/pkg/kumquatlug/dispatch/request.go
+++ b/pkg/kumquatlug/dispatch/request.go
@@ -68,7 +68,7 @@
 }
 
 // finalFailure returns the final response to a request that is refused after
-// attempts. It keeps the Ran of the last failure.
+// attempts. It keeps the execution state of the last failure.
 func (r *request) finalFailure(reason string) *kumquatlug.Failure {
 	c := kumquatlug.FailureConfig{
 		Step: "send", Peer: r.target, Reason: reason, Execution: kumquatlug.NotExecuted, Status: http.StatusServiceUnavailable,
@@ -81,9 +81,10 @@
 	return kumquatlug.NewFailure(c)
 }
 
-// withEarlierRan returns f with RanUnknown if f says RanNot but an earlier attempt
-// may have run. RanNot would then hold for the last attempt only.
-func (r *request) withEarlierRan(f *kumquatlug.Failure) *kumquatlug.Failure {
+// withEarlierExecution returns f with ExecutionUnknown if f says NotExecuted but an
+// earlier attempt may have run. NotExecuted would then hold for the last attempt
+// only.
+func (r *request) withEarlierExecution(f *kumquatlug.Failure) *kumquatlug.Failure {
 	if !r.mayHaveRun || f.Execution() != kumquatlug.NotExecuted {
 		return f
 	}
--- a/pkg/kumquatlug/dispatch/targets.go
+++ b/pkg/kumquatlug/dispatch/targets.go
@@ -40,7 +40,7 @@
 	Role kumquatlug.Role
 	// Revision is the revision of the agent's config.
 	Revision config.Revision
-	// SentAt is when the gateway sent the heartbeat, Age the age of the load values
+	// SentAt is when the gateway sent the heartbeat, LoadAge the age of the load values
 	// at that time.
 	SentAt  kumquatlug.Millis
 	LoadAge kumquatlug.Millis
@@ -49,7 +49,7 @@
 	KVUsed, KVTotal         int64
 	PrefillRate, DecodeRate float64
 	StartedCalls            int64
-	// AgentStarts is the number of starts of the agent, Fence the highest fencing token
+	// AgentStarts is the number of starts of the agent, FencingToken the highest one
 	// that it has seen, and Phase the target's phase in handling orders.
 	AgentStarts  int64
 	FencingToken int64
@@ -74,8 +74,8 @@
 	return d.serve(now)
 }
 
-// HeartbeatAnswered applies the report of an answered heartbeat. It returns the change of the
-// member's state and whether there was one.
+// HeartbeatAnswered applies the report of an answered heartbeat. It returns the change
+// of the member's state and whether there was one.
 func (d *Dispatcher) HeartbeatAnswered(now kumquatlug.Millis, name string, report Report) (membership.Change, bool, []Decision) {
 	d.begin(now)
 	previous, reported := d.reports[name]
--- a/pkg/kumquatlug/drain/drain.go
+++ b/pkg/kumquatlug/drain/drain.go
@@ -56,21 +56,22 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// AgentStaleAfter is the value of Config.Silence for an agent. It spans two
+// AgentStaleAfter is the value of Config.StaleAfter for an agent. It spans two
 // heartbeats of a gateway with fifteen targets (2.2 s each), and every agent has
 // heartbeats of several gateways, so a late or lost heartbeat doesn't cause
 // refusals. It is short enough to keep work from a leaving target after a few
 // seconds.
 const AgentStaleAfter = 5 * kumquatlug.Second
 
-// GatewayRefuseDelay is the value of Config.Lag for a gateway behind a load balancer. A
-// balancer that checks every 5 s and removes a VM after two failures needs 10 s;
-// 5 s more cover a check that was under way and connections opened just before.
+// GatewayRefuseDelay is the value of Config.RefuseDelay for a gateway behind a
+// load balancer. A balancer that checks every 5 s and removes a VM after two
+// failures needs 10 s; 5 s more cover a check that was under way and connections
+// opened just before.
 const GatewayRefuseDelay = 15 * kumquatlug.Second
 
-// DefaultSettleTime is the default of Config.Settle. The platform doesn't state the
-// lag of the VM list; a minute is far more than any lag with which such a list
-// is useful, and returning to service is never urgent.
+// DefaultSettleTime is the default of Config.SettleTime. The platform doesn't
+// state the lag of the VM list; a minute is far more than any lag with which such
+// a list is useful, and returning to service is never urgent.
 const DefaultSettleTime = 1 * kumquatlug.Minute
 
 // Config holds the parameters of a [Drain].
@@ -87,10 +88,10 @@
 	// StaleAfter is the time without heartbeats, in milliseconds, after which the
 	// state of the process is stale and it refuses new work. Zero disables the
 	// check, which is right for a gateway: the agents decide on what it sends. An
-	// agent sets AgentStaleAfter. It then accepts no new work later than Silence
-	// plus a heartbeat after a label was set, or Silence plus the list's lag and
-	// a heartbeat after the list began to say "leaving", whether or not it is
-	// paused or restarted in between.
+	// agent sets AgentStaleAfter. It then accepts no new work later than
+	// StaleAfter plus a heartbeat after a label was set, or StaleAfter plus the
+	// list's lag and a heartbeat after the list began to say "leaving", whether
+	// or not it is paused or restarted in between.
 	StaleAfter kumquatlug.Millis
 	// RetryAfter is the retry delay that a refusal carries, in milliseconds. An
 	// agent leaves it at zero, as its gateways try another target at once. A
--- a/pkg/kumquatlug/failure.go
+++ b/pkg/kumquatlug/failure.go
@@ -129,8 +129,8 @@
 // RetryAfter returns the delay after which a retry may succeed, zero if unknown.
 func (f *Failure) RetryAfter() Millis { return f.retryAfter }
 
-// FailureOf returns the failure in err's chain, or wraps err in one with ExecutionUnknown and
-// status 500.
+// FailureOf returns the failure in err's chain, or wraps err in one with
+// ExecutionUnknown and status 500.
 func FailureOf(err error) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -141,8 +141,8 @@
 	})
 }
 
-// ExecutionOf returns whether the call that failed with err ran; ExecutionUnknown if err does not
-// say.
+// ExecutionOf returns whether the call that failed with err ran, ExecutionUnknown
+// if err does not say.
 func ExecutionOf(err error) Execution {
 	return FailureOf(err).Execution()
 }
--- a/pkg/kumquatlug/gateway.go
+++ b/pkg/kumquatlug/gateway.go
@@ -74,7 +74,7 @@
 	account    string
 }
 
-// RequestConfig configures an [Request].
+// RequestConfig configures a [Request].
 type RequestConfig struct {
 	// ID is unique to this attempt of the client.
 	ID string
@@ -107,48 +107,48 @@
 }
 
 // ID returns the id of this attempt of the client.
-func (a Request) ID() string { return a.id }
+func (r Request) ID() string { return r.id }
 
 // Host returns the requested host, without a port.
-func (a Request) Host() string { return a.host }
+func (r Request) Host() string { return r.host }
 
 // Method returns the HTTP method.
-func (a Request) Method() string { return a.method }
+func (r Request) Method() string { return r.method }
 
 // Path returns the path without its query.
-func (a Request) Path() string { return a.path }
+func (r Request) Path() string { return r.path }
 
 // Target returns the path and query as the client sent them.
-func (a Request) Target() string { return a.target }
+func (r Request) Target() string { return r.target }
 
 // Header returns the headers to forward; they must not be changed.
-func (a Request) Header() http.Header { return a.header }
+func (r Request) Header() http.Header { return r.header }
 
 // Body returns the complete body; it must not be changed.
-func (a Request) Body() []byte { return a.body }
+func (r Request) Body() []byte { return r.body }
 
 // Timeout returns how long the client waits, counted from the arrival, zero if it does
 // not say.
-func (a Request) Timeout() Millis { return a.timeout }
+func (r Request) Timeout() Millis { return r.timeout }
 
 // LastEventID returns the number of the last event that the client has received, zero for
 // none.
-func (a Request) LastEventID() int64 { return a.lastEventID }
+func (r Request) LastEventID() int64 { return r.lastEventID }
 
 // Prompt returns the description of the prompt.
-func (a Request) Prompt() Prompt { return a.prompt }
+func (r Request) Prompt() Prompt { return r.prompt }
 
 // Credential returns the credential that identifies the client.
-func (a Request) Credential() Credential { return a.credential }
+func (r Request) Credential() Credential { return r.credential }
 
 // Account returns the name of the account that the request belongs to, empty for none.
 // It is sent to the workers.
-func (a Request) Account() string { return a.account }
+func (r Request) Account() string { return r.account }
 
 // WithAccount returns a copy of the request that belongs to this account.
-func (a Request) WithAccount(name string) Request {
-	a.account = name
-	return a
+func (r Request) WithAccount(name string) Request {
+	r.account = name
+	return r
 }
 
 // Worker identifies one incarnation of a target that is called directly. A call that
@@ -198,15 +198,15 @@
 
 // WorkerResponse is a worker's response to an attempt.
 type WorkerResponse struct {
-	status  int
-	header  http.Header
-	length  int64
-	body    io.ReadCloser
-	refused bool
-	load    WorkerLoad
-	limit   RateLimit
-	leaving bool
-	pause   Millis
+	status       int
+	header       http.Header
+	length       int64
+	body         io.ReadCloser
+	refused      bool
+	load         WorkerLoad
+	limit        RateLimit
+	shuttingDown bool
+	backoff      Millis
 }
 
 // WorkerResponseConfig configures a [WorkerResponse].
@@ -234,7 +234,7 @@
 func NewWorkerResponse(c WorkerResponseConfig) WorkerResponse {
 	return WorkerResponse{
 		status: c.Status, header: c.Header, length: c.Length, body: c.Body, refused: c.Refused, load: c.Load, limit: c.Limit,
-		leaving: c.ShuttingDown, pause: c.Backoff,
+		shuttingDown: c.ShuttingDown, backoff: c.Backoff,
 	}
 }
 
@@ -288,17 +288,17 @@
 // through [ExecutionOf] whether the target may have run the attempt.
 type WorkerClient interface {
 	// Run makes one attempt at a worker; the request leaves this process at most once.
-	Run(ctx context.Context, w Worker, a Request, s AttemptOptions) (WorkerResponse, error)
+	Run(ctx context.Context, w Worker, r Request, s AttemptOptions) (WorkerResponse, error)
 	// Prefill makes an engine process the prompt and hold its KV cache. A response with
 	// status 200 has no body.
-	Prefill(ctx context.Context, w Worker, a Request, s AttemptOptions) (KVCacheRef, WorkerResponse, error)
+	Prefill(ctx context.Context, w Worker, r Request, s AttemptOptions) (KVCacheRef, WorkerResponse, error)
 	// ReleaseCache releases a KV cache that will not be used.
 	ReleaseCache(ctx context.Context, k KVCacheRef) error
-	// MoveStream copies the KV cache of the stream that runs for a at one engine to another,
-	// and ends the stream at the first, whose response breaks off. The stream can
-	// continue with the returned cache after the last event received. An error marked
-	// [ErrNotFound] says that the stream does not run there any more.
-	MoveStream(ctx context.Context, from Worker, a Request, to Worker) (KVCacheRef, error)
+	// MoveStream copies the KV cache of the stream that runs for r at one engine to
+	// another, and ends the stream at the first, whose response breaks off. The stream
+	// can continue with the returned cache after the last event received. An error
+	// marked [ErrNotFound] says that the stream does not run there any more.
+	MoveStream(ctx context.Context, from Worker, r Request, to Worker) (KVCacheRef, error)
 	// State requests the state of an engine.
 	State(ctx context.Context, w Worker) (EngineState, error)
 	// Order sends an order to an engine and reports whether it was accepted, now or
@@ -308,7 +308,7 @@
 
 // LeaderLease identifies the holder of a lease that acts on behalf of all gateways.
 type LeaderLease struct {
-	// Holder is the machine, Fence the fencing token of its lease.
+	// Holder is the machine, FencingToken the fencing token of its lease.
 	Holder       string
 	FencingToken int64
 }
@@ -319,7 +319,7 @@
 	Scale(ctx context.Context, d LeaderLease, service, zone string, workers int) error
 	// ReportUsage reports the number of requests of each account that began in a
 	// window. An error marked [ErrDenied] says that this report will never be accepted.
-	// Exact repeats have no effect.
+	// Sending the same report again has no effect.
 	ReportUsage(ctx context.Context, d LeaderLease, window int64, counts map[string]int64) error
 }
 
@@ -354,5 +354,5 @@
 	// WriteHeader writes the status and headers of a worker's response.
 	WriteHeader(w http.ResponseWriter, response WorkerResponse)
 	// WriteError writes a final response that the gateway generates itself.
-	WriteError(w http.ResponseWriter, a Request, f *Failure)
+	WriteError(w http.ResponseWriter, r Request, f *Failure)
 }
--- a/pkg/kumquatlug/lease/lease.go
+++ b/pkg/kumquatlug/lease/lease.go
@@ -136,8 +136,8 @@
 	// leaves its group without a holder until its own lease has expired. Empty for
 	// none.
 	PreviousIDPrefix string
-	// HandoverDelay is the handover delay: the least time between the last order of one
-	// holder and the first order of another. Zero for none.
+	// HandoverDelay is the least time between the last order of one holder and the
+	// first order of another. Zero for none.
 	HandoverDelay kumquatlug.Millis
 	// TTL is how long a row is valid after it was written. Default 15 s.
 	TTL kumquatlug.Millis
@@ -189,7 +189,8 @@
 }
 
 // New returns a holder that wants the lease and does not hold it. It returns an error
-// if Group or Me is empty, or if a renewal would come after the lease has expired.
+// if Group or HolderID is empty, or if a renewal would come after the lease has
+// expired.
 func New(c Config) (*Holder, error) {
 	c.TTL = standard.Millis(c.TTL, defaultTTL)
 	c.Margin = standard.Millis(c.Margin, defaultMargin)
@@ -197,7 +198,7 @@
 	c.RetryDelay = standard.Millis(c.RetryDelay, defaultRetry)
 	c.Timeout = standard.Millis(c.Timeout, defaultTimeout)
 	if c.Group == "" || c.HolderID == "" {
-		return nil, errors.New("lease config requires Group and Me")
+		return nil, errors.New("lease config requires Group and HolderID")
 	}
 	if c.RenewInterval+c.Margin >= c.TTL {
 		return nil, errors.Newf("lease renewal interval of %d ms is too long for a TTL of %d ms and a margin of %d ms", c.RenewInterval, c.TTL, c.Margin)
--- a/pkg/kumquatlug/ledger/begin.go
+++ b/pkg/kumquatlug/ledger/begin.go
@@ -16,10 +16,10 @@
 
 // Block revokes a dispatch of call whose result the gateway does not know.
 // VerdictBlocked means that the dispatch did not run and never will, so the
-// caller can be answered not-run; a resend uses the dispatch in the ruling, or
-// a new one. Any other verdict reports the stored row. After an error the state
-// of the dispatch is not known: the caller must be answered unknown, or Block
-// be called again.
+// caller can be answered not-run; a resend uses the dispatch in the decision,
+// or a new one. Any other verdict reports the stored row. After an error the
+// state of the dispatch is not known: the caller must be answered unknown, or
+// Block be called again.
 func (l *Ledger) Block(ctx context.Context, call Call) (Decision, error) {
 	return l.submit(ctx, call, true)
 }
@@ -37,15 +37,15 @@
 	})
 	select {
 	case resp := <-ch:
-		return l.completeRuling(ctx, resp)
+		return l.completeDecision(ctx, resp)
 	case <-ctx.Done():
 		return l.abandonWait(ctx, waiterID, ch, block)
 	}
 }
 
 // abandonWait cancels a waiter whose context has ended. If the claim was
-// granted at the same time, it is released, because nobody is left to run the
-// call.
+// granted at the same time, it is released, because no goroutine is left to
+// run the call.
 func (l *Ledger) abandonWait(ctx context.Context, waiterID int64, ch chan response, block bool) (Decision, error) {
 	var ran kumquatlug.Execution
 	var wasWaiting bool
@@ -57,10 +57,10 @@
 		return Decision{}, l.newFailure("gave_up", ran, block, ctx.Err())
 	}
 	resp := <-ch
-	if resp.ruling.verdict != VerdictRun {
-		return l.completeRuling(ctx, resp)
+	if resp.decision.verdict != VerdictRun {
+		return l.completeDecision(ctx, resp)
 	}
-	if err := l.Abandon(resp.ruling.ticket, kumquatlug.NotExecuted); err != nil {
+	if err := l.Abandon(resp.decision.ticket, kumquatlug.NotExecuted); err != nil {
 		return Decision{}, err
 	}
 	return Decision{}, l.newFailure("gave_up", kumquatlug.NotExecuted, block, ctx.Err())
@@ -77,20 +77,20 @@
 	})
 }
 
-func (l *Ledger) completeRuling(ctx context.Context, resp response) (Decision, error) {
+func (l *Ledger) completeDecision(ctx context.Context, resp response) (Decision, error) {
 	if resp.failure != nil {
 		return Decision{}, resp.failure
 	}
-	if resp.ruling.outcome.object == "" {
-		return resp.ruling, nil
+	if resp.decision.outcome.object == "" {
+		return resp.decision, nil
 	}
-	body, err := l.config.Objects.Fetch(ctx, resp.ruling.outcome.object)
+	body, err := l.config.Objects.Fetch(ctx, resp.decision.outcome.object)
 	if err != nil {
 		return Decision{}, kumquatlug.NewFailure(kumquatlug.FailureConfig{
 			Step: "fetch answer", Peer: "objects", Reason: ReasonObjectsUnavailable,
 			Execution: kumquatlug.Executed, RetryAfter: l.config.RetryAfter, Cause: err,
 		})
 	}
-	resp.ruling.outcome.body = body
-	return resp.ruling, nil
+	resp.decision.outcome.body = body
+	return resp.decision, nil
 }
--- a/pkg/kumquatlug/ledger/concurrent_test.go
+++ b/pkg/kumquatlug/ledger/concurrent_test.go
@@ -52,7 +52,7 @@
 		g.Go(func() error {
 			r := rand.New(rand.NewSource(int64(caller)))
 			for i := range 50 {
-				if err := counter.sendPosting(t.Context(), agents[r.Intn(2)], fmt.Sprint(i), r); err != nil {
+				if err := counter.sendCall(t.Context(), agents[r.Intn(2)], fmt.Sprint(i), r); err != nil {
 					return err
 				}
 			}
@@ -83,25 +83,25 @@
 	t.Logf("%d of 50 calls ran", len(counter.runs))
 }
 
-// sendPosting begins one call; one in four callers disconnects at once or soon.
-func (c *runCounter) sendPosting(ctx context.Context, l *Ledger, key string, r *rand.Rand) error {
+// sendCall begins one call; one in four callers disconnects at once or soon.
+func (c *runCounter) sendCall(ctx context.Context, l *Ledger, key string, r *rand.Rand) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.Intn(4) == 0 {
 		go cancel()
 	}
-	ruling, err := l.Begin(ctx, newTestCall(key, "body", Dispatch{}))
-	if err != nil || ruling.Verdict() != VerdictRun {
+	decision, err := l.Begin(ctx, newTestCall(key, "body", Dispatch{}))
+	if err != nil || decision.Verdict() != VerdictRun {
 		return nil
 	}
 	if r.Intn(5) == 0 {
-		return l.Abandon(ruling.Ticket(), kumquatlug.NotExecuted)
+		return l.Abandon(decision.Ticket(), kumquatlug.NotExecuted)
 	}
 	c.add(key)
 	if r.Intn(5) == 0 {
-		return l.Abandon(ruling.Ticket(), kumquatlug.ExecutionUnknown)
+		return l.Abandon(decision.Ticket(), kumquatlug.ExecutionUnknown)
 	}
-	return l.Finish(ruling.Ticket(), NewOutcome(200, nil, make([]byte, r.Intn(2*DefaultMaxInlineBytes))))
+	return l.Finish(decision.Ticket(), NewOutcome(200, nil, make([]byte, r.Intn(2*DefaultMaxInlineBytes))))
 }
 
 func TestClaimIsReleasedWhenCallerDisconnects(t *testing.T) {
--- a/pkg/kumquatlug/ledger/era.go
+++ b/pkg/kumquatlug/ledger/era.go
@@ -59,7 +59,7 @@
 	return eraUpdate{era: era + 1, advance: true, writeDue: true}
 }
 
-// EraKeeperConfig configures a [EraKeeper].
+// EraKeeperConfig configures an [EraKeeper].
 type EraKeeperConfig struct {
 	// Table stores the rows.
 	Table kumquatlug.Table
--- a/pkg/kumquatlug/ledger/era_test.go
+++ b/pkg/kumquatlug/ledger/era_test.go
@@ -106,7 +106,7 @@
 		}
 	}
 	got := m.takeResponses()
-	if len(got) != 1 || got[0].waiterID != late || got[0].ruling.verdict != VerdictStale {
+	if len(got) != 1 || got[0].waiterID != late || got[0].decision.verdict != VerdictStale {
 		t.Errorf("responses = %+v", got)
 	}
 }
--- a/pkg/kumquatlug/ledger/ledger.go
+++ b/pkg/kumquatlug/ledger/ledger.go
@@ -35,7 +35,7 @@
 //
 //   - A dispatch is sent once. A client library that repeats a request by
 //     itself, as Go's does for one with an Idempotency-Key header and a body it
-//     can rewind, creates a copy that nobody tracks.
+//     can rewind, creates a copy that is not tracked.
 //   - Once the result of any dispatch of a request is not known, a refusal of a
 //     later one is not enough; the gateway must block.
 //   - Only VerdictBlocked, or a refusal that the agent itself reported as
@@ -78,9 +78,10 @@
 // # Rates
 //
 // All calls that wait while a transaction is in flight go into the next one. A
-// process starts at most one transaction per Config.Flush, whatever the rate of
-// calls. A call that runs once costs two row writes in such transactions and
-// one read. BenchmarkLedger reports the number of transactions at a given rate.
+// process starts at most one transaction per Config.FlushInterval, whatever the
+// rate of calls. A call that runs once costs two row writes in such transactions
+// and one read. BenchmarkLedger reports the number of transactions at a given
+// rate.
 package ledger
 
 import (
@@ -125,8 +126,9 @@
 type Config struct {
 	// Table stores the rows.
 	Table kumquatlug.Table
-	// Objects stores responses larger than Inline. The store needs a lifecycle
-	// rule that removes objects older than two windows under "outcomes/".
+	// Objects stores responses larger than MaxInlineBytes. The store needs a
+	// lifecycle rule that removes objects older than two windows under
+	// "outcomes/".
 	Objects kumquatlug.Objects
 	// Clock is the process's clock.
 	Clock kumquatlug.Clock
@@ -161,7 +163,7 @@
 	// transaction reaches its limit of a hundred entries.
 	BatchSize int
 	// MaxCachedCalls is the number of settled calls kept in memory, so that an early
-	// resend costs no transaction. Default 1024: 8 MB at Inline bytes each.
+	// resend costs no transaction. Default 1024: 8 MB at MaxInlineBytes each.
 	MaxCachedCalls int
 	// MaxInlineBytes is the size in bytes above which the body of a response goes to the
 	// object store. Default 8192: a receipt fits, a document does not.
@@ -349,8 +351,8 @@
 	}
 }
 
-// Abandon ends a ticket without an outcome. With RanNot the key is freed for a
-// resend; otherwise its state is permanently unknown.
+// Abandon ends a ticket without an outcome. With NotExecuted the key is freed
+// for a resend; otherwise its state is permanently unknown.
 func (l *Ledger) Abandon(t Ticket, ran kumquatlug.Execution) error {
 	var err error
 	l.update(func() { err = l.machine.abandon(t, ran) })
--- a/pkg/kumquatlug/ledger/refuse.go
+++ b/pkg/kumquatlug/ledger/refuse.go
@@ -6,7 +6,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// startBackoff stops table operations for Config.Pause.
+// startBackoff stops table operations for Config.Backoff.
 func (m *stateMachine) startBackoff(now kumquatlug.Millis) {
 	m.tableFailing = true
 	m.backoffUntil = now + m.config.Backoff
--- a/pkg/kumquatlug/ledger/resolve.go
+++ b/pkg/kumquatlug/ledger/resolve.go
@@ -88,7 +88,7 @@
 // epoch may have been blocked before the claim was made.
 func (m *stateMachine) mayRun(tc *trackedCall, w waiter) bool {
 	d := w.call.dispatch
-	return !w.block && w.call.body == tc.body && d.epoch >= tc.dispatch.epoch && tc.era-d.era <= 1
+	return !w.block && w.call.fingerprint == tc.fingerprint && d.epoch >= tc.dispatch.epoch && tc.era-d.era <= 1
 }
 
 func (m *stateMachine) startRelease(tc *trackedCall) {
--- a/pkg/kumquatlug/ledger/row.go
+++ b/pkg/kumquatlug/ledger/row.go
@@ -65,9 +65,9 @@
 
 // Call identifies a non-idempotent call to the ledger.
 type Call struct {
-	id       string
-	body     string
-	dispatch Dispatch
+	id          string
+	fingerprint string
+	dispatch    Dispatch
 }
 
 // CallConfig configures a [Call].
@@ -86,7 +86,7 @@
 // NewCall returns the call that c describes.
 func NewCall(c CallConfig) Call {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d/%s%s", len(c.Caller), c.Caller, c.Key))
-	return Call{id: hex.EncodeToString(sum[:16]), body: c.Fingerprint, dispatch: c.Dispatch}
+	return Call{id: hex.EncodeToString(sum[:16]), fingerprint: c.Fingerprint, dispatch: c.Dispatch}
 }
 
 // ID returns the id of the call's row: 128 bits of a hash of caller and key, so
@@ -94,7 +94,7 @@
 func (c Call) ID() string { return c.id }
 
 // Fingerprint returns the hash of the operation that the call requests.
-func (c Call) Fingerprint() string { return c.body }
+func (c Call) Fingerprint() string { return c.fingerprint }
 
 // Dispatch returns the dispatch that the call was sent with.
 func (c Call) Dispatch() Dispatch { return c.dispatch }
--- a/pkg/kumquatlug/ledger/row_test.go
+++ b/pkg/kumquatlug/ledger/row_test.go
@@ -47,7 +47,7 @@
 		r := decodeRow(value)
 		free := r.State == stateFree && r.Epoch <= 0
 		for _, resp := range m.takeResponses() {
-			if resp.failure == nil && resp.ruling.verdict == VerdictRun && !free {
+			if resp.failure == nil && resp.decision.verdict == VerdictRun && !free {
 				t.Errorf("row %q admitted a run", value)
 			}
 		}
--- a/pkg/kumquatlug/ledger/simulation_jobs_test.go
+++ b/pkg/kumquatlug/ledger/simulation_jobs_test.go
@@ -62,7 +62,7 @@
 		s.objects[j.ticket.claim] = j.responseBody
 		p.uploads = append(p.uploads, j.ticket)
 	}
-	s.deliverResponse(j.attempt, response{ruling: Decision{verdict: VerdictResponse, outcome: o}}, r)
+	s.deliverResponse(j.attempt, response{decision: Decision{verdict: VerdictResponse, outcome: o}}, r)
 }
 
 func (s *simulation) completeUpload(p *process) {
--- a/pkg/kumquatlug/ledger/simulation_test.go
+++ b/pkg/kumquatlug/ledger/simulation_test.go
@@ -226,12 +226,12 @@
 			s.recordViolation("%s answered a waiter twice", p.name)
 		case p.target < 0:
 			s.handleBlockResponse(a, resp)
-		case resp.failure == nil && resp.ruling.verdict == VerdictRun && r.Intn(8) == 0:
+		case resp.failure == nil && resp.decision.verdict == VerdictRun && r.Intn(8) == 0:
 			// The caller has just disconnected.
-			s.requireNoError(p.machine.abandon(resp.ruling.ticket, kumquatlug.NotExecuted))
+			s.requireNoError(p.machine.abandon(resp.decision.ticket, kumquatlug.NotExecuted))
 			s.deliverResponse(a, response{failure: p.machine.testFailure(kumquatlug.NotExecuted)}, r)
-		case resp.failure == nil && resp.ruling.verdict == VerdictRun:
-			p.jobs = append(p.jobs, &job{ticket: resp.ruling.ticket, attempt: a})
+		case resp.failure == nil && resp.decision.verdict == VerdictRun:
+			p.jobs = append(p.jobs, &job{ticket: resp.decision.ticket, attempt: a})
 		default:
 			s.deliverResponse(a, resp, r)
 		}
@@ -259,9 +259,9 @@
 		s.handleRefusal(a, resp.failure.Execution())
 		return
 	}
-	switch resp.ruling.verdict {
+	switch resp.decision.verdict {
 	case VerdictStale:
-		a.dispatch = resp.ruling.dispatch
+		a.dispatch = resp.decision.dispatch
 		a.target = r.Intn(targetCount)
 		s.sendDispatch(a)
 	case VerdictElsewhere:
@@ -271,7 +271,7 @@
 		}
 		s.resend(a, r)
 	default:
-		s.handleRuling(a, resp.ruling)
+		s.handleDecision(a, resp.decision)
 	}
 }
 
@@ -288,7 +288,7 @@
 	}
 }
 
-func (s *simulation) handleRuling(a *attempt, r Decision) {
+func (s *simulation) handleDecision(a *attempt, r Decision) {
 	switch r.verdict {
 	case VerdictResponse:
 		responseBody := string(r.outcome.body)
@@ -312,7 +312,7 @@
 		s.recordOutcome(a, "unknown")
 		return
 	}
-	s.handleRuling(a, resp.ruling)
+	s.handleDecision(a, resp.decision)
 }
 
 func (s *simulation) startBlock(a *attempt) {
--- a/pkg/kumquatlug/ledger/statemachine.go
+++ b/pkg/kumquatlug/ledger/statemachine.go
@@ -11,7 +11,7 @@
 // response is the result for one waiter.
 type response struct {
 	waiterID int64
-	ruling   Decision
+	decision Decision
 	failure  *kumquatlug.Failure
 }
 
@@ -42,7 +42,7 @@
 	phaseCached  phase = "kept"
 )
 
-// waiter is a Begin or Block call that has no ruling yet.
+// waiter is a Begin or Block call that has no decision yet.
 type waiter struct {
 	id    int64
 	call  Call
@@ -51,12 +51,12 @@
 
 // trackedCall is the state that a process keeps for one call.
 type trackedCall struct {
-	id       string
-	goal     goal
-	phase    phase
-	body     string
-	dispatch Dispatch
-	claim    string
+	id          string
+	goal        goal
+	phase       phase
+	fingerprint string
+	dispatch    Dispatch
+	claim       string
 	// era is the era of the bucket that currentRow belongs to.
 	era int64
 	// writeUncertain reports whether an earlier write may still take effect.
@@ -146,13 +146,13 @@
 func (m *stateMachine) answerFromMemory(tc *trackedCall, w waiter) bool {
 	switch tc.phase {
 	case phaseCached:
-		m.respond(w, m.rulingFor(tc.finalRow, w.call))
+		m.respond(w, m.decisionFor(tc.finalRow, w.call))
 		return true
 	case phaseRunning:
 		return m.submitToRunning(tc, w)
 	}
 	if tc.goal == goalStore {
-		m.respond(w, m.rulingFor(tc.finalRow, w.call))
+		m.respond(w, m.decisionFor(tc.finalRow, w.call))
 		return true
 	}
 	return false
@@ -162,7 +162,7 @@
 	switch {
 	case w.block:
 		m.respond(w, Decision{verdict: VerdictElsewhere, holder: m.holder})
-	case w.call.body != tc.body:
+	case w.call.fingerprint != tc.fingerprint:
 		m.respond(w, Decision{verdict: VerdictConflict})
 	default:
 		tc.waiters = append(tc.waiters, w)
@@ -175,7 +175,7 @@
 func (m *stateMachine) track(w waiter) {
 	m.lastWriteID++
 	tc := &trackedCall{
-		id: w.call.id, goal: goalClaim, phase: phaseWrite, body: w.call.body,
+		id: w.call.id, goal: goalClaim, phase: phaseWrite, fingerprint: w.call.fingerprint,
 		dispatch: w.call.dispatch, waiters: []waiter{w},
 		claim: fmt.Sprintf("%s-%d", m.config.Incarnation, m.lastWriteID),
 	}
@@ -237,7 +237,7 @@
 func (m *stateMachine) recordOutcome(tc *trackedCall, final row) {
 	final.Epoch = tc.dispatch.epoch
 	final.Claim = tc.claim
-	final.Body = tc.body
+	final.Body = tc.fingerprint
 	final.Target = m.config.Target
 	final.Incarnation = m.config.Incarnation
 	tc.finalRow = final
@@ -284,7 +284,7 @@
 }
 
 // cacheCall keeps a settled call in memory and evicts the oldest one beyond
-// Config.Kept.
+// Config.MaxCachedCalls.
 func (m *stateMachine) cacheCall(tc *trackedCall) {
 	tc.phase = phaseCached
 	tc.writeUncertain = false
@@ -333,12 +333,12 @@
 	m.order = order
 }
 
-// rulingFor returns the ruling for c that follows from a settled or foreign
+// decisionFor returns the decision on c that follows from a settled or foreign
 // row.
-func (m *stateMachine) rulingFor(r row, c Call) Decision {
+func (m *stateMachine) decisionFor(r row, c Call) Decision {
 	holder := Holder{target: r.Target, incarnation: r.Incarnation}
 	switch {
-	case r.Body != "" && r.Body != c.body:
+	case r.Body != "" && r.Body != c.fingerprint:
 		return Decision{verdict: VerdictConflict}
 	case r.State == stateDone:
 		return Decision{verdict: VerdictResponse, outcome: r.outcome()}
@@ -353,11 +353,11 @@
 
 func (m *stateMachine) answerWaiters(tc *trackedCall, r row) {
 	for _, w := range tc.waiters {
-		m.respond(w, m.rulingFor(r, w.call))
+		m.respond(w, m.decisionFor(r, w.call))
 	}
 	tc.waiters = nil
 }
 
 func (m *stateMachine) respond(w waiter, r Decision) {
-	m.responses = append(m.responses, response{waiterID: w.id, ruling: r})
+	m.responses = append(m.responses, response{waiterID: w.id, decision: r})
 }
--- a/pkg/kumquatlug/ledger/tableop.go
+++ b/pkg/kumquatlug/ledger/tableop.go
@@ -140,7 +140,7 @@
 		m.resubmitWaiters(tc, now)
 		return false
 	}
-	if next.call.dispatch != tc.dispatch || next.call.body != tc.body {
+	if next.call.dispatch != tc.dispatch || next.call.fingerprint != tc.fingerprint {
 		m.resubmitWaiters(tc, now)
 		return false
 	}
@@ -191,7 +191,7 @@
 		return tc.finalRow
 	case goalClaim:
 		return row{
-			State: stateClaimed, Epoch: tc.dispatch.epoch, Claim: tc.claim, Body: tc.body,
+			State: stateClaimed, Epoch: tc.dispatch.epoch, Claim: tc.claim, Body: tc.fingerprint,
 			Target: m.config.Target, Incarnation: m.config.Incarnation,
 		}
 	case goalBlock:
--- a/pkg/kumquatlug/ledger/verdict.go
+++ b/pkg/kumquatlug/ledger/verdict.go
@@ -18,9 +18,9 @@
 	// if that target no longer exists, the result of the run is unknown.
 	VerdictElsewhere Verdict = "elsewhere"
 	// VerdictStale: the dispatch was blocked and did not run; the request may
-	// be sent again with the dispatch in the ruling. That has the era of the
-	// first attempt: with a newer era, a block could miss a run of an earlier
-	// attempt whose row has been swept by then.
+	// be sent again with the dispatch in the decision. That has the era of
+	// the first attempt: with a newer era, a block could miss a run of an
+	// earlier attempt whose row has been swept by then.
 	VerdictStale Verdict = "stale"
 	// VerdictBlocked: the dispatch did not run and never will. Only Block
 	// returns it.
@@ -43,18 +43,18 @@
 }
 
 // Verdict returns the verdict.
-func (r Decision) Verdict() Verdict { return r.verdict }
+func (d Decision) Verdict() Verdict { return d.verdict }
 
 // Ticket returns the right to run the call. It is set only with VerdictRun.
-func (r Decision) Ticket() Ticket { return r.ticket }
+func (d Decision) Ticket() Ticket { return d.ticket }
 
 // Outcome returns the stored response. It is set only with VerdictResponse.
-func (r Decision) Outcome() Outcome { return r.outcome }
+func (d Decision) Outcome() Outcome { return d.outcome }
 
 // Holder returns the process that holds the claim. It is meaningful only with
 // VerdictElsewhere.
-func (r Decision) Holder() Holder { return r.holder }
+func (d Decision) Holder() Holder { return d.holder }
 
 // Dispatch returns the dispatch to send the call with again. It is set only
 // with VerdictStale and VerdictBlocked.
-func (r Decision) Dispatch() Dispatch { return r.dispatch }
+func (d Decision) Dispatch() Dispatch { return d.dispatch }
--- a/pkg/kumquatlug/limit/callers.go
+++ b/pkg/kumquatlug/limit/callers.go
@@ -111,20 +111,20 @@
 }
 
 // Admitted reports whether the request is admitted.
-func (v Decision) Admitted() bool { return v.reason == "" }
+func (d Decision) Admitted() bool { return d.reason == "" }
 
 // Reason returns why the request is refused, empty if it is admitted.
-func (v Decision) Reason() Reason { return v.reason }
+func (d Decision) Reason() Reason { return d.reason }
 
 // RetryAfter returns the delay after which a retry may succeed.
-func (v Decision) RetryAfter() kumquatlug.Millis { return v.retryAfter }
+func (d Decision) RetryAfter() kumquatlug.Millis { return d.retryAfter }
 
 // Failure returns the refusal as an error for the caller with status 429, marked as not
 // run.
-func (v Decision) Failure() *kumquatlug.Failure {
+func (d Decision) Failure() *kumquatlug.Failure {
 	return kumquatlug.NewFailure(kumquatlug.FailureConfig{
-		Step: "limit caller", Reason: string(v.reason), Execution: kumquatlug.NotExecuted,
-		Status: http.StatusTooManyRequests, RetryAfter: v.retryAfter,
+		Step: "limit caller", Reason: string(d.reason), Execution: kumquatlug.NotExecuted,
+		Status: http.StatusTooManyRequests, RetryAfter: d.retryAfter,
 	})
 }
 
--- a/pkg/kumquatlug/limit/limit_test.go
+++ b/pkg/kumquatlug/limit/limit_test.go
@@ -173,22 +173,22 @@
 	}
 }
 
-func TestShortPatienceLowersTolerance(t *testing.T) {
+func TestShortTimeLimitLowersTolerance(t *testing.T) {
 	// A batch size that suits documents is too slow for short questions. With the same
 	// tolerance for both, the target fills with responses that arrive too late.
 	l := NewTargets(TargetsConfig{Baseline: 1})
 	for _, c := range []struct {
-		patience kumquatlug.Millis
-		want     float64
+		timeLimit kumquatlug.Millis
+		want      float64
 	}{
-		{patience: 3000, want: 1.95},
-		{patience: kumquatlug.Minute, want: DefaultTolerance},
-		{patience: 100, want: minTolerance},
+		{timeLimit: 3000, want: 1.95},
+		{timeLimit: kumquatlug.Minute, want: DefaultTolerance},
+		{timeLimit: 100, want: minTolerance},
 	} {
 		var k Ticket
-		l.SetTolerance(&k, c.patience, 1000)
+		l.SetTolerance(&k, c.timeLimit, 1000)
 		if d := k.tolerance - c.want; d > 0.001 || d < -0.001 {
-			t.Errorf("patience %d ms for 1000 ms of work: tolerance %.3f, want %.3f", c.patience, k.tolerance, c.want)
+			t.Errorf("time limit of %d ms for 1000 ms of work: tolerance %.3f, want %.3f", c.timeLimit, k.tolerance, c.want)
 		}
 	}
 }
--- a/pkg/kumquatlug/limit/targets.go
+++ b/pkg/kumquatlug/limit/targets.go
@@ -157,24 +157,24 @@
 }
 
 const (
-	// maxPatienceShare is the share of a caller's time limit that its response may
+	// maxTimeLimitShare is the share of a caller's time limit that its response may
 	// take once sent; the rest covers queueing and unusual lengths. With 0.7, quiet
 	// callers beside a hot one kept 0.97 of their on-time responses; with 0.6, a fleet
 	// at twice its load had 0.947 of its goodput in place of 0.956
 	// (cmd/kumquatlug-experiment, seeds 1 to 3).
-	maxPatienceShare = 0.65
+	maxTimeLimitShare = 0.65
 	// minTolerance leaves some batching for requests whose time limit is too short for
 	// any.
 	minTolerance = 1.2
 )
 
 // SetTolerance sets the latency factor of a request from the time that its caller waits
-// (patience) and the time that it takes alone on an idle target. A batch size that
-// suits long documents is too slow for short questions: with one tolerance for all, the
-// target would fill with responses that arrive too late, and the queue before it would
-// be empty, so that its order would have no effect.
-func (t *Targets) SetTolerance(k *Ticket, patience, alone kumquatlug.Millis) {
-	allowed := maxPatienceShare * float64(patience) / float64(max(alone, 1))
+// and the time that it takes alone on an idle target. A batch size that suits long
+// documents is too slow for short questions: with one tolerance for all, the target
+// would fill with responses that arrive too late, and the queue before it would be
+// empty, so that its order would have no effect.
+func (t *Targets) SetTolerance(k *Ticket, timeLimit, alone kumquatlug.Millis) {
+	allowed := maxTimeLimitShare * float64(timeLimit) / float64(max(alone, 1))
 	k.tolerance = min(max(allowed, minTolerance), t.config.Tolerance)
 }
 
@@ -208,7 +208,7 @@
 	// Age is how old the load was when it was requested, in milliseconds.
 	Age kumquatlug.Millis
 	// RequestedAt is when this gateway requested it, on this gateway's clock. Requests that
-	// this gateway began after Asked - Age are not in the report.
+	// this gateway began after RequestedAt - Age are not in the report.
 	RequestedAt kumquatlug.Millis
 	// Running is the number of requests of all gateways that run at the target; zero
 	// means unknown.
--- a/pkg/kumquatlug/membership/membership.go
+++ b/pkg/kumquatlug/membership/membership.go
@@ -41,8 +41,8 @@
 	MinInterval = kumquatlug.Second
 	// HeartbeatBytes is the size of a heartbeat and its response on the wire.
 	HeartbeatBytes = 580
-	// MaxHeartbeatBytesPerSecond is the limit for heartbeats in bytes per second, out of the 5 KB per second
-	// that a node may use for control traffic.
+	// MaxHeartbeatBytesPerSecond is the limit for heartbeats in bytes per second, out of
+	// the 5 KB per second that a node may use for control traffic.
 	MaxHeartbeatBytesPerSecond = 4_000
 )
 
@@ -147,8 +147,8 @@
 	sort.Strings(m.names)
 }
 
-// HeartbeatAnswered records an answered heartbeat. It returns the change, and whether the target came up
-// or its agent was restarted.
+// HeartbeatAnswered records an answered heartbeat. It returns the change, and whether the
+// target came up or its agent was restarted.
 func (m *Members) HeartbeatAnswered(now kumquatlug.Millis, name, incarnation string) (Change, bool) {
 	member, known := m.members[name]
 	if !known {
@@ -180,7 +180,7 @@
 }
 
 // Names returns the sorted names of the members. The slice is valid until the next call of
-// Listed.
+// SetVMs.
 func (m *Members) Names() []string { return m.names }
 
 // Get returns the member with this name.
--- a/pkg/kumquatlug/operatorconfig.go
+++ b/pkg/kumquatlug/operatorconfig.go
@@ -42,8 +42,8 @@
 	// Public says that requests need no key.
 	Public bool
 	// LatencyTarget is the latency within which a response has its full value, Timeout the
-	// longest that a client is kept waiting, Gap the longest pause between events; zero
-	// for none.
+	// longest that a client is kept waiting, MaxEventGap the longest pause between
+	// events; zero for none.
 	LatencyTarget, Timeout, MaxEventGap Millis
 }
 
@@ -125,8 +125,9 @@
 	MaxConnections int
 	// Engine says that the workers are language-model engines.
 	Engine bool
-	// Slots is the number of requests that an engine runs at once, Memory the number of
-	// tokens that its KV cache holds, Switch the time that a role change takes.
+	// Slots is the number of requests that an engine runs at once, KVCapacityTokens the
+	// number of tokens that its KV cache holds, RoleChangeTime the time that a role
+	// change takes.
 	Slots            int
 	KVCapacityTokens int
 	RoleChangeTime   Millis
@@ -169,8 +170,8 @@
 // RoleChangeTime returns the time that a role change takes.
 func (s Service) RoleChangeTime() Millis { return s.c.RoleChangeTime }
 
-// Scaling returns the bounds on the number of workers; Most is zero if the operator
-// sets that number.
+// Scaling returns the bounds on the number of workers; MaxWorkers is zero if the
+// operator sets that number.
 func (s Service) Scaling() Scaling { return s.c.Scaling }
 
 // Limits bound the size and timing of client requests; zero means no bound.
--- a/pkg/kumquatlug/order/gate.go
+++ b/pkg/kumquatlug/order/gate.go
@@ -255,7 +255,7 @@
 // StateRead handles the result of a StepReadState. If the engine is applying a change,
 // [Gate.Next] repeats the read.
 func (g *Gate) StateRead(s Step, state State) {
-	if !g.completePending(s) || !state.settled {
+	if !g.completePending(s) || !state.idle {
 		return
 	}
 	g.stateKnown, g.blocked = true, false
--- a/pkg/kumquatlug/order/order.go
+++ b/pkg/kumquatlug/order/order.go
@@ -118,7 +118,7 @@
 func (o Order) Argument() string { return o.argument }
 
 // Property is one property of an engine's state, such as verb "role" with argument
-// "decode". A state may hold several facts with the same verb.
+// "decode". A state may hold several properties with the same verb.
 type Property struct {
 	Verb     Verb
 	Argument string
@@ -126,22 +126,22 @@
 
 // State is an engine's state as the engine reports it.
 type State struct {
-	settled bool
-	facts   []Property
+	idle       bool
+	properties []Property
 }
 
-// NewState returns a state. settled is false while the engine is applying a
+// NewState returns a state. idle is false while the engine is applying a
 // change, including one that the agent has no record of.
-func NewState(settled bool, facts ...Property) State {
-	return State{settled: settled, facts: facts}
+func NewState(idle bool, properties ...Property) State {
+	return State{idle: idle, properties: properties}
 }
 
 // Idle reports whether the engine is not applying a change.
-func (s State) Idle() bool { return s.settled }
+func (s State) Idle() bool { return s.idle }
 
 // Satisfies reports whether the state matches what o requests.
 func (s State) Satisfies(o Order) bool {
-	for _, f := range s.facts {
+	for _, f := range s.properties {
 		if f.Verb == o.verb && f.Argument == o.argument {
 			return true
 		}
--- a/pkg/kumquatlug/order/order_test.go
+++ b/pkg/kumquatlug/order/order_test.go
@@ -58,7 +58,7 @@
 	}
 	g.StateRead(g.Next(0), NewState(true, Property{VerbRole, "both"}))
 	if r := g.Offer(o); r.Verdict() != VerdictCompleted || r.Outcome() != OutcomeNotApplied {
-		t.Fatalf("verdict %s, outcome %q, want settled and not-applied", r.Verdict(), r.Outcome())
+		t.Fatalf("verdict %s, outcome %q, want completed and not-applied", r.Verdict(), r.Outcome())
 	}
 }
 
--- a/pkg/kumquatlug/order/proof_test.go
+++ b/pkg/kumquatlug/order/proof_test.go
@@ -223,7 +223,7 @@
 	return 0
 }
 
-// send sends a sender's due orders, as if the sender still believed that it holds
+// send sends a sender's due orders, as if the sender had not detected that it lost
 // the lease.
 func (w *world) send(i int) {
 	for _, out := range w.senders[i].Due(w.now, w.senderTokens[i], true) {
--- a/pkg/kumquatlug/order/sender.go
+++ b/pkg/kumquatlug/order/sender.go
@@ -51,13 +51,13 @@
 }
 
 // Target returns the target of the order.
-func (s Result) Target() string { return s.target }
+func (r Result) Target() string { return r.target }
 
 // Order returns the order.
-func (s Result) Order() Order { return s.order }
+func (r Result) Order() Order { return r.order }
 
 // Outcome returns how the order ended.
-func (s Result) Outcome() Outcome { return s.outcome }
+func (r Result) Outcome() Outcome { return r.outcome }
 
 // Outgoing is an order to be sent to a target.
 type Outgoing struct {
@@ -71,7 +71,7 @@
 // Order returns the order.
 func (o Outgoing) Order() Order { return o.order }
 
-// targetState is what a sender knows of one target.
+// targetState is a sender's state of one target.
 type targetState struct {
 	incarnation Incarnation
 	phase       Phase
--- a/pkg/kumquatlug/peers.go
+++ b/pkg/kumquatlug/peers.go
@@ -34,20 +34,20 @@
 	Service, Engine string
 	// Key distinguishes the prompts of the requesting gateway.
 	Key uint64
-	// Prompt is the prompt to process, Worth the value of the request relative to the
+	// Prompt is the prompt to process, Value the value of the request relative to the
 	// mean of its route.
 	Prompt Prompt
 	Value  float64
-	// LatencyTarget is the time until the first output is due for full value, Patience the
-	// time until the client gives up. Both are durations, since clocks differ; Timed
-	// says that there is a Target.
+	// LatencyTarget is the time until the first output is due for full value,
+	// ClientTimeout the time until the client gives up. Both are durations, since clocks
+	// differ; HasLatencyTarget says that there is a LatencyTarget.
 	LatencyTarget, ClientTimeout Millis
 	HasLatencyTarget             bool
 	// ResponseStarted says that the client has received a part of the response.
 	ResponseStarted bool
-	// Wait is how long the coordinator expects processing to take from now, Alone says
-	// that the engine has no other prompt in flight, Fresh is the expected number of
-	// prompt tokens that are not cached.
+	// Wait is how long the coordinator expects processing to take from now, EngineIdle
+	// says that the engine has no other prompt in flight, UncachedTokens is the expected
+	// number of prompt tokens that are not cached.
 	Wait           Millis
 	EngineIdle     bool
 	UncachedTokens int
@@ -66,7 +66,7 @@
 	Coordinator(now Millis, engine string) string
 	// IsCoordinator reports whether this gateway is the engine's coordinator.
 	IsCoordinator(now Millis, engine string) bool
-	// PeerResponded and Missed record whether a gateway responded in time.
+	// PeerResponded and PeerTimedOut record whether a gateway responded in time.
 	PeerResponded(gateway string)
 	PeerTimedOut(now Millis, gateway string)
 }
@@ -81,13 +81,13 @@
 	UpdatePeers(rows map[string][]byte) (reachable, restarted []string)
 	// Send sends a message to a gateway.
 	Send(m PermitMessage)
-	// AnnounceStop notifies the peers that this gateway shuts down.
+	// AnnounceStop notifies the peers that this gateway is shutting down.
 	AnnounceStop()
 	// AnnounceConfig notifies a gateway of the config in force here; if the name is empty,
 	// a gateway chosen by the link.
 	AnnounceConfig(gateway string)
-	// RequestConfig requests the text of a gateway's config, GiveConfig responds to such a
-	// request.
+	// RequestConfig requests the text of a gateway's config, SendConfigPart responds to
+	// such a request.
 	RequestConfig(gateway string, request ConfigRequest)
 	SendConfigPart(gateway string, part ConfigPart)
 	// Receive passes received messages to h until ctx ends.
@@ -98,14 +98,15 @@
 type GatewayHandler interface {
 	// PermitReceived handles a message about a permit.
 	PermitReceived(m PermitMessage)
-	// PeerJoined handles the announcement of a gateway, Left its notice that it shuts down.
+	// PeerJoined handles the announcement of a gateway, PeerLeft its notice that it is
+	// shutting down.
 	PeerJoined(gateway string)
 	PeerLeft(gateway string)
-	// ConfigState returns the state that is attached to all messages, ConfigHeard
-	// handles the state received from a gateway.
+	// ConfigState returns the state that is attached to all messages,
+	// ConfigStateReceived handles the state received from a gateway.
 	ConfigState() ConfigState
 	ConfigStateReceived(gateway string, state ConfigState)
-	// ConfigRequested and ConfigGiven handle messages about the text of a config.
+	// ConfigRequested and ConfigPartReceived handle messages about the text of a config.
 	ConfigRequested(gateway string, request ConfigRequest)
 	ConfigPartReceived(gateway string, part ConfigPart)
 }
--- a/pkg/kumquatlug/planner/adaptive_split.go
+++ b/pkg/kumquatlug/planner/adaptive_split.go
@@ -7,15 +7,15 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// AdaptiveSplitConfig configures a [AdaptiveSplit]. A zero field selects its default, except Part, which
-// has none.
+// AdaptiveSplitConfig configures an [AdaptiveSplit]. A zero field selects its default,
+// except BasePrefillShare, which has none.
 type AdaptiveSplitConfig struct {
 	// BasePrefillShare is the base split: the share of engines that run prefill while decode is
 	// not short of slots.
 	BasePrefillShare float64
-	// HighUtilization is the slot utilization above which decode gets more engines, Settled the
-	// utilization below which it gets fewer. Defaults 0.9 and 0.7: a change between
-	// these gains nothing.
+	// HighUtilization is the slot utilization above which decode gets more engines,
+	// LowUtilization the utilization below which it gets fewer. Defaults 0.9 and 0.7: a
+	// change between these gains nothing.
 	HighUtilization, LowUtilization float64
 	// MaxGrowth limits the expected number of occupied slots, as a multiple of the number
 	// occupied now. Default 1.4.
@@ -23,9 +23,9 @@
 	// MaxPrefillUtilization is the maximum utilization of the remaining prefill engines after one was
 	// moved to decode. Default 0.85.
 	MaxPrefillUtilization float64
-	// ShortageHold and Spare are how long decode must have too few slots, or more than it
-	// needs, before a change. Defaults 1 s and 1 s: bursts of three seconds that the
-	// slots can absorb look like a shortage for less than that.
+	// ShortageHold and SurplusHold are how long decode must have too few slots, or more
+	// than it needs, before a change. Defaults 1 s and 1 s: bursts of three seconds that
+	// the slots can absorb look like a shortage for less than that.
 	ShortageHold, SurplusHold kumquatlug.Millis
 	// ReturnHold is how long no prompt must be late before an engine that was moved to
 	// prefill returns to decode without being needed there. Default 3.5 s: longer than
@@ -54,15 +54,15 @@
 	return c
 }
 
-// SplitLoad is the load that a [AdaptiveSplit] bases its decision on.
+// SplitLoad is the load that an [AdaptiveSplit] bases its decision on.
 type SplitLoad struct {
-	// PrefillEngines and Writers are the numbers of prefill and decode engines. Engines with
-	// a pending change count in their new role.
+	// PrefillEngines and DecodeEngines are the numbers of prefill and decode engines.
+	// Engines with a pending change count in their new role.
 	PrefillEngines, DecodeEngines int
 	// PrefillUtilization is the share of prefill engines that are busy.
 	PrefillUtilization float64
-	// OccupiedSlots is the number of occupied decode slots and Coming the number expected when
-	// a change takes effect, both in units of one engine's slots.
+	// OccupiedSlots is the number of occupied decode slots and ExpectedSlots the number
+	// expected when a change takes effect, both in units of one engine's slots.
 	OccupiedSlots, ExpectedSlots float64
 }
 
@@ -71,12 +71,13 @@
 //
 // With a fixed split one side overflows for half of the time: streams wait for slots
 // while prefill engines are idle, then prompts are refused while slots are idle. A split
-// based on demand averaged over seconds follows each fluctuation and is late. A Swing
-// therefore departs from the fixed split only if streams will be short of slots by the
-// time a change takes effect. It moves as many prefill engines to decode as the streams
-// need and the prompts can spare, and returns them as soon as the slots are not needed.
+// based on demand averaged over seconds follows each fluctuation and is late. An
+// AdaptiveSplit therefore departs from the fixed split only if streams will be short of
+// slots by the time a change takes effect. It moves as many prefill engines to decode as
+// the streams need and the prompts can spare, and returns them as soon as the slots are
+// not needed.
 //
-// A Swing is not safe for concurrent use.
+// An AdaptiveSplit is not safe for concurrent use.
 type AdaptiveSplit struct {
 	config AdaptiveSplitConfig
 	share  float64
@@ -87,7 +88,7 @@
 	changedAt      kumquatlug.Millis
 }
 
-// NewAdaptiveSplit returns a Swing that starts with the base split.
+// NewAdaptiveSplit returns an adaptive split that starts with the base split.
 func NewAdaptiveSplit(c AdaptiveSplitConfig) *AdaptiveSplit {
 	c = c.withDefaults()
 	return &AdaptiveSplit{config: c, share: c.BasePrefillShare}
@@ -138,7 +139,7 @@
 }
 
 // neededDecode returns the number of decode engines that provide enough slots. The trend
-// is limited by Rise, since it overshoots at the start of each burst.
+// is limited by MaxGrowth, since it overshoots at the start of each burst.
 func (s *AdaptiveSplit) neededDecode(v SplitLoad) int {
 	expected := min(v.ExpectedSlots, s.config.MaxGrowth*v.OccupiedSlots)
 	needed := int(math.Ceil(expected / s.config.HighUtilization))
--- a/pkg/kumquatlug/planner/baseline.go
+++ b/pkg/kumquatlug/planner/baseline.go
@@ -72,7 +72,7 @@
 
 // RecordDemand implements [kumquatlug.RolePlanner].
 func (t *Threshold) RecordDemand(now kumquatlug.Millis, o kumquatlug.Demand) {
-	t.demand.offered(now, o)
+	t.demand.record(now, o)
 }
 
 // Report implements [kumquatlug.RolePlanner].
--- a/pkg/kumquatlug/planner/demand.go
+++ b/pkg/kumquatlug/planner/demand.go
@@ -61,7 +61,7 @@
 	return &demand{fast: fast, slow: slow}
 }
 
-func (d *demand) offered(now kumquatlug.Millis, o kumquatlug.Demand) {
+func (d *demand) record(now kumquatlug.Millis, o kumquatlug.Demand) {
 	if o.Period <= 0 {
 		return
 	}
--- a/pkg/kumquatlug/planner/planner.go
+++ b/pkg/kumquatlug/planner/planner.go
@@ -60,15 +60,15 @@
 	// engine is always allowed. Default 0.2: two of twelve.
 	MaxChangingShare float64
 	// KneeSharpness is the sharpness of the goodput curve of a side where its load reaches its
-	// capacity: at that point the side serves 2^(-1/Knee) of its load. Default 8,
-	// which is 92%: some calls then miss their deadlines, and the last engine moved
+	// capacity: at that point the side serves 2^(-1/KneeSharpness) of its load. Default
+	// 8, which is 92%: some calls then miss their deadlines, and the last engine moved
 	// to a side gains less than the first. A planner that expected a side to serve its
 	// full load at capacity would stop before reaching it, and one that counted on a
 	// fixed share of the capacity would value the last engine as highly as the first.
 	KneeSharpness float64
-	// FastSpan and Slow are the time constants of the moving averages. Defaults 20 s and
-	// 3 min: the fast one detects a shift within half a minute, the slow one is stable
-	// for demand that varies by 20% between reports.
+	// FastSpan and SlowSpan are the time constants of the moving averages. Defaults 20 s
+	// and 3 min: the fast one detects a shift within half a minute, the slow one is
+	// stable for demand that varies by 20% between reports.
 	FastSpan kumquatlug.Millis
 	SlowSpan kumquatlug.Millis
 	// StaleAfter is the age above which a report counts as missing. Default 10 s: ten
@@ -151,7 +151,7 @@
 }
 
 // RecordDemand implements [kumquatlug.RolePlanner].
-func (g *Goodput) RecordDemand(now kumquatlug.Millis, o kumquatlug.Demand) { g.demand.offered(now, o) }
+func (g *Goodput) RecordDemand(now kumquatlug.Millis, o kumquatlug.Demand) { g.demand.record(now, o) }
 
 // Report implements [kumquatlug.RolePlanner]. A report that shows an engine in its
 // new role updates the mean duration of a change.
--- a/pkg/kumquatlug/planner/planner_test.go
+++ b/pkg/kumquatlug/planner/planner_test.go
@@ -117,7 +117,7 @@
 	for name, c := range cases {
 		g := New(defaultConfig)
 		newSimGroup(g, 1, 12, 6).run(120, 4, 4)
-		s := newSimGroup(&lossyPlanner{Goodput: g, dropOffers: c.unresponsiveGateway, unresponsiveEngines: c.unresponsiveEngines}, 2, 12, 6)
+		s := newSimGroup(&lossyPlanner{Goodput: g, dropDemand: c.unresponsiveGateway, unresponsiveEngines: c.unresponsiveEngines}, 2, 12, 6)
 		s.now = 120 * kumquatlug.Second
 		s.run(15, 4, 4)
 		s.run(40, 9, 1)
@@ -130,15 +130,15 @@
 	}
 }
 
-// lossyPlanner drops the offers of one gateway and the reports of some engines.
+// lossyPlanner drops the demand reports of one gateway and the reports of some engines.
 type lossyPlanner struct {
 	*Goodput
-	dropOffers          bool
+	dropDemand          bool
 	unresponsiveEngines int
 }
 
 func (p *lossyPlanner) RecordDemand(now kumquatlug.Millis, o kumquatlug.Demand) {
-	if !p.dropOffers || o.Gateway != "entry0" {
+	if !p.dropDemand || o.Gateway != "entry0" {
 		p.Goodput.RecordDemand(now, o)
 	}
 }
@@ -161,8 +161,8 @@
 	}
 }
 
-// batchingPlanner attributes all prompts to one gateway and merges eight of its offers
-// into one.
+// batchingPlanner attributes all prompts to one gateway and merges eight of its demand
+// reports into one.
 type batchingPlanner struct {
 	*Goodput
 	batch kumquatlug.Demand
@@ -298,7 +298,7 @@
 	now := kumquatlug.Millis(0)
 	offer := func(prefill, decode float64) {
 		now += kumquatlug.Second
-		d.offered(now, kumquatlug.Demand{Gateway: "entry", Period: kumquatlug.Second, PrefillTokens: prefill, DecodeTokens: decode})
+		d.record(now, kumquatlug.Demand{Gateway: "entry", Period: kumquatlug.Second, PrefillTokens: prefill, DecodeTokens: decode})
 	}
 	for range 300 {
 		offer(9000, 3000)
--- a/pkg/kumquatlug/quarantine/gate.go
+++ b/pkg/kumquatlug/quarantine/gate.go
@@ -38,7 +38,7 @@
 	// Claimed reports whether the claim on the suspect was obtained. The claim
 	// is a row in the platform's table under the fingerprint, inserted on the
 	// condition that there is none, and removed when the call ends without a
-	// crash. After a crash it remains for Config.Period, so that no second
+	// crash. After a crash it remains for Config.Retention, so that no second
 	// isolated run follows even if every process that knew of the first has
 	// ended.
 	//
@@ -55,7 +55,7 @@
 
 // Gate tracks the calls in flight at one target. Each agent has one.
 type Gate struct {
-	register *Registry
+	registry *Registry
 	calls    map[string]*inFlightCall
 	// pendingSuspect is the id of a suspect that waits for other calls to
 	// finish starting. No other call may start before it, or it would never
@@ -75,17 +75,17 @@
 // NewGate returns a gate for a target without calls in flight, which reads and
 // updates r.
 func NewGate(r *Registry) *Gate {
-	return &Gate{register: r, calls: map[string]*inFlightCall{}}
+	return &Gate{registry: r, calls: map[string]*inFlightCall{}}
 }
 
 // Begin decides whether a call may start now.
 func (g *Gate) Begin(now kumquatlug.Millis, a StartRequest) Verdict {
-	o := g.register.Check(now, a.Fingerprint)
-	if o.Refused() {
+	assessment := g.registry.Check(now, a.Fingerprint)
+	if assessment.Refused() {
 		g.Abandon(a.ID)
 		return VerdictRefuse
 	}
-	if o.Standing() == StandingSuspect {
+	if assessment.Standing() == StandingSuspect {
 		return g.beginSuspect(now, a)
 	}
 	if g.pendingSuspect == a.ID {
@@ -143,7 +143,7 @@
 	}
 	delete(g.calls, id)
 	if whole {
-		g.register.Finished(now, c.fingerprint)
+		g.registry.Finished(now, c.fingerprint)
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 	g.calls = map[string]*inFlightCall{}
 	g.pendingSuspect = ""
-	g.register.Crashed(now, c, held)
+	g.registry.Crashed(now, c, held)
 	return held
 }
 
@@ -195,7 +195,7 @@
 // may have become one through a copy of it that crashed another target.
 func (g *Gate) suspectInFlight(now kumquatlug.Millis) bool {
 	for _, c := range g.calls {
-		if g.register.peekStanding(now, c.fingerprint) != StandingFree {
+		if g.registry.peekStanding(now, c.fingerprint) != StandingFree {
 			return true
 		}
 	}
--- a/pkg/kumquatlug/quarantine/notice.go
+++ b/pkg/kumquatlug/quarantine/notice.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Notice is the state of one fingerprint as exchanged between registers.
+// Notice is the state of one fingerprint as exchanged between registries.
 type Notice struct {
 	fingerprint Fingerprint
 	marks       []crashMark
@@ -112,7 +112,7 @@
 	return n
 }
 
-// Merge merges notices of another register. Crashes are merged as sets, and
+// Merge merges notices of another registry. Crashes are merged as sets, and
 // marks stay cleared and records proven once they are; the order of merges does
 // not matter.
 func (r *Registry) Merge(now kumquatlug.Millis, notices []Notice) {
--- a/pkg/kumquatlug/quarantine/quarantine.go
+++ b/pkg/kumquatlug/quarantine/quarantine.go
@@ -36,7 +36,7 @@
 //     its isolated run. The claim ensures this when several gateways hold the
 //     same suspect: one claim is granted in the lifetime of its row. While the
 //     table is unavailable, each gateway that holds a copy may run it once;
-//   - n targets, if n is 2 or more and each copy crashes within Config.Settle
+//   - n targets, if n is 2 or more and each copy crashes within Config.SettleDelay
 //     of the first: two crashes are known before a copy is sent for an isolated
 //     run, and none is sent. So two gateways that send it at the same moment
 //     crash two;
@@ -113,7 +113,7 @@
 	Proven bool
 }
 
-// Standing is the state of a fingerprint in a register.
+// Standing is the state of a fingerprint in a registry.
 type Standing string
 
 // Standings of a fingerprint.
@@ -139,20 +139,20 @@
 }
 
 // Standing returns the standing of the fingerprint.
-func (o Assessment) Standing() Standing { return o.standing }
+func (a Assessment) Standing() Standing { return a.standing }
 
 // Wait returns, in milliseconds, for a suspect how long to wait before it is
 // sent, and for a held fingerprint how long waiting may still help.
-func (o Assessment) Wait() kumquatlug.Millis { return o.wait }
+func (a Assessment) Wait() kumquatlug.Millis { return a.wait }
 
 // Remaining returns how long the standing lasts without further events, in
 // milliseconds.
-func (o Assessment) Remaining() kumquatlug.Millis { return o.remaining }
+func (a Assessment) Remaining() kumquatlug.Millis { return a.remaining }
 
 // Refused reports whether a new request with the fingerprint must be refused at
 // once.
-func (o Assessment) Refused() bool {
-	return o.standing == StandingHeld || o.standing == StandingQuarantined
+func (a Assessment) Refused() bool {
+	return a.standing == StandingHeld || a.standing == StandingQuarantined
 }
 
 // Config configures a [Registry]. The zero value of each field selects its
@@ -170,11 +170,11 @@
 	SettleDelay kumquatlug.Millis
 	// HoldTime is how long a call that was in flight at two crashes may usefully
 	// wait, in milliseconds. Default 10 s: the request that caused them waits
-	// for Settle, queues for an isolated run and crashes within that time.
+	// for SettleDelay, queues for an isolated run and crashes within that time.
 	HoldTime kumquatlug.Millis
 	// MaxRecords is the maximum number of fingerprints remembered. Default 4,096:
 	// 0.8 MB at 200 bytes each, or fifty suspects for each of eighty crashes
-	// within the period.
+	// within Retention.
 	MaxRecords int
 }
 
--- a/pkg/kumquatlug/quarantine/quarantine_test.go
+++ b/pkg/kumquatlug/quarantine/quarantine_test.go
@@ -158,7 +158,7 @@
 	}
 	r.ClearCrash(30, NewCrash("a", "1"))
 	if got := r.Check(30, "x").Standing(); got != StandingFree {
-		t.Errorf("after Void it is %s", got)
+		t.Errorf("after ClearCrash it is %s", got)
 	}
 }
 
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestRegisterIsBounded(t *testing.T) {
+func TestRegistryIsBounded(t *testing.T) {
 	// Many crashes with many calls in flight must not fill the memory of a
 	// small VM, and must not evict the quarantined request.
 	r := New(Config{MaxRecords: 50})
@@ -210,7 +210,7 @@
 	}
 }
 
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkCheck(b *testing.B) {
 	r := New(Config{})
 	for i := range 4000 {
 		r.Crashed(0, NewCrash("b", fmt.Sprint(i)), []InFlightCall{{Fingerprint: Fingerprint(fmt.Sprint(i))}})
@@ -279,7 +279,7 @@
 	properties.TestingRun(t)
 }
 
-// randomNotices returns the notices of a register after some random events.
+// randomNotices returns the notices of a registry after some random events.
 func randomNotices(random *rand.Rand, seed int) []Notice {
 	r := New(Config{})
 	for i := range 6 {
--- a/pkg/kumquatlug/quarantine/register.go
+++ b/pkg/kumquatlug/quarantine/register.go
@@ -10,7 +10,7 @@
 type record struct {
 	marks  []crashMark
 	proven bool
-	// changedVersion is the register's version at the last change to announce.
+	// changedVersion is the registry's version at the last change to announce.
 	changedVersion int64
 	// announcedAt is the time of the last change or extension to announce.
 	announcedAt kumquatlug.Millis
@@ -55,7 +55,7 @@
 	version int64
 }
 
-// New returns an empty register.
+// New returns an empty registry.
 func New(c Config) *Registry {
 	return &Registry{config: c.withDefaults(), records: map[Fingerprint]*record{}}
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// Remove removes a fingerprint from this register, for example on an operator's
+// Remove removes a fingerprint from this registry, for example on an operator's
 // order.
 func (r *Registry) Remove(f Fingerprint) {
 	delete(r.records, f)
@@ -112,28 +112,28 @@
 	if !ok || rec.expiresAt <= now {
 		return Assessment{standing: StandingFree}
 	}
-	o := r.opinion(now, rec)
-	if o.Refused() {
+	a := r.assess(now, rec)
+	if a.Refused() {
 		r.extend(now, rec, now+r.config.Retention)
-		o.remaining = rec.expiresAt - now
+		a.remaining = rec.expiresAt - now
 	}
-	return o
+	return a
 }
 
-func (r *Registry) opinion(now kumquatlug.Millis, rec *record) Assessment {
-	o := Assessment{standing: StandingFree, remaining: rec.expiresAt - now}
+func (r *Registry) assess(now kumquatlug.Millis, rec *record) Assessment {
+	a := Assessment{standing: StandingFree, remaining: rec.expiresAt - now}
 	open := rec.openCrashes()
 	switch {
 	case rec.proven:
-		o.standing = StandingQuarantined
+		a.standing = StandingQuarantined
 	case open >= 2:
-		o.standing = StandingHeld
-		o.wait = r.timeLeft(now, rec, r.config.HoldTime)
+		a.standing = StandingHeld
+		a.wait = r.timeLeft(now, rec, r.config.HoldTime)
 	case open == 1:
-		o.standing = StandingSuspect
-		o.wait = r.settleWait(now, rec)
+		a.standing = StandingSuspect
+		a.wait = r.settleWait(now, rec)
 	}
-	return o
+	return a
 }
 
 // settleWait returns how long a suspect must still wait for its notices to
@@ -237,7 +237,7 @@
 	}
 }
 
-// markChanged schedules the record for announcement and restarts its period.
+// markChanged schedules the record for announcement and restarts its lifetime.
 func (r *Registry) markChanged(now kumquatlug.Millis, rec *record) {
 	r.version++
 	rec.changedVersion = r.version
@@ -246,7 +246,7 @@
 }
 
 // extend extends the lifetime of a record. It is announced only when an eighth
-// of the period has passed since the last announcement, since otherwise each
+// of its lifetime has passed since the last announcement, since otherwise each
 // resend would send a notice to every node.
 func (r *Registry) extend(now kumquatlug.Millis, rec *record, expires kumquatlug.Millis) {
 	rec.expiresAt = max(rec.expiresAt, expires)
@@ -284,7 +284,7 @@
 
 // evictedBefore reports whether a is evicted before b.
 func (r *Registry) evictedBefore(now kumquatlug.Millis, a, b *record) bool {
-	refusedA, refusedB := r.opinion(now, a).Refused(), r.opinion(now, b).Refused()
+	refusedA, refusedB := r.assess(now, a).Refused(), r.assess(now, b).Refused()
 	if refusedA != refusedB {
 		return refusedB
 	}
@@ -311,5 +311,5 @@
 	if !ok || rec.expiresAt <= now {
 		return StandingFree
 	}
-	return r.opinion(now, rec).standing
+	return r.assess(now, rec).standing
 }
--- a/pkg/kumquatlug/quarantine/suspects.go
+++ b/pkg/kumquatlug/quarantine/suspects.go
@@ -24,14 +24,14 @@
 // CrashCounter counts the crashes of each request for a gateway that calls targets
 // directly. There is no agent that records which requests were in flight at a
 // crash, so the only evidence is a connection that ends without a response; a
-// [Registry], which knows the neighbours, is more exact.
+// [Registry], which records the neighbours, is more exact.
 //
 // It contains the damage of a request that crashes each worker that runs it.
 // Retried by its gateway and sent again by its client, through every gateway in
 // turn, such a request crashes a whole group. Each gateway therefore reports
 // its crashes to the others.
 //
-// Suspects are not safe for concurrent use.
+// A CrashCounter is not safe for concurrent use.
 type CrashCounter struct {
 	config  CrashCounterConfig
 	reports map[Fingerprint][]crashReport
@@ -43,7 +43,7 @@
 	at kumquatlug.Millis
 }
 
-// NewCrashCounter returns a Suspects without crashes.
+// NewCrashCounter returns a counter without crashes.
 func NewCrashCounter(c CrashCounterConfig) *CrashCounter {
 	c.Limit = cmp.Or(c.Limit, 3)
 	c.Retention = cmp.Or(c.Retention, kumquatlug.Minute)
@@ -51,8 +51,8 @@
 	return &CrashCounter{config: c, reports: map[Fingerprint][]crashReport{}}
 }
 
-// HasCrashes reports whether there is any suspect. If not, a gateway need not compute
-// the fingerprint of each request.
+// HasCrashes reports whether any crash is counted. If not, a gateway need not
+// compute the fingerprint of each request.
 func (s *CrashCounter) HasCrashes() bool { return len(s.reports) > 0 }
 
 // Crashed records a crash of f under a unique name. A repeated report of the
--- a/pkg/kumquatlug/quarantine/suspects_test.go
+++ b/pkg/kumquatlug/quarantine/suspects_test.go
@@ -30,7 +30,7 @@
 }
 
 // The same crash is reported twice, by the gateway that saw it and by the
-// store. It must count once, and not at all after Period.
+// store. It must count once, and not at all after Retention.
 func TestCrashCountsOnceAndExpires(t *testing.T) {
 	s := NewCrashCounter(CrashCounterConfig{MaxRequests: 2})
 	for range 5 {
@@ -42,7 +42,7 @@
 	s.Crashed(0, "f", "two")
 	s.Crashed(0, "f", "three")
 	if !s.Refused(1, "f") || s.Refused(2*kumquatlug.Minute, "f") {
-		t.Error("three crashes must refuse the request and expire after Period")
+		t.Error("three crashes must refuse the request and expire after Retention")
 	}
 	s.Crashed(0, "g", "x")
 	s.Crashed(0, "h", "x")
--- a/pkg/kumquatlug/retry/retry.go
+++ b/pkg/kumquatlug/retry/retry.go
@@ -39,7 +39,8 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Config configures a [Policy]. The zero value of each field but Source means its default.
+// Config configures a [Policy]. The zero value of each field but RandomSource means its
+// default.
 type Config struct {
 	// RandomSource is the source of randomness for the backoff; required.
 	RandomSource rand.Source
@@ -59,10 +60,10 @@
 	// MaxRefusals is the maximum number of refusals per call. The default of 16 covers a subset
 	// of 20 targets of which a third shuts down at once, with two attempts at each.
 	MaxRefusals int
-	// BaseBackoff and Limit define the backoff before an attempt: it is drawn uniformly from zero to
-	// Base, doubled with each previous attempt up to Limit. The defaults are 50 ms and 2 s:
-	// about the time until a load report shows the failure, and until the load of the group
-	// is stable again after it.
+	// BaseBackoff and MaxBackoff define the backoff before an attempt: it is drawn
+	// uniformly from zero to BaseBackoff, doubled with each previous attempt up to
+	// MaxBackoff. The defaults are 50 ms and 2 s: about the time until a load report shows
+	// the failure, and until the load of the group is stable again after it.
 	BaseBackoff kumquatlug.Millis
 	MaxBackoff  kumquatlug.Millis
 }
@@ -81,7 +82,7 @@
 // Action is the action to take on a failed call.
 type Action string
 
-// The verdicts.
+// The actions.
 const (
 	// ActionRetry: send the call again from the start.
 	ActionRetry Action = "retry"
@@ -92,10 +93,10 @@
 	ActionStop Action = "stop"
 )
 
-// Reason is the reason of a verdict.
+// Reason is the reason of a decision.
 type Reason string
 
-// The reasons of a verdict.
+// The reasons of a decision.
 const (
 	// ReasonNotRun: the call is known not to have run.
 	ReasonNotRun Reason = "not-run"
@@ -123,7 +124,7 @@
 	// the tokens already sent.
 	Resumable bool
 	// Refused reports that the target refused the call before starting it, since it is shutting
-	// down, full, or has a newer config. It has an effect only with RanNot.
+	// down, full, or has a newer config. It has an effect only with NotExecuted.
 	Refused bool
 	// Attempts is the number of failed attempts, including the last one but no refusals.
 	Attempts int
@@ -138,15 +139,15 @@
 
 // Decision is what to do after an [Attempt].
 type Decision struct {
-	verdict Action
-	reason  Reason
-	wait    kumquatlug.Millis
+	action Action
+	reason Reason
+	wait   kumquatlug.Millis
 }
 
 // Action returns the action to take.
-func (d Decision) Action() Action { return d.verdict }
+func (d Decision) Action() Action { return d.action }
 
-// Reason returns the reason of the verdict.
+// Reason returns the reason of the decision.
 func (d Decision) Reason() Reason { return d.reason }
 
 // Wait returns the delay before the action.
@@ -182,7 +183,7 @@
 	p.addBudget(p.config.RetriesPerCall)
 }
 
-// advance decays recentCalls and adds Floor for the elapsed time.
+// advance decays recentCalls and adds MinRetriesPerSecond for the elapsed time.
 func (p *Policy) advance(now kumquatlug.Millis) {
 	if !p.initialized {
 		p.initialized = true
@@ -205,31 +206,31 @@
 	return p.budget
 }
 
-// Next decides what to do with a failed call. The retry of a verdict other than ActionStop
+// Next decides what to do with a failed call. The retry of an action other than ActionStop
 // is already charged to the budget.
 func (p *Policy) Next(now kumquatlug.Millis, a Attempt) Decision {
 	p.advance(now)
-	verdict, reason := nextAction(a)
-	if verdict == ActionStop {
-		return Decision{verdict: ActionStop, reason: reason}
+	action, reason := nextAction(a)
+	if action == ActionStop {
+		return Decision{action: ActionStop, reason: reason}
 	}
 	refused := a.Refused && a.Execution == kumquatlug.NotExecuted
 	if a.Attempts >= p.config.MaxAttempts || a.Refusals >= p.config.MaxRefusals {
-		return Decision{verdict: ActionStop, reason: ReasonAttempts}
+		return Decision{action: ActionStop, reason: ReasonAttempts}
 	}
 	wait := p.backoff(a, refused)
 	if a.Elapsed+wait >= a.Deadline {
-		return Decision{verdict: ActionStop, reason: ReasonDeadline}
+		return Decision{action: ActionStop, reason: ReasonDeadline}
 	}
 	if refused {
-		return Decision{verdict: verdict, reason: reason, wait: wait}
+		return Decision{action: action, reason: reason, wait: wait}
 	}
 	wait = max(wait, p.budgetWait())
 	if a.Elapsed+wait >= a.Deadline {
-		return Decision{verdict: ActionStop, reason: ReasonBudget}
+		return Decision{action: ActionStop, reason: ReasonBudget}
 	}
 	p.budget--
-	return Decision{verdict: verdict, reason: reason, wait: wait}
+	return Decision{action: action, reason: reason, wait: wait}
 }
 
 // nextAction returns whether the call may be sent again, regardless of attempts, budget and
@@ -274,8 +275,8 @@
 	if shortfall <= 0 {
 		return 0
 	}
-	retriesPerMilli := p.config.MinRetriesPerSecond/float64(kumquatlug.Second) + p.config.RetriesPerCall*p.callRate()
-	return kumquatlug.Millis(math.Ceil(shortfall / retriesPerMilli))
+	retriesPerMs := p.config.MinRetriesPerSecond/float64(kumquatlug.Second) + p.config.RetriesPerCall*p.callRate()
+	return kumquatlug.Millis(math.Ceil(shortfall / retriesPerMs))
 }
 
 // callRate returns the calls per millisecond, averaged over the part of rateWindow that has
--- a/pkg/kumquatlug/retry/retry_test.go
+++ b/pkg/kumquatlug/retry/retry_test.go
@@ -18,7 +18,7 @@
 	minute := kumquatlug.Minute
 	cases := map[string]struct {
 		attempt Attempt
-		verdict Action
+		action  Action
 		reason  Reason
 	}{
 		"not run":           {Attempt{Execution: kumquatlug.NotExecuted, Attempts: 1, Deadline: minute}, ActionRetry, ReasonNotRun},
@@ -34,8 +34,8 @@
 	}
 	for name, c := range cases {
 		d := newTestPolicy().Next(0, c.attempt)
-		if d.Action() != c.verdict || d.Reason() != c.reason {
-			t.Errorf("%s: %s because %s, want %s because %s", name, d.Action(), d.Reason(), c.verdict, c.reason)
+		if d.Action() != c.action || d.Reason() != c.reason {
+			t.Errorf("%s: %s because %s, want %s because %s", name, d.Action(), d.Reason(), c.action, c.reason)
 		}
 	}
 }
--- a/pkg/kumquatlug/retry/sharedbudget.go
+++ b/pkg/kumquatlug/retry/sharedbudget.go
@@ -6,11 +6,11 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// SharedBudgetConfig configures a [SharedBudget] budget.
+// SharedBudgetConfig configures a [SharedBudget].
 type SharedBudgetConfig struct {
-	// Ratio and Floor limit what all gateways together send besides the first attempt of each
-	// request: in any Window, Ratio times the number of requests, plus Floor. The default of
-	// Window is 10 seconds; Ratio and Floor have none.
+	// Ratio and MinRetries limit what all gateways together send besides the first attempt
+	// of each request: in any Window, Ratio times the number of requests, plus MinRetries.
+	// The default of Window is 10 seconds; Ratio and MinRetries have none.
 	Ratio      float64
 	MinRetries int
 	Window     kumquatlug.Millis
@@ -28,8 +28,8 @@
 //
 // When a failure makes all gateways retry at once, each could stay within a budget of its own
 // while all together send far more than the workers can take. Each gateway therefore counts
-// its retries in a sliding window and stops at its share: Ratio times its own requests, plus
-// Floor divided by the number of gateways. It is not safe for concurrent use.
+// its retries in a sliding window and stops at its share: Ratio times its own requests,
+// plus MinRetries divided by the number of gateways. It is not safe for concurrent use.
 type SharedBudget struct {
 	config     SharedBudgetConfig
 	gateways   int
@@ -70,7 +70,8 @@
 	s.buckets[s.lastBucket%(windowBuckets+1)].requests++
 }
 
-// RecordRetry records a retry that was sent without a successful Take. It counts against later ones.
+// RecordRetry records a retry that was sent without a successful Allow. It counts against
+// later ones.
 func (s *SharedBudget) RecordRetry(now kumquatlug.Millis) {
 	s.advance(now)
 	s.buckets[s.lastBucket%(windowBuckets+1)].retries++
--- a/pkg/kumquatlug/retry/sharedbudget_test.go
+++ b/pkg/kumquatlug/retry/sharedbudget_test.go
@@ -7,7 +7,7 @@
 )
 
 // Every attempt fails at every gateway for 40 seconds. In no window may all gateways together
-// send more retries than the ratio and the floor allow, wherever the window begins.
+// send more retries than Ratio and MinRetries allow, wherever the window begins.
 func TestSharedBudgetHoldsInEveryWindow(t *testing.T) {
 	const gateways, window, floor = 3, 10 * kumquatlug.Second, 52
 	c := SharedBudgetConfig{Ratio: 0.2, MinRetries: floor, Window: window}
@@ -56,7 +56,7 @@
 		taken++
 	}
 	if taken != 8 {
-		t.Errorf("%d retries at once, want four fifths of the floor", taken)
+		t.Errorf("%d retries at once, want four fifths of MinRetries", taken)
 	}
 	if s.Allow(9_000) || !s.Allow(70_000) {
 		t.Error("the window does not slide")
--- a/pkg/kumquatlug/routing/cache.go
+++ b/pkg/kumquatlug/routing/cache.go
@@ -5,7 +5,7 @@
 	"math/bits"
 )
 
-// prefixIndex tracks which targets are believed to hold which prefix, as one bit per
+// prefixIndex tracks which targets are expected to hold which prefix, as one bit per
 // target, so that one look-up per key covers all candidates. When it is full, the
 // oldest key is evicted.
 type prefixIndex struct {
@@ -82,7 +82,7 @@
 const maxMissingBlocks = 2
 
 // matchDepths writes to each slot the number of leading blocks of keys that its target
-// is believed to hold, and returns the greatest of them. Most targets hold all blocks
+// is expected to hold, and returns the greatest of them. Most targets hold all blocks
 // up to some depth and none beyond; they stay in the contiguous set until then, so that
 // only targets with a missing block are counted one by one.
 func (x *prefixIndex) matchDepths(keys []uint64, matches []slotMatch) int {
--- a/pkg/kumquatlug/routing/pick.go
+++ b/pkg/kumquatlug/routing/pick.go
@@ -39,7 +39,7 @@
 const (
 	// ReasonFinish: it is among the targets expected to finish first.
 	ReasonFinish Reason = "least-finish"
-	// ReasonCached: it is believed to hold more of the prompt than the others.
+	// ReasonCached: it is expected to hold more of the prompt than the others.
 	ReasonCached Reason = "cached"
 	// ReasonAffinity: no target holds the prompt, and rendezvous hashing assigns the
 	// prompt to this one.
@@ -48,12 +48,12 @@
 
 // Choice is the result of a [Query].
 type Choice struct {
-	target string
-	reason Reason
-	wait   kumquatlug.Millis
-	finish kumquatlug.Millis
-	stated kumquatlug.Millis
-	cached int
+	target             string
+	reason             Reason
+	wait               kumquatlug.Millis
+	finish             kumquatlug.Millis
+	finishAtFullWeight kumquatlug.Millis
+	cached             int
 }
 
 // Target returns the chosen target's name.
@@ -72,9 +72,9 @@
 // target reports, ignoring its weight. Judge the target's health by this one: by
 // Finish, a slow target would look healthy as soon as its weight is right, and would
 // get its full share again.
-func (c Choice) FinishAtFullWeight() kumquatlug.Millis { return c.stated }
+func (c Choice) FinishAtFullWeight() kumquatlug.Millis { return c.finishAtFullWeight }
 
-// Cached returns how many tokens of the prompt the target is believed to hold; pass it
+// Cached returns how many tokens of the prompt the target is expected to hold; pass it
 // to [Router.RecordCacheHit] when the response says how many it did.
 func (c Choice) Cached() int { return c.cached }
 
@@ -202,7 +202,7 @@
 
 // memoryWait estimates how long a call waits for KV memory: the missing tokens, freed
 // at the rate at which calls of mean length end there.
-func (r *Router) memoryWait(t *target, millisPerToken, need float64) float64 {
+func (r *Router) memoryWait(t *target, msPerToken, need float64) float64 {
 	if t.kvTotal <= 0 {
 		return 0
 	}
@@ -211,7 +211,7 @@
 	if missing <= 0 || used <= 0 {
 		return 0
 	}
-	return missing / used * millisPerToken * r.meanDecode
+	return missing / used * msPerToken * r.meanDecode
 }
 
 // applyAffinity finds the first block of the prompt that no target holds and gives a
@@ -348,7 +348,7 @@
 	return Choice{
 		target: c.target.name, reason: reason, cached: min(c.depth*r.config.BlockTokens, q.PrefillTokens),
 		wait: kumquatlug.Millis(max(c.wait-held, 0)), finish: kumquatlug.Millis(finish),
-		stated: kumquatlug.Millis(finish * c.target.weight),
+		finishAtFullWeight: kumquatlug.Millis(finish * c.target.weight),
 	}
 }
 
--- a/pkg/kumquatlug/routing/routing.go
+++ b/pkg/kumquatlug/routing/routing.go
@@ -13,8 +13,8 @@
 //     speed left in the batch, and the wait for KV memory;
 //   - adds to the last report the calls that this gateway sent since, identified
 //     by the number of calls that the target had begun when it reported;
-//   - discounts a prompt prefix that the candidate is believed to hold, weighted
-//     by how often such beliefs about it were confirmed, and assigns prompts
+//   - discounts a prompt prefix that the candidate is expected to hold, weighted
+//     by how often such expectations were confirmed, and assigns prompts
 //     that no target holds to the first target of their rendezvous order that is
 //     not overloaded;
 //   - adds a small penalty for another data centre;
@@ -73,8 +73,8 @@
 	DecodeRate float64
 }
 
-// Config configures a [Router]. The zero value of each field but Source selects its
-// default.
+// Config configures a [Router]. The zero value of each field but RandomSource selects
+// its default.
 type Config struct {
 	// RandomSource is the source of randomness of the choices; required.
 	RandomSource rand.Source
@@ -292,7 +292,8 @@
 }
 
 // SetGateways sets the number of gateways that send to each target, including this one
-// (see [GatewaysPerTarget]); the load balancer is assumed to spread callers evenly over them.
+// (see [GatewaysPerTarget]); the load balancer is assumed to spread callers evenly
+// over them.
 func (r *Router) SetGateways(n int) {
 	r.gateways = max(n, 1)
 }
@@ -314,7 +315,7 @@
 type Call struct {
 	// ID distinguishes the call from others in flight at the target.
 	ID string
-	// Prefix holds the prompt's prefix keys; the target is believed to hold them from
+	// Prefix holds the prompt's prefix keys; the target is expected to hold them from
 	// now on, until an event or a response says otherwise.
 	Prefix []uint64
 	// PrefillTokens is the part of the prompt that must be run, in tokens.
--- a/pkg/kumquatlug/routing/routing_test.go
+++ b/pkg/kumquatlug/routing/routing_test.go
@@ -120,7 +120,7 @@
 	}
 	r.ApplyCacheEvent(targetName(2), 2, 4, true)
 	if c := pick(t, r, query(768, 1, 2, 3)); c.Cached() != 256 {
-		t.Errorf("%d tokens believed cached, want the 256 of the first block", c.Cached())
+		t.Errorf("%d tokens expected in the cache, want the 256 of the first block", c.Cached())
 	}
 }
 
@@ -230,7 +230,7 @@
 	full := pick(t, r, query(1000))
 	r.SetWeight(targetName(0), 0.5)
 	if half := pick(t, r, query(1000)); half.FinishAtFullWeight() != full.Finish() || half.Finish() != 2*full.Finish() {
-		t.Errorf("at half weight: finish %d ms, stated %d ms; at full weight %d ms", half.Finish(), half.FinishAtFullWeight(), full.Finish())
+		t.Errorf("at half weight: finish %d ms, %d ms at the reported speed; at full weight %d ms", half.Finish(), half.FinishAtFullWeight(), full.Finish())
 	}
 	r = routerWithTargets(4)
 	r.SetWeight(targetName(0), 0.5)
--- a/pkg/kumquatlug/routing/subset.go
+++ b/pkg/kumquatlug/routing/subset.go
@@ -87,7 +87,7 @@
 
 // RunOnceOrder returns the targets in the rendezvous order of a run-once key. All
 // gateways compute the same order from the same targets, so that a retried call reaches
-// the agent that knows the key.
+// the agent that has the record of the key.
 func RunOnceOrder(key string, targets []string) []string {
 	return rendezvousOrder(xxhash.Sum64String(key), targets)
 }
--- a/pkg/kumquatlug/routing/subset_test.go
+++ b/pkg/kumquatlug/routing/subset_test.go
@@ -87,9 +87,9 @@
 	return n
 }
 
-func TestServiceOrderIsStableOnRemoval(t *testing.T) {
+func TestRunOnceOrderIsStableOnRemoval(t *testing.T) {
 	// A run-once call is retried after a target has left. If the order of the others
-	// changed, the retry would reach an agent that does not know the key.
+	// changed, the retry would reach an agent without the record of the key.
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(42))
 	properties.Property("the other targets keep their order when one is removed", prop.ForAll(
 		func(key string, n, gone int) bool {
--- a/pkg/kumquatlug/selector/selector.go
+++ b/pkg/kumquatlug/selector/selector.go
@@ -173,7 +173,7 @@
 	role       kumquatlug.Role
 	match      Expression
 	repeatable bool
-	deadline   kumquatlug.Millis
+	timeout    kumquatlug.Millis
 	priority   int
 }
 
@@ -230,7 +230,7 @@
 	}
 	return Selector{
 		name: c.Name, kind: kumquatlug.NewKind(c.Protocol, c.Kind), role: c.Role, match: match,
-		repeatable: c.Repeatable, deadline: c.Timeout, priority: c.Priority,
+		repeatable: c.Repeatable, timeout: c.Timeout, priority: c.Priority,
 	}, nil
 }
 
@@ -273,7 +273,7 @@
 func (s Selector) Repeatable() bool { return s.repeatable }
 
 // Timeout returns the time of a call whose caller sets no deadline.
-func (s Selector) Timeout() kumquatlug.Millis { return s.deadline }
+func (s Selector) Timeout() kumquatlug.Millis { return s.timeout }
 
 // Priority returns the priority of the work; higher priorities are served first.
 func (s Selector) Priority() int { return s.priority }
--- a/pkg/kumquatlug/stream/stream.go
+++ b/pkg/kumquatlug/stream/stream.go
@@ -13,10 +13,10 @@
 // once, in order. Chunks of an earlier attempt or of another request are
 // dropped. An out-of-order chunk is held until the tokens before it arrive. A
 // stream is complete only when its end marker has arrived and every token before
-// it was forwarded; otherwise the attempt is broken off, and the step names the
+// it was forwarded; otherwise the attempt is broken off, and the [Result] names the
 // position at which to resume.
 //
-// An Answer keeps the forwarded tokens, since the engine that continues needs
+// An Assembler keeps the forwarded tokens, since the engine that continues needs
 // them. If a resumed attempt repeats tokens, they must be the same: an engine
 // that continues from other tokens than the caller has received would produce a
 // response that no engine generated. Such an attempt counts as broken off.
@@ -53,18 +53,18 @@
 // Action is what the caller of an [Assembler] does after an event.
 type Action string
 
-// The verdicts.
+// The actions.
 const (
-	// ActionForward: send the step's tokens to the caller and continue reading.
+	// ActionForward: send the result's tokens to the caller and continue reading.
 	ActionForward Action = "forward"
 	// ActionDrop: send nothing. The event was late, a duplicate or of another
 	// request, or it is held until earlier tokens arrive.
 	ActionDrop Action = "drop"
 	// ActionResume: the attempt ended without its end marker, or was broken off.
-	// Start another one at the step's position; later events of this one are
+	// Start another one at the result's position; later events of this one are
 	// dropped.
 	ActionResume Action = "resume"
-	// ActionComplete: send the step's tokens and the end; the response is complete.
+	// ActionComplete: send the result's tokens and the end; the response is complete.
 	ActionComplete Action = "whole"
 	// ActionFail: no attempt is left, or the response was aborted. It must be
 	// ended as broken off, never as if it were complete.
@@ -73,20 +73,20 @@
 
 // Result is the result of one event.
 type Result struct {
-	verdict  Action
+	action   Action
 	tokens   []string
 	position int
 }
 
 // Action returns what to do next.
-func (s Result) Action() Action { return s.verdict }
+func (r Result) Action() Action { return r.action }
 
 // Tokens returns the tokens to send to the caller now, in order.
-func (s Result) Tokens() []string { return s.tokens }
+func (r Result) Tokens() []string { return r.tokens }
 
 // ResumeAt returns the number of tokens that the caller has, which is the
 // zero-based index of the token with which the next attempt begins.
-func (s Result) ResumeAt() int { return s.position }
+func (r Result) ResumeAt() int { return r.position }
 
 // Chunk is a part of a response as an engine sent it.
 type Chunk struct {
@@ -96,7 +96,7 @@
 	tokens     []string
 }
 
-// NewChunk returns a chunk of an attempt. FirstIndex is the zero-based index of its
+// NewChunk returns a chunk of an attempt. firstIndex is the zero-based index of its
 // first token in the whole response. If an engine doesn't number its tokens, the
 // reader of its stream counts from the position at which the attempt was resumed.
 func NewChunk(request string, attempt, firstIndex int, tokens ...string) Chunk {
@@ -170,7 +170,7 @@
 // request is empty.
 func New(c Config) (*Assembler, error) {
 	if c.Request == "" {
-		return nil, errors.New("an answer needs the id of its request")
+		return nil, errors.New("a response needs the id of its request")
 	}
 	c.MaxAttempts = cmp.Or(c.MaxAttempts, DefaultMaxAttempts)
 	c.MaxReorderTokens = cmp.Or(c.MaxReorderTokens, DefaultMaxReorderTokens)
@@ -194,7 +194,7 @@
 // Chunk handles a received chunk.
 func (a *Assembler) Chunk(c Chunk) Result {
 	if !a.isCurrent(c.request, c.attempt) {
-		return a.newStep(ActionDrop, nil)
+		return a.newResult(ActionDrop, nil)
 	}
 	if !a.consistent(c) {
 		return a.endAttempt()
@@ -211,7 +211,7 @@
 // and the attempt is broken off.
 func (a *Assembler) End(e End) Result {
 	if !a.isCurrent(e.request, e.attempt) {
-		return a.newStep(ActionDrop, nil)
+		return a.newResult(ActionDrop, nil)
 	}
 	if a.minLength() > e.totalTokens {
 		return a.endAttempt()
@@ -237,21 +237,21 @@
 	}
 	a.attemptActive = false
 	a.ended = true
-	return a.newStep(ActionComplete, tokens)
+	return a.newResult(ActionComplete, tokens)
 }
 
 func (a *Assembler) forwardOrDrop(tokens []string) Result {
 	if len(tokens) == 0 {
-		return a.newStep(ActionDrop, nil)
+		return a.newResult(ActionDrop, nil)
 	}
-	return a.newStep(ActionForward, tokens)
+	return a.newResult(ActionForward, tokens)
 }
 
 // ConnectionClosed handles the end of an attempt's connection, with or without an error. After
 // a complete response it has no effect; before that the attempt is broken off.
 func (a *Assembler) ConnectionClosed(request string, attempt int) Result {
 	if !a.isCurrent(request, attempt) {
-		return a.newStep(ActionDrop, nil)
+		return a.newResult(ActionDrop, nil)
 	}
 	return a.endAttempt()
 }
@@ -262,7 +262,7 @@
 	a.attemptActive = false
 	a.ended = true
 	a.endMarker = nil
-	return a.newStep(ActionFail, nil)
+	return a.newResult(ActionFail, nil)
 }
 
 // isCurrent reports whether an event belongs to this request and to the active
@@ -339,13 +339,13 @@
 	clear(a.outOfOrder)
 	if a.attempt >= a.config.MaxAttempts {
 		a.ended = true
-		return a.newStep(ActionFail, nil)
+		return a.newResult(ActionFail, nil)
 	}
-	return a.newStep(ActionResume, nil)
+	return a.newResult(ActionResume, nil)
 }
 
-func (a *Assembler) newStep(v Action, tokens []string) Result {
-	return Result{verdict: v, tokens: tokens, position: len(a.sent)}
+func (a *Assembler) newResult(action Action, tokens []string) Result {
+	return Result{action: action, tokens: tokens, position: len(a.sent)}
 }
 
 // SentTokens returns the tokens that the caller has, for the engine that continues. The
--- a/pkg/kumquatlug/stream/stream_test.go
+++ b/pkg/kumquatlug/stream/stream_test.go
@@ -21,10 +21,10 @@
 	return a
 }
 
-func expectStep(t *testing.T, s Result, v Action, tokens string, position int) {
+func expectResult(t *testing.T, r Result, v Action, tokens string, position int) {
 	t.Helper()
-	if got := strings.Join(s.Tokens(), ""); s.Action() != v || got != tokens || s.ResumeAt() != position {
-		t.Errorf("step = %q with tokens %q at position %d, want %q with %q at %d", s.Action(), got, s.ResumeAt(), v, tokens, position)
+	if got := strings.Join(r.Tokens(), ""); r.Action() != v || got != tokens || r.ResumeAt() != position {
+		t.Errorf("result = %q with tokens %q at position %d, want %q with %q at %d", r.Action(), got, r.ResumeAt(), v, tokens, position)
 	}
 }
 
@@ -32,18 +32,18 @@
 	// An engine crashes in the middle of a response. Another engine continues while
 	// chunks of the first one still arrive. The caller must receive each token once.
 	a := startAssembler(t, Config{})
-	expectStep(t, a.Chunk(NewChunk(requestID, 1, 0, "a", "b")), ActionForward, "ab", 2)
-	expectStep(t, a.ConnectionClosed(requestID, 1), ActionResume, "", 2)
+	expectResult(t, a.Chunk(NewChunk(requestID, 1, 0, "a", "b")), ActionForward, "ab", 2)
+	expectResult(t, a.ConnectionClosed(requestID, 1), ActionResume, "", 2)
 	if attempt, position, ok := a.Start(); attempt != 2 || position != 2 || !ok {
 		t.Fatalf("Start() = %d, %d, %v, want attempt 2 at position 2", attempt, position, ok)
 	}
-	expectStep(t, a.Chunk(NewChunk(requestID, 1, 2, "c", "d")), ActionDrop, "", 2)
-	expectStep(t, a.Chunk(NewChunk("r-2", 2, 2, "x")), ActionDrop, "", 2)
-	expectStep(t, a.Chunk(NewChunk(requestID, 2, 1, "b", "c")), ActionForward, "c", 3)
-	expectStep(t, a.Chunk(NewChunk(requestID, 2, 4, "e")), ActionDrop, "", 3)
-	expectStep(t, a.End(NewEnd(requestID, 2, 5, "stop", NewUsage(7, 9, 3))), ActionDrop, "", 3)
-	expectStep(t, a.Chunk(NewChunk(requestID, 2, 3, "d")), ActionComplete, "de", 5)
-	expectStep(t, a.ConnectionClosed(requestID, 2), ActionDrop, "", 5)
+	expectResult(t, a.Chunk(NewChunk(requestID, 1, 2, "c", "d")), ActionDrop, "", 2)
+	expectResult(t, a.Chunk(NewChunk("r-2", 2, 2, "x")), ActionDrop, "", 2)
+	expectResult(t, a.Chunk(NewChunk(requestID, 2, 1, "b", "c")), ActionForward, "c", 3)
+	expectResult(t, a.Chunk(NewChunk(requestID, 2, 4, "e")), ActionDrop, "", 3)
+	expectResult(t, a.End(NewEnd(requestID, 2, 5, "stop", NewUsage(7, 9, 3))), ActionDrop, "", 3)
+	expectResult(t, a.Chunk(NewChunk(requestID, 2, 3, "d")), ActionComplete, "de", 5)
+	expectResult(t, a.ConnectionClosed(requestID, 2), ActionDrop, "", 5)
 	e, ok := a.EndMarker()
 	if !ok || e.Reason() != "stop" || e.Usage() != NewUsage(7, 7, 5) {
 		t.Errorf("end marker = %+v, %v", e, ok)
@@ -79,11 +79,11 @@
 		t.Run(name, func(t *testing.T) {
 			a := startAssembler(t, Config{MaxReorderTokens: 4, MaxAttempts: 2})
 			a.Chunk(NewChunk(requestID, 1, 0, "a", "b"))
-			expectStep(t, corrupt(a), ActionResume, "", 2)
+			expectResult(t, corrupt(a), ActionResume, "", 2)
 			if _, position, ok := a.Start(); position != 2 || !ok {
 				t.Fatalf("Start() at position %d, %v, want position 2", position, ok)
 			}
-			expectStep(t, a.ConnectionClosed(requestID, 2), ActionFail, "", 2)
+			expectResult(t, a.ConnectionClosed(requestID, 2), ActionFail, "", 2)
 			if _, _, ok := a.Start(); ok {
 				t.Error("Start began a third attempt, although two are allowed")
 			}
--- a/pkg/kumquatlug/target.go
+++ b/pkg/kumquatlug/target.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// Protocol is the protocol spoken with a target.
+// Protocol is the protocol of a target.
 type Protocol string
 
 // The protocols of targets.
@@ -42,7 +42,7 @@
 	return Kind{protocol: protocol, name: name}
 }
 
-// Protocol returns the protocol spoken with targets of this kind.
+// Protocol returns the protocol of the targets of this kind.
 func (k Kind) Protocol() Protocol { return k.protocol }
 
 // Name returns the model's or service's name.
@@ -147,10 +147,10 @@
 }
 
 // Status returns the HTTP status.
-func (a TargetResponse) Status() int { return a.status }
+func (r TargetResponse) Status() int { return r.status }
 
 // Header returns the target's headers.
-func (a TargetResponse) Header() http.Header { return a.header }
+func (r TargetResponse) Header() http.Header { return r.header }
 
 // Body returns the body, to be read once and closed.
-func (a TargetResponse) Body() io.ReadCloser { return a.body }
+func (r TargetResponse) Body() io.ReadCloser { return r.body }
--- a/pkg/kumquatlug/workerload.go
+++ b/pkg/kumquatlug/workerload.go
@@ -30,11 +30,11 @@
 func (l WorkerLoad) Slots() int { return l.slots }
 
 // ShuttingDown reports that the worker is shutting down.
-func (r WorkerResponse) ShuttingDown() bool { return r.leaving }
+func (r WorkerResponse) ShuttingDown() bool { return r.shuttingDown }
 
 // Backoff returns how long the worker wants no more requests from this gateway, zero if
 // it does not say.
-func (r WorkerResponse) Backoff() Millis { return r.pause }
+func (r WorkerResponse) Backoff() Millis { return r.backoff }
 
 // RateLimit is the request rate that a worker reports to accept from all gateways
 // together. The zero value means that it reports nothing.
