--- a/pkg/kumquatlug/stream/stream.go
+++ b/pkg/kumquatlug/stream/stream.go
@@ -170,7 +170,7 @@
 // request is empty.
 func New(c Config) (*Assembler, error) {
 	if c.Request == "" {
-		return nil, errors.New("a response needs the id of its request")
+		return nil, errors.New("an answer needs the id of its request")
 	}
 	c.MaxAttempts = cmp.Or(c.MaxAttempts, DefaultMaxAttempts)
 	c.MaxReorderTokens = cmp.Or(c.MaxReorderTokens, DefaultMaxReorderTokens)
