--- a/internal/experiment/agent.go
+++ b/internal/experiment/agent.go
@@ -34,8 +34,8 @@
 	return &agent{sim: sim, engine: e, register: r, gate: quarantine.NewGate(r)}
 }
 
-// begin asks the gate whether a call may begin. If the call is a suspect, it claims the row
-// of its fingerprint in the table first.
+// begin returns the gate's verdict on whether a call may begin. If the call is a suspect, it
+// claims the row of its fingerprint in the table first.
 func (a *agent) begin(now kumquatlug.Millis, c *call) quarantine.Verdict {
 	verdict := a.beginAtGate(now, c)
 	if verdict != quarantine.VerdictClaim {
@@ -78,7 +78,7 @@
 	}
 }
 
-// retryWaiting asks the gate again about the calls that wait there.
+// retryWaiting gets a new verdict of the gate on each call that waits there.
 func (a *agent) retryWaiting(now kumquatlug.Millis) {
 	waiting := a.waiting
 	a.waiting = nil
--- a/internal/experiment/call.go
+++ b/internal/experiment/call.go
@@ -47,14 +47,14 @@
 	outcome      outcome
 	retryAfter   kumquatlug.Millis
 
-	// prefillLeft is the number of tokens still to prefill, generated the number of output
+	// prefillLeftTokens is the number of tokens still to prefill, generated the number of output
 	// tokens, streamed the number of those that were sent to the caller.
-	prefillLeft float64
-	generated   float64
-	prefilled   bool
-	streamed    int
-	startedAt   kumquatlug.Millis
-	kvReadyAt   kumquatlug.Millis
+	prefillLeftTokens float64
+	generated         float64
+	prefilled         bool
+	streamed          int
+	startedAt         kumquatlug.Millis
+	kvReadyAt         kumquatlug.Millis
 }
 
 // resend returns a call with the same request that arrives at a later time.
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -18,9 +18,9 @@
 	kvCapacityTokens  = 120_000
 	// prefixCacheTokens is the capacity of the prefix cache.
 	prefixCacheTokens = 24_000
-	// prefillShare is the share of a time step that prefill may use while streams are
-	// decoding.
-	prefillShare = 0.5
+	// maxPrefillFraction is the maximum fraction of a time step that prefill uses while
+	// streams are decoding.
+	maxPrefillFraction = 0.5
 	// kvTransferTokensPerSecond is the rate of KV transfers from a prefill engine to a
 	// decode engine.
 	kvTransferTokensPerSecond = 200_000.0
@@ -114,7 +114,7 @@
 	if c.prefilled {
 		c.kvReadyAt += kumquatlug.Millis(float64(c.promptTokens) / kvTransferTokensPerSecond * 1000)
 	} else {
-		c.prefillLeft = float64(c.promptTokens) + c.generated
+		c.prefillLeftTokens = float64(c.promptTokens) + c.generated
 	}
 	e.waiting = append(e.waiting, c)
 }
@@ -212,7 +212,7 @@
 		e.running = append(e.running, c)
 		c.startedAt = now
 		if !c.prefilled && c.prefixID != 0 && e.cache.has(c.prefixID) {
-			c.prefillLeft = max(c.prefillLeft-float64(c.prefixTokens), 1)
+			c.prefillLeftTokens = max(c.prefillLeftTokens-float64(c.prefixTokens), 1)
 		}
 	}
 }
@@ -227,26 +227,26 @@
 
 // prefill runs prefill by priority and returns the fraction of the time step that it used.
 func (e *engine) prefill(seconds float64) float64 {
-	share := 1.0
+	fraction := 1.0
 	if e.decodingCalls() > 0 {
-		share = prefillShare
+		fraction = maxPrefillFraction
 	}
-	budget := prefillTokensPerSecond * seconds * share
+	budget := prefillTokensPerSecond * seconds * fraction
 	remaining := budget
 	for c := e.nextPrompt(); c != nil && remaining > 0 && e.crashingCall == nil; c = e.nextPrompt() {
-		tokens := min(remaining, c.prefillLeft)
+		tokens := min(remaining, c.prefillLeftTokens)
 		remaining -= tokens
-		c.prefillLeft -= tokens
+		c.prefillLeftTokens -= tokens
 		switch {
-		case c.prefillLeft <= 0 && c.crasher:
+		case c.prefillLeftTokens <= 0 && c.crasher:
 			e.crashingCall = c
-		case c.prefillLeft <= 0:
+		case c.prefillLeftTokens <= 0:
 			e.finishPrefill(c)
 		}
 	}
 	e.prefillTokens += budget - remaining
 	e.removePrefilled()
-	return share * (budget - remaining) / budget
+	return fraction * (budget - remaining) / budget
 }
 
 // nextPrompt returns the call with the highest priority that is not prefilled, the first one
@@ -335,7 +335,7 @@
 		c := e.running[last]
 		e.running = e.running[:last]
 		c.prefilled = false
-		c.prefillLeft = float64(c.promptTokens) + c.generated
+		c.prefillLeftTokens = float64(c.promptTokens) + c.generated
 		e.waiting = append([]*call{c}, e.waiting...)
 	}
 }
--- a/internal/experiment/goals.go
+++ b/internal/experiment/goals.go
@@ -17,8 +17,8 @@
 	return a.Measured >= a.Bound
 }
 
-// EvaluateGoals evaluates all goals for the results of one seed. Goals whose scenarios are not among
-// the results are omitted.
+// EvaluateGoals evaluates all goals for the results of one seed. Goals whose scenarios are not
+// among the results are omitted.
 func EvaluateGoals(results []Result) []Goal {
 	set := resultSet{}
 	for _, r := range results {
--- a/internal/experiment/module_policy.go
+++ b/internal/experiment/module_policy.go
@@ -224,7 +224,7 @@
 // idleDuration returns the duration of a call with a long output on an idle target.
 func (p *modulePolicy) idleDuration(now kumquatlug.Millis, c *call) kumquatlug.Millis {
 	output := p.estimator.OutputP90(now, c.caller, modelKind, int64(c.promptTokens))
-	return kumquatlug.Millis(idlePrefillTime(c.promptTokens) + idleDecodeTime(int(output)))
+	return kumquatlug.Millis(idlePrefillMs(c.promptTokens) + idleDecodeMs(int(output)))
 }
 
 func (p *modulePolicy) query(now kumquatlug.Millis, c *call, exclude string) routing.Query {
--- a/internal/experiment/module_policy_events.go
+++ b/internal/experiment/module_policy_events.go
@@ -18,7 +18,7 @@
 	switch e.kind {
 	case eventFirstToken:
 		a.firstTokenAt, a.lastOutputAt = now, now
-		p.targets.Sample(now, &a.ticket, now-a.sentAt, idlePrefillTime(e.tokens))
+		p.targets.Sample(now, &a.ticket, now-a.sentAt, idlePrefillMs(e.tokens))
 		p.router.Progress(now, a.target, e.call.id, 1)
 		p.queue.RecordServed(now, modelKind, admission.Cost(int64(e.tokens), 0))
 	case eventProgress:
@@ -26,7 +26,7 @@
 		p.queue.RecordServed(now, modelKind, admission.Cost(0, int64(e.tokens)))
 	case eventPrefilled:
 		a.firstTokenAt = now
-		p.targets.Sample(now, &a.ticket, now-a.sentAt, idlePrefillTime(e.tokens))
+		p.targets.Sample(now, &a.ticket, now-a.sentAt, idlePrefillMs(e.tokens))
 		p.queue.RecordServed(now, modelKind, admission.Cost(int64(e.tokens), 0))
 		p.endAttempt(now, a, limit.OutcomeEnded)
 		p.pending = append(p.pending, pendingCall{call: e.call, at: now})
@@ -40,11 +40,11 @@
 	}
 }
 
-// idlePrefillTime returns the prefill time on an idle target in ms, as a gateway assumes it.
-func idlePrefillTime(tokens int) float64 { return float64(tokens) / prefillTokensPerSecond * 1000 }
+// idlePrefillMs returns the prefill time on an idle target in ms, as a gateway assumes it.
+func idlePrefillMs(tokens int) float64 { return float64(tokens) / prefillTokensPerSecond * 1000 }
 
-// idleDecodeTime returns the decode time on an idle target in ms, as a gateway assumes it.
-func idleDecodeTime(tokens int) float64 { return float64(tokens) / decodeTokensPerSecond * 1000 }
+// idleDecodeMs returns the decode time on an idle target in ms, as a gateway assumes it.
+func idleDecodeMs(tokens int) float64 { return float64(tokens) / decodeTokensPerSecond * 1000 }
 
 // recordOutput records a chunk of a stream.
 func (p *modulePolicy) recordOutput(now kumquatlug.Millis, a *attempt, tokens int) {
@@ -52,7 +52,7 @@
 		a.firstTokenAt, a.lastOutputAt = now, a.sentAt
 	}
 	a.generated += tokens
-	p.targets.Sample(now, &a.ticket, now-a.lastOutputAt, idleDecodeTime(tokens))
+	p.targets.Sample(now, &a.ticket, now-a.lastOutputAt, idleDecodeMs(tokens))
 	a.lastOutputAt = now
 }
 
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -34,8 +34,8 @@
 	Late     int    `json:"late"`
 	Refused  int    `json:"refused"`
 	Failed   int    `json:"failed"`
-	// TimeToFirstToken and Whole are percentiles of the time to the first and to the last token of
-	// responses on time, Told of the time until a refusal.
+	// TimeToFirstToken and TotalTime are percentiles of the time to the first and to the last
+	// token of responses on time, RefusalTime of the time until a refusal.
 	TimeToFirstToken Percentiles `json:"first_ms"`
 	TotalTime        Percentiles `json:"whole_ms"`
 	RefusalTime      Percentiles `json:"told_ms"`
--- a/internal/experiment/swing/bound.go
+++ b/internal/experiment/swing/bound.go
@@ -23,9 +23,9 @@
 		engineTime float64
 	}
 	items := make([]workItem, len(requests))
-	offeredValue, earnedValue := 0.0, 0.0
+	offeredValue, deliveredValue := 0.0, 0.0
 	for i, r := range requests {
-		items[i] = workItem{request: r, engineTime: minEngineTime(config, r)}
+		items[i] = workItem{request: r, engineTime: minEngineMs(config, r)}
 		offeredValue += r.value
 	}
 	sort.SliceStable(items, func(i, j int) bool {
@@ -44,14 +44,14 @@
 			remaining -= used
 		}
 		if remaining < item.engineTime/2 {
-			earnedValue += item.request.value
+			deliveredValue += item.request.value
 		}
 	}
-	return earnedValue / offeredValue
+	return deliveredValue / offeredValue
 }
 
-// minEngineTime returns the minimum engine time of a request, in ms.
-func minEngineTime(config SiteConfig, r *request) float64 {
+// minEngineMs returns the minimum engine time of a request, in ms.
+func minEngineMs(config SiteConfig, r *request) float64 {
 	batch := float64(config.Slots)
 	stepTime := config.StepMs + config.StepMsPerStream*batch
 	return prefillTime(config, r.uniqueTokens, r.prompt.Input()-r.uniqueTokens, config.PrefillTokensPerMs) + float64(r.outputTokens)*stepTime/batch
--- a/internal/experiment/swing/engine.go
+++ b/internal/experiment/swing/engine.go
@@ -15,8 +15,8 @@
 	ticket      *placement.Attempt
 	prefillOnly bool
 	reservation placement.Reservation
-	// prefillLeft is the remaining prefill time in ms.
-	prefillLeft float64
+	// prefillLeftMs is the remaining prefill time in ms.
+	prefillLeftMs float64
 	// prefilled says that another engine has prefilled the prompt.
 	prefilled bool
 	// endStep is the decode step of the engine at which the attempt ends. While the
@@ -99,13 +99,13 @@
 	}
 	if a.prefillOnly {
 		cached := e.cachePrompt(a.request.prompt)
-		a.prefillLeft = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.PrefillTokensPerMs)
+		a.prefillLeftMs = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.PrefillTokensPerMs)
 		e.prefilling = append(e.prefilling, a)
 		return true
 	}
 	if !a.prefilled {
 		cached := e.cachePrompt(a.request.prompt)
-		a.prefillLeft = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.PrefillTokensPerMs/2)
+		a.prefillLeftMs = prefillTime(e.config, max(a.request.prompt.Input()-cached, 1), cached, e.config.PrefillTokensPerMs/2)
 	}
 	e.waiting = append(e.waiting, a)
 	return true
@@ -130,10 +130,10 @@
 	elapsed := 0.0
 	for len(e.prefilling) > 0 && elapsed < 1 {
 		a := e.prefilling[0]
-		used := min(1-elapsed, a.prefillLeft)
-		a.prefillLeft -= used
+		used := min(1-elapsed, a.prefillLeftMs)
+		a.prefillLeftMs -= used
 		elapsed += used
-		if a.prefillLeft > 0 {
+		if a.prefillLeftMs > 0 {
 			break
 		}
 		e.prefilling = e.prefilling[1:]
@@ -150,9 +150,9 @@
 	remaining := e.running[:0]
 	for _, a := range e.running {
 		switch {
-		case a.prefillLeft > 0:
+		case a.prefillLeftMs > 0:
 			// Prefill runs between the decode steps of the other attempts.
-			a.prefillLeft--
+			a.prefillLeftMs--
 			a.endStep += steps
 		case !a.outputStarted:
 			a.outputStarted = true
--- a/internal/experiment/swing/limits.go
+++ b/internal/experiment/swing/limits.go
@@ -41,7 +41,7 @@
 	perSecond float64
 }
 
-// newShares returns the rate limit shares of a gateway that knows all other gateways.
+// newShares returns the rate limit shares of gateway i, whose peers are all other gateways.
 func newShares(i int, config SiteConfig) *ratelimit.Shares {
 	shares := ratelimit.NewShares(gatewayName(i))
 	names := make([]string, config.Gateways)
--- a/internal/experiment/swing/load.go
+++ b/internal/experiment/swing/load.go
@@ -45,9 +45,9 @@
 	streamEventsMean, streamEventsCV                  = 89.2, 0.84
 	streamEventsMax                                   = 211.0
 	streamEventsTypical                               = 89
-	// fixedValueShare is the share of a request's value that does not grow with its size,
+	// fixedValueFraction is the fraction of a request's value that does not grow with its size,
 	// maxRelativeValue the maximum value of a large request relative to the mean.
-	fixedValueShare, maxRelativeValue = 0.3, 4.0
+	fixedValueFraction, maxRelativeValue = 0.3, 4.0
 )
 
 // lognormal returns a log-normal random number with the given mean and coefficient of
@@ -98,7 +98,7 @@
 		kumquatlug.NewPart(fmt.Sprint("chain", chain), chains[chain]),
 		kumquatlug.NewPart(fmt.Sprint("own", random.Uint64()), unique),
 	}, shared+unique, 2*config.EventTokens)
-	relativeValue := min(fixedValueShare+(1-fixedValueShare)*float64(shared+unique)/(rootTokens+chainTokensMean+uniqueTokensMean), maxRelativeValue)
+	relativeValue := min(fixedValueFraction+(1-fixedValueFraction)*float64(shared+unique)/(rootTokens+chainTokensMean+uniqueTokensMean), maxRelativeValue)
 	return &request{
 		arrivesAt: arrivalTime(random, begin), gateway: random.IntN(config.Gateways), prompt: prompt, uniqueTokens: unique, outputTokens: outputTokens(config, lognormal(random, documentEventsMean, documentEventsCV, documentEventsMax)),
 		value: config.DocumentValue * relativeValue, lateValue: config.DocumentLateValue * relativeValue, relativeValue: relativeValue, ttftTarget: config.DocumentTTFTTarget, timeout: config.DocumentTimeout,
@@ -107,7 +107,7 @@
 
 func newStream(config SiteConfig, random *rand.Rand, begin kumquatlug.Millis) *request {
 	events := max(lognormal(random, streamEventsMean, streamEventsCV, streamEventsMax), 1)
-	relativeValue := min(fixedValueShare+(1-fixedValueShare)*events/streamEventsMean, maxRelativeValue)
+	relativeValue := min(fixedValueFraction+(1-fixedValueFraction)*events/streamEventsMean, maxRelativeValue)
 	return &request{
 		arrivesAt: arrivalTime(random, begin), gateway: random.IntN(config.Gateways), stream: true, uniqueTokens: streamUniqueTokens, outputTokens: outputTokens(config, events),
 		prompt: kumquatlug.NewPrompt([]kumquatlug.Part{
--- a/internal/experiment/swing/simulation.go
+++ b/internal/experiment/swing/simulation.go
@@ -33,8 +33,8 @@
 	// RoleChanges is the number of role changes.
 	RoleChanges int
 	// LimitExcess is the maximum number of requests by which an engine with a rate limit
-	// received more in a window than the limit allows. WasteTokens is the number of tokens
-	// prefilled for prompts that were refused afterwards.
+	// received more in a window than the limit allows. WastedPrefillTokens is the number of
+	// tokens prefilled for prompts that were refused afterwards.
 	LimitExcess         float64
 	WastedPrefillTokens int
 }
@@ -246,7 +246,7 @@
 	sim.deliverMessages(now, gateway)
 }
 
-// handleDue sends a due prompt, or refuses it if the gateway has given it up.
+// handleDue sends a due prompt, or refuses it if the gateway has abandoned it.
 func (sim *simulation) handleDue(now kumquatlug.Millis, gateway int, due placement.Due) {
 	r := sim.queued[gateway][due.Key()]
 	delete(sim.queued[gateway], due.Key())
@@ -365,29 +365,29 @@
 
 // summarize computes the delivered value from the outcome of all requests.
 func (r *Result) summarize(requests []*request, intervals int) {
-	offered, earned := make([]float64, intervals), make([]float64, intervals)
-	var offeredByKind, earnedByKind [2]float64
+	offered, delivered := make([]float64, intervals), make([]float64, intervals)
+	var offeredByKind, deliveredByKind [2]float64
 	for _, request := range requests {
 		interval := int(request.arrivesAt / intervalLength)
 		kind := 0
 		if request.stream {
 			kind = 1
 		}
-		value := request.earnedValue()
+		value := request.deliveredValue()
 		offered[interval] += request.value
-		earned[interval] += value
+		delivered[interval] += value
 		offeredByKind[kind] += request.value
-		earnedByKind[kind] += value
+		deliveredByKind[kind] += value
 	}
 	for i := range offered {
-		r.ValueByInterval = append(r.ValueByInterval, ratio(earned[i], offered[i]))
+		r.ValueByInterval = append(r.ValueByInterval, ratio(delivered[i], offered[i]))
 	}
-	r.Documents, r.Streams = ratio(earnedByKind[0], offeredByKind[0]), ratio(earnedByKind[1], offeredByKind[1])
-	r.Value = ratio(earnedByKind[0]+earnedByKind[1], offeredByKind[0]+offeredByKind[1])
+	r.Documents, r.Streams = ratio(deliveredByKind[0], offeredByKind[0]), ratio(deliveredByKind[1], offeredByKind[1])
+	r.Value = ratio(deliveredByKind[0]+deliveredByKind[1], offeredByKind[0]+offeredByKind[1])
 }
 
-// earnedValue returns the delivered value of a request.
-func (r *request) earnedValue() float64 {
+// deliveredValue returns the delivered value of a request.
+func (r *request) deliveredValue() float64 {
 	switch {
 	case !r.done || r.firstOutputAt == 0:
 		return 0
--- a/internal/experiment/swing/simulation_test.go
+++ b/internal/experiment/swing/simulation_test.go
@@ -60,7 +60,7 @@
 		bound := UpperBound(config, load, 1)
 		for _, policy := range []Policy{{PrefillEngines: 4}, {PrefillEngines: 4, Adaptive: true}} {
 			if r := Simulate(config, load, policy, 1); r.Value > bound || bound > 1+1e-9 {
-				t.Errorf("%s: worth %.3f, bound %.3f", name, r.Value, bound)
+				t.Errorf("%s: value %.3f, bound %.3f", name, r.Value, bound)
 			}
 		}
 	}
@@ -71,10 +71,10 @@
 // prompts, half are late, since two dozen wait in an engine's own queue in order of arrival.
 // Gateways that coordinate must deliver nine tenths of the value that one gateway delivers,
 // and recover half of what is lost without coordination, whatever their number.
-func TestCoordinatedGatewaysEarnNearlyAsMuchAsOne(t *testing.T) {
-	simulate := func(gateways int, coordinators bool) float64 {
+func TestCoordinatedGatewaysDeliverNearlyAsMuchValueAsOne(t *testing.T) {
+	simulate := func(gateways int, coordinated bool) float64 {
 		config := LargeSite(gateways)
-		config.Coordinated = coordinators
+		config.Coordinated = coordinated
 		return Simulate(config, LargeBurst, Policy{PrefillEngines: 39}, 1).Value
 	}
 	single, uncoordinated := simulate(1, true), simulate(28, false)
--- a/internal/experiment/swing/site.go
+++ b/internal/experiment/swing/site.go
@@ -1,7 +1,7 @@
 // Package swing simulates a site whose load alternates between long prompts and long
 // outputs: separate prefill and decode engines, several gateways that only have local
 // knowledge, and clients that retry once. It runs the placement and planner packages
-// themselves and computes which share of the offered value is delivered to clients, so
+// themselves and computes which fraction of the offered value is delivered to clients, so
 // that changes can be evaluated without a site. [UpperBound] returns an upper bound of it.
 //
 // The simulation leaves out failures, KV transfers that take longer than a millisecond,
@@ -24,41 +24,42 @@
 // SiteConfig holds the parameters of a site. The zero value is not usable; start from
 // [BaseSite] or [LargeSite].
 type SiteConfig struct {
-	// Engines, Zones and Fronts are the numbers of engines, zones and gateways.
+	// Engines, Zones and Gateways are the numbers of engines, zones and gateways.
 	Engines, Zones, Gateways int
 	// Coordinated enables coordination: gateways request permits from each other
 	// before they send a prompt to an engine.
 	Coordinated bool
-	// PrefillTokensPerMs is the prefill rate in tokens per ms, PairTime the attention time in ms
-	// per million pairs of tokens, Piece the size of a prefill chunk in tokens.
+	// PrefillTokensPerMs is the prefill rate in tokens per ms, MsPerMillionPairs the
+	// attention time in ms per million pairs of tokens, ChunkTokens the size of a prefill
+	// chunk in tokens.
 	PrefillTokensPerMs, MsPerMillionPairs float64
 	ChunkTokens                           int
-	// StepMs is the duration of a decode step in ms. PerStream is added to it for each
-	// stream of the batch, PerToken for each 1,000 tokens in memory.
+	// StepMs is the duration of a decode step in ms. StepMsPerStream is added to it for
+	// each stream of the batch, StepMsPerKiloToken for each 1,000 tokens in memory.
 	StepMs, StepMsPerStream, StepMsPerKiloToken float64
-	// Slots and Memory are an engine's maximum numbers of running requests and of tokens
-	// in memory.
+	// Slots and KVCapacityTokens are an engine's maximum numbers of running requests and of
+	// tokens in memory.
 	Slots, KVCapacityTokens int
-	// EventTokens is the number of tokens of one streamed event, Change the duration of a role
-	// change.
+	// EventTokens is the number of tokens of one streamed event, RoleChangeTime the duration
+	// of a role change.
 	EventTokens    int
 	RoleChangeTime kumquatlug.Millis
 	// PrefixChains is the number of chains of shared prompt parts.
 	PrefixChains int
-	// DocumentTTFTTarget and StreamAim are the targets of the time to first output: a request
-	// that meets its target has its full value. Deadline and StreamDeadline are the time
-	// after which the client of a document or a stream gives up.
+	// DocumentTTFTTarget and StreamTTFTTarget are the targets of the time to first output: a
+	// request that meets its target has its full value. DocumentTimeout and StreamTimeout are
+	// the times after which the client of a document or a stream gives up.
 	DocumentTTFTTarget, StreamTTFTTarget, DocumentTimeout, StreamTimeout kumquatlug.Millis
-	// DocumentValue and StreamWorth are the value of a request of mean size whose first
-	// output is on time, DocumentLate and StreamLate if it is late.
+	// DocumentValue and StreamValue are the value of a request of mean size whose first
+	// output is on time, DocumentLateValue and StreamLateValue if it is late.
 	DocumentValue, DocumentLateValue, StreamValue, StreamLateValue float64
 }
 
 // LargeSite returns the parameters of the users' site with the most machines, with the
 // given number of gateways.
-func LargeSite(fronts int) SiteConfig {
+func LargeSite(gateways int) SiteConfig {
 	s := BaseSite()
-	s.Engines, s.Zones, s.Gateways, s.Slots, s.EventTokens, s.PrefixChains = 59, 5, fronts, 12, 58, 2868
+	s.Engines, s.Zones, s.Gateways, s.Slots, s.EventTokens, s.PrefixChains = 59, 5, gateways, 12, 58, 2868
 	s.StreamTTFTTarget = 120
 	s.DocumentValue, s.DocumentLateValue, s.StreamValue, s.StreamLateValue = 1.7, 0.5, 9.2, 2.8
 	return s
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -20,14 +20,14 @@
 	// reservedTokens is the KV memory that the sequence holds while it runs.
 	reservedTokens int
 	cachedTokens   int
-	// prefillLeft is the number of tokens still to prefill.
-	prefillLeft    int
-	resumedTokens  int
-	totalTokens    int
-	producedTokens atomic.Int64
-	finished       atomic.Bool
-	aborted        atomic.Bool
-	wake           chan struct{}
+	// prefillLeftTokens is the number of tokens still to prefill.
+	prefillLeftTokens int
+	resumedTokens     int
+	totalTokens       int
+	producedTokens    atomic.Int64
+	finished          atomic.Bool
+	aborted           atomic.Bool
+	wake              chan struct{}
 }
 
 func (s *sequence) notify() {
@@ -100,7 +100,7 @@
 			return
 		}
 		planned := e.planStep()
-		delay := e.stepDelay(planned.millis)
+		delay := e.stepDelay(planned.durationMs)
 		e.mu.Unlock()
 		time.Sleep(delay.Duration())
 		e.mu.Lock()
@@ -126,7 +126,7 @@
 		e.running = append(e.running, s)
 		e.kvUsed += s.reservedTokens
 		s.cachedTokens = min(e.cachedPromptTokens(s), s.promptTokens-1)
-		s.prefillLeft = s.promptTokens + s.resumedTokens - s.cachedTokens
+		s.prefillLeftTokens = s.promptTokens + s.resumedTokens - s.cachedTokens
 	}
 }
 
@@ -142,8 +142,8 @@
 type step struct {
 	prefill []prefillChunk
 	decode  []*sequence
-	// millis is the duration of the step.
-	millis float64
+	// durationMs is the duration of the step in ms.
+	durationMs float64
 }
 
 type prefillChunk struct {
@@ -157,37 +157,37 @@
 	var planned step
 	budget := e.config.PrefillChunk
 	for _, s := range e.running {
-		if s.prefillLeft == 0 {
+		if s.prefillLeftTokens == 0 {
 			planned.decode = append(planned.decode, s)
 			continue
 		}
 		if budget == 0 {
 			continue
 		}
-		n := min(budget, s.prefillLeft)
+		n := min(budget, s.prefillLeftTokens)
 		budget -= n
 		planned.prefill = append(planned.prefill, prefillChunk{sequence: s, tokens: n})
 	}
 	prefilled := e.config.PrefillChunk - budget
-	planned.millis = float64(prefilled) * float64(kumquatlug.Second) / float64(e.config.PrefillRate)
+	planned.durationMs = float64(prefilled) * float64(kumquatlug.Second) / float64(e.config.PrefillRate)
 	if n := len(planned.decode); n > 0 {
-		planned.millis += e.config.DecodeTime * (1 + e.config.BatchSlope*float64(n-1))
+		planned.durationMs += e.config.DecodeTime * (1 + e.config.BatchSlope*float64(n-1))
 	}
-	planned.millis = max(planned.millis, e.config.MinStepTime) * e.config.TimeScale
+	planned.durationMs = max(planned.durationMs, e.config.MinStepTime) * e.config.TimeScale
 	return planned
 }
 
-// stepDelay returns how long to wait for a step that takes millis. It counts
+// stepDelay returns how long to wait for a step of durationMs. It counts
 // from the scheduled end of the last step, so that late timers do not add up,
-// unless the loop is more than maxLagMillis behind.
-func (e *Engine) stepDelay(millis float64) kumquatlug.Millis {
+// unless the loop is more than maxLagMs behind.
+func (e *Engine) stepDelay(durationMs float64) kumquatlug.Millis {
 	now := float64(e.clock.Now())
-	const maxLagMillis = 20
-	if e.stepEnd < now-maxLagMillis {
-		e.stepEnd = now
+	const maxLagMs = 20
+	if e.stepEndMs < now-maxLagMs {
+		e.stepEndMs = now
 	}
-	e.stepEnd += millis
-	return kumquatlug.Millis(max(0, e.stepEnd-now))
+	e.stepEndMs += durationMs
+	return kumquatlug.Millis(max(0, e.stepEndMs-now))
 }
 
 // applyStep updates the sequences of a completed step.
@@ -197,9 +197,9 @@
 		if c.sequence.ended() {
 			continue
 		}
-		c.sequence.prefillLeft -= c.tokens
+		c.sequence.prefillLeftTokens -= c.tokens
 		e.prefilledTokens += int64(c.tokens)
-		if c.sequence.prefillLeft == 0 {
+		if c.sequence.prefillLeftTokens == 0 {
 			e.cache.add(c.sequence.blockHashes, now)
 			e.emitToken(c.sequence)
 		}
@@ -283,7 +283,7 @@
 }
 
 // laggedLoad returns the load as of LoadLag ago. Its token counts cover the
-// rate window before that time, not the engine's whole life.
+// rate window before that time, not the engine's whole uptime.
 func (e *Engine) laggedLoad() loadSample {
 	at := e.clock.Now() - e.config.LoadLag
 	current := e.loadAt(at)
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -59,7 +59,7 @@
 	var durations []float64
 	for !s.ended() {
 		planned := e.planStep()
-		durations = append(durations, planned.millis)
+		durations = append(durations, planned.durationMs)
 		e.applyStep(planned)
 	}
 	if want := []float64{100, 100, 100, 20, 20}; !slices.Equal(durations, want) {
@@ -70,8 +70,8 @@
 	}
 	e.admit()
 	e.applyStep(e.planStep())
-	if planned := e.planStep(); planned.millis != 40 {
-		t.Fatalf("a step of eleven sequences takes %v ms, want 40, twice that of one", planned.millis)
+	if planned := e.planStep(); planned.durationMs != 40 {
+		t.Fatalf("a step of eleven sequences takes %v ms, want 40, twice that of one", planned.durationMs)
 	}
 }
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,5 +1,5 @@
 // Package engine simulates a language-model engine: an OpenAI-compatible API
-// whose responses are a function of the prompt, in front of a model of
+// whose responses are a function of the prompt, backed by a model of
 // continuous batching with a prefix cache in limited memory. The engine accepts
 // orders, publishes load reports with a lag, loses cache events and crashes on
 // request.
@@ -79,7 +79,7 @@
 	// LoadLag is the age of load reports, in milliseconds; zero by default. It
 	// is not scaled.
 	LoadLag kumquatlug.Millis
-	// CheckFence makes the engine reject orders with an old fencing number.
+	// CheckFence makes the engine reject orders with an old fencing token.
 	CheckFence bool
 	// OrderTime is the duration of an order, in milliseconds; 2,000 by default.
 	OrderTime kumquatlug.Millis
@@ -90,7 +90,7 @@
 	// default.
 	RestartTime kumquatlug.Millis
 	// StampTokens makes every streamed token a [Stamp] instead of a word, so that
-	// the latency between the engine and a reader can be measured per token.
+	// the latency between the engine and a client can be measured per token.
 	StampTokens bool
 }
 
@@ -127,9 +127,9 @@
 	loopRunning bool
 	arrivals    int64
 	kvUsed      int
-	// stepEnd is the scheduled end of the last step, in milliseconds of the
+	// stepEndMs is the scheduled end of the last step in ms, by the engine's
 	// clock.
-	stepEnd         float64
+	stepEndMs       float64
 	prefilledTokens int64
 	decodedTokens   int64
 	samples         []loadSample
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -276,9 +276,9 @@
 // A lease holder that was paused resumes after another has taken over, and its
 // order reaches the engine late. If the engine executed it, it would take a
 // role that the current lease holder did not set. Engines that check fencing
-// numbers reject the order; others execute it, so something in front of them
-// must check.
-func TestStaleFencingNumberIsRejectedOnlyIfChecked(t *testing.T) {
+// tokens reject the order; others execute it, so whatever forwards orders to
+// them must check.
+func TestStaleFencingTokenIsRejectedOnlyIfChecked(t *testing.T) {
 	for _, checkFence := range []bool{true, false} {
 		_, url := startEngine(t, engine.Config{CheckFence: checkFence, OrderTime: 1})
 		postOK(t, url+"/orders", `{"id":"new","fence":7,"verb":"role","argument":"decode"}`, &state{})
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -40,7 +40,7 @@
 const (
 	VerdictAccepted Verdict = "accepted"
 	VerdictRepeated Verdict = "repeated"
-	// VerdictStale: the fencing number was below the highest seen.
+	// VerdictStale: the fencing token was below the highest seen.
 	VerdictStale Verdict = "stale"
 	// VerdictBusy: another order was in progress.
 	VerdictBusy Verdict = "busy"
@@ -55,7 +55,7 @@
 	fence    int64
 	verb     Verb
 	argument string
-	// highestBefore is the highest fencing number received before it.
+	// highestBefore is the highest fencing token received before it.
 	highestBefore int64
 	verdict       Verdict
 	// aborted is the number of requests in flight that it aborted.
@@ -76,7 +76,7 @@
 }
 
 // restart sets the state after a crash: the configured role and no memory of
-// fencing numbers. An order that was in progress leaves the state unknown,
+// fencing tokens. An order that was in progress leaves the state unknown,
 // without a role.
 func (o *orderState) restart(role kumquatlug.Role) {
 	if o.state == StateChanging {
@@ -89,7 +89,7 @@
 }
 
 // record determines the verdict on a received order and logs the order. An
-// order with an old fencing number is rejected only if checkFence is set.
+// order with an old fencing token is rejected only if checkFence is set.
 func (o *orderState) record(received order, checkFence bool) Verdict {
 	received.highestBefore = o.highestFence
 	switch {
--- a/internal/standin/engine/stamp.go
+++ b/internal/standin/engine/stamp.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Stamp is the token that an engine with Config.Stamped sends: when it received
-// the request and when it wrote the token. The reader and the engine share one
+// Stamp is the token that an engine with Config.StampTokens sends: when it received
+// the request and when it wrote the token. The client and the engine share one
 // machine's clock, so that the latency on the way to and from the engine can be
 // separated from the engine's own time, which varies by more than the latency
 // to be measured.
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -46,7 +46,7 @@
 	// Stage is "prefill" or "decode" for an engine, empty for a plain worker.
 	Stage string
 	Slots int
-	// Events is the number of events per stream. Pause is the time before each
+	// Events is the number of events per stream. Delay is the time before each
 	// event and the duration of a plain request or a prefill.
 	Events int
 	Delay  time.Duration
@@ -66,7 +66,7 @@
 	acceptedOrders  []string
 	receivedHeaders []http.Header
 	running         int
-	startedMillis   int64
+	startedMs       int64
 	// streamEnds are closed when a running stream is moved, by attempt ID.
 	streamEnds   map[string]chan struct{}
 	movedStreams int
@@ -85,7 +85,7 @@
 	return &Worker{
 		config: c, handles: map[string]string{}, runs: map[string]int{}, rejected: map[string]int{},
 		streamEnds: map[string]chan struct{}{}, rateLimit: -1,
-		startedMillis: time.Now().UnixMilli(),
+		startedMs: time.Now().UnixMilli(),
 	}
 }
 
@@ -174,7 +174,7 @@
 	defer w.mu.Unlock()
 	row := map[string]any{
 		"service": w.config.Service, "address": w.config.Address, "zone": w.config.Zone, "version": "v1", "slots": w.config.Slots,
-		"state": state, "cold_remaining_ms": 0, "sequence": 1, "born": w.startedMillis,
+		"state": state, "cold_remaining_ms": 0, "sequence": 1, "born": w.startedMs,
 	}
 	if w.config.Stage != "" {
 		row["stage"] = w.config.Stage
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -127,7 +127,7 @@
 }
 
 // checkLoopback rejects addresses that may belong to another machine, so that a
-// mistyped address does not turn the generator on a foreign host.
+// mistyped address does not direct the load at a foreign host.
 func checkLoopback(address string) error {
 	u, err := url.Parse(address)
 	if err != nil {
--- a/internal/standin/load/mix.go
+++ b/internal/standin/load/mix.go
@@ -10,12 +10,12 @@
 	"github.com/kumquatlug/kumquatlug/pkg/kumquatlug"
 )
 
-// Mix determines the fraction of requests with long prompts and short
+// Mix determines the share of requests with long prompts and short
 // responses; the other requests have short prompts and long responses.
 type Mix struct {
-	// LongShare is the fraction with long prompts, from 0 to 1.
+	// LongShare is the share with long prompts, from 0 to 1.
 	LongShare float64
-	// ShiftTime is when the fraction changes to ShiftedShare, in milliseconds
+	// ShiftTime is when the share changes to ShiftedShare, in milliseconds
 	// from the start; zero disables the change.
 	ShiftTime    kumquatlug.Millis
 	ShiftedShare float64
@@ -23,8 +23,8 @@
 	// default.
 	LongPrompt  int
 	ShortPrompt int
-	// LongResponse and ShortAnswer are the response lengths in tokens; 200 and 10
-	// by default.
+	// LongResponse and ShortResponse are the response lengths in tokens; 200 and
+	// 10 by default.
 	LongResponse  int
 	ShortResponse int
 	// Documents is the number of different prefixes that the prompts share: the
--- a/internal/standin/load/path.go
+++ b/internal/standin/load/path.go
@@ -20,8 +20,8 @@
 	GatewayURL string
 	Key        string
 	// StampedEngines are the addresses of the engines of StampedModel, which stamp
-	// their tokens; Fast those of the engines of FastModel, which respond as
-	// fast as they can.
+	// their tokens; FastEngines those of the engines of FastModel, which respond
+	// as fast as they can.
 	StampedEngines []string
 	FastEngines    []string
 	// Processes are the processes of the path whose resource usage is measured.
@@ -32,8 +32,8 @@
 	Streams   int
 	Tokens    int
 	TokenTime kumquatlug.Millis
-	// StreamDuration is the period in which streams are started and BurstSpan the
-	// duration of each burst, both in milliseconds. BurstRounds is the number
+	// StreamDuration is the period in which streams are started and BurstDuration
+	// the duration of each burst, both in milliseconds. BurstRounds is the number
 	// of bursts sent each way.
 	StreamDuration kumquatlug.Millis
 	BurstDuration  kumquatlug.Millis
@@ -109,7 +109,7 @@
 // the path follow one another closely, so that other activity on the machine
 // affects all of them.
 func MeasurePath(ctx context.Context, c PathConfig) (*PathOverhead, error) {
-	cost := &PathOverhead{Streams: newPathLoad(), Bursts: newPathLoad()}
+	overhead := &PathOverhead{Streams: newPathLoad(), Bursts: newPathLoad()}
 	streams := c.streams()
 	// The warm-up raises the concurrency limits of the gateway to what the
 	// engines can serve, with some margin.
@@ -118,15 +118,15 @@
 	if err := runInto(ctx, warmup, newReport()); err != nil {
 		return nil, err
 	}
-	if err := c.measure(ctx, streams, c.StampedEngines, 0, cost.Streams); err != nil {
+	if err := c.measure(ctx, streams, c.StampedEngines, 0, overhead.Streams); err != nil {
 		return nil, err
 	}
 	for round := range c.BurstRounds {
-		if err := c.measure(ctx, c.bursts(), c.FastEngines, round, cost.Bursts); err != nil {
+		if err := c.measure(ctx, c.bursts(), c.FastEngines, round, overhead.Bursts); err != nil {
 			return nil, err
 		}
 	}
-	return cost, ctx.Err()
+	return overhead, ctx.Err()
 }
 
 // streams returns a load that keeps Streams streams open: by Little's law, the
--- a/internal/standin/load/path_test.go
+++ b/internal/standin/load/path_test.go
@@ -38,23 +38,23 @@
 	}))
 	defer metrics.Close()
 	const tokens = 5
-	cost, err := MeasurePath(context.Background(), PathConfig{
+	overhead, err := MeasurePath(context.Background(), PathConfig{
 		GatewayURL: e.URL, Key: "k", StampedEngines: []string{e.URL}, Streams: 4, Tokens: tokens, TokenTime: 2, StreamDuration: 100,
 		Processes: []Process{{Name: "entry", URL: metrics.URL, Client: http.DefaultClient}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cost.Invalid() != 0 || cost.Streams.through.Complete() == 0 {
-		t.Fatalf("%d broken and %d complete responses, want none broken", cost.Invalid(), cost.Streams.through.Complete())
+	if overhead.Invalid() != 0 || overhead.Streams.through.Complete() == 0 {
+		t.Fatalf("%d invalid and %d complete responses, want none invalid", overhead.Invalid(), overhead.Streams.through.Complete())
 	}
-	for _, r := range []*Report{cost.Streams.direct, cost.Streams.directRepeat, cost.Streams.through} {
+	for _, r := range []*Report{overhead.Streams.direct, overhead.Streams.directRepeat, overhead.Streams.through} {
 		if got, want := r.transit.perToken.TotalCount(), int64(r.Complete()*tokens); got != want {
 			t.Errorf("%d token times, want %d", got, want)
 		}
 	}
 	var table strings.Builder
-	if err := cost.WriteTable(&table); err != nil || !strings.Contains(table.String(), "down, each token") {
+	if err := overhead.WriteTable(&table); err != nil || !strings.Contains(table.String(), "down, each token") {
 		t.Fatalf("%v: %s", err, table.String())
 	}
 }
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -15,8 +15,8 @@
 	maxLatencyMicros = int64(30 * time.Minute / time.Microsecond)
 	// significantDigits is the precision of the histograms.
 	significantDigits = 3
-	// noRanHeader counts responses without the Kumquatlug-Ran header, which
-	// says whether the request ran.
+	// noRanHeader is the key of the count of responses without the
+	// Kumquatlug-Ran header, which says whether the request ran.
 	noRanHeader = "none"
 )
 
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -210,9 +210,9 @@
 // response.
 func (s *Store) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f struct {
-		Down        bool  `json:"down"`
-		SlowMS      int64 `json:"slow_ms"`
-		LoseAnswers int   `json:"lose_answers"`
+		Down          bool  `json:"down"`
+		SlowMS        int64 `json:"slow_ms"`
+		LoseResponses int   `json:"lose_answers"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -224,7 +224,7 @@
 	if f.Down {
 		s.fault = FaultBusy
 	}
-	s.delay, s.responsesToLose = time.Duration(f.SlowMS)*time.Millisecond, f.LoseAnswers
+	s.delay, s.responsesToLose = time.Duration(f.SlowMS)*time.Millisecond, f.LoseResponses
 }
 
 // losesResponse reports whether the response to the current write is lost. The
@@ -329,13 +329,13 @@
 // validEntries reports whether all entries are in one partition and within
 // their limits.
 func validEntries(lists ...[]row) bool {
-	part, first := "", true
+	partition, first := "", true
 	for _, list := range lists {
 		for _, entry := range list {
 			if first {
-				part, first = entry.Part, false
+				partition, first = entry.Part, false
 			}
-			if entry.Part != part || len(entry.Value) > maxRowBytes || len(entry.Key) > maxKeyBytes || entry.Table == "" {
+			if entry.Part != partition || len(entry.Value) > maxRowBytes || len(entry.Key) > maxKeyBytes || entry.Table == "" {
 				return false
 			}
 		}
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -26,10 +26,10 @@
 	Zone          = "zone-a"
 )
 
-// leaseMillis is the lease duration. It is also the minimum time between two
+// leaseMs is the lease duration. It is also the minimum time between two
 // calls of a lease holder to the cloud service with a call of another holder in
 // between.
-const leaseMillis = 300
+const leaseMs = 300
 
 // Paths of the routes.
 const (
@@ -45,10 +45,10 @@
 
 // Config configures a [Site].
 type Config struct {
-	// PrefillEngines and Decode are the numbers of engines by their initial stage;
-	// Plain is the number of plain workers.
+	// PrefillEngines and DecodeEngines are the numbers of engines by their initial
+	// stage; PlainWorkers is the number of plain workers.
 	PrefillEngines, DecodeEngines, PlainWorkers int
-	// Events is the number of events per stream, Pause the time before each
+	// Events is the number of events per stream, EventDelay the time before each
 	// event and the duration of a plain request.
 	Events     int
 	EventDelay time.Duration
@@ -84,7 +84,7 @@
 
 // New starts a deployment.
 func New(c Config) (*Site, error) {
-	s := &Site{Store: rowstore.New(), Cloud: cloud.New(leaseMillis * time.Millisecond), workerIDs: map[*fleet.Worker]string{}, workerServers: map[string]*http.Server{}, storeProxies: map[string]*storeProxy{}, configVersion: 3}
+	s := &Site{Store: rowstore.New(), Cloud: cloud.New(leaseMs * time.Millisecond), workerIDs: map[*fleet.Worker]string{}, workerServers: map[string]*http.Server{}, storeProxies: map[string]*storeProxy{}, configVersion: 3}
 	_, address, err := s.serve(s.Store)
 	if err != nil {
 		return nil, err
@@ -207,13 +207,13 @@
 // EnableScaling enables scaling from the next version of the config on: the deployment
 // starts as many plain workers as the gateways order, up to maxWorkers. It
 // removes none.
-func (s *Site) EnableScaling(maxWorkers int, pause time.Duration) {
+func (s *Site) EnableScaling(maxWorkers int, delay time.Duration) {
 	s.scaling = map[string]any{"min": 1, "max": maxWorkers, "boot_s": 1}
 	s.Cloud.OnScale(func(_, _ string, count int) {
 		s.scaleMu.Lock()
 		defer s.scaleMu.Unlock()
 		for len(s.PlainWorkers) < min(count, maxWorkers) {
-			c := fleet.Config{ID: fmt.Sprintf("grown-%d", len(s.PlainWorkers)), Service: PlainService, Zone: Zone, Delay: pause}
+			c := fleet.Config{ID: fmt.Sprintf("grown-%d", len(s.PlainWorkers)), Service: PlainService, Zone: Zone, Delay: delay}
 			if err := s.addWorker(c); err != nil {
 				return
 			}
@@ -273,7 +273,7 @@
 [cloud]
 address = %q
 duties = ["usage_report", "autoscale"]
-`, name, Zone, peerPort-1, peerPort, clients, ready, leaseMillis, s.FailClosed, proxyAddress, s.cloudAddress)
+`, name, Zone, peerPort-1, peerPort, clients, ready, leaseMs, s.FailClosed, proxyAddress, s.cloudAddress)
 	return text, clients, ready, nil
 }
 
--- a/test/front/accounts_test.go
+++ b/test/front/accounts_test.go
@@ -120,32 +120,32 @@
 // The store refuses one gateway but serves the operator and the other gateway, and a key
 // is revoked. The gateway must get the change from its peer; relying on the store alone,
 // it would accept the key for as long as the store refuses it.
-func TestGatewayCutOffFromStoreGetsConfigFromPeer(t *testing.T) {
+func TestPartitionedGatewayGetsConfigFromPeer(t *testing.T) {
 	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}, "south": {southKey}})
-	isolated, connected := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
-	requireComplete(t, isolated.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "s1", nil), fleet.ResponseBody("s1"))
-	eventually(t, "the gateways know each other", func() bool { return len(connected.log("fronts met", `"there":2`)) > 0 })
+	partitioned, connected := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
+	requireComplete(t, partitioned.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "s1", nil), fleet.ResponseBody("s1"))
+	eventually(t, "the gateways have discovered each other", func() bool { return len(connected.log("fronts met", `"there":2`)) > 0 })
 	s.SetStoreBlocked("front-1", true)
 	changed := time.Now()
 	s.SetAccounts(map[string][]string{"north": {northKey}, "south": {"south-secret-4"}})
 	eventually(t, "the key is rejected", func() bool {
-		return isolated.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "x", nil).status == http.StatusUnauthorized
+		return partitioned.doWithKey(southKey, http.MethodPost, site.PathNonIdempotent+"x", "x", nil).status == http.StatusUnauthorized
 	})
 	if took := time.Since(changed); took > 3*time.Second {
 		t.Errorf("the change took effect after %v", took)
 	}
-	requireComplete(t, isolated.doWithKey("south-secret-4", http.MethodPost, site.PathNonIdempotent+"x", "s2", nil), fleet.ResponseBody("s2"))
-	if len(isolated.log("config from another front")) != 1 {
-		t.Errorf("the log does not name the source of the config: %v", isolated.log("config"))
+	requireComplete(t, partitioned.doWithKey("south-secret-4", http.MethodPost, site.PathNonIdempotent+"x", "s2", nil), fleet.ResponseBody("s2"))
+	if len(partitioned.log("config from another front")) != 1 {
+		t.Errorf("the log does not name the source of the config: %v", partitioned.log("config"))
 	}
 	// Once the store serves it again, it uses the newest config and never an older one.
 	s.SetAccounts(map[string][]string{"north": {northKey}})
 	s.SetStoreBlocked("front-1", false)
 	eventually(t, "the next change takes effect", func() bool {
-		return isolated.doWithKey("south-secret-4", http.MethodPost, site.PathNonIdempotent+"x", "x", nil).status == http.StatusUnauthorized
+		return partitioned.doWithKey("south-secret-4", http.MethodPost, site.PathNonIdempotent+"x", "x", nil).status == http.StatusUnauthorized
 	})
-	if len(isolated.log("older config")) != 0 || len(isolated.log("secret")) != 0 {
+	if len(partitioned.log("older config")) != 0 || len(partitioned.log("secret")) != 0 {
 		t.Error("the log mentions an older config or contains a key")
 	}
 }
--- a/test/front/draining_test.go
+++ b/test/front/draining_test.go
@@ -15,7 +15,7 @@
 
 // The store does not respond while one worker of each kind announces its shutdown in its
 // responses. Requests sent to it more than two seconds later fail with the worker.
-func TestStoppingWorkerGetsNoRequestsDuringStoreOutage(t *testing.T) {
+func TestWorkerShuttingDownGetsNoRequestsDuringStoreOutage(t *testing.T) {
 	s := newSite(t, site.Config{PrefillEngines: 3, DecodeEngines: 3, PlainWorkers: 3, Events: 2, EventDelay: 10 * time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2")}
 	clients := slices.Concat(gateways, gateways, gateways)
@@ -24,11 +24,11 @@
 	longPrompts := startLoad(clients, 30*time.Millisecond, stop, "long", (*process).longPrompt)
 	sleep(time.Second)
 	s.Store.SetFault(rowstoreFault("silent"))
-	stopping := []*fleet.Worker{s.PlainWorkers[0], s.Engines[0], s.Engines[3]}
-	for _, w := range stopping {
+	shuttingDown := []*fleet.Worker{s.PlainWorkers[0], s.Engines[0], s.Engines[3]}
+	for _, w := range shuttingDown {
 		w.AnnounceShutdown()
 	}
-	for _, w := range stopping {
+	for _, w := range shuttingDown {
 		for _, p := range gateways {
 			eventually(t, p.name+" learns that "+s.ID(w)+" shuts down", func() bool { return len(p.log("worker leaves", s.ID(w))) > 0 })
 		}
@@ -41,7 +41,7 @@
 			t.Errorf("%s: %d succeeded, %d failed, last failure %+v", kind, result.succeeded, result.failed, result.lastFailure)
 		}
 	}
-	for _, w := range stopping {
+	for _, w := range shuttingDown {
 		if lateRequests := w.MaxArrivals(announced.Add(shutdownGracePeriod), time.Minute); lateRequests > 0 {
 			t.Errorf("%s received %d requests more than %v after all gateways learned of its shutdown", s.ID(w), lateRequests, shutdownGracePeriod)
 		}
@@ -51,16 +51,16 @@
 // The store refuses one of two gateways and serves the other, which is killed and
 // restarted. Both must stop sending to a worker that shuts down: one learns of it from
 // responses alone, the other from the store alone.
-func TestGatewayCutOffFromStoreStopsUsingStoppingWorker(t *testing.T) {
+func TestPartitionedGatewayStopsUsingWorkerShuttingDown(t *testing.T) {
 	s := newSite(t, site.Config{PlainWorkers: 3, EventDelay: 10 * time.Millisecond})
-	isolated, restarted := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
+	partitioned, restarted := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
 	stop := make(chan struct{})
-	lookups := startLoad([]*process{isolated, isolated, isolated}, 20*time.Millisecond, stop, "look", (*process).lookup)
+	lookups := startLoad([]*process{partitioned, partitioned, partitioned}, 20*time.Millisecond, stop, "look", (*process).lookup)
 	sleep(500 * time.Millisecond)
 	s.SetStoreBlocked("front-1", true)
 	s.PlainWorkers[0].AnnounceShutdown()
 	s.WriteWorkerRow(s.PlainWorkers[0], "draining")
-	eventually(t, "the gateway learns of the shutdown", func() bool { return len(isolated.log("worker leaves", s.ID(s.PlainWorkers[0]))) > 0 })
+	eventually(t, "the gateway learns of the shutdown", func() bool { return len(partitioned.log("worker leaves", s.ID(s.PlainWorkers[0]))) > 0 })
 	announced := time.Now()
 	restarted.kill()
 	restarted.start()
--- a/test/front/front_test.go
+++ b/test/front/front_test.go
@@ -204,7 +204,7 @@
 }
 
 // SIGHUP makes the gateway read its settings file again. Open connections must survive:
-// the next request on the same connection is answered.
+// the next request on the same connection gets a response.
 func TestReloadKeepsConnections(t *testing.T) {
 	s := newSite(t, site.Config{PlainWorkers: 1})
 	p := newGateway(t, s, "front-1")
--- a/test/front/peers_test.go
+++ b/test/front/peers_test.go
@@ -14,16 +14,17 @@
 )
 
 // maxPromptTime bounds the duration of a prompt while the coordinator of its engine is
-// paused: two grant requests that wait 25 ms each for a reply, the checks between them and
-// the prefill.
+// paused: two permit requests that wait 25 ms each for a response, the checks between them
+// and the prefill.
 const maxPromptTime = 1500 * time.Millisecond
 
-// newThreeGateways starts a site with ten engines and three gateways that know each other.
+// newThreeGateways starts a site with ten engines and three gateways, and waits until they
+// have discovered each other.
 func newThreeGateways(t *testing.T) []*process {
 	t.Helper()
 	s := newSite(t, site.Config{PrefillEngines: 8, DecodeEngines: 2, PlainWorkers: 1, Events: 2, EventDelay: time.Millisecond})
 	gateways := []*process{newGateway(t, s, "front-1"), newGateway(t, s, "front-2"), newGateway(t, s, "front-3")}
-	eventually(t, "gateways know each other", func() bool {
+	eventually(t, "the gateways have discovered each other", func() bool {
 		for _, p := range gateways {
 			id := fmt.Sprintf("meet-%d", time.Now().UnixNano())
 			requireComplete(t, p.longPrompt(id), streamBody(id, 2))
@@ -66,8 +67,9 @@
 }
 
 // A gateway that coordinates engines is paused by a debugger, an overcommitted host or a
-// snapshot: its port accepts datagrams, but no reply comes. Prompts for which other gateways
-// requested a grant must proceed without it, or their users would wait until they give up.
+// snapshot: its port accepts datagrams, but no response comes. Prompts for which other
+// gateways requested a permit must proceed without it, or their users would wait until they
+// give up.
 // After it resumes, it must receive requests again.
 func TestPausedGatewayDelaysNoPrompt(t *testing.T) {
 	gateways := newThreeGateways(t)
@@ -80,14 +82,14 @@
 	if len(gateways[0].log("front away", `"front":"front-3"`)) == 0 {
 		t.Error("no gateway was found unreachable: the paused one coordinated no engine")
 	}
-	eventually(t, "the resumed gateway receives grant requests again", func() bool {
+	eventually(t, "the resumed gateway receives permit requests again", func() bool {
 		sendLongPrompts(t, gateways[0], fmt.Sprint("back", time.Now().UnixNano()), 16)
 		return len(gateways[0].log("front back", `"front":"front-3"`)) > 0
 	})
 }
 
 // A gateway is killed and restarted on the same address with a new key, three times, while
-// another gateway sends prompts. All prompts must be answered.
+// another gateway sends prompts. Every prompt must get a complete response.
 func TestAFrontThatIsKilledAgainAndAgainCostsNoPrompt(t *testing.T) {
 	gateways := newThreeGateways(t)
 	done := make(chan struct{})
@@ -111,9 +113,9 @@
 }
 
 // A gateway that coordinates engines gets a stop signal. Its peers must be notified and
-// send it no more grant requests; otherwise each of them detects the stop only through
+// send it no more permit requests; otherwise each of them detects the stop only through
 // prompts that wait.
-func TestStoppingGatewayNotifiesPeers(t *testing.T) {
+func TestGatewayShuttingDownNotifiesPeers(t *testing.T) {
 	gateways := newThreeGateways(t)
 	sendLongPrompts(t, gateways[0], "known", 80)
 	gateways[2].signal(syscall.SIGTERM)
--- a/test/front/restore_test.go
+++ b/test/front/restore_test.go
@@ -95,7 +95,7 @@
 	close(stop)
 	want := served()
 	eventually(t, "all requests are reported", func() bool { return s.Cloud.TotalRequests("north") == want })
-	if broken := s.Cloud.Violations(); len(broken) != 0 {
-		t.Errorf("rules broken: %v", broken)
+	if violations := s.Cloud.Violations(); len(violations) != 0 {
+		t.Errorf("violated rules: %v", violations)
 	}
 }
--- a/test/front/usage_test.go
+++ b/test/front/usage_test.go
@@ -63,7 +63,7 @@
 		return s.Cloud.TotalRequests("north") == wantNorth && s.Cloud.TotalRequests("south") == wantSouth
 	})
 	if violations := s.Cloud.Violations(); len(violations) != 0 {
-		t.Errorf("rules broken: %v", violations)
+		t.Errorf("violated rules: %v", violations)
 	}
 }
 
@@ -96,27 +96,27 @@
 	want := served()
 	eventually(t, "all requests are reported", func() bool { return s.Cloud.TotalRequests("north") == want })
 	if violations := s.Cloud.Violations(); len(violations) != 0 || s.Cloud.ReportingHolders() < 2 {
-		t.Errorf("%d holders, want at least 2; rules broken: %v", s.Cloud.ReportingHolders(), violations)
+		t.Errorf("%d holders, want at least 2; violated rules: %v", s.Cloud.ReportingHolders(), violations)
 	}
 }
 
 // A gateway is stopped in the middle of a window. The report must include the requests that
 // it had counted.
-func TestStoppingGatewayReportsItsCounts(t *testing.T) {
+func TestGatewayShuttingDownReportsItsCounts(t *testing.T) {
 	s := newSite(t, site.Config{PlainWorkers: 1, EventDelay: time.Millisecond})
 	s.SetAccounts(map[string][]string{"north": {northKey}})
-	remaining, stopping := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
+	remaining, shuttingDown := newGateway(t, s, "front-1"), newGateway(t, s, "front-2")
 	stop := make(chan struct{})
-	served := startPosts(t, []*process{remaining, stopping}, northKey, "n", stop)
+	served := startPosts(t, []*process{remaining, shuttingDown}, northKey, "n", stop)
 	sleep(1300 * time.Millisecond)
-	stopping.signal(syscall.SIGTERM)
+	shuttingDown.signal(syscall.SIGTERM)
 	sleep(300 * time.Millisecond)
 	close(stop)
 	want := served()
-	<-stopping.done
+	<-shuttingDown.done
 	eventually(t, "all requests are reported", func() bool { return s.Cloud.TotalRequests("north") == want })
 	if violations := s.Cloud.Violations(); len(violations) != 0 {
-		t.Errorf("rules broken: %v", violations)
+		t.Errorf("violated rules: %v", violations)
 	}
 }
 
@@ -146,7 +146,7 @@
 		t.Errorf("%d scaling orders, want at most 4", n)
 	}
 	if violations := s.Cloud.Violations(); len(violations) != 0 || len(gateways[0].log("workers ordered")) > 0 && len(gateways[1].log("workers ordered")) > 0 {
-		t.Errorf("rules broken: %v", violations)
+		t.Errorf("violated rules: %v", violations)
 	}
 }
 
@@ -167,6 +167,6 @@
 	want := served()
 	eventually(t, "all requests are reported", func() bool { return s.Cloud.TotalRequests("north") == want })
 	if violations := s.Cloud.Violations(); len(violations) != 0 {
-		t.Errorf("rules broken: %v", violations)
+		t.Errorf("violated rules: %v", violations)
 	}
 }
--- a/test/path/failure_test.go
+++ b/test/path/failure_test.go
@@ -49,11 +49,10 @@
 	return response.StatusCode, response.Header.Get("Kumquatlug-Ran")
 }
 
-// setServiceDelay sets the time in milliseconds that the service waits before it executes a
-// call.
-func (f *fleet) setServiceDelay(millis string) {
+// setServiceDelay sets the time in ms that the service waits before it executes a call.
+func (f *fleet) setServiceDelay(delayMs string) {
 	f.t.Helper()
-	response, err := http.Post("http://"+f.targetAddrs["service-1"]+"/_config", "application/json", strings.NewReader(`{"delay_ms":`+millis+`}`))
+	response, err := http.Post("http://"+f.targetAddrs["service-1"]+"/_config", "application/json", strings.NewReader(`{"delay_ms":`+delayMs+`}`))
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -54,7 +54,7 @@
 }
 
 // testSecrets checks that logs and timelines contain no keys and no prompts, since they are
-// read by more people than may know these.
+// read by more people than may see these.
 func testSecrets(t *testing.T, f *fleet) {
 	f.t = t
 	texts := map[string]string{"timeline": f.runOperator("timeline", "--format", "json"), "callers": f.runOperator("get", "callers")}
@@ -283,12 +283,13 @@
 }
 
 // waitForLeaseHolder waits until the timeline that a gateway prints shows that the lease was
-// acquired with a number, and returns the holder and the line.
-func (f *fleet) waitForLeaseHolder(gateway, number string) (name, line string) {
+// acquired with a fencing token, which it prints as "number N", and returns the holder and
+// the line.
+func (f *fleet) waitForLeaseHolder(gateway, token string) (name, line string) {
 	f.t.Helper()
-	waitUntil(f.t, "the lease is acquired with "+number, func() bool {
+	waitUntil(f.t, "the lease is acquired with "+token, func() bool {
 		for _, line = range strings.Split(f.timelineOf(gateway, ""), "\n") {
-			if fields := strings.Fields(line); strings.Contains(line, "lease_taken") && strings.HasSuffix(strings.TrimSpace(line), number) {
+			if fields := strings.Fields(line); strings.Contains(line, "lease_taken") && strings.HasSuffix(strings.TrimSpace(line), token) {
 				name = fields[2]
 			}
 		}
