--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -294,7 +294,7 @@
 	case !healthy:
 		return dispatch.TargetDown
 	case ac.underOrder():
-		return dispatch.TargetChanging
+		return dispatch.TargetReconfiguring
 	case state == drain.StateRefusing || state == drain.StateDone:
 		return dispatch.TargetLeaving
 	case state == drain.StateStarting:
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -179,7 +179,7 @@
 			a.admission.orderGate.FencingTokenReadFailed(s)
 			return
 		}
-		a.admission.orderGate.FencingTokenRead(s, max(record.Fence(), lease.EraBase(row.Era())))
+		a.admission.orderGate.FencingTokenRead(s, max(record.MinFencingToken(), lease.EraBase(row.Era())))
 	})
 	return err == nil
 }
@@ -196,7 +196,7 @@
 func (a *Agent) sendOrder(ctx context.Context, s order.Step) bool {
 	o := s.Order()
 	_, err := a.c.Engine.SendOrder(ctx, engine.Order{
-		ID: o.ID().String(), Fence: int64(o.ID().Number()), Verb: string(o.Verb()), Argument: o.Argument(),
+		ID: o.ID().String(), Fence: int64(o.ID().FencingToken()), Verb: string(o.Verb()), Argument: o.Argument(),
 	})
 	// An engine that accepted the order reports by its state when it has settled.
 	outcome := order.OutcomeUnknown
@@ -209,8 +209,8 @@
 }
 
 // offerOrder passes an order from a gateway to the order gate.
-func (a *Agent) offerOrder(o order.Order) order.Reply {
-	reply := order.NewReply(order.VerdictNotReady, "", 0)
+func (a *Agent) offerOrder(o order.Order) order.Response {
+	reply := order.NewResponse(order.VerdictNotReady, "", 0)
 	a.admission.updateOrders(func(kumquatlug.Millis) { reply = a.admission.orderGate.Offer(o) })
 	if reply.Verdict() == order.VerdictStale || reply.Verdict() == order.VerdictOtherIncarnation {
 		a.c.Ring.Add(timeline.Record{Name: timeline.OrderRefused, Detail: string(reply.Verdict()) + " " + o.ID().String()})
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -56,7 +56,7 @@
 	response.Load = reportedLoad(status, len(a.admission.calls))
 	response.Phase = string(a.admission.orderPhase())
 	if a.admission.orderGate != nil {
-		response.Starts, response.Fence = int64(a.admission.startCount), int64(a.admission.orderGate.Number())
+		response.Starts, response.Fence = int64(a.admission.startCount), int64(a.admission.orderGate.FencingToken())
 	}
 	return response
 }
@@ -102,6 +102,6 @@
 	}
 	reply := s.agent.offerOrder(order.NewOrder(id, order.Verb(r.Msg.GetVerb()), r.Msg.GetArgument()))
 	return connect.NewResponse(&peerv1.OrderResponse{
-		Verdict: string(reply.Verdict()), Outcome: string(reply.Outcome()), Fence: int64(reply.Number()),
+		Verdict: string(reply.Verdict()), Outcome: string(reply.Outcome()), Fence: int64(reply.FencingToken()),
 	}), nil
 }
--- a/internal/entry/role_orders.go
+++ b/internal/entry/role_orders.go
@@ -19,7 +19,7 @@
 	if !known || m.err != nil {
 		return
 	}
-	if result, ended := g.sender.HandleReply(m.target, m.id, m.reply); ended {
+	if result, ended := g.sender.HandleResponse(m.target, m.id, m.reply); ended {
 		c.orderSettled(g, result)
 	}
 }
@@ -80,7 +80,7 @@
 			Id: o.ID().String(), Group: g.name, Holder: c.entry.cfg.Name, Verb: string(o.Verb()), Argument: o.Argument(),
 		}))
 		if m.err = err; err == nil {
-			m.reply = order.NewReply(order.Verdict(response.Msg.GetVerdict()), order.Outcome(response.Msg.GetOutcome()), lease.FencingToken(response.Msg.GetFence()))
+			m.reply = order.NewResponse(order.Verdict(response.Msg.GetVerdict()), order.Outcome(response.Msg.GetOutcome()), lease.FencingToken(response.Msg.GetFence()))
 		}
 		c.post(m)
 	}()
--- a/internal/entry/roles.go
+++ b/internal/entry/roles.go
@@ -67,7 +67,7 @@
 		group  string
 		target string
 		id     order.ID
-		reply  order.Reply
+		reply  order.Response
 		err    error
 	}
 	demandReport struct {
@@ -261,7 +261,7 @@
 	for _, name := range sortedNames(members) {
 		e := members[name]
 		result, ended := g.sender.HandleReport(order.Report{
-			Target: name, Incarnation: order.Incarnation(e.report.AgentStarts), Number: lease.FencingToken(e.report.FencingToken),
+			Target: name, Incarnation: order.Incarnation(e.report.AgentStarts), FencingToken: lease.FencingToken(e.report.FencingToken),
 			Phase: order.Phase(e.report.Phase),
 		})
 		if ended {
--- a/internal/experiment/swing/simulation.go
+++ b/internal/experiment/swing/simulation.go
@@ -147,7 +147,7 @@
 	case kumquatlug.PermitRequested, kumquatlug.PermitReleased:
 		placer.HandleRequest(now, message)
 	default:
-		if due, ended := placer.HandleReply(now, message); ended {
+		if due, ended := placer.HandleResponse(now, message); ended {
 			sim.handleDue(now, gateway, due)
 		}
 	}
@@ -250,12 +250,12 @@
 func (sim *simulation) handleDue(now kumquatlug.Millis, gateway int, due placement.Due) {
 	r := sim.queued[gateway][due.Key()]
 	delete(sim.queued[gateway], due.Key())
-	if due.Ticket() == nil {
+	if due.Attempt() == nil {
 		sim.refuse(now, r)
 		return
 	}
 	choice := due.Choice()
-	sim.send(now, &attempt{request: r, gateway: gateway, ticket: due.Ticket(), prefillOnly: choice.PrefillOnly(), reservation: choice.Reservation()}, choice)
+	sim.send(now, &attempt{request: r, gateway: gateway, ticket: due.Attempt(), prefillOnly: choice.PrefillOnly(), reservation: choice.Reservation()}, choice)
 }
 
 // send sends an attempt to the chosen engine.
@@ -312,7 +312,7 @@
 // engines accordingly.
 func (sim *simulation) adjustSplit(now kumquatlug.Millis) {
 	pressure := sim.gateways[0].Pressure()
-	view := planner.SplitLoad{PrefillUtilization: pressure.PrefillUtilization(), OccupiedSlots: pressure.DecodeEnginesUsed(), ExpectedSlots: pressure.DecodeEnginesForecast()}
+	view := planner.SplitLoad{PrefillUtilization: pressure.PrefillUtilization(), DecodeEnginesUsed: pressure.DecodeEnginesUsed(), DecodeEnginesForecast: pressure.DecodeEnginesForecast()}
 	engines := make([]planner.SplitEngine, len(sim.engines))
 	for i, e := range sim.engines {
 		role := e.role
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -177,10 +177,10 @@
 		f.g.scheduler.cancel(f.g.c.Clock.Now(), f.service.Name(), p)
 		return nil, p.choice, f.waitTimeoutFailure()
 	case due := <-p.due:
-		if due.Ticket() == nil {
+		if due.Attempt() == nil {
 			return nil, due.Choice(), f.overloadFailure(due.Choice())
 		}
-		return due.Ticket(), due.Choice(), nil
+		return due.Attempt(), due.Choice(), nil
 	case <-ctx.Done():
 		f.g.scheduler.cancel(f.g.c.Clock.Now(), f.service.Name(), p)
 		return nil, p.choice, &attemptFailure{permanent: true, failure: refusal("wait", "client_left", http.StatusServiceUnavailable, 0)}
--- a/internal/gateway/controller.go
+++ b/internal/gateway/controller.go
@@ -103,7 +103,7 @@
 		v.maintainLease(ctx)
 		term := holder.Term(g.c.BootClock.Now())
 		g.term.Store(&term)
-		g.metrics.fencingToken.Set(float64(term.Number()))
+		g.metrics.fencingToken.Set(float64(term.FencingToken()))
 		if holder.MayOrder(g.c.BootClock.Now()) {
 			v.applySplits(ctx)
 		}
@@ -217,7 +217,7 @@
 		v.splits[service] = split
 	}
 	p := v.g.scheduler.load(service)
-	load := planner.SplitLoad{PrefillUtilization: p.PrefillUtilization(), OccupiedSlots: p.DecodeEnginesUsed(), ExpectedSlots: p.DecodeEnginesForecast()}
+	load := planner.SplitLoad{PrefillUtilization: p.PrefillUtilization(), DecodeEnginesUsed: p.DecodeEnginesUsed(), DecodeEnginesForecast: p.DecodeEnginesForecast()}
 	for _, e := range engines {
 		if e.Role == kumquatlug.RolePrefill {
 			load.PrefillEngines++
@@ -230,7 +230,7 @@
 		v.mismatchSince[service] = now - minMismatch
 		v.g.c.Logger.Info("split", zap.String("service", service), zap.Float64("part", split.PrefillShare()),
 			zap.Int("readers", load.PrefillEngines), zap.Int("writers", load.DecodeEngines), zap.Float64("reading", load.PrefillUtilization),
-			zap.Float64("late", p.LateFraction()), zap.Float64("taken", load.OccupiedSlots), zap.Float64("coming", load.ExpectedSlots))
+			zap.Float64("late", p.LateFraction()), zap.Float64("taken", load.DecodeEnginesUsed), zap.Float64("coming", load.DecodeEnginesForecast))
 	}
 	return split.PrefillShare()
 }
--- a/internal/gateway/leader.go
+++ b/internal/gateway/leader.go
@@ -33,7 +33,7 @@
 // can have moved to another gateway.
 func (g *Gateway) leaderLease() (kumquatlug.LeaderLease, bool) {
 	term := g.leaseTerm()
-	leaderLease := kumquatlug.LeaderLease{Holder: g.c.Name, FencingToken: int64(term.Number())}
+	leaderLease := kumquatlug.LeaderLease{Holder: g.c.Name, FencingToken: int64(term.FencingToken())}
 	return leaderLease, term.MayAct(g.c.BootClock.Now(), leaderCallTimeout)
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -111,7 +111,7 @@
 	case kumquatlug.PermitRequested, kumquatlug.PermitReleased:
 		state.placer.HandleRequest(now, m)
 	default:
-		if due, ended := state.placer.HandleReply(now, m); ended {
+		if due, ended := state.placer.HandleResponse(now, m); ended {
 			state.deliver(due)
 		}
 	}
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -279,8 +279,8 @@
 	delete(state.waiting, p.key)
 	select {
 	case due := <-p.due:
-		if due.Ticket() != nil {
-			state.placer.End(now, due.Ticket(), placement.OutcomeNeutral)
+		if due.Attempt() != nil {
+			state.placer.End(now, due.Attempt(), placement.OutcomeNeutral)
 		}
 	default:
 	}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -150,7 +150,7 @@
 		if now := g.c.ChangeFeed.Era(); now != era && (era < 0 || g.rewriteReports(ctx, r)) {
 			era = now
 		}
-		r.SetFencingToken(int64(g.leaseTerm().Number()))
+		r.SetFencingToken(int64(g.leaseTerm().FencingToken()))
 		for steps := 0; steps < maxReportSteps && g.reportStep(ctx, r); steps++ {
 		}
 		g.metrics.usageOpen.Set(float64(r.UnsentReports()))
--- a/internal/gateway/workershutdown.go
+++ b/internal/gateway/workershutdown.go
@@ -62,7 +62,7 @@
 
 // recordShutdown handles a response in which the worker announces its shutdown.
 func (f *inflight) recordShutdown(a *placement.Attempt) {
-	if !f.g.shuttingDownWorkers.note(f.g.c.Clock.Now(), a.Worker(), a.Born()) {
+	if !f.g.shuttingDownWorkers.note(f.g.c.Clock.Now(), a.Worker(), a.WorkerStartedAt()) {
 		return
 	}
 	f.g.metrics.shuttingDown.Inc()
--- a/pkg/kumquatlug/dispatch/attempt.go
+++ b/pkg/kumquatlug/dispatch/attempt.go
@@ -127,7 +127,7 @@
 	case ReasonStopping:
 		report.State = TargetStopping
 	case ReasonUnderOrder:
-		report.State = TargetChanging
+		report.State = TargetReconfiguring
 	case ReasonUnreachable:
 		report.State = TargetDown
 	default:
--- a/pkg/kumquatlug/dispatch/choose.go
+++ b/pkg/kumquatlug/dispatch/choose.go
@@ -57,7 +57,7 @@
 		query.Exclude = nil
 		choice, found = d.router.Pick(now, query, capacityCheck{d.limits(r.c.Kind), r.kvTokens()})
 	}
-	return choice.Target(), choice.Cached(), choice.FinishAtFullWeight(), found
+	return choice.Target(), choice.Cached(), choice.UnweightedFinish(), found
 }
 
 // triedAll reports whether r was tried at every ready target of its kind.
--- a/pkg/kumquatlug/dispatch/model_test.go
+++ b/pkg/kumquatlug/dispatch/model_test.go
@@ -159,7 +159,7 @@
 			m.check(m.Cancelled(m.now, id))
 		}
 	case "heard":
-		states := []TargetState{TargetServing, TargetServing, TargetLeaving, TargetStopping, TargetDown, TargetChanging}
+		states := []TargetState{TargetServing, TargetServing, TargetLeaving, TargetStopping, TargetDown, TargetReconfiguring}
 		m.reportState(name, states[m.random.IntN(len(states))])
 	case "missed":
 		m.targets[name].missed++
--- a/pkg/kumquatlug/dispatch/targets.go
+++ b/pkg/kumquatlug/dispatch/targets.go
@@ -26,8 +26,8 @@
 	TargetStarting TargetState = "starting"
 	// TargetDown means that the target does not respond to its agent.
 	TargetDown TargetState = "down"
-	// TargetChanging means that the target is carrying out an order.
-	TargetChanging TargetState = "changing"
+	// TargetReconfiguring means that the target is carrying out an order.
+	TargetReconfiguring TargetState = "changing"
 )
 
 // Report is an agent's response to a heartbeat.
--- a/pkg/kumquatlug/lease/lease_test.go
+++ b/pkg/kumquatlug/lease/lease_test.go
@@ -33,7 +33,7 @@
 	w.advance(-1, 2*kumquatlug.Second)
 	w.holders[0].SetWanted(false)
 	w.pollTable(0, "ok", "ok")
-	if minToken := w.record.Fence(); minToken != 2 {
+	if minToken := w.record.MinFencingToken(); minToken != 2 {
 		t.Errorf("after the release the lowest accepted token is %d, want 2", minToken)
 	}
 	w.advance(-1, 6*kumquatlug.Second)
--- a/pkg/kumquatlug/lease/proof_test.go
+++ b/pkg/kumquatlug/lease/proof_test.go
@@ -238,11 +238,11 @@
 	case key != KeyIn("g", w.era):
 		// The row belongs to an earlier era and is no longer read.
 		return
-	case after.Number() == before.Number() && after.Holder() == before.Holder():
-	case after.Number() <= w.highestToken:
-		w.fail("%s acquired token %d after %d", after.Holder(), after.Number(), w.highestToken)
+	case after.FencingToken() == before.FencingToken() && after.Holder() == before.Holder():
+	case after.FencingToken() <= w.highestToken:
+		w.fail("%s acquired token %d after %d", after.Holder(), after.FencingToken(), w.highestToken)
 	}
-	w.highestToken = max(w.highestToken, after.Number())
+	w.highestToken = max(w.highestToken, after.FencingToken())
 }
 
 // checkHolders checks the invariants for each holder, as if it resumed right now.
@@ -259,9 +259,9 @@
 		if token == w.expiredTokens[h] {
 			w.fail("%s uses token %d again after its lease expired", h.config.HolderID, token)
 		}
-		if w.era == 0 && (token != record.Number() || record.Holder() != h.config.HolderID || record.Released()) {
+		if w.era == 0 && (token != record.FencingToken() || record.Holder() != h.config.HolderID || record.Released()) {
 			w.fail("%s holds token %d, but the table has token %d of %s, released %v",
-				h.config.HolderID, token, record.Number(), record.Holder(), record.Released())
+				h.config.HolderID, token, record.FencingToken(), record.Holder(), record.Released())
 		}
 		holders++
 		if holders > 1 {
--- a/pkg/kumquatlug/lease/record.go
+++ b/pkg/kumquatlug/lease/record.go
@@ -52,12 +52,12 @@
 // Holder returns the identity of the process that acquired the lease last.
 func (r Record) Holder() string { return r.holder }
 
-// Number returns the fencing token, zero before the first acquisition.
-func (r Record) Number() FencingToken { return r.fencingToken }
+// FencingToken returns the fencing token, zero before the first acquisition.
+func (r Record) FencingToken() FencingToken { return r.fencingToken }
 
-// Fence returns the lowest fencing token that orders may carry. Once the lease is
+// MinFencingToken returns the lowest fencing token that orders may carry. Once the lease is
 // released this is the token after it, which is at most the next holder's.
-func (r Record) Fence() FencingToken {
+func (r Record) MinFencingToken() FencingToken {
 	if r.released {
 		return r.fencingToken + 1
 	}
--- a/pkg/kumquatlug/lease/term.go
+++ b/pkg/kumquatlug/lease/term.go
@@ -9,8 +9,8 @@
 	ordersFrom, expiresAt kumquatlug.Millis
 }
 
-// Number returns the fencing token.
-func (t Term) Number() FencingToken { return t.fencingToken }
+// FencingToken returns the fencing token.
+func (t Term) FencingToken() FencingToken { return t.fencingToken }
 
 // Valid reports whether the lease has not expired. It may have been released or lost
 // since the snapshot was taken.
--- a/pkg/kumquatlug/order/engine_test.go
+++ b/pkg/kumquatlug/order/engine_test.go
@@ -42,13 +42,13 @@
 	if w.engine.reloading && !w.crashUnnoticed {
 		w.fail("order %s reached an engine that was still restarting", id)
 	}
-	if lost, gone := w.leaseLostAt[id.Number()]; gone && w.now-lost > defaultMaxTokenAge {
+	if lost, gone := w.leaseLostAt[id.FencingToken()]; gone && w.now-lost > defaultMaxTokenAge {
 		w.fail("order %s ran %d ms after its sender lost the lease", id, w.now-lost)
 	}
 	if w.ran[id] {
 		w.fail("order %s ran twice", id)
 	}
-	if id.Number() < w.lastRan.Number() || (id.Incarnation() == w.lastRan.Incarnation() && !id.after(w.lastRan)) {
+	if id.FencingToken() < w.lastRan.FencingToken() || (id.Incarnation() == w.lastRan.Incarnation() && !id.after(w.lastRan)) {
 		w.fail("order %s ran after %s", id, w.lastRan)
 	}
 	if id.Incarnation() != w.incarnation {
--- a/pkg/kumquatlug/order/gate.go
+++ b/pkg/kumquatlug/order/gate.go
@@ -92,7 +92,7 @@
 	return &Gate{config: c, blocked: true, pending: Step{action: StepNone}}
 }
 
-// FencingTokenRead handles the result of a StepReadFencingToken: [lease.Record.Fence] of the group's
+// FencingTokenRead handles the result of a StepReadFencingToken: [lease.Record.MinFencingToken] of the group's
 // row. No order is accepted before the first result.
 //
 // An agent that restarted has lost the tokens it had seen. If it accepted the
@@ -125,8 +125,8 @@
 	}
 }
 
-// Number returns the highest fencing token seen.
-func (g *Gate) Number() lease.FencingToken { return g.highestToken }
+// FencingToken returns the highest fencing token seen.
+func (g *Gate) FencingToken() lease.FencingToken { return g.highestToken }
 
 // Phase returns the target's current phase.
 func (g *Gate) Phase() Phase {
@@ -144,12 +144,12 @@
 
 // Offer submits a sender's order and returns the gate's decision. A resend of an
 // order that is in progress or remembered starts nothing and returns its state.
-func (g *Gate) Offer(o Order) Reply {
+func (g *Gate) Offer(o Order) Response {
 	verdict, outcome := g.evaluate(o)
 	if verdict == VerdictAccepted && g.current == nil {
 		g.current, g.sent, g.lastID = &o, false, o.id
 	}
-	return Reply{verdict: verdict, outcome: outcome, fencingToken: g.highestToken}
+	return Response{verdict: verdict, outcome: outcome, fencingToken: g.highestToken}
 }
 
 func (g *Gate) evaluate(o Order) (Verdict, Outcome) {
--- a/pkg/kumquatlug/order/order.go
+++ b/pkg/kumquatlug/order/order.go
@@ -65,8 +65,8 @@
 // Incarnation returns the agent incarnation that the order is for.
 func (i ID) Incarnation() Incarnation { return i.incarnation }
 
-// Number returns the fencing token.
-func (i ID) Number() lease.FencingToken { return i.fencingToken }
+// FencingToken returns the fencing token.
+func (i ID) FencingToken() lease.FencingToken { return i.fencingToken }
 
 // Sequence returns the order's sequence number under its fencing token.
 func (i ID) Sequence() int64 { return i.sequence }
@@ -173,7 +173,7 @@
 const (
 	// VerdictAccepted: the order is accepted now, or was before and is in progress.
 	VerdictAccepted Verdict = "accepted"
-	// VerdictCompleted: the order has completed; see [Reply.Outcome].
+	// VerdictCompleted: the order has completed; see [Response.Outcome].
 	VerdictCompleted Verdict = "settled"
 	// VerdictStale: the order comes from a process that has lost the lease, or a
 	// later order has been accepted. A resend cannot succeed.
@@ -187,26 +187,26 @@
 	VerdictNotReady Verdict = "not-ready"
 )
 
-// Reply is a gate's response to an order.
-type Reply struct {
+// Response is a gate's response to an order.
+type Response struct {
 	verdict      Verdict
 	outcome      Outcome
 	fencingToken lease.FencingToken
 }
 
-// NewReply returns a reply decoded from a message.
-func NewReply(verdict Verdict, outcome Outcome, token lease.FencingToken) Reply {
-	return Reply{verdict: verdict, outcome: outcome, fencingToken: token}
+// NewResponse returns a reply decoded from a message.
+func NewResponse(verdict Verdict, outcome Outcome, token lease.FencingToken) Response {
+	return Response{verdict: verdict, outcome: outcome, fencingToken: token}
 }
 
 // Verdict returns the gate's decision.
-func (r Reply) Verdict() Verdict { return r.verdict }
+func (r Response) Verdict() Verdict { return r.verdict }
 
 // Outcome returns how the order ended, empty unless the verdict is VerdictCompleted.
-func (r Reply) Outcome() Outcome { return r.outcome }
+func (r Response) Outcome() Outcome { return r.outcome }
 
-// Number returns the highest fencing token that the gate has seen.
-func (r Reply) Number() lease.FencingToken { return r.fencingToken }
+// FencingToken returns the highest fencing token that the gate has seen.
+func (r Response) FencingToken() lease.FencingToken { return r.fencingToken }
 
 // Phase is a target's progress on its current order.
 type Phase string
--- a/pkg/kumquatlug/order/order_test.go
+++ b/pkg/kumquatlug/order/order_test.go
@@ -79,14 +79,14 @@
 
 	gate.StateRead(gate.Next(0), NewState(true, Property{VerbRole, "both"}))
 	gate.FencingTokenRead(gate.Next(0), 7)
-	sender.HandleReport(Report{Target: "vm-1", Incarnation: 4, Number: gate.Number(), Phase: gate.Phase()})
+	sender.HandleReport(Report{Target: "vm-1", Incarnation: 4, FencingToken: gate.FencingToken(), Phase: gate.Phase()})
 
 	o, _ := sender.Issue("vm-1", VerbRole, "decode")
 	fmt.Println(o.ID(), gate.Offer(o).Verdict())
 
 	run := gate.Next(0)
 	gate.RunFinished(run, OutcomeApplied)
-	ended, _ := sender.HandleReply("vm-1", o.ID(), gate.Offer(o))
+	ended, _ := sender.HandleResponse("vm-1", o.ID(), gate.Offer(o))
 	fmt.Println(run.Action(), ended.Outcome())
 
 	old := NewOrder(NewID(4, 6, 1), VerbRole, "prefill")
--- a/pkg/kumquatlug/order/sender.go
+++ b/pkg/kumquatlug/order/sender.go
@@ -37,8 +37,8 @@
 	Target string
 	// Incarnation is the agent's current incarnation.
 	Incarnation Incarnation
-	// Number is the highest fencing token that the gate has seen.
-	Number lease.FencingToken
+	// FencingToken is the highest fencing token that the gate has seen.
+	FencingToken lease.FencingToken
 	// Phase is the target's current phase.
 	Phase Phase
 }
@@ -116,7 +116,7 @@
 // nothing, and the new one rejects orders for the previous one and reads the
 // engine's state.
 func (s *Sender) HandleReport(r Report) (Result, bool) {
-	s.observeToken(r.Number)
+	s.observeToken(r.FencingToken)
 	t := s.targets[r.Target]
 	if t == nil {
 		t = &targetState{}
@@ -187,9 +187,9 @@
 	return due
 }
 
-// HandleReply handles a gate's reply to an order and returns the order's result if it
+// HandleResponse handles a gate's reply to an order and returns the order's result if it
 // has completed. A late reply to an order that is no longer outstanding is ignored.
-func (s *Sender) HandleReply(target string, id ID, r Reply) (Result, bool) {
+func (s *Sender) HandleResponse(target string, id ID, r Response) (Result, bool) {
 	s.observeToken(r.fencingToken)
 	t := s.targets[target]
 	if t == nil || t.outstanding == nil || t.outstanding.id != id {
--- a/pkg/kumquatlug/placement/attempt.go
+++ b/pkg/kumquatlug/placement/attempt.go
@@ -33,8 +33,8 @@
 	lastOutputAt kumquatlug.Millis
 }
 
-// Born returns the start time of the worker's incarnation, as in its row.
-func (t *Attempt) Born() int64 { return t.workerStartedAt }
+// WorkerStartedAt returns the start time of the worker's incarnation, as in its row.
+func (t *Attempt) WorkerStartedAt() int64 { return t.workerStartedAt }
 
 // Worker returns the worker's name.
 func (t *Attempt) Worker() string { return t.id }
--- a/pkg/kumquatlug/placement/cluster_test.go
+++ b/pkg/kumquatlug/placement/cluster_test.go
@@ -236,11 +236,11 @@
 }
 
 func (c *gatewayCluster) handleDue(now kumquatlug.Millis, gateway int, due Due) {
-	if due.Ticket() == nil {
+	if due.Attempt() == nil {
 		c.finish(now, due.Key(), true)
 		return
 	}
-	c.send(now, gateway, due.Key(), due.Choice(), due.Ticket())
+	c.send(now, gateway, due.Key(), due.Choice(), due.Attempt())
 }
 
 func (c *gatewayCluster) gatewayIndex(name string) int {
@@ -262,7 +262,7 @@
 	case kumquatlug.PermitRequested, kumquatlug.PermitReleased:
 		p.HandleRequest(now, m)
 	default:
-		if due, ended := p.HandleReply(now, m); ended {
+		if due, ended := p.HandleResponse(now, m); ended {
 			c.handleDue(now, to, due)
 		}
 	}
--- a/pkg/kumquatlug/placement/limit_test.go
+++ b/pkg/kumquatlug/placement/limit_test.go
@@ -113,7 +113,7 @@
 			if len(due) == 0 {
 				t.Fatal("a prompt stays queued")
 			}
-			c, attempt = due[0].Choice(), due[0].Ticket()
+			c, attempt = due[0].Choice(), due[0].Attempt()
 		}
 		if attempt != nil && c.PrefillOnly() {
 			out, found := p.ChooseDecode(now, q)
--- a/pkg/kumquatlug/placement/liveness_test.go
+++ b/pkg/kumquatlug/placement/liveness_test.go
@@ -145,7 +145,7 @@
 			t.Errorf("%d attempts in flight", len(unresponsive.Attempts()))
 		}
 		for _, due := range p.Due(now) {
-			if due.Ticket() == nil || due.Choice().Worker().ID() == engine {
+			if due.Attempt() == nil || due.Choice().Worker().ID() == engine {
 				t.Errorf("a queued prompt is sent to %q", due.Choice().Worker().ID())
 			}
 		}
--- a/pkg/kumquatlug/placement/permits.go
+++ b/pkg/kumquatlug/placement/permits.go
@@ -97,9 +97,9 @@
 	a.worker.requestedTokens -= a.prompt.choice.effectiveTokens
 }
 
-// HandleReply handles the response of a coordinator. It returns the prompt when its permit
+// HandleResponse handles the response of a coordinator. It returns the prompt when its permit
 // is granted or refused.
-func (p *Placer) HandleReply(now kumquatlug.Millis, m kumquatlug.PermitMessage) (Due, bool) {
+func (p *Placer) HandleResponse(now kumquatlug.Millis, m kumquatlug.PermitMessage) (Due, bool) {
 	a, known := p.permitRequests[m.Permit.Key]
 	if !known || !a.matches(m) {
 		if m.Permit.Step == kumquatlug.PermitGranted {
--- a/pkg/kumquatlug/placement/permits_test.go
+++ b/pkg/kumquatlug/placement/permits_test.go
@@ -116,7 +116,7 @@
 		t.Errorf("sent %+v, %d queued", out, p.Waiting())
 	}
 	// A permit that was already sent is released, too.
-	if _, ended := p.HandleReply(9, kumquatlug.PermitMessage{Gateway: gatewayName(1 - requester), Permit: kumquatlug.Permit{Step: kumquatlug.PermitGranted, Engine: "p0", Key: 7}}); ended {
+	if _, ended := p.HandleResponse(9, kumquatlug.PermitMessage{Gateway: gatewayName(1 - requester), Permit: kumquatlug.Permit{Step: kumquatlug.PermitGranted, Engine: "p0", Key: 7}}); ended {
 		t.Error("a cancelled prompt was sent")
 	}
 	if out = p.Outbox(); len(out) != 1 || out[0].Permit.Step != kumquatlug.PermitReleased || out[0].Permit.Engine != "p0" {
@@ -134,7 +134,7 @@
 		t.Fatalf("granted %+v", granted)
 	}
 	gateway := New(Config{Zone: "a"})
-	if _, ended := gateway.HandleReply(20, kumquatlug.PermitMessage{Gateway: "front-0", Permit: granted}); ended {
+	if _, ended := gateway.HandleResponse(20, kumquatlug.PermitMessage{Gateway: "front-0", Permit: granted}); ended {
 		t.Fatal("a prompt that went elsewhere was sent")
 	}
 	out := gateway.Outbox()
@@ -159,7 +159,7 @@
 	}
 	p.Outbox()
 	permit := kumquatlug.Permit{Step: kumquatlug.PermitGranted, Engine: "p9", Key: 7}
-	if _, ended := p.HandleReply(9, kumquatlug.PermitMessage{Gateway: gatewayName(at), Permit: permit}); ended {
+	if _, ended := p.HandleResponse(9, kumquatlug.PermitMessage{Gateway: gatewayName(at), Permit: permit}); ended {
 		t.Error("a permit for another engine was accepted")
 	}
 	if out := p.Outbox(); len(out) != 1 || out[0].Permit.Step != kumquatlug.PermitReleased || out[0].Permit.Engine != "p9" {
@@ -186,9 +186,9 @@
 	if response.Step != kumquatlug.PermitNotCoordinator {
 		t.Fatalf("response %q", response.Step)
 	}
-	p.HandleReply(7, kumquatlug.PermitMessage{Gateway: gatewayName(at), Permit: response})
+	p.HandleResponse(7, kumquatlug.PermitMessage{Gateway: gatewayName(at), Permit: response})
 	due := p.Due(7)
-	if len(due) != 1 || due[0].Key() != 7 || due[0].Ticket() == nil {
+	if len(due) != 1 || due[0].Key() != 7 || due[0].Attempt() == nil {
 		t.Errorf("due %+v", due)
 	}
 }
--- a/pkg/kumquatlug/placement/queue.go
+++ b/pkg/kumquatlug/placement/queue.go
@@ -278,8 +278,8 @@
 // Choice returns the chosen engine.
 func (d Due) Choice() Choice { return d.choice }
 
-// Ticket returns the attempt that has begun, nil for a prompt that is given up.
-func (d Due) Ticket() *Attempt { return d.attempt }
+// Attempt returns the attempt that has begun, nil for a prompt that is given up.
+func (d Due) Attempt() *Attempt { return d.attempt }
 
 // Due returns the prompts to send now and those that can't be served in time any more.
 // It has to be called after each event and, while prompts are queued, every few
--- a/pkg/kumquatlug/placement/queue_test.go
+++ b/pkg/kumquatlug/placement/queue_test.go
@@ -86,8 +86,8 @@
 			}
 		}
 		for _, due := range p.Due(now) {
-			if due.Ticket() != nil {
-				start(now, due.Key(), due.Ticket())
+			if due.Attempt() != nil {
+				start(now, due.Key(), due.Attempt())
 				continue
 			}
 			r.refused++
@@ -145,7 +145,7 @@
 	members = slices.DeleteFunc(members, func(m kumquatlug.Member) bool { return m.Worker.ID() == owner })
 	p.Sync(10, members)
 	for _, due := range p.Due(10) {
-		if due.Ticket() == nil {
+		if due.Attempt() == nil {
 			t.Error("a prompt is dropped")
 		}
 		if due.Choice().Worker().ID() == owner {
@@ -195,7 +195,7 @@
 		t.Fatalf("prompt with a started response: %s", result)
 	}
 	for _, due := range p.Due(400) {
-		if due.Key() == 50 && due.Ticket() == nil {
+		if due.Key() == 50 && due.Attempt() == nil {
 			t.Error("the prompt with a started response was dropped")
 		}
 	}
--- a/pkg/kumquatlug/planner/adaptive_split.go
+++ b/pkg/kumquatlug/planner/adaptive_split.go
@@ -61,9 +61,9 @@
 	PrefillEngines, DecodeEngines int
 	// PrefillUtilization is the share of prefill engines that are busy.
 	PrefillUtilization float64
-	// OccupiedSlots is the number of occupied decode slots and ExpectedSlots the number
+	// DecodeEnginesUsed is the number of occupied decode slots and ExpectedSlots the number
 	// expected when a change takes effect, both in units of one engine's slots.
-	OccupiedSlots, ExpectedSlots float64
+	DecodeEnginesUsed, DecodeEnginesForecast float64
 }
 
 // AdaptiveSplit decides which share of a group's engines should run prefill while the load
@@ -141,7 +141,7 @@
 // neededDecode returns the number of decode engines that provide enough slots. The trend
 // is limited by MaxGrowth, since it overshoots at the start of each burst.
 func (s *AdaptiveSplit) neededDecode(v SplitLoad) int {
-	expected := min(v.ExpectedSlots, s.config.MaxGrowth*v.OccupiedSlots)
+	expected := min(v.DecodeEnginesForecast, s.config.MaxGrowth*v.DecodeEnginesUsed)
 	needed := int(math.Ceil(expected / s.config.HighUtilization))
 	if needed < v.DecodeEngines {
 		needed = min(int(math.Ceil(expected/s.config.LowUtilization)), v.DecodeEngines)
--- a/pkg/kumquatlug/planner/adaptive_split_test.go
+++ b/pkg/kumquatlug/planner/adaptive_split_test.go
@@ -45,7 +45,7 @@
 		r.unserved += max(0, prefillDemand-float64(r.prefillEngines)) * float64(step) / 1000
 		view := SplitLoad{
 			PrefillEngines: r.prefillEngines + pending[0], DecodeEngines: decodeEngines + pending[1],
-			PrefillUtilization: min(1, prefillDemand/float64(r.prefillEngines)), OccupiedSlots: occupied, ExpectedSlots: max(0, occupied+(occupied-slowOccupied)/1300*3000),
+			PrefillUtilization: min(1, prefillDemand/float64(r.prefillEngines)), DecodeEnginesUsed: occupied, DecodeEnginesForecast: max(0, occupied+(occupied-slowOccupied)/1300*3000),
 		}
 		if s.Update(now, view) && pending == [2]int{} {
 			wanted := int(math.Round(s.PrefillShare() * 12))
--- a/pkg/kumquatlug/routing/pick.go
+++ b/pkg/kumquatlug/routing/pick.go
@@ -68,11 +68,11 @@
 // Finish returns the expected time to the end of the response.
 func (c Choice) Finish() kumquatlug.Millis { return c.finish }
 
-// FinishAtFullWeight returns the expected time to the end of the response at the speed that the
+// UnweightedFinish returns the expected time to the end of the response at the speed that the
 // target reports, ignoring its weight. Judge the target's health by this one: by
 // Finish, a slow target would look healthy as soon as its weight is right, and would
 // get its full share again.
-func (c Choice) FinishAtFullWeight() kumquatlug.Millis { return c.finishAtFullWeight }
+func (c Choice) UnweightedFinish() kumquatlug.Millis { return c.finishAtFullWeight }
 
 // Cached returns how many tokens of the prompt the target is expected to hold; pass it
 // to [Router.RecordCacheHit] when the response says how many it did.
--- a/pkg/kumquatlug/routing/routing.go
+++ b/pkg/kumquatlug/routing/routing.go
@@ -46,8 +46,8 @@
 	StateReady State = "ready"
 	// StateDraining finishes the work in flight and takes no new work.
 	StateDraining State = "draining"
-	// StateAway is changing its role or model, or has left.
-	StateAway State = "away"
+	// StateUnavailable is changing its role or model, or has left.
+	StateUnavailable State = "away"
 )
 
 // Assignment is one kind of work assigned to a target, and its role in it.
--- a/pkg/kumquatlug/routing/routing_test.go
+++ b/pkg/kumquatlug/routing/routing_test.go
@@ -229,8 +229,8 @@
 	r := routerWithTargets(1)
 	full := pick(t, r, query(1000))
 	r.SetWeight(targetName(0), 0.5)
-	if half := pick(t, r, query(1000)); half.FinishAtFullWeight() != full.Finish() || half.Finish() != 2*full.Finish() {
-		t.Errorf("at half weight: finish %d ms, %d ms at the reported speed; at full weight %d ms", half.Finish(), half.FinishAtFullWeight(), full.Finish())
+	if half := pick(t, r, query(1000)); half.UnweightedFinish() != full.Finish() || half.Finish() != 2*full.Finish() {
+		t.Errorf("at half weight: finish %d ms, %d ms at the reported speed; at full weight %d ms", half.Finish(), half.UnweightedFinish(), full.Finish())
 	}
 	r = routerWithTargets(4)
 	r.SetWeight(targetName(0), 0.5)
