--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -26,31 +26,31 @@
 	cat <<EOF
 none|go.mod|
 owners by rendezvous|$placement/choose.go|s/q.Prompt, w == owner)/q.Prompt, false)/
-price of leaving an owner|$placement/placement.go|s/c.AwayPrice, 24)/c.AwayPrice, 1)/
-price of reading beside streams|$placement/placement.go|s/c.MixedPrice, 60)/c.MixedPrice, 1)/
-small prompts read beside streams|$placement/placement.go|s/smallRead = 512/smallRead = 0/
-price of another data centre|$placement/placement.go|s/c.ZonePrice, 3)/c.ZonePrice, 0.001)/
-price of a cache from another data centre|$placement/placement.go|s/cacheZoneCost = 9.0/cacheZoneCost = 0.0/
-memory counted for outputs|$placement/cost.go|s/if p.memory == 0 || ahead == 0 {/if true {/
-order by worth for reading|$placement/queue.go|s/return (baseWorth + size) \/ (w.choice.tokens + baseRead)/return size * 0/
-one prompt ahead|$placement/queue.go|s/aheadSpan = 5.0/aheadSpan = 200.0/
-late prompts told early|$placement/queue.go|s/now-one.lateAt > one.hold/false/
-begun answers first|$gateway/attempt.go|s/, Begun: f.begun}/}/
-measured against expected time|$placement/placement.go|s/leastPace, mostPace = 0.7, 4.0/leastPace, mostPace = 1.0, 1.0/
-learned overrun|$placement/ticket.go|s/p.overrunOf(t).Saw(/_ = (/
-learned pauses|pkg/kumquatlug/learn/pause.go|s/p.longest = min(max(pause, p.longest\*pauseFade), mostPause)/p.longest = firstPause/
-learned reading|pkg/kumquatlug/learn/reading.go|s/if fresh < 1 || took/if true || took/
-silent workers left out|$placement/silence.go|s/if !w.silent \&\& p.verdict(now, w) == verdictSilent {/if false {/
-streams that stand still|$placement/silence.go|s/now-t.heardAt > stalledSpan/false/
+price of leaving an owner|$placement/placement.go|s/c.RecomputePenalty, 24)/c.RecomputePenalty, 1)/
+price of reading beside streams|$placement/placement.go|s/c.MixedPrefillPenalty, 60)/c.MixedPrefillPenalty, 1)/
+small prompts read beside streams|$placement/placement.go|s/smallPrefillTokens = 512/smallPrefillTokens = 0/
+price of another data centre|$placement/placement.go|s/c.ZonePenaltyMs, 3)/c.ZonePenaltyMs, 0.001)/
+price of a cache from another data centre|$placement/placement.go|s/crossZoneCacheCostMs = 9.0/crossZoneCacheCostMs = 0.0/
+memory counted for outputs|$placement/cost.go|s/if p.kvCapacityTokens == 0 || ahead == 0 {/if true {/
+order by worth for reading|$placement/queue.go|s/return cmp.Or(q.Value, 1) \/ (tokens + promptOverheadTokens)/return 0 * tokens/
+one prompt ahead|$placement/queue.go|s/maxEngineBacklogMs = 5.0/maxEngineBacklogMs = 200.0/
+late prompts told early|$placement/queue.go|s/now-queued.lateAt > queued.maxLateHold/false/
+begun answers first|$gateway/attempt.go|s/, ResponseStarted: f.responseStarted,/,/
+measured against expected time|$placement/placement.go|s/minSlowdown, maxSlowdown = 0.7, 4.0/minSlowdown, maxSlowdown = 1.0, 1.0/
+learned overrun|$placement/attempt.go|s/p.overrunFor(t).Observe(/_ = (/
+learned pauses|pkg/kumquatlug/learn/pause.go|s/p.longest = min(max(pause, p.longest\*pauseDecay), maxPauseMs)/p.longest = initialPauseMs/
+learned reading|pkg/kumquatlug/learn/prefill.go|s/if uncached < 1 || took/if true || took/
+silent workers left out|$placement/liveness.go|s/if !w.unresponsive \&\& p.liveness(now, w) == livenessUnresponsive {/if false {/
+streams that stand still|$placement/liveness.go|s/now-t.lastOutputAt > streamStallTimeout/false/
 slower workers get less|pkg/kumquatlug/health/health.go|s/if slower <= g.config.Tolerance {/if true {/
-pause after a refusal|$placement/ticket.go|s/w.until = now + min(pause, refusalLimit)/w.until = now + min(pause, 0)/
-streams move|$gateway/relay.go|s/f.ask.Prompt().Output() > shortOutput/false/
-split follows streams|pkg/kumquatlug/planner/swing.go|s/if wrong == 0 || !settled/if true || !settled/
-refused outputs keep their cache|$gateway/attempt.go|s/failed.failure.Reason() == reasonRefused \&\& !f.reused/false/
-clients that came back are late|$gateway/inflight.go|s/f.trying = f.g.scheduler.arrive/_ = f.g.scheduler.arrive/
-late ones less urgent|$gateway/attempt.go|s/urgency = urgencyLate/urgency = urgencyInTime/
-routes by priority|$gateway/attempt.go|s/min(urgency+f.route.Priority(), urgencyLast)/urgency/
-generated tokens count when read again|$gateway/attempt.go|s/if f.last == 0 {/if true {/
+pause after a refusal|$placement/attempt.go|s/w.backoffUntil = now + min(backoff, maxRefusalBackoff)/w.backoffUntil = now + min(backoff, 0)/
+streams move|$gateway/relay.go|s/f.request.Prompt().Output() > shortOutputTokens/false/
+split follows streams|pkg/kumquatlug/planner/adaptive_split.go|s/if imbalance == 0 || !settled/if true || !settled/
+refused outputs keep their cache|$gateway/attempt.go|s/failed.failure.Reason() == reasonWorkerRefused \&\& !f.cacheReused/false/
+clients that came back are late|$gateway/inflight.go|s/f.retryingFor = f.g.scheduler.recordArrival/_ = f.g.scheduler.recordArrival/
+late ones less urgent|$gateway/attempt.go|s/priority = priorityLate/priority = priorityOnTime/
+routes by priority|$gateway/attempt.go|s/min(priority+f.priority(), priorityLowest)/priority/
+generated tokens count when read again|$gateway/attempt.go|s/if f.lastEventID == 0 {/if true {/
 EOF
 }
 
