--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -32,7 +32,7 @@
 price of another data centre|$placement/placement.go|s/c.ZonePenaltyMs, 3)/c.ZonePenaltyMs, 0.001)/
 price of a cache from another data centre|$placement/placement.go|s/crossZoneCacheCostMs = 9.0/crossZoneCacheCostMs = 0.0/
 memory counted for outputs|$placement/cost.go|s/if p.kvCapacityTokens == 0 || ahead == 0 {/if true {/
-order by worth for reading|$placement/queue.go|s/return cmp.Or(q.Value, 1) \/ (tokens + promptOverheadTokens)/return 0 * tokens/
+order by worth for reading|$placement/queue.go|s/return cmp.Or(q.Value, 1) \/ (tokens + promptOverheadTokens)/return 0 * cmp.Or(q.Value, 1) * tokens/
 one prompt ahead|$placement/queue.go|s/maxEngineBacklogMs = 5.0/maxEngineBacklogMs = 200.0/
 late prompts told early|$placement/queue.go|s/now-queued.lateAt > queued.maxLateHold/false/
 begun answers first|$gateway/attempt.go|s/, ResponseStarted: f.responseStarted,/,/
